--- a/src/bench/java/sandstack/decisions/DecisionBenchmark.java
+++ b/src/bench/java/sandstack/decisions/DecisionBenchmark.java
@@ -21,7 +21,9 @@
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
-@Fork(value = 1, jvmArgs = {"-Xmx2g", "-XX:+UseSerialGC"})
+@Fork(
+        value = 1,
+        jvmArgs = {"-Xmx2g", "-XX:+UseSerialGC"})
 @Warmup(iterations = 2, time = 3)
 @Measurement(iterations = 3, time = 3)
 public class DecisionBenchmark {
@@ -35,9 +37,40 @@
     @Setup
     public void fill() {
         RequestClass cls = new RequestClass(500_000, 3_000_000, 5, Repeat.SAFE, Decisions.Scope.ALL, 0, 150_000);
-        brain = new Brain(new Settings(0, 3, 0, 3, List.of(cls, cls), List.of(), 1, false, false, true, true,
-                10_000_000, 6, 100_000, true, 1_500_000, false, 0, false, 0, 0.1, 0.012, 300_000, 0.13, 23_000_000, 3,
-                1_500_000, false), Stated.Book.EMPTY, Limits.NONE, 7, now);
+        brain = new Brain(
+                new Settings(
+                        0,
+                        3,
+                        0,
+                        3,
+                        List.of(cls, cls),
+                        List.of(),
+                        1,
+                        false,
+                        false,
+                        true,
+                        true,
+                        10_000_000,
+                        6,
+                        100_000,
+                        true,
+                        1_500_000,
+                        false,
+                        0,
+                        false,
+                        0,
+                        0.1,
+                        0.012,
+                        300_000,
+                        0.13,
+                        23_000_000,
+                        3,
+                        1_500_000,
+                        false),
+                Stated.Book.EMPTY,
+                Limits.NONE,
+                7,
+                now);
         List<ServerEntry> list = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             list.add(new ServerEntry("s" + i, i % 3, i / 10, i % 2, 0, Phase.READY, 1));
@@ -52,8 +85,8 @@
 
     private ConnectRequest ask(String id) {
         asked++;
-        return new ConnectRequest(id, (int) (asked % 2), 0, "k" + asked % 5_000, "g" + asked % 2_000, now + 3_000_000, 0,
-                false, false);
+        return new ConnectRequest(
+                id, (int) (asked % 2), 0, "k" + asked % 5_000, "g" + asked % 2_000, now + 3_000_000, 0, false, false);
     }
 
     /** What one connection costs the module. */
--- a/src/main/java/sandstack/CommandLineOfAll.java
+++ b/src/main/java/sandstack/CommandLineOfAll.java
@@ -29,8 +29,12 @@
 import sandstack.rig.FaultsCommand;
 
 /** The commands of the program, their help and their exit codes: 2 for wrong usage or settings, told in one line. */
-@Command(name = "sandstack", description = "A relay for long-lived connections.", mixinStandardHelpOptions = true,
-        versionProvider = CommandLineOfAll.Version.class, synopsisSubcommandLabel = "COMMAND",
+@Command(
+        name = "sandstack",
+        description = "A relay for long-lived connections.",
+        mixinStandardHelpOptions = true,
+        versionProvider = CommandLineOfAll.Version.class,
+        synopsisSubcommandLabel = "COMMAND",
         subcommands = {FaultsCommand.class, MeasureCommand.class, OpenCommand.class, StandInCommand.class})
 public final class CommandLineOfAll implements Callable<Integer> {
     private static final int WRONG = 2;
@@ -42,8 +46,11 @@
 
     /** What commands take that decide by what is known of the feed servers. */
     static final class Known {
-        @Option(names = "--capacity", paramLabel = "FILE",
-                description = "What is known of the feed servers (default: deploy/capacity.toml, which states nothing).")
+        @Option(
+                names = "--capacity",
+                paramLabel = "FILE",
+                description =
+                        "What is known of the feed servers (default: deploy/capacity.toml, which states nothing).")
         private Path file;
     }
 
@@ -70,15 +77,20 @@
     }
 
     static CommandLine line() {
-        return new CommandLine(new CommandLineOfAll()).setParameterExceptionHandler((e, wrong) -> {
-            e.getCommandLine().getErr().println(e.getCommandLine().getCommandSpec().qualifiedName() + ": "
-                    + e.getMessage().lines().findFirst().orElse("wrong usage") + "; try --help");
-            return WRONG;
-        }).setExecutionExceptionHandler((e, line, parsed) -> {
-            line.getErr().println(line.getCommandSpec().name() + ": " + (e instanceof IOException
-                    ? "input or output failed: " : "") + e.getMessage());
-            return e instanceof BadSettings ? WRONG : 1;
-        });
+        return new CommandLine(new CommandLineOfAll())
+                .setParameterExceptionHandler((e, wrong) -> {
+                    e.getCommandLine()
+                            .getErr()
+                            .println(e.getCommandLine().getCommandSpec().qualifiedName() + ": "
+                                    + e.getMessage().lines().findFirst().orElse("wrong usage") + "; try --help");
+                    return WRONG;
+                })
+                .setExecutionExceptionHandler((e, line, parsed) -> {
+                    line.getErr()
+                            .println(line.getCommandSpec().name() + ": "
+                                    + (e instanceof IOException ? "input or output failed: " : "") + e.getMessage());
+                    return e instanceof BadSettings ? WRONG : 1;
+                });
     }
 
     @Override
@@ -100,8 +112,14 @@
             throws BadSettings, IOException {
         Service service = Main.service(known.file, fleet);
         FleetLink link = member(service, fleet);
-        service.console(link == null ? Map.of() : Map.of("fleet", () -> FleetText.lines(link.view()),
-                "fleet json", () -> List.of(FleetText.json(link.view()))),
+        service.console(
+                link == null
+                        ? Map.of()
+                        : Map.of(
+                                "fleet",
+                                () -> FleetText.lines(link.view()),
+                                "fleet json",
+                                () -> List.of(FleetText.json(link.view()))),
                 link == null ? Map.of() : Map.of("fleet take-out", name -> takeOut(link, name)));
         return 0;
     }
@@ -138,11 +156,12 @@
         return 0;
     }
 
-    @Command(description = "The decisions on the simulator's wire, on standard input and output.",
+    @Command(
+            description = "The decisions on the simulator's wire, on standard input and output.",
             mixinStandardHelpOptions = true)
     int simhost(@Mixin Known known) throws BadSettings, IOException, WireException {
-        new Link(CapacityFile.read(Main.files(), known.file)).run(new FileInputStream(FileDescriptor.in),
-                new FileOutputStream(FileDescriptor.out));
+        new Link(CapacityFile.read(Main.files(), known.file))
+                .run(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out));
         return 0;
     }
 }
--- a/src/main/java/sandstack/FleetPath.java
+++ b/src/main/java/sandstack/FleetPath.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 import java.lang.reflect.InvocationTargetException;
+import java.net.URISyntaxException;
 import java.net.URL;
 import java.net.URLClassLoader;
-import java.net.URISyntaxException;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -31,7 +31,11 @@
     /** Runs the command over the longer path; returns the exit code. */
     static int run(String... args) throws IOException {
         try {
-            Path jar = Path.of(FleetPath.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            Path jar = Path.of(FleetPath.class
+                    .getProtectionDomain()
+                    .getCodeSource()
+                    .getLocation()
+                    .toURI());
             List<URL> path = new ArrayList<>(List.of(jar.toUri().toURL()));
             for (String folder : List.of("lib", "lib-fleet")) {
                 Path libraries = jar.resolveSibling(folder);
@@ -45,10 +49,11 @@
                 }
             }
             // open as long as the process
-            URLClassLoader loader = new URLClassLoader("fleet", path.toArray(URL[]::new),
-                    ClassLoader.getPlatformClassLoader());
+            URLClassLoader loader =
+                    new URLClassLoader("fleet", path.toArray(URL[]::new), ClassLoader.getPlatformClassLoader());
             Thread.currentThread().setContextClassLoader(loader);
-            return (int) loader.loadClass("sandstack.CommandLineOfAll").getDeclaredMethod("run", String[].class)
+            return (int) loader.loadClass("sandstack.CommandLineOfAll")
+                    .getDeclaredMethod("run", String[].class)
                     .invoke(null, (Object) args);
         } catch (URISyntaxException | ReflectiveOperationException e) {
             Throwable cause = e instanceof InvocationTargetException ? e.getCause() : e;
--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -46,6 +46,7 @@
     private static final int OTHER_DESCRIPTORS = 48;
     /** A process that inherits its clients' socket waits so long for discovery before it serves by an older list. */
     private static final long LIST_WITHIN = 1_000_000;
+
     private static final long LOOK_AGAIN = 20_000;
     /** Last words are on their way so long after the last client has gone. */
     private static final long LAST_WORDS = 150_000;
@@ -66,14 +67,17 @@
     private final int kept;
     /** Null where no other process may be this relay too. */
     private Kin kin;
+
     private boolean listFromKin;
     private int processes = 1;
     private final PlatformFront platform;
     /** What the last reload led to; the relay has the same, on its own thread. */
     private Terms terms;
+
     private volatile boolean accepting;
     /** Whether a client may be there, or may come: told to stop before, the process just ends. */
     private volatile boolean serving;
+
     private int door;
     private long startedAt;
 
@@ -86,14 +90,13 @@
      * @param env where the configuration was read from, and is read from again
      * @param kinds has learned the machine kinds of the configuration
      */
-    public Service(PlatformConfig config, Map<String, String> env, OwnFiles files, CapacityFile capacity,
-            MachineKinds kinds) {
+    public Service(
+            PlatformConfig config, Map<String, String> env, OwnFiles files, CapacityFile capacity, MachineKinds kinds) {
         this.config = config;
         this.env = env;
         this.files = files;
         this.terms = config.terms();
-        this.relay = new Relay(terms, capacity.book(), capacity.limits(), config.seed(),
-                loop::now, this::askDiscovery);
+        this.relay = new Relay(terms, capacity.book(), capacity.limits(), config.seed(), loop::now, this::askDiscovery);
         this.form = new NameTableJson(config.zones(), kinds);
         this.watch = new DiscoveryWatch(loop, relay, config.discovery(), form);
         this.kept = OTHER_DESCRIPTORS + (config.operator() == null ? 0 : OperatorDoor.MOST);
@@ -138,8 +141,9 @@
     public void console(Map<String, Supplier<List<String>>> more, Map<String, Function<String, List<String>>> withWord)
             throws BadSettings, IOException {
         start();
-        new Console(new Commands(relay, loop, () -> listeners, () -> new Thread(() -> System.exit(0)).start(),
-                more, withWord)).run();
+        new Console(new Commands(
+                        relay, loop, () -> listeners, () -> new Thread(() -> System.exit(0)).start(), more, withWord))
+                .run();
         System.exit(0);
     }
 
@@ -171,8 +175,8 @@
         JsonNode amqp = files.enabled("amqp.toml");
         JsonNode directory = files.enabled("directory.toml");
         TenantDirectory.Where where = directory == null ? null : TenantDirectory.Where.read(directory);
-        Address amqpListen = amqp == null ? null
-                : Address.parse(OwnFiles.text(amqp, "listen", "amqp.toml"), "amqp.toml: listen");
+        Address amqpListen =
+                amqp == null ? null : Address.parse(OwnFiles.text(amqp, "listen", "amqp.toml"), "amqp.toml: listen");
         if (config.inherits() && !(System.inheritedChannel() instanceof ServerSocketChannel)) {
             throw new BadSettings("PROXY_SOCKET_FD is 0, but descriptor 0 is no listening socket");
         }
@@ -184,7 +188,9 @@
         relay.listed(known);
         loop.start(relay::turn, relay::nextTurn);
         if (config.operator() != null) {
-            door = listen("operators", config.operator(),
+            door = listen(
+                    "operators",
+                    config.operator(),
                     new OperatorDoor(loop, relay.deadlines(), this::hindrance, relay::figures)::listen);
         }
         if (terms.settings().list().pushed()) {
@@ -204,8 +210,7 @@
             accepting = true;
         }
         if (amqpListen != null) {
-            listen("AMQP", amqpListen,
-                    new AmqpFront(loop, relay, lobby, config.name())::listen);
+            listen("AMQP", amqpListen, new AmqpFront(loop, relay, lobby, config.name())::listen);
         }
         if (where != null) {
             new TenantDirectory(where, list -> loop.execute(() -> relay.tenantsListed(list))).start();
@@ -215,8 +220,11 @@
 
     /** Why this process cannot serve now; null where it can. On the loop's thread. */
     private String hindrance() {
-        return relay.draining() ? "draining" : !relay.names().usable() ? "no feed server is listed"
-                : accepting ? null : "discovery has not answered yet";
+        return relay.draining()
+                ? "draining"
+                : !relay.names().usable()
+                        ? "no feed server is listed"
+                        : accepting ? null : "discovery has not answered yet";
     }
 
     /** Where what the agent has counts from the first moment, no client comes before the relay has heard it. */
@@ -229,7 +237,8 @@
     }
 
     private void untilTold(CountDownLatch told) {
-        if (relay.names().told() || loop.now() - startedAt >= terms.settings().list().firstList()) {
+        if (relay.names().told()
+                || loop.now() - startedAt >= terms.settings().list().firstList()) {
             told.countDown();
         } else {
             relay.deadlines().at(loop.now() + LOOK_AGAIN, () -> untilTold(told));
@@ -261,8 +270,8 @@
 
     /** Reckons with other processes of this relay; returns the list of one that serves, or null. */
     private NameTable.News joinKin() {
-        kin = new Kin(Path.of(env.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))), config.name(),
-                loop::now);
+        kin = new Kin(
+                Path.of(env.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))), config.name(), loop::now);
         Kin.Found found = kin.find();
         processesAre(found.count() + 1);
         if (found.list() == null) {
@@ -271,7 +280,8 @@
         try {
             NameTable.News news = form.kept(found.list());
             listFromKin = true;
-            LOG.info("takes over from another process, whose list has " + news.lines().size() + " feed servers");
+            LOG.info("takes over from another process, whose list has "
+                    + news.lines().size() + " feed servers");
             return news;
         } catch (BadSettings e) {
             LOG.warning("the list of another process cannot be used: " + e.getMessage());
@@ -294,8 +304,8 @@
             CompletableFuture<Kin.Own> own = new CompletableFuture<>();
             loop.execute(() -> {
                 long number = relay.names().changes();
-                own.complete(new Kin.Own(lobby.taken(), number,
-                        number == writtenList ? null : form.text(relay.names())));
+                own.complete(
+                        new Kin.Own(lobby.taken(), number, number == writtenList ? null : form.text(relay.names())));
             });
             try {
                 return own.get();
--- a/src/main/java/sandstack/benchlink/EventReader.java
+++ b/src/main/java/sandstack/benchlink/EventReader.java
@@ -146,7 +146,7 @@
                 case VALUE_NUMBER_FLOAT -> raw.fields.put(name, in.getDoubleValue());
                 case VALUE_TRUE -> raw.fields.put(name, Boolean.TRUE);
                 case VALUE_FALSE -> raw.fields.put(name, Boolean.FALSE);
-                default -> { }
+                default -> {}
             }
         }
         if (raw.type == null) {
@@ -327,9 +327,16 @@
         private ConnectRequest request() throws WireException {
             long bits = number("bitmap", 0);
             double load = (bits & HINT_VALID) != 0 && fields.get("work_hint_us") != null ? real("work_hint_us") : 0;
-            return new ConnectRequest(text("corr"), (int) number("kind"), (int) number("org", 0),
-                    optional("path_key"), optional("group"), number("client_deadline_us"), load,
-                    (bits & MID_FLOW) != 0, (bits & RETURNED) != 0);
+            return new ConnectRequest(
+                    text("corr"),
+                    (int) number("kind"),
+                    (int) number("org", 0),
+                    optional("path_key"),
+                    optional("group"),
+                    number("client_deadline_us"),
+                    load,
+                    (bits & MID_FLOW) != 0,
+                    (bits & RETURNED) != 0);
         }
 
         private Event update() throws WireException {
@@ -347,11 +354,17 @@
             return switch (type) {
                 case "Ingress" -> request();
                 case "Handover" -> new Adopted(request(), text("server"));
-                case "Accepted" -> new Established(text("corr"), (int) number("go"), text("server"),
-                        number("duration_us"));
+                case "Accepted" -> new Established(
+                        text("corr"), (int) number("go"), text("server"), number("duration_us"));
                 case "UpdateOf" -> update();
-                case "Settled" -> new AttemptEnded(text("corr"), (int) number("go"), text("server"), outcome(),
-                        flag("done_flag"), number("duration_us"), row());
+                case "Settled" -> new AttemptEnded(
+                        text("corr"),
+                        (int) number("go"),
+                        text("server"),
+                        outcome(),
+                        flag("done_flag"),
+                        number("duration_us"),
+                        row());
                 case "Expired" -> new ClientGone(text("corr"));
                 case "DeadlineHit" -> timer();
                 case "ProbeDone" -> new ProbeEnded(text("server"), outcome(), number("duration_us"), row());
--- a/src/main/java/sandstack/benchlink/Link.java
+++ b/src/main/java/sandstack/benchlink/Link.java
@@ -121,7 +121,14 @@
             case "Up" -> {
                 SettingsReader profile = raw.profile;
                 try {
-                    brains.put(who, new Brain(profile.settings(), capacity.book(), capacity.limits(), raw.number("entropy"), reader.time));
+                    brains.put(
+                            who,
+                            new Brain(
+                                    profile.settings(),
+                                    capacity.book(),
+                                    capacity.limits(),
+                                    raw.number("entropy"),
+                                    reader.time));
                 } catch (BadSettings | IllegalArgumentException e) {
                     throw reader.trouble("profile_data: " + e.getMessage());
                 }
@@ -138,7 +145,7 @@
                 tables.set(table, raw.items("items"));
                 return List.of();
             }
-            default -> { }
+            default -> {}
         }
         Brain brain = brains.get(who);
         if (brain == null) {
--- a/src/main/java/sandstack/capacity/Capacity.java
+++ b/src/main/java/sandstack/capacity/Capacity.java
@@ -22,6 +22,7 @@
     private final Stated other;
     /** The last loads that connections came with or told, also of those that have left: the others are guesses. */
     private double weight;
+
     private int known;
     private int count;
     private double listed = 1;
--- a/src/main/java/sandstack/capacity/ColdBudget.java
+++ b/src/main/java/sandstack/capacity/ColdBudget.java
@@ -14,6 +14,7 @@
 public final class ColdBudget {
     /** A cold server falls past N + 2 root N + 2 requests in the window, N being what the settings allow it then. */
     private static final double CHANCE = 2;
+
     private static final double BESIDES = 2;
     /** What relays that do not know of each other send spreads by its root: so many of them have to fit below the fall. */
     private static final double DEVIATIONS = 3;
@@ -21,12 +22,14 @@
     private static final double PULL = 1_000;
     /** Sends that one relay counts; past them a server is so large that chance evens out. */
     private static final int COUNTED = 32;
+
     private static final double HOME_SHARE = 0.75;
     private long at;
     private long firstAt;
     private long until = Long.MIN_VALUE;
     /** When this relay last sent, newest last, around; null until a server has been cold. */
     private long[] sent;
+
     private int sends;
 
     /**
@@ -83,8 +86,8 @@
      * @param first whether the client comes for the first time; who comes back does so with others and needs a permit
      * @param chance draws from [0, 1)
      */
-    public boolean allowsCold(Rule rule, int processes, double fill, boolean home, boolean first, long now,
-            DoubleSupplier chance) {
+    public boolean allowsCold(
+            Rule rule, int processes, double fill, boolean home, boolean first, long now, DoubleSupplier chance) {
         double allowed = fill * rule.window * rule.multiple;
         if (sentSince(now - rule.window) >= rule.most(allowed, processes)) {
             return false;
--- a/src/main/java/sandstack/capacity/Counted.java
+++ b/src/main/java/sandstack/capacity/Counted.java
@@ -21,7 +21,9 @@
         if (Limits.reached(limits.relay(), all)) {
             return Cause.RELAY_LIMIT;
         }
-        return group != null && Limits.reached(limits.group(), groups.getOrDefault(group, 0)) ? Cause.GROUP_LIMIT : null;
+        return group != null && Limits.reached(limits.group(), groups.getOrDefault(group, 0))
+                ? Cause.GROUP_LIMIT
+                : null;
     }
 
     public void entered(String group) {
--- a/src/main/java/sandstack/capacity/Estimate.java
+++ b/src/main/java/sandstack/capacity/Estimate.java
@@ -24,6 +24,7 @@
     private int out;
     /** Told loads of what stands here, and how many have told none: they count as much as others do by now. */
     private double told;
+
     private int guessed;
 
     Estimate(Capacity all) {
--- a/src/main/java/sandstack/config/CapacityFile.java
+++ b/src/main/java/sandstack/config/CapacityFile.java
@@ -45,7 +45,7 @@
             List<String> names = new ArrayList<>();
             List<Stated> kinds = new ArrayList<>();
             table(root.path("kinds"), "kinds");
-            for (Iterator<Map.Entry<String, JsonNode>> i = root.path("kinds").fields(); i.hasNext();) {
+            for (Iterator<Map.Entry<String, JsonNode>> i = root.path("kinds").fields(); i.hasNext(); ) {
                 Map.Entry<String, JsonNode> kind = i.next();
                 names.add(kind.getKey());
                 kinds.add(stated(kind.getValue(), "kinds." + kind.getKey(), other));
@@ -55,8 +55,8 @@
             }
             JsonNode l = root.path("limits");
             known(l, "limits", LIMITS);
-            Limits limits = new Limits(count(l, "relay"), count(l, "server"), count(l, "group"),
-                    number(l, "limits", "setups", 0, 1e6));
+            Limits limits = new Limits(
+                    count(l, "relay"), count(l, "server"), count(l, "group"), number(l, "limits", "setups", 0, 1e6));
             return new CapacityFile(new Stated.Book(other, kinds), List.copyOf(names), limits);
         }
 
@@ -66,9 +66,12 @@
             if (of.has("firm") && !of.path("firm").isBoolean()) {
                 throw new BadSettings(file + ": " + where + ".firm is neither true nor false: " + of.path("firm"));
             }
-            return new Stated(number(of, where, "work", other.work(), 1e15),
-                    number(of, where, "connections", other.connections(), 1e9), of.path("firm").asBoolean(other.firm()),
-                    number(of, where, "load", other.load(), 1e15), number(of, where, "group", other.group(), 1e6));
+            return new Stated(
+                    number(of, where, "work", other.work(), 1e15),
+                    number(of, where, "connections", other.connections(), 1e9),
+                    of.path("firm").asBoolean(other.firm()),
+                    number(of, where, "load", other.load(), 1e15),
+                    number(of, where, "group", other.group(), 1e6));
         }
 
         private int count(JsonNode of, String name) throws BadSettings {
@@ -79,15 +82,14 @@
             return (int) value;
         }
 
-        private double number(JsonNode of, String where, String name, double missing, double most)
-                throws BadSettings {
+        private double number(JsonNode of, String where, String name, double missing, double most) throws BadSettings {
             JsonNode value = of.path(name);
             if (value.isMissingNode()) {
                 return missing;
             }
             if (!value.isNumber() || !(value.asDouble() >= 0 && value.asDouble() <= most)) {
-                throw new BadSettings(file + ": " + where + "." + name + " must be a number from 0 to "
-                        + (long) most + ": " + value);
+                throw new BadSettings(
+                        file + ": " + where + "." + name + " must be a number from 0 to " + (long) most + ": " + value);
             }
             return value.asDouble();
         }
@@ -100,11 +102,12 @@
 
         private void known(JsonNode of, String where, Set<String> names) throws BadSettings {
             table(of, where);
-            for (Iterator<String> i = of.fieldNames(); i.hasNext();) {
+            for (Iterator<String> i = of.fieldNames(); i.hasNext(); ) {
                 String name = i.next();
                 if (!names.contains(name)) {
-                    throw new BadSettings(file + ": " + (where.isEmpty() ? "" : where + ".") + name
-                            + " is not known here; known are " + String.join(", ", names.stream().sorted().toList()));
+                    throw new BadSettings(
+                            file + ": " + (where.isEmpty() ? "" : where + ".") + name + " is not known here; known are "
+                                    + String.join(", ", names.stream().sorted().toList()));
                 }
             }
         }
--- a/src/main/java/sandstack/config/FleetFile.java
+++ b/src/main/java/sandstack/config/FleetFile.java
@@ -21,11 +21,16 @@
  * @param relays names of all relays that there are, as staff state them; empty where they do not say
  * @param via where to dial a member that is not reached at its own address
  */
-public record FleetFile(String installation, Address listen, String machine, List<String> members,
-        Set<String> relays, Map<String, String> via) {
+public record FleetFile(
+        String installation,
+        Address listen,
+        String machine,
+        List<String> members,
+        Set<String> relays,
+        Map<String, String> via) {
     public static final String FILE = "fleet.toml";
-    private static final Set<String> KEYS = Set.of("enabled", "installation", "listen", "machine", "members", "relays",
-            "via");
+    private static final Set<String> KEYS =
+            Set.of("enabled", "installation", "listen", "machine", "members", "relays", "via");
     private static final int MOST_MEMBERS = 1_000;
     private static final int LONGEST = 100;
 
@@ -55,21 +60,22 @@
         }
         for (JsonNode relay : named) {
             if (!relay.isTextual() || !relays.add(word(relay.asText(), "relays"))) {
-                throw new BadSettings(FILE + ": relays: " + relay + (relay.isTextual() ? " is there twice" : " is no name"));
+                throw new BadSettings(
+                        FILE + ": relays: " + relay + (relay.isTextual() ? " is there twice" : " is no name"));
             }
         }
         Map<String, String> via = new HashMap<>();
         if (root.has("via") && !root.path("via").isObject()) {
             throw new BadSettings(FILE + ": via is not a table: " + root.path("via"));
         }
-        for (Iterator<Map.Entry<String, JsonNode>> i = root.path("via").fields(); i.hasNext();) {
+        for (Iterator<Map.Entry<String, JsonNode>> i = root.path("via").fields(); i.hasNext(); ) {
             Map.Entry<String, JsonNode> way = i.next();
             Address.parse(way.getKey(), FILE + ": via");
             via.put(way.getKey(), address(way.getValue(), "via.\"" + way.getKey() + "\""));
         }
         String machine = root.has("machine") ? word(root, "machine") : listen.host();
-        return new FleetFile(word(root, "installation"), listen, machine, List.copyOf(members),
-                Set.copyOf(relays), Map.copyOf(via));
+        return new FleetFile(
+                word(root, "installation"), listen, machine, List.copyOf(members), Set.copyOf(relays), Map.copyOf(via));
     }
 
     private static String address(JsonNode of, String where) throws BadSettings {
--- a/src/main/java/sandstack/config/Keys.java
+++ b/src/main/java/sandstack/config/Keys.java
@@ -28,7 +28,7 @@
     private static void collect(String path, JsonNode value, Set<String> paths) {
         paths.add(path);
         if (value.isObject()) {
-            for (Iterator<Map.Entry<String, JsonNode>> fields = value.fields(); fields.hasNext();) {
+            for (Iterator<Map.Entry<String, JsonNode>> fields = value.fields(); fields.hasNext(); ) {
                 Map.Entry<String, JsonNode> field = fields.next();
                 collect(path + "." + field.getKey(), field.getValue(), paths);
             }
--- a/src/main/java/sandstack/config/NameTableJson.java
+++ b/src/main/java/sandstack/config/NameTableJson.java
@@ -44,12 +44,13 @@
 
     private NameTable.Line line(JsonNode target) throws BadSettings {
         String uid = target.path("uid").asText("");
-        Phase phase = switch (target.path("state").asText()) {
-            case "ready" -> Phase.READY;
-            case "draining" -> Phase.DRAINING;
-            case "gone" -> Phase.GONE;
-            default -> throw new BadSettings("feed server " + uid + " has no known state");
-        };
+        Phase phase =
+                switch (target.path("state").asText()) {
+                    case "ready" -> Phase.READY;
+                    case "draining" -> Phase.DRAINING;
+                    case "gone" -> Phase.GONE;
+                    default -> throw new BadSettings("feed server " + uid + " has no known state");
+                };
         if (uid.isEmpty()) {
             throw new BadSettings("a feed server has no uid");
         }
@@ -57,9 +58,17 @@
         PlatformConfig.Address address = phase == Phase.GONE && endpoint.isEmpty()
                 ? new PlatformConfig.Address("", 0)
                 : PlatformConfig.Address.parse(endpoint, "endpoint of " + uid);
-        return new NameTable.Line(new ServerEntry(uid, zone(target.path("az")), target.path("pod_group").asInt(),
-                kinds.of(target.path("model").asText("")), target.path("boot_ms").asLong() * 1000, phase, target.path("capacity_hint").asDouble(1)),
-                address.host(), address.port());
+        return new NameTable.Line(
+                new ServerEntry(
+                        uid,
+                        zone(target.path("az")),
+                        target.path("pod_group").asInt(),
+                        kinds.of(target.path("model").asText("")),
+                        target.path("boot_ms").asLong() * 1000,
+                        phase,
+                        target.path("capacity_hint").asDouble(1)),
+                address.host(),
+                address.port());
     }
 
     /** The name table in this form, as one whole list. */
@@ -68,10 +77,15 @@
         ArrayNode targets = list.putArray("targets");
         for (NameTable.Line line : names.lines()) {
             ServerEntry e = line.entry();
-            targets.addObject().put("uid", e.server()).put("endpoint", line.host() + ":" + line.port())
-                    .put("az", e.zone() < zones.size() ? zones.get(e.zone()) : "").put("model", kinds.name(e.kind()))
-                    .put("pod_group", e.cell()).put("state", e.phase() == Phase.READY ? "ready" : "draining")
-                    .put("capacity_hint", e.rating()).put("boot_ms", e.startedAt() / 1000);
+            targets.addObject()
+                    .put("uid", e.server())
+                    .put("endpoint", line.host() + ":" + line.port())
+                    .put("az", e.zone() < zones.size() ? zones.get(e.zone()) : "")
+                    .put("model", kinds.name(e.kind()))
+                    .put("pod_group", e.cell())
+                    .put("state", e.phase() == Phase.READY ? "ready" : "draining")
+                    .put("capacity_hint", e.rating())
+                    .put("boot_ms", e.startedAt() / 1000);
         }
         return list.toString();
     }
--- a/src/main/java/sandstack/config/OwnFiles.java
+++ b/src/main/java/sandstack/config/OwnFiles.java
@@ -32,7 +32,8 @@
             }
             return values.path("enabled").asBoolean() ? values : null;
         } catch (JsonProcessingException e) {
-            throw new BadSettings(file + ": " + e.getOriginalMessage().lines().findFirst().orElse("not TOML"));
+            throw new BadSettings(
+                    file + ": " + e.getOriginalMessage().lines().findFirst().orElse("not TOML"));
         } catch (IOException e) {
             throw new BadSettings("cannot read " + file);
         }
@@ -40,7 +41,7 @@
 
     /** Refuses keys that are none of these; where says what the line begins with. */
     public static void onlyKnown(JsonNode values, Set<String> keys, String where) throws BadSettings {
-        for (Iterator<String> i = values.fieldNames(); i.hasNext();) {
+        for (Iterator<String> i = values.fieldNames(); i.hasNext(); ) {
             String key = i.next();
             if (!keys.contains(key)) {
                 throw new BadSettings(where + key + " is not known here; known are "
--- a/src/main/java/sandstack/config/PlatformConfig.java
+++ b/src/main/java/sandstack/config/PlatformConfig.java
@@ -27,8 +27,18 @@
  * @param keys that the file has
  * @param sockets file descriptors that the process may hold
  */
-public record PlatformConfig(String name, Address listen, Address discovery, Address operator, boolean inherits,
-        long seed, int sockets, Terms terms, List<String> zones, NameTable.News known, Keys keys) {
+public record PlatformConfig(
+        String name,
+        Address listen,
+        Address discovery,
+        Address operator,
+        boolean inherits,
+        long seed,
+        int sockets,
+        Terms terms,
+        List<String> zones,
+        NameTable.News known,
+        Keys keys) {
 
     private static final ObjectMapper JSON = new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
@@ -67,7 +77,8 @@
         try {
             return read(JSON.readTree(Files.readAllBytes(Path.of(file))), env, kinds);
         } catch (JsonProcessingException e) {
-            throw new BadSettings(file + " is not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new BadSettings(file + " is not JSON: "
+                    + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException | java.nio.file.InvalidPathException e) {
             throw new BadSettings("cannot read " + file + ": " + e.getClass().getSimpleName());
         } catch (IllegalArgumentException e) {
@@ -91,8 +102,12 @@
     /** What this and the next differ in that counts only from the next start; empty where nothing. */
     public List<String> fromNextStart(PlatformConfig next) {
         List<String> differing = new ArrayList<>();
-        for (Function<PlatformConfig, Object> part : List.<Function<PlatformConfig, Object>>of(PlatformConfig::name,
-                PlatformConfig::listen, PlatformConfig::operator, PlatformConfig::sockets, PlatformConfig::zones)) {
+        for (Function<PlatformConfig, Object> part : List.<Function<PlatformConfig, Object>>of(
+                PlatformConfig::name,
+                PlatformConfig::listen,
+                PlatformConfig::operator,
+                PlatformConfig::sockets,
+                PlatformConfig::zones)) {
             if (!Objects.equals(part.apply(this), part.apply(next))) {
                 differing.add(part.apply(this) + " stays, not " + part.apply(next));
             }
@@ -123,16 +138,23 @@
         List<String> zones = new ArrayList<>();
         settings.path("zones").forEach(z -> zones.add(z.asText()));
         JsonNode known = root.path("known");
-        String operator = env.getOrDefault("PROXY_OPERATOR", root.path("operator").asText(""));
-        return new PlatformConfig(env.getOrDefault("PROXY_NAME", root.path("name").asText("relay")),
+        String operator =
+                env.getOrDefault("PROXY_OPERATOR", root.path("operator").asText(""));
+        return new PlatformConfig(
+                env.getOrDefault("PROXY_NAME", root.path("name").asText("relay")),
                 Address.parse(value(root, env, "listen", "PROXY_LISTEN"), "listen"),
                 Address.parse(value(root, env, "discovery", "PROXY_DISCOVERY"), "discovery"),
-                operator.isEmpty() ? null : Address.parse(operator, "operator"), inherits(env.get("PROXY_SOCKET_FD")),
-                seed(root.path("seed")), root.path("limits").path("sockets").asInt(4096),
-                new Terms(reader.settings(), classes,
+                operator.isEmpty() ? null : Address.parse(operator, "operator"),
+                inherits(env.get("PROXY_SOCKET_FD")),
+                seed(root.path("seed")),
+                root.path("limits").path("sockets").asInt(4096),
+                new Terms(
+                        reader.settings(),
+                        classes,
                         settings.path("family_info").path("tells_delay").asBoolean(false)),
                 List.copyOf(zones),
-                known.isObject() ? new NameTableJson(zones, kinds).news(known, true) : null, Keys.of(root));
+                known.isObject() ? new NameTableJson(zones, kinds).news(known, true) : null,
+                Keys.of(root));
     }
 
     /** The virtual machine can take descriptor 0 and no other. */
--- a/src/main/java/sandstack/config/SettingsReader.java
+++ b/src/main/java/sandstack/config/SettingsReader.java
@@ -52,7 +52,7 @@
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> values.put(name, in.getDoubleValue());
             case VALUE_TRUE -> values.put(name, Boolean.TRUE);
             case VALUE_FALSE -> values.put(name, Boolean.FALSE);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -113,34 +113,61 @@
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < size("classes"); i++) {
             String c = "classes." + i + ".";
-            Repeat repeat = switch (text(c + "idempotency")) {
-                case "safe" -> Repeat.SAFE;
-                case "keyed" -> Repeat.KEYED;
-                case "unsafe" -> Repeat.UNSAFE;
-                default -> throw new BadSettings(c + "idempotency has no known value");
-            };
-            Scope scope = switch (text(c + "group")) {
-                case "zone" -> Scope.ZONE;
-                case "cell" -> Scope.CELL;
-                default -> Scope.ALL;
-            };
-            classes.add(new RequestClass(above0(c + "goal_time_us"), above0(c + "deadline_us"), number(c + "gain", 1), repeat, scope,
-                    time(c + "dedup_window_us"), time("family_info.message_aim_us." + i)));
+            Repeat repeat =
+                    switch (text(c + "idempotency")) {
+                        case "safe" -> Repeat.SAFE;
+                        case "keyed" -> Repeat.KEYED;
+                        case "unsafe" -> Repeat.UNSAFE;
+                        default -> throw new BadSettings(c + "idempotency has no known value");
+                    };
+            Scope scope =
+                    switch (text(c + "group")) {
+                        case "zone" -> Scope.ZONE;
+                        case "cell" -> Scope.CELL;
+                        default -> Scope.ALL;
+                    };
+            classes.add(new RequestClass(
+                    above0(c + "goal_time_us"),
+                    above0(c + "deadline_us"),
+                    number(c + "gain", 1),
+                    repeat,
+                    scope,
+                    time(c + "dedup_window_us"),
+                    time("family_info.message_aim_us." + i)));
         }
         List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < sizes.getOrDefault("tenants", 0); i++) {
-            tenants.add(new Tenant(number("family_info.tenant_quota_connections." + i, 0),
-                    number("tenants." + i + ".portion", 0)));
+            tenants.add(new Tenant(
+                    number("family_info.tenant_quota_connections." + i, 0), number("tenants." + i + ".portion", 0)));
         }
-        return new Settings(count("me"), count("siblings"), count("locality"), size("zones"), classes, tenants,
-                number("over_share_worth", 1), text("worth_by").equals("work"),
-                text("family_info.mode").equals("pass"), flag("family_info.groups"),
-                text("membership_mode").equals("on_request"), time("contract.ask_every_us"),
-                (int) Math.min(Integer.MAX_VALUE, above0("caps.max_attempts")), time("caps.connect_timeout_us"), flag("caps.retry_after"),
-                time("caps.max_retry_after_us"), flag("caps.probes"), number("costs.probe", 0),
-                flag("caps.peers"), number("costs.peer", 0), number("costs.cross_zone", 0),
-                number("costs.moves", 0), time("contract.drain_grace_us"), number("contract.cold_from", 1),
-                time("contract.warm_after_us"), number("contract.tip_multiple", 1), time("contract.tip_after_us"),
+        return new Settings(
+                count("me"),
+                count("siblings"),
+                count("locality"),
+                size("zones"),
+                classes,
+                tenants,
+                number("over_share_worth", 1),
+                text("worth_by").equals("work"),
+                text("family_info.mode").equals("pass"),
+                flag("family_info.groups"),
+                text("membership_mode").equals("on_request"),
+                time("contract.ask_every_us"),
+                (int) Math.min(Integer.MAX_VALUE, above0("caps.max_attempts")),
+                time("caps.connect_timeout_us"),
+                flag("caps.retry_after"),
+                time("caps.max_retry_after_us"),
+                flag("caps.probes"),
+                number("costs.probe", 0),
+                flag("caps.peers"),
+                number("costs.peer", 0),
+                number("costs.cross_zone", 0),
+                number("costs.moves", 0),
+                time("contract.drain_grace_us"),
+                number("contract.cold_from", 1),
+                time("contract.warm_after_us"),
+                number("contract.tip_multiple", 1),
+                time("contract.tip_after_us"),
                 SIZES.contains(text("weights")));
     }
 }
--- a/src/main/java/sandstack/console/Commands.java
+++ b/src/main/java/sandstack/console/Commands.java
@@ -37,8 +37,13 @@
      * @param more commands of parts that are on
      * @param moreWithWord the same for commands that are followed by one more word; on the caller's thread, and bounded
      */
-    public Commands(Relay relay, Executor loop, Supplier<List<String>> listeners, Runnable drain,
-            Map<String, Supplier<List<String>>> more, Map<String, Function<String, List<String>>> moreWithWord) {
+    public Commands(
+            Relay relay,
+            Executor loop,
+            Supplier<List<String>> listeners,
+            Runnable drain,
+            Map<String, Supplier<List<String>>> more,
+            Map<String, Function<String, List<String>>> moreWithWord) {
         this.relay = relay;
         this.loop = loop;
         this.listeners = listeners;
@@ -51,8 +56,12 @@
         commands.put("figures", relay::figures);
         commands.put("drain", this::drain);
         commands.putAll(more);
-        commands.put("help", () -> List.of("commands: " + String.join(", ", commands.keySet())
-                + withWord.keySet().stream().map(w -> ", " + w + " NAME").collect(Collectors.joining()) + ", quit"));
+        commands.put(
+                "help",
+                () -> List.of("commands: " + String.join(", ", commands.keySet())
+                        + withWord.keySet().stream()
+                                .map(w -> ", " + w + " NAME")
+                                .collect(Collectors.joining()) + ", quit"));
         withWord.putAll(moreWithWord);
     }
 
@@ -70,7 +79,8 @@
             return List.of();
         }
         int last = word.lastIndexOf(' ');
-        Function<String, List<String>> named = last < 0 ? null : withWord.get(word.substring(0, last).trim());
+        Function<String, List<String>> named =
+                last < 0 ? null : withWord.get(word.substring(0, last).trim());
         if (named != null) {
             return named.apply(word.substring(last + 1));
         }
@@ -98,8 +108,12 @@
         List<String> lines = new ArrayList<>();
         lines.add("version " + relay.names().version());
         for (NameTable.Line line : relay.names().lines()) {
-            lines.add(String.format("%-16s %-22s zone %d  %s", line.entry().server(),
-                    line.host() + ":" + line.port(), line.entry().zone(), line.entry().phase()));
+            lines.add(String.format(
+                    "%-16s %-22s zone %d  %s",
+                    line.entry().server(),
+                    line.host() + ":" + line.port(),
+                    line.entry().zone(),
+                    line.entry().phase()));
         }
         return lines;
     }
@@ -131,8 +145,8 @@
     private List<String> tenants() {
         List<String> lines = new ArrayList<>();
         for (Tenants.Entry tenant : relay.tenants().entries()) {
-            lines.add(String.format("%-16s share %.2f  connections %.0f", tenant.name(), tenant.share(),
-                    tenant.connections()));
+            lines.add(String.format(
+                    "%-16s share %.2f  connections %.0f", tenant.name(), tenant.share(), tenant.connections()));
         }
         return lines.isEmpty() ? List.of("no tenants") : lines;
     }
--- a/src/main/java/sandstack/console/Console.java
+++ b/src/main/java/sandstack/console/Console.java
@@ -42,8 +42,10 @@
 
     private void terminal() throws IOException {
         try (Terminal terminal = TerminalBuilder.builder().system(true).build()) {
-            LineReader reader = LineReaderBuilder.builder().terminal(terminal)
-                    .completer(new StringsCompleter(commands.words())).build();
+            LineReader reader = LineReaderBuilder.builder()
+                    .terminal(terminal)
+                    .completer(new StringsCompleter(commands.words()))
+                    .build();
             terminal.writer().println("sandstack console; help lists the commands");
             while (true) {
                 String line = reader.readLine("sandstack> ");
--- a/src/main/java/sandstack/core/Command.java
+++ b/src/main/java/sandstack/core/Command.java
@@ -13,5 +13,12 @@
  * @param standingAt the feed server at which this connection stood before the relay started; null for a
  *     new connection
  */
-public record Command(String key, int requestClass, int tenant, String group, long patience, double load,
-        boolean returning, String standingAt) {}
+public record Command(
+        String key,
+        int requestClass,
+        int tenant,
+        String group,
+        long patience,
+        double load,
+        boolean returning,
+        String standingAt) {}
--- a/src/main/java/sandstack/core/Execution.java
+++ b/src/main/java/sandstack/core/Execution.java
@@ -16,7 +16,11 @@
 
     private static final long LAST_LOOK = 1_000;
 
-    private enum State { OUT, STANDING, OVER }
+    private enum State {
+        OUT,
+        STANDING,
+        OVER
+    }
 
     private final Relay relay;
     private final ServiceClient client;
--- a/src/main/java/sandstack/core/NameTable.java
+++ b/src/main/java/sandstack/core/NameTable.java
@@ -14,8 +14,17 @@
     public record Line(ServerEntry entry, String host, int port) {
         /** The same feed server in another phase. */
         Line in(Phase phase) {
-            return new Line(new ServerEntry(entry.server(), entry.zone(), entry.cell(), entry.kind(),
-                    entry.startedAt(), phase, entry.rating()), host, port);
+            return new Line(
+                    new ServerEntry(
+                            entry.server(),
+                            entry.zone(),
+                            entry.cell(),
+                            entry.kind(),
+                            entry.startedAt(),
+                            phase,
+                            entry.rating()),
+                    host,
+                    port);
         }
     }
 
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -62,11 +62,13 @@
      * come to one that is next, or to none.
      */
     private static final long DRAIN_SPAN = 1_200_000;
+
     private static final long DRAIN_LEFT = 200_000;
     /** A feed server that sent a client away counts as draining for so long, unless discovery tells of it. */
     private static final long SENT_AWAY_COUNTS = 10_000_000;
     /** Who asks a relay that has drained already is spread over so many milliseconds. */
     private static final long LATE_COME_AGAIN = 500;
+
     private static final long ADOPT_PAUSE = 250_000;
     private static final Logger LOG = Logger.getLogger("sandstack.relay");
 
@@ -84,10 +86,12 @@
     private final Runnable watch;
     /** Causes for which discovery could not be asked since it last told something; each has had its line. */
     private final Set<String> failedBy = new HashSet<>();
+
     private List<Event> ready = new ArrayList<>();
     private long lastId;
     /** Called once a draining relay has no clients any more; null before it drains and after. */
     private Runnable drained;
+
     private boolean draining;
     private IntSupplier unheard = () -> 0;
     private long drainStart;
@@ -151,7 +155,9 @@
             }
             actions.forEach(this::carryOut);
         }
-        if (drained != null && clients.isEmpty() && now >= drainStart + DRAIN_BEGINS
+        if (drained != null
+                && clients.isEmpty()
+                && now >= drainStart + DRAIN_BEGINS
                 && (unheard.getAsInt() == 0 || now >= lastMove() + DRAIN_LEFT)) {
             Runnable told = drained;
             drained = null;
@@ -199,8 +205,8 @@
         long left = client.deadline - now();
         NameTable.Line line = names.get(a.server());
         if (client.execution != null || line == null || left <= 0 || executionsLeft(client) <= 0) {
-            ready.add(new AttemptEnded(a.id(), client.executions, a.server(), Ending.NEVER_SENT.outcome(), false, 0,
-                    null));
+            ready.add(new AttemptEnded(
+                    a.id(), client.executions, a.server(), Ending.NEVER_SENT.outcome(), false, 0, null));
             client.executions++;
             return;
         }
@@ -249,8 +255,16 @@
 
     private ConnectRequest asRequest(ServiceClient client) {
         Command c = client.command;
-        return new ConnectRequest(client.id, c.requestClass(), c.tenant(), c.key(), c.group(), client.deadline,
-                c.load(), false, c.returning());
+        return new ConnectRequest(
+                client.id,
+                c.requestClass(),
+                c.tenant(),
+                c.key(),
+                c.group(),
+                client.deadline,
+                c.load(),
+                false,
+                c.returning());
     }
 
     /** A connection that stood before the relay started goes back to its own feed server and to no other. */
@@ -314,8 +328,8 @@
         if (client.command.standingAt() != null) {
             ready.add(new Adopted(asRequest(client), execution.server().entry().server()));
         } else {
-            ready.add(new Established(client.id, execution.number(), execution.server().entry().server(),
-                    now() - execution.began()));
+            ready.add(new Established(
+                    client.id, execution.number(), execution.server().entry().server(), now() - execution.began()));
         }
         if (draining) {
             moveWhileDraining(client);
@@ -339,8 +353,14 @@
             leaves(execution.server());
         }
         boolean over = stood || client.finished;
-        ready.add(new AttemptEnded(client.id, client.command.standingAt() != null ? 0 : execution.number(),
-                execution.server().entry().server(), ending.outcome(), over, now() - execution.began(), null));
+        ready.add(new AttemptEnded(
+                client.id,
+                client.command.standingAt() != null ? 0 : execution.number(),
+                execution.server().entry().server(),
+                ending.outcome(),
+                over,
+                now() - execution.began(),
+                null));
         if (stood) {
             finish(client);
         }
@@ -349,8 +369,11 @@
     void loadTold(Execution execution, double load) {
         LOG.finer(() -> "execution " + execution.client().id + "/" + execution.number() + " loads "
                 + execution.server().entry().server() + " by " + load);
-        ready.add(new LoadChanged(execution.client().id, moduleNumber(execution),
-                execution.server().entry().server(), load));
+        ready.add(new LoadChanged(
+                execution.client().id,
+                moduleNumber(execution),
+                execution.server().entry().server(),
+                load));
     }
 
     void delayTold(Execution execution, double delay) {
@@ -381,7 +404,8 @@
             client.execution.giveUp(Ending.CLIENT_LEFT);
         }
         LOG.fine(() -> "command " + client.id + " of " + client.command.key() + " was answered " + nack.kind() + " "
-                + (nack.cause() == null ? "" : nack.cause() + " ") + nack.comeBackMillis() + " after " + client.executions + " executions");
+                + (nack.cause() == null ? "" : nack.cause() + " ") + nack.comeBackMillis() + " after "
+                + client.executions + " executions");
         figures.answered(className(client.command), nack.kind());
         client.nack(nack);
     }
@@ -404,7 +428,8 @@
         for (NameTable.Line line : news.lines()) {
             LOG.fine(() -> "name table " + news.kind() + " " + news.version() + ": " + line);
             if (news.kind() == ListKind.CHANGES) {
-                LOG.info("name table: " + line.entry().server() + " is " + line.entry().phase());
+                LOG.info("name table: " + line.entry().server() + " is "
+                        + line.entry().phase());
             }
         }
     }
@@ -463,7 +488,7 @@
         drainStart = now();
         clients.values().forEach(this::moveWhileDraining);
         // a relay without clients that stopped at once would lose those who are still being sent to it
-        deadlines.at(drainStart + DRAIN_BEGINS, () -> { });
+        deadlines.at(drainStart + DRAIN_BEGINS, () -> {});
         deadlines.at(lastMove() + DRAIN_LEFT, this::drainTheRest);
     }
 
@@ -519,7 +544,9 @@
 
     /** What this process has counted and holds now, a line each. */
     public List<String> figures() {
-        long ejected = names.lines().stream().filter(line -> brain.avoids(line.entry().server())).count();
+        long ejected = names.lines().stream()
+                .filter(line -> brain.avoids(line.entry().server()))
+                .count();
         return figures.lines(clients.size(), names.lines().size(), (int) ejected);
     }
 
--- a/src/main/java/sandstack/core/Terms.java
+++ b/src/main/java/sandstack/core/Terms.java
@@ -33,7 +33,11 @@
 
     /** Terms of classes that have no names but their numbers. */
     static Terms numbered(Settings settings) {
-        return new Terms(settings, IntStream.range(0, settings.classes().size()).mapToObj(Integer::toString).toList(),
+        return new Terms(
+                settings,
+                IntStream.range(0, settings.classes().size())
+                        .mapToObj(Integer::toString)
+                        .toList(),
                 true);
     }
 
@@ -56,8 +60,8 @@
             }
         }
         if (names.size() > MOST_CLASSES) {
-            throw new IllegalArgumentException("setting classes has more than " + MOST_CLASSES
-                    + " names over all reloads");
+            throw new IllegalArgumentException(
+                    "setting classes has more than " + MOST_CLASSES + " names over all reloads");
         }
         return new Terms(next.settings.forInstanceOf(settings, all), names, next.offered, next.delaysTold);
     }
--- a/src/main/java/sandstack/decisions/BackOffs.java
+++ b/src/main/java/sandstack/decisions/BackOffs.java
@@ -10,6 +10,7 @@
 final class BackOffs {
     /** Interval n spans 2^n slots; n stops growing here, when one interval outlasts the usual deadlines. */
     static final int MAX_N = 8;
+
     private static final int MAX_KEYS = 4096;
 
     /** Retry state of one client key. */
--- a/src/main/java/sandstack/decisions/Decisions.java
+++ b/src/main/java/sandstack/decisions/Decisions.java
@@ -1,8 +1,8 @@
 package sandstack.decisions;
 
 import java.util.List;
-import sandstack.told.ListClock;
 import sandstack.capacity.Cause;
+import sandstack.told.ListClock;
 
 /**
  * The interface of the decision module: what a balancer is set up with ({@link Settings}), what it
@@ -16,11 +16,17 @@
     private Decisions() {}
 
     /** What repeating a request does. */
-    public enum Repeat { SAFE, KEYED, UNSAFE }
+    public enum Repeat {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** For keyed requests: the servers that drop each other's repeats. */
     public enum Scope {
-        ALL, ZONE, CELL;
+        ALL,
+        ZONE,
+        CELL;
 
         /** Whether a server of that zone and cell drops what one of this zone and cell has seen. */
         public boolean covers(int zone, int cell, int otherZone, int otherCell) {
@@ -29,10 +35,19 @@
     }
 
     /** State of a server in the list: takes work, finishes what it has, or taken away. */
-    public enum Phase { READY, DRAINING, GONE }
+    public enum Phase {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** What a server list event brings. SAVED is the last list held before a restart; it may be old. */
-    public enum ListKind { FULL, CHANGES, SAVED, FAILED }
+    public enum ListKind {
+        FULL,
+        CHANGES,
+        SAVED,
+        FAILED
+    }
 
     /** How an attempt, a standing connection or a probe ended. */
     public enum Outcome {
@@ -77,8 +92,8 @@
      * @param window with KEYED: how long repeats are dropped, from the first attempt that may have run
      * @param messageAim aim for one message on a standing connection; 0 where none is stated
      */
-    public record RequestClass(long aim, long deadline, double worth, Repeat repeat, Scope scope, long window,
-            long messageAim) {}
+    public record RequestClass(
+            long aim, long deadline, double worth, Repeat repeat, Scope scope, long window, long messageAim) {}
 
     /**
      * A tenant.
@@ -122,12 +137,35 @@
      * @param tipAfter ...for this long makes a cold server fall over
      * @param sized a server's rating is its size, as registered or about; otherwise it is 1 or changes with what it holds
      */
-    public record Settings(int self, int instances, int homeZone, int zones, List<RequestClass> classes,
-            List<Tenant> tenants, double overShareWorth, boolean worthByWork, boolean passThrough,
-            boolean sharedGroups, boolean listOnRequest, long askWithin, int maxAttempts, long connectTimeout,
-            boolean retryAfter, long maxRetryAfter, boolean probes, double probePrice, boolean peers,
-            double peerPrice, double crossZonePrice, double movePrice, long drainGrace, double coldFrom,
-            long warmAfter, double tipMultiple, long tipAfter, boolean sized) {
+    public record Settings(
+            int self,
+            int instances,
+            int homeZone,
+            int zones,
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            double overShareWorth,
+            boolean worthByWork,
+            boolean passThrough,
+            boolean sharedGroups,
+            boolean listOnRequest,
+            long askWithin,
+            int maxAttempts,
+            long connectTimeout,
+            boolean retryAfter,
+            long maxRetryAfter,
+            boolean probes,
+            double probePrice,
+            boolean peers,
+            double peerPrice,
+            double crossZonePrice,
+            double movePrice,
+            long drainGrace,
+            double coldFrom,
+            long warmAfter,
+            double tipMultiple,
+            long tipAfter,
+            boolean sized) {
 
         public Settings {
             classes = List.copyOf(classes);
@@ -161,10 +199,35 @@
 
         /** The same with these classes, for the instance that those others set up: its number and its zones. */
         public Settings forInstanceOf(Settings other, List<RequestClass> all) {
-            return new Settings(other.self, instances, other.homeZone, other.zones, all, tenants, overShareWorth,
-                    worthByWork, passThrough, sharedGroups, listOnRequest, askWithin, maxAttempts, connectTimeout,
-                    retryAfter, maxRetryAfter, probes, probePrice, peers, peerPrice, crossZonePrice, movePrice,
-                    drainGrace, coldFrom, warmAfter, tipMultiple, tipAfter, sized);
+            return new Settings(
+                    other.self,
+                    instances,
+                    other.homeZone,
+                    other.zones,
+                    all,
+                    tenants,
+                    overShareWorth,
+                    worthByWork,
+                    passThrough,
+                    sharedGroups,
+                    listOnRequest,
+                    askWithin,
+                    maxAttempts,
+                    connectTimeout,
+                    retryAfter,
+                    maxRetryAfter,
+                    probes,
+                    probePrice,
+                    peers,
+                    peerPrice,
+                    crossZonePrice,
+                    movePrice,
+                    drainGrace,
+                    coldFrom,
+                    warmAfter,
+                    tipMultiple,
+                    tipAfter,
+                    sized);
         }
 
         /** When what the list's source has to tell counts as told, and when to ask again. */
@@ -192,7 +255,10 @@
 
         /** The least aim for a message of the classes that state one; very large where none does. */
         public double tightestMessage() {
-            return classes.stream().mapToDouble(RequestClass::messageAim).filter(aim -> aim > 0).min()
+            return classes.stream()
+                    .mapToDouble(RequestClass::messageAim)
+                    .filter(aim -> aim > 0)
+                    .min()
                     .orElse(Double.MAX_VALUE);
         }
 
@@ -220,8 +286,8 @@
      * @param startedAt when its process last started; 0 means long ago
      * @param rating size to compare with others; above 0
      */
-    public record ServerEntry(String server, int zone, int cell, int kind, long startedAt, Phase phase,
-            double rating) {}
+    public record ServerEntry(
+            String server, int zone, int cell, int kind, long startedAt, Phase phase, double rating) {}
 
     /** What the balancer tells the module. */
     public sealed interface Event {}
@@ -239,8 +305,17 @@
      * @param midFlow an open connection's packets now arrive here: the server that has it continues it
      * @param returning the client came back after a break or a move
      */
-    public record ConnectRequest(String id, int requestClass, int tenant, String clientKey, String group,
-            long deadline, double load, boolean midFlow, boolean returning) implements Event {}
+    public record ConnectRequest(
+            String id,
+            int requestClass,
+            int tenant,
+            String clientKey,
+            String group,
+            long deadline,
+            double load,
+            boolean midFlow,
+            boolean returning)
+            implements Event {}
 
     /** A connection that already stands goes through this instance; attempt 0 counts as made. */
     public record Adopted(ConnectRequest request, String server) implements Event {}
@@ -260,8 +335,9 @@
      * @param requestOver nothing more is owed for the request; otherwise the final answer still is
      * @param report load report in the order of the site's columns; null where none came
      */
-    public record AttemptEnded(String id, int attempt, String server, Outcome outcome, boolean requestOver,
-            long took, double[] report) implements Event {}
+    public record AttemptEnded(
+            String id, int attempt, String server, Outcome outcome, boolean requestOver, long took, double[] report)
+            implements Event {}
 
     /** The client left; nothing more is owed. */
     public record ClientGone(String id) implements Event {}
--- a/src/main/java/sandstack/decisions/Draw.java
+++ b/src/main/java/sandstack/decisions/Draw.java
@@ -16,11 +16,13 @@
     private static final double SPILL_LATE = 0.1;
     /** What a server that holds some of the group weighs more in the draw for one of its connections. */
     private static final double HOLDER_WEIGHT = 8;
+
     private static final double USE_WEIGHT = 3;
     /** What a server may hold of its part ("Consistent hashing with bounded loads", Mirrokni, 2016). */
     private static final double BOUND = 1.25;
     /** A relay that holds few connections sees too little of the others' to split a group for so many. */
     private static final double BOUND_FEW = 2;
+
     private static final double OVER_WEIGHT = 0.05;
     /** What a server of the home zone weighs more where a draw is over all zones. */
     private static final double HOME_WEIGHT = 2;
@@ -28,6 +30,7 @@
     private static final double TOGETHER_LATE = 0.25;
     /** A group has one place while more than this part of the servers known here is cold or goes. */
     private static final double FEW_PLACES = 0.25;
+
     private static final double TRIAL = 1e12;
     /** Home keeps everything while it is used by no more than this above others; at twice that, nothing. */
     static final double USE_GAP = 0.15;
@@ -74,8 +77,7 @@
      * while it can bear that: not where servers are late, nor where relays outnumber them and see too little.
      */
     private boolean together() {
-        return Math.max(shedding.lateHome(), shedding.lateAway()) > TOGETHER_LATE
-                || outnumbered();
+        return Math.max(shedding.lateHome(), shedding.lateAway()) > TOGETHER_LATE || outnumbered();
     }
 
     private boolean outnumbered() {
@@ -166,8 +168,7 @@
             return score / room * (1 + held);
         }
         // where no loads are told, one that holds more than its part lets the next go to the place behind it
-        boolean over = !f.capacity.loadsTold()
-                && held > BOUND * f.capacity.spread() * fleet.meanRating + BOUND_FEW;
+        boolean over = !f.capacity.loadsTold() && held > BOUND * f.capacity.spread() * fleet.meanRating + BOUND_FEW;
         // where the group already stands it is paid for: before any other server
         score /= room * (over ? OVER_WEIGHT : s.groups.containsKey(r.ask.group()) ? HOLDER_WEIGHT : 1);
         return score * (1 + USE_WEIGHT * this.room.use(s));
--- a/src/main/java/sandstack/decisions/Fleet.java
+++ b/src/main/java/sandstack/decisions/Fleet.java
@@ -15,12 +15,14 @@
 final class Fleet {
     /** Connections on a server that leaves move within an interval of this n. */
     private static final int LEAVE_N = 6;
+
     static final long ASK_TIMER = -1;
 
     private final Frame f;
     private final Map<String, Server> servers = new LinkedHashMap<>();
     /** The servers of the home zone and those elsewhere, but for those that are gone. */
     Server[] home = new Server[0];
+
     Server[] away = new Server[0];
     Server[] listed = new Server[0];
     double homeWeight;
@@ -78,8 +80,11 @@
                 leave(s, e.phase());
             }
         }
-        servers.values().removeIf(s -> s.phase == Phase.GONE && s.held.isEmpty() && !s.trialOut
-                && f.now - s.leavingSince > f.set.drainGrace());
+        servers.values()
+                .removeIf(s -> s.phase == Phase.GONE
+                        && s.held.isEmpty()
+                        && !s.trialOut
+                        && f.now - s.leavingSince > f.set.drainGrace());
         rebuild();
         if (list.kind() == ListKind.SAVED) {
             if (f.set.listOnRequest()) {
@@ -109,7 +114,10 @@
         for (Server s : home) {
             homeWeight += s.ready() ? s.rating : 0;
         }
-        f.capacity.listed(Arrays.stream(listed).filter(Server::ready).mapToDouble(s -> s.rating).sum());
+        f.capacity.listed(Arrays.stream(listed)
+                .filter(Server::ready)
+                .mapToDouble(s -> s.rating)
+                .sum());
         meanRating = home.length == 0 || homeWeight <= 0 ? 1 : homeWeight / home.length;
     }
 
--- a/src/main/java/sandstack/decisions/Frame.java
+++ b/src/main/java/sandstack/decisions/Frame.java
@@ -23,11 +23,13 @@
     long slot;
     /** Half of the shortest deadline: the unit of marks, and the pace of looks at the whole. */
     long markSlot;
+
     double tightMessage;
     ColdBudget.Rule cold;
     long now;
     /** Processes that are this instance together: they share what cold servers may be sent. */
     int processes = 1;
+
     List<Action> out = new ArrayList<>();
     private final Map<Long, Request> wakes = new LinkedHashMap<>();
     private long lastToken;
--- a/src/main/java/sandstack/decisions/Moves.java
+++ b/src/main/java/sandstack/decisions/Moves.java
@@ -1,6 +1,7 @@
 package sandstack.decisions;
 
 import java.util.List;
+import sandstack.capacity.RoomWeight;
 import sandstack.decisions.Decisions.Relocate;
 
 /**
@@ -61,7 +62,7 @@
     /** What a look at the whole moves. */
     void look() {
         for (Server s : fleet.all()) {
-            if (room.use(s) >= Room.USE_OVER && f.capacity.loadsKnown() && s.ready()) {
+            if (room.use(s) >= RoomWeight.USE_OVER && f.capacity.loadsKnown() && s.ready()) {
                 relocate(s);
             }
         }
@@ -73,7 +74,7 @@
      * whole interval, and moves if the server is still slow then; the next interval starts at its end.
      */
     private void relocate(Server s) {
-        boolean over = room.use(s) >= Room.USE_OVER;
+        boolean over = room.use(s) >= RoomWeight.USE_OVER;
         if (f.now >= s.moveEnd) {
             s.moveN++;
             s.moveStart = f.now;
@@ -106,7 +107,7 @@
             }
         }
         double gap = most == null ? 0 : room.use(most) - room.use(least);
-        if (gap < 2 * Draw.USE_GAP || room.use(most) < Room.USE_FULL) {
+        if (gap < 2 * Draw.USE_GAP || room.use(most) < RoomWeight.USE_FULL) {
             return;
         }
         double fits = least.estimate.load(gap / 2);
--- a/src/main/java/sandstack/decisions/Request.java
+++ b/src/main/java/sandstack/decisions/Request.java
@@ -10,7 +10,11 @@
 
 /** One client connection, from its arrival to its end. */
 final class Request {
-    enum State { HELD, OUT, OPEN }
+    enum State {
+        HELD,
+        OUT,
+        OPEN
+    }
 
     final ConnectRequest ask;
     final RequestClass cls;
@@ -22,6 +26,7 @@
     double load;
     /** What it is taken for while it stands: its load, or what its class tells; 0 where neither is known. */
     double weight;
+
     long wake;
     long openedAt;
     double moveDraw = -1;
@@ -52,12 +57,14 @@
 
     /** Whether one more attempt can do no effect twice. */
     boolean mayRepeat(long now) {
-        return mayHaveRunAt == null || cls.repeat() == Repeat.SAFE
+        return mayHaveRunAt == null
+                || cls.repeat() == Repeat.SAFE
                 || (cls.repeat() == Repeat.KEYED && now - mayHaveRunSince < cls.window());
     }
 
     boolean mayBeRefused() {
-        return mayHaveRunAt == null || cls.repeat() == Repeat.SAFE
+        return mayHaveRunAt == null
+                || cls.repeat() == Repeat.SAFE
                 || (cls.repeat() == Repeat.KEYED && cls.scope() == Scope.ALL);
     }
 
@@ -67,7 +74,6 @@
             return false;
         }
         Server ran = mayHaveRunAt;
-        return ran == null || cls.repeat() == Repeat.SAFE
-                || cls.scope().covers(ran.zone, ran.cell, s.zone, s.cell);
+        return ran == null || cls.repeat() == Repeat.SAFE || cls.scope().covers(ran.zone, ran.cell, s.zone, s.cell);
     }
 }
--- a/src/main/java/sandstack/decisions/Room.java
+++ b/src/main/java/sandstack/decisions/Room.java
@@ -1,19 +1,12 @@
 package sandstack.decisions;
 
+import sandstack.capacity.RoomWeight;
+
 /**
  * How much room servers have, as far as it shows from here: by the delay of their messages where it is told,
  * by what stands there of what an operator stated, and by the evidence of their estimates. One thread; O(1).
  */
 final class Room {
-    /** Used so far, a server takes less than others, next to nothing, and nothing at all. */
-    private static final double USE_SOME = 0.25;
-    static final double USE_FULL = 0.4;
-    private static final double USE_LATE = 0.8;
-    /** Used so far, its connections move as those of a slow one do. */
-    static final double USE_OVER = 1.0;
-    /** A server that is bounded by evidence weighs the less the fuller it is, but never less than this. */
-    private static final double FULL_WEIGHT = 0.05;
-
     private final Frame f;
     private boolean delaysTold;
 
@@ -23,19 +16,16 @@
 
     /** Part of a server's weight left by the evidence; 0 while its messages take too long. */
     double room(Server s) {
-        double full = s.estimate.fullness();
-        return unhurried(s) * Math.max(FULL_WEIGHT, 1 - full * full);
+        return unhurried(s) * RoomWeight.byFullness(s.estimate.fullness());
     }
 
     /** The same by its delay and its use alone. */
     private double unhurried(Server s) {
-        if (f.now - s.delayAt > f.markSlot * 2 || s.delay * 3 <= f.tightMessage) {
-            double use = use(s);
-            // by a guess alone a server is put last, and not closed
-            boolean closed = use >= USE_LATE && f.capacity.loadsKnown();
-            return closed ? 0 : use >= USE_FULL ? 0.05 : use >= USE_SOME ? 0.3 : 1;
+        boolean fresh = f.now - s.delayAt <= f.markSlot * 2;
+        if (fresh && RoomWeight.isTelling(s.delay, f.tightMessage)) {
+            return RoomWeight.byDelay(s.delay, f.tightMessage);
         }
-        return s.delay >= f.tightMessage ? 0 : 0.3;
+        return RoomWeight.byUse(use(s), f.capacity.loadsKnown());
     }
 
     /** How much of a server what stands there from here uses, by told loads or a guess; others may add. */
@@ -45,7 +35,7 @@
 
     /** Late by nothing but what stands there from here. */
     boolean fullHere(Server s) {
-        return use(s) >= USE_LATE && f.capacity.loadsKnown() && !s.marked(f);
+        return use(s) >= RoomWeight.USE_LATE && f.capacity.loadsKnown() && !s.marked(f);
     }
 
     boolean late(Server s) {
--- a/src/main/java/sandstack/decisions/Server.java
+++ b/src/main/java/sandstack/decisions/Server.java
@@ -29,6 +29,7 @@
     long delayAt = Long.MIN_VALUE / 2;
     /** When its messages last took too long. */
     long lateAt = Long.MIN_VALUE / 2;
+
     final Estimate estimate;
     final Gate gate;
     final ColdBudget cold = new ColdBudget();
--- a/src/main/java/sandstack/directory/TenantDirectory.java
+++ b/src/main/java/sandstack/directory/TenantDirectory.java
@@ -32,8 +32,16 @@
      *
      * @param user distinguished name to bind as; empty for none
      */
-    public record Where(Address server, String user, String password, String base, String filter, String name,
-            String share, String connections, long refreshMillis) {
+    public record Where(
+            Address server,
+            String user,
+            String password,
+            String base,
+            String filter,
+            String name,
+            String share,
+            String connections,
+            long refreshMillis) {
 
         /** Reads the file of ours. */
         public static Where read(JsonNode values) throws BadSettings {
@@ -41,11 +49,16 @@
             if (refresh < 1) {
                 throw new BadSettings(FILE + ": refresh_s must be at least 1");
             }
-            return new Where(Address.parse(OwnFiles.text(values, "server", FILE), FILE + ": server"),
-                    values.path("user").asText(""), values.path("password").asText(""),
-                    OwnFiles.text(values, "base", FILE), OwnFiles.text(values, "filter", FILE),
-                    values.path("name").asText("cn"), values.path("share").asText("sandstackShare"),
-                    values.path("connections").asText("sandstackConnections"), refresh * 1000);
+            return new Where(
+                    Address.parse(OwnFiles.text(values, "server", FILE), FILE + ": server"),
+                    values.path("user").asText(""),
+                    values.path("password").asText(""),
+                    OwnFiles.text(values, "base", FILE),
+                    OwnFiles.text(values, "filter", FILE),
+                    values.path("name").asText("cn"),
+                    values.path("share").asText("sandstackShare"),
+                    values.path("connections").asText("sandstackConnections"),
+                    refresh * 1000);
         }
     }
 
@@ -92,14 +105,21 @@
         LDAPConnectionOptions options = new LDAPConnectionOptions();
         options.setConnectTimeoutMillis(PATIENCE_MILLIS);
         options.setResponseTimeoutMillis(PATIENCE_MILLIS);
-        try (LDAPConnection connection = new LDAPConnection(options, where.server().host(),
-                where.server().port())) {
+        try (LDAPConnection connection = new LDAPConnection(
+                options, where.server().host(), where.server().port())) {
             if (!where.user().isEmpty()) {
                 connection.bind(where.user(), where.password());
             }
             List<Tenants.Entry> entries = new ArrayList<>();
-            for (SearchResultEntry found : connection.search(where.base(), SearchScope.SUB, where.filter(),
-                    where.name(), where.share(), where.connections()).getSearchEntries()) {
+            for (SearchResultEntry found : connection
+                    .search(
+                            where.base(),
+                            SearchScope.SUB,
+                            where.filter(),
+                            where.name(),
+                            where.share(),
+                            where.connections())
+                    .getSearchEntries()) {
                 Tenants.Entry entry = entry(found);
                 if (entry != null) {
                     entries.add(entry);
--- a/src/main/java/sandstack/fleet/Finding.java
+++ b/src/main/java/sandstack/fleet/Finding.java
@@ -28,7 +28,14 @@
 
     /** The same as it counts at this moment: what was found before a standstill is not acted on. */
     public Finding asOf(long now) {
-        return now - at <= FRESH ? this : new Finding(Ground.UNSURE, at, now, with, without,
-                "this process stood still for " + (now - at) / 1_000_000 + " s and has not looked since");
+        return now - at <= FRESH
+                ? this
+                : new Finding(
+                        Ground.UNSURE,
+                        at,
+                        now,
+                        with,
+                        without,
+                        "this process stood still for " + (now - at) / 1_000_000 + " s and has not looked since");
     }
 }
--- a/src/main/java/sandstack/fleet/Grounds.java
+++ b/src/main/java/sandstack/fleet/Grounds.java
@@ -28,6 +28,7 @@
     private long stoodFor;
     /** Lives that answered since the last standstill; null where there was none. */
     private Set<String> answered;
+
     private Ground coming;
     private long comingSince;
     private Finding last;
@@ -42,7 +43,10 @@
 
     /** What two members compare, to see whether staff told them of the same relays. */
     public String statedAs() {
-        return stated.isEmpty() ? "" : stated.size() + ":" + Integer.toHexString(String.join(",", stated).hashCode());
+        return stated.isEmpty()
+                ? ""
+                : stated.size() + ":"
+                        + Integer.toHexString(String.join(",", stated).hashCode());
     }
 
     /** Whether staff say that there is such a relay. */
@@ -72,8 +76,8 @@
      * @param statedBy what each life says it was told of relays, see {@link #statedAs}
      * @param out names that staff have taken out
      */
-    public Finding look(List<Roster.Line> lines, Set<String> reached, Map<String, String> statedBy, Set<String> out,
-            long now) {
+    public Finding look(
+            List<Roster.Line> lines, Set<String> reached, Map<String, String> statedBy, Set<String> out, long now) {
         Set<String> all = new TreeSet<>(stated);
         Map<String, Roster.Line> with = new HashMap<>();
         String differs = null;
@@ -83,8 +87,12 @@
             if (line.standing().present()) {
                 present.add(name);
             }
-            boolean here = name.equals(self) ? line.standing().present() : reached.contains(line.life().id())
-                    && line.standing().present() && (answered == null || answered.contains(line.life().id()));
+            boolean here = name.equals(self)
+                    ? line.standing().present()
+                    : reached.contains(line.life().id())
+                            && line.standing().present()
+                            && (answered == null
+                                    || answered.contains(line.life().id()));
             if (here && stated.contains(name)) {
                 with.put(name, line);
                 String theirs = statedBy.getOrDefault(line.life().id(), "");
@@ -92,30 +100,39 @@
             }
         }
         all.removeIf(name -> out.contains(name) && !present.contains(name));
-        List<String> without = all.stream().filter(name -> !with.containsKey(name)).toList();
+        List<String> without =
+                all.stream().filter(name -> !with.containsKey(name)).toList();
         String apart = null;
         int core = 0;
         for (Map.Entry<String, Roster.Line> one : with.entrySet()) {
-            List<String> against = one.getValue().against().stream().filter(with::containsKey).toList();
+            List<String> against =
+                    one.getValue().against().stream().filter(with::containsKey).toList();
             core += against.isEmpty() ? 1 : 0;
             apart = against.isEmpty() ? apart : against.get(0) + " does not reach " + one.getKey();
         }
         boolean most = 2 * with.size() > all.size();
-        String doubt = most && 2 * core <= all.size() ? "views differ: " + apart
+        String doubt = most && 2 * core <= all.size()
+                ? "views differ: " + apart
                 : differs != null ? differs + " was told of other relays than this one" : null;
         String doubtOfSelf = doubtOfSelf(with.size() - 1, now);
         doubt = doubtOfSelf != null ? doubtOfSelf : doubt;
         String why = doubt != null ? doubt : with.size() + " of " + all.size() + " stated relays are reached";
-        Ground ground = doubt != null ? Ground.UNSURE : core == all.size() ? Ground.WHOLE : most ? Ground.MOST
-                : with.size() == 1 ? Ground.ALONE : Ground.FEW;
+        Ground ground = doubt != null
+                ? Ground.UNSURE
+                : core == all.size() ? Ground.WHOLE : most ? Ground.MOST : with.size() == 1 ? Ground.ALONE : Ground.FEW;
         if (ground != coming) {
             coming = ground;
             comingSince = now;
         }
         boolean steady = ground == Ground.UNSURE || ground == last.ground() || now - comingSince >= STEADY;
         Ground shown = steady ? ground : Ground.UNSURE;
-        last = new Finding(shown, shown == last.ground() ? last.since() : now, now, List.copyOf(new TreeSet<>(with.keySet())),
-                without, steady ? why : "has just changed: " + why);
+        last = new Finding(
+                shown,
+                shown == last.ground() ? last.since() : now,
+                now,
+                List.copyOf(new TreeSet<>(with.keySet())),
+                without,
+                steady ? why : "has just changed: " + why);
         return last;
     }
 
@@ -128,7 +145,8 @@
         } else if (now - began < Membership.SETTLES) {
             return "has just started";
         }
-        return now - stoodUntil >= ASKED_ANEW ? null : "this process stood still for " + stoodFor / 1_000_000 + " s; "
-                + others + " have answered since";
+        return now - stoodUntil >= ASKED_ANEW
+                ? null
+                : "this process stood still for " + stoodFor / 1_000_000 + " s; " + others + " have answered since";
     }
 }
--- a/src/main/java/sandstack/fleet/Life.java
+++ b/src/main/java/sandstack/fleet/Life.java
@@ -17,8 +17,8 @@
     public Life {
         for (String word : List.of(id, name, zone, machine, address)) {
             if (word.length() > LONGEST) {
-                throw new IllegalArgumentException("longer than " + LONGEST + " characters: "
-                        + word.substring(0, 20) + "...");
+                throw new IllegalArgumentException(
+                        "longer than " + LONGEST + " characters: " + word.substring(0, 20) + "...");
             }
         }
     }
--- a/src/main/java/sandstack/fleet/Membership.java
+++ b/src/main/java/sandstack/fleet/Membership.java
@@ -29,6 +29,7 @@
 public final class Membership {
     /** Turns come this often; one that comes much later was slept through. */
     public static final long TURN = 100_000;
+
     static final long SLEPT = 10 * TURN;
     /** So long after its first turn a life that heard of no namesake holds its name. */
     public static final long SETTLES = 1_500_000;
@@ -36,8 +37,14 @@
     static final long SPREAD_EVERY = 500_000;
 
     /** How all stand, and what they tell, at one moment. */
-    public record View(Life self, List<Roster.Line> lines, Map<String, Board.Held> told, boolean settled,
-            Set<String> unreached, Finding finding, long at) {
+    public record View(
+            Life self,
+            List<Roster.Line> lines,
+            Map<String, Board.Held> told,
+            boolean settled,
+            Set<String> unreached,
+            Finding finding,
+            long at) {
         /** The same, with what may be acted on at this moment. */
         public View asOf(long now) {
             return new View(self, lines, told, settled, unreached, finding.asOf(now), at);
@@ -46,6 +53,7 @@
 
     /** What a member tells of the relays that staff state, and of those that staff took out. */
     static final String STATED = "relays";
+
     static final String OUT = "out";
 
     private final Roster roster;
@@ -54,6 +62,7 @@
     private final Grounds grounds;
     /** Of the first turn; -1 before it. */
     private long began = -1;
+
     private News mine;
     private long lastTurn;
     private long spread;
@@ -155,14 +164,23 @@
 
     /** What to ask this member. */
     public Question question(Life of) {
-        return new Question(Words.VERSION, roster.self().id(), roster.self().name(), board.state(of.id()).number(), settled);
+        return new Question(
+                Words.VERSION,
+                roster.self().id(),
+                roster.self().name(),
+                board.state(of.id()).number(),
+                settled);
     }
 
     /** What to answer. */
     public Answer answer(Question question, long now) {
         namesake(question.from(), question.name(), question.settled());
-        return new Answer(Words.VERSION, roster.self().id(), roster.self().name(),
-                question.has() < mine.number() ? mine : null, settled);
+        return new Answer(
+                Words.VERSION,
+                roster.self().id(),
+                roster.self().name(),
+                question.has() < mine.number() ? mine : null,
+                settled);
     }
 
     /** A member answered. */
@@ -183,8 +201,7 @@
 
     /** What a member tells, by whatever way: one that this one does not reach is heard of through others. */
     public void heard(String id, News news, long now) {
-        if (news != null && roster.present(id)
-                && board.heard(id, new Board.State(news.number(), news.values()), now)) {
+        if (news != null && roster.present(id) && board.heard(id, new Board.State(news.number(), news.values()), now)) {
             roster.says(id, news.reached(), news.unreached());
             // whom the library gave up comes back by the word of one who reaches it, and goes with that
             reach.members(roster.others());
@@ -210,7 +227,10 @@
 
     /** Of two lives of one name that live, the one that holds it keeps it; of two that start, the lower id. */
     private void namesake(String id, String name, boolean holds) {
-        if (!settled && takenBy == null && name.equals(roster.self().name()) && !id.equals(roster.self().id())
+        if (!settled
+                && takenBy == null
+                && name.equals(roster.self().name())
+                && !id.equals(roster.self().id())
                 && (holds || id.compareTo(roster.self().id()) < 0)) {
             takenBy = id;
         }
@@ -270,7 +290,8 @@
     public String takeOut(String name, long now) {
         View view = view(now);
         boolean present = view.lines().stream()
-                .anyMatch(line -> line.life().name().equals(name) && line.standing().present());
+                .anyMatch(line ->
+                        line.life().name().equals(name) && line.standing().present());
         String before = board.state(roster.self().id()).values().getOrDefault(OUT, "");
         String after = before.isEmpty() ? name : before + "," + name;
         if (!grounds.states(name)) {
@@ -278,7 +299,8 @@
         } else if (present) {
             return name + " is not lost: stop it first";
         } else if (!view.finding().allows(Act.OfStaff.TAKE_OUT)) {
-            return "this relay is " + view.finding().ground() + " (" + view.finding().why() + "); ask one that is not";
+            return "this relay is " + view.finding().ground() + " ("
+                    + view.finding().why() + "); ask one that is not";
         } else if (after.length() > Board.LONGEST) {
             return "too many are out; correct the file of each relay";
         }
--- a/src/main/java/sandstack/fleet/Reach.java
+++ b/src/main/java/sandstack/fleet/Reach.java
@@ -20,6 +20,7 @@
 public final class Reach {
     /** Microseconds of a round, at least, and for each member. */
     public static final long ROUND = 1_000_000;
+
     static final long EACH = 50_000;
     /** Questions in a row that decide. */
     static final int DECIDES = 2;
--- a/src/main/java/sandstack/fleet/Roster.java
+++ b/src/main/java/sandstack/fleet/Roster.java
@@ -26,12 +26,15 @@
         final Life life;
         /** Whether the library holds it. */
         boolean held = true;
+
         boolean left;
         /** Told of by others, and nobody has said yet that they reach it. */
         boolean unmet;
+
         long since;
         /** As it was last shown, and since when it is shown so. */
         Standing shown;
+
         long shownSince;
 
         Entry(Life life, long since) {
@@ -119,8 +122,10 @@
     }
 
     private void forgetOldest() {
-        List<Entry> gone = new ArrayList<>(entries.values().stream().filter(e -> !present(e))
-                .sorted(Comparator.comparingLong(e -> e.since)).toList());
+        List<Entry> gone = new ArrayList<>(entries.values().stream()
+                .filter(e -> !present(e))
+                .sorted(Comparator.comparingLong(e -> e.since))
+                .toList());
         for (int i = 0; i < gone.size() - GONE_KEPT; i++) {
             entries.remove(gone.get(i).life.id());
         }
@@ -153,12 +158,17 @@
     }
 
     private boolean present(Entry e) {
-        return !e.left && (e.held || says.values().stream().anyMatch(say -> say.reached().contains(e.life.id())));
+        return !e.left
+                && (e.held
+                        || says.values().stream().anyMatch(say -> say.reached().contains(e.life.id())));
     }
 
     /** Ids of all members but this one. */
     public List<String> others() {
-        return entries.values().stream().filter(e -> present(e) && e.life != self).map(e -> e.life.id()).toList();
+        return entries.values().stream()
+                .filter(e -> present(e) && e.life != self)
+                .map(e -> e.life.id())
+                .toList();
     }
 
     /** The life with this id, gone or not; null where there is none. */
@@ -191,15 +201,19 @@
             against.sort(null);
             boolean some = against.size() < voices;
             boolean met = e.held || reachedHere(id) && against.isEmpty();
-            Standing is = e.left ? Standing.LEFT : !met ? some ? Standing.PARTLY : Standing.LOST
-                    : against.isEmpty() ? Standing.ALIVE : some ? Standing.PARTLY : Standing.SUSPECT;
+            Standing is = e.left
+                    ? Standing.LEFT
+                    : !met
+                            ? some ? Standing.PARTLY : Standing.LOST
+                            : against.isEmpty() ? Standing.ALIVE : some ? Standing.PARTLY : Standing.SUSPECT;
             if (e.shown != is) {
                 e.shown = is;
                 e.shownSince = e.life == self ? began : now;
             }
             lines.add(new Line(e.life, is, e.shownSince, voices - against.size(), voices, against));
         }
-        lines.sort(Comparator.comparing((Line l) -> l.life().name()).thenComparingLong(Line::since)
+        lines.sort(Comparator.comparing((Line l) -> l.life().name())
+                .thenComparingLong(Line::since)
                 .thenComparing(l -> l.life().id()));
         return lines;
     }
--- a/src/main/java/sandstack/fleet/link/Bodies.java
+++ b/src/main/java/sandstack/fleet/link/Bodies.java
@@ -1,8 +1,8 @@
 package sandstack.fleet.link;
 
+import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.StreamReadConstraints;
-import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import sandstack.fleet.Words;
@@ -10,7 +10,9 @@
 /** The members' words as JSON, each with its version. Pure; O(characters) a body. */
 final class Bodies {
     private static final ObjectMapper JSON = new ObjectMapper(JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(8).build()).build());
+            .streamReadConstraints(
+                    StreamReadConstraints.builder().maxNestingDepth(8).build())
+            .build());
 
     /** A body that is none of ours. */
     static final class NotUnderstood extends Exception {
@@ -42,8 +44,8 @@
                 throw new NotUnderstood("a body without a version");
             }
             if (body.path("v").asInt() > Words.VERSION) {
-                throw new NotUnderstood("version " + body.path("v").asInt() + " of the words, known are up to "
-                        + Words.VERSION);
+                throw new NotUnderstood(
+                        "version " + body.path("v").asInt() + " of the words, known are up to " + Words.VERSION);
             }
             return JSON.treeToValue(body, type);
         } catch (JsonProcessingException | IllegalArgumentException e) {
--- a/src/main/java/sandstack/fleet/link/FleetLink.java
+++ b/src/main/java/sandstack/fleet/link/FleetLink.java
@@ -50,8 +50,9 @@
 public final class FleetLink implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("sandstack.fleet");
     /** What peers do wrong is told here, with a bound on the lines; held, as the log's manager forgets who sets levels. */
-    private static final List<Logger> LIBRARIES = List.of(Logger.getLogger("io.scalecube"),
-            Logger.getLogger("reactor"), Logger.getLogger("io.netty"));
+    private static final List<Logger> LIBRARIES =
+            List.of(Logger.getLogger("io.scalecube"), Logger.getLogger("reactor"), Logger.getLogger("io.netty"));
+
     private static final String QUESTION = "sandstack/question";
     private static final String SPREAD = "sandstack/spread";
     private static final String CALL = "sandstack/call";
@@ -60,10 +61,12 @@
     private static final int LONGEST_FRAME = 256 * 1024;
     /** The longest body of a call or its answer, in characters. */
     public static final int LONGEST_BODY = 64 * 1024;
+
     private static final int MOST_PEERS = 2_048;
     private static final int MOST_WAITING = 2_000;
     /** Calls that may wait for one member, and for all together. */
     private static final int MOST_CALLS_EACH = 8;
+
     private static final int MOST_CALLS = 256;
     private static final Duration ANSWER_WITHIN = Duration.ofMillis(400);
     private static final long SHOWN_EVERY = 200_000;
@@ -74,6 +77,7 @@
     /** The library's own detector; its suspicion lasts this many intervals times the logarithm of the members. */
     /** A card is asked for again at the next sync; a question that a cut holds back must not keep that from happening. */
     private static final int CARD_WITHIN = 500;
+
     private static final int PING_EVERY = 500;
     private static final int PING_WITHIN = 300;
     private static final int ASK_OTHERS = 3;
@@ -111,7 +115,11 @@
     public FleetLink(FleetFile file, String name, String zone) {
         LIBRARIES.forEach(library -> library.setLevel(java.util.logging.Level.OFF));
         this.file = file;
-        this.self = new Life(UUID.randomUUID().toString().replace("-", "").substring(0, 16), name, zone, file.machine(),
+        this.self = new Life(
+                UUID.randomUUID().toString().replace("-", "").substring(0, 16),
+                name,
+                zone,
+                file.machine(),
                 file.listen().toString());
         this.thread = new ScheduledThreadPoolExecutor(1, work -> {
             Thread t = new Thread(work, "fleet");
@@ -148,29 +156,31 @@
      * left its address. Waits for nothing; meanwhile the view has this one alone.
      */
     public void startWhenFree() {
-        Thread waits = new Thread(() -> {
-            try {
-                while (!thread.isShutdown() && !free()) {
-                    Thread.sleep(JOIN_AGAIN_MS);
-                }
-                if (!thread.isShutdown()) {
-                    start();
-                }
-            } catch (BadSettings e) {
-                // clients are served already, and go on being served
-                LOG.severe("is no member: " + e.getMessage());
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "fleet-join");
+        Thread waits = new Thread(
+                () -> {
+                    try {
+                        while (!thread.isShutdown() && !free()) {
+                            Thread.sleep(JOIN_AGAIN_MS);
+                        }
+                        if (!thread.isShutdown()) {
+                            start();
+                        }
+                    } catch (BadSettings e) {
+                        // clients are served already, and go on being served
+                        LOG.severe("is no member: " + e.getMessage());
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                },
+                "fleet-join");
         waits.setDaemon(true);
         waits.start();
     }
 
     /** Whether nobody listens at this member's address. */
     private boolean free() {
-        try (ServerSocket probe = new ServerSocket(file.listen().port(), 1,
-                InetAddress.getByName(file.listen().host()))) {
+        try (ServerSocket probe = new ServerSocket(
+                file.listen().port(), 1, InetAddress.getByName(file.listen().host()))) {
             return probe.isBound();
         } catch (IOException e) {
             return false;
@@ -178,25 +188,40 @@
     }
 
     private void join() throws BadSettings {
-        ClusterConfig config = ClusterConfig.defaultLanConfig().memberId(self.id()).memberAlias(self.name())
-                .externalHost(file.listen().host()).externalPort(file.listen().port())
+        ClusterConfig config = ClusterConfig.defaultLanConfig()
+                .memberId(self.id())
+                .memberAlias(self.name())
+                .externalHost(file.listen().host())
+                .externalPort(file.listen().port())
                 .metadata(Bodies.text(new Card(Words.VERSION, self.name(), self.zone(), self.machine())))
-                .metadataCodec(Card.CODEC).metadataTimeout(CARD_WITHIN)
-                .transport(t -> t.port(file.listen().port()).connectTimeout(PING_WITHIN).messageCodec(codec)
-                        .maxFrameLength(LONGEST_FRAME).addressMapper(at -> file.via().getOrDefault(at, at))
+                .metadataCodec(Card.CODEC)
+                .metadataTimeout(CARD_WITHIN)
+                .transport(t -> t.port(file.listen().port())
+                        .connectTimeout(PING_WITHIN)
+                        .messageCodec(codec)
+                        .maxFrameLength(LONGEST_FRAME)
+                        .addressMapper(at -> file.via().getOrDefault(at, at))
                         .transportFactory(new OneAddress(file.listen().host(), codec, MOST_PEERS)))
-                .failureDetector(f -> f.pingInterval(PING_EVERY).pingTimeout(PING_WITHIN).pingReqMembers(ASK_OTHERS))
-                .membership(m -> m.namespace(file.installation()).seedMembers(file.members())
-                        .syncInterval(SYNC_EVERY).syncTimeout(PING_EVERY).suspicionMult(SUSPICION));
+                .failureDetector(
+                        f -> f.pingInterval(PING_EVERY).pingTimeout(PING_WITHIN).pingReqMembers(ASK_OTHERS))
+                .membership(m -> m.namespace(file.installation())
+                        .seedMembers(file.members())
+                        .syncInterval(SYNC_EVERY)
+                        .syncTimeout(PING_EVERY)
+                        .suspicionMult(SUSPICION));
         try {
-            new ClusterImpl(config).transportFactory(config.transportConfig()::transportFactory)
-                    .handler(this::heardBy).start().toFuture().get(JOIN_SECONDS, TimeUnit.SECONDS);
+            new ClusterImpl(config)
+                    .transportFactory(config.transportConfig()::transportFactory)
+                    .handler(this::heardBy)
+                    .start()
+                    .toFuture()
+                    .get(JOIN_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
             throw new BadSettings(FleetFile.FILE + ": listen: cannot listen at " + file.listen() + ": "
                     + e.getCause().getMessage());
         } catch (TimeoutException e) {
-            throw new BadSettings(FleetFile.FILE + ": listen: no start at " + file.listen() + " within "
-                    + JOIN_SECONDS + " s");
+            throw new BadSettings(
+                    FleetFile.FILE + ": listen: no start at " + file.listen() + " within " + JOIN_SECONDS + " s");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -294,9 +319,11 @@
             }
             Words.News news = membership.spread(now());
             if (news != null) {
-                cluster.spreadGossip(Message.builder().qualifier(SPREAD)
-                        .data(Bodies.text(new Spread(Words.VERSION, self.id(), news, self))).build())
-                        .subscribe(done -> { }, lost -> { });
+                cluster.spreadGossip(Message.builder()
+                                .qualifier(SPREAD)
+                                .data(Bodies.text(new Spread(Words.VERSION, self.id(), news, self)))
+                                .build())
+                        .subscribe(done -> {}, lost -> {});
             }
             if (membership.takenBy() != null) {
                 taken.complete(null);
@@ -326,10 +353,17 @@
 
     /** One message there and one back, within this time; completes on the fleet's thread. */
     private CompletableFuture<String> exchange(Life member, String what, String body, Duration within) {
-        Message message = Message.builder().qualifier(what).correlationId(UUID.randomUUID().toString()).data(body)
+        Message message = Message.builder()
+                .qualifier(what)
+                .correlationId(UUID.randomUUID().toString())
+                .data(body)
                 .build();
-        return cluster.transport().requestResponse(member.address(), message).timeout(within, scheduler)
-                .publishOn(scheduler).map(answer -> String.valueOf((Object) answer.data())).toFuture();
+        return cluster.transport()
+                .requestResponse(member.address(), message)
+                .timeout(within, scheduler)
+                .publishOn(scheduler)
+                .map(answer -> String.valueOf((Object) answer.data()))
+                .toFuture();
     }
 
     private void received(Message message) {
@@ -352,18 +386,34 @@
     private void called(Message message, Call call) {
         Handler handler = handlers.get(String.valueOf(call.kind()));
         if (handler == null || call.body() == null || call.body().length() > LONGEST_BODY) {
-            answer(message, Bodies.text(new Result(Words.VERSION, null, handler == null
-                    ? "nothing here takes calls of this kind" : "a body longer than " + LONGEST_BODY)));
+            answer(
+                    message,
+                    Bodies.text(new Result(
+                            Words.VERSION,
+                            null,
+                            handler == null
+                                    ? "nothing here takes calls of this kind"
+                                    : "a body longer than " + LONGEST_BODY)));
             return;
         }
-        handler.handle(call.from(), call.body()).whenComplete((body, failed) -> answer(message, Bodies.text(
-                new Result(Words.VERSION, body, failed == null ? null : String.valueOf(failed.getMessage())))));
+        handler.handle(call.from(), call.body())
+                .whenComplete((body, failed) -> answer(
+                        message,
+                        Bodies.text(new Result(
+                                Words.VERSION, body, failed == null ? null : String.valueOf(failed.getMessage())))));
     }
 
     private void answer(Message asked, String body) {
         if (asked.sender() != null && asked.correlationId() != null) {
-            cluster.transport().send(asked.sender(), Message.builder().qualifier(RESULT)
-                    .correlationId(asked.correlationId()).data(body).build()).subscribe(done -> { }, lost -> { });
+            cluster.transport()
+                    .send(
+                            asked.sender(),
+                            Message.builder()
+                                    .qualifier(RESULT)
+                                    .correlationId(asked.correlationId())
+                                    .data(body)
+                                    .build())
+                    .subscribe(done -> {}, lost -> {});
         }
     }
 
@@ -383,18 +433,21 @@
         Ground before = view.finding().ground();
         view = membership.view(shownAt);
         if (view.finding().ground() != before && !file.relays().isEmpty()) {
-            LOG.info("the fleet is " + view.finding().ground() + " here: " + view.finding().why());
+            LOG.info("the fleet is " + view.finding().ground() + " here: "
+                    + view.finding().why());
         }
         for (Roster.Line line : view.lines()) {
             Standing stood = logged.put(line.life().id(), line.standing());
             if (stood != line.standing() && !(stood == null && line.life().id().equals(self.id()))) {
-                LOG.info("member " + line.life().name() + " (" + line.life().id().substring(0, 8) + ") is "
-                        + line.standing() + (line.against().isEmpty() ? "" : ", not reached by "
-                        + String.join(", ", line.against())));
+                LOG.info("member " + line.life().name() + " ("
+                        + line.life().id().substring(0, 8) + ") is "
+                        + line.standing()
+                        + (line.against().isEmpty() ? "" : ", not reached by " + String.join(", ", line.against())));
             }
         }
         if (logged.size() > view.lines().size()) {
-            List<String> ids = view.lines().stream().map(line -> line.life().id()).toList();
+            List<String> ids =
+                    view.lines().stream().map(line -> line.life().id()).toList();
             logged.keySet().retainAll(ids);
         }
     }
@@ -432,8 +485,11 @@
      * many calls out, not a member, refused there. What was asked may have been done all the same where no answer came.
      */
     public CompletableFuture<String> call(String id, String kind, String body, Duration within) {
-        Life member = view.lines().stream().filter(l -> l.life().id().equals(id) && l.standing().present())
-                .map(Roster.Line::life).findFirst().orElse(null);
+        Life member = view.lines().stream()
+                .filter(l -> l.life().id().equals(id) && l.standing().present())
+                .map(Roster.Line::life)
+                .findFirst()
+                .orElse(null);
         if (member == null) {
             return CompletableFuture.failedFuture(new IllegalStateException(id + " is no member now"));
         }
@@ -455,7 +511,8 @@
                 calling.remove(id, each);
             }
             try {
-                Result result = failed != null ? new Result(Words.VERSION, null, String.valueOf(failed.getMessage()))
+                Result result = failed != null
+                        ? new Result(Words.VERSION, null, String.valueOf(failed.getMessage()))
                         : Bodies.read(answer, Result.class);
                 if (result.error() != null) {
                     throw new IllegalStateException(result.error());
--- a/src/main/java/sandstack/fleet/link/KnownTypes.java
+++ b/src/main/java/sandstack/fleet/link/KnownTypes.java
@@ -48,18 +48,27 @@
             return ObjectInputFilter.Status.UNDECIDED;
         }
         String name = type.getName();
-        boolean known = name.startsWith("io.scalecube.cluster.") || name.startsWith("java.lang.") && plain(name)
-                || name.equals("java.util.ArrayList") || name.equals("java.util.HashMap")
-                || name.equals("java.util.LinkedHashMap") || name.equals("java.util.Map$Entry")
-                || name.equals("java.util.HashSet") || name.equals("java.util.CollSer")
+        boolean known = name.startsWith("io.scalecube.cluster.")
+                || name.startsWith("java.lang.") && plain(name)
+                || name.equals("java.util.ArrayList")
+                || name.equals("java.util.HashMap")
+                || name.equals("java.util.LinkedHashMap")
+                || name.equals("java.util.Map$Entry")
+                || name.equals("java.util.HashSet")
+                || name.equals("java.util.CollSer")
                 || name.startsWith("java.util.Collections$Unmodifiable");
         return known ? ObjectInputFilter.Status.ALLOWED : ObjectInputFilter.Status.REJECTED;
     }
 
     private static boolean plain(String name) {
         return switch (name) {
-            case "java.lang.String", "java.lang.Number", "java.lang.Integer", "java.lang.Long", "java.lang.Boolean",
-                    "java.lang.Enum", "java.lang.Object" -> true;
+            case "java.lang.String",
+                    "java.lang.Number",
+                    "java.lang.Integer",
+                    "java.lang.Long",
+                    "java.lang.Boolean",
+                    "java.lang.Enum",
+                    "java.lang.Object" -> true;
             default -> false;
         };
     }
--- a/src/main/java/sandstack/fleet/link/OneAddress.java
+++ b/src/main/java/sandstack/fleet/link/OneAddress.java
@@ -6,6 +6,7 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import io.netty.handler.codec.LengthFieldPrepender;
 import io.netty.handler.timeout.ReadTimeoutHandler;
+import io.scalecube.cluster.transport.api.Message;
 import io.scalecube.cluster.transport.api.Transport;
 import io.scalecube.cluster.transport.api.TransportConfig;
 import io.scalecube.cluster.transport.api.TransportFactory;
@@ -14,7 +15,6 @@
 import io.scalecube.transport.netty.TransportImpl;
 import io.scalecube.transport.netty.TransportImpl.ReceiverContext;
 import io.scalecube.transport.netty.TransportImpl.SenderContext;
-import io.scalecube.cluster.transport.api.Message;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import reactor.core.publisher.Mono;
@@ -53,7 +53,9 @@
     private static void frames(Channel channel, int most) {
         ChannelPipeline pipeline = channel.pipeline();
         pipeline.addBefore(NettyPipeline.ReactiveBridge, "length", new LengthFieldPrepender(LENGTH_BYTES));
-        pipeline.addBefore(NettyPipeline.ReactiveBridge, "frame",
+        pipeline.addBefore(
+                NettyPipeline.ReactiveBridge,
+                "frame",
                 new LengthFieldBasedFrameDecoder(most, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
     }
 
@@ -71,20 +73,28 @@
         }
 
         private Mono<DisposableServer> listening(ReceiverContext context) {
-            return TcpServer.create().host(host).port(config.port()).runOn(context.loopResources())
-                    .childOption(ChannelOption.TCP_NODELAY, true).doOnConnection(this::accepted)
+            return TcpServer.create()
+                    .host(host)
+                    .port(config.port())
+                    .runOn(context.loopResources())
+                    .childOption(ChannelOption.TCP_NODELAY, true)
+                    .doOnConnection(this::accepted)
                     .doOnChannelInit((observer, channel, remote) -> {
                         frames(channel, config.maxFrameLength());
                         channel.pipeline().addFirst("silent", new ReadTimeoutHandler(SILENT_SECONDS, TimeUnit.SECONDS));
                     })
-                    .handle((in, out) -> in.receive().retain().doOnNext(frame -> {
-                        context.onMessage(frame);
-                        if (codec.takeRefused()) {
-                            // whoever sends one message that is none of ours is no member
-                            in.withConnection(Connection::dispose);
-                        }
-                    }).then())
-                    .bind().cast(DisposableServer.class);
+                    .handle((in, out) -> in.receive()
+                            .retain()
+                            .doOnNext(frame -> {
+                                context.onMessage(frame);
+                                if (codec.takeRefused()) {
+                                    // whoever sends one message that is none of ours is no member
+                                    in.withConnection(Connection::dispose);
+                                }
+                            })
+                            .then())
+                    .bind()
+                    .cast(DisposableServer.class);
         }
 
         private void accepted(Connection connection) {
@@ -109,10 +119,12 @@
         public Mono<Connection> connect(String address) {
             return Mono.deferContextual(context -> TcpClient.newConnection()
                     .runOn(context.get(SenderContext.class).loopResources())
-                    .host(Transport.parseHost(address)).port(Transport.parsePort(address))
+                    .host(Transport.parseHost(address))
+                    .port(Transport.parsePort(address))
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, config.connectTimeout())
-                    .doOnChannelInit((observer, channel, remote) -> frames(channel, config.maxFrameLength())).connect()
+                    .doOnChannelInit((observer, channel, remote) -> frames(channel, config.maxFrameLength()))
+                    .connect()
                     .cast(Connection.class));
         }
 
@@ -121,8 +133,11 @@
             return Mono.deferContextual(context -> {
                 Connection connection = context.get(Connection.class);
                 SenderContext sender = context.get(SenderContext.class);
-                return connection.outbound()
-                        .sendObject(Mono.fromCallable(() -> sender.messageEncoder().apply(message)), any -> true).then();
+                return connection
+                        .outbound()
+                        .sendObject(
+                                Mono.fromCallable(() -> sender.messageEncoder().apply(message)), any -> true)
+                        .then();
             });
         }
     }
--- a/src/main/java/sandstack/front/amqp/AmqpClient.java
+++ b/src/main/java/sandstack/front/amqp/AmqpClient.java
@@ -59,7 +59,9 @@
     @Override
     public void starting(Engine engine) {
         EngineHandler performatives = engine.pipeline().first();
-        engine.pipeline().removeFirst().addFirst("resuming", new Resuming())
+        engine.pipeline()
+                .removeFirst()
+                .addFirst("resuming", new Resuming())
                 .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
     }
 
@@ -95,7 +97,8 @@
         link = attached;
         link.closeHandler(l -> left());
         link.detachHandler(l -> left());
-        Command command = Words.command(link.getRemoteProperties(), front.relay().terms(), front.relay().tenants());
+        Command command = Words.command(
+                link.getRemoteProperties(), front.relay().terms(), front.relay().tenants());
         if (command == null) {
             nack(new Nack(Nack.Kind.BAD_INPUT, 0));
             return;
--- a/src/main/java/sandstack/front/amqp/AmqpFront.java
+++ b/src/main/java/sandstack/front/amqp/AmqpFront.java
@@ -42,12 +42,13 @@
     /** Listens; returns the port. */
     public int listen(String host, int port) throws IOException {
         return loop.listen(host, port, loop.chain(new BaseFilter() {
-            @Override
-            public NextAction handleAccept(FilterChainContext context) {
-                new AmqpClient(AmqpFront.this, Loop.peer(context));
-                return context.getStopAction();
-            }
-        })).port();
+                    @Override
+                    public NextAction handleAccept(FilterChainContext context) {
+                        new AmqpClient(AmqpFront.this, Loop.peer(context));
+                        return context.getStopAction();
+                    }
+                }))
+                .port();
     }
 
     Loop.Attempted connect(NameTable.Line server, Loop.Connecting told) {
@@ -80,7 +81,9 @@
     Deliveries remembered(LinkId id, Map<Binary, DeliveryState> stillHeld) {
         Deliveries left = broken.remove(id);
         if (left != null && stillHeld != null) {
-            left.unsettled().keySet().stream().filter(tag -> !stillHeld.containsKey(tag)).forEach(left::forget);
+            left.unsettled().keySet().stream()
+                    .filter(tag -> !stillHeld.containsKey(tag))
+                    .forEach(left::forget);
         }
         return left;
     }
--- a/src/main/java/sandstack/front/amqp/AmqpSocket.java
+++ b/src/main/java/sandstack/front/amqp/AmqpSocket.java
@@ -17,6 +17,7 @@
     private static final Logger LOG = Logger.getLogger("sandstack.amqp");
     /** The protocol header that begins a connection: AMQP, a protocol number and three of version. */
     private static final int HEADER = 8;
+
     private static final int SASL = 3;
 
     /** Who is told what the connection does; the engine's own handlers tell the rest. */
--- a/src/main/java/sandstack/front/amqp/Pipe.java
+++ b/src/main/java/sandstack/front/amqp/Pipe.java
@@ -33,8 +33,7 @@
      * @param deliveries keeps what became of each delivery; null where nobody will ask
      * @param before what became of those of an earlier connection of this link
      */
-    Pipe(Receiver in, AmqpSocket inSocket, Sender out, AmqpSocket outSocket, Deliveries deliveries,
-            Deliveries before) {
+    Pipe(Receiver in, AmqpSocket inSocket, Sender out, AmqpSocket outSocket, Deliveries deliveries, Deliveries before) {
         this.in = in;
         this.inSocket = inSocket;
         this.out = out;
@@ -137,7 +136,8 @@
     }
 
     private static ProtonBuffer empty() {
-        return org.apache.qpid.protonj2.buffer.ProtonBufferAllocator.defaultAllocator().allocate(0);
+        return org.apache.qpid.protonj2.buffer.ProtonBufferAllocator.defaultAllocator()
+                .allocate(0);
     }
 
     private void abort(IncomingDelivery d) {
--- a/src/main/java/sandstack/front/amqp/Words.java
+++ b/src/main/java/sandstack/front/amqp/Words.java
@@ -36,14 +36,24 @@
         String key = text(properties, KEY);
         boolean groupless = properties.get(GROUP) == null;
         String group = text(properties, GROUP);
-        if (requestClass < 0 || key == null || (!groupless && group == null)
-                || !(properties.get(DEADLINE) instanceof Number deadline) || deadline.longValue() <= 0
+        if (requestClass < 0
+                || key == null
+                || (!groupless && group == null)
+                || !(properties.get(DEADLINE) instanceof Number deadline)
+                || deadline.longValue() <= 0
                 || deadline.longValue() > Integer.MAX_VALUE) {
             return null;
         }
         int tenant = properties.containsKey(TENANT) ? tenants.indexOf(text(properties, TENANT)) : 0;
-        return new Command(key, requestClass, tenant, group, deadline.longValue() * 1000, 0,
-                Boolean.TRUE.equals(properties.get(AGAIN)), null);
+        return new Command(
+                key,
+                requestClass,
+                tenant,
+                group,
+                deadline.longValue() * 1000,
+                0,
+                Boolean.TRUE.equals(properties.get(AGAIN)),
+                null);
     }
 
     private static String text(Map<Symbol, Object> properties, Symbol name) {
@@ -61,8 +71,11 @@
 
     static ErrorCondition error(Nack nack) {
         return switch (nack.kind()) {
-            case REFUSED -> new ErrorCondition(AmqpError.RESOURCE_LIMIT_EXCEEDED, "refused; trying again is harmless",
-                    nack.comeBackMillis() <= 0 ? null
+            case REFUSED -> new ErrorCondition(
+                    AmqpError.RESOURCE_LIMIT_EXCEEDED,
+                    "refused; trying again is harmless",
+                    nack.comeBackMillis() <= 0
+                            ? null
                             : Map.of(COME_BACK, UnsignedInteger.valueOf(nack.comeBackMillis())));
             case FAILED -> new ErrorCondition(AmqpError.INTERNAL_ERROR, "failed");
             case BAD_INPUT -> new ErrorCondition(AmqpError.INVALID_FIELD, "the link's properties make no sense");
@@ -77,12 +90,13 @@
     /** How an execution ended whose feed server detached or closed with this error, if any. */
     static Ending ending(ErrorCondition error, boolean standing) {
         Symbol condition = error == null ? null : error.getCondition();
-        boolean leaving = ConnectionError.CONNECTION_FORCED.equals(condition)
-                || LinkError.DETACH_FORCED.equals(condition);
+        boolean leaving =
+                ConnectionError.CONNECTION_FORCED.equals(condition) || LinkError.DETACH_FORCED.equals(condition);
         if (standing) {
             return condition == null ? Ending.SERVED : leaving ? Ending.SENT_AWAY : Ending.SERVER_ERROR;
         }
-        return leaving || AmqpError.RESOURCE_LIMIT_EXCEEDED.equals(condition) ? Ending.TURNED_AWAY
+        return leaving || AmqpError.RESOURCE_LIMIT_EXCEEDED.equals(condition)
+                ? Ending.TURNED_AWAY
                 : Ending.SERVER_ERROR;
     }
 }
--- a/src/main/java/sandstack/front/operators/OperatorDoor.java
+++ b/src/main/java/sandstack/front/operators/OperatorDoor.java
@@ -20,6 +20,7 @@
 public final class OperatorDoor {
     /** Callers at one time; of more, the one that came first goes. */
     public static final int MOST = 24;
+
     private static final int LONGEST_LINE = 4096;
     /** Who calls has to have said it by then: long enough for a person at a keyboard. */
     private static final long ASK_WITHIN = 10_000_000;
@@ -46,12 +47,13 @@
     /** Listens; returns the port. */
     public int listen(String host, int port) throws IOException {
         return loop.listen(host, port, loop.chain(new BaseFilter() {
-            @Override
-            public NextAction handleAccept(FilterChainContext context) {
-                entered(new Caller(Loop.peer(context)));
-                return context.getStopAction();
-            }
-        })).port();
+                    @Override
+                    public NextAction handleAccept(FilterChainContext context) {
+                        entered(new Caller(Loop.peer(context)));
+                        return context.getStopAction();
+                    }
+                }))
+                .port();
     }
 
     private void entered(Caller caller) {
@@ -92,8 +94,10 @@
                 say("NAK the line is longer than 4 KiB\r\n");
             } else if (end >= 0) {
                 String line = peer.in().peek(end);
-                say(peer.in().size() > end + 1 ? "NAK one call a connection\r\n"
-                        : answer(line.endsWith("\r") ? line.substring(0, end - 1) : line));
+                say(
+                        peer.in().size() > end + 1
+                                ? "NAK one call a connection\r\n"
+                                : answer(line.endsWith("\r") ? line.substring(0, end - 1) : line));
             }
         }
 
--- a/src/main/java/sandstack/front/platform/FirstLine.java
+++ b/src/main/java/sandstack/front/platform/FirstLine.java
@@ -28,14 +28,17 @@
     /** Reads a line without its end; null where it is not of this form. */
     static FirstLine read(String line) {
         String[] words = line.split(" ", -1);
-        if (words.length != 4 || !words[0].equals("OPEN") || !WORD.matcher(words[1]).matches()
+        if (words.length != 4
+                || !words[0].equals("OPEN")
+                || !WORD.matcher(words[1]).matches()
                 || !WORD.matcher(words[2]).matches()) {
             return null;
         }
         Map<String, String> values = new LinkedHashMap<>();
         for (String pair : words[3].split(",", -1)) {
             int sign = pair.indexOf('=');
-            if (sign < 1 || !WORD.matcher(pair).matches()
+            if (sign < 1
+                    || !WORD.matcher(pair).matches()
                     || values.put(pair.substring(0, sign), pair.substring(sign + 1)) != null) {
                 return null;
             }
@@ -56,8 +59,15 @@
             return null;
         }
         int tenant = values.containsKey("t") ? tenants.indexOf(values.get("t")) : 0;
-        return new Command(key, requestClass, tenant, values.get("g"), patience, Double.parseDouble(hint),
-                "1".equals(values.get("again")), values.get("at"));
+        return new Command(
+                key,
+                requestClass,
+                tenant,
+                values.get("g"),
+                patience,
+                Double.parseDouble(hint),
+                "1".equals(values.get("again")),
+                values.get("at"));
     }
 
     /** The id, new with every connection. */
@@ -71,7 +81,9 @@
         char before = ' ';
         for (Map.Entry<String, String> value : values.entrySet()) {
             boolean waits = value.getKey().equals("d");
-            line.append(before).append(value.getKey()).append('=')
+            line.append(before)
+                    .append(value.getKey())
+                    .append('=')
                     .append(waits ? Long.toString(patienceMillis) : value.getValue());
             before = ',';
         }
--- a/src/main/java/sandstack/front/platform/LoadLines.java
+++ b/src/main/java/sandstack/front/platform/LoadLines.java
@@ -21,6 +21,7 @@
     private static final double LEAST_LOAD = 1_000;
     /** Milliseconds that no client waits for a message. Above them it is a load whenever it comes. */
     private static final double LONGEST_DELAY = 10_000;
+
     private static final long PACE = 1_000_000;
     private static final long PACE_SLACK = 20_000;
     private static final int MOST_KEPT = 4096;
--- a/src/main/java/sandstack/front/platform/PlatformClient.java
+++ b/src/main/java/sandstack/front/platform/PlatformClient.java
@@ -12,7 +12,12 @@
 final class PlatformClient extends ServiceClient implements Peer.Owner, Lobby.Guest {
     private static final int LONGEST_LINE = 4096;
 
-    private enum State { FIRST_LINE, WAITING, STANDING, LEAVING }
+    private enum State {
+        FIRST_LINE,
+        WAITING,
+        STANDING,
+        LEAVING
+    }
 
     private final PlatformFront front;
     private final Relay relay;
@@ -41,7 +46,7 @@
                 badInput(command());
             }
             case STANDING -> server.passOn();
-            case LEAVING -> { }
+            case LEAVING -> {}
             default -> throw new IllegalStateException();
         }
     }
@@ -141,7 +146,7 @@
         switch (state) {
             case WAITING -> relay.clientLeft(this);
             case STANDING -> server.clientBroke();
-            default -> { }
+            default -> {}
         }
     }
 
@@ -165,10 +170,11 @@
 
     @Override
     protected void nack(Nack nack) {
-        end(switch (nack.kind()) {
-            case REFUSED -> nack.comeBackMillis() > 0 ? "BUSY " + nack.comeBackMillis() + "\r\n" : "BUSY\r\n";
-            case FAILED, BAD_INPUT -> "ERR\r\n";
-        });
+        end(
+                switch (nack.kind()) {
+                    case REFUSED -> nack.comeBackMillis() > 0 ? "BUSY " + nack.comeBackMillis() + "\r\n" : "BUSY\r\n";
+                    case FAILED, BAD_INPUT -> "ERR\r\n";
+                });
     }
 
     // ---- from the feed server's side --------------------------------------------------------------
--- a/src/main/java/sandstack/front/platform/ServerWire.java
+++ b/src/main/java/sandstack/front/platform/ServerWire.java
@@ -26,6 +26,7 @@
     private boolean moving;
     /** Whether all of the request's line has been written. */
     private boolean sent;
+
     private String lastLine = "";
 
     ServerWire(PlatformFront front, PlatformClient client, Execution execution, FirstLine firstLine) {
@@ -81,12 +82,13 @@
         if (line.equals("SYNTAX")) {
             LOG.warning("a feed server did not understand a first line");
         }
-        fail(switch (line) {
-            case "BUSY" -> Ending.TURNED_AWAY;
-            case "MOVE" -> Ending.SENT_AWAY;
-            case "BYE" -> Ending.ENDED_EARLY;
-            default -> line.startsWith("BUSY ") ? Ending.TURNED_AWAY : Ending.SERVER_ERROR;
-        });
+        fail(
+                switch (line) {
+                    case "BUSY" -> Ending.TURNED_AWAY;
+                    case "MOVE" -> Ending.SENT_AWAY;
+                    case "BYE" -> Ending.ENDED_EARLY;
+                    default -> line.startsWith("BUSY ") ? Ending.TURNED_AWAY : Ending.SERVER_ERROR;
+                });
     }
 
     private void fail(Ending ending) {
--- a/src/main/java/sandstack/kin/Kin.java
+++ b/src/main/java/sandstack/kin/Kin.java
@@ -27,11 +27,13 @@
     private static final long FRESH = 2_000_000;
     /** Files that old are left over from processes that died: deleted by whoever sees them. */
     private static final long LEFT_OVER = 60_000_000;
+
     private static final String PREFIX = "sandstack-";
     private static final String NOTICE = ".kin";
     private static final String LIST = ".list";
     /** Files past these are not looked at, whatever somebody puts into the folder, or however long they are. */
     private static final int MOST_FILES = 64;
+
     private static final long LONGEST_FILE = 8L << 20;
     private static final Logger LOG = Logger.getLogger("sandstack.kin");
 
@@ -99,9 +101,12 @@
 
     private Notice read(Path file) throws IOException {
         try {
-            Notice notice = Files.size(file) > LONGEST_FILE ? null
+            Notice notice = Files.size(file) > LONGEST_FILE
+                    ? null
                     : Notice.read(Files.readString(file, StandardCharsets.UTF_8), relay);
-            if (notice == null && torn.size() < MOST_FILES && torn.add(file.getFileName().toString())) {
+            if (notice == null
+                    && torn.size() < MOST_FILES
+                    && torn.add(file.getFileName().toString())) {
                 LOG.info("passed over, not a whole notice of this relay: " + file.getFileName());
             }
             return notice;
@@ -122,15 +127,20 @@
     /** Looks once for other processes of this relay. */
     public Found find() {
         List<Notice> there = others();
-        return new Found(there.size(), there.stream().max(Comparator.comparingLong(Notice::written)).map(other -> {
-            try {
-                Notice list = read(folder.resolve(PREFIX + other.token() + LIST));
-                return list != null && list.token().equals(other.token()) ? list.text() : null;
-            } catch (IOException e) {
-                fault("cannot be read", e);
-                return null;
-            }
-        }).orElse(null));
+        return new Found(
+                there.size(),
+                there.stream()
+                        .max(Comparator.comparingLong(Notice::written))
+                        .map(other -> {
+                            try {
+                                Notice list = read(folder.resolve(PREFIX + other.token() + LIST));
+                                return list != null && list.token().equals(other.token()) ? list.text() : null;
+                            } catch (IOException e) {
+                                fault("cannot be read", e);
+                                return null;
+                            }
+                        })
+                        .orElse(null));
     }
 
     /** Begins to say that this process is there, and to tell of the others; the first notice is written at once. */
--- a/src/main/java/sandstack/kin/Notice.java
+++ b/src/main/java/sandstack/kin/Notice.java
@@ -32,7 +32,9 @@
         String head = file.substring(0, sumAt);
         String text = file.substring(end + 1);
         String[] words = head.split(" ");
-        if (words.length != 6 || !head.startsWith(FORM + " ") || !file.substring(sumAt + 1, end).equals(sum(head, text))
+        if (words.length != 6
+                || !head.startsWith(FORM + " ")
+                || !file.substring(sumAt + 1, end).equals(sum(head, text))
                 || !words[2].equals(URLEncoder.encode(relay, StandardCharsets.UTF_8))) {
             return null;
         }
--- a/src/main/java/sandstack/measure/Aim.java
+++ b/src/main/java/sandstack/measure/Aim.java
@@ -23,7 +23,8 @@
 
     /** A number without needless digits. */
     static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e12 ? Long.toString((long) value)
+        return value == Math.rint(value) && Math.abs(value) < 1e12
+                ? Long.toString((long) value)
                 : String.format(Locale.ROOT, "%.4f", value);
     }
 }
--- a/src/main/java/sandstack/measure/Crowd.java
+++ b/src/main/java/sandstack/measure/Crowd.java
@@ -47,19 +47,50 @@
     }
 
     /** What was counted until now. */
-    record Count(long asked, long served, long refused, long failed, long lost, long moved, int standing,
-            long refusedP99, long refusedMost, long setUpP99, long lines, long late) {
+    record Count(
+            long asked,
+            long served,
+            long refused,
+            long failed,
+            long lost,
+            long moved,
+            int standing,
+            long refusedP99,
+            long refusedMost,
+            long setUpP99,
+            long lines,
+            long late) {
         Count since(Count before) {
-            return new Count(asked - before.asked, served - before.served, refused - before.refused,
-                    failed - before.failed, lost - before.lost, moved - before.moved, standing, refusedP99,
-                    refusedMost, setUpP99, lines - before.lines, late - before.late);
+            return new Count(
+                    asked - before.asked,
+                    served - before.served,
+                    refused - before.refused,
+                    failed - before.failed,
+                    lost - before.lost,
+                    moved - before.moved,
+                    standing,
+                    refusedP99,
+                    refusedMost,
+                    setUpP99,
+                    lines - before.lines,
+                    late - before.late);
         }
     }
 
     Count count() {
-        return new Count(asked, served, refused, failed, lost, moved, standing.size(),
-                refusedAfter.getValueAtPercentile(99), refusedAfter.getMaxValue(), setUp.getValueAtPercentile(99),
-                lines.getTotalCount(), late);
+        return new Count(
+                asked,
+                served,
+                refused,
+                failed,
+                lost,
+                moved,
+                standing.size(),
+                refusedAfter.getValueAtPercentile(99),
+                refusedAfter.getMaxValue(),
+                setUp.getValueAtPercentile(99),
+                lines.getTotalCount(),
+                late);
     }
 
     /** Times of refusals from now on alone. */
@@ -103,13 +134,20 @@
     void one() {
         long number = ++asked;
         int group = (int) (groups * Math.pow(chance.nextDouble(), 2));
-        String name = switch ((int) (number % 4)) {
-            case 0 -> "stock-check";
-            case 1 -> "catalogue-feed";
-            default -> "order-status";
-        };
-        new ShopClient(yard, ports.get((int) (number % ports.size())), "i" + number, "k" + number,
-                "c=" + name + ",d=" + PATIENCE / 1000 + ",g=g" + group, PATIENCE, this::told);
+        String name =
+                switch ((int) (number % 4)) {
+                    case 0 -> "stock-check";
+                    case 1 -> "catalogue-feed";
+                    default -> "order-status";
+                };
+        new ShopClient(
+                yard,
+                ports.get((int) (number % ports.size())),
+                "i" + number,
+                "k" + number,
+                "c=" + name + ",d=" + PATIENCE / 1000 + ",g=g" + group,
+                PATIENCE,
+                this::told);
     }
 
     private void told(ShopClient.Told told) {
@@ -126,7 +164,7 @@
             case FAILED, SILENT -> failed++;
             case MOVED -> moved++;
             case LOST -> lost++;
-            case LEFT -> { }
+            case LEFT -> {}
             default -> throw new IllegalStateException();
         }
     }
--- a/src/main/java/sandstack/measure/Limiter.java
+++ b/src/main/java/sandstack/measure/Limiter.java
@@ -108,7 +108,7 @@
         }
 
         @Override
-        public void left(int standing) { }
+        public void left(int standing) {}
 
         @Override
         public void shed(int standing, long now, double draw) {
@@ -180,7 +180,7 @@
         }
 
         @Override
-        public void left(int standing) { }
+        public void left(int standing) {}
 
         @Override
         public void shed(int standing, long now, double draw) {
--- a/src/main/java/sandstack/measure/MeasureCapacity.java
+++ b/src/main/java/sandstack/measure/MeasureCapacity.java
@@ -18,6 +18,7 @@
 final class MeasureCapacity implements Measurement {
     /** No file of ours says anything. */
     private static final Pattern REFUSED = Pattern.compile("was answered REFUSED ([A-Z_]+) [0-9]+ after ([0-9]+)");
+
     private static final Map<String, String> KNOWS_NOTHING = Map.of();
     private static final List<String> ROOMY = List.of("-Xmx512m", "-XX:MaxDirectMemorySize=64m");
 
@@ -111,7 +112,9 @@
             int looks = (int) (watch * 4);
             for (int i = 0; i < looks; i++) {
                 pause(0.25);
-                stood += site.yard().on(() -> site.servers().stream().mapToInt(s -> s.books().standing()).sum());
+                stood += site.yard().on(() -> site.servers().stream()
+                        .mapToInt(s -> s.books().standing())
+                        .sum());
             }
             Crowd.Count at150 = site.yard().on(crowd::count).since(before);
             progress.say("fleet at 150%: " + at150 + ", of " + fits + " fit; all refusals by cause and executions "
@@ -140,7 +143,9 @@
     }
 
     private static long shed(Site site) {
-        return site.yard().on(() -> site.servers().stream().mapToLong(s -> s.books().shed()).sum());
+        return site.yard()
+                .on(() ->
+                        site.servers().stream().mapToLong(s -> s.books().shed()).sum());
     }
 
     /** Two of six machines lose 74% to another program, for a while; returns how many lines were in time. */
--- a/src/main/java/sandstack/measure/MeasureCommand.java
+++ b/src/main/java/sandstack/measure/MeasureCommand.java
@@ -10,32 +10,43 @@
 import java.util.TreeMap;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
 /** {@code measure NAME}: exits 0 only if all aims hold. */
-@Command(name = "measure", description = "Starts real relays and stand-ins on loopback and measures one matter.",
+@Command(
+        name = "measure",
+        description = "Starts real relays and stand-ins on loopback and measures one matter.",
         mixinStandardHelpOptions = true)
 public final class MeasureCommand implements Callable<Integer> {
-    private static final Map<String, Measurement> ALL = new TreeMap<>(Map.of("capacity", new MeasureCapacity(),
-            "estimators", new MeasureEstimators(), "fleet", new MeasureFleet()));
+    private static final Map<String, Measurement> ALL = new TreeMap<>(Map.of(
+            "capacity", new MeasureCapacity(), "estimators", new MeasureEstimators(), "fleet", new MeasureFleet()));
 
     @Spec
     private CommandSpec spec;
+
     @Parameters(index = "0", paramLabel = "NAME", description = "What to measure: capacity, estimators, fleet.")
     private String name;
+
     @Option(names = "--quick", description = "A short run of 40 s at most.")
     private boolean quick;
+
     @Option(names = "--json", paramLabel = "FILE", description = "Also write the aims to this file.")
     private Path json;
-    @Option(names = "--jar", paramLabel = "JAR", defaultValue = "target/sandstack.jar",
+
+    @Option(
+            names = "--jar",
+            paramLabel = "JAR",
+            defaultValue = "target/sandstack.jar",
             description = "The program that relays are started from (default: ${DEFAULT-VALUE}).")
     private Path jar;
+
     @Option(names = "--against", paramLabel = "JAR", description = "Another build to compare with on the same seeds.")
     private Path against;
+
     @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Of all arrivals.")
     private long seed;
 
@@ -43,8 +54,9 @@
     public Integer call() throws Exception {
         Measurement measurement = ALL.get(name);
         if (measurement == null) {
-            throw new ParameterException(spec.commandLine(), "no measurement is called " + name + "; there are "
-                    + String.join(", ", ALL.keySet()));
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "no measurement is called " + name + "; there are " + String.join(", ", ALL.keySet()));
         }
         for (Path needed : against == null ? List.of(jar) : List.of(jar, against)) {
             if (!Files.isRegularFile(needed)) {
@@ -65,8 +77,14 @@
     private void print(List<Aim> aims) {
         int width = aims.stream().mapToInt(a -> a.name().length()).max().orElse(0);
         for (Aim aim : aims) {
-            spec.commandLine().getOut().printf("%-" + width + "s  %12s  %-12s %s%n", aim.name(),
-                    Aim.plain(aim.value()), aim.aim(), aim.aim().isEmpty() ? "" : aim.held() ? "held" : "MISSED");
+            spec.commandLine()
+                    .getOut()
+                    .printf(
+                            "%-" + width + "s  %12s  %-12s %s%n",
+                            aim.name(),
+                            Aim.plain(aim.value()),
+                            aim.aim(),
+                            aim.aim().isEmpty() ? "" : aim.held() ? "held" : "MISSED");
         }
         spec.commandLine().getOut().flush();
     }
@@ -74,8 +92,12 @@
     private void write(List<Aim> aims) throws IOException {
         ObjectNode root = new ObjectMapper().createObjectNode().put("name", name);
         for (Aim aim : aims) {
-            root.withArray("aims").addObject().put("name", aim.name()).put("value", aim.value())
-                    .put("aim", aim.aim()).put("held", aim.held());
+            root.withArray("aims")
+                    .addObject()
+                    .put("name", aim.name())
+                    .put("value", aim.value())
+                    .put("aim", aim.aim())
+                    .put("held", aim.held());
         }
         Files.writeString(json, root + System.lineSeparator());
     }
--- a/src/main/java/sandstack/measure/MeasureEstimators.java
+++ b/src/main/java/sandstack/measure/MeasureEstimators.java
@@ -82,18 +82,19 @@
     @Override
     public List<Aim> run(Way way, Progress progress) {
         List<Aim> aims = new ArrayList<>();
-        progress.say(String.format("%-14s %-9s %8s %15s %8s", "course", "way", "in use", "turned away/s",
-                "shed/s"));
+        progress.say(String.format("%-14s %-9s %8s %15s %8s", "course", "way", "in use", "turned away/s", "shed/s"));
         for (Course course : Course.values()) {
             Result best = null;
             for (Limiter.Kind kind : Limiter.Kind.values()) {
                 Result r = play(course, kind.make(), way.seed(), way.quick() ? 80_000_000L : 200_000_000L);
-                progress.say(String.format(Locale.ROOT, "%-14s %-9s %8.3f %15.2f %8.2f", course, kind, r.used(),
-                        r.wasted(), r.shed()));
+                progress.say(String.format(
+                        Locale.ROOT, "%-14s %-9s %8.3f %15.2f %8.2f", course, kind, r.used(), r.wasted(), r.shed()));
                 if (kind == Limiter.Kind.ORACLE) {
                     best = r;
                 } else if (kind == Limiter.Kind.BRACKET) {
-                    aims.add(Aim.atLeast(course + ": in use, of what can be", r.used() / best.used(),
+                    aims.add(Aim.atLeast(
+                            course + ": in use, of what can be",
+                            r.used() / best.used(),
                             course == Course.ON_AND_OFF ? 0.6 : 0.85));
                     aims.add(Aim.atMost(course + ": turned away a second", r.wasted(), 1.5));
                 }
@@ -141,8 +142,8 @@
                         if (limiter == null) {
                             continue;
                         }
-                        limiter.stood(standing, (long) (1_000 * (1 + 4 * Math.pow(crowd, 4)) * course.slow(now)), now,
-                                draw);
+                        limiter.stood(
+                                standing, (long) (1_000 * (1 + 4 * Math.pow(crowd, 4)) * course.slow(now)), now, draw);
                     } else {
                         away++;
                         limiter.away(standing, now, draw);
--- a/src/main/java/sandstack/measure/MeasureFleet.java
+++ b/src/main/java/sandstack/measure/MeasureFleet.java
@@ -22,7 +22,11 @@
     /** Clock ticks of the system's process table a second. */
     private static final double TICKS = 100;
 
-    private enum Fault { KILL, CUT, PAUSE }
+    private enum Fault {
+        KILL,
+        CUT,
+        PAUSE
+    }
 
     private static final class Times {
         private final List<Double> seconds = new ArrayList<>();
@@ -34,8 +38,9 @@
         double at(double part) {
             List<Double> sorted = new ArrayList<>(seconds);
             Collections.sort(sorted);
-            return sorted.isEmpty() ? Double.NaN : sorted.get((int) Math.min(sorted.size() - 1,
-                    Math.floor(part * sorted.size())));
+            return sorted.isEmpty()
+                    ? Double.NaN
+                    : sorted.get((int) Math.min(sorted.size() - 1, Math.floor(part * sorted.size())));
         }
     }
 
@@ -52,8 +57,13 @@
                 Times equal = new Times();
                 for (int i = 0; i < rounds; i++) {
                     equal.add(round(rig, fault, chance.nextInt(MEMBERS), noticed, !way.quick()));
-                    progress.say(String.format(Locale.ROOT, "%s %d: noticed after %.1f s, equal again after %.1f s",
-                            fault, i + 1, noticed.at(0.5), equal.seconds.get(i)));
+                    progress.say(String.format(
+                            Locale.ROOT,
+                            "%s %d: noticed after %.1f s, equal again after %.1f s",
+                            fault,
+                            i + 1,
+                            noticed.at(0.5),
+                            equal.seconds.get(i)));
                 }
                 String name = fault.name().toLowerCase(Locale.ROOT);
                 aims.add(Aim.atMost(name + " noticed, s, p50", noticed.at(0.5), 5));
@@ -97,21 +107,26 @@
         long began = System.nanoTime();
         boolean[] saw = new boolean[rig.size()];
         saw[of] = true;
-        FleetRig.until(() -> {
-            boolean all = true;
-            for (int i = 0; i < rig.size(); i++) {
-                if (!saw[i]) {
-                    Map<String, String> seen = rig.standings(i);
-                    saw[i] = seen != null && !"ALIVE".equals(seen.get(FleetRig.name(of)));
-                    if (saw[i]) {
-                        noticed.add((System.nanoTime() - began) / 1e9);
+        FleetRig.until(
+                () -> {
+                    boolean all = true;
+                    for (int i = 0; i < rig.size(); i++) {
+                        if (!saw[i]) {
+                            Map<String, String> seen = rig.standings(i);
+                            saw[i] = seen != null && !"ALIVE".equals(seen.get(FleetRig.name(of)));
+                            if (saw[i]) {
+                                noticed.add((System.nanoTime() - began) / 1e9);
+                            }
+                        }
+                        all &= saw[i];
                     }
-                }
-                all &= saw[i];
-            }
-            return all;
-        }, PATIENCE);
-        FleetRig.until(() -> !untilLost || "LOST".equals(rig.standings((of + 1) % rig.size()).get(FleetRig.name(of))), PATIENCE);
+                    return all;
+                },
+                PATIENCE);
+        FleetRig.until(
+                () -> !untilLost
+                        || "LOST".equals(rig.standings((of + 1) % rig.size()).get(FleetRig.name(of))),
+                PATIENCE);
         switch (fault) {
             case KILL -> rig.start(of);
             case PAUSE -> rig.resume(of);
@@ -145,7 +160,11 @@
             hog.start();
             for (int i = 0; i < rig.size(); i++) {
                 Map<String, String> seen = rig.standings(i);
-                doubts += seen == null ? 0 : (int) seen.values().stream().filter(s -> !s.equals("ALIVE")).count();
+                doubts += seen == null
+                        ? 0
+                        : (int) seen.values().stream()
+                                .filter(s -> !s.equals("ALIVE"))
+                                .count();
             }
             hog.join();
             Thread.sleep(500);
--- a/src/main/java/sandstack/measure/OpenCommand.java
+++ b/src/main/java/sandstack/measure/OpenCommand.java
@@ -23,7 +23,9 @@
  * sends each word as a line and prints what comes back. Blocks on one socket; ends when every word is answered, with 0
  * where the connection stood, 1 where it was refused, failed or broke off.
  */
-@Command(name = "open", description = "Opens one connection through a relay, sends lines and prints the answers.",
+@Command(
+        name = "open",
+        description = "Opens one connection through a relay, sends lines and prints the answers.",
         mixinStandardHelpOptions = true)
 public final class OpenCommand implements Callable<Integer> {
     /** Longer lines are not the protocol's. */
@@ -33,20 +35,38 @@
 
     @Spec
     private CommandSpec spec;
+
     @Parameters(index = "0", paramLabel = "HOST:PORT", description = "Where the relay listens.")
     private String relay;
+
     @Parameters(index = "1..*", paramLabel = "LINE", description = "Lines to send once the connection stands.")
     private List<String> lines = List.of();
-    @Option(names = "--class", paramLabel = "NAME", defaultValue = "order-status",
+
+    @Option(
+            names = "--class",
+            paramLabel = "NAME",
+            defaultValue = "order-status",
             description = "Class of the request (default: ${DEFAULT-VALUE}).")
     private String requestClass;
-    @Option(names = "--group", paramLabel = "NAME", defaultValue = "shop-1",
+
+    @Option(
+            names = "--group",
+            paramLabel = "NAME",
+            defaultValue = "shop-1",
             description = "Group that it belongs to (default: ${DEFAULT-VALUE}).")
     private String group;
-    @Option(names = "--key", paramLabel = "KEY", defaultValue = "by-hand",
+
+    @Option(
+            names = "--key",
+            paramLabel = "KEY",
+            defaultValue = "by-hand",
             description = "Key of the client (default: ${DEFAULT-VALUE}).")
     private String key;
-    @Option(names = "--within", paramLabel = "MS", defaultValue = "2000",
+
+    @Option(
+            names = "--within",
+            paramLabel = "MS",
+            defaultValue = "2000",
             description = "How long to wait for each answer (default: ${DEFAULT-VALUE}).")
     private int within;
 
--- a/src/main/java/sandstack/measure/Site.java
+++ b/src/main/java/sandstack/measure/Site.java
@@ -36,8 +36,19 @@
     /** Starts so many relays from this jar, with these files of their own. */
     void relays(Path jar, int count, Map<String, String> files, List<String> options) throws IOException {
         for (int i = 0; i < count; i++) {
-            relays.add(new RelayProcess(jar, new RelayProcess.Setup("r" + i, i, count, List.of("home"), 0,
-                    discovery.port(), yard.on(discovery::known), SOCKETS, files, options)));
+            relays.add(new RelayProcess(
+                    jar,
+                    new RelayProcess.Setup(
+                            "r" + i,
+                            i,
+                            count,
+                            List.of("home"),
+                            0,
+                            discovery.port(),
+                            yard.on(discovery::known),
+                            SOCKETS,
+                            files,
+                            options)));
         }
     }
 
--- a/src/main/java/sandstack/measure/StandInCommand.java
+++ b/src/main/java/sandstack/measure/StandInCommand.java
@@ -11,18 +11,32 @@
 import sandstack.standin.Yard;
 
 /** {@code standin}: feed servers and a discovery on this terminal, to try a relay by hand. Ends at an interrupt. */
-@Command(name = "standin", description = "Stand-in feed servers and a discovery on loopback, to try a relay by hand.",
+@Command(
+        name = "standin",
+        description = "Stand-in feed servers and a discovery on loopback, to try a relay by hand.",
         mixinStandardHelpOptions = true)
 public final class StandInCommand implements Callable<Integer> {
     @Option(names = "--servers", paramLabel = "N", defaultValue = "2", description = "How many (default: 2).")
     private int servers;
-    @Option(names = "--cap", paramLabel = "N", defaultValue = "0",
+
+    @Option(
+            names = "--cap",
+            paramLabel = "N",
+            defaultValue = "0",
             description = "Connections that each holds; 0 for any number (default: 0).")
     private int cap;
-    @Option(names = "--first-port", paramLabel = "PORT", defaultValue = "3101",
+
+    @Option(
+            names = "--first-port",
+            paramLabel = "PORT",
+            defaultValue = "3101",
             description = "Port of the first feed server; the others follow (default: 3101).")
     private int firstPort;
-    @Option(names = "--discovery-port", paramLabel = "PORT", defaultValue = "8500",
+
+    @Option(
+            names = "--discovery-port",
+            paramLabel = "PORT",
+            defaultValue = "8500",
             description = "Port of discovery (default: 8500).")
     private int discoveryPort;
 
@@ -31,8 +45,8 @@
         try (Yard yard = new Yard()) {
             Discovery discovery = new Discovery(yard, discoveryPort);
             for (int i = 0; i < servers; i++) {
-                FeedServer server = new FeedServer(yard, "toy-" + (i + 1), "home", Machine.IDLE.holding(cap, false),
-                        firstPort + i);
+                FeedServer server =
+                        new FeedServer(yard, "toy-" + (i + 1), "home", Machine.IDLE.holding(cap, false), firstPort + i);
                 yard.run(() -> discovery.list(server, "box", 1, "ready"));
             }
             System.out.println(servers + " feed servers from port " + firstPort + ", discovery at " + discoveryPort);
--- a/src/main/java/sandstack/nametable/DiscoveryWatch.java
+++ b/src/main/java/sandstack/nametable/DiscoveryWatch.java
@@ -95,12 +95,16 @@
         private Deadlines.Deadline silence;
         /** When a list that has begun must have ended; null where none has. */
         private Deadlines.Deadline ending;
+
         private boolean over;
 
         void start() {
             silence = relay.deadlines().at(loop.now() + ListClock.SILENCE, () -> fail(SILENT));
-            FilterChain chain = FilterChainBuilder.stateless().add(new TransportFilter())
-                    .add(new HttpClientFilter()).add(this).build();
+            FilterChain chain = FilterChainBuilder.stateless()
+                    .add(new TransportFilter())
+                    .add(new HttpClientFilter())
+                    .add(this)
+                    .build();
             connecting = loop.dial(discovery.host(), discovery.port(), chain, this);
         }
 
@@ -108,9 +112,13 @@
         public void connected(Connection<?> made) {
             connection = made;
             long from = versionKnownHere ? relay.names().version() : -1;
-            HttpRequestPacket request = HttpRequestPacket.builder().method(Method.GET).protocol(Protocol.HTTP_1_1)
-                    .uri("/registry/instances").query("watch=1" + (from < 0 ? "" : "&from=" + from))
-                    .header("Host", discovery.toString()).build();
+            HttpRequestPacket request = HttpRequestPacket.builder()
+                    .method(Method.GET)
+                    .protocol(Protocol.HTTP_1_1)
+                    .uri("/registry/instances")
+                    .query("watch=1" + (from < 0 ? "" : "&from=" + from))
+                    .header("Host", discovery.toString())
+                    .build();
             made.write(request);
         }
 
--- a/src/main/java/sandstack/nametable/ListStream.java
+++ b/src/main/java/sandstack/nametable/ListStream.java
@@ -19,6 +19,7 @@
 final class ListStream {
     /** The whole list of a large site is far below this. */
     private static final int LONGEST = 4 << 20;
+
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final JsonParser parser;
--- a/src/main/java/sandstack/net/Lobby.java
+++ b/src/main/java/sandstack/net/Lobby.java
@@ -24,6 +24,7 @@
     private static final long LINGER_LATE = 400_000;
     /** Admitted clients take all but so many descriptors, or nobody could be told that there is no room. */
     private static final int LEAST_GUESTS = 8;
+
     private static final int ADMITTED_DESCRIPTORS = 2;
 
     /** What a front knows of one accepted peer. */
--- a/src/main/java/sandstack/net/Loop.java
+++ b/src/main/java/sandstack/net/Loop.java
@@ -71,17 +71,25 @@
     private volatile SelectorRunner runner;
     /** When the selector last said what has come. */
     private long lookedAt;
+
     private boolean lookFirst;
     private Runnable turn;
     private LongSupplier nextTurn;
 
     public Loop() {
-        transport = TCPNIOTransportBuilder.newInstance().setName("loop")
-                .setIOStrategy(new Strategy()).setSelectorHandler(new Handler())
-                .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig().setPoolName("loop").setCorePoolSize(1)
+        transport = TCPNIOTransportBuilder.newInstance()
+                .setName("loop")
+                .setIOStrategy(new Strategy())
+                .setSelectorHandler(new Handler())
+                .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig()
+                        .setPoolName("loop")
+                        .setCorePoolSize(1)
                         .setMaxPoolSize(1))
-                .setSelectorRunnersCount(1).setTcpNoDelay(true).setReuseAddress(true)
-                .setServerConnectionBackLog(1024).build();
+                .setSelectorRunnersCount(1)
+                .setTcpNoDelay(true)
+                .setReuseAddress(true)
+                .setServerConnectionBackLog(1024)
+                .build();
         outgoing = chain(new BaseFilter());
         transport.setProcessor(outgoing);
     }
@@ -281,7 +289,10 @@
         public Set<SelectionKey> select(SelectorRunner selectorRunner) throws IOException {
             long next = nextTurn.getAsLong();
             long millis = next == Long.MAX_VALUE ? 1000 : Math.min(1000, (next - now() + 999) / 1000);
-            if (lookFirst || next == Long.MIN_VALUE || millis <= 0 || !selectorRunner.getPostponedTasks().isEmpty()
+            if (lookFirst
+                    || next == Long.MIN_VALUE
+                    || millis <= 0
+                    || !selectorRunner.getPostponedTasks().isEmpty()
                     || !tasks.isEmpty()) {
                 selectorRunner.getSelector().selectNow();
             } else {
--- a/src/main/java/sandstack/net/Peer.java
+++ b/src/main/java/sandstack/net/Peer.java
@@ -16,8 +16,8 @@
 public final class Peer {
     /** How many bytes may wait in one direction. */
     public static final int RING_LIMIT = 16 * 1024;
-    private static final Attribute<Peer> OF =
-            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(Peer.class.getName());
+
+    private static final Attribute<Peer> OF = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(Peer.class.getName());
 
     /** Who is told what a socket does. */
     public interface Owner {
--- a/src/main/java/sandstack/rig/FaultRun.java
+++ b/src/main/java/sandstack/rig/FaultRun.java
@@ -66,8 +66,12 @@
             rig.startAll();
             FaultRun run = new FaultRun(schedule, rig);
             if (FleetRig.until(run::allAlive, STARTS_WITHIN_SECONDS) < 0) {
-                return new Outcome(List.of(new Rules.Broken("a fleet that starts undisturbed is whole",
-                        "not all saw all within " + STARTS_WITHIN_SECONDS + " s")), -1, rig.logs());
+                return new Outcome(
+                        List.of(new Rules.Broken(
+                                "a fleet that starts undisturbed is whole",
+                                "not all saw all within " + STARTS_WITHIN_SECONDS + " s")),
+                        -1,
+                        rig.logs());
             }
             return new FaultRun(schedule, rig).play(told);
         }
@@ -124,7 +128,8 @@
     }
 
     private boolean ofOne(Kind kind, int a) throws IOException, InterruptedException {
-        boolean can = kind == Kind.START ? !runs[a] : kind == Kind.RESUME ? runs[a] && paused[a] : runs[a] && !paused[a];
+        boolean can =
+                kind == Kind.START ? !runs[a] : kind == Kind.RESUME ? runs[a] && paused[a] : runs[a] && !paused[a];
         if (!can) {
             return false;
         }
@@ -173,13 +178,20 @@
         }
         Map<String, Line> seen = new HashMap<>();
         for (JsonNode member : view.path("members")) {
-            seen.put(member.path("life").asText(), new Line(member.path("name").asText(),
-                    Standing.valueOf(member.path("standing").asText())));
+            seen.put(
+                    member.path("life").asText(),
+                    new Line(
+                            member.path("name").asText(),
+                            Standing.valueOf(member.path("standing").asText())));
         }
         Seen fact = new Seen(now(), asked, i, view.path("self").asText(), seen);
         facts.add(fact);
         JsonNode ground = view.path("ground");
-        facts.add(new Stands(fact.at(), i, Ground.valueOf(ground.path("is").asText()), ground.path("with").size()));
+        facts.add(new Stands(
+                fact.at(),
+                i,
+                Ground.valueOf(ground.path("is").asText()),
+                ground.path("with").size()));
         return fact;
     }
 
@@ -187,10 +199,15 @@
         boolean all = true;
         for (int i = 0; i < schedule.members(); i++) {
             Seen seen = look(i);
-            all &= seen != null && seen.seen().values().stream().filter(l -> l.standing() == Standing.ALIVE)
-                    .map(Line::name).distinct().count() == schedule.members()
-                    && seen.seen().values().stream().noneMatch(l -> l.standing() == Standing.PARTLY
-                            || l.standing() == Standing.SUSPECT);
+            all &= seen != null
+                    && seen.seen().values().stream()
+                                    .filter(l -> l.standing() == Standing.ALIVE)
+                                    .map(Line::name)
+                                    .distinct()
+                                    .count()
+                            == schedule.members()
+                    && seen.seen().values().stream()
+                            .noneMatch(l -> l.standing() == Standing.PARTLY || l.standing() == Standing.SUSPECT);
         }
         return all;
     }
--- a/src/main/java/sandstack/rig/FaultsCommand.java
+++ b/src/main/java/sandstack/rig/FaultsCommand.java
@@ -15,8 +15,11 @@
 import sandstack.config.BadSettings;
 
 /** {@code faults}: plays schedules of faults between real members and checks the rules; exits 0 where none is broken. */
-@Command(name = "faults", description = "Starts real members, puts faults between them and checks what must hold.",
-        mixinStandardHelpOptions = true, synopsisSubcommandLabel = "(run | search | shrink)")
+@Command(
+        name = "faults",
+        description = "Starts real members, puts faults between them and checks what must hold.",
+        mixinStandardHelpOptions = true,
+        synopsisSubcommandLabel = "(run | search | shrink)")
 public final class FaultsCommand implements Runnable {
     private static final int BROKEN = 1;
 
@@ -40,10 +43,15 @@
     }
 
     @Command(description = "Plays one schedule: a file, or one drawn from a seed.", mixinStandardHelpOptions = true)
-    int run(@Parameters(arity = "0..1", paramLabel = "FILE", description = "The schedule.") Path file,
+    int run(
+            @Parameters(arity = "0..1", paramLabel = "FILE", description = "The schedule.") Path file,
             @Option(names = "--seed", paramLabel = "N", description = "Draw it.") Long seed,
-            @Option(names = "--jar", paramLabel = "JAR", defaultValue = "target/sandstack.jar",
-                    description = "The program (default: ${DEFAULT-VALUE}).") Path jar)
+            @Option(
+                            names = "--jar",
+                            paramLabel = "JAR",
+                            defaultValue = "target/sandstack.jar",
+                            description = "The program (default: ${DEFAULT-VALUE}).")
+                    Path jar)
             throws BadSettings, IOException, InterruptedException {
         if ((file == null) == (seed == null)) {
             throw new ParameterException(spec.commandLine(), "say either a FILE or --seed N");
@@ -55,24 +63,45 @@
     }
 
     private void tell(String what, Schedule schedule, FaultRun.Outcome outcome) {
-        out().printf(Locale.ROOT, "%s: %d members, %d steps, %s, %s%n", what, schedule.members(),
-                schedule.steps().size(), outcome.equalAfter() < 0 ? "never equal" : String.format(Locale.ROOT,
-                        "equal after %.1f s", outcome.equalAfter() / 1e6),
-                outcome.broken().isEmpty() ? "all rules kept" : outcome.broken().size() + " times broken");
+        out().printf(
+                        Locale.ROOT,
+                        "%s: %d members, %d steps, %s, %s%n",
+                        what,
+                        schedule.members(),
+                        schedule.steps().size(),
+                        outcome.equalAfter() < 0
+                                ? "never equal"
+                                : String.format(Locale.ROOT, "equal after %.1f s", outcome.equalAfter() / 1e6),
+                        outcome.broken().isEmpty()
+                                ? "all rules kept"
+                                : outcome.broken().size() + " times broken");
         outcome.broken().stream().limit(5).forEach(b -> out().println("  " + b.rule() + ": " + b.how()));
         out().flush();
     }
 
-    @Command(description = "Plays drawn schedules until the time is over; keeps what breaks a rule.",
+    @Command(
+            description = "Plays drawn schedules until the time is over; keeps what breaks a rule.",
             mixinStandardHelpOptions = true)
-    int search(@Option(names = "--minutes", paramLabel = "M", required = true,
-                    description = "How long.") double minutes,
-            @Option(names = "--from", paramLabel = "N", defaultValue = "1",
-                    description = "The first seed (default: ${DEFAULT-VALUE}).") long from,
-            @Option(names = "--keep", paramLabel = "FOLDER", defaultValue = ".",
-                    description = "Where broken schedules are kept (default: ${DEFAULT-VALUE}).") Path keep,
-            @Option(names = "--jar", paramLabel = "JAR", defaultValue = "target/sandstack.jar",
-                    description = "The program (default: ${DEFAULT-VALUE}).") Path jar)
+    int search(
+            @Option(names = "--minutes", paramLabel = "M", required = true, description = "How long.") double minutes,
+            @Option(
+                            names = "--from",
+                            paramLabel = "N",
+                            defaultValue = "1",
+                            description = "The first seed (default: ${DEFAULT-VALUE}).")
+                    long from,
+            @Option(
+                            names = "--keep",
+                            paramLabel = "FOLDER",
+                            defaultValue = ".",
+                            description = "Where broken schedules are kept (default: ${DEFAULT-VALUE}).")
+                    Path keep,
+            @Option(
+                            names = "--jar",
+                            paramLabel = "JAR",
+                            defaultValue = "target/sandstack.jar",
+                            description = "The program (default: ${DEFAULT-VALUE}).")
+                    Path jar)
             throws BadSettings, IOException, InterruptedException {
         long until = System.nanoTime() + (long) (minutes * 60e9);
         int broken = 0;
@@ -93,13 +122,24 @@
         return broken == 0 ? 0 : BROKEN;
     }
 
-    @Command(description = "Takes steps out of a schedule for as long as it stays broken; writes what is left beside it.",
+    @Command(
+            description =
+                    "Takes steps out of a schedule for as long as it stays broken; writes what is left beside it.",
             mixinStandardHelpOptions = true)
-    int shrink(@Parameters(paramLabel = "FILE", description = "The schedule.") Path file,
-            @Option(names = "--tries", paramLabel = "N", defaultValue = "2",
-                    description = "Plays of each that must all break (default: ${DEFAULT-VALUE}).") int tries,
-            @Option(names = "--jar", paramLabel = "JAR", defaultValue = "target/sandstack.jar",
-                    description = "The program (default: ${DEFAULT-VALUE}).") Path jar)
+    int shrink(
+            @Parameters(paramLabel = "FILE", description = "The schedule.") Path file,
+            @Option(
+                            names = "--tries",
+                            paramLabel = "N",
+                            defaultValue = "2",
+                            description = "Plays of each that must all break (default: ${DEFAULT-VALUE}).")
+                    int tries,
+            @Option(
+                            names = "--jar",
+                            paramLabel = "JAR",
+                            defaultValue = "target/sandstack.jar",
+                            description = "The program (default: ${DEFAULT-VALUE}).")
+                    Path jar)
             throws BadSettings, IOException, InterruptedException {
         Schedule least = Schedule.read(file);
         if (!breaks(program(jar), least, tries)) {
--- a/src/main/java/sandstack/rig/FleetRig.java
+++ b/src/main/java/sandstack/rig/FleetRig.java
@@ -23,8 +23,13 @@
  * ordered pair. All is on loopback, at ports of the system's choice. One caller's thread; the links live on the yard's.
  */
 public final class FleetRig implements AutoCloseable {
-    private static final List<String> JAVA = List.of(Path.of(System.getProperty("java.home"), "bin/java").toString(),
-            "-Xmx64m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
+    private static final List<String> JAVA = List.of(
+            Path.of(System.getProperty("java.home"), "bin/java").toString(),
+            "-Xmx64m",
+            "-Xss256k",
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-XX:-UsePerfData");
     private static final int SEEDS = 3;
 
     private final int size;
@@ -37,6 +42,7 @@
     private final PairLink[][] links;
     /** Whether what the first sends reaches the second, whoever dialled. */
     private final boolean[][] passes;
+
     private final MemberProcess[] members;
 
     /**
@@ -105,11 +111,19 @@
         for (int j = 0; j < Math.min(SEEDS, size); j++) {
             toml.append(j == 0 ? "" : ", ").append('"').append(address(j)).append('"');
         }
-        toml.append("]\nrelays = [").append(String.join(", ", java.util.stream.IntStream.range(0, size)
-                .mapToObj(j -> '"' + name(j) + '"').toList())).append("]\n[via]\n");
+        toml.append("]\nrelays = [")
+                .append(String.join(
+                        ", ",
+                        java.util.stream.IntStream.range(0, size)
+                                .mapToObj(j -> '"' + name(j) + '"')
+                                .toList()))
+                .append("]\n[via]\n");
         for (int j = 0; j < size; j++) {
             if (j != i) {
-                toml.append('"').append(address(j)).append("\" = \"127.0.0.1:").append(links[i][j].port())
+                toml.append('"')
+                        .append(address(j))
+                        .append("\" = \"127.0.0.1:")
+                        .append(links[i][j].port())
                         .append("\"\n");
             }
         }
@@ -128,8 +142,16 @@
                 .replaceFirst("\"discovery\": *\"[^\"]*\"", "\"discovery\": \"127.0.0.1:" + discovery.port() + "\"")
                 .replaceFirst("\"known\": *\\{[^]]*]\\s*},", "")
                 .replaceFirst("\"locality\": *0", "\"locality\": " + i % zones)
-                .replaceFirst("\"zones\": *\\[[^]]*]", "\"zones\": [" + String.join(", ",
-                        Stream.iterate(0, z -> z + 1).limit(zones).map(z -> "\"zone-" + z + "\"").toList()) + "]");
+                .replaceFirst(
+                        "\"zones\": *\\[[^]]*]",
+                        "\"zones\": ["
+                                + String.join(
+                                        ", ",
+                                        Stream.iterate(0, z -> z + 1)
+                                                .limit(zones)
+                                                .map(z -> "\"zone-" + z + "\"")
+                                                .toList())
+                                + "]");
     }
 
     /** Starts all. */
@@ -213,7 +235,8 @@
         }
         Map<String, String> seen = new TreeMap<>();
         for (JsonNode member : view.path("members")) {
-            boolean present = !List.of("LOST", "LEFT").contains(member.path("standing").asText());
+            boolean present =
+                    !List.of("LOST", "LEFT").contains(member.path("standing").asText());
             if (present || !seen.containsKey(member.path("name").asText())) {
                 seen.put(member.path("name").asText(), member.path("standing").asText());
             }
@@ -238,8 +261,10 @@
         JsonNode found = null;
         if (view != null) {
             for (JsonNode member : view.path("members")) {
-                if (member.path("name").asText().equals(name) && (found == null
-                        || !List.of("LOST", "LEFT").contains(member.path("standing").asText()))) {
+                if (member.path("name").asText().equals(name)
+                        && (found == null
+                                || !List.of("LOST", "LEFT")
+                                        .contains(member.path("standing").asText()))) {
                     found = member;
                 }
             }
@@ -309,7 +334,8 @@
         }
         yard.close();
         try (Stream<Path> files = Files.walk(folder)) {
-            files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
+            files.sorted(Comparator.reverseOrder())
+                    .forEach(file -> file.toFile().delete());
         } catch (IOException e) {
             // a temporary folder that stays does no harm
         }
--- a/src/main/java/sandstack/rig/MemberProcess.java
+++ b/src/main/java/sandstack/rig/MemberProcess.java
@@ -52,15 +52,17 @@
     }
 
     private void read(InputStream from, Queue<String> into, String what) {
-        Thread thread = new Thread(() -> {
-            try (BufferedReader in = new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8))) {
-                for (String line = in.readLine(); line != null; line = in.readLine()) {
-                    into.add(line);
-                }
-            } catch (IOException e) {
-                into.add("broke off: " + e.getMessage());
-            }
-        }, "member-" + process.pid() + "-" + what);
+        Thread thread = new Thread(
+                () -> {
+                    try (BufferedReader in = new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8))) {
+                        for (String line = in.readLine(); line != null; line = in.readLine()) {
+                            into.add(line);
+                        }
+                    } catch (IOException e) {
+                        into.add("broke off: " + e.getMessage());
+                    }
+                },
+                "member-" + process.pid() + "-" + what);
         thread.setDaemon(true);
         thread.start();
     }
@@ -96,7 +98,7 @@
     private String line(String begins) {
         try {
             long until = System.nanoTime() + ANSWERS_WITHIN_MS * 1_000_000;
-            for (String line; (line = out.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS)) != null;) {
+            for (String line; (line = out.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS)) != null; ) {
                 if (line.startsWith(begins)) {
                     return line;
                 }
@@ -127,7 +129,9 @@
 
     private void signal(String name) throws IOException {
         try {
-            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
+            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                    .start()
+                    .waitFor();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/sandstack/rig/PairLink.java
+++ b/src/main/java/sandstack/rig/PairLink.java
@@ -34,6 +34,7 @@
     private long jitter;
     /** Bytes a second; 0 without limit. */
     private long rate;
+
     private long passed;
 
     /** Leads to this address; is called on the yard's thread. */
@@ -109,6 +110,7 @@
         private long lastDue;
         /** How this end went while nothing passed; the other hears of it once something does. */
         private Runnable end;
+
         private Half other;
 
         Half(Peer peer, boolean forth) {
@@ -177,7 +179,7 @@
         }
 
         @Override
-        public void flushed() { }
+        public void flushed() {}
 
         @Override
         public void finished() {
--- a/src/main/java/sandstack/rig/Rules.java
+++ b/src/main/java/sandstack/rig/Rules.java
@@ -20,6 +20,7 @@
 final class Rules {
     /** Views are equal so long after all faults ended; starting a process takes a part of it. */
     static final long EQUAL_AFTER = 5_000_000;
+
     static final long STARTS_WITHIN = 8_000_000;
     /** Nobody is given up who was out of reach for less. */
     static final long LOST_NOT_BEFORE = 2_000_000;
@@ -32,6 +33,7 @@
 
     /** A pause of so long is a standstill, and for so long after it no member is sure. */
     private static final long STOOD = 3_000_000;
+
     private static final long UNSURE_FOR = 1_000_000;
 
     /** One broken rule. */
@@ -148,13 +150,17 @@
     private void stands(Stands s) {
         boolean most = s.ground() == Ground.MOST || s.ground() == Ground.WHOLE;
         if (most && (2 * s.with() <= members || s.ground() == Ground.WHOLE && s.with() < members)) {
-            broken.add(new Broken("most is more than half of what staff state", s.member() + " is " + s.ground() + " with "
-                    + s.with() + " of " + members));
+            broken.add(new Broken(
+                    "most is more than half of what staff state",
+                    s.member() + " is " + s.ground() + " with " + s.with() + " of " + members));
         }
-        if (s.ground() != Ground.UNSURE && s.at() >= resumedAt[s.member()]
+        if (s.ground() != Ground.UNSURE
+                && s.at() >= resumedAt[s.member()]
                 && s.at() - resumedAt[s.member()] < UNSURE_FOR) {
-            broken.add(new Broken("who stood still is unsure", s.member() + " is " + s.ground() + " "
-                    + (s.at() - resumedAt[s.member()]) / 1_000 + " ms after it went on"));
+            broken.add(new Broken(
+                    "who stood still is unsure",
+                    s.member() + " is " + s.ground() + " " + (s.at() - resumedAt[s.member()]) / 1_000
+                            + " ms after it went on"));
         }
     }
 
@@ -204,8 +210,10 @@
             }
             Long dead = deadSince.get(life);
             if (dead != null && line.standing().present() && seen.asked() - dead > DEAD_BY) {
-                broken.add(new Broken("a dead process is no member", seen.member() + " calls " + line.name() + " "
-                        + line.standing() + " " + (seen.asked() - dead) / 1_000 + " ms after it died"));
+                broken.add(new Broken(
+                        "a dead process is no member",
+                        seen.member() + " calls " + line.name() + " " + line.standing() + " "
+                                + (seen.asked() - dead) / 1_000 + " ms after it died"));
             }
             if (line.standing() == Standing.LEFT && dead == null) {
                 broken.add(new Broken("who runs has not left", seen.member() + " calls " + line.name() + " LEFT"));
@@ -216,11 +224,14 @@
     /** Who was never out of reach, or only for a moment, is not given up. */
     private void lost(Seen seen, int of, Line line) {
         int by = seen.member();
-        long apart = apartSince[by][of] >= 0 ? seen.at() - apartSince[by][of]
+        long apart = apartSince[by][of] >= 0
+                ? seen.at() - apartSince[by][of]
                 : seen.asked() - apartUntil[by][of] < ECHO + LOST_NOT_BEFORE ? apartFor[by][of] : 0;
         if (apart < LOST_NOT_BEFORE) {
-            broken.add(new Broken("nobody within reach is lost", by + " calls " + line.name()
-                    + " LOST, which was out of reach for " + apart / 1_000 + " ms at " + seen.at() / 1_000 + " ms"));
+            broken.add(new Broken(
+                    "nobody within reach is lost",
+                    by + " calls " + line.name() + " LOST, which was out of reach for " + apart / 1_000 + " ms at "
+                            + seen.at() / 1_000 + " ms"));
         }
     }
 
@@ -228,8 +239,9 @@
     private void ended(Seen seen, String life, Line line) {
         String key = seen.life() + "<" + life;
         if (ended.get(key) == Standing.LEFT && line.standing() != Standing.LEFT) {
-            broken.add(new Broken("who left stays left", seen.member() + " calls " + line.name() + " "
-                    + line.standing() + " after LEFT"));
+            broken.add(new Broken(
+                    "who left stays left",
+                    seen.member() + " calls " + line.name() + " " + line.standing() + " after LEFT"));
         }
         ended.put(key, line.standing());
     }
@@ -254,12 +266,14 @@
             Map<String, Standing> present = new HashMap<>();
             seen.seen().forEach((life, line) -> {
                 if (line.standing().present() && present.put(line.name(), line.standing()) != null) {
-                    broken.add(new Broken("a name has one present life", seen.member() + " sees two of " + line.name()));
+                    broken.add(
+                            new Broken("a name has one present life", seen.member() + " sees two of " + line.name()));
                 }
             });
             if (present.size() != members || present.values().stream().anyMatch(s -> s != Standing.ALIVE)) {
-                broken.add(new Broken("views are equal after all faults have ended", i + " sees " + present
-                        + " " + (seen.at() - go) / 1_000 + " ms after"));
+                broken.add(new Broken(
+                        "views are equal after all faults have ended",
+                        i + " sees " + present + " " + (seen.at() - go) / 1_000 + " ms after"));
             }
         }
     }
--- a/src/main/java/sandstack/rig/Schedule.java
+++ b/src/main/java/sandstack/rig/Schedule.java
@@ -77,7 +77,9 @@
 
     /** Moments are whole milliseconds, as the file has them. */
     public Schedule {
-        steps = steps.stream().map(s -> new Step(Math.rint(s.at() * 1_000) / 1_000, s.kind(), s.a(), s.b())).toList();
+        steps = steps.stream()
+                .map(s -> new Step(Math.rint(s.at() * 1_000) / 1_000, s.kind(), s.a(), s.b()))
+                .toList();
         steps = steps.stream().sorted(Comparator.comparingDouble(Step::at)).toList();
     }
 
@@ -94,7 +96,8 @@
             int b = (a + 1 + chance.nextInt(members - 1)) % members;
             double until = at + 0.5 + chance.nextDouble() * 9;
             switch (chance.nextInt(7)) {
-                case 0, 1 -> pair(steps, chance.nextBoolean() ? Kind.CUT : Kind.CUT_ONE_WAY, Kind.HEAL, at, until, a, b);
+                case 0, 1 -> pair(
+                        steps, chance.nextBoolean() ? Kind.CUT : Kind.CUT_ONE_WAY, Kind.HEAL, at, until, a, b);
                 case 2 -> steps.add(new Step(at, Kind.RESET, a, b));
                 case 3 -> pair(steps, Kind.SLOW, Kind.HEAL, at, until, a, b);
                 case 4 -> pair(steps, chance.nextBoolean() ? Kind.KILL : Kind.STOP, Kind.START, at, until, a, -1);
@@ -131,7 +134,8 @@
         try {
             root = new TomlMapper().readTree(Files.readString(file));
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-            throw new BadSettings(file + ": " + e.getOriginalMessage().lines().findFirst().orElse("not TOML"));
+            throw new BadSettings(
+                    file + ": " + e.getOriginalMessage().lines().findFirst().orElse("not TOML"));
         }
         OwnFiles.onlyKnown(root, KEYS, file + ": ");
         int members = whole(root, "members", 1, MOST_MEMBERS, file + ": ");
@@ -142,7 +146,8 @@
         for (JsonNode step : root.path("step")) {
             String where = file + ": step " + (steps.size() + 1) + ": ";
             OwnFiles.onlyKnown(step, STEP_KEYS, where);
-            if (!step.path("at").isNumber() || !(step.path("at").asDouble() >= 0)
+            if (!step.path("at").isNumber()
+                    || !(step.path("at").asDouble() >= 0)
                     || step.path("at").asDouble() > LONGEST) {
                 throw new BadSettings(where + "at must be a number from 0 to " + LONGEST + ": " + step.path("at"));
             }
@@ -151,8 +156,12 @@
                 kind = k.word().equals(step.path("do").asText()) ? k : kind;
             }
             if (kind == null) {
-                throw new BadSettings(where + "do is none of " + String.join(", ",
-                        java.util.Arrays.stream(Kind.values()).map(Kind::word).toList()) + ": " + step.path("do"));
+                throw new BadSettings(where + "do is none of "
+                        + String.join(
+                                ", ",
+                                java.util.Arrays.stream(Kind.values())
+                                        .map(Kind::word)
+                                        .toList()) + ": " + step.path("do"));
             }
             int a = whole(step, "a", 0, members - 1, where);
             int b = kind.two ? whole(step, "b", 0, members - 1, where) : -1;
@@ -165,9 +174,11 @@
     }
 
     private static int whole(JsonNode of, String key, int least, int most, String where) throws BadSettings {
-        if (!of.path(key).isInt() || of.path(key).asInt() < least || of.path(key).asInt() > most) {
-            throw new BadSettings(where + key + " must be a whole number from " + least + " to " + most + ": "
-                    + of.path(key));
+        if (!of.path(key).isInt()
+                || of.path(key).asInt() < least
+                || of.path(key).asInt() > most) {
+            throw new BadSettings(
+                    where + key + " must be a whole number from " + least + " to " + most + ": " + of.path(key));
         }
         return of.path(key).asInt();
     }
@@ -179,8 +190,12 @@
             out.append("step = []\n");
         }
         for (Step s : steps) {
-            out.append(String.format(Locale.ROOT, "%n[[step]]%nat = %.3f%ndo = \"%s\"%na = %d%n", s.at(),
-                    s.kind().word(), s.a()));
+            out.append(String.format(
+                    Locale.ROOT,
+                    "%n[[step]]%nat = %.3f%ndo = \"%s\"%na = %d%n",
+                    s.at(),
+                    s.kind().word(),
+                    s.a()));
             if (s.b() >= 0) {
                 out.append("b = ").append(s.b()).append('\n');
             }
