--- a/src/main/java/sandstack/standin/Discovery.java
+++ b/src/main/java/sandstack/standin/Discovery.java
@@ -5,7 +5,6 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -46,13 +45,15 @@
     /** At this port; 0 for one of the system's choice. */
     public Discovery(Yard yard, int at) throws IOException {
         this.yard = yard;
-        this.port = yard.loop().listen(Yard.LOOPBACK, at, yard.loop().chain(new BaseFilter() {
-            @Override
-            public NextAction handleAccept(FilterChainContext context) {
-                new Call(Loop.peer(context));
-                return context.getStopAction();
-            }
-        })).port();
+        this.port = yard.loop()
+                .listen(Yard.LOOPBACK, at, yard.loop().chain(new BaseFilter() {
+                    @Override
+                    public NextAction handleAccept(FilterChainContext context) {
+                        new Call(Loop.peer(context));
+                        return context.getStopAction();
+                    }
+                }))
+                .port();
         yard.after(EMPTY_LINE_EVERY, this::beat);
     }
 
@@ -94,9 +95,15 @@
         ArrayNode list = object.putArray("targets");
         for (Target t : targets.values()) {
             if (t.rev() > from && (from >= 0 || !t.state().equals("gone"))) {
-                list.addObject().put("uid", t.server().uid()).put("endpoint", Yard.LOOPBACK + ":" + t.server().port())
-                        .put("az", t.server().zone()).put("model", t.model()).put("pod_group", 0)
-                        .put("state", t.state()).put("capacity_hint", t.hint()).put("boot_ms", t.bootMillis());
+                list.addObject()
+                        .put("uid", t.server().uid())
+                        .put("endpoint", Yard.LOOPBACK + ":" + t.server().port())
+                        .put("az", t.server().zone())
+                        .put("model", t.model())
+                        .put("pod_group", 0)
+                        .put("state", t.state())
+                        .put("capacity_hint", t.hint())
+                        .put("boot_ms", t.bootMillis());
             }
         }
         return object;
@@ -134,13 +141,17 @@
 
         private void ask(String request) {
             List<String> words = List.of(request.split(" "));
-            if (words.size() != 3 || !words.get(0).equals("GET") || !words.get(1).startsWith("/registry/instances")) {
+            if (words.size() != 3
+                    || !words.get(0).equals("GET")
+                    || !words.get(1).startsWith("/registry/instances")) {
                 answer("404 Not Found", "");
             } else if (down) {
                 answer("503 Service Unavailable", "");
             } else if (words.get(1).contains("watch=1")) {
                 int at = words.get(1).indexOf("from=");
-                told = at < 0 ? -1 : Long.parseLong(words.get(1).substring(at + 5).replaceAll("[^0-9].*", ""));
+                told = at < 0
+                        ? -1
+                        : Long.parseLong(words.get(1).substring(at + 5).replaceAll("[^0-9].*", ""));
                 peer.send("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
                 watches.add(this);
                 tell(told);
@@ -175,7 +186,7 @@
         }
 
         @Override
-        public void flushed() { }
+        public void flushed() {}
 
         @Override
         public void finished() {
--- a/src/main/java/sandstack/standin/FeedServer.java
+++ b/src/main/java/sandstack/standin/FeedServer.java
@@ -24,8 +24,16 @@
     private static final int LONGEST_LINE = 4096;
 
     /** What it has counted by itself. */
-    public record Books(int standing, int mostStanding, long setups, long turnedAway, long shed, long lines,
-            long asked, long reads, double busy) {}
+    public record Books(
+            int standing,
+            int mostStanding,
+            long setups,
+            long turnedAway,
+            long shed,
+            long lines,
+            long asked,
+            long reads,
+            double busy) {}
 
     private final Yard yard;
     private final String uid;
@@ -67,13 +75,15 @@
         this.uid = uid;
         this.zone = zone;
         this.machine = machine;
-        this.port = yard.loop().listen(Yard.LOOPBACK, at, yard.loop().chain(new BaseFilter() {
-            @Override
-            public NextAction handleAccept(FilterChainContext context) {
-                new Session(Loop.peer(context));
-                return context.getStopAction();
-            }
-        })).port();
+        this.port = yard.loop()
+                .listen(Yard.LOOPBACK, at, yard.loop().chain(new BaseFilter() {
+                    @Override
+                    public NextAction handleAccept(FilterChainContext context) {
+                        new Session(Loop.peer(context));
+                        return context.getStopAction();
+                    }
+                }))
+                .port();
     }
 
     // ---- commands ---------------------------------------------------------------------------------
@@ -173,7 +183,8 @@
     // ---- work -------------------------------------------------------------------------------------
 
     private double speed() {
-        double part = machine.warmAfter() <= 0 || bootedAt == 0 ? 1
+        double part = machine.warmAfter() <= 0 || bootedAt == 0
+                ? 1
                 : Math.min(1, (yard.now() - bootedAt) / (double) machine.warmAfter());
         return machine.speed() * (machine.coldFrom() + (1 - machine.coldFrom()) * part) * (1 - taken);
     }
--- a/src/main/java/sandstack/standin/Machine.java
+++ b/src/main/java/sandstack/standin/Machine.java
@@ -12,8 +12,8 @@
  * @param coldFrom part of its speed that it has at its start
  * @param warmAfter microseconds after which it has all of it
  */
-public record Machine(int cores, double speed, int cap, boolean sheds, long setup, long line, double coldFrom,
-        long warmAfter) {
+public record Machine(
+        int cores, double speed, int cap, boolean sheds, long setup, long line, double coldFrom, long warmAfter) {
     /** Takes everything at once. */
     public static final Machine IDLE = new Machine(64, 1, 0, false, 0, 0, 1, 0);
 
--- a/src/main/java/sandstack/standin/ShopClient.java
+++ b/src/main/java/sandstack/standin/ShopClient.java
@@ -11,7 +11,15 @@
  */
 public final class ShopClient {
     /** What a client tells of itself. */
-    public enum Happened { UP, BUSY, FAILED, SILENT, MOVED, LOST, LEFT }
+    public enum Happened {
+        UP,
+        BUSY,
+        FAILED,
+        SILENT,
+        MOVED,
+        LOST,
+        LEFT
+    }
 
     /**
      * One thing that happened.
@@ -48,8 +56,7 @@
      * @param values what stands behind the key: class, deadline, group
      * @param patience microseconds for the answer
      */
-    public ShopClient(Yard yard, int port, String id, String key, String values, long patience,
-            Consumer<Told> tells) {
+    public ShopClient(Yard yard, int port, String id, String key, String values, long patience, Consumer<Told> tells) {
         this.yard = yard;
         this.key = key;
         this.patience = patience;
@@ -149,7 +156,9 @@
                 began = yard.now();
                 tells.accept(new Told(ShopClient.this, Happened.UP, took, 0));
             } else if (line.startsWith("BUSY")) {
-                ended(Happened.BUSY, line.length() > 5 ? Long.parseLong(line.substring(5).trim()) : 0);
+                ended(
+                        Happened.BUSY,
+                        line.length() > 5 ? Long.parseLong(line.substring(5).trim()) : 0);
             } else {
                 ended(Happened.FAILED, 0);
             }
@@ -166,7 +175,7 @@
         }
 
         @Override
-        public void flushed() { }
+        public void flushed() {}
 
         @Override
         public void finished() {
--- a/src/main/java/sandstack/standin/ZoneLink.java
+++ b/src/main/java/sandstack/standin/ZoneLink.java
@@ -32,13 +32,15 @@
         this.delay = delay;
         this.jitter = jitter;
         this.chance = new SplittableRandom(seed);
-        this.port = yard.loop().listen(Yard.LOOPBACK, 0, yard.loop().chain(new BaseFilter() {
-            @Override
-            public NextAction handleAccept(FilterChainContext context) {
-                accepted(Loop.peer(context));
-                return context.getStopAction();
-            }
-        })).port();
+        this.port = yard.loop()
+                .listen(Yard.LOOPBACK, 0, yard.loop().chain(new BaseFilter() {
+                    @Override
+                    public NextAction handleAccept(FilterChainContext context) {
+                        accepted(Loop.peer(context));
+                        return context.getStopAction();
+                    }
+                }))
+                .port();
     }
 
     public int port() {
@@ -103,7 +105,7 @@
         }
 
         @Override
-        public void flushed() { }
+        public void flushed() {}
 
         @Override
         public void finished() {
--- a/src/main/java/sandstack/told/ListClock.java
+++ b/src/main/java/sandstack/told/ListClock.java
@@ -33,6 +33,7 @@
 
     /** So many of the first interval fit into {@link #within}; the last is half of it. */
     private static final int FIRST_PART = 64;
+
     private static final int MOST_DOUBLINGS = 5;
     /** The agent is this machine's own and costs nobody anything, but what it has counts at once: no pause is longer. */
     private static final long AGENT_PAUSE = 80_000;
@@ -71,10 +72,10 @@
         return switch (way) {
             case WRITTEN, AT_THE_AGENT -> made;
             case SILENT_WATCH -> Math.max(made, since + MISSED);
-            // whatever is allowed after a call that failed or was given up, this comes before it
-            case SILENT_CALL -> Math.min(made + MISSED,
-                    Math.max(made, Math.max(since + MISSED, since + wait + MISSED_AFTER_WAIT)));
-            // held to the list it has at first; from then on each change counts so long after it was made
+                // whatever is allowed after a call that failed or was given up, this comes before it
+            case SILENT_CALL -> Math.min(
+                    made + MISSED, Math.max(made, Math.max(since + MISSED, since + wait + MISSED_AFTER_WAIT)));
+                // held to the list it has at first; from then on each change counts so long after it was made
             case NO_WATCH -> Math.max(made, since) + within;
             case NO_WATCH_CALL_FAILED -> Math.min(made + MISSED, Math.max(made, since) + FAILED_COUNTS * within);
             case NEW_CONFIGURATION -> Math.max(made, since + MOVED);
--- a/src/test/java/sandstack/CommandLineTest.java
+++ b/src/test/java/sandstack/CommandLineTest.java
@@ -19,8 +19,17 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "dance", "measure", "measure nothing", "measure capacity --seed x",
-        "measure capacity --jar no/such.jar", "serve now", "--colour"})
+    @ValueSource(
+            strings = {
+                "",
+                "dance",
+                "measure",
+                "measure nothing",
+                "measure capacity --seed x",
+                "measure capacity --jar no/such.jar",
+                "serve now",
+                "--colour"
+            })
     void wrongUsageIsOneLineAndExitCode2(String words) {
         assertThat(run(words.isEmpty() ? new String[0] : words.split(" "))).isEqualTo(2);
         assertThat(said.toString().trim().lines()).hasSize(1);
--- a/src/test/java/sandstack/FirstTryTest.java
+++ b/src/test/java/sandstack/FirstTryTest.java
@@ -41,16 +41,22 @@
     private static List<String> commandLines() throws IOException {
         return Files.readAllLines(Path.of("README.md")).stream()
                 .filter(line -> line.startsWith("    ") && line.contains("-jar target/sandstack.jar"))
-                .map(String::trim).toList();
+                .map(String::trim)
+                .toList();
     }
 
     /** Types a line at a shell in the root. The tests run before the jar is made: the classes are the same. */
     private Process type(String line) throws IOException {
-        Process p = new ProcessBuilder("/bin/sh", "-c", line.replaceFirst(" &$", "")
-                .replaceFirst("\\bjava ", Matcher.quoteReplacement(SocketHolder.java() + " "))
-                .replace("-jar target/sandstack.jar",
-                        "-cp '" + System.getProperty("java.class.path") + "' sandstack.Main"))
-                .redirectErrorStream(true).start();
+        Process p = new ProcessBuilder(
+                        "/bin/sh",
+                        "-c",
+                        line.replaceFirst(" &$", "")
+                                .replaceFirst("\\bjava ", Matcher.quoteReplacement(SocketHolder.java() + " "))
+                                .replace(
+                                        "-jar target/sandstack.jar",
+                                        "-cp '" + System.getProperty("java.class.path") + "' sandstack.Main"))
+                .redirectErrorStream(true)
+                .start();
         started.add(p);
         return p;
     }
@@ -58,28 +64,30 @@
     /** Reads until a line has these words; what was read. */
     private static String until(Process p, String words) throws Exception {
         return CompletableFuture.supplyAsync(() -> {
-            StringBuilder said = new StringBuilder();
-            BufferedReader in = p.inputReader();
-            try {
-                for (String line = in.readLine(); line != null; line = in.readLine()) {
-                    said.append(line).append('\n');
-                    if (line.contains(words)) {
-                        return said.toString();
+                    StringBuilder said = new StringBuilder();
+                    BufferedReader in = p.inputReader();
+                    try {
+                        for (String line = in.readLine(); line != null; line = in.readLine()) {
+                            said.append(line).append('\n');
+                            if (line.contains(words)) {
+                                return said.toString();
+                            }
+                        }
+                    } catch (IOException e) {
+                        said.append(e);
                     }
-                }
-            } catch (IOException e) {
-                said.append(e);
-            }
-            throw new IllegalStateException("never said " + words + ": " + said);
-        }).get(SECONDS, TimeUnit.SECONDS);
+                    throw new IllegalStateException("never said " + words + ": " + said);
+                })
+                .get(SECONDS, TimeUnit.SECONDS);
     }
 
     private String ask(int i) throws IOException {
         Socket client = new Socket("127.0.0.1", 3000);
         clients.add(client);
         client.setSoTimeout(5_000);
-        client.getOutputStream().write(("OPEN first" + i + " key" + i + " c=order-status,d=2000,g=shop-" + i % GROUPS
-                + "\r\n").getBytes(StandardCharsets.US_ASCII));
+        client.getOutputStream()
+                .write(("OPEN first" + i + " key" + i + " c=order-status,d=2000,g=shop-" + i % GROUPS + "\r\n")
+                        .getBytes(StandardCharsets.US_ASCII));
         return new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.US_ASCII)).readLine();
     }
 
@@ -92,9 +100,12 @@
         console.outputWriter().append("listeners\n").flush();
         until(console, "lines at 127.0.0.1:3000");
         Process open = type(lines.get(2));
-        assertThat(new String(open.getInputStream().readAllBytes(), StandardCharsets.UTF_8).lines().toList())
+        assertThat(new String(open.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
+                        .lines()
+                        .toList())
                 .satisfies(said -> assertThat(said.get(0)).startsWith("UP "))
-                .satisfies(said -> assertThat(said.get(1)).isEqualTo("hello")).hasSize(2);
+                .satisfies(said -> assertThat(said.get(1)).isEqualTo("hello"))
+                .hasSize(2);
         assertThat(open.waitFor()).isZero();
         List<String> refused = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
@@ -103,6 +114,8 @@
                 refused.add(answer);
             }
         }
-        assertThat(refused).as("of %d clients that tell no load, at idle feed servers", CLIENTS).isEmpty();
+        assertThat(refused)
+                .as("of %d clients that tell no load, at idle feed servers", CLIENTS)
+                .isEmpty();
     }
 }
--- a/src/test/java/sandstack/FleetSwitchTest.java
+++ b/src/test/java/sandstack/FleetSwitchTest.java
@@ -24,19 +24,26 @@
 
     /** The very run of deploy/balancer.toml, with these words after it, on the classes of this build. */
     private List<String> run(String... more) throws Exception {
-        String run = new TomlMapper().readTree(Files.readString(Path.of("deploy/balancer.toml"))).path("run").asText();
+        String run = new TomlMapper()
+                .readTree(Files.readString(Path.of("deploy/balancer.toml")))
+                .path("run")
+                .asText();
         assertThat(run).contains("-jar target/sandstack.jar serve").doesNotContain("fleet");
         List<String> words = new ArrayList<>(List.of(run.replaceFirst("^exec ", "")
                 .replaceFirst("-XX:SharedArchiveFile=\\S+", "-Xshare:auto")
-                .replace("-jar target/sandstack.jar", "-verbose:class -Dsandstack.deploy=" + folder + " -cp "
-                        + System.getProperty("java.class.path") + " sandstack.Main").split(" ")));
+                .replace(
+                        "-jar target/sandstack.jar",
+                        "-verbose:class -Dsandstack.deploy=" + folder + " -cp " + System.getProperty("java.class.path")
+                                + " sandstack.Main")
+                .split(" ")));
         words.set(0, SocketHolder.java());
         words.addAll(List.of(more));
         return words;
     }
 
     private Process start(List<String> words) throws Exception {
-        ProcessBuilder builder = new ProcessBuilder(words).redirectErrorStream(true)
+        ProcessBuilder builder = new ProcessBuilder(words)
+                .redirectErrorStream(true)
                 .redirectOutput(folder.resolve("out").toFile());
         builder.environment().put("PROXY_CONFIG", "examples/config.json");
         builder.environment().put("PROXY_LISTEN", "127.0.0.1:0");
@@ -50,23 +57,27 @@
     private Ended ended(List<String> words) throws Exception {
         Process process = start(words);
         assertThat(process.waitFor(30, TimeUnit.SECONDS)).isTrue();
-        List<String> said = out().lines().filter(line -> line.contains("fleet.toml")).toList();
+        List<String> said =
+                out().lines().filter(line -> line.contains("fleet.toml")).toList();
         return new Ended(process.exitValue(), String.join("\n", said));
     }
 
     @Test
     void anEnabledFileAloneEndsWithTwo() throws Exception {
-        Files.writeString(folder.resolve("fleet.toml"), Files.readString(Path.of("deploy/fleet.toml"))
-                .replace("enabled = false", "enabled = true"));
-        assertThat(ended(run())).isEqualTo(new Ended(2,
-                "serve: fleet.toml: enabled is true, but the command does not say --fleet; it takes both"));
+        Files.writeString(
+                folder.resolve("fleet.toml"),
+                Files.readString(Path.of("deploy/fleet.toml")).replace("enabled = false", "enabled = true"));
+        assertThat(ended(run()))
+                .isEqualTo(new Ended(
+                        2, "serve: fleet.toml: enabled is true, but the command does not say --fleet; it takes both"));
     }
 
     @Test
     void theOptionAloneEndsWithTwo() throws Exception {
         Files.copy(Path.of("deploy/fleet.toml"), folder.resolve("fleet.toml"));
-        assertThat(ended(run("--fleet"))).isEqualTo(new Ended(2,
-                "serve: fleet.toml: enabled is false, but the command says --fleet; it takes both"));
+        assertThat(ended(run("--fleet")))
+                .isEqualTo(new Ended(
+                        2, "serve: fleet.toml: enabled is false, but the command says --fleet; it takes both"));
     }
 
     @Test
@@ -79,7 +90,14 @@
         assertThat(process.descendants()).isEmpty();
         process.destroy();
         assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(out()).contains("sandstack.core.Relay").doesNotContain("sandstack.fleet", "io.scalecube",
-                "reactor.", "io.netty", "org.slf4j", "sandstack.config.FleetFile");
+        assertThat(out())
+                .contains("sandstack.core.Relay")
+                .doesNotContain(
+                        "sandstack.fleet",
+                        "io.scalecube",
+                        "reactor.",
+                        "io.netty",
+                        "org.slf4j",
+                        "sandstack.config.FleetFile");
     }
 }
--- a/src/test/java/sandstack/Program.java
+++ b/src/test/java/sandstack/Program.java
@@ -31,19 +31,35 @@
     Program(Path folder) throws Exception {
         this.folder = folder;
         Path jar = folder.resolve("program.jar");
-        Path classes = Path.of(Service.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-        try (JarOutputStream out = new JarOutputStream(Files.newOutputStream(jar)); Stream<Path> all = Files.walk(classes)) {
+        Path classes = Path.of(Service.class
+                .getProtectionDomain()
+                .getCodeSource()
+                .getLocation()
+                .toURI());
+        try (JarOutputStream out = new JarOutputStream(Files.newOutputStream(jar));
+                Stream<Path> all = Files.walk(classes)) {
             for (Path file : all.filter(Files::isRegularFile).toList()) {
                 out.putNextEntry(new JarEntry(classes.relativize(file).toString()));
                 Files.copy(file, out);
                 out.closeEntry();
             }
         }
-        classPath = jar + ":" + Arrays.stream(System.getProperty("java.class.path").split(":"))
-                .filter(entry -> entry.endsWith(".jar")).collect(Collectors.joining(":"));
+        classPath = jar + ":"
+                + Arrays.stream(System.getProperty("java.class.path").split(":"))
+                        .filter(entry -> entry.endsWith(".jar"))
+                        .collect(Collectors.joining(":"));
         archive = folder.resolve("program.jsa");
-        Process rehearsal = process(List.of(java(), "-XX:+UseSerialGC", "-XX:ArchiveClassesAtExit=" + archive, "-cp", classPath,
-                "sandstack.Main", "rehearse"), "rehearsal", config("rehearsal", 0, 1024));
+        Process rehearsal = process(
+                List.of(
+                        java(),
+                        "-XX:+UseSerialGC",
+                        "-XX:ArchiveClassesAtExit=" + archive,
+                        "-cp",
+                        classPath,
+                        "sandstack.Main",
+                        "rehearse"),
+                "rehearsal",
+                config("rehearsal", 0, 1024));
         assertThat(rehearsal.waitFor(60, TimeUnit.SECONDS)).isTrue();
         assertThat(archive).exists();
     }
@@ -54,9 +70,12 @@
 
     /** The example's configuration with this discovery and so many descriptors; it listens at a port of the system's choice. */
     Path config(String name, int discovery, int sockets) throws IOException {
-        return Files.writeString(folder.resolve(name + ".json"), Files.readString(Path.of("examples/config.json"))
-                .replace("127.0.0.1:3000", "127.0.0.1:0").replace("127.0.0.1:8500", "127.0.0.1:" + discovery)
-                .replace("\"sockets\": 1024", "\"sockets\": " + sockets));
+        return Files.writeString(
+                folder.resolve(name + ".json"),
+                Files.readString(Path.of("examples/config.json"))
+                        .replace("127.0.0.1:3000", "127.0.0.1:0")
+                        .replace("127.0.0.1:8500", "127.0.0.1:" + discovery)
+                        .replace("\"sockets\": 1024", "\"sockets\": " + sockets));
     }
 
     /**
@@ -65,8 +84,12 @@
      * @param around words before the command, as {@code taskset -c 0}
      */
     Process start(String around, String name, Path config) throws IOException {
-        String run = Files.readString(Path.of("deploy/balancer.toml")).lines().filter(line -> line.startsWith("run = "))
-                .map(line -> line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'))).findFirst().orElseThrow();
+        String run = Files.readString(Path.of("deploy/balancer.toml"))
+                .lines()
+                .filter(line -> line.startsWith("run = "))
+                .map(line -> line.substring(line.indexOf('"') + 1, line.lastIndexOf('"')))
+                .findFirst()
+                .orElseThrow();
         String command = run.replace("exec java ", "exec " + around + " " + java() + " ")
                 .replace("target/sandstack.jsa", archive.toString())
                 .replace("-jar target/sandstack.jar", "-cp " + classPath + " sandstack.Main");
@@ -75,7 +98,8 @@
     }
 
     private Process process(List<String> command, String name, Path config) throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .redirectErrorStream(true)
                 .redirectOutput(folder.resolve(name + ".log").toFile());
         builder.environment().putAll(Map.of("PROXY_CONFIG", config.toString(), "PROXY_LISTEN", "127.0.0.1:0"));
         Process process = builder.start();
--- a/src/test/java/sandstack/PushedListTest.java
+++ b/src/test/java/sandstack/PushedListTest.java
@@ -36,12 +36,18 @@
         agent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         agent.setSoTimeout(20_000);
         port = agent.getLocalPort();
-        String config = Files.readString(Path.of("examples/config.json")).replace("127.0.0.1:3000", "127.0.0.1:0")
+        String config = Files.readString(Path.of("examples/config.json"))
+                .replace("127.0.0.1:3000", "127.0.0.1:0")
                 .replaceFirst("(\"discovery\": *)\"[^\"]*\"", "$1\"127.0.0.1:" + port + "\"");
         assertThat(config).contains("on_request");
         Path file = Files.writeString(folder.resolve("config.json"), config.replace("on_request", "pushed"));
-        ProcessBuilder program = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin/java").toString(),
-                "-cp", System.getProperty("java.class.path"), "sandstack.Main", "serve").redirectErrorStream(true);
+        ProcessBuilder program = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin/java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "sandstack.Main",
+                        "serve")
+                .redirectErrorStream(true);
         program.environment().put("PROXY_CONFIG", file.toString());
         relay = program.start();
         log = relay.inputReader();
--- a/src/test/java/sandstack/RareMomentsTest.java
+++ b/src/test/java/sandstack/RareMomentsTest.java
@@ -53,8 +53,10 @@
         int clients = program.port("full");
         program.logged("full", "discovery: no connection");
         long limit = DESCRIPTORS + open(relay) - IDLE;
-        assertThat(new ProcessBuilder("prlimit", "--pid", "" + relay.pid(), "--nofile=" + limit + ":" + limit).start()
-                .waitFor()).isZero();
+        assertThat(new ProcessBuilder("prlimit", "--pid", "" + relay.pid(), "--nofile=" + limit + ":" + limit)
+                        .start()
+                        .waitFor())
+                .isZero();
         List<Socket> idle = new ArrayList<>();
         // each let go makes room for the next: the table stays full for as long as they come
         Thread crowd = new Thread(() -> {
@@ -100,8 +102,11 @@
 
     @Test
     void tenRestartedAtOnceOnOneCoreAreReadyWithin10Seconds() throws Exception {
-        String allowed = Files.readString(Path.of("/proc/self/status")).lines()
-                .filter(line -> line.startsWith("Cpus_allowed_list:")).findFirst().orElseThrow();
+        String allowed = Files.readString(Path.of("/proc/self/status"))
+                .lines()
+                .filter(line -> line.startsWith("Cpus_allowed_list:"))
+                .findFirst()
+                .orElseThrow();
         String core = allowed.replaceAll(".*[^0-9]([0-9]+)\\s*$", "$1");
         int discovery = Program.freePort();
         long start = System.nanoTime();
@@ -111,9 +116,12 @@
         for (int i = 0; i < 10; i++) {
             try (Socket front = new Socket(LOOPBACK, program.port("n" + i))) {
                 front.getOutputStream().write("PING\r\n".getBytes());
-                assertThat(new BufferedReader(new InputStreamReader(front.getInputStream())).readLine()).isEqualTo("PONG");
+                assertThat(new BufferedReader(new InputStreamReader(front.getInputStream())).readLine())
+                        .isEqualTo("PONG");
             }
         }
-        assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start)).as("ms until all ten answer").isLessThan(10_000);
+        assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start))
+                .as("ms until all ten answer")
+                .isLessThan(10_000);
     }
 }
--- a/src/test/java/sandstack/RehearsalTest.java
+++ b/src/test/java/sandstack/RehearsalTest.java
@@ -10,9 +10,14 @@
 class RehearsalTest {
     @Test
     void asksItselfOnceAndEnds() throws Exception {
-        ProcessBuilder program = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin/java").toString(),
-                "-cp", System.getProperty("java.class.path"), "sandstack.Main", "rehearse")
-                .redirectOutput(ProcessBuilder.Redirect.DISCARD).redirectError(ProcessBuilder.Redirect.DISCARD);
+        ProcessBuilder program = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin/java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "sandstack.Main",
+                        "rehearse")
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .redirectError(ProcessBuilder.Redirect.DISCARD);
         program.environment().put("PROXY_CONFIG", "examples/config.json");
         program.environment().put("PROXY_LISTEN", "127.0.0.1:0");
         program.environment().put("PROXY_OPERATOR", "127.0.0.1:0");
--- a/src/test/java/sandstack/ReloadTest.java
+++ b/src/test/java/sandstack/ReloadTest.java
@@ -38,8 +38,13 @@
         second = discovery();
         file = folder.resolve("config.json");
         replaceBy(example(first));
-        ProcessBuilder program = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin/java").toString(),
-                "-cp", System.getProperty("java.class.path"), "sandstack.Main", "serve").redirectErrorStream(true);
+        ProcessBuilder program = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin/java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "sandstack.Main",
+                        "serve")
+                .redirectErrorStream(true);
         program.environment().put("PROXY_CONFIG", file.toString());
         // as on the platform, the variable keeps the address of the start
         program.environment().put("PROXY_DISCOVERY", address(first));
@@ -66,7 +71,8 @@
     }
 
     private static String example(ServerSocket discovery) throws Exception {
-        return Files.readString(Path.of("examples/config.json")).replace("127.0.0.1:3000", "127.0.0.1:0")
+        return Files.readString(Path.of("examples/config.json"))
+                .replace("127.0.0.1:3000", "127.0.0.1:0")
                 .replaceFirst("(\"discovery\": *)\"[^\"]*\"", "$1\"" + address(discovery) + "\"");
     }
 
@@ -75,7 +81,10 @@
     }
 
     private void signal(String name) throws Exception {
-        assertThat(new ProcessBuilder("kill", "-" + name, Long.toString(relay.pid())).start().waitFor()).isZero();
+        assertThat(new ProcessBuilder("kill", "-" + name, Long.toString(relay.pid()))
+                        .start()
+                        .waitFor())
+                .isZero();
     }
 
     private static String ask(ServerSocket discovery) throws Exception {
@@ -118,7 +127,8 @@
 
     @Test
     void takesNewSettingsWholeAndTurnsDownWhatIsNot() throws Exception {
-        Matcher m = Pattern.compile("listens for (operators|lines) at 127.0.0.1:([0-9]+)").matcher("");
+        Matcher m = Pattern.compile("listens for (operators|lines) at 127.0.0.1:([0-9]+)")
+                .matcher("");
         while (door == 0 || clients == 0) {
             if (m.reset(log.readLine()).find()) {
                 int port = Integer.parseInt(m.group(2));
@@ -127,8 +137,8 @@
             }
         }
         String before = example(first);
-        String after = before.replace("\"catalogue-feed\"", "\"price-feed\"").replace("\"max_attempts\": 6",
-                "\"max_attempts\": 2");
+        String after = before.replace("\"catalogue-feed\"", "\"price-feed\"")
+                .replace("\"max_attempts\": 6", "\"max_attempts\": 2");
         assertThat(open("catalogue-feed")).startsWith("BUSY");
         assertThat(open("price-feed")).isEqualTo("ERR\r\n");
         replaceBy(after);
@@ -136,7 +146,10 @@
         assertThat(open("price-feed")).startsWith("BUSY");
         assertThat(open("catalogue-feed")).isEqualTo("ERR\r\n");
         int rejected = 0;
-        for (String wrong : List.of("", after.substring(0, 900), after.replace("\"max_attempts\": 2,", ""),
+        for (String wrong : List.of(
+                "",
+                after.substring(0, 900),
+                after.replace("\"max_attempts\": 2,", ""),
                 after.replace("\"max_attempts\": 2", "\"max_attempts\": \"two\""),
                 before.replace("\"deadline_us\": 3000000", "\"deadline_us\": 0"))) {
             replaceBy(wrong);
@@ -147,8 +160,9 @@
         replaceBy(before);
         reloaded(2, rejected);
         assertThat(open("catalogue-feed")).startsWith("BUSY");
-        assertThat(call("INFO")).contains("edge_proxy.responses.catalogue-feed.shed=2\r\n",
-                "edge_proxy.responses.price-feed.shed=6\r\n");
+        assertThat(call("INFO"))
+                .contains(
+                        "edge_proxy.responses.catalogue-feed.shed=2\r\n", "edge_proxy.responses.price-feed.shed=6\r\n");
     }
 
     @Test
--- a/src/test/java/sandstack/ReloadUnderTrafficTest.java
+++ b/src/test/java/sandstack/ReloadUnderTrafficTest.java
@@ -72,29 +72,33 @@
 
     /** The configuration of this reload: every second has another class, fewer attempts and the other discovery. */
     private String config(int reload) throws IOException {
-        String text = Files.readString(Path.of("examples/config.json")).replace("127.0.0.1:3000", "127.0.0.1:0")
-                .replaceFirst("(\"discovery\": *)\"[^\"]*\"",
+        String text = Files.readString(Path.of("examples/config.json"))
+                .replace("127.0.0.1:3000", "127.0.0.1:0")
+                .replaceFirst(
+                        "(\"discovery\": *)\"[^\"]*\"",
                         "$1\"127.0.0.1:" + discoveries.get(reload % 2).port() + "\"")
                 .replaceFirst("\"known\": *\\{[^]]*]\\s*},", "");
-        return reload % 2 == 0 ? text
+        return reload % 2 == 0
+                ? text
                 : text.replace("\"catalogue-feed\"", "\"price-feed\"")
                         .replace("\"max_attempts\": 6", "\"max_attempts\": 2");
     }
 
     private void untilLogged(String text) throws Exception {
         CompletableFuture.runAsync(() -> {
-            try {
-                String line;
-                do {
-                    line = log.readLine();
-                    assertThat(line).as("a log line with: " + text).isNotNull();
-                    Matcher m = LISTENS.matcher(line);
-                    port = m.find() ? Integer.parseInt(m.group(1)) : port;
-                } while (!line.contains(text));
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        }).get(20, TimeUnit.SECONDS);
+                    try {
+                        String line;
+                        do {
+                            line = log.readLine();
+                            assertThat(line).as("a log line with: " + text).isNotNull();
+                            Matcher m = LISTENS.matcher(line);
+                            port = m.find() ? Integer.parseInt(m.group(1)) : port;
+                        } while (!line.contains(text));
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    }
+                })
+                .get(20, TimeUnit.SECONDS);
     }
 
     private void heard(ShopClient.Told told) {
@@ -117,13 +121,22 @@
 
     private ShopClient client() {
         int number = asked++;
-        return new ShopClient(yard, port, "id" + number, "key" + number, "c=order-status,d=3000,g=g" + number % 5,
-                PATIENCE, this::heard);
+        return new ShopClient(
+                yard,
+                port,
+                "id" + number,
+                "key" + number,
+                "c=order-status,d=3000,g=g" + number % 5,
+                PATIENCE,
+                this::heard);
     }
 
     /** Clients that have ended, in whatever way. */
     private int ended() {
-        return happened.entrySet().stream().filter(e -> e.getKey() != Happened.UP).mapToInt(Map.Entry::getValue).sum();
+        return happened.entrySet().stream()
+                .filter(e -> e.getKey() != Happened.UP)
+                .mapToInt(Map.Entry::getValue)
+                .sum();
     }
 
     private int count(Happened what) {
@@ -133,8 +146,13 @@
     @Test
     void noConnectionAndNoLineIsLostWhileSettingsAndDiscoveryChange() throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), config(0));
-        ProcessBuilder program = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin/java").toString(),
-                "-Dsandstack.deploy=" + folder, "-cp", System.getProperty("java.class.path"), "sandstack.Main", "serve")
+        ProcessBuilder program = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin/java").toString(),
+                        "-Dsandstack.deploy=" + folder,
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "sandstack.Main",
+                        "serve")
                 .redirectErrorStream(true);
         program.environment().put("PROXY_CONFIG", file.toString());
         relay = program.start();
@@ -154,7 +172,10 @@
                 Thread.onSpinWait();
             }
             Files.writeString(file, config(reload));
-            assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(relay.pid())).start().waitFor()).isZero();
+            assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(relay.pid()))
+                            .start()
+                            .waitFor())
+                    .isZero();
             untilLogged("configuration read again");
         }
         yard.run(() -> traffic = false);
@@ -162,14 +183,20 @@
             assertThat(relay.isAlive()).isTrue();
             Thread.onSpinWait();
         }
-        assertThat(yard.on(() -> Map.copyOf(happened))).as("served and left, and nothing else")
+        assertThat(yard.on(() -> Map.copyOf(happened)))
+                .as("served and left, and nothing else")
                 .containsOnly(Map.entry(Happened.UP, asked), Map.entry(Happened.LEFT, asked - STANDING));
-        assertThat(yard.on(() -> stay.stream().filter(ShopClient::standing).count())).isEqualTo(STANDING);
+        assertThat(yard.on(() -> stay.stream().filter(ShopClient::standing).count()))
+                .isEqualTo(STANDING);
         long heard = yard.on(() -> lines);
         assertThat(heard).as("lines that came back").isGreaterThan(asked);
-        assertThat(yard.on(() -> stay.stream().mapToLong(ShopClient::waiting).max().orElse(0)))
-                .as("microseconds that a line has been out").isLessThan(1_000_000);
-        long attempts = servers.stream().mapToLong(server -> yard.on(server::books).setups()).sum();
+        assertThat(yard.on(
+                        () -> stay.stream().mapToLong(ShopClient::waiting).max().orElse(0)))
+                .as("microseconds that a line has been out")
+                .isLessThan(1_000_000);
+        long attempts = servers.stream()
+                .mapToLong(server -> yard.on(server::books).setups())
+                .sum();
         assertThat(attempts).as("one attempt each").isEqualTo(asked);
     }
 }
--- a/src/test/java/sandstack/SocketHolder.java
+++ b/src/test/java/sandstack/SocketHolder.java
@@ -29,11 +29,20 @@
 
     /** Starts a holder that keeps the logs of its children in this folder, which is their deploy folder too. */
     SocketHolder(Path folder) throws Exception {
-        try (java.net.ServerSocket listening = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+        try (java.net.ServerSocket listening =
+                new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
             listening.setSoTimeout(20_000);
-            process = new ProcessBuilder(java(), "--add-opens", "java.base/sun.nio.ch=ALL-UNNAMED", "-cp",
-                    System.getProperty("java.class.path"), SocketHolder.class.getName(),
-                    Integer.toString(listening.getLocalPort()), folder.toString()).inheritIO().start();
+            process = new ProcessBuilder(
+                            java(),
+                            "--add-opens",
+                            "java.base/sun.nio.ch=ALL-UNNAMED",
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            SocketHolder.class.getName(),
+                            Integer.toString(listening.getLocalPort()),
+                            folder.toString())
+                    .inheritIO()
+                    .start();
             control = listening.accept();
         }
         from = new BufferedReader(new InputStreamReader(control.getInputStream()));
@@ -52,7 +61,8 @@
 
     /** Starts a relay with descriptor 0 and these variables; it logs to a file of this name. */
     ProcessHandle relay(String name, Map<String, String> env) throws IOException {
-        to.println(name + " " + String.join(" ", env.entrySet().stream().map(Object::toString).toList()));
+        to.println(name + " "
+                + String.join(" ", env.entrySet().stream().map(Object::toString).toList()));
         ProcessHandle relay = ProcessHandle.of(Long.parseLong(from.readLine())).orElseThrow();
         started.add(relay);
         return relay;
@@ -68,7 +78,8 @@
     /** The holder itself: {@code CONTROL_PORT FOLDER}. */
     public static void main(String[] args) throws Exception {
         ServerSocketChannel listening = ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0), 512);
-        java.lang.reflect.Field fd = Class.forName("sun.nio.ch.ServerSocketChannelImpl").getDeclaredField("fdVal");
+        java.lang.reflect.Field fd =
+                Class.forName("sun.nio.ch.ServerSocketChannelImpl").getDeclaredField("fdVal");
         Method dup2 = Class.forName("sun.nio.ch.InheritedChannel").getDeclaredMethod("dup2", int.class, int.class);
         fd.setAccessible(true);
         dup2.setAccessible(true);
@@ -79,10 +90,17 @@
             to.println(((InetSocketAddress) listening.getLocalAddress()).getPort());
             for (String line = from.readLine(); line != null; line = from.readLine()) {
                 String[] words = line.split(" ");
-                ProcessBuilder relay = new ProcessBuilder(java(), "-cp", System.getProperty("java.class.path"),
-                        "-Dsandstack.deploy=" + args[1], "sandstack.Main", "serve").redirectErrorStream(true)
+                ProcessBuilder relay = new ProcessBuilder(
+                                java(),
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "-Dsandstack.deploy=" + args[1],
+                                "sandstack.Main",
+                                "serve")
+                        .redirectErrorStream(true)
                         .redirectInput(ProcessBuilder.Redirect.INHERIT)
-                        .redirectOutput(Files.createFile(Path.of(args[1], words[0] + ".log")).toFile());
+                        .redirectOutput(Files.createFile(Path.of(args[1], words[0] + ".log"))
+                                .toFile());
                 for (int i = 1; i < words.length; i++) {
                     relay.environment().put(words[i].split("=")[0], words[i].split("=")[1]);
                 }
--- a/src/test/java/sandstack/UpgradeTest.java
+++ b/src/test/java/sandstack/UpgradeTest.java
@@ -13,9 +13,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.Queue;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -53,9 +53,11 @@
     @BeforeEach
     void hold() throws Exception {
         holder = new SocketHolder(folder);
-        Files.writeString(folder.resolve("config.json"), Files.readString(Path.of("examples/config.json"))
-                .replaceFirst("(\"discovery\": *)\"[^\"]*\"", "$1\"127.0.0.1:" + discovery.port() + "\"")
-                .replaceFirst("\"known\": *\\{[^]]*]\\s*},", ""));
+        Files.writeString(
+                folder.resolve("config.json"),
+                Files.readString(Path.of("examples/config.json"))
+                        .replaceFirst("(\"discovery\": *)\"[^\"]*\"", "$1\"127.0.0.1:" + discovery.port() + "\"")
+                        .replaceFirst("\"known\": *\\{[^]]*]\\s*},", ""));
         Files.createDirectory(folder.resolve("tmp"));
     }
 
@@ -78,7 +80,9 @@
         Started started = begin(name);
         // awaited, not slept on: the door refuses until the process listens and says NAK until it can serve
         while (!call(started.door(), "PING").startsWith("ACK")) {
-            assertThat(started.process().isAlive()).as("relay " + name + ": " + log(name)).isTrue();
+            assertThat(started.process().isAlive())
+                    .as("relay " + name + ": " + log(name))
+                    .isTrue();
             Thread.onSpinWait();
         }
         return started;
@@ -110,7 +114,8 @@
     /** A client that stays until it is told to go; it tells its answer and how it ended. */
     private void client(int number) throws Exception {
         Socket socket = new Socket("127.0.0.1", holder.port());
-        socket.getOutputStream().write(("OPEN id" + number + " key" + number + " c=order-status,d=3000\r\n").getBytes());
+        socket.getOutputStream()
+                .write(("OPEN id" + number + " key" + number + " c=order-status,d=3000\r\n").getBytes());
         Thread thread = new Thread(() -> {
             try (socket) {
                 BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream()));
@@ -146,8 +151,11 @@
             client(number++);
             Thread.sleep(10);
         }
-        assertThat(log("second")).as("it reckons with the other before it takes anybody")
-                .containsSubsequence("processes of this relay: 2", "takes over from another process, whose list has 2",
+        assertThat(log("second"))
+                .as("it reckons with the other before it takes anybody")
+                .containsSubsequence(
+                        "processes of this relay: 2",
+                        "takes over from another process, whose list has 2",
                         "listens for lines at the inherited socket");
         Started third = start("third");
         second.process().destroy();
@@ -158,7 +166,9 @@
         }
         assertThat(answers).hasSize(number).allMatch(answer -> answer.startsWith("UP "));
         assertThat(ends).hasSize(number).containsOnly("MOVE");
-        long setups = servers.stream().mapToLong(server -> yard.on(server::books).setups()).sum();
+        long setups = servers.stream()
+                .mapToLong(server -> yard.on(server::books).setups())
+                .sum();
         assertThat(setups).as("no attempt but the one that stood").isEqualTo(number);
     }
 
@@ -182,10 +192,16 @@
         }
         assertThat(answers).allMatch(answer -> answer.startsWith("UP "));
         try (java.util.stream.Stream<Path> files = Files.list(folder.resolve("tmp"))) {
-            assertThat(files).as("of the old process two, of each dead one at most three").hasSizeLessThanOrEqualTo(11);
+            assertThat(files)
+                    .as("of the old process two, of each dead one at most three")
+                    .hasSizeLessThanOrEqualTo(11);
         }
-        assertThat(call(old.door(), "INFO")).contains("edge_proxy.responses.order-status.ok=3\r\n",
-                "edge_proxy.active=3\r\n", "edge_proxy.pool_size=2\r\n").endsWith("--\r\n");
+        assertThat(call(old.door(), "INFO"))
+                .contains(
+                        "edge_proxy.responses.order-status.ok=3\r\n",
+                        "edge_proxy.active=3\r\n",
+                        "edge_proxy.pool_size=2\r\n")
+                .endsWith("--\r\n");
         old.process().destroy();
         // figures are told while it drains, and then it is not there any more
         assertThat(call(old.door(), "INFO")).startsWith("ACK\r\n");
@@ -196,13 +212,19 @@
     @Test
     void aDescriptorThatCannotBeUsedEndsTheStartWithALineThatNamesTheVariable() throws Exception {
         for (String descriptor : List.of("0", "7", "x")) {
-            ProcessBuilder program = new ProcessBuilder(SocketHolder.java(), "-cp",
-                    System.getProperty("java.class.path"), "sandstack.Main", "serve").redirectErrorStream(true)
+            ProcessBuilder program = new ProcessBuilder(
+                            SocketHolder.java(),
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            "sandstack.Main",
+                            "serve")
+                    .redirectErrorStream(true)
                     .redirectInput(Path.of("/dev/null").toFile());
             program.environment().put("PROXY_CONFIG", "examples/config.json");
             program.environment().put("PROXY_SOCKET_FD", descriptor);
             Process relay = program.start();
-            assertThat(new String(relay.getInputStream().readAllBytes()).lines()).hasSize(1)
+            assertThat(new String(relay.getInputStream().readAllBytes()).lines())
+                    .hasSize(1)
                     .allMatch(line -> line.startsWith("serve: PROXY_SOCKET_FD is " + descriptor));
             assertThat(relay.waitFor()).isEqualTo(2);
         }
--- a/src/test/java/sandstack/benchlink/LinkTest.java
+++ b/src/test/java/sandstack/benchlink/LinkTest.java
@@ -27,8 +27,8 @@
             + "\"path_key\":\"k\",\"bitmap\":1,\"work_hint_us\":100}";
 
     private static String line(int serial, String events) {
-        return "{\"time_us\":" + 1_000_000 * serial + ",\"serial\":" + serial
-                + ",\"parts\":[{\"who\":3,\"happened\":[" + events + "]}]}\n";
+        return "{\"time_us\":" + 1_000_000 * serial + ",\"serial\":" + serial + ",\"parts\":[{\"who\":3,\"happened\":["
+                + events + "]}]}\n";
     }
 
     private static String[] play(String input) throws IOException, WireException {
@@ -48,15 +48,22 @@
 
     @Test
     void aRequestGoesThroughAttemptAndEnd() throws Exception {
-        String[] replies = play(line(1, UP + "," + LIST) + line(2, ASK)
-                + line(3, "{\"t\":\"ProbeDone\",\"server\":\"s1\",\"ending\":\"completed\",\"duration_us\":9,"
-                        + "\"stats\":[0.5]}")
+        String[] replies = play(line(1, UP + "," + LIST)
+                + line(2, ASK)
+                + line(
+                        3,
+                        "{\"t\":\"ProbeDone\",\"server\":\"s1\",\"ending\":\"completed\",\"duration_us\":9,"
+                                + "\"stats\":[0.5]}")
                 + line(4, "{\"t\":\"Accepted\",\"corr\":\"r1\",\"go\":0,\"server\":\"s1\",\"duration_us\":5}")
-                + line(5, "{\"t\":\"UpdateOf\",\"corr\":\"r1\",\"sort\":1,\"value\":0.5,\"go\":0,\"server\":\"s1\"},"
-                        + "{\"t\":\"UpdateOf\",\"corr\":\"r1\",\"sort\":2,\"value\":1,\"go\":0,\"server\":\"s1\"},"
-                        + "{\"t\":\"Message\",\"neighbour\":1,\"bytes\":\"x\"},{\"t\":\"Unheard\",\"a\":{}}")
-                + line(6, "{\"t\":\"Settled\",\"corr\":\"r1\",\"done_flag\":true,\"go\":0,\"duration_us\":5,"
-                        + "\"ending\":\"completed\",\"server\":\"s1\"},{\"t\":\"Expired\",\"corr\":\"r1\"}")
+                + line(
+                        5,
+                        "{\"t\":\"UpdateOf\",\"corr\":\"r1\",\"sort\":1,\"value\":0.5,\"go\":0,\"server\":\"s1\"},"
+                                + "{\"t\":\"UpdateOf\",\"corr\":\"r1\",\"sort\":2,\"value\":1,\"go\":0,\"server\":\"s1\"},"
+                                + "{\"t\":\"Message\",\"neighbour\":1,\"bytes\":\"x\"},{\"t\":\"Unheard\",\"a\":{}}")
+                + line(
+                        6,
+                        "{\"t\":\"Settled\",\"corr\":\"r1\",\"done_flag\":true,\"go\":0,\"duration_us\":5,"
+                                + "\"ending\":\"completed\",\"server\":\"s1\"},{\"t\":\"Expired\",\"corr\":\"r1\"}")
                 + line(7, "{\"t\":\"PowerOff\"}," + UP + "," + LIST));
         assertTrue(replies[0].contains("\"t\":\"Subscribe\",\"active\":true"), replies[0]);
         assertEquals("{\"serial\":3,\"parts\":[]}", replies[2]);
@@ -67,8 +74,8 @@
 
     @Test
     void everyOutcomeIsUnderstood() throws Exception {
-        for (String ending : new String[] {"errored", "saturated", "overdue", "refused_conn", "severed", "recalled",
-            "superseded"}) {
+        for (String ending :
+                new String[] {"errored", "saturated", "overdue", "refused_conn", "severed", "recalled", "superseded"}) {
             String probe = "{\"t\":\"ProbeDone\",\"server\":\"s1\",\"ending\":\"overdue\",\"duration_us\":9}";
             String end = "{\"t\":\"Settled\",\"corr\":\"r1\",\"go\":0,\"duration_us\":5,\"ending\":\"" + ending
                     + "\",\"server\":\"s1\"}";
@@ -81,7 +88,8 @@
     void malformedInputIsNamedByBatchAndField() {
         String start = line(1, UP + "," + LIST);
         assertTrue(complaint("hello\n").contains("not JSON"));
-        assertTrue(complaint(start + "{\"time_us\":2,\"serial\":2,\"parts\":[}\n").contains("batch 2: not JSON"));
+        assertTrue(
+                complaint(start + "{\"time_us\":2,\"serial\":2,\"parts\":[}\n").contains("batch 2: not JSON"));
         assertTrue(complaint("{\"serial\":2,\"parts\":[]}\n").contains("batch 2: lacks time_us"));
         assertTrue(complaint(start + line(2, "{\"t\":\"Ingress\",\"kind\":0,\"client_deadline_us\":5}"))
                 .contains("batch 2: Ingress lacks corr"));
--- a/src/test/java/sandstack/capacity/ColdBudgetTest.java
+++ b/src/test/java/sandstack/capacity/ColdBudgetTest.java
@@ -21,7 +21,14 @@
     private record Sum(int falls, double sentPart, double nearest) {}
 
     /** Requests that one relay gets: first ones by chance, and a crowd of those who come back, at a moment of all. */
-    private static Sum play(int starts, int relays, double allowed, double perSecond, boolean uneven, int crowd, boolean first,
+    private static Sum play(
+            int starts,
+            int relays,
+            double allowed,
+            double perSecond,
+            boolean uneven,
+            int crowd,
+            boolean first,
             int times) {
         SplittableRandom chance = new SplittableRandom(relays * 31L + (long) (allowed * 100) + crowd);
         double fill = allowed / MULTIPLE / WINDOW;
@@ -50,7 +57,7 @@
             int coming = crowd;
             double limit = allowed + 2 * Math.sqrt(allowed) + 2;
             boolean fell = false;
-            for (long now = 0; now < LASTS;) {
+            for (long now = 0; now < LASTS; ) {
                 long next = now + 1 + (long) (-Math.log(1 - chance.nextDouble()) / perSecond * 1e6);
                 boolean back = coming > 0 && next >= crowdAt;
                 if (back) {
@@ -60,7 +67,7 @@
                     now = next;
                 }
                 int r = 0;
-                for (double at = chance.nextDouble(); r < relays - 1 && upTo[r] < at; r++) { }
+                for (double at = chance.nextDouble(); r < relays - 1 && upTo[r] < at; r++) {}
                 ColdBudget budget = budgets[r];
                 if (budget.allowsCold(rule, 1, fill, true, first && !back, now, chance::nextDouble)) {
                     budget.spend(now);
@@ -80,9 +87,18 @@
 
     @ParameterizedTest(name = "{0} relays, {1} allowed, {2} a second, uneven {3}, a crowd of {4}")
     @CsvSource({
-        "3, 1, 6, true, 40", "3, 3, 12, true, 80","3, 5, 20, false, 100","3, 15, 60, true, 200",
-        "20, 1, 6, true, 60","20, 3, 12, true, 120","20, 5, 20, false, 200","20, 15, 60, true, 400",
-        "30, 1, 6, true, 60","30, 3, 12, true, 120","30, 5, 20, false, 200","30, 15, 60, true, 400",
+        "3, 1, 6, true, 40",
+        "3, 3, 12, true, 80",
+        "3, 5, 20, false, 100",
+        "3, 15, 60, true, 200",
+        "20, 1, 6, true, 60",
+        "20, 3, 12, true, 120",
+        "20, 5, 20, false, 200",
+        "20, 15, 60, true, 400",
+        "30, 1, 6, true, 60",
+        "30, 3, 12, true, 120",
+        "30, 5, 20, false, 200",
+        "30, 15, 60, true, 400",
         "100, 1,  6,  true,  0",
         "100, 1,  6,  true,  200",
         "100, 5,  20, false, 400",
@@ -95,9 +111,11 @@
         "1,   5,  20, false, 100",
         "1,   1,  20, false, 100",
     })
-    void theSumOfAllRelaysPushesNoColdServerOver(int relays, double allowed, double perSecond, boolean uneven, int crowd) {
+    void theSumOfAllRelaysPushesNoColdServerOver(
+            int relays, double allowed, double perSecond, boolean uneven, int crowd) {
         Sum sum = play(2_500, relays, allowed, perSecond, uneven, crowd, true, 1);
-        System.out.printf("%d relays, %.0f allowed, crowd %d: %d starts fell, %.2f of it sent, nearest %.2f%n",
+        System.out.printf(
+                "%d relays, %.0f allowed, crowd %d: %d starts fell, %.2f of it sent, nearest %.2f%n",
                 relays, allowed, crowd, sum.falls, sum.sentPart, sum.nearest);
         assertThat(sum.falls).isLessThanOrEqualTo(5);
     }
--- a/src/test/java/sandstack/capacity/EstimateTest.java
+++ b/src/test/java/sandstack/capacity/EstimateTest.java
@@ -158,8 +158,9 @@
         for (int i = 0; i < 15; i++) {
             some[1].stands(1, now, 0.5);
         }
-        assertThat(some[1].fullness()).as("half of what its sister held").isCloseTo(0.5,
-                org.assertj.core.data.Offset.offset(0.01));
+        assertThat(some[1].fullness())
+                .as("half of what its sister held")
+                .isCloseTo(0.5, org.assertj.core.data.Offset.offset(0.01));
         assertThat(some[1].open(now)).as("but closed by its own evidence alone").isTrue();
         Estimate otherKind = capacity.unknown();
         otherKind.listed(1, 1);
@@ -169,12 +170,18 @@
 
     /** Whatever is told in whatever order: figures stay figures, and the server opens again. */
     @Property(tries = 300)
-    void noStreamOfEvidenceBreaksAnEstimate(@ForAll @Size(max = 400) List<@IntRange(max = 9) Integer> what,
-            @ForAll @DoubleRange(min = -1e300, max = 1e300) double load, @ForAll long seed,
+    void noStreamOfEvidenceBreaksAnEstimate(
+            @ForAll @Size(max = 400) List<@IntRange(max = 9) Integer> what,
+            @ForAll @DoubleRange(min = -1e300, max = 1e300) double load,
+            @ForAll long seed,
             @ForAll @LongRange(max = 10_000_000) long pace) {
         SplittableRandom draws = new SplittableRandom(seed);
-        Capacity all = new Capacity(seed % 2 == 0 ? Stated.Book.EMPTY
-                : new Stated.Book(new Stated(1e6, 3, seed % 3 == 0, 1e5, 3), List.of()), SLOT, 3);
+        Capacity all = new Capacity(
+                seed % 2 == 0
+                        ? Stated.Book.EMPTY
+                        : new Stated.Book(new Stated(1e6, 3, seed % 3 == 0, 1e5, 3), List.of()),
+                SLOT,
+                3);
         Estimate e = all.unknown();
         e.listed((int) seed, load);
         long time = 0;
--- a/src/test/java/sandstack/config/CapacityFileTest.java
+++ b/src/test/java/sandstack/config/CapacityFileTest.java
@@ -21,10 +21,11 @@
 
     @Test
     void readsOurOwnAndTheOneThatACommandNames() throws Exception {
-        assertThat(CapacityFile.read(new OwnFiles(Path.of("deploy")), null)).as("as shipped")
+        assertThat(CapacityFile.read(new OwnFiles(Path.of("deploy")), null))
+                .as("as shipped")
                 .isSameAs(CapacityFile.NONE);
-        Path named = Files.writeString(folder.resolve("site.toml"),
-                "enabled = true\n[servers]\nwork = 1_000_000\nfirm = true\n");
+        Path named = Files.writeString(
+                folder.resolve("site.toml"), "enabled = true\n[servers]\nwork = 1_000_000\nfirm = true\n");
         CapacityFile theirs = CapacityFile.read(new OwnFiles(folder), named);
         assertThat(theirs.book().of(0).work()).isEqualTo(1e6);
         assertThat(theirs.book().of(0).firm()).isTrue();
@@ -54,27 +55,33 @@
     @Test
     void aNamedFileThatIsNotThereOrWrongIsNamed() throws Exception {
         Path none = folder.resolve("none.toml");
-        assertThatThrownBy(() -> CapacityFile.read(new OwnFiles(folder), none)).isInstanceOf(BadSettings.class)
+        assertThatThrownBy(() -> CapacityFile.read(new OwnFiles(folder), none))
+                .isInstanceOf(BadSettings.class)
                 .hasMessage("cannot read " + none);
         Path wrong = Files.writeString(folder.resolve("site.toml"), "enabled = true\n[servers]\nwork = -1\n");
-        assertThatThrownBy(() -> CapacityFile.read(new OwnFiles(folder), wrong)).isInstanceOf(BadSettings.class)
+        assertThatThrownBy(() -> CapacityFile.read(new OwnFiles(folder), wrong))
+                .isInstanceOf(BadSettings.class)
                 .hasMessageStartingWith(wrong + ": servers.work must be");
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "[servers]§work = -1 | servers.work must be a number from 0 to 1000000000000000: -1",
-        "[servers]§work = nan | servers.work must be a number",
-        "[servers]§work = \"x\" | servers.work must be a number from 0 to 1000000000000000: \"x\"",
-        "[servers]§firm = 1 | servers.firm is neither true nor false: 1",
-        "[servers]§cores = 1 | servers.cores is not known here",
-        "[kinds.a]§load = inf | kinds.a.load must be a number",
-        "[limits]§relay = 1.5 | limits.relay is not a whole number: 1.5",
-        "[limits]§setups = 2e6 | limits.setups must be a number from 0 to 1000000",
-        "kinds = 3 | kinds is not a table: 3",
-        "[limit]§relay = 1 | limit is not known here; known are enabled, kinds, limits, servers"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "[servers]§work = -1 | servers.work must be a number from 0 to 1000000000000000: -1",
+                "[servers]§work = nan | servers.work must be a number",
+                "[servers]§work = \"x\" | servers.work must be a number from 0 to 1000000000000000: \"x\"",
+                "[servers]§firm = 1 | servers.firm is neither true nor false: 1",
+                "[servers]§cores = 1 | servers.cores is not known here",
+                "[kinds.a]§load = inf | kinds.a.load must be a number",
+                "[limits]§relay = 1.5 | limits.relay is not a whole number: 1.5",
+                "[limits]§setups = 2e6 | limits.setups must be a number from 0 to 1000000",
+                "kinds = 3 | kinds is not a table: 3",
+                "[limit]§relay = 1 | limit is not known here; known are enabled, kinds, limits, servers"
+            })
     void whatCannotBeUsedIsToldInOneLine(String text, String message) {
         assertThatThrownBy(() -> read("enabled = true\n" + text.replace('§', '\n')))
-                .isInstanceOf(BadSettings.class).hasMessageContaining("capacity.toml: " + message);
+                .isInstanceOf(BadSettings.class)
+                .hasMessageContaining("capacity.toml: " + message);
     }
 }
--- a/src/test/java/sandstack/config/FleetFileTest.java
+++ b/src/test/java/sandstack/config/FleetFileTest.java
@@ -28,26 +28,32 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "installation = \"hq\" | installation = \"h q\" | fleet.toml: installation must be 2 to 100 letters",
-        "installation = \"hq\" | installation = \"h\"   | fleet.toml: installation must be 2 to 100 letters",
-        "installation = \"hq\" | colour = 1             | fleet.toml: colour is not known here",
-        "installation = \"hq\" | #                      | fleet.toml: installation is missing",
-        "10.0.0.7:4600\"\\n    | 10.0.0.7\"\\n          | fleet.toml: listen is not HOST:PORT: 10.0.0.7",
-        "members = [           | members = [3,          | fleet.toml: members is no address HOST:PORT: 3",
-        "members = [           | members = [\"x:y\",    | fleet.toml: members is not HOST:PORT: x:y",
-        "members =             | machine = \"a b\"\\nmembers = | fleet.toml: machine must be 2 to 100 letters",
-        "members =             | relays = 4\\nmembers =    | fleet.toml: relays must be a list of 1 to 1000 names: 4",
-        "members =             | relays = []\\nmembers =   | fleet.toml: relays must be a list of 1 to 1000 names: 0 of them",
-        "members =             | relays = [7]\\nmembers =  | fleet.toml: relays: 7 is no name",
-        "members =             | relays = [\"n1\", \"n1\"]\\nmembers = | fleet.toml: relays: \"n1\" is there twice",
-        "members =             | relays = [\"n 1\"]\\nmembers = | fleet.toml: relays must be 2 to 100 letters",
-        "members =             | via = 3\\nmembers =    | fleet.toml: via is not a table: 3",
-    })
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "installation = \"hq\" | installation = \"h q\" | fleet.toml: installation must be 2 to 100 letters",
+                "installation = \"hq\" | installation = \"h\"   | fleet.toml: installation must be 2 to 100 letters",
+                "installation = \"hq\" | colour = 1             | fleet.toml: colour is not known here",
+                "installation = \"hq\" | #                      | fleet.toml: installation is missing",
+                "10.0.0.7:4600\"\\n    | 10.0.0.7\"\\n          | fleet.toml: listen is not HOST:PORT: 10.0.0.7",
+                "members = [           | members = [3,          | fleet.toml: members is no address HOST:PORT: 3",
+                "members = [           | members = [\"x:y\",    | fleet.toml: members is not HOST:PORT: x:y",
+                "members =             | machine = \"a b\"\\nmembers = | fleet.toml: machine must be 2 to 100 letters",
+                "members =             | relays = 4\\nmembers =    | fleet.toml: relays must be a list of 1 to 1000 names: 4",
+                "members =             | relays = []\\nmembers =   | fleet.toml: relays must be a list of 1 to 1000 names: 0 of them",
+                "members =             | relays = [7]\\nmembers =  | fleet.toml: relays: 7 is no name",
+                "members =             | relays = [\"n1\", \"n1\"]\\nmembers = | fleet.toml: relays: \"n1\" is there twice",
+                "members =             | relays = [\"n 1\"]\\nmembers = | fleet.toml: relays must be 2 to 100 letters",
+                "members =             | via = 3\\nmembers =    | fleet.toml: via is not a table: 3",
+            })
     void aMistakeIsOneLineThatNamesFileKeyAndValue(String good, String bad, String line) {
-        String toml = GOOD.replace(good.replace("\\n", "\n").strip(), bad.replace("\\n", "\n").strip());
+        String toml = GOOD.replace(
+                good.replace("\\n", "\n").strip(), bad.replace("\\n", "\n").strip());
         assertThat(toml).isNotEqualTo(GOOD);
-        assertThatThrownBy(() -> read(toml)).isInstanceOf(BadSettings.class).hasMessageStartingWith(line)
+        assertThatThrownBy(() -> read(toml))
+                .isInstanceOf(BadSettings.class)
+                .hasMessageStartingWith(line)
                 .hasMessageNotContaining("\n");
     }
 
--- a/src/test/java/sandstack/config/PlatformConfigTest.java
+++ b/src/test/java/sandstack/config/PlatformConfigTest.java
@@ -33,14 +33,16 @@
         assertThat(config.terms().classes()).containsExactly("order-status", "catalogue-feed", "stock-check");
         assertThat(config.terms().settings().maxAttempts()).isEqualTo(6);
         assertThat(config.known().kind()).isEqualTo(ListKind.SAVED);
-        assertThat(config.known().lines()).hasSize(2)
-                .allMatch(line -> line.entry().phase() == Phase.READY && line.entry().zone() == 0);
+        assertThat(config.known().lines())
+                .hasSize(2)
+                .allMatch(line ->
+                        line.entry().phase() == Phase.READY && line.entry().zone() == 0);
     }
 
     @Test
     void variablesComeBeforeTheFile() throws Exception {
-        PlatformConfig config = read(Map.of("PROXY_CONFIG", EXAMPLE.toString(), "PROXY_LISTEN",
-                "127.0.0.9:1", "PROXY_NAME", "n9"));
+        PlatformConfig config =
+                read(Map.of("PROXY_CONFIG", EXAMPLE.toString(), "PROXY_LISTEN", "127.0.0.9:1", "PROXY_NAME", "n9"));
         assertThat(config.listen()).hasToString("127.0.0.9:1");
         assertThat(config.name()).isEqualTo("n9");
     }
@@ -52,11 +54,12 @@
         refused("{", "is not JSON");
         refused(good.replace("127.0.0.1:3000", "3000"), "listen is not HOST:PORT: 3000");
         refused(good.replace("\"seed\": \"", "\"seed\": \"xyz"), "seed is not a hexadecimal number");
-        refused(good.replace("\"max_attempts\": 6", "\"max_attempts\": 0"), "caps.max_attempts is not a number above 0");
+        refused(
+                good.replace("\"max_attempts\": 6", "\"max_attempts\": 0"),
+                "caps.max_attempts is not a number above 0");
         refused(good.replace("\"state\": \"ready\"", "\"state\": \"asleep\""), "has no known state");
         assertThatThrownBy(() -> read(Map.of())).hasMessage("PROXY_CONFIG is not set");
-        assertThatThrownBy(() -> read(Map.of("PROXY_CONFIG", folder + "/none")))
-                .hasMessageStartingWith("cannot read");
+        assertThatThrownBy(() -> read(Map.of("PROXY_CONFIG", folder + "/none"))).hasMessageStartingWith("cannot read");
     }
 
     @Test
@@ -66,31 +69,42 @@
         Map<String, String> env = Map.of("PROXY_CONFIG", file.toString(), "PROXY_DISCOVERY", "127.0.0.9:9");
         PlatformConfig first = read(env);
         assertThat(first.next(env).terms()).isEqualTo(first.terms());
-        assertThat(first.next(env).discovery()).as("the file's, not the variable's").hasToString("127.0.0.1:8500");
-        for (String[] wrong : new String[][] {{good, "", "settings is missing"}, {good, "{", "is not JSON"},
-                {good, good.substring(0, good.length() / 2), "is not JSON"}, {good, good + "}", "is not JSON"},
-                {"\"seed\": \"8c1f30d27a5be964\",", "", "seed"},
-                {"\"moves\": 0.012", "\"other\": 1", "settings.costs.moves is missing"},
-                {"\"gain\": 1.0, ", "", "settings.classes[].gain is missing"},
-                {"\"deadline_us\": 1800000, ", "", "classes.2.deadline_us is missing"},
-                {"\"deadline_us\": 1800000", "\"deadline_us\": 0", "classes.2.deadline_us is not a number above 0"},
-                {"\"deadline_us\": 1800000", "\"deadline_us\": -5", "classes.2.deadline_us is not a number above 0"},
-                {"\"deadline_us\": 1800000", "\"deadline_us\": \"1\"", "classes.2.deadline_us is not a number"},
-                {"\"deadline_us\": 1800000", "\"deadline_us\": null", "classes.2.deadline_us is missing"},
-                {"\"max_attempts\": 6", "\"max_attempts\": 0", "caps.max_attempts is not a number above 0"},
-                {"\"max_attempts\": 6", "\"max_attempts\": true", "caps.max_attempts is not a number"},
-                {"\"max_attempts\": 6", "\"max_attempts\": 1e999", "caps.max_attempts is not a number"},
-                {"\"name\": \"stock-check\"", "\"name\": \"order-status\"", "classes.2.name is there twice"}}) {
+        assertThat(first.next(env).discovery())
+                .as("the file's, not the variable's")
+                .hasToString("127.0.0.1:8500");
+        for (String[] wrong : new String[][] {
+            {good, "", "settings is missing"},
+            {good, "{", "is not JSON"},
+            {good, good.substring(0, good.length() / 2), "is not JSON"},
+            {good, good + "}", "is not JSON"},
+            {"\"seed\": \"8c1f30d27a5be964\",", "", "seed"},
+            {"\"moves\": 0.012", "\"other\": 1", "settings.costs.moves is missing"},
+            {"\"gain\": 1.0, ", "", "settings.classes[].gain is missing"},
+            {"\"deadline_us\": 1800000, ", "", "classes.2.deadline_us is missing"},
+            {"\"deadline_us\": 1800000", "\"deadline_us\": 0", "classes.2.deadline_us is not a number above 0"},
+            {"\"deadline_us\": 1800000", "\"deadline_us\": -5", "classes.2.deadline_us is not a number above 0"},
+            {"\"deadline_us\": 1800000", "\"deadline_us\": \"1\"", "classes.2.deadline_us is not a number"},
+            {"\"deadline_us\": 1800000", "\"deadline_us\": null", "classes.2.deadline_us is missing"},
+            {"\"max_attempts\": 6", "\"max_attempts\": 0", "caps.max_attempts is not a number above 0"},
+            {"\"max_attempts\": 6", "\"max_attempts\": true", "caps.max_attempts is not a number"},
+            {"\"max_attempts\": 6", "\"max_attempts\": 1e999", "caps.max_attempts is not a number"},
+            {"\"name\": \"stock-check\"", "\"name\": \"order-status\"", "classes.2.name is there twice"}
+        }) {
             Files.writeString(file, good.replace(wrong[0], wrong[1]));
-            assertThatThrownBy(() -> first.next(env)).as(wrong[1]).isInstanceOf(BadSettings.class)
-                    .hasMessageContaining(wrong[2]).satisfies(e -> assertThat(e.getMessage().lines()).hasSize(1));
+            assertThatThrownBy(() -> first.next(env))
+                    .as(wrong[1])
+                    .isInstanceOf(BadSettings.class)
+                    .hasMessageContaining(wrong[2])
+                    .satisfies(e -> assertThat(e.getMessage().lines()).hasSize(1));
         }
         Files.writeString(file, good.replace("127.0.0.1:3000", "127.0.0.1:3001").replace("\"rev\": 1,", "\"rev\": 2,"));
         assertThat(first.fromNextStart(first.next(env))).containsExactly("127.0.0.1:3000 stays, not 127.0.0.1:3001");
     }
 
     private void refused(String text, String message) {
-        assertThatThrownBy(() -> load(text)).isInstanceOf(BadSettings.class).hasMessageContaining(message)
+        assertThatThrownBy(() -> load(text))
+                .isInstanceOf(BadSettings.class)
+                .hasMessageContaining(message)
                 .satisfies(e -> assertThat(e.getMessage().lines()).hasSize(1));
     }
 }
--- a/src/test/java/sandstack/console/ConsoleTest.java
+++ b/src/test/java/sandstack/console/ConsoleTest.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
-import sandstack.core.Execution;
-import sandstack.core.NameTable;
-import sandstack.core.Nack;
 import sandstack.core.Command;
 import sandstack.core.Ending;
+import sandstack.core.Execution;
+import sandstack.core.Nack;
+import sandstack.core.NameTable;
 import sandstack.core.Relay;
 import sandstack.core.ServiceClient;
 import sandstack.core.Tenants;
@@ -41,24 +41,59 @@
 
     private final long[] now = {1_000_000};
     private final AtomicBoolean drained = new AtomicBoolean();
-    private final Relay relay = new Relay(new Settings(0, 1, 0, 1,
-            List.of(new RequestClass(300_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 0)), List.of(), 1, false, false,
-            false, false, 0, 6, 100_000, false, 0, false, 0, false, 0, 0, 0, 0, 1, 0, 3, 0, false), 1, () -> now[0],
-            () -> { });
+    private final Relay relay = new Relay(
+            new Settings(
+                    0,
+                    1,
+                    0,
+                    1,
+                    List.of(new RequestClass(300_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 0)),
+                    List.of(),
+                    1,
+                    false,
+                    false,
+                    false,
+                    false,
+                    0,
+                    6,
+                    100_000,
+                    false,
+                    0,
+                    false,
+                    0,
+                    false,
+                    0,
+                    0,
+                    0,
+                    0,
+                    1,
+                    0,
+                    3,
+                    0,
+                    false),
+            1,
+            () -> now[0],
+            () -> {});
 
     private String say(String input) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Console(new Commands(relay, Runnable::run, () -> List.of("lines at 127.0.0.1:9"),
-                () -> drained.set(true), Map.of("fleet json", () -> List.of("{}")),
-                Map.of("fleet take-out", name -> List.of(name + " is out")))).plain(
-                new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), new PrintStream(out, true));
+        new Console(new Commands(
+                        relay,
+                        Runnable::run,
+                        () -> List.of("lines at 127.0.0.1:9"),
+                        () -> drained.set(true),
+                        Map.of("fleet json", () -> List.of("{}")),
+                        Map.of("fleet take-out", name -> List.of(name + " is out"))))
+                .plain(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), new PrintStream(out, true));
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
     void showsWhatTheRelayHolds() throws Exception {
-        relay.listed(new NameTable.News(ListKind.FULL, 7, List.of(
-                new NameTable.Line(new ServerEntry("s1", 0, 0, 0, 0, Phase.READY, 1), "127.0.0.1", 80))));
+        relay.listed(new NameTable.News(
+                ListKind.FULL,
+                7,
+                List.of(new NameTable.Line(new ServerEntry("s1", 0, 0, 0, 0, Phase.READY, 1), "127.0.0.1", 80))));
         relay.tenantsListed(List.of(new Tenants.Entry("gobi", 0.25, 40)));
         ServiceClient client = new Standing();
         relay.take(client, new Command("k", 0, 0, null, 1_000_000, 0, false, null));
@@ -67,8 +102,14 @@
         relay.turn();
         gone.execution().ended(Ending.SERVED);
         String shown = say("listeners\nnames\nstanding\nendings\ntenants\n");
-        assertThat(shown).contains("lines at 127.0.0.1:9", "version 7", "READY", "s1               1 standing",
-                "SERVED           1", "gobi             share 0.25  connections 40");
+        assertThat(shown)
+                .contains(
+                        "lines at 127.0.0.1:9",
+                        "version 7",
+                        "READY",
+                        "s1               1 standing",
+                        "SERVED           1",
+                        "gobi             share 0.25  connections 40");
     }
 
     @Test
--- a/src/test/java/sandstack/core/ExecutionTest.java
+++ b/src/test/java/sandstack/core/ExecutionTest.java
@@ -14,10 +14,39 @@
     private final List<Execution> begun = new ArrayList<>();
     private int abandoned;
     private int moved;
-    private final Relay relay = new Relay(new Settings(0, 1, 0, 1,
-            List.of(new RequestClass(300_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 0)), List.of(), 1, false, false,
-            false, false, 0, 6, 100_000, false, 1_000_000, false, 0, false, 0, 0, 0, 0, 1, 0, 3, 0, false), 1, () -> now,
-            () -> { });
+    private final Relay relay = new Relay(
+            new Settings(
+                    0,
+                    1,
+                    0,
+                    1,
+                    List.of(new RequestClass(300_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 0)),
+                    List.of(),
+                    1,
+                    false,
+                    false,
+                    false,
+                    false,
+                    0,
+                    6,
+                    100_000,
+                    false,
+                    1_000_000,
+                    false,
+                    0,
+                    false,
+                    0,
+                    0,
+                    0,
+                    0,
+                    1,
+                    0,
+                    3,
+                    0,
+                    false),
+            1,
+            () -> now,
+            () -> {});
 
     /** A client whose wires only count. */
     private final class Counting extends ServiceClient {
@@ -60,8 +89,10 @@
     }
 
     private Execution begin() {
-        relay.listed(new NameTable.News(ListKind.FULL, 1, List.of(new NameTable.Line(
-                new ServerEntry("s1", 0, 0, 0, 0, Phase.READY, 1), "127.0.0.1", 80))));
+        relay.listed(new NameTable.News(
+                ListKind.FULL,
+                1,
+                List.of(new NameTable.Line(new ServerEntry("s1", 0, 0, 0, 0, Phase.READY, 1), "127.0.0.1", 80))));
         relay.take(new Counting(), new Command("k", 0, 0, null, 1_000_000, 0, false, null));
         relay.turn();
         return begun.get(0);
@@ -96,8 +127,10 @@
     @Test
     void aWayThatComesUpToADrainingServerIsGivenUpUnsent() {
         Execution execution = begin();
-        relay.listed(new NameTable.News(ListKind.CHANGES, 2, List.of(new NameTable.Line(
-                new ServerEntry("s1", 0, 0, 0, 0, Phase.DRAINING, 1), "127.0.0.1", 80))));
+        relay.listed(new NameTable.News(
+                ListKind.CHANGES,
+                2,
+                List.of(new NameTable.Line(new ServerEntry("s1", 0, 0, 0, 0, Phase.DRAINING, 1), "127.0.0.1", 80))));
         assertThat(execution.connected()).isFalse();
         assertThat(execution.over()).isTrue();
         assertThat(abandoned).isEqualTo(1);
@@ -153,7 +186,7 @@
         }
         relay.turn();
         begun.forEach(Execution::up);
-        relay.drain(() -> 0, () -> { });
+        relay.drain(() -> 0, () -> {});
         now += 790_000;
         relay.turn();
         assertThat(moved).isZero();
--- a/src/test/java/sandstack/decisions/BrainTest.java
+++ b/src/test/java/sandstack/decisions/BrainTest.java
@@ -101,8 +101,8 @@
         Rig rig = new Rig(Rig.settings().build(), 3);
         rig.list(6, 2);
         String server = standing(rig);
-        List<Action> actions = rig.send(new ServerList(ListKind.CHANGES,
-                List.of(new ServerEntry(server, 0, 0, 0, 0, Phase.DRAINING, 1))));
+        List<Action> actions = rig.send(
+                new ServerList(ListKind.CHANGES, List.of(new ServerEntry(server, 0, 0, 0, 0, Phase.DRAINING, 1))));
         long wait = delay(actions);
         assertTrue(wait <= 64 * SLOT + 1);
         List<Action> due = rig.brain.on(new TimerDue(((SetTimer) actions.get(0)).token()), rig.now + wait);
@@ -218,7 +218,8 @@
 
     @Test
     void keyedRequestInAnyGroupMayBeRefused() {
-        Rig rig = new Rig(Rig.settings().repeat(Repeat.KEYED, Scope.ALL).attempts(1).build(), 1);
+        Rig rig = new Rig(
+                Rig.settings().repeat(Repeat.KEYED, Scope.ALL).attempts(1).build(), 1);
         rig.list(6, 2);
         rig.request("r", "k");
         assertTrue(fail(rig, "r", Outcome.ERROR).get(0) instanceof Refuse);
@@ -325,9 +326,14 @@
     void eventsForUnknownRequestsAndServersAreIgnored() {
         Rig rig = new Rig(Rig.settings().build(), 1);
         rig.list(3, 1);
-        List<Event> strays = List.of(new Established("x", 0, "s0", 1), new LoadChanged("x", 0, "y", 1),
-                new DelayReported("x", 0, "y", 1e9), new ClientGone("x"), new TimerDue(77),
-                new AttemptEnded("x", 0, "y", Outcome.OK, true, 1, null), new PeerMessage(5, "junk"),
+        List<Event> strays = List.of(
+                new Established("x", 0, "s0", 1),
+                new LoadChanged("x", 0, "y", 1),
+                new DelayReported("x", 0, "y", 1e9),
+                new ClientGone("x"),
+                new TimerDue(77),
+                new AttemptEnded("x", 0, "y", Outcome.OK, true, 1, null),
+                new PeerMessage(5, "junk"),
                 new ProbeEnded("y", Outcome.TIMEOUT, 1, null),
                 new ConnectRequest("z", 99, 0, null, null, rig.now + 5, 0, false, false));
         for (Event e : strays) {
@@ -344,14 +350,17 @@
         bad.put("maxAttempts", () -> Rig.settings().attempts(0).build());
         bad.put("drainGrace", () -> Rig.settings().grace(-1).build());
         bad.forEach((name, make) -> {
-            String said = assertThrows(IllegalArgumentException.class, make::run).getMessage();
+            String said =
+                    assertThrows(IllegalArgumentException.class, make::run).getMessage();
             assertTrue(said.contains(name), said);
         });
     }
 
     @Test
     void sameSeedAndEventsGiveTheSameActions() {
-        assertEquals(randomRun(11, Rig.settings().build()), randomRun(11, Rig.settings().build()));
+        assertEquals(
+                randomRun(11, Rig.settings().build()),
+                randomRun(11, Rig.settings().build()));
     }
 
     @Test
@@ -377,8 +386,16 @@
             int what = chance.nextInt(100);
             if (what < 30) {
                 String group = chance.nextInt(3) == 0 ? "g" + chance.nextInt(4) : null;
-                rig.send(new ConnectRequest("q" + step, 0, 0, "k" + chance.nextInt(200), group,
-                        rig.now + Rig.DEADLINE, 0, chance.nextInt(20) == 0, chance.nextInt(4) == 0));
+                rig.send(new ConnectRequest(
+                        "q" + step,
+                        0,
+                        0,
+                        "k" + chance.nextInt(200),
+                        group,
+                        rig.now + Rig.DEADLINE,
+                        0,
+                        chance.nextInt(20) == 0,
+                        chance.nextInt(4) == 0));
             } else if (what < 80) {
                 rig.settleOne(chance);
             } else if (what < 84) {
--- a/src/test/java/sandstack/decisions/CapacityInTheModuleTest.java
+++ b/src/test/java/sandstack/decisions/CapacityInTheModuleTest.java
@@ -49,7 +49,9 @@
     }
 
     private static List<Refuse> refusals(Rig rig) {
-        return rig.log.stream().flatMap(a -> a instanceof Refuse r ? Stream.of(r) : Stream.empty()).toList();
+        return rig.log.stream()
+                .flatMap(a -> a instanceof Refuse r ? Stream.of(r) : Stream.empty())
+                .toList();
     }
 
     @Test
@@ -124,7 +126,9 @@
         for (int i = 0; i < 50; i++) {
             stand(pace, "r" + i, 0, null);
         }
-        assertThat(refusals(pace)).as("50 in 50 ms, of 10 a second each").hasSizeGreaterThan(45)
+        assertThat(refusals(pace))
+                .as("50 in 50 ms, of 10 a second each")
+                .hasSizeGreaterThan(45)
                 .allMatch(r -> r.cause() == Cause.SERVER_LIMIT);
     }
 
--- a/src/test/java/sandstack/decisions/EmbeddingTest.java
+++ b/src/test/java/sandstack/decisions/EmbeddingTest.java
@@ -13,29 +13,60 @@
     @Test
     void oneRequestFromArrivalToEnd() {
         RequestClass feed = new RequestClass(500_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 100_000);
-        Settings settings = new Settings(0, 4, 0, 1, List.of(feed), List.of(), 1, false, false, false, false,
-                0, 3, 100_000, true, 2_000_000, false, 0, false, 0, 0, 0, 1_000_000, 0.3, 8_000_000, 3,
-                2_000_000, false);
+        Settings settings = new Settings(
+                0,
+                4,
+                0,
+                1,
+                List.of(feed),
+                List.of(),
+                1,
+                false,
+                false,
+                false,
+                false,
+                0,
+                3,
+                100_000,
+                true,
+                2_000_000,
+                false,
+                0,
+                false,
+                0,
+                0,
+                0,
+                1_000_000,
+                0.3,
+                8_000_000,
+                3,
+                2_000_000,
+                false);
         long now = 0;
         Brain brain = new Brain(settings, Rig.PLATFORM, Limits.NONE, 42, now);
-        brain.on(new ServerList(ListKind.FULL, List.of(
-                new ServerEntry("a", 0, 0, 0, 0, Phase.READY, 1),
-                new ServerEntry("b", 0, 0, 0, 0, Phase.READY, 1))), now);
+        brain.on(
+                new ServerList(
+                        ListKind.FULL,
+                        List.of(
+                                new ServerEntry("a", 0, 0, 0, 0, Phase.READY, 1),
+                                new ServerEntry("b", 0, 0, 0, 0, Phase.READY, 1))),
+                now);
 
         ConnectRequest request = new ConnectRequest("r1", 0, 0, "client-7", null, now + 2_000_000, 0, false, false);
         Attempt first = (Attempt) brain.on(request, now).get(0);
 
         now += 5_000;
-        SetTimer hold = (SetTimer) brain.on(
-                new AttemptEnded("r1", 0, first.server(), Outcome.CONNECT_FAILED, false, 5_000, null), now).get(0);
+        SetTimer hold = (SetTimer)
+                brain.on(new AttemptEnded("r1", 0, first.server(), Outcome.CONNECT_FAILED, false, 5_000, null), now)
+                        .get(0);
         now += hold.after();
         Attempt second = (Attempt) brain.on(new TimerDue(hold.token()), now).get(0);
         assertTrue(!second.server().equals(first.server()), "the failed server is marked");
 
         brain.on(new Established("r1", 1, second.server(), 9_000), now + 9_000);
         now += 60_000_000;
-        List<Action> last = brain.on(
-                new AttemptEnded("r1", 1, second.server(), Outcome.OK, true, 60_000_000, null), now);
+        List<Action> last =
+                brain.on(new AttemptEnded("r1", 1, second.server(), Outcome.OK, true, 60_000_000, null), now);
         assertEquals(List.of(), last);
     }
 }
--- a/src/test/java/sandstack/decisions/FleetTest.java
+++ b/src/test/java/sandstack/decisions/FleetTest.java
@@ -24,7 +24,8 @@
     private static final long STEP = 100_000;
     private static final Settings SET = Rig.settings().build();
     /** Usual connections that fill a server, by what the platform's file states. */
-    private static final double FILLS = Rig.PLATFORM.other().work() / Rig.PLATFORM.other().load();
+    private static final double FILLS =
+            Rig.PLATFORM.other().work() / Rig.PLATFORM.other().load();
 
     private final List<Rig> relays = new ArrayList<>();
     private final Random chance = new Random(17);
@@ -98,9 +99,11 @@
             cold += times.size();
             for (int i = 0; i < times.size(); i++) {
                 long from = times.get(i);
-                long inWindow = times.stream().filter(t -> t >= from && t < from + SET.tipAfter()).count();
-                double budget = SET.tipMultiple() * FILLS / SET.warmAfter() * SET.tipAfter()
-                        * warmth(from - s.getValue());
+                long inWindow = times.stream()
+                        .filter(t -> t >= from && t < from + SET.tipAfter())
+                        .count();
+                double budget =
+                        SET.tipMultiple() * FILLS / SET.warmAfter() * SET.tipAfter() * warmth(from - s.getValue());
                 // a Poisson number of permits around half the budget stays under it and three more
                 assertThat((double) inWindow).as(s.getKey()).isLessThanOrEqualTo(budget + 3);
             }
--- a/src/test/java/sandstack/decisions/NewSettingsTest.java
+++ b/src/test/java/sandstack/decisions/NewSettingsTest.java
@@ -32,20 +32,26 @@
     }
 
     private static Attempt attempt(List<Action> actions) {
-        return actions.stream().filter(Attempt.class::isInstance).map(Attempt.class::cast).findFirst().orElse(null);
+        return actions.stream()
+                .filter(Attempt.class::isInstance)
+                .map(Attempt.class::cast)
+                .findFirst()
+                .orElse(null);
     }
 
     @Test
     void aClassThatAppearsIsServedAndKeepsItsStricterRule() {
         Settings before = Rig.settings().build();
         Brain brain = new Brain(before, Rig.PLATFORM, Limits.NONE, 3, 1_000_000);
-        List<Decisions.ServerEntry> list = List.of(new Decisions.ServerEntry("s0", 0, 0, 0, 0, Decisions.Phase.READY, 1),
+        List<Decisions.ServerEntry> list = List.of(
+                new Decisions.ServerEntry("s0", 0, 0, 0, 0, Decisions.Phase.READY, 1),
                 new Decisions.ServerEntry("s1", 0, 0, 0, 0, Decisions.Phase.READY, 1));
         brain.on(new Decisions.ServerList(Decisions.ListKind.FULL, list), 1_000_000);
         ConnectRequest ask = new ConnectRequest("a", 1, 0, "k", null, 3_000_000, 0, false, false);
         assertThat(brain.on(ask, 1_000_000)).containsExactly(new Fail("a"));
         brain.on(new SettingsChanged(withClass(before, UNSAFE)), 1_000_000);
-        Attempt sent = attempt(brain.on(new ConnectRequest("b", 1, 0, "k", null, 3_000_000, 0, false, false), 1_000_000));
+        Attempt sent =
+                attempt(brain.on(new ConnectRequest("b", 1, 0, "k", null, 3_000_000, 0, false, false), 1_000_000));
         assertThat(sent).isNotNull();
         assertThat(brain.on(new AttemptEnded("b", 0, sent.server(), Outcome.RESET, false, 1000, null), 1_001_000))
                 .containsExactly(new Fail("b"));
@@ -64,7 +70,9 @@
                 rig.send(new AttemptEnded("a", i, out.server(), Outcome.CONNECT_FAILED, false, 1000, null));
             }
             rig.finish();
-            assertThat(rig.tries.get("a")).as("from %d to %d", change[0], change[1]).isLessThanOrEqualTo(change[2]);
+            assertThat(rig.tries.get("a"))
+                    .as("from %d to %d", change[0], change[1])
+                    .isLessThanOrEqualTo(change[2]);
             assertThat(rig.log).anyMatch(Refuse.class::isInstance);
         }
     }
@@ -105,6 +113,8 @@
             rig.advance(50_000);
             rig.request("r" + i, "k" + i);
         }
-        return (int) rig.attempts.values().stream().filter(a -> a.server().equals("s0")).count();
+        return (int) rig.attempts.values().stream()
+                .filter(a -> a.server().equals("s0"))
+                .count();
     }
 }
--- a/src/test/java/sandstack/decisions/NothingStatedTest.java
+++ b/src/test/java/sandstack/decisions/NothingStatedTest.java
@@ -13,8 +13,35 @@
 class NothingStatedTest {
     private static Rig rig(boolean sized) {
         Settings s = Rig.settings().build();
-        Settings with = new Settings(s.self(), s.instances(), 0, 1, s.classes(), s.tenants(), 1, false, false, true, true,
-                Rig.ASK, 6, 50_000, true, 60_000_000, false, 0, false, 0, 0, 0, Rig.GRACE, 0.3, 8_000_000, 3, 2_000_000, sized);
+        Settings with = new Settings(
+                s.self(),
+                s.instances(),
+                0,
+                1,
+                s.classes(),
+                s.tenants(),
+                1,
+                false,
+                false,
+                true,
+                true,
+                Rig.ASK,
+                6,
+                50_000,
+                true,
+                60_000_000,
+                false,
+                0,
+                false,
+                0,
+                0,
+                0,
+                Rig.GRACE,
+                0.3,
+                8_000_000,
+                3,
+                2_000_000,
+                sized);
         Rig rig = new Rig(with, Stated.Book.EMPTY, Limits.NONE, 5);
         rig.list(2, 1);
         return rig;
--- a/src/test/java/sandstack/decisions/OverloadTest.java
+++ b/src/test/java/sandstack/decisions/OverloadTest.java
@@ -82,8 +82,10 @@
     }
 
     private static Rig[] ofTwoZones(int instances) {
-        Rig[] rigs = {new Rig(Rig.settings().instances(instances).zone(0).build(), 6),
-                new Rig(Rig.settings().instances(instances).zone(1).build(), 7)};
+        Rig[] rigs = {
+            new Rig(Rig.settings().instances(instances).zone(0).build(), 6),
+            new Rig(Rig.settings().instances(instances).zone(1).build(), 7)
+        };
         for (Rig rig : rigs) {
             rig.list(9, 2);
             for (int i = 0; i < 60; i++) {
@@ -131,11 +133,12 @@
         jam(rig, 3);
         int[] refused = new int[2];
         for (int i = 0; i < 400; i++) {
-            List<Action> a = rig.send(new ConnectRequest("q" + i, i % 2, 0, "q" + i, null,
-                    rig.now + Rig.DEADLINE, 0, false, false));
+            List<Action> a = rig.send(
+                    new ConnectRequest("q" + i, i % 2, 0, "q" + i, null, rig.now + Rig.DEADLINE, 0, false, false));
             refused[i % 2] += a.stream().anyMatch(x -> x instanceof Refuse) ? 1 : 0;
         }
-        assertTrue(refused[0] > 20 && refused[1] > 20 && Math.abs(refused[0] - refused[1]) < 60,
+        assertTrue(
+                refused[0] > 20 && refused[1] > 20 && Math.abs(refused[0] - refused[1]) < 60,
                 refused[0] + " and " + refused[1] + " of 200 refused");
     }
 
@@ -144,8 +147,9 @@
         Rig rig = new Rig(Rig.settings().classes(1, 3).build(), 6);
         rig.list(6, 2);
         for (int i = 0; i < 60; i++) {
-            rig.send(new Adopted(new ConnectRequest("c" + i, i % 2, 0, "c" + i, null, rig.now + Rig.DEADLINE, 0,
-                    false, false), "s" + i % 6));
+            rig.send(new Adopted(
+                    new ConnectRequest("c" + i, i % 2, 0, "c" + i, null, rig.now + Rig.DEADLINE, 0, false, false),
+                    "s" + i % 6));
             rig.send(new LoadChanged("c" + i, 0, "s" + i % 6, 1000));
         }
         rig.now += Rig.DEADLINE;
@@ -153,8 +157,8 @@
         jam(rig, 2);
         int[] refused = new int[2];
         for (int i = 0; i < 400; i++) {
-            List<Action> a = rig.send(new ConnectRequest("q" + i, i % 2, 0, "q" + i, null,
-                    rig.now + Rig.DEADLINE, 0, false, false));
+            List<Action> a = rig.send(
+                    new ConnectRequest("q" + i, i % 2, 0, "q" + i, null, rig.now + Rig.DEADLINE, 0, false, false));
             refused[i % 2] += a.stream().anyMatch(x -> x instanceof Refuse) ? 1 : 0;
         }
         assertTrue(refused[0] > 50 && refused[1] == 0, refused[0] + " and " + refused[1] + " of 200 refused");
@@ -224,7 +228,8 @@
         Rig rig = new Rig(Rig.settings().build(), 6);
         rig.list(6, 2);
         for (int i = 0; i < 60; i++) {
-            rig.send(new Adopted(rig.ask("c" + i, "c" + i), "s" + List.of(0, 1, 3, 4).get(i % 4)));
+            rig.send(new Adopted(
+                    rig.ask("c" + i, "c" + i), "s" + List.of(0, 1, 3, 4).get(i % 4)));
         }
         assertTrue(placedAt(rig, 1, "r") > 90, "placed where 15 stand on each, as nothing is told of them");
     }
--- a/src/test/java/sandstack/decisions/Rig.java
+++ b/src/test/java/sandstack/decisions/Rig.java
@@ -23,6 +23,7 @@
 final class Rig {
     /** What an operator may state: a load, and the price of a group. */
     static final Stated.Book PLATFORM = new Stated.Book(new Stated(1e6, 0, true, 1e6 / 15, 3), List.of());
+
     static final long AIM = 320_000;
     static final long DEADLINE = 2_000_000;
     static final long WINDOW = 800_000;
@@ -125,8 +126,34 @@
         }
 
         Settings build() {
-            return new Settings(0, instances, zone, 2, classes, List.of(), 1, false, false, true, ask, ASK, attempts, 50_000,
-                    advice, 60_000_000, false, 0.002, true, 0.01, 0.08, 0.01, grace, 0.3, 8_000_000, 3, 2_000_000,
+            return new Settings(
+                    0,
+                    instances,
+                    zone,
+                    2,
+                    classes,
+                    List.of(),
+                    1,
+                    false,
+                    false,
+                    true,
+                    ask,
+                    ASK,
+                    attempts,
+                    50_000,
+                    advice,
+                    60_000_000,
+                    false,
+                    0.002,
+                    true,
+                    0.01,
+                    0.08,
+                    0.01,
+                    grace,
+                    0.3,
+                    8_000_000,
+                    3,
+                    2_000_000,
                     false);
         }
     }
@@ -134,8 +161,9 @@
     /** n servers, every third of them in the other zone; two to a cell. */
     List<Action> list(int n, int cells) {
         for (int i = 0; i < n; i++) {
-            list.put("s" + i, new ServerEntry("s" + i, i % 3 == 2 ? 1 : 0, i / Math.max(1, cells), 0, 0,
-                    Phase.READY, 1));
+            list.put(
+                    "s" + i,
+                    new ServerEntry("s" + i, i % 3 == 2 ? 1 : 0, i / Math.max(1, cells), 0, 0, Phase.READY, 1));
         }
         return send(new ServerList(ListKind.SAVED, new ArrayList<>(list.values())));
     }
@@ -178,7 +206,8 @@
     }
 
     List<Action> send(Event event) {
-        if (event instanceof ConnectRequest r && r.requestClass() < settings.classes().size()) {
+        if (event instanceof ConnectRequest r
+                && r.requestClass() < settings.classes().size()) {
             owed.put(r.id(), r);
         }
         if (event instanceof Established e) {
@@ -239,7 +268,8 @@
             answer(a.id());
             if (mayHaveRun.containsKey(a.id())) {
                 RequestClass c = settings.classes().get(0);
-                assertTrue(c.repeat() == Repeat.SAFE || (c.repeat() == Repeat.KEYED && c.scope() == Scope.ALL),
+                assertTrue(
+                        c.repeat() == Repeat.SAFE || (c.repeat() == Repeat.KEYED && c.scope() == Scope.ALL),
                         "refused what may have run");
             }
         } else if (action instanceof Fail a) {
--- a/src/test/java/sandstack/decisions/RollTest.java
+++ b/src/test/java/sandstack/decisions/RollTest.java
@@ -16,8 +16,15 @@
     private static final int DAYS = 12;
 
     private static World.Outcome[] days(boolean bySight) {
-        return LongStream.rangeClosed(1, DAYS).parallel().mapToObj(seed -> World.roll(seed, 100,
-                18 + (int) (seed % 4) * 3, 230 + (int) (seed % 3) * 30, 10 + (int) (seed % 5), bySight))
+        return LongStream.rangeClosed(1, DAYS)
+                .parallel()
+                .mapToObj(seed -> World.roll(
+                        seed,
+                        100,
+                        18 + (int) (seed % 4) * 3,
+                        230 + (int) (seed % 3) * 30,
+                        10 + (int) (seed % 5),
+                        bySight))
                 .toArray(World.Outcome[]::new);
     }
 
--- a/src/test/java/sandstack/decisions/SourceTest.java
+++ b/src/test/java/sandstack/decisions/SourceTest.java
@@ -44,9 +44,24 @@
     void moduleKnowsNoDeploymentAndReadsNothingFromOutside() throws IOException {
         for (Path file : policy()) {
             String text = Files.readString(file).toLowerCase().replace("clock, thread or", "");
-            assertThat(text).as(file.toString()).doesNotContain("bengal", "jhb", "laredo", "canli", "toowoomba",
-                    "getenv", "getproperty", "java.io", "java.net", "java.nio", "currenttimemillis", "nanotime",
-                    "java.lang.thread", "new thread", "math.random");
+            assertThat(text)
+                    .as(file.toString())
+                    .doesNotContain(
+                            "bengal",
+                            "jhb",
+                            "laredo",
+                            "canli",
+                            "toowoomba",
+                            "getenv",
+                            "getproperty",
+                            "java.io",
+                            "java.net",
+                            "java.nio",
+                            "currenttimemillis",
+                            "nanotime",
+                            "java.lang.thread",
+                            "new thread",
+                            "math.random");
         }
     }
 
--- a/src/test/java/sandstack/decisions/StreamTest.java
+++ b/src/test/java/sandstack/decisions/StreamTest.java
@@ -57,10 +57,34 @@
             RequestClass light = new RequestClass(320_000, 2_000_000, 5, Repeat.SAFE, Scope.ALL, 0, 100_000);
             RequestClass heavy = new RequestClass(500_000, 3_000_000, 1, Repeat.KEYED, Scope.ZONE, 800_000, 150_000);
             RequestClass once = new RequestClass(500_000, 3_000_000, 2, Repeat.UNSAFE, Scope.CELL, 0, 0);
-            return new Settings(1, 3, 0, 3, List.of(light, heavy, once),
-                    List.of(new Tenant(20, 0.5), new Tenant(60, 0.5)), kind.contains("tenants") ? 0.2 : 1,
-                    false, false, kind.contains("groups"), true, 10_000_000, 5, 50_000, true,
-                    1_500_000, false, 0.002, false, 0.01, 0.1, 0.012, 300_000, 0.3, 8_000_000, 3, 1_500_000,
+            return new Settings(
+                    1,
+                    3,
+                    0,
+                    3,
+                    List.of(light, heavy, once),
+                    List.of(new Tenant(20, 0.5), new Tenant(60, 0.5)),
+                    kind.contains("tenants") ? 0.2 : 1,
+                    false,
+                    false,
+                    kind.contains("groups"),
+                    true,
+                    10_000_000,
+                    5,
+                    50_000,
+                    true,
+                    1_500_000,
+                    false,
+                    0.002,
+                    false,
+                    0.01,
+                    0.1,
+                    0.012,
+                    300_000,
+                    0.3,
+                    8_000_000,
+                    3,
+                    1_500_000,
                     false);
         }
 
@@ -76,7 +100,8 @@
                     out.put(a.id(), a);
                     tries.merge(a.id(), 1, Integer::sum);
                 } else if (action instanceof SetTimer t) {
-                    timers.computeIfAbsent(now + t.after(), k -> new ArrayList<>()).add(t.token());
+                    timers.computeIfAbsent(now + t.after(), k -> new ArrayList<>())
+                            .add(t.token());
                 } else if (action instanceof Relocate r && standing.containsKey(r.id()) && chance.nextInt(4) > 0) {
                     end(r.id(), Outcome.CANCELLED, true);
                 }
@@ -98,9 +123,16 @@
             String id = "r" + asked++;
             String key = "k" + chance.nextInt(300);
             String group = settings.sharedGroups() ? "g" + (int) Math.sqrt(chance.nextInt(400)) : null;
-            ConnectRequest ask = new ConnectRequest(id, c, chance.nextInt(3) - 1, key, group,
-                    now + settings.classes().get(c).deadline(), loads && chance.nextBoolean() ? 30_000 : 0,
-                    false, chance.nextInt(4) == 0);
+            ConnectRequest ask = new ConnectRequest(
+                    id,
+                    c,
+                    chance.nextInt(3) - 1,
+                    key,
+                    group,
+                    now + settings.classes().get(c).deadline(),
+                    loads && chance.nextBoolean() ? 30_000 : 0,
+                    false,
+                    chance.nextInt(4) == 0);
             if (chance.nextInt(60) == 0) {
                 Attempt a = new Attempt(id, "s" + chance.nextInt(SERVERS), 0);
                 tries.put(id, 1);
@@ -148,12 +180,11 @@
                 end(any(standing), chance.nextInt(8) == 0 ? Outcome.RESET : Outcome.OK, true);
             } else if (what < 90 && loads && !standing.isEmpty()) {
                 String id = any(standing);
-                tell(new LoadChanged(id, tries.get(id) - 1, standing.get(id).server(),
-                        chance.nextDouble() * 120_000));
+                tell(new LoadChanged(id, tries.get(id) - 1, standing.get(id).server(), chance.nextDouble() * 120_000));
             } else if (what < 95 && delays && !standing.isEmpty()) {
                 String id = any(standing);
-                tell(new DelayReported(id, tries.get(id) - 1, standing.get(id).server(),
-                        chance.nextDouble() * 180_000));
+                tell(new DelayReported(
+                        id, tries.get(id) - 1, standing.get(id).server(), chance.nextDouble() * 180_000));
             } else if (what == 98) {
                 list();
             } else if (what == 99) {
@@ -180,7 +211,8 @@
         "loads+groups, 2, 4736 fbfd92ef6c82d28d",
         "loads+groups+tenants, 3, 4764 8727ec657c56e9a2",
         "delays, 4, 5831 dcd15ec97428c70f",
-        "delays+groups+tenants+loads, 5, 7391 38b82cc2637ea78c"})
+        "delays+groups+tenants+loads, 5, 7391 38b82cc2637ea78c"
+    })
     void sameEventsGiveTheSameActions(String kind, long seed, String kept) throws NoSuchAlgorithmException {
         assertThat(new Stream(kind, seed).play()).as(kind).isEqualTo(kept);
     }
--- a/src/test/java/sandstack/decisions/World.java
+++ b/src/test/java/sandstack/decisions/World.java
@@ -25,6 +25,7 @@
     private static final long DROP_AT = 1_000_000;
     /** Of what a server does, so much stays when it drops the rest. */
     private static final double DROP_TO = 0.2;
+
     private static final long SET_UP = 30_000;
     private static final double SET_UP_WORK = 0.3;
     private static final double GROUP = 3;
@@ -96,8 +97,8 @@
     private final List<Relay> relays = new ArrayList<>();
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final List<Client> clients = new ArrayList<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) ->
-            a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private long now = 50_000_000;
     private long order;
     private int ids;
@@ -204,8 +205,9 @@
     }
 
     private Machine machine(String name, double rating, long startedAt) {
-        Machine m = new Machine(new ServerEntry(name, Math.floorMod(name.hashCode(), 97) % zones, 0, 0, startedAt,
-                Phase.READY, rating), rating * 15 * 1.3 * (0.9 + 0.6 * chance.nextDouble()));
+        Machine m = new Machine(
+                new ServerEntry(name, Math.floorMod(name.hashCode(), 97) % zones, 0, 0, startedAt, Phase.READY, rating),
+                rating * 15 * 1.3 * (0.9 + 0.6 * chance.nextDouble()));
         machines.put(name, m);
         return m;
     }
@@ -213,12 +215,44 @@
     private Settings settings(Relay r) {
         List<RequestClass> classes = new ArrayList<>();
         for (int c = 0; c < 3; c++) {
-            classes.add(new RequestClass(c == 2 ? 300_000 : 500_000, c == 2 ? 1_800_000 : 3_000_000, WORTH[c],
-                    Repeat.SAFE, Scope.ALL, 5_000_000, AIM));
+            classes.add(new RequestClass(
+                    c == 2 ? 300_000 : 500_000,
+                    c == 2 ? 1_800_000 : 3_000_000,
+                    WORTH[c],
+                    Repeat.SAFE,
+                    Scope.ALL,
+                    5_000_000,
+                    AIM));
         }
-        return new Settings(r.number, relays.size(), r.zone, zones, classes, List.of(), 1, false, false, true, false,
-                10_000_000, 6, 100_000, true, 1_500_000, false, 0.002, true, 0.01, 0.08, 0.01, 300_000, 0.13,
-                23_000_000, 3, 1_500_000, false);
+        return new Settings(
+                r.number,
+                relays.size(),
+                r.zone,
+                zones,
+                classes,
+                List.of(),
+                1,
+                false,
+                false,
+                true,
+                false,
+                10_000_000,
+                6,
+                100_000,
+                true,
+                1_500_000,
+                false,
+                0.002,
+                true,
+                0.01,
+                0.08,
+                0.01,
+                300_000,
+                0.13,
+                23_000_000,
+                3,
+                1_500_000,
+                false);
     }
 
     /** A relay starts with nothing but the list. */
@@ -226,13 +260,23 @@
         r.brain = new Brain(settings(r), Rig.PLATFORM, Limits.NONE, chance.nextLong(), now);
         r.draining = false;
         r.life++;
-        tell(r, new ServerList(ListKind.SAVED, machines.values().stream().map(World::entry).toList()));
+        tell(
+                r,
+                new ServerList(
+                        ListKind.SAVED,
+                        machines.values().stream().map(World::entry).toList()));
     }
 
     private static ServerEntry entry(Machine m) {
         ServerEntry e = m.entry;
-        return new ServerEntry(e.server(), e.zone(), e.cell(), e.kind(), e.startedAt(),
-                m.draining ? Phase.DRAINING : Phase.READY, e.rating());
+        return new ServerEntry(
+                e.server(),
+                e.zone(),
+                e.cell(),
+                e.kind(),
+                e.startedAt(),
+                m.draining ? Phase.DRAINING : Phase.READY,
+                e.rating());
     }
 
     private void at(long after, Runnable what) {
@@ -319,12 +363,22 @@
     }
 
     private ConnectRequest ask(Client c) {
-        return new ConnectRequest(c.id, c.cls, 0, c.key, c.group, now + (c.cls == 2 ? 1_700_000 : 2_900_000),
-                LOAD[c.cls] * UNIT, false, c.returning);
+        return new ConnectRequest(
+                c.id,
+                c.cls,
+                0,
+                c.key,
+                c.group,
+                now + (c.cls == 2 ? 1_700_000 : 2_900_000),
+                LOAD[c.cls] * UNIT,
+                false,
+                c.returning);
     }
 
     private void come(Client c) {
-        List<Relay> up = relays.stream().filter(r -> r.brain != null && !r.draining && r.zone == c.zone).toList();
+        List<Relay> up = relays.stream()
+                .filter(r -> r.brain != null && !r.draining && r.zone == c.zone)
+                .toList();
         if (up.isEmpty()) {
             at(200_000, () -> come(c));
             return;
--- a/src/test/java/sandstack/decisions/ZoneLostTest.java
+++ b/src/test/java/sandstack/decisions/ZoneLostTest.java
@@ -14,8 +14,10 @@
  */
 class ZoneLostTest {
     private static World.Outcome[] days(int clients) {
-        return LongStream.rangeClosed(1, 24).parallel().mapToObj(seed -> World.zoneLost(seed, 90,
-                21 + (int) (seed % 4) * 3, clients + (int) (seed % 3) * 20, 8 + (int) (seed % 3)))
+        return LongStream.rangeClosed(1, 24)
+                .parallel()
+                .mapToObj(seed -> World.zoneLost(
+                        seed, 90, 21 + (int) (seed % 4) * 3, clients + (int) (seed % 3) * 20, 8 + (int) (seed % 3)))
                 .toArray(World.Outcome[]::new);
     }
 
--- a/src/test/java/sandstack/directory/StandInDirectory.java
+++ b/src/test/java/sandstack/directory/StandInDirectory.java
@@ -41,8 +41,11 @@
     }
 
     static Entry tenant(String name, String share, String connections) {
-        return new Entry("cn=" + name + ",ou=tenants,dc=example", new Attribute("objectClass", "sandstackTenant"),
-                new Attribute("cn", name), new Attribute("sandstackShare", share),
+        return new Entry(
+                "cn=" + name + ",ou=tenants,dc=example",
+                new Attribute("objectClass", "sandstackTenant"),
+                new Attribute("cn", name),
+                new Attribute("sandstackShare", share),
                 new Attribute("sandstackConnections", connections));
     }
 
@@ -62,10 +65,16 @@
 
     @Override
     public LDAPMessage processBindRequest(int id, BindRequestProtocolOp request, List<Control> controls) {
-        bound = USER.equals(request.getBindDN()) && PASSWORD.equals(request.getSimplePassword().stringValue());
-        return new LDAPMessage(id, new BindResponseProtocolOp(
-                bound ? ResultCode.SUCCESS_INT_VALUE : ResultCode.INVALID_CREDENTIALS_INT_VALUE, null, null, null,
-                null));
+        bound = USER.equals(request.getBindDN())
+                && PASSWORD.equals(request.getSimplePassword().stringValue());
+        return new LDAPMessage(
+                id,
+                new BindResponseProtocolOp(
+                        bound ? ResultCode.SUCCESS_INT_VALUE : ResultCode.INVALID_CREDENTIALS_INT_VALUE,
+                        null,
+                        null,
+                        null,
+                        null));
     }
 
     @Override
@@ -74,7 +83,8 @@
         try {
             List<Entry> found = new ArrayList<>();
             for (Entry entry : first.entries) {
-                if (bound && entry.matchesBaseAndScope(request.getBaseDN(), request.getScope())
+                if (bound
+                        && entry.matchesBaseAndScope(request.getBaseDN(), request.getScope())
                         && request.getFilter().matchesEntry(entry)) {
                     found.add(entry);
                 }
--- a/src/test/java/sandstack/directory/TenantDirectoryTest.java
+++ b/src/test/java/sandstack/directory/TenantDirectoryTest.java
@@ -15,18 +15,21 @@
 
 class TenantDirectoryTest {
     private static Where where(int port, String more) throws Exception {
-        return Where.read(new TomlMapper().readTree("server = \"127.0.0.1:" + port + "\"\nuser = \""
-                + StandInDirectory.USER + "\"\npassword = \"" + StandInDirectory.PASSWORD
-                + "\"\nbase = \"ou=tenants,dc=example\"\nfilter = \"(objectClass=sandstackTenant)\"\n" + more));
+        return Where.read(new TomlMapper()
+                .readTree("server = \"127.0.0.1:" + port + "\"\nuser = \""
+                        + StandInDirectory.USER + "\"\npassword = \"" + StandInDirectory.PASSWORD
+                        + "\"\nbase = \"ou=tenants,dc=example\"\nfilter = \"(objectClass=sandstackTenant)\"\n" + more));
     }
 
     @Test
     void readsNameShareAndConnectionsAndPassesOverWhatMakesNoSense() throws Exception {
         try (StandInDirectory directory = new StandInDirectory()) {
-            directory.entries = List.of(StandInDirectory.tenant("gobi", "0.6", "120"),
-                    StandInDirectory.tenant("altai", "0.4", "80"), StandInDirectory.tenant("broken", "much", "1"));
-            assertThat(new TenantDirectory(where(directory.port(), ""), list -> { }).read()).containsExactly(
-                    new Tenants.Entry("gobi", 0.6, 120), new Tenants.Entry("altai", 0.4, 80));
+            directory.entries = List.of(
+                    StandInDirectory.tenant("gobi", "0.6", "120"),
+                    StandInDirectory.tenant("altai", "0.4", "80"),
+                    StandInDirectory.tenant("broken", "much", "1"));
+            assertThat(new TenantDirectory(where(directory.port(), ""), list -> {}).read())
+                    .containsExactly(new Tenants.Entry("gobi", 0.6, 120), new Tenants.Entry("altai", 0.4, 80));
         }
     }
 
@@ -41,7 +44,8 @@
             reading.start();
             assertThat(told.poll(10, TimeUnit.SECONDS)).hasSize(1);
             directory.close();
-            for (List<Tenants.Entry> more = told.poll(1500, TimeUnit.MILLISECONDS); more != null;
+            for (List<Tenants.Entry> more = told.poll(1500, TimeUnit.MILLISECONDS);
+                    more != null;
                     more = told.poll(1500, TimeUnit.MILLISECONDS)) {
                 assertThat(more).as("nothing is told of a failure").hasSize(1);
             }
@@ -50,7 +54,8 @@
 
     @Test
     void aFileThatCannotBeUsedIsToldInOneLine() {
-        assertThatThrownBy(() -> where(1, "refresh_s = 0")).isInstanceOf(BadSettings.class)
+        assertThatThrownBy(() -> where(1, "refresh_s = 0"))
+                .isInstanceOf(BadSettings.class)
                 .hasMessage("directory.toml: refresh_s must be at least 1");
         assertThatThrownBy(() -> Where.read(new TomlMapper().readTree("server = \"nowhere\"")))
                 .hasMessageContaining("HOST:PORT");
--- a/src/test/java/sandstack/fleet/GroundsTest.java
+++ b/src/test/java/sandstack/fleet/GroundsTest.java
@@ -20,7 +20,8 @@
     private long now = 60_000_000;
 
     private static Roster.Line line(String name, Standing standing, String... against) {
-        return new Roster.Line(new Life("id-" + name, name, "z", "m", "a:1"), standing, LONG_AGO, 0, 0, List.of(against));
+        return new Roster.Line(
+                new Life("id-" + name, name, "z", "m", "a:1"), standing, LONG_AGO, 0, 0, List.of(against));
     }
 
     private static List<String> names(String text) {
@@ -45,25 +46,27 @@
     }
 
     @ParameterizedTest(name = "{0} stated, {1} reached, {2} partly: {3}")
-    @CsvSource(delimiter = '|', value = {
-        "a           |           |     | WHOLE",
-        "a b         | b         |     | WHOLE",
-        "a b         |           |     | ALONE",
-        "a b c       | b         |     | MOST",
-        "a b c       |           |     | ALONE",
-        "a b c d     | b         |     | FEW",
-        "a b c d     | b c       |     | MOST",
-        "a b c d e   | b c d e   |     | WHOLE",
-        "a b c d e   | b c       |     | MOST",
-        "a b c d e   | b         |     | FEW",
-        // who is partly reached is not taken from what there is, and not counted as reached either
-        "a b c d e   | b         | c d | FEW",
-        "a b c       | b         | c   | MOST",
-        // somebody of whom staff said nothing counts for nothing
-        "a b c d     | b x y     |     | FEW",
-        "            | b         |     | UNSURE",
-        "b c         | b c       |     | UNSURE",
-    })
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "a           |           |     | WHOLE",
+                "a b         | b         |     | WHOLE",
+                "a b         |           |     | ALONE",
+                "a b c       | b         |     | MOST",
+                "a b c       |           |     | ALONE",
+                "a b c d     | b         |     | FEW",
+                "a b c d     | b c       |     | MOST",
+                "a b c d e   | b c d e   |     | WHOLE",
+                "a b c d e   | b c       |     | MOST",
+                "a b c d e   | b         |     | FEW",
+                // who is partly reached is not taken from what there is, and not counted as reached either
+                "a b c d e   | b         | c d | FEW",
+                "a b c       | b         | c   | MOST",
+                // somebody of whom staff said nothing counts for nothing
+                "a b c d     | b x y     |     | FEW",
+                "            | b         |     | UNSURE",
+                "b c         | b c       |     | UNSURE",
+            })
     void theGroundFollowsFromWhatStaffState(String stated, String reached, String partly, Ground ground) {
         Grounds grounds = new Grounds(names(stated), "a", LONG_AGO);
         List<Roster.Line> lines = new ArrayList<>(List.of(line("a", Standing.ALIVE)));
@@ -75,7 +78,10 @@
     @Test
     void aHalfDoesNotShrinkIntoAWholeUntilStaffSaySo() {
         Grounds grounds = new Grounds(List.of("a", "b", "c", "d"), "a", LONG_AGO);
-        List<Roster.Line> lines = List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.LOST),
+        List<Roster.Line> lines = List.of(
+                line("a", Standing.ALIVE),
+                line("b", Standing.ALIVE),
+                line("c", Standing.LOST),
                 line("d", Standing.LOST));
         for (int i = 0; i < 1_000; i++) {
             now += 60_000_000;
@@ -93,7 +99,8 @@
     @Test
     void whoWasTakenOutCountsAgainOnceItLives() {
         Grounds grounds = new Grounds(List.of("a", "b", "c"), "a", LONG_AGO);
-        List<Roster.Line> lines = List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.PARTLY, "a"));
+        List<Roster.Line> lines =
+                List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.PARTLY, "a"));
         grounds.look(lines, ids(List.of("b")), Map.of(), Set.of("c"), now);
         now += Grounds.STEADY;
         Finding found = grounds.look(lines, ids(List.of("b")), Map.of(), Set.of("c"), now);
@@ -104,8 +111,10 @@
     @Test
     void worseNewsShowAtOnceAsADoubtAndBetterOnesHaveToLast() {
         Grounds grounds = new Grounds(List.of("a", "b", "c"), "a", LONG_AGO);
-        List<Roster.Line> all = List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.ALIVE));
-        List<Roster.Line> two = List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.SUSPECT, "a", "b"));
+        List<Roster.Line> all =
+                List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.ALIVE));
+        List<Roster.Line> two =
+                List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.SUSPECT, "a", "b"));
         assertThat(steady(grounds, all, ids(List.of("b", "c"))).ground()).isEqualTo(Ground.WHOLE);
         assertThat(look(grounds, two, ids(List.of("b"))).ground()).isEqualTo(Ground.UNSURE);
         now += Grounds.STEADY - 1;
@@ -120,8 +129,12 @@
     @Test
     void aMajorityWhoseMembersDoNotReachEachOtherIsADoubt() {
         Grounds grounds = new Grounds(List.of("a", "b", "c", "d", "e"), "a", LONG_AGO);
-        List<Roster.Line> lines = List.of(line("a", Standing.ALIVE), line("b", Standing.PARTLY, "c"), line("c", Standing.PARTLY, "b"),
-                line("d", Standing.LOST), line("e", Standing.LOST));
+        List<Roster.Line> lines = List.of(
+                line("a", Standing.ALIVE),
+                line("b", Standing.PARTLY, "c"),
+                line("c", Standing.PARTLY, "b"),
+                line("d", Standing.LOST),
+                line("e", Standing.LOST));
         Finding found = steady(grounds, lines, ids(List.of("b", "c")));
         assertThat(found.ground()).isEqualTo(Ground.UNSURE);
         assertThat(found.why()).startsWith("views differ: ");
@@ -130,7 +143,8 @@
     @Test
     void whoStoodStillAsksAllAnewBeforeItIsSure() {
         Grounds grounds = new Grounds(List.of("a", "b", "c"), "a", LONG_AGO);
-        List<Roster.Line> lines = List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.ALIVE));
+        List<Roster.Line> lines =
+                List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.ALIVE));
         Set<String> reached = ids(List.of("b", "c"));
         Finding whole = steady(grounds, lines, reached);
         assertThat(whole.ground()).isEqualTo(Ground.WHOLE);
@@ -154,9 +168,14 @@
     void relaysThatWereToldOfOtherRelaysAreADoubt() {
         Grounds grounds = new Grounds(List.of("a", "b", "c"), "a", LONG_AGO);
         Grounds other = new Grounds(List.of("a", "b", "c", "d"), "b", LONG_AGO);
-        List<Roster.Line> lines = List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.ALIVE));
-        Finding found = grounds.look(lines, ids(List.of("b", "c")), Map.of("id-b", other.statedAs(), "id-c", grounds.statedAs()),
-                Set.of(), now);
+        List<Roster.Line> lines =
+                List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.ALIVE));
+        Finding found = grounds.look(
+                lines,
+                ids(List.of("b", "c")),
+                Map.of("id-b", other.statedAs(), "id-c", grounds.statedAs()),
+                Set.of(),
+                now);
         assertThat(found.ground()).isEqualTo(Ground.UNSURE);
         assertThat(found.why()).isEqualTo("b was told of other relays than this one");
     }
@@ -181,7 +200,8 @@
             }
             Grounds grounds = new Grounds(all, mine.get(0), LONG_AGO);
             List<Roster.Line> lines = all.stream()
-                    .map(name -> line(name, mine.contains(name) ? Standing.ALIVE : Standing.LOST)).toList();
+                    .map(name -> line(name, mine.contains(name) ? Standing.ALIVE : Standing.LOST))
+                    .toList();
             Ground ground = steady(grounds, lines, ids(mine)).ground();
             found += ground == Ground.MOST || ground == Ground.WHOLE ? 1 : 0;
         }
--- a/src/test/java/sandstack/fleet/MembershipTest.java
+++ b/src/test/java/sandstack/fleet/MembershipTest.java
@@ -38,10 +38,11 @@
         final Set<String> paused = new HashSet<>();
         final Set<String> cut = new HashSet<>();
         final Map<String, Long> unseen = new HashMap<>();
-        final PriorityQueue<Due> due = new PriorityQueue<>(
-                Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+        final PriorityQueue<Due> due =
+                new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
         /** Every state that a life ever told, by its number. */
         final Map<String, Map<Long, Map<String, String>>> toldTrue = new HashMap<>();
+
         long now = 1_000_000;
         long order;
 
@@ -97,7 +98,7 @@
         /** Whom a member that is up reaches over others that are up, where each link is such a one. */
         Set<Life> chain(Life from, BiPredicate<Life, Life> link) {
             Set<Life> reached = new HashSet<>(Set.of(from));
-            for (boolean grew = true; grew;) {
+            for (boolean grew = true; grew; ) {
                 Set<Life> next = new HashSet<>(reached);
                 for (Life a : reached) {
                     lives.stream().filter(b -> up(b) && link.test(a, b)).forEach(next::add);
@@ -139,7 +140,8 @@
                         m.turn(now).forEach(other -> ask(life, other));
                         News news = m.spread(now);
                         if (news != null) {
-                            toldTrue.computeIfAbsent(life.id(), i -> new HashMap<>()).put(news.number(), news.values());
+                            toldTrue.computeIfAbsent(life.id(), i -> new HashMap<>())
+                                    .put(news.number(), news.values());
                             spread(life, news);
                         }
                     }
@@ -170,8 +172,8 @@
         }
 
         Map<String, Standing> seen(Life by) {
-            return members.get(by.id()).view(now).lines().stream().collect(Collectors.toMap(l -> l.life().id(),
-                    Roster.Line::standing, (a, b) -> a, TreeMap::new));
+            return members.get(by.id()).view(now).lines().stream()
+                    .collect(Collectors.toMap(l -> l.life().id(), Roster.Line::standing, (a, b) -> a, TreeMap::new));
         }
     }
 
@@ -202,7 +204,9 @@
         sim.paused.clear();
         sim.run(5_000_000);
         for (Life by : sim.lives) {
-            assertThat(sim.seen(by).values()).as("as " + by.name() + " sees them").containsOnly(Standing.ALIVE);
+            assertThat(sim.seen(by).values())
+                    .as("as " + by.name() + " sees them")
+                    .containsOnly(Standing.ALIVE);
         }
     }
 
@@ -224,10 +228,14 @@
             for (Life by : sim.lives) {
                 sim.members.get(by.id()).view(sim.now).told().forEach((id, held) -> {
                     if (!id.equals(by.id()) && held.state().number() > 0) {
-                        Map<String, String> told = sim.toldTrue.get(id).get(held.state().number());
-                        assertThat(told == null || told.equals(held.state().values())).isTrue();
-                        Long before = newest.put(by.id() + "<" + id, held.state().number());
-                        assertThat(before == null || before <= held.state().number()).isTrue();
+                        Map<String, String> told =
+                                sim.toldTrue.get(id).get(held.state().number());
+                        assertThat(told == null || told.equals(held.state().values()))
+                                .isTrue();
+                        Long before =
+                                newest.put(by.id() + "<" + id, held.state().number());
+                        assertThat(before == null || before <= held.state().number())
+                                .isTrue();
                     }
                 });
             }
@@ -244,8 +252,11 @@
         for (int i = 0; i < 30; i++) {
             sim.run(1_000_000);
             for (Life by : sim.lives) {
-                assertThat(sim.seen(by)).as(by.name()).containsEntry(a.id(), Standing.PARTLY)
-                        .containsEntry(b.id(), Standing.PARTLY).containsEntry(sim.lives.get(0).id(), Standing.ALIVE);
+                assertThat(sim.seen(by))
+                        .as(by.name())
+                        .containsEntry(a.id(), Standing.PARTLY)
+                        .containsEntry(b.id(), Standing.PARTLY)
+                        .containsEntry(sim.lives.get(0).id(), Standing.ALIVE);
             }
         }
     }
@@ -261,7 +272,8 @@
         assertThat(sim.seen(sim.lives.get(0))).containsEntry(gone.id(), Standing.LOST);
         sim.start("m2");
         sim.run(4_000_000);
-        assertThat(sim.seen(sim.lives.get(0))).containsEntry(gone.id(), Standing.LOST)
+        assertThat(sim.seen(sim.lives.get(0)))
+                .containsEntry(gone.id(), Standing.LOST)
                 .containsEntry("m2-4", Standing.ALIVE);
     }
 
@@ -271,7 +283,8 @@
         sim.start("same");
         sim.start("same");
         sim.run(3_000_000);
-        List<String> taken = sim.lives.stream().map(l -> sim.members.get(l.id()).takenBy()).toList();
+        List<String> taken =
+                sim.lives.stream().map(l -> sim.members.get(l.id()).takenBy()).toList();
         assertThat(taken).containsExactly(null, "same-0");
         assertThat(sim.members.get("same-0").settled()).isTrue();
         assertThat(sim.members.get("same-1").settled()).isFalse();
@@ -328,7 +341,11 @@
     }
 
     private static Standing standing(Roster roster, String id) {
-        return roster.lines(9).stream().filter(l -> l.life().id().equals(id)).findFirst().orElseThrow().standing();
+        return roster.lines(9).stream()
+                .filter(l -> l.life().id().equals(id))
+                .findFirst()
+                .orElseThrow()
+                .standing();
     }
 
     @Test
@@ -352,7 +369,9 @@
         m.toldOf(late.id(), late, 1);
         m.toldOf("x-9", late, 1);
         m.toldOf(self.id(), null, 1);
-        assertThat(m.view(1).lines()).as("nobody has said that they reach it").noneMatch(l -> l.life().name().equals("c"));
+        assertThat(m.view(1).lines())
+                .as("nobody has said that they reach it")
+                .noneMatch(l -> l.life().name().equals("c"));
         m.heard(known.id(), new News(1, Map.of(), Set.of(late.id()), Set.of()), 2);
         assertThat(standing(m, "c", 3)).isEqualTo(Standing.PARTLY);
         List<Life> asked = new ArrayList<>();
@@ -360,7 +379,10 @@
             asked.addAll(m.turn(now));
         }
         assertThat(asked).contains(late);
-        m.answered(late, new Answer(1, late.id(), "c", new News(1, Map.of("k", "v"), Set.of(), Set.of()), true), 2_000_001);
+        m.answered(
+                late,
+                new Answer(1, late.id(), "c", new News(1, Map.of("k", "v"), Set.of(), Set.of()), true),
+                2_000_001);
         assertThat(standing(m, "c", 2_000_002)).isEqualTo(Standing.ALIVE);
         m.left(late.id(), 3_000_000);
         m.toldOf(late.id(), late, 3_000_001);
@@ -368,7 +390,10 @@
     }
 
     private static Standing standing(Membership m, String name, long now) {
-        return m.view(now).lines().stream().filter(line -> line.life().name().equals(name)).findFirst().orElseThrow()
+        return m.view(now).lines().stream()
+                .filter(line -> line.life().name().equals(name))
+                .findFirst()
+                .orElseThrow()
                 .standing();
     }
 }
--- a/src/test/java/sandstack/fleet/ReachTest.java
+++ b/src/test/java/sandstack/fleet/ReachTest.java
@@ -19,8 +19,10 @@
     private final Reach reach = new Reach(new SplittableRandom(1));
 
     @Property(tries = 100)
-    void everyMemberIsAskedOnceARoundHoweverTurnsFall(@ForAll @IntRange(min = 1, max = 60) int members,
-            @ForAll @IntRange(min = 10, max = 400) int turnMillis, @ForAll long seed) {
+    void everyMemberIsAskedOnceARoundHoweverTurnsFall(
+            @ForAll @IntRange(min = 1, max = 60) int members,
+            @ForAll @IntRange(min = 10, max = 400) int turnMillis,
+            @ForAll long seed) {
         Reach asked = new Reach(new SplittableRandom(seed));
         List<String> ids = IntStream.range(0, members).mapToObj(i -> "m" + i).toList();
         asked.members(ids);
--- a/src/test/java/sandstack/fleet/link/FleetLinkTest.java
+++ b/src/test/java/sandstack/fleet/link/FleetLinkTest.java
@@ -16,8 +16,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.PriorityQueue;
+import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
@@ -52,8 +52,16 @@
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName(host))) {
             addresses.add(new Address(host, probe.getLocalPort()));
         }
-        FleetLink link = new FleetLink(new FleetFile(installation, addresses.get(addresses.size() - 1), "machine",
-                List.of(addresses.get(0).toString()), Set.of(), Map.of()), name, "zone");
+        FleetLink link = new FleetLink(
+                new FleetFile(
+                        installation,
+                        addresses.get(addresses.size() - 1),
+                        "machine",
+                        List.of(addresses.get(0).toString()),
+                        Set.of(),
+                        Map.of()),
+                name,
+                "zone");
         links.add(link);
         link.start();
         return link;
@@ -68,8 +76,11 @@
     }
 
     private static Standing standing(FleetLink by, FleetLink of) {
-        return by.view().lines().stream().filter(l -> l.life().id().equals(of.view().self().id()))
-                .map(Roster.Line::standing).findFirst().orElse(null);
+        return by.view().lines().stream()
+                .filter(l -> l.life().id().equals(of.view().self().id()))
+                .map(Roster.Line::standing)
+                .findFirst()
+                .orElse(null);
     }
 
     private FleetLink[] two() throws Exception {
@@ -102,12 +113,17 @@
         two[1].on("twice", (from, body) -> CompletableFuture.completedFuture(body + body));
         two[1].on("never", (from, body) -> new CompletableFuture<>());
         two[1].on("no", (from, body) -> CompletableFuture.failedFuture(new IllegalStateException("not now")));
-        assertThat(two[0].call(to, "twice", "ab", Duration.ofSeconds(5)).get(10, TimeUnit.SECONDS)).isEqualTo("abab");
-        assertThatThrownBy(() -> two[0].call(to, "no", "", Duration.ofSeconds(5)).join())
-                .isInstanceOf(CompletionException.class).hasMessageContaining("not now");
-        assertThatThrownBy(() -> two[0].call(to, "unknown", "", Duration.ofSeconds(5)).join())
+        assertThat(two[0].call(to, "twice", "ab", Duration.ofSeconds(5)).get(10, TimeUnit.SECONDS))
+                .isEqualTo("abab");
+        assertThatThrownBy(
+                        () -> two[0].call(to, "no", "", Duration.ofSeconds(5)).join())
+                .isInstanceOf(CompletionException.class)
+                .hasMessageContaining("not now");
+        assertThatThrownBy(() ->
+                        two[0].call(to, "unknown", "", Duration.ofSeconds(5)).join())
                 .hasMessageContaining("nothing here takes calls of this kind");
-        assertThatThrownBy(() -> two[0].call("nobody", "twice", "", Duration.ofSeconds(5)).join())
+        assertThatThrownBy(() -> two[0].call("nobody", "twice", "", Duration.ofSeconds(5))
+                        .join())
                 .hasMessageContaining("is no member now");
         long began = System.nanoTime();
         List<CompletableFuture<String>> waiting = new ArrayList<>();
@@ -115,11 +131,13 @@
             waiting.add(two[0].call(to, "never", "", Duration.ofMillis(500)));
         }
         // a member that does not answer holds up eight calls and no more, and those until their deadline
-        assertThatThrownBy(() -> two[0].call(to, "twice", "ab", Duration.ofSeconds(5)).join())
+        assertThatThrownBy(() ->
+                        two[0].call(to, "twice", "ab", Duration.ofSeconds(5)).join())
                 .hasMessageContaining("too many calls are out");
         waiting.forEach(call -> assertThatThrownBy(call::join).isInstanceOf(CompletionException.class));
         assertThat(System.nanoTime() - began).isBetween(400_000_000L, 5_000_000_000L);
-        assertThat(two[0].call(to, "twice", "cd", Duration.ofSeconds(5)).get(10, TimeUnit.SECONDS)).isEqualTo("cdcd");
+        assertThat(two[0].call(to, "twice", "cd", Duration.ofSeconds(5)).get(10, TimeUnit.SECONDS))
+                .isEqualTo("cdcd");
     }
 
     @Test
@@ -171,7 +189,10 @@
     }
 
     private static byte[] framed(byte[] body) {
-        return ByteBuffer.allocate(4 + body.length).putInt(body.length).put(body).array();
+        return ByteBuffer.allocate(4 + body.length)
+                .putInt(body.length)
+                .put(body)
+                .array();
     }
 
     private static byte[] unknownType() throws IOException {
@@ -190,9 +211,16 @@
         KnownTypes codec = new KnownTypes();
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         codec.serialize(Message.builder().qualifier("q").data("text").build(), bytes);
-        assertThat(codec.deserialize(new ByteArrayInputStream(bytes.toByteArray())).<String>data()).isEqualTo("text");
+        assertThat(codec.deserialize(new ByteArrayInputStream(bytes.toByteArray()))
+                        .<String>data())
+                .isEqualTo("text");
         bytes.reset();
-        codec.serialize(Message.builder().qualifier("q").data(new PriorityQueue<>(List.of("a"))).build(), bytes);
+        codec.serialize(
+                Message.builder()
+                        .qualifier("q")
+                        .data(new PriorityQueue<>(List.of("a")))
+                        .build(),
+                bytes);
         assertThatThrownBy(() -> codec.deserialize(new ByteArrayInputStream(bytes.toByteArray())))
                 .hasMessage("a message of unknown types");
         assertThat(codec.refused()).isEqualTo(1);
@@ -206,7 +234,8 @@
                 .hasMessage("a body without a version");
         assertThatThrownBy(() -> Bodies.read("{\"v\":1,\"has\":\"x\"}", Words.Question.class))
                 .hasMessage("a body that is no Question");
-        assertThatThrownBy(() -> Bodies.read("[[[[[[[[[[[[", Words.Question.class)).hasMessageContaining("no Question");
+        assertThatThrownBy(() -> Bodies.read("[[[[[[[[[[[[", Words.Question.class))
+                .hasMessageContaining("no Question");
         assertThatThrownBy(() -> Bodies.read(17, Words.Question.class)).hasMessage("a body that is no text");
     }
 
@@ -214,16 +243,25 @@
     @Test
     void theNextProcessOfARelayTakesItsPlaceOnceTheOneBeforeHasLeft() throws Exception {
         FleetLink[] two = two();
-        FleetLink next = new FleetLink(new FleetFile("inst", addresses.get(1), "machine",
-                List.of(addresses.get(0).toString()), Set.of(), Map.of()), "b", "zone");
+        FleetLink next = new FleetLink(
+                new FleetFile(
+                        "inst",
+                        addresses.get(1),
+                        "machine",
+                        List.of(addresses.get(0).toString()),
+                        Set.of(),
+                        Map.of()),
+                "b",
+                "zone");
         links.add(next);
         next.startWhenFree();
         two[0].tell("mark", "3");
         eventually("the fleet goes on", () -> "3".equals(told(two[1], two[0], "mark")));
         assertThat(next.view().lines()).hasSize(1);
         two[1].close();
-        eventually("the next one is the member, and the one before has left", () -> standing(two[0], next)
-                == Standing.ALIVE && standing(two[0], two[1]) == Standing.LEFT);
+        eventually(
+                "the next one is the member, and the one before has left",
+                () -> standing(two[0], next) == Standing.ALIVE && standing(two[0], two[1]) == Standing.LEFT);
         eventually("it holds the name", () -> next.view().settled());
     }
 
@@ -231,9 +269,13 @@
     void anAddressThatIsTakenIsOneLine() throws Exception {
         FleetLink a = join("inst", "a");
         assertThat(a.view().lines()).hasSize(1);
-        FleetLink second = new FleetLink(new FleetFile("inst", addresses.get(0), "m",
-                List.of(addresses.get(0).toString()), Set.of(), Map.of()), "b", "z");
-        assertThatThrownBy(second::start).isInstanceOf(BadSettings.class)
+        FleetLink second = new FleetLink(
+                new FleetFile(
+                        "inst", addresses.get(0), "m", List.of(addresses.get(0).toString()), Set.of(), Map.of()),
+                "b",
+                "z");
+        assertThatThrownBy(second::start)
+                .isInstanceOf(BadSettings.class)
                 .hasMessageContaining("fleet.toml: listen: cannot listen at " + addresses.get(0));
     }
 }
--- a/src/test/java/sandstack/front/operators/OperatorDoorTest.java
+++ b/src/test/java/sandstack/front/operators/OperatorDoorTest.java
@@ -59,8 +59,8 @@
 
     @Test
     void answersWhatMakesNoSenseWithOneLine() throws IOException {
-        for (String words : List.of("NONSENSE\r\n", "\r\n", "ping\r\n", "PING\r\nPING\r\n", "\u0000\u00ff\u0001\n",
-                "P".repeat(4096))) {
+        for (String words : List.of(
+                "NONSENSE\r\n", "\r\n", "ping\r\n", "PING\r\nPING\r\n", "\u0000\u00ff\u0001\n", "P".repeat(4096))) {
             assertThat(call(words)).startsWith("NAK ").endsWith("\r\n").hasLineCount(1);
         }
     }
@@ -69,7 +69,8 @@
     void answersACallThatEndsWithoutALineEnd() throws IOException {
         try (Socket socket = caller("PING")) {
             socket.shutdownOutput();
-            assertThat(new String(socket.getInputStream().readAllBytes())).isEqualTo("NAK the call has no line end\r\n");
+            assertThat(new String(socket.getInputStream().readAllBytes()))
+                    .isEqualTo("NAK the call has no line end\r\n");
         }
     }
 
--- a/src/test/java/sandstack/front/platform/CrossingsTest.java
+++ b/src/test/java/sandstack/front/platform/CrossingsTest.java
@@ -41,7 +41,8 @@
 
     /** Nothing was sent on in between: the next request that reaches a feed server is this one. */
     private void nextIs(String key) throws Exception {
-        try (End client = asking(key, "safe"); End ask = held.ask()) {
+        try (End client = asking(key, "safe");
+                End ask = held.ask()) {
             assertThat(ask.key).isEqualTo(key);
         }
     }
@@ -94,7 +95,9 @@
     void aClientThatCancelledWhileItsRetryFellDueIsNotSentOn() throws Exception {
         End client = leftAsItsRetryFellDue(c -> c.socket.shutdownOutput());
         nextIs("next");
-        assertThat(client.hear()).as("the end of the cancelled request's connection").isNull();
+        assertThat(client.hear())
+                .as("the end of the cancelled request's connection")
+                .isNull();
     }
 
     @Test
@@ -107,7 +110,8 @@
         held.release();
         assertThat(server.hear()).as("the feed server's side ends too").isNull();
         nextIs("next");
-        held.onLoop(() -> assertThat(held.relay.clients()).allMatch(c -> c.command().key().equals("next")));
+        held.onLoop(() ->
+                assertThat(held.relay.clients()).allMatch(c -> c.command().key().equals("next")));
     }
 
     /** SIGTERM and the answer come in one turn: the client is served, and told to move before its side ends. */
@@ -215,7 +219,7 @@
     void aRequestThatCameWhileTheTimeToAskRanOutIsServed() throws Exception {
         End client = held.client();
         held.holdWhen(() -> held.lobby.unheard() == 1);
-        held.loop.execute(() -> { });
+        held.loop.execute(() -> {});
         held.awaitHeld();
         client.say(held.open("k", "safe", 2_000));
         held.releaseWhenDue();
@@ -229,7 +233,7 @@
         assertThat(client.hear()).as("told that its time to ask is over").isEqualTo("BUSY 1000");
         assertThat(client.hear()).isNull();
         client.say(held.open("late", "safe", 2_000));
-        held.onLoop(() -> { });
+        held.onLoop(() -> {});
         // the second write fails where the first was answered by a reset
         client.say("more\r\n");
         nextIs("next");
@@ -240,7 +244,7 @@
     void whoAsksARelayThatHasDrainedIsRefusedAtOnce() throws Exception {
         End resting = held.client();
         End second = held.client();
-        held.onLoop(() -> { });
+        held.onLoop(() -> {});
         CompletableFuture<Void> drained = new CompletableFuture<>();
         held.loop.execute(() -> held.relay.drain(held.lobby::unheard, () -> {
             held.lobby.askNoLonger();
--- a/src/test/java/sandstack/front/platform/FiguresTest.java
+++ b/src/test/java/sandstack/front/platform/FiguresTest.java
@@ -52,10 +52,36 @@
 
     FiguresTest() throws IOException {
         RequestClass cls = new RequestClass(320_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 100_000);
-        Settings settings = new Settings(0, 1, 0, 1, List.of(cls, cls), List.of(), 1, false, false, true, true,
-                10_000_000, 6, 100_000, false, 1_500_000, false, 0, false, 0, 0.1, 0.01, 300_000, 0.13, 23_000_000,
-                3, 1_500_000, false);
-        relay = new Relay(new Terms(settings, CLASSES, true), Stated.Book.EMPTY, Limits.NONE, 5, loop::now, () -> { });
+        Settings settings = new Settings(
+                0,
+                1,
+                0,
+                1,
+                List.of(cls, cls),
+                List.of(),
+                1,
+                false,
+                false,
+                true,
+                true,
+                10_000_000,
+                6,
+                100_000,
+                false,
+                1_500_000,
+                false,
+                0,
+                false,
+                0,
+                0.1,
+                0.01,
+                300_000,
+                0.13,
+                23_000_000,
+                3,
+                1_500_000,
+                false);
+        relay = new Relay(new Terms(settings, CLASSES, true), Stated.Book.EMPTY, Limits.NONE, 5, loop::now, () -> {});
         loop.start(relay::turn, relay::nextTurn);
         port = new PlatformFront(loop, relay, new Lobby(loop, relay.deadlines(), 400)).listen("127.0.0.1", 0);
     }
@@ -72,7 +98,8 @@
         Map<String, Long> figures = new HashMap<>();
         for (String line : lines.get(10, TimeUnit.SECONDS)) {
             assertThat(line).matches("edge_proxy\\.[a-z_.]+=[0-9]+");
-            figures.put(line.substring("edge_proxy.".length(), line.indexOf('=')),
+            figures.put(
+                    line.substring("edge_proxy.".length(), line.indexOf('=')),
                     Long.parseLong(line.substring(line.indexOf('=') + 1)));
         }
         return figures;
@@ -99,7 +126,9 @@
                 long began = System.nanoTime();
                 try (Socket caller = new Socket("127.0.0.1", door)) {
                     caller.getOutputStream().write("INFO\r\n".getBytes());
-                    assertThat(new String(caller.getInputStream().readAllBytes())).startsWith("ACK\r\n").endsWith("--\r\n");
+                    assertThat(new String(caller.getInputStream().readAllBytes()))
+                            .startsWith("ACK\r\n")
+                            .endsWith("--\r\n");
                 }
                 latest = Math.max(latest, System.nanoTime() - began);
             }
@@ -114,9 +143,13 @@
     void equalWhatClientsAndFeedServersCounted() throws Exception {
         List<FeedServer> servers = List.of(server("s1", 10), server("s2", 10));
         // two that drain: in the list, and avoided
-        loop.execute(() -> relay.listed(new NameTable.News(ListKind.FULL, 1, List.of(
-                line("s1", servers.get(0).port(), Phase.READY), line("s2", servers.get(1).port(), Phase.READY),
-                line("s3", 1, Phase.DRAINING), line("s4", 1, Phase.DRAINING)))));
+        loop.execute(() -> relay.listed(new NameTable.News(
+                ListKind.FULL,
+                1,
+                List.of(
+                        line("s1", servers.get(0).port(), Phase.READY),
+                                line("s2", servers.get(1).port(), Phase.READY),
+                        line("s3", 1, Phase.DRAINING), line("s4", 1, Phase.DRAINING)))));
         for (int i = 0; i < CLIENTS; i++) {
             String id = "i" + i;
             String cls = CLASSES.get(i % 2);
@@ -141,16 +174,24 @@
         Map<String, Long> figures = figures();
         assertThat(heard).containsOnlyKeys(Happened.UP, Happened.BUSY);
         assertThat(figures.get("responses.light.ok") + figures.get("responses.heavy.ok"))
-                .isEqualTo(heard.get(Happened.UP).longValue()).isEqualTo(20);
+                .isEqualTo(heard.get(Happened.UP).longValue())
+                .isEqualTo(20);
         assertThat(figures.get("responses.light.shed") + figures.get("responses.heavy.shed"))
                 .isEqualTo(heard.get(Happened.BUSY).longValue());
-        assertThat(figures).containsEntry("responses.light.errors", 1L).containsEntry("responses.heavy.errors", 0L)
-                .containsEntry("active", 20L).containsEntry("pool_size", 4L).containsEntry("config_applied", 0L)
+        assertThat(figures)
+                .containsEntry("responses.light.errors", 1L)
+                .containsEntry("responses.heavy.errors", 0L)
+                .containsEntry("active", 20L)
+                .containsEntry("pool_size", 4L)
+                .containsEntry("config_applied", 0L)
                 .containsEntry("config_rejected", 0L);
         assertThat(figures.get("pool_ejected")).isBetween(2L, 4L);
-        long asked = servers.stream().mapToLong(server -> yard.on(server::books).asked()).sum();
+        long asked = servers.stream()
+                .mapToLong(server -> yard.on(server::books).asked())
+                .sum();
         assertThat(figures).containsEntry("tries", asked);
-        assertThat(figures.get("responses.light.tries") + figures.get("responses.heavy.tries")).isEqualTo(asked);
+        assertThat(figures.get("responses.light.tries") + figures.get("responses.heavy.tries"))
+                .isEqualTo(asked);
         standing.forEach(client -> yard.run(client::leave));
         while (figures().get("active") > 0) {
             Thread.onSpinWait();
--- a/src/test/java/sandstack/front/platform/HeldRelay.java
+++ b/src/test/java/sandstack/front/platform/HeldRelay.java
@@ -88,11 +88,42 @@
     private int ids;
 
     HeldRelay() throws IOException {
-        Settings settings = new Settings(0, 1, 0, 1, List.of(cls(Repeat.SAFE), cls(Repeat.UNSAFE)), List.of(), 1, false,
-                false, false, true, 10_000_000, 6, 100_000, false, 1_500_000, false, 0, false, 0, 0, 0, 300_000, 0.13,
-                23_000_000, 3, 1_500_000, false);
-        relay = new Relay(new Terms(settings, List.of("safe", "unsafe"), false), Stated.Book.EMPTY, Limits.NONE, 5,
-                loop::now, () -> { });
+        Settings settings = new Settings(
+                0,
+                1,
+                0,
+                1,
+                List.of(cls(Repeat.SAFE), cls(Repeat.UNSAFE)),
+                List.of(),
+                1,
+                false,
+                false,
+                false,
+                true,
+                10_000_000,
+                6,
+                100_000,
+                false,
+                1_500_000,
+                false,
+                0,
+                false,
+                0,
+                0,
+                0,
+                300_000,
+                0.13,
+                23_000_000,
+                3,
+                1_500_000,
+                false);
+        relay = new Relay(
+                new Terms(settings, List.of("safe", "unsafe"), false),
+                Stated.Book.EMPTY,
+                Limits.NONE,
+                5,
+                loop::now,
+                () -> {});
         lobby = new Lobby(loop, relay.deadlines(), 40);
         loop.start(this::turn, relay::nextTurn);
         port = new PlatformFront(loop, relay, lobby).listen("127.0.0.1", 0);
@@ -128,9 +159,13 @@
         Thread accepting = new Thread(() -> accept(listening));
         accepting.setDaemon(true);
         accepting.start();
-        onLoop(() -> relay.listed(new NameTable.News(ListKind.CHANGES, servers.size(), List.of(new NameTable.Line(
-                new ServerEntry("s" + servers.size(), 0, 0, 0, 0, Phase.READY, 1), "127.0.0.1",
-                listening.getLocalPort())))));
+        onLoop(() -> relay.listed(new NameTable.News(
+                ListKind.CHANGES,
+                servers.size(),
+                List.of(new NameTable.Line(
+                        new ServerEntry("s" + servers.size(), 0, 0, 0, 0, Phase.READY, 1),
+                        "127.0.0.1",
+                        listening.getLocalPort())))));
     }
 
     private void accept(ServerSocket listening) {
@@ -186,7 +221,9 @@
     }
 
     void awaitHeld() throws InterruptedException {
-        assertThat(stands.await(20, TimeUnit.SECONDS)).as("the relay's thread is held").isTrue();
+        assertThat(stands.await(20, TimeUnit.SECONDS))
+                .as("the relay's thread is held")
+                .isTrue();
     }
 
     /** Lets it go on once its next deadline has passed. */
--- a/src/test/java/sandstack/front/platform/LoadLinesTest.java
+++ b/src/test/java/sandstack/front/platform/LoadLinesTest.java
@@ -19,11 +19,19 @@
     void whatCouldBeBothIsADelayOnlyWhereTheSecondsBeatGoesOn() {
         assertThat(lines.isDelay("a", 1_200, 0)).as("out of nothing").isFalse();
         assertThat(lines.isDelay("a", 980, SECOND)).isTrue();
-        assertThat(lines.isDelay("a", 2_100, SECOND * 2 + 10_000)).as("on the beat").isTrue();
-        assertThat(lines.isDelay("a", 2_500, SECOND * 2 + 400_000)).as("off the beat").isFalse();
-        assertThat(lines.isDelay("b", 2_500, SECOND * 3 + 10_000)).as("another server's beat").isFalse();
+        assertThat(lines.isDelay("a", 2_100, SECOND * 2 + 10_000))
+                .as("on the beat")
+                .isTrue();
+        assertThat(lines.isDelay("a", 2_500, SECOND * 2 + 400_000))
+                .as("off the beat")
+                .isFalse();
+        assertThat(lines.isDelay("b", 2_500, SECOND * 3 + 10_000))
+                .as("another server's beat")
+                .isFalse();
         assertThat(lines.isDelay("a", 3_000, SECOND * 3 + 10_000)).isTrue();
-        assertThat(lines.isDelay("a", 45_000, SECOND * 4 + 10_000)).as("a load on the beat").isFalse();
+        assertThat(lines.isDelay("a", 45_000, SECOND * 4 + 10_000))
+                .as("a load on the beat")
+                .isFalse();
     }
 
     @Test
--- a/src/test/java/sandstack/kin/KinTest.java
+++ b/src/test/java/sandstack/kin/KinTest.java
@@ -69,7 +69,8 @@
         Process old = new Process(40, "the list");
         Process fresh = new Process(2, "another");
         Process stranger = new Process(9, "a third");
-        try (Kin first = kin("n1"); Kin other = kin("n2")) {
+        try (Kin first = kin("n1");
+                Kin other = kin("n2")) {
             assertThat(first.find().list()).isNull();
             first.start(old);
             other.start(stranger);
@@ -102,7 +103,8 @@
 
     @Test
     void aNoticeWithAnyByteChangedOrCutIsIgnored() throws Exception {
-        byte[] good = new Notice("n 1", "abc", now.get(), 5, "{\"rev\":1}\n").file().getBytes(StandardCharsets.UTF_8);
+        byte[] good =
+                new Notice("n 1", "abc", now.get(), 5, "{\"rev\":1}\n").file().getBytes(StandardCharsets.UTF_8);
         Path file = folder.resolve("sandstack-abc.kin");
         Kin kin = kin("n 1");
         Files.write(file, good);
@@ -132,6 +134,8 @@
             fresh = freshMay;
             assertThat(old + fresh).isLessThanOrEqualTo(200);
         }
-        assertThat(Portions.descriptors(100, 90, List.of(60))).as("over already: nothing more").isEqualTo(90);
+        assertThat(Portions.descriptors(100, 90, List.of(60)))
+                .as("over already: nothing more")
+                .isEqualTo(90);
     }
 }
--- a/src/test/java/sandstack/nametable/DiscoveryWatchTest.java
+++ b/src/test/java/sandstack/nametable/DiscoveryWatchTest.java
@@ -40,10 +40,40 @@
         listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         elsewhere = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         RequestClass cls = new RequestClass(300_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 0);
-        Settings settings = new Settings(0, 1, 0, 1, List.of(cls), List.of(), 1, false, false, false, true, 60_000_000,
-                6, 100_000, false, 0, false, 0, false, 0, 0, 0, 300_000, 0.13, 0, 3, 0, false);
+        Settings settings = new Settings(
+                0,
+                1,
+                0,
+                1,
+                List.of(cls),
+                List.of(),
+                1,
+                false,
+                false,
+                false,
+                true,
+                60_000_000,
+                6,
+                100_000,
+                false,
+                0,
+                false,
+                0,
+                false,
+                0,
+                0,
+                0,
+                300_000,
+                0.13,
+                0,
+                3,
+                0,
+                false);
         relay = new Relay(settings, 3, loop::now, () -> watch.ask());
-        watch = new DiscoveryWatch(loop, relay, new Address("127.0.0.1", listening.getLocalPort()),
+        watch = new DiscoveryWatch(
+                loop,
+                relay,
+                new Address("127.0.0.1", listening.getLocalPort()),
                 new NameTableJson(List.of("home"), new MachineKinds(List.of())));
         relay.listed(new NameTable.News(ListKind.SAVED, 41, List.of()));
         loop.start(relay::turn, relay::nextTurn);
@@ -64,8 +94,8 @@
     private String ask(ServerSocket discovery) throws IOException {
         discovery.setSoTimeout(20_000);
         socket = discovery.accept();
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                StandardCharsets.US_ASCII));
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         String line = in.readLine();
         if (line == null) {
             // a connection that the watch gave up before it had asked is no ask
@@ -92,10 +122,12 @@
 
     private void untilPhase(Phase phase) throws Exception {
         Phase seen = null;
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10); seen != phase && System.nanoTime() < end;) {
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10); seen != phase && System.nanoTime() < end; ) {
             CompletableFuture<Phase> read = new CompletableFuture<>();
             loop.execute(() -> read.complete(
-                    relay.names().get("s1") == null ? Phase.GONE : relay.names().get("s1").entry().phase()));
+                    relay.names().get("s1") == null
+                            ? Phase.GONE
+                            : relay.names().get("s1").entry().phase()));
             seen = read.get(10, TimeUnit.SECONDS);
         }
         assertThat(seen).isEqualTo(phase);
@@ -133,7 +165,8 @@
     @Test
     void readsListsThatAreIndentedOverLinesAndCutAnywhere() throws Exception {
         ask();
-        String laidOut = new ObjectMapper().readTree(news(42, "ready")).toPrettyString().replace("\n", "\r\n  ") + "\n\n";
+        String laidOut =
+                new ObjectMapper().readTree(news(42, "ready")).toPrettyString().replace("\n", "\r\n  ") + "\n\n";
         say(HEAD);
         for (int i = 0; i < laidOut.length(); i += 7) {
             say(chunk(laidOut.substring(i, Math.min(laidOut.length(), i + 7))));
@@ -214,7 +247,9 @@
         untilPhase(Phase.DRAINING);
         say(HEAD + chunk(news(3, "ready").replace("\"all\":false", "\"all\":true") + "\n"));
         untilPhase(Phase.READY);
-        assertThat(before.getInputStream().read()).as("the watch before is ended").isEqualTo(-1);
+        assertThat(before.getInputStream().read())
+                .as("the watch before is ended")
+                .isEqualTo(-1);
         say("0\r\n\r\n");
         assertThat(ask(elsewhere)).isEqualTo("GET /registry/instances?watch=1&from=3 HTTP/1.1");
     }
--- a/src/test/java/sandstack/rig/FaultSchedulesTest.java
+++ b/src/test/java/sandstack/rig/FaultSchedulesTest.java
@@ -28,12 +28,13 @@
         }
         ExecutorService threads = Executors.newFixedThreadPool(schedules.size());
         Map<String, Future<FaultRun.Outcome>> runs = new TreeMap<>();
-        schedules.forEach((name, schedule) ->
-                runs.put(name, threads.submit(() -> FaultRun.play(PROGRAM, schedule))));
+        schedules.forEach((name, schedule) -> runs.put(name, threads.submit(() -> FaultRun.play(PROGRAM, schedule))));
         threads.shutdown();
         for (Map.Entry<String, Future<FaultRun.Outcome>> run : runs.entrySet()) {
             FaultRun.Outcome outcome = run.getValue().get();
-            assertThat(outcome.broken()).as(run.getKey() + "\n" + outcome.logs()).isEmpty();
+            assertThat(outcome.broken())
+                    .as(run.getKey() + "\n" + outcome.logs())
+                    .isEmpty();
             assertThat(outcome.equalAfter()).as(run.getKey()).isNotNegative();
         }
     }
--- a/src/test/java/sandstack/rig/FleetProcessesTest.java
+++ b/src/test/java/sandstack/rig/FleetProcessesTest.java
@@ -80,7 +80,8 @@
         rig.start(2);
         eventually("a new life of the same name is alive", 15, () -> {
             var line = rig.line(0, "m2");
-            return line != null && line.path("standing").asText().equals("ALIVE")
+            return line != null
+                    && line.path("standing").asText().equals("ALIVE")
                     && !line.path("life").asText().equals(before);
         });
         assertThat(rig.member(2).alive()).isTrue();
@@ -113,8 +114,14 @@
                 rig.cut(left, right);
             }
         }
-        eventually("the halves call each other partly reached", 20, () -> sees(0, 2, "PARTLY") && sees(0, 3, "PARTLY")
-                && sees(2, 0, "PARTLY") && sees(3, 1, "PARTLY") && sees(4, 0, "PARTLY"));
+        eventually(
+                "the halves call each other partly reached",
+                20,
+                () -> sees(0, 2, "PARTLY")
+                        && sees(0, 3, "PARTLY")
+                        && sees(2, 0, "PARTLY")
+                        && sees(3, 1, "PARTLY")
+                        && sees(4, 0, "PARTLY"));
         assertThat(sees(0, 4, "ALIVE")).isTrue();
         for (int left : List.of(0, 1)) {
             for (int right : List.of(2, 3)) {
@@ -133,8 +140,10 @@
                 rig.cut(left, right);
             }
         }
-        eventually("each half lost the other", 30, () -> sees(0, 2, "LOST") && sees(1, 3, "LOST")
-                && sees(2, 0, "LOST") && sees(3, 1, "LOST"));
+        eventually(
+                "each half lost the other",
+                30,
+                () -> sees(0, 2, "LOST") && sees(1, 3, "LOST") && sees(2, 0, "LOST") && sees(3, 1, "LOST"));
         assertThat(sees(0, 1, "ALIVE") && sees(3, 2, "ALIVE")).isTrue();
         for (int left : List.of(0, 1)) {
             for (int right : List.of(2, 3)) {
--- a/src/test/java/sandstack/rig/GroundProcessesTest.java
+++ b/src/test/java/sandstack/rig/GroundProcessesTest.java
@@ -65,17 +65,22 @@
     void fiveCutInTwoAndThreeThenInFourPartsKnowWhichPartTheyAre() throws IOException {
         fleet(5);
         halves(List.of(0, 1), List.of(2, 3, 4), true);
-        eventually("two are few and three are most", 30, () -> is(0, "FEW") && is(1, "FEW") && is(2, "MOST")
-                && is(3, "MOST") && is(4, "MOST"));
+        eventually(
+                "two are few and three are most",
+                30,
+                () -> is(0, "FEW") && is(1, "FEW") && is(2, "MOST") && is(3, "MOST") && is(4, "MOST"));
         rig.cut(0, 1);
         rig.cut(2, 3);
         rig.cut(2, 4);
-        eventually("one, one, one and two", 30, () -> is(0, "ALONE") && is(1, "ALONE") && is(2, "ALONE") && is(3, "FEW")
-                && is(4, "FEW"));
+        eventually(
+                "one, one, one and two",
+                30,
+                () -> is(0, "ALONE") && is(1, "ALONE") && is(2, "ALONE") && is(3, "FEW") && is(4, "FEW"));
         // healed in another order, and meanwhile never two parts that are most
         halves(List.of(2), List.of(0, 1), false);
         rig.heal(0, 1);
-        eventually("three others are most now", 30, () -> is(0, "MOST") && is(1, "MOST") && is(2, "MOST") && is(3, "FEW"));
+        eventually(
+                "three others are most now", 30, () -> is(0, "MOST") && is(1, "MOST") && is(2, "MOST") && is(3, "FEW"));
         rig.heal(2, 3);
         rig.heal(2, 4);
         halves(List.of(0, 1), List.of(3, 4), false);
@@ -101,14 +106,25 @@
         fleet(4);
         rig.kill(2);
         rig.kill(3);
-        eventually("two of four are few", 40, () -> is(0, "FEW") && is(1, "FEW")
-                && "LOST".equals(rig.standings(0).get("m3")) && "LOST".equals(rig.standings(0).get("m2")));
+        eventually(
+                "two of four are few",
+                40,
+                () -> is(0, "FEW")
+                        && is(1, "FEW")
+                        && "LOST".equals(rig.standings(0).get("m3"))
+                        && "LOST".equals(rig.standings(0).get("m2")));
         assertThat(rig.member(0).say("fleet take-out m1")).isEqualTo("not done: m1 is not lost: stop it first");
         assertThat(rig.member(0).say("fleet take-out m9")).startsWith("not done: m9 is not among");
-        assertThat(rig.member(0).say("fleet take-out m3")).startsWith("m3 is no longer counted. If it lives behind a cut");
+        assertThat(rig.member(0).say("fleet take-out m3"))
+                .startsWith("m3 is no longer counted. If it lives behind a cut");
         eventually("two of three are most, at both", 20, () -> is(0, "MOST") && is(1, "MOST"));
         rig.start(3);
-        eventually("it counts again, and is reached", 40, () -> is(0, "MOST") && is(1, "MOST") && is(3, "MOST")
-                && rig.member(0).view().path("ground").path("with").size() == 3);
+        eventually(
+                "it counts again, and is reached",
+                40,
+                () -> is(0, "MOST")
+                        && is(1, "MOST")
+                        && is(3, "MOST")
+                        && rig.member(0).view().path("ground").path("with").size() == 3);
     }
 }
--- a/src/test/java/sandstack/rig/RulesTest.java
+++ b/src/test/java/sandstack/rig/RulesTest.java
@@ -78,8 +78,10 @@
         assertThat(broken()).isEmpty();
         stands(5, 0, Ground.WHOLE, 2);
         stands(6, 0, Ground.MOST, 1);
-        assertThat(Rules.check(3, facts)).extracting(Rules.Broken::rule)
-                .containsExactly("most is more than half of what staff state", "most is more than half of what staff state");
+        assertThat(Rules.check(3, facts))
+                .extracting(Rules.Broken::rule)
+                .containsExactly(
+                        "most is more than half of what staff state", "most is more than half of what staff state");
     }
 
     @Test
@@ -145,8 +147,8 @@
         letGo(1);
         seen(5, 0, Standing.ALIVE, Standing.ALIVE, Standing.ALIVE);
         seen(5, 1, Standing.ALIVE, Standing.ALIVE, Standing.PARTLY);
-        assertThat(broken()).containsExactlyInAnyOrder("views are equal after all faults have ended",
-                "whoever runs answers");
+        assertThat(broken())
+                .containsExactlyInAnyOrder("views are equal after all faults have ended", "whoever runs answers");
     }
 
     @Test
@@ -154,9 +156,20 @@
         allAlive(0);
         letGo(1);
         allAlive(2);
-        facts.add(new Seen(3 * SECOND, 3 * SECOND, 0, "life0", Map.of("life0", new Line("m0", Standing.ALIVE),
-                "life1", new Line("m1", Standing.ALIVE), "other", new Line("m1", Standing.ALIVE),
-                "life2", new Line("m2", Standing.ALIVE))));
+        facts.add(new Seen(
+                3 * SECOND,
+                3 * SECOND,
+                0,
+                "life0",
+                Map.of(
+                        "life0",
+                        new Line("m0", Standing.ALIVE),
+                        "life1",
+                        new Line("m1", Standing.ALIVE),
+                        "other",
+                        new Line("m1", Standing.ALIVE),
+                        "life2",
+                        new Line("m2", Standing.ALIVE))));
         assertThat(broken()).containsExactly("a name has one present life");
     }
 
@@ -165,16 +178,21 @@
     @Timeout(100)
     void withRealMembersAPlantedFaultIsFound() throws Exception {
         List<String> program = List.of("-cp", System.getProperty("java.class.path"), "sandstack.Main");
-        Schedule schedule = new Schedule(3, List.of(new Step(0.5, Kind.CUT, 0, 1), new Step(0.5, Kind.CUT, 0, 2),
-                new Step(13, Kind.HEAL, 0, 1), new Step(13, Kind.HEAL, 0, 2)));
+        Schedule schedule = new Schedule(
+                3,
+                List.of(
+                        new Step(0.5, Kind.CUT, 0, 1),
+                        new Step(0.5, Kind.CUT, 0, 2),
+                        new Step(13, Kind.HEAL, 0, 1),
+                        new Step(13, Kind.HEAL, 0, 2)));
         AtomicInteger hidden = new AtomicInteger();
         FaultRun.Outcome blind = FaultRun.play(program, schedule, step -> {
             hidden.incrementAndGet();
             return false;
         });
         assertThat(hidden).hasValue(4);
-        assertThat(blind.broken()).as(blind.logs()).isNotEmpty().allMatch(b ->
-                b.rule().equals("nobody within reach is lost"));
+        assertThat(blind.broken()).as(blind.logs()).isNotEmpty().allMatch(b -> b.rule()
+                .equals("nobody within reach is lost"));
         assertThat(blind.equalAfter()).as(blind.logs()).isNotNegative();
     }
 }
--- a/src/test/java/sandstack/rig/ScheduleTest.java
+++ b/src/test/java/sandstack/rig/ScheduleTest.java
@@ -28,7 +28,8 @@
         assertThat(read.members()).isEqualTo(drawn.members());
         assertThat(read.steps()).hasSameSizeAs(drawn.steps());
         for (int i = 0; i < drawn.steps().size(); i++) {
-            assertThat(read.steps().get(i).toString()).isEqualTo(drawn.steps().get(i).toString());
+            assertThat(read.steps().get(i).toString())
+                    .isEqualTo(drawn.steps().get(i).toString());
         }
         assertThat(Schedule.draw(seed)).isEqualTo(drawn);
         for (Schedule.Step step : drawn.steps()) {
@@ -38,28 +39,34 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "members = 0                                     | members must be a whole number from 1 to 100: 0",
-        "members = 3\\ncolour = 1                        | colour is not known here; known are members, step",
-        "members = 3                                     | step must be up to 1000 tables",
-        "members = 3\\n[[step]]\\nat = -1                | step 1: at must be a number from 0 to 600.0: -1",
-        "members = 3\\n[[step]]\\nat = 1\\ndo = \"jump\" | step 1: do is none of cut, cut-one-way, heal",
-        "members = 3\\n[[step]]\\nat = 1\\ndo = \"kill\"\\na = 3          | step 1: a must be a whole number from 0 to 2: 3",
-        "members = 3\\n[[step]]\\nat = 1\\ndo = \"cut\"\\na = 1\\nb = 1   | step 1: a and b are the same member: 1",
-        "members = 3\\n[[step]]\\nat = 1\\nwhen = 2       | step 1: when is not known here",
-        "members =                                       | ",
-    })
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "members = 0                                     | members must be a whole number from 1 to 100: 0",
+                "members = 3\\ncolour = 1                        | colour is not known here; known are members, step",
+                "members = 3                                     | step must be up to 1000 tables",
+                "members = 3\\n[[step]]\\nat = -1                | step 1: at must be a number from 0 to 600.0: -1",
+                "members = 3\\n[[step]]\\nat = 1\\ndo = \"jump\" | step 1: do is none of cut, cut-one-way, heal",
+                "members = 3\\n[[step]]\\nat = 1\\ndo = \"kill\"\\na = 3          | step 1: a must be a whole number from 0 to 2: 3",
+                "members = 3\\n[[step]]\\nat = 1\\ndo = \"cut\"\\na = 1\\nb = 1   | step 1: a and b are the same member: 1",
+                "members = 3\\n[[step]]\\nat = 1\\nwhen = 2       | step 1: when is not known here",
+                "members =                                       | ",
+            })
     void aMistakeIsOneLineThatNamesFileKeyAndValue(String toml, String line) throws Exception {
         Path file = folder.resolve("s.toml");
         Files.writeString(file, toml.strip().replace("\\n", "\n"));
-        assertThatThrownBy(() -> Schedule.read(file)).isInstanceOf(BadSettings.class)
-                .hasMessageStartingWith(file + ": " + (line == null ? "" : line)).hasMessageNotContaining("\n");
+        assertThatThrownBy(() -> Schedule.read(file))
+                .isInstanceOf(BadSettings.class)
+                .hasMessageStartingWith(file + ": " + (line == null ? "" : line))
+                .hasMessageNotContaining("\n");
     }
 
     @Test
     void stepsAreInTheOrderOfTheirMoments() {
-        Schedule schedule = new Schedule(2, List.of(new Schedule.Step(2, Schedule.Kind.HEAL, 0, 1),
-                new Schedule.Step(1, Schedule.Kind.CUT, 0, 1)));
+        Schedule schedule = new Schedule(
+                2,
+                List.of(new Schedule.Step(2, Schedule.Kind.HEAL, 0, 1), new Schedule.Step(1, Schedule.Kind.CUT, 0, 1)));
         assertThat(schedule.steps().get(0).kind()).isEqualTo(Schedule.Kind.CUT);
         assertThat(schedule.without(0).steps()).hasSize(1);
     }
--- a/src/test/java/sandstack/scenario/AmqpActor.java
+++ b/src/test/java/sandstack/scenario/AmqpActor.java
@@ -122,12 +122,13 @@
         detached = true;
         boolean later = error.getInfo() != null
                 && error.getInfo().get(Symbol.valueOf("sandstack:come-back-ms")) instanceof UnsignedInteger;
-        events.add(switch (error.getCondition().toString()) {
-            case "amqp:resource-limit-exceeded" -> later ? "busy later" : "busy";
-            case "amqp:connection:forced" -> "move";
-            case "amqp:internal-error" -> "error";
-            default -> error.getCondition().toString();
-        });
+        events.add(
+                switch (error.getCondition().toString()) {
+                    case "amqp:resource-limit-exceeded" -> later ? "busy later" : "busy";
+                    case "amqp:connection:forced" -> "move";
+                    case "amqp:internal-error" -> "error";
+                    default -> error.getCondition().toString();
+                });
     }
 
     @Override
@@ -145,14 +146,21 @@
                 case "busy" -> refuse("amqp:resource-limit-exceeded");
                 case "error" -> refuse("amqp:internal-error");
                 case "bye" -> link.close();
-                case "move" -> connection.setCondition(new ErrorCondition("amqp:connection:forced", "drain")).close();
+                case "move" -> connection
+                        .setCondition(new ErrorCondition("amqp:connection:forced", "drain"))
+                        .close();
                 case "line" -> deliver(what.substring(5), true);
                 case "big" -> deliver("x".repeat(Integer.parseInt(words[1])), true);
                 case "part" -> deliver(what.substring(5), false);
                 case "accept" -> lastRead.disposition(Accepted.getInstance(), true);
                 case "credit" -> ((Receiver) link).addCredit(Integer.parseInt(words[1]));
-                case "second" -> connection.session().open().sender("another").setTarget(new Target())
-                        .closeHandler(l -> told(l.getRemoteCondition())).open();
+                case "second" -> connection
+                        .session()
+                        .open()
+                        .sender("another")
+                        .setTarget(new Target())
+                        .closeHandler(l -> told(l.getRemoteCondition()))
+                        .open();
                 case "raw" -> socket.getOutputStream().write(what.substring(4).getBytes(StandardCharsets.UTF_8));
                 default -> throw new IllegalArgumentException(what);
             }
--- a/src/test/java/sandstack/scenario/ScenarioTest.java
+++ b/src/test/java/sandstack/scenario/ScenarioTest.java
@@ -48,8 +48,8 @@
                 for (String part : Files.readString(file).split("(?m)^== ")) {
                     if (!part.isBlank()) {
                         List<String> lines = part.lines().toList();
-                        tests.add(DynamicTest.dynamicTest(lines.get(0),
-                                () -> play(lines.subList(1, lines.size()), amqp)));
+                        tests.add(DynamicTest.dynamicTest(
+                                lines.get(0), () -> play(lines.subList(1, lines.size()), amqp)));
                     }
                 }
             }
@@ -65,7 +65,9 @@
                     step(stage, actors, line.trim());
                 }
             }
-            assertThat(stage.unexpectedAsks()).as("requests that reached a feed server unexpected").isZero();
+            assertThat(stage.unexpectedAsks())
+                    .as("requests that reached a feed server unexpected")
+                    .isZero();
         }
     }
 
@@ -99,10 +101,12 @@
     private static void nobodyElseIsOut(Map<String, Actor> actors, String name, String line)
             throws InterruptedException {
         for (Map.Entry<String, Actor> other : actors.entrySet()) {
-            if (!other.getKey().equals(name) && other.getKey().startsWith("x")
+            if (!other.getKey().equals(name)
+                    && other.getKey().startsWith("x")
                     && other.getValue().key.equals(actors.get(name).key)) {
                 while (!other.getValue().over) {
-                    assertThat(other.getValue().next()).as(line + " while " + other.getKey() + " is out")
+                    assertThat(other.getValue().next())
+                            .as(line + " while " + other.getKey() + " is out")
                             .isIn("end", "reset", "aborted");
                 }
             }
--- a/src/test/java/sandstack/scenario/Stage.java
+++ b/src/test/java/sandstack/scenario/Stage.java
@@ -33,6 +33,7 @@
     static final List<String> CLASSES = List.of("order-status", "stock-check");
     /** So many sockets the relay may hold. */
     private static final int SOCKETS = 40;
+
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     private final boolean amqp;
@@ -48,13 +49,40 @@
     Stage(boolean amqp) throws IOException {
         this.amqp = amqp;
         RequestClass cls = new RequestClass(320_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 100_000);
-        Settings settings = new Settings(0, 1, 0, 1, List.of(cls, cls), List.of(), 1, false, false, true, true,
-                10_000_000, 6, 100_000, false, 1_500_000, false, 0, false, 0, 0.1, 0.01, 300_000, 0.13, 23_000_000,
-                3, 1_500_000, false);
-        relay = new Relay(new Terms(settings, CLASSES, true), Stated.Book.EMPTY, Limits.NONE, 11, loop::now, () -> { });
+        Settings settings = new Settings(
+                0,
+                1,
+                0,
+                1,
+                List.of(cls, cls),
+                List.of(),
+                1,
+                false,
+                false,
+                true,
+                true,
+                10_000_000,
+                6,
+                100_000,
+                false,
+                1_500_000,
+                false,
+                0,
+                false,
+                0,
+                0.1,
+                0.01,
+                300_000,
+                0.13,
+                23_000_000,
+                3,
+                1_500_000,
+                false);
+        relay = new Relay(new Terms(settings, CLASSES, true), Stated.Book.EMPTY, Limits.NONE, 11, loop::now, () -> {});
         loop.start(relay::turn, relay::nextTurn);
         Lobby lobby = new Lobby(loop, relay.deadlines(), SOCKETS);
-        port = amqp ? new AmqpFront(loop, relay, lobby, "relay").listen("127.0.0.1", 0)
+        port = amqp
+                ? new AmqpFront(loop, relay, lobby, "relay").listen("127.0.0.1", 0)
                 : new PlatformFront(loop, relay, lobby).listen("127.0.0.1", 0);
     }
 
@@ -92,8 +120,11 @@
 
     private void list(String server, int serverPort, Phase phase) throws Exception {
         onLoop(() -> {
-            relay.listed(new NameTable.News(ListKind.CHANGES, ++version, List.of(new NameTable.Line(
-                    new ServerEntry(server, 0, 0, 0, 0, phase, 1), "127.0.0.1", serverPort))));
+            relay.listed(new NameTable.News(
+                    ListKind.CHANGES,
+                    ++version,
+                    List.of(new NameTable.Line(
+                            new ServerEntry(server, 0, 0, 0, 0, phase, 1), "127.0.0.1", serverPort))));
             return null;
         });
     }
--- a/src/test/java/sandstack/scenario/TextActor.java
+++ b/src/test/java/sandstack/scenario/TextActor.java
@@ -18,39 +18,44 @@
     @Override
     void send(String what) throws IOException {
         String[] words = what.split(" ");
-        String line = switch (words[0]) {
-            case "ask" -> "OPEN id" + ++lastId + " " + words[1 + 1] + " c=" + words[1] + ",d=" + words[3] + ",g=g1"
-                    + (words.length > 4 ? "," + words[4] : "");
-            case "up" -> "UP receipt";
-            case "bye", "move", "busy" -> words[0].toUpperCase();
-            case "error" -> "ERR";
-            case "line" -> what.substring(5);
-            case "raw" -> what.substring(4).replace("\\r", "\r").replace("\\n", "\n").replace("\\0", "\0");
-            case "long" -> "OPEN " + "x".repeat(Integer.parseInt(words[1]));
-            default -> throw new IllegalArgumentException(what);
-        };
+        String line =
+                switch (words[0]) {
+                    case "ask" -> "OPEN id" + ++lastId + " " + words[1 + 1] + " c=" + words[1] + ",d=" + words[3]
+                            + ",g=g1" + (words.length > 4 ? "," + words[4] : "");
+                    case "up" -> "UP receipt";
+                    case "bye", "move", "busy" -> words[0].toUpperCase();
+                    case "error" -> "ERR";
+                    case "line" -> what.substring(5);
+                    case "raw" -> what.substring(4)
+                            .replace("\\r", "\r")
+                            .replace("\\n", "\n")
+                            .replace("\\0", "\0");
+                    case "long" -> "OPEN " + "x".repeat(Integer.parseInt(words[1]));
+                    default -> throw new IllegalArgumentException(what);
+                };
         boolean half = words[0].equals("raw") && line.endsWith("...");
-        byte[] bytes = (half ? line.substring(0, line.length() - 3) : line + "\r\n")
-                .getBytes(StandardCharsets.ISO_8859_1);
+        byte[] bytes =
+                (half ? line.substring(0, line.length() - 3) : line + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
         socket.getOutputStream().write(bytes);
     }
 
     @Override
     void read() throws IOException {
-        BufferedReader in = new BufferedReader(
-                new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             String[] words = line.split("[ ,]");
             if (words[0].equals("OPEN")) {
                 key = words[2];
             }
-            events.add(switch (words[0]) {
-                case "OPEN" -> "ask " + words[3].substring(2);
-                case "UP", "MOVE", "BYE", "PONG" -> words[0].toLowerCase();
-                case "ERR" -> "error";
-                case "BUSY" -> words.length > 1 && Integer.parseInt(words[1]) > 0 ? "busy later" : "busy";
-                default -> "line " + line;
-            });
+            events.add(
+                    switch (words[0]) {
+                        case "OPEN" -> "ask " + words[3].substring(2);
+                        case "UP", "MOVE", "BYE", "PONG" -> words[0].toLowerCase();
+                        case "ERR" -> "error";
+                        case "BUSY" -> words.length > 1 && Integer.parseInt(words[1]) > 0 ? "busy later" : "busy";
+                        default -> "line " + line;
+                    });
         }
     }
 }
--- a/src/test/java/sandstack/told/ListClockTest.java
+++ b/src/test/java/sandstack/told/ListClockTest.java
@@ -47,23 +47,30 @@
      * next call waits as long as discovery lets it, and the list is there before a change made at the return counts.
      */
     @Property
-    void afterAnyFailureTheNextListIsThereBeforeAChangeCounts(@ForAll @LongRange(max = 100_000_000) long within,
-            @ForAll @IntRange(min = 1) int failures, @ForAll @DoubleRange(max = 0.99) double draw) {
+    void afterAnyFailureTheNextListIsThereBeforeAChangeCounts(
+            @ForAll @LongRange(max = 100_000_000) long within,
+            @ForAll @IntRange(min = 1) int failures,
+            @ForAll @DoubleRange(max = 0.99) double draw) {
         long there = ListClock.SILENCE + new ListClock(false, within).pause(failures, draw) + 2_000_000;
         assertThat(there).isLessThanOrEqualTo(ListClock.MISSED);
     }
 
     @Property
-    void pausesAreBoundedAndNeverNone(@ForAll boolean pushed, @ForAll @LongRange(max = 100_000_000) long within,
-            @ForAll @IntRange(min = 1) int failures, @ForAll @DoubleRange(max = 0.99) double draw) {
+    void pausesAreBoundedAndNeverNone(
+            @ForAll boolean pushed,
+            @ForAll @LongRange(max = 100_000_000) long within,
+            @ForAll @IntRange(min = 1) int failures,
+            @ForAll @DoubleRange(max = 0.99) double draw) {
         long pause = new ListClock(pushed, within).pause(failures, draw);
         assertThat(pause).isBetween(1L, pushed ? 80_000 : Math.max(160_000, within / 2 + 1));
     }
 
     /** A relay may not go without a call for longer than the settings say, whatever has failed before. */
     @Property
-    void whereListsAreAskedForNoPauseIsLongerThanAllowed(@ForAll @LongRange(min = 1_000_000, max = 60_000_000) long within,
-            @ForAll @IntRange(min = 1) int failures, @ForAll @DoubleRange(max = 0.99) double draw) {
+    void whereListsAreAskedForNoPauseIsLongerThanAllowed(
+            @ForAll @LongRange(min = 1_000_000, max = 60_000_000) long within,
+            @ForAll @IntRange(min = 1) int failures,
+            @ForAll @DoubleRange(max = 0.99) double draw) {
         assertThat(new ListClock(false, within).pause(failures, draw)).isLessThan(within);
     }
 
