--- /dev/null
+++ b/src/main/java/sandstack/measure/scale/Series.java
@@ -0,0 +1,28 @@
+package sandstack.measure.scale;
+
+import java.util.List;
+
+/**
+ * One quantity, measured at several sizes.
+ *
+ * @param id unique and stable, in lower case with dots and dashes, such as {@code relay.memory-per-connection}
+ * @param unit of the values, such as {@code bytes}
+ * @param per what the sizes count, such as {@code connections}
+ * @param method how the values were got, in one sentence
+ */
+public record Series(
+        String id, Role role, Resource resource, String unit, String per, String method, List<Point> points) {
+
+    /**
+     * A value at a size.
+     *
+     * @param size how many of what the series counts
+     * @param value in the unit of the series
+     */
+    public record Point(double size, double value) {}
+
+    /** Keeps a copy of the points. */
+    public Series {
+        points = List.copyOf(points);
+    }
+}
