--- a/src/bench/java/sandstack/decisions/DecisionBenchmark.java
+++ b/src/bench/java/sandstack/decisions/DecisionBenchmark.java
@@ -16,6 +16,7 @@
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
 import sandstack.decisions.Decisions.*;
+import sandstack.settings.SettingsBuilder;
 
 /** One connection from its request to its end, among 1,000 servers and 100,000 that stand. */
 @State(Scope.Benchmark)
@@ -38,35 +39,23 @@
     public void fill() {
         RequestClass cls = new RequestClass(500_000, 3_000_000, 5, Repeat.SAFE, Decisions.Scope.ALL, 0, 150_000);
         brain = new Brain(
-                new Settings(
-                        0,
-                        3,
-                        0,
-                        3,
-                        List.of(cls, cls),
-                        List.of(),
-                        1,
-                        false,
-                        false,
-                        true,
-                        true,
-                        10_000_000,
-                        6,
-                        100_000,
-                        true,
-                        1_500_000,
-                        false,
-                        0,
-                        false,
-                        0,
-                        0.1,
-                        0.012,
-                        300_000,
-                        0.13,
-                        23_000_000,
-                        3,
-                        1_500_000,
-                        false),
+                SettingsBuilder.of(List.of(cls, cls))
+                        .instances(3)
+                        .zones(3)
+                        .sharedGroups(true)
+                        .listOnRequest(true)
+                        .askWithin(10_000_000)
+                        .connectTimeout(100_000)
+                        .retryAfter(true)
+                        .maxRetryAfter(1_500_000)
+                        .crossZonePrice(0.1)
+                        .movePrice(0.012)
+                        .drainGrace(300_000)
+                        .coldFrom(0.13)
+                        .warmAfter(23_000_000)
+                        .tipMultiple(3)
+                        .tipAfter(1_500_000)
+                        .build(),
                 Stated.Book.EMPTY,
                 Limits.NONE,
                 7,
--- a/src/main/java/sandstack/config/SettingsReader.java
+++ b/src/main/java/sandstack/config/SettingsReader.java
@@ -13,6 +13,7 @@
 import sandstack.decisions.Decisions.Scope;
 import sandstack.decisions.Decisions.Settings;
 import sandstack.decisions.Decisions.Tenant;
+import sandstack.settings.SettingsBuilder;
 
 /** Reads the settings of one instance: flattens them to dotted paths and picks what the module takes. */
 public final class SettingsReader {
@@ -140,34 +141,34 @@
             tenants.add(new Tenant(
                     number("family_info.tenant_quota_connections." + i, 0), number("tenants." + i + ".portion", 0)));
         }
-        return new Settings(
-                count("me"),
-                count("siblings"),
-                count("locality"),
-                size("zones"),
-                classes,
-                tenants,
-                number("over_share_worth", 1),
-                text("worth_by").equals("work"),
-                text("family_info.mode").equals("pass"),
-                flag("family_info.groups"),
-                text("membership_mode").equals("on_request"),
-                time("contract.ask_every_us"),
-                (int) Math.min(Integer.MAX_VALUE, above0("caps.max_attempts")),
-                time("caps.connect_timeout_us"),
-                flag("caps.retry_after"),
-                time("caps.max_retry_after_us"),
-                flag("caps.probes"),
-                number("costs.probe", 0),
-                flag("caps.peers"),
-                number("costs.peer", 0),
-                number("costs.cross_zone", 0),
-                number("costs.moves", 0),
-                time("contract.drain_grace_us"),
-                number("contract.cold_from", 1),
-                time("contract.warm_after_us"),
-                number("contract.tip_multiple", 1),
-                time("contract.tip_after_us"),
-                SIZES.contains(text("weights")));
+        return SettingsBuilder.of(classes)
+                .self(count("me"))
+                .instances(count("siblings"))
+                .homeZone(count("locality"))
+                .zones(size("zones"))
+                .tenants(tenants)
+                .overShareWorth(number("over_share_worth", 1))
+                .worthByWork(text("worth_by").equals("work"))
+                .passThrough(text("family_info.mode").equals("pass"))
+                .sharedGroups(flag("family_info.groups"))
+                .listOnRequest(text("membership_mode").equals("on_request"))
+                .askWithin(time("contract.ask_every_us"))
+                .maxAttempts((int) Math.min(Integer.MAX_VALUE, above0("caps.max_attempts")))
+                .connectTimeout(time("caps.connect_timeout_us"))
+                .retryAfter(flag("caps.retry_after"))
+                .maxRetryAfter(time("caps.max_retry_after_us"))
+                .probes(flag("caps.probes"))
+                .probePrice(number("costs.probe", 0))
+                .peers(flag("caps.peers"))
+                .peerPrice(number("costs.peer", 0))
+                .crossZonePrice(number("costs.cross_zone", 0))
+                .movePrice(number("costs.moves", 0))
+                .drainGrace(time("contract.drain_grace_us"))
+                .coldFrom(number("contract.cold_from", 1))
+                .warmAfter(time("contract.warm_after_us"))
+                .tipMultiple(number("contract.tip_multiple", 1))
+                .tipAfter(time("contract.tip_after_us"))
+                .sized(SIZES.contains(text("weights")))
+                .build();
     }
 }
--- a/src/main/java/sandstack/core/Terms.java
+++ b/src/main/java/sandstack/core/Terms.java
@@ -6,6 +6,7 @@
 import java.util.stream.IntStream;
 import sandstack.decisions.Decisions.RequestClass;
 import sandstack.decisions.Decisions.Settings;
+import sandstack.settings.SettingsBuilder;
 
 /**
  * What counts for the commands that come now: the settings, and the names of their classes. A value; new ones follow at
@@ -63,6 +64,10 @@
             throw new IllegalArgumentException(
                     "setting classes has more than " + MOST_CLASSES + " names over all reloads");
         }
-        return new Terms(next.settings.forInstanceOf(settings, all), names, next.offered, next.delaysTold);
+        Settings settingsOfAll = SettingsBuilder.from(next.settings)
+                .forInstanceOf(settings)
+                .classes(all)
+                .build();
+        return new Terms(settingsOfAll, names, next.offered, next.delaysTold);
     }
 }
--- a/src/main/java/sandstack/decisions/Decisions.java
+++ b/src/main/java/sandstack/decisions/Decisions.java
@@ -197,39 +197,6 @@
             require(tipAfter >= 0, "tipAfter", "is negative");
         }
 
-        /** The same with these classes, for the instance that those others set up: its number and its zones. */
-        public Settings forInstanceOf(Settings other, List<RequestClass> all) {
-            return new Settings(
-                    other.self,
-                    instances,
-                    other.homeZone,
-                    other.zones,
-                    all,
-                    tenants,
-                    overShareWorth,
-                    worthByWork,
-                    passThrough,
-                    sharedGroups,
-                    listOnRequest,
-                    askWithin,
-                    maxAttempts,
-                    connectTimeout,
-                    retryAfter,
-                    maxRetryAfter,
-                    probes,
-                    probePrice,
-                    peers,
-                    peerPrice,
-                    crossZonePrice,
-                    movePrice,
-                    drainGrace,
-                    coldFrom,
-                    warmAfter,
-                    tipMultiple,
-                    tipAfter,
-                    sized);
-        }
-
         /** When what the list's source has to tell counts as told, and when to ask again. */
         public ListClock list() {
             return new ListClock(!listOnRequest, askWithin);
--- a/src/main/java/sandstack/decisions/Draw.java
+++ b/src/main/java/sandstack/decisions/Draw.java
@@ -168,7 +168,8 @@
             return score / room * (1 + held);
         }
         // where no loads are told, one that holds more than its part lets the next go to the place behind it
-        boolean over = !f.capacity.loadsTold() && held > BOUND * f.capacity.spread() * fleet.meanRating + BOUND_FEW;
+        double most = BOUND * f.capacity.spread() * fleet.meanRating + BOUND_FEW;
+        boolean over = !f.capacity.loadsTold() && held > most;
         // where the group already stands it is paid for: before any other server
         score /= room * (over ? OVER_WEIGHT : s.groups.containsKey(r.ask.group()) ? HOLDER_WEIGHT : 1);
         return score * (1 + USE_WEIGHT * this.room.use(s));
--- a/src/main/java/sandstack/decisions/Request.java
+++ b/src/main/java/sandstack/decisions/Request.java
@@ -74,6 +74,7 @@
             return false;
         }
         Server ran = mayHaveRunAt;
-        return ran == null || cls.repeat() == Repeat.SAFE || cls.scope().covers(ran.zone, ran.cell, s.zone, s.cell);
+        boolean anywhere = ran == null || cls.repeat() == Repeat.SAFE;
+        return anywhere || cls.scope().covers(ran.zone, ran.cell, s.zone, s.cell);
     }
 }
--- /dev/null
+++ b/src/main/java/sandstack/settings/package-info.java
@@ -0,0 +1,2 @@
+/** Builds the settings of the decision module by name. */
+package sandstack.settings;
--- a/src/test/java/sandstack/console/ConsoleTest.java
+++ b/src/test/java/sandstack/console/ConsoleTest.java
@@ -19,6 +19,7 @@
 import sandstack.core.ServiceClient;
 import sandstack.core.Tenants;
 import sandstack.decisions.Decisions.*;
+import sandstack.settings.SettingsBuilder;
 
 class ConsoleTest {
     /** A client whose executions stand at once. */
@@ -42,35 +43,10 @@
     private final long[] now = {1_000_000};
     private final AtomicBoolean drained = new AtomicBoolean();
     private final Relay relay = new Relay(
-            new Settings(
-                    0,
-                    1,
-                    0,
-                    1,
-                    List.of(new RequestClass(300_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 0)),
-                    List.of(),
-                    1,
-                    false,
-                    false,
-                    false,
-                    false,
-                    0,
-                    6,
-                    100_000,
-                    false,
-                    0,
-                    false,
-                    0,
-                    false,
-                    0,
-                    0,
-                    0,
-                    0,
-                    1,
-                    0,
-                    3,
-                    0,
-                    false),
+            SettingsBuilder.of(List.of(new RequestClass(300_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 0)))
+                    .connectTimeout(100_000)
+                    .tipMultiple(3)
+                    .build(),
             1,
             () -> now[0],
             () -> {});
--- a/src/test/java/sandstack/core/ExecutionTest.java
+++ b/src/test/java/sandstack/core/ExecutionTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sandstack.decisions.Decisions.*;
+import sandstack.settings.SettingsBuilder;
 
 /** Executions on a clock that the test moves. */
 class ExecutionTest {
@@ -15,35 +16,11 @@
     private int abandoned;
     private int moved;
     private final Relay relay = new Relay(
-            new Settings(
-                    0,
-                    1,
-                    0,
-                    1,
-                    List.of(new RequestClass(300_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 0)),
-                    List.of(),
-                    1,
-                    false,
-                    false,
-                    false,
-                    false,
-                    0,
-                    6,
-                    100_000,
-                    false,
-                    1_000_000,
-                    false,
-                    0,
-                    false,
-                    0,
-                    0,
-                    0,
-                    0,
-                    1,
-                    0,
-                    3,
-                    0,
-                    false),
+            SettingsBuilder.of(List.of(new RequestClass(300_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 0)))
+                    .connectTimeout(100_000)
+                    .maxRetryAfter(1_000_000)
+                    .tipMultiple(3)
+                    .build(),
             1,
             () -> now,
             () -> {});
--- a/src/test/java/sandstack/decisions/EmbeddingTest.java
+++ b/src/test/java/sandstack/decisions/EmbeddingTest.java
@@ -7,41 +7,25 @@
 import org.junit.jupiter.api.Test;
 import sandstack.capacity.Limits;
 import sandstack.decisions.Decisions.*;
+import sandstack.settings.SettingsBuilder;
 
 /** The example of the README: one request through a failed attempt, back-off, placement and end. */
 class EmbeddingTest {
     @Test
     void oneRequestFromArrivalToEnd() {
         RequestClass feed = new RequestClass(500_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 100_000);
-        Settings settings = new Settings(
-                0,
-                4,
-                0,
-                1,
-                List.of(feed),
-                List.of(),
-                1,
-                false,
-                false,
-                false,
-                false,
-                0,
-                3,
-                100_000,
-                true,
-                2_000_000,
-                false,
-                0,
-                false,
-                0,
-                0,
-                0,
-                1_000_000,
-                0.3,
-                8_000_000,
-                3,
-                2_000_000,
-                false);
+        Settings settings = SettingsBuilder.of(List.of(feed))
+                .instances(4)
+                .maxAttempts(3)
+                .connectTimeout(100_000)
+                .retryAfter(true)
+                .maxRetryAfter(2_000_000)
+                .drainGrace(1_000_000)
+                .coldFrom(0.3)
+                .warmAfter(8_000_000)
+                .tipMultiple(3)
+                .tipAfter(2_000_000)
+                .build();
         long now = 0;
         Brain brain = new Brain(settings, Rig.PLATFORM, Limits.NONE, 42, now);
         brain.on(
--- a/src/test/java/sandstack/decisions/NewSettingsTest.java
+++ b/src/test/java/sandstack/decisions/NewSettingsTest.java
@@ -19,6 +19,7 @@
 import sandstack.decisions.Decisions.Scope;
 import sandstack.decisions.Decisions.Settings;
 import sandstack.decisions.Decisions.SettingsChanged;
+import sandstack.settings.SettingsBuilder;
 
 /** Settings that come while requests are under way. */
 class NewSettingsTest {
@@ -28,7 +29,7 @@
     private static Settings withClass(Settings before, RequestClass more) {
         List<RequestClass> classes = new ArrayList<>(before.classes());
         classes.add(more);
-        return before.forInstanceOf(before, classes);
+        return SettingsBuilder.from(before).classes(classes).build();
     }
 
     private static Attempt attempt(List<Action> actions) {
--- a/src/test/java/sandstack/decisions/NothingStatedTest.java
+++ b/src/test/java/sandstack/decisions/NothingStatedTest.java
@@ -8,40 +8,29 @@
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
 import sandstack.decisions.Decisions.*;
+import sandstack.settings.SettingsBuilder;
 
 /** The module where nobody states anything of the feed servers: what settings, lists and told loads say. */
 class NothingStatedTest {
     private static Rig rig(boolean sized) {
         Settings s = Rig.settings().build();
-        Settings with = new Settings(
-                s.self(),
-                s.instances(),
-                0,
-                1,
-                s.classes(),
-                s.tenants(),
-                1,
-                false,
-                false,
-                true,
-                true,
-                Rig.ASK,
-                6,
-                50_000,
-                true,
-                60_000_000,
-                false,
-                0,
-                false,
-                0,
-                0,
-                0,
-                Rig.GRACE,
-                0.3,
-                8_000_000,
-                3,
-                2_000_000,
-                sized);
+        Settings with = SettingsBuilder.of(s.classes())
+                .self(s.self())
+                .instances(s.instances())
+                .tenants(s.tenants())
+                .sharedGroups(true)
+                .listOnRequest(true)
+                .askWithin(Rig.ASK)
+                .connectTimeout(50_000)
+                .retryAfter(true)
+                .maxRetryAfter(60_000_000)
+                .drainGrace(Rig.GRACE)
+                .coldFrom(0.3)
+                .warmAfter(8_000_000)
+                .tipMultiple(3)
+                .tipAfter(2_000_000)
+                .sized(sized)
+                .build();
         Rig rig = new Rig(with, Stated.Book.EMPTY, Limits.NONE, 5);
         rig.list(2, 1);
         return rig;
--- a/src/test/java/sandstack/decisions/Rig.java
+++ b/src/test/java/sandstack/decisions/Rig.java
@@ -18,6 +18,7 @@
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
 import sandstack.decisions.Decisions.*;
+import sandstack.settings.SettingsBuilder;
 
 /** Feeds one Brain and checks each of its actions against the rules. */
 final class Rig {
@@ -126,35 +127,28 @@
         }
 
         Settings build() {
-            return new Settings(
-                    0,
-                    instances,
-                    zone,
-                    2,
-                    classes,
-                    List.of(),
-                    1,
-                    false,
-                    false,
-                    true,
-                    ask,
-                    ASK,
-                    attempts,
-                    50_000,
-                    advice,
-                    60_000_000,
-                    false,
-                    0.002,
-                    true,
-                    0.01,
-                    0.08,
-                    0.01,
-                    grace,
-                    0.3,
-                    8_000_000,
-                    3,
-                    2_000_000,
-                    false);
+            return SettingsBuilder.of(classes)
+                    .instances(instances)
+                    .homeZone(zone)
+                    .zones(2)
+                    .sharedGroups(true)
+                    .listOnRequest(ask)
+                    .askWithin(ASK)
+                    .maxAttempts(attempts)
+                    .connectTimeout(50_000)
+                    .retryAfter(advice)
+                    .maxRetryAfter(60_000_000)
+                    .probePrice(0.002)
+                    .peers(true)
+                    .peerPrice(0.01)
+                    .crossZonePrice(0.08)
+                    .movePrice(0.01)
+                    .drainGrace(grace)
+                    .coldFrom(0.3)
+                    .warmAfter(8_000_000)
+                    .tipMultiple(3)
+                    .tipAfter(2_000_000)
+                    .build();
         }
     }
 
--- a/src/test/java/sandstack/decisions/StreamTest.java
+++ b/src/test/java/sandstack/decisions/StreamTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sandstack.capacity.Limits;
 import sandstack.decisions.Decisions.*;
+import sandstack.settings.SettingsBuilder;
 
 /**
  * Plays thousands of mixed events to the module and compares a digest of all its actions with one that was kept:
@@ -57,35 +58,29 @@
             RequestClass light = new RequestClass(320_000, 2_000_000, 5, Repeat.SAFE, Scope.ALL, 0, 100_000);
             RequestClass heavy = new RequestClass(500_000, 3_000_000, 1, Repeat.KEYED, Scope.ZONE, 800_000, 150_000);
             RequestClass once = new RequestClass(500_000, 3_000_000, 2, Repeat.UNSAFE, Scope.CELL, 0, 0);
-            return new Settings(
-                    1,
-                    3,
-                    0,
-                    3,
-                    List.of(light, heavy, once),
-                    List.of(new Tenant(20, 0.5), new Tenant(60, 0.5)),
-                    kind.contains("tenants") ? 0.2 : 1,
-                    false,
-                    false,
-                    kind.contains("groups"),
-                    true,
-                    10_000_000,
-                    5,
-                    50_000,
-                    true,
-                    1_500_000,
-                    false,
-                    0.002,
-                    false,
-                    0.01,
-                    0.1,
-                    0.012,
-                    300_000,
-                    0.3,
-                    8_000_000,
-                    3,
-                    1_500_000,
-                    false);
+            return SettingsBuilder.of(List.of(light, heavy, once))
+                    .self(1)
+                    .instances(3)
+                    .zones(3)
+                    .tenants(List.of(new Tenant(20, 0.5), new Tenant(60, 0.5)))
+                    .overShareWorth(kind.contains("tenants") ? 0.2 : 1)
+                    .sharedGroups(kind.contains("groups"))
+                    .listOnRequest(true)
+                    .askWithin(10_000_000)
+                    .maxAttempts(5)
+                    .connectTimeout(50_000)
+                    .retryAfter(true)
+                    .maxRetryAfter(1_500_000)
+                    .probePrice(0.002)
+                    .peerPrice(0.01)
+                    .crossZonePrice(0.1)
+                    .movePrice(0.012)
+                    .drainGrace(300_000)
+                    .coldFrom(0.3)
+                    .warmAfter(8_000_000)
+                    .tipMultiple(3)
+                    .tipAfter(1_500_000)
+                    .build();
         }
 
         ServerEntry entry(int i) {
--- a/src/test/java/sandstack/front/platform/FiguresTest.java
+++ b/src/test/java/sandstack/front/platform/FiguresTest.java
@@ -31,6 +31,7 @@
 import sandstack.front.operators.OperatorDoor;
 import sandstack.net.Lobby;
 import sandstack.net.Loop;
+import sandstack.settings.SettingsBuilder;
 import sandstack.standin.FeedServer;
 import sandstack.standin.Machine;
 import sandstack.standin.ShopClient;
@@ -52,35 +53,20 @@
 
     FiguresTest() throws IOException {
         RequestClass cls = new RequestClass(320_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 100_000);
-        Settings settings = new Settings(
-                0,
-                1,
-                0,
-                1,
-                List.of(cls, cls),
-                List.of(),
-                1,
-                false,
-                false,
-                true,
-                true,
-                10_000_000,
-                6,
-                100_000,
-                false,
-                1_500_000,
-                false,
-                0,
-                false,
-                0,
-                0.1,
-                0.01,
-                300_000,
-                0.13,
-                23_000_000,
-                3,
-                1_500_000,
-                false);
+        Settings settings = SettingsBuilder.of(List.of(cls, cls))
+                .sharedGroups(true)
+                .listOnRequest(true)
+                .askWithin(10_000_000)
+                .connectTimeout(100_000)
+                .maxRetryAfter(1_500_000)
+                .crossZonePrice(0.1)
+                .movePrice(0.01)
+                .drainGrace(300_000)
+                .coldFrom(0.13)
+                .warmAfter(23_000_000)
+                .tipMultiple(3)
+                .tipAfter(1_500_000)
+                .build();
         relay = new Relay(new Terms(settings, CLASSES, true), Stated.Book.EMPTY, Limits.NONE, 5, loop::now, () -> {});
         loop.start(relay::turn, relay::nextTurn);
         port = new PlatformFront(loop, relay, new Lobby(loop, relay.deadlines(), 400)).listen("127.0.0.1", 0);
--- a/src/test/java/sandstack/nametable/DiscoveryWatchTest.java
+++ b/src/test/java/sandstack/nametable/DiscoveryWatchTest.java
@@ -23,6 +23,7 @@
 import sandstack.core.Relay;
 import sandstack.decisions.Decisions.*;
 import sandstack.net.Loop;
+import sandstack.settings.SettingsBuilder;
 
 /** The watch against a discovery of the test's own. The module decides when to ask again: each failure is followed by an ask. */
 class DiscoveryWatchTest {
@@ -40,35 +41,14 @@
         listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         elsewhere = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         RequestClass cls = new RequestClass(300_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 0);
-        Settings settings = new Settings(
-                0,
-                1,
-                0,
-                1,
-                List.of(cls),
-                List.of(),
-                1,
-                false,
-                false,
-                false,
-                true,
-                60_000_000,
-                6,
-                100_000,
-                false,
-                0,
-                false,
-                0,
-                false,
-                0,
-                0,
-                0,
-                300_000,
-                0.13,
-                0,
-                3,
-                0,
-                false);
+        Settings settings = SettingsBuilder.of(List.of(cls))
+                .listOnRequest(true)
+                .askWithin(60_000_000)
+                .connectTimeout(100_000)
+                .drainGrace(300_000)
+                .coldFrom(0.13)
+                .tipMultiple(3)
+                .build();
         relay = new Relay(settings, 3, loop::now, () -> watch.ask());
         watch = new DiscoveryWatch(
                 loop,
--- a/src/test/java/sandstack/scenario/Stage.java
+++ b/src/test/java/sandstack/scenario/Stage.java
@@ -27,6 +27,7 @@
 import sandstack.front.platform.PlatformFront;
 import sandstack.net.Lobby;
 import sandstack.net.Loop;
+import sandstack.settings.SettingsBuilder;
 
 /** A relay on loopback with stand-in feed servers of ours, for one scenario. All ports are the system's choice. */
 final class Stage implements AutoCloseable {
@@ -49,35 +50,20 @@
     Stage(boolean amqp) throws IOException {
         this.amqp = amqp;
         RequestClass cls = new RequestClass(320_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 100_000);
-        Settings settings = new Settings(
-                0,
-                1,
-                0,
-                1,
-                List.of(cls, cls),
-                List.of(),
-                1,
-                false,
-                false,
-                true,
-                true,
-                10_000_000,
-                6,
-                100_000,
-                false,
-                1_500_000,
-                false,
-                0,
-                false,
-                0,
-                0.1,
-                0.01,
-                300_000,
-                0.13,
-                23_000_000,
-                3,
-                1_500_000,
-                false);
+        Settings settings = SettingsBuilder.of(List.of(cls, cls))
+                .sharedGroups(true)
+                .listOnRequest(true)
+                .askWithin(10_000_000)
+                .connectTimeout(100_000)
+                .maxRetryAfter(1_500_000)
+                .crossZonePrice(0.1)
+                .movePrice(0.01)
+                .drainGrace(300_000)
+                .coldFrom(0.13)
+                .warmAfter(23_000_000)
+                .tipMultiple(3)
+                .tipAfter(1_500_000)
+                .build();
         relay = new Relay(new Terms(settings, CLASSES, true), Stated.Book.EMPTY, Limits.NONE, 11, loop::now, () -> {});
         loop.start(relay::turn, relay::nextTurn);
         Lobby lobby = new Lobby(loop, relay.deadlines(), SOCKETS);
