--- a/src/main/java/sandstack/benchlink/Link.java
+++ b/src/main/java/sandstack/benchlink/Link.java
@@ -19,17 +19,11 @@
 import sandstack.config.SettingsReader;
 import sandstack.decisions.Brain;
 import sandstack.decisions.Decisions.Action;
-import sandstack.decisions.Decisions.Attempt;
 import sandstack.decisions.Decisions.Event;
-import sandstack.decisions.Decisions.Fail;
 import sandstack.decisions.Decisions.ListKind;
 import sandstack.decisions.Decisions.Phase;
-import sandstack.decisions.Decisions.Refuse;
-import sandstack.decisions.Decisions.Relocate;
 import sandstack.decisions.Decisions.ServerEntry;
 import sandstack.decisions.Decisions.ServerList;
-import sandstack.decisions.Decisions.SetTimer;
-import sandstack.decisions.Decisions.WatchServers;
 
 /**
  * The adapter between the simulator's wire and {@link Brain}: reads batches of events, hands them to one
@@ -170,33 +164,7 @@
 
     private static void write(Action action, JsonGenerator out) throws IOException {
         out.writeStartObject();
-        if (action instanceof Attempt a) {
-            out.writeStringField("t", "HandOff");
-            out.writeStringField("corr", a.id());
-            out.writeStringField("server", a.server());
-            if (a.timeout() != 0) {
-                out.writeNumberField("patience_us", a.timeout());
-            }
-        } else if (action instanceof SetTimer a) {
-            out.writeStringField("t", "Timer");
-            out.writeNumberField("after_us", a.after());
-            out.writeStringField("handle", Long.toString(a.token()));
-        } else if (action instanceof Refuse a) {
-            out.writeStringField("t", "TurnAway");
-            out.writeStringField("corr", a.id());
-            if (a.retryAfter() > 0) {
-                out.writeNumberField("hold_off_us", a.retryAfter());
-            }
-        } else if (action instanceof Fail a) {
-            out.writeStringField("t", "Error");
-            out.writeStringField("corr", a.id());
-        } else if (action instanceof Relocate a) {
-            out.writeStringField("t", "Migrate");
-            out.writeStringField("corr", a.id());
-        } else if (action instanceof WatchServers) {
-            out.writeStringField("t", "Subscribe");
-            out.writeBooleanField("active", true);
-        }
+        action.dispatch(new ActionWriter(out));
         out.writeEndObject();
     }
 
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.SplittableRandom;
 import java.util.function.IntSupplier;
 import java.util.function.LongSupplier;
 import java.util.logging.Logger;
@@ -16,6 +17,7 @@
 import sandstack.capacity.Stated;
 import sandstack.decisions.Brain;
 import sandstack.decisions.Decisions.Action;
+import sandstack.decisions.Decisions.ActionHandler;
 import sandstack.decisions.Decisions.Adopted;
 import sandstack.decisions.Decisions.Attempt;
 import sandstack.decisions.Decisions.AttemptEnded;
@@ -52,22 +54,8 @@
      * ends what it waits for so much before, or an eighth of the time where that is less.
      */
     private static final long HEADROOM = 60_000;
-    /** While it drains, the front goes on sending clients for a moment: moves begin after it. */
-    private static final long DRAIN_BEGINS = 500_000;
-    /** The platform waits for the longest deadline before it kills, but not for more of it than this. */
-    private static final long DRAIN_LONGEST = 3_000_000;
-    /**
-     * Moves of a draining relay are drawn over this span, so that its clients do not come back as a crowd. It
-     * ends as late as the platform allows: where relays are restarted one after another, those that go early
-     * come to one that is next, or to none.
-     */
-    private static final long DRAIN_SPAN = 1_200_000;
-
-    private static final long DRAIN_LEFT = 200_000;
     /** A feed server that sent a client away counts as draining for so long, unless discovery tells of it. */
     private static final long SENT_AWAY_COUNTS = 10_000_000;
-    /** Who asks a relay that has drained already is spread over so many milliseconds. */
-    private static final long LATE_COME_AGAIN = 500;
 
     private static final long ADOPT_PAUSE = 250_000;
     private static final Logger LOG = Logger.getLogger("sandstack.relay");
@@ -84,18 +72,13 @@
     private final Map<Ending, Long> endings = new EnumMap<>(Ending.class);
     private final Map<Cause, Long> refusals = new EnumMap<>(Cause.class);
     private final Runnable watch;
+    private final Actions handler = new Actions();
     /** Causes for which discovery could not be asked since it last told something; each has had its line. */
     private final Set<String> failedBy = new HashSet<>();
 
     private List<Event> ready = new ArrayList<>();
     private long lastId;
-    /** Called once a draining relay has no clients any more; null before it drains and after. */
-    private Runnable drained;
-
-    private boolean draining;
-    private IntSupplier unheard = () -> 0;
-    private long drainStart;
-    private final java.util.SplittableRandom chance;
+    private final Draining draining;
 
     /**
      * @param clock microseconds that never go back
@@ -114,7 +97,7 @@
         this.clock = clock;
         this.watch = watch;
         this.brain = new Brain(settings, book, limits, seed, clock.getAsLong());
-        this.chance = new java.util.SplittableRandom(seed);
+        this.draining = new Draining(this, new SplittableRandom(seed));
     }
 
     private void use(Terms next) {
@@ -153,16 +136,9 @@
             for (Event event : gathered) {
                 actions.addAll(brain.on(event, now));
             }
-            actions.forEach(this::carryOut);
-        }
-        if (drained != null
-                && clients.isEmpty()
-                && now >= drainStart + DRAIN_BEGINS
-                && (unheard.getAsInt() == 0 || now >= lastMove() + DRAIN_LEFT)) {
-            Runnable told = drained;
-            drained = null;
-            told.run();
+            actions.forEach(action -> action.dispatch(handler));
         }
+        draining.turn(now);
     }
 
     /** When the next turn is due, if nothing happens before; in the past where it is due now. */
@@ -170,25 +146,40 @@
         return ready.isEmpty() ? deadlines.next() : Long.MIN_VALUE;
     }
 
-    private void carryOut(Action action) {
-        if (action instanceof Attempt a) {
-            attempt(a);
-        } else if (action instanceof SetTimer a) {
-            deadlines.at(now() + a.after(), () -> ready.add(new TimerDue(a.token())));
-        } else if (action instanceof Refuse a) {
-            refusals.merge(a.cause(), 1L, Long::sum);
-            answer(clients.get(a.id()), Nack.refused(a.retryAfter(), a.cause()));
-        } else if (action instanceof Fail a) {
-            answer(clients.get(a.id()), Nack.FAILED);
-        } else if (action instanceof Relocate a) {
-            ServiceClient client = clients.get(a.id());
+    /** Carries out what the module decides. */
+    private final class Actions implements ActionHandler<RuntimeException> {
+        @Override
+        public void attempt(Attempt action) {
+            Relay.this.attempt(action);
+        }
+
+        @Override
+        public void setTimer(SetTimer action) {
+            deadlines.at(now() + action.after(), () -> ready.add(new TimerDue(action.token())));
+        }
+
+        @Override
+        public void refuse(Refuse action) {
+            refusals.merge(action.cause(), 1L, Long::sum);
+            answer(clients.get(action.id()), Nack.refused(action.retryAfter(), action.cause()));
+        }
+
+        @Override
+        public void fail(Fail action) {
+            answer(clients.get(action.id()), Nack.FAILED);
+        }
+
+        @Override
+        public void relocate(Relocate action) {
+            ServiceClient client = clients.get(action.id());
             if (client != null && client.execution != null) {
                 client.execution.move(Ending.MOVED);
             }
-        } else if (action instanceof WatchServers) {
+        }
+
+        @Override
+        public void watchServers(WatchServers action) {
             watch.run();
-        } else {
-            LOG.warning("the module asked for what this deployment does not have: " + action);
         }
     }
 
@@ -231,10 +222,9 @@
     /** Takes a command: from now on exactly one final answer is owed for it. */
     public void take(ServiceClient client, Command command) {
         client.command = command;
-        if (draining && drained == null) {
-            // the process ends in a moment: what was sent on now would be lost with it
+        if (draining.finished()) {
             client.finished = true;
-            Nack later = new Nack(Nack.Kind.REFUSED, chance.nextLong(LATE_COME_AGAIN) + 1);
+            Nack later = draining.refusalOfLateCommand();
             turnedBack(command, later);
             client.nack(later);
             return;
@@ -331,8 +321,8 @@
             ready.add(new Established(
                     client.id, execution.number(), execution.server().entry().server(), now() - execution.began()));
         }
-        if (draining) {
-            moveWhileDraining(client);
+        if (draining.begun()) {
+            draining.move(client);
         }
     }
 
@@ -391,6 +381,11 @@
             return;
         }
         LOG.warning("command " + client.id + " was overdue; failed without the module's word");
+        failUnanswered(client);
+    }
+
+    /** Answers a command as failed without asking the module, which hears that its client has gone. */
+    void failUnanswered(ServiceClient client) {
         ready.add(new ClientGone(client.id));
         answer(client, Nack.FAILED);
     }
@@ -478,49 +473,12 @@
      *     nobody else can hear them out
      */
     public void drain(IntSupplier unheardPeers, Runnable whenDrained) {
-        if (draining) {
-            return;
-        }
-        draining = true;
-        unheard = unheardPeers;
-        LOG.info("draining: " + clients.size() + " clients to move or answer");
-        drained = whenDrained;
-        drainStart = now();
-        clients.values().forEach(this::moveWhileDraining);
-        // a relay without clients that stopped at once would lose those who are still being sent to it
-        deadlines.at(drainStart + DRAIN_BEGINS, () -> {});
-        deadlines.at(lastMove() + DRAIN_LEFT, this::drainTheRest);
-    }
-
-    private long lastMove() {
-        long longest = Math.min(settings.longestDeadline(), DRAIN_LONGEST);
-        return drainStart + Math.max(DRAIN_BEGINS + DRAIN_LEFT, longest);
-    }
-
-    /** Whoever is still there has to be told before the process is killed. */
-    private void drainTheRest() {
-        for (ServiceClient client : List.copyOf(clients.values())) {
-            if (client.execution != null && client.execution.standing()) {
-                client.execution.move(Ending.MOVED);
-            } else {
-                ready.add(new ClientGone(client.id));
-                answer(client, Nack.FAILED);
-            }
-        }
-    }
-
-    private void moveWhileDraining(ServiceClient client) {
-        long earliest = Math.max(now(), Math.max(drainStart + DRAIN_BEGINS, lastMove() - DRAIN_SPAN));
-        long latest = Math.max(earliest + 1, lastMove());
-        deadlines.at(chance.nextLong(earliest, latest), () -> {
-            if (client.execution != null) {
-                client.execution.move(Ending.MOVED);
-            }
-        });
+        draining.begin(unheardPeers, whenDrained);
     }
 
+    /** Whether this relay is being taken out of service. */
     public boolean draining() {
-        return draining;
+        return draining.begun();
     }
 
     // ---- what others may see ----------------------------------------------------------------------
@@ -533,6 +491,10 @@
         return deadlines;
     }
 
+    long longestDeadline() {
+        return settings.longestDeadline();
+    }
+
     long connectTimeout() {
         return settings.connectTimeout() > 0 ? settings.connectTimeout() : Long.MAX_VALUE / 4;
     }
--- a/src/main/java/sandstack/decisions/Decisions.java
+++ b/src/main/java/sandstack/decisions/Decisions.java
@@ -330,24 +330,82 @@
     /** Another instance sent this text. */
     public record PeerMessage(int from, String text) implements Event {}
 
+    /**
+     * Carries actions out: one method for each kind.
+     *
+     * @param <E> what carrying out may throw; {@link RuntimeException} where nothing has to be caught
+     */
+    public interface ActionHandler<E extends Exception> {
+        /** Starts an attempt. */
+        void attempt(Attempt action) throws E;
+
+        /** Refuses a request for good. */
+        void refuse(Refuse action) throws E;
+
+        /** Answers a request as failed. */
+        void fail(Fail action) throws E;
+
+        /** Moves a standing connection. */
+        void relocate(Relocate action) throws E;
+
+        /** Sets a timer. */
+        void setTimer(SetTimer action) throws E;
+
+        /** Asks for changes of the server list. */
+        void watchServers(WatchServers action) throws E;
+    }
+
     /** What the module decides; the balancer carries actions out in order, at once. */
-    public sealed interface Action {}
+    public sealed interface Action {
+        /** Calls the handler's method for this kind of action. */
+        <E extends Exception> void dispatch(ActionHandler<E> handler) throws E;
+    }
 
     /** Try this server. A time-out of 0 lasts until the client stops waiting. */
-    public record Attempt(String id, String server, long timeout) implements Action {}
+    public record Attempt(String id, String server, long timeout) implements Action {
+        @Override
+        public <E extends Exception> void dispatch(ActionHandler<E> handler) throws E {
+            handler.attempt(this);
+        }
+    }
 
     /** Final answer: refused for this cause; trying again does no harm. retryAfter 0 gives no advice. */
-    public record Refuse(String id, long retryAfter, Cause cause) implements Action {}
+    public record Refuse(String id, long retryAfter, Cause cause) implements Action {
+        @Override
+        public <E extends Exception> void dispatch(ActionHandler<E> handler) throws E {
+            handler.refuse(this);
+        }
+    }
 
     /** Final answer: failed; no claim about effects. */
-    public record Fail(String id) implements Action {}
+    public record Fail(String id) implements Action {
+        @Override
+        public <E extends Exception> void dispatch(ActionHandler<E> handler) throws E {
+            handler.fail(this);
+        }
+    }
 
     /** End this standing connection politely; its client comes again as a new request. */
-    public record Relocate(String id) implements Action {}
+    public record Relocate(String id) implements Action {
+        @Override
+        public <E extends Exception> void dispatch(ActionHandler<E> handler) throws E {
+            handler.relocate(this);
+        }
+    }
 
     /** Send {@link TimerDue} with this token so long from now. */
-    public record SetTimer(long after, long token) implements Action {}
+    public record SetTimer(long after, long token) implements Action {
+        @Override
+        public <E extends Exception> void dispatch(ActionHandler<E> handler) throws E {
+            handler.setTimer(this);
+        }
+    }
 
     /** Ask for changes of the server list from now on; a {@link ServerList} answers. */
-    public record WatchServers() implements Action {}
+    public record WatchServers() implements Action {
+        @Override
+        public <E extends Exception> void dispatch(ActionHandler<E> handler) throws E {
+            handler.watchServers(this);
+        }
+    }
 }
