--- a/src/main/java/sandstack/decisions/Decisions.java
+++ b/src/main/java/sandstack/decisions/Decisions.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import sandstack.capacity.Cause;
-import sandstack.told.ListClock;
+import sandstack.staleness.ListClock;
 
 /**
  * The interface of the decision module: what a balancer is set up with ({@link Settings}), what it
--- a/src/main/java/sandstack/nametable/DiscoveryWatch.java
+++ b/src/main/java/sandstack/nametable/DiscoveryWatch.java
@@ -24,7 +24,7 @@
 import sandstack.core.NameTable;
 import sandstack.core.Relay;
 import sandstack.net.Loop;
-import sandstack.told.ListClock;
+import sandstack.staleness.ListClock;
 
 /**
  * The watch on discovery. Each ask makes one watch; a watch that ends, fails or falls silent is reported to
--- a/src/main/java/sandstack/told/ListClock.java
+++ b/src/main/java/sandstack/staleness/ListClock.java
@@ -1,4 +1,4 @@
-package sandstack.told;
+package sandstack.staleness;
 
 /**
  * The one clock for the list of feed servers: how long a watch may say nothing, when to ask again, how long a new process
--- a/src/test/java/sandstack/told/ListClockTest.java
+++ b/src/test/java/sandstack/staleness/ListClockTest.java
@@ -1,4 +1,4 @@
-package sandstack.told;
+package sandstack.staleness;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sandstack.told.ListClock.Way;
+import sandstack.staleness.ListClock.Way;
 
 /** The cases of the platform's pages, a row each, in milliseconds. */
 class ListClockTest {
