--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -32,8 +32,8 @@
 import sandstack.front.amqp.AmqpFront;
 import sandstack.front.operators.OperatorDoor;
 import sandstack.front.platform.PlatformFront;
-import sandstack.kin.Kin;
-import sandstack.kin.Portions;
+import sandstack.handover.ResourceShares;
+import sandstack.handover.SiblingProcesses;
 import sandstack.nametable.DiscoveryWatch;
 import sandstack.net.Lobby;
 import sandstack.net.Loop;
@@ -66,7 +66,7 @@
     /** What one process needs besides. */
     private final int kept;
     /** Null where no other process may be this relay too. */
-    private Kin kin;
+    private SiblingProcesses kin;
 
     private boolean listFromKin;
     private int processes = 1;
@@ -250,7 +250,7 @@
         long since = loop.now() - startedAt;
         boolean listed = relay.names().told() || listFromKin || since >= LIST_WITHIN;
         // the process that serves has to hear of this one first, and make room for it
-        if (!relay.names().usable() || !listed || processes > 1 && since < 2 * Kin.BEAT) {
+        if (!relay.names().usable() || !listed || processes > 1 && since < 2 * SiblingProcesses.BEAT) {
             relay.deadlines().at(loop.now() + LOOK_AGAIN, this::acceptOnceItCanServe);
             return;
         }
@@ -270,9 +270,9 @@
 
     /** Reckons with other processes of this relay; returns the list of one that serves, or null. */
     private NameTable.News joinKin() {
-        kin = new Kin(
+        kin = new SiblingProcesses(
                 Path.of(env.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))), config.name(), loop::now);
-        Kin.Found found = kin.find();
+        SiblingProcesses.Found found = kin.find();
         processesAre(found.count() + 1);
         if (found.list() == null) {
             return null;
@@ -298,14 +298,14 @@
     }
 
     /** What the other processes are told of this one, and what follows here from what they tell. */
-    private final class KinOfRelay implements Kin.Relay {
+    private final class KinOfRelay implements SiblingProcesses.Relay {
         @Override
-        public Kin.Own own(long writtenList) throws InterruptedException {
-            CompletableFuture<Kin.Own> own = new CompletableFuture<>();
+        public SiblingProcesses.Own own(long writtenList) throws InterruptedException {
+            CompletableFuture<SiblingProcesses.Own> own = new CompletableFuture<>();
             loop.execute(() -> {
                 long number = relay.names().changes();
-                own.complete(
-                        new Kin.Own(lobby.taken(), number, number == writtenList ? null : form.text(relay.names())));
+                own.complete(new SiblingProcesses.Own(
+                        lobby.taken(), number, number == writtenList ? null : form.text(relay.names())));
             });
             try {
                 return own.get();
@@ -321,7 +321,7 @@
                     return;
                 }
                 processesAre(used.size() + 1);
-                lobby.mayTake(Portions.descriptors(descriptors - kept * used.size(), lobby.taken(), used));
+                lobby.mayTake(ResourceShares.descriptors(descriptors - kept * used.size(), lobby.taken(), used));
             });
         }
     }
--- a/src/main/java/sandstack/kin/Notice.java
+++ b/src/main/java/sandstack/handover/ProcessMarker.java
@@ -1,4 +1,4 @@
-package sandstack.kin;
+package sandstack.handover;
 
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
@@ -12,7 +12,7 @@
  * @param written when, in Unix microseconds
  * @param used descriptors that it uses
  */
-record Notice(String relay, String token, long written, int used, String text) {
+record ProcessMarker(String relay, String token, long written, int used, String text) {
     private static final String FORM = "sandstack-kin 1";
 
     /** As it stands in a file: a line that ends with a checksum over all, then the text. */
@@ -23,7 +23,7 @@
     }
 
     /** Reads a file; null where it is torn, changed, or not of this relay. */
-    static Notice read(String file, String relay) {
+    static ProcessMarker read(String file, String relay) {
         int end = file.indexOf('\n');
         int sumAt = end < 0 ? -1 : file.lastIndexOf(' ', end);
         if (sumAt < 0) {
@@ -39,7 +39,7 @@
             return null;
         }
         try {
-            return new Notice(relay, words[3], Long.parseLong(words[4]), Integer.parseInt(words[5]), text);
+            return new ProcessMarker(relay, words[3], Long.parseLong(words[4]), Integer.parseInt(words[5]), text);
         } catch (NumberFormatException e) {
             return null;
         }
--- a/src/main/java/sandstack/kin/Portions.java
+++ b/src/main/java/sandstack/handover/ResourceShares.java
@@ -1,10 +1,10 @@
-package sandstack.kin;
+package sandstack.handover;
 
 import java.util.Collection;
 
 /** What one process may use of what several share. Pure arithmetic. */
-public final class Portions {
-    private Portions() {}
+public final class ResourceShares {
+    private ResourceShares() {}
 
     /**
      * How many descriptors this process may use: its own and one part of those that are free. Each process grows by no
--- a/src/main/java/sandstack/kin/Kin.java
+++ b/src/main/java/sandstack/handover/SiblingProcesses.java
@@ -1,4 +1,4 @@
-package sandstack.kin;
+package sandstack.handover;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -16,11 +16,11 @@
 import java.util.logging.Logger;
 
 /**
- * The other processes of this relay, by notices that each keeps in one folder. Owns this process's files there and a
+ * The other processes of this relay, by marker files that each keeps in one folder. Owns this process's files there and a
  * thread that writes them and reads the others', four times a second; a beat costs one small file written and one read
  * for each process, and the list only where it has changed. Everything that it tells is told on its own thread.
  */
-public final class Kin implements AutoCloseable {
+public final class SiblingProcesses implements AutoCloseable {
     /** How often a process says that it is there. */
     public static final long BEAT = 250_000;
     /** Whose notice is older has gone without a word. */
@@ -67,15 +67,15 @@
      * @param relay its name
      * @param clock Unix microseconds
      */
-    public Kin(Path folder, String relay, LongSupplier clock) {
+    public SiblingProcesses(Path folder, String relay, LongSupplier clock) {
         this.folder = folder;
         this.relay = relay;
         this.clock = clock;
     }
 
     /** The other processes that are there now. */
-    List<Notice> others() {
-        List<Notice> others = new ArrayList<>();
+    List<ProcessMarker> others() {
+        List<ProcessMarker> others = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
             int looked = 0;
             for (Path file : files) {
@@ -87,7 +87,7 @@
                 if (age > LEFT_OVER) {
                     Files.deleteIfExists(file);
                 } else if (name.endsWith(NOTICE) && !name.equals(PREFIX + token + NOTICE)) {
-                    Notice notice = read(file);
+                    ProcessMarker notice = read(file);
                     if (notice != null && clock.getAsLong() - notice.written() < FRESH) {
                         others.add(notice);
                     }
@@ -99,11 +99,11 @@
         return others;
     }
 
-    private Notice read(Path file) throws IOException {
+    private ProcessMarker read(Path file) throws IOException {
         try {
-            Notice notice = Files.size(file) > LONGEST_FILE
+            ProcessMarker notice = Files.size(file) > LONGEST_FILE
                     ? null
-                    : Notice.read(Files.readString(file, StandardCharsets.UTF_8), relay);
+                    : ProcessMarker.read(Files.readString(file, StandardCharsets.UTF_8), relay);
             if (notice == null
                     && torn.size() < MOST_FILES
                     && torn.add(file.getFileName().toString())) {
@@ -126,14 +126,14 @@
 
     /** Looks once for other processes of this relay. */
     public Found find() {
-        List<Notice> there = others();
+        List<ProcessMarker> there = others();
         return new Found(
                 there.size(),
                 there.stream()
-                        .max(Comparator.comparingLong(Notice::written))
+                        .max(Comparator.comparingLong(ProcessMarker::written))
                         .map(other -> {
                             try {
-                                Notice list = read(folder.resolve(PREFIX + other.token() + LIST));
+                                ProcessMarker list = read(folder.resolve(PREFIX + other.token() + LIST));
                                 return list != null && list.token().equals(other.token()) ? list.text() : null;
                             } catch (IOException e) {
                                 fault("cannot be read", e);
@@ -145,7 +145,7 @@
 
     /** Begins to say that this process is there, and to tell of the others; the first notice is written at once. */
     public void start(Relay asked) {
-        write(NOTICE, new Notice(relay, token, clock.getAsLong(), 0, ""));
+        write(NOTICE, new ProcessMarker(relay, token, clock.getAsLong(), 0, ""));
         thread = new Thread(() -> beat(asked), "kin");
         thread.setDaemon(true);
         thread.start();
@@ -155,12 +155,12 @@
         try {
             while (!over) {
                 Own own = asked.own(writtenList);
-                write(NOTICE, new Notice(relay, token, clock.getAsLong(), own.used(), ""));
+                write(NOTICE, new ProcessMarker(relay, token, clock.getAsLong(), own.used(), ""));
                 if (own.list() != null) {
-                    write(LIST, new Notice(relay, token, clock.getAsLong(), own.used(), own.list()));
+                    write(LIST, new ProcessMarker(relay, token, clock.getAsLong(), own.used(), own.list()));
                     writtenList = own.listNumber();
                 }
-                asked.others(others().stream().map(Notice::used).toList());
+                asked.others(others().stream().map(ProcessMarker::used).toList());
                 Thread.sleep(BEAT / 1000);
             }
         } catch (InterruptedException e) {
@@ -169,7 +169,7 @@
     }
 
     /** A reader sees the file before or this one, never a half. */
-    private void write(String kind, Notice notice) {
+    private void write(String kind, ProcessMarker notice) {
         Path aside = folder.resolve(PREFIX + token + ".aside");
         try {
             Files.writeString(aside, notice.file(), StandardCharsets.UTF_8);
--- a/src/test/java/sandstack/kin/KinTest.java
+++ b/src/test/java/sandstack/handover/SiblingProcessesTest.java
@@ -1,4 +1,4 @@
-package sandstack.kin;
+package sandstack.handover;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,14 +18,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 @Timeout(20)
-class KinTest {
+class SiblingProcessesTest {
     @TempDir
     Path folder;
 
     private final AtomicLong now = new AtomicLong(System.currentTimeMillis() * 1000);
 
     /** A process that uses so much and holds this list; it keeps what it hears of the others. */
-    private static final class Process implements Kin.Relay {
+    private static final class Process implements SiblingProcesses.Relay {
         private final int used;
         private final String list;
         private final BlockingQueue<List<Integer>> heard = new LinkedBlockingQueue<>();
@@ -36,8 +36,8 @@
         }
 
         @Override
-        public Kin.Own own(long writtenList) {
-            return new Kin.Own(used, 7, writtenList == 7 ? null : list);
+        public SiblingProcesses.Own own(long writtenList) {
+            return new SiblingProcesses.Own(used, 7, writtenList == 7 ? null : list);
         }
 
         @Override
@@ -54,8 +54,8 @@
         }
     }
 
-    private Kin kin(String relay) {
-        return new Kin(folder, relay, now::get);
+    private SiblingProcesses kin(String relay) {
+        return new SiblingProcesses(folder, relay, now::get);
     }
 
     private List<Path> files() throws Exception {
@@ -69,14 +69,14 @@
         Process old = new Process(40, "the list");
         Process fresh = new Process(2, "another");
         Process stranger = new Process(9, "a third");
-        try (Kin first = kin("n1");
-                Kin other = kin("n2")) {
+        try (SiblingProcesses first = kin("n1");
+                SiblingProcesses other = kin("n2")) {
             assertThat(first.find().list()).isNull();
             first.start(old);
             other.start(stranger);
             old.until(List.of());
-            Kin second = kin("n1");
-            assertThat(second.find()).isEqualTo(new Kin.Found(1, "the list"));
+            SiblingProcesses second = kin("n1");
+            assertThat(second.find()).isEqualTo(new SiblingProcesses.Found(1, "the list"));
             second.start(fresh);
             old.until(List.of(2));
             fresh.until(List.of(40));
@@ -90,8 +90,8 @@
     @Test
     void oneThatDiedWithoutAWordIsForgottenAndItsFilesGo() throws Exception {
         Path left = folder.resolve("sandstack-abc.kin");
-        Files.writeString(left, new Notice("n1", "abc", now.get(), 5, "").file());
-        Kin kin = kin("n1");
+        Files.writeString(left, new ProcessMarker("n1", "abc", now.get(), 5, "").file());
+        SiblingProcesses kin = kin("n1");
         assertThat(kin.others()).hasSize(1);
         now.addAndGet(2_500_000);
         assertThat(kin.others()).isEmpty();
@@ -103,10 +103,11 @@
 
     @Test
     void aNoticeWithAnyByteChangedOrCutIsIgnored() throws Exception {
-        byte[] good =
-                new Notice("n 1", "abc", now.get(), 5, "{\"rev\":1}\n").file().getBytes(StandardCharsets.UTF_8);
+        byte[] good = new ProcessMarker("n 1", "abc", now.get(), 5, "{\"rev\":1}\n")
+                .file()
+                .getBytes(StandardCharsets.UTF_8);
         Path file = folder.resolve("sandstack-abc.kin");
-        Kin kin = kin("n 1");
+        SiblingProcesses kin = kin("n 1");
         Files.write(file, good);
         assertThat(kin.others()).hasSize(1);
         for (int i = 0; i < good.length; i++) {
@@ -123,18 +124,18 @@
 
     @Test
     void togetherTheyNeverUseMoreDescriptorsThanThereAre() {
-        assertThat(Portions.descriptors(200, 0, List.of())).isEqualTo(200);
+        assertThat(ResourceShares.descriptors(200, 0, List.of())).isEqualTo(200);
         int old = 120;
         int fresh = 0;
         for (int beat = 0; beat < 20; beat++) {
-            int oldMay = Portions.descriptors(200, old, List.of(fresh));
-            int freshMay = Portions.descriptors(200, fresh, List.of(old));
+            int oldMay = ResourceShares.descriptors(200, old, List.of(fresh));
+            int freshMay = ResourceShares.descriptors(200, fresh, List.of(old));
             // both grow at once to all they may, or the old one's clients leave
             old = beat % 3 == 0 ? Math.max(0, old - 30) : oldMay;
             fresh = freshMay;
             assertThat(old + fresh).isLessThanOrEqualTo(200);
         }
-        assertThat(Portions.descriptors(100, 90, List.of(60)))
+        assertThat(ResourceShares.descriptors(100, 90, List.of(60)))
                 .as("over already: nothing more")
                 .isEqualTo(90);
     }
