--- a/src/main/java/sandstack/decisions/BackOffs.java
+++ b/src/main/java/sandstack/decisions/BackOffs.java
@@ -1,7 +1,7 @@
 package sandstack.decisions;
 
 import java.util.Map;
-import sandstack.chance.Latest;
+import sandstack.random.BoundedMap;
 
 /**
  * The retry number n and the interval of each client key ("Exponential back-off, revisited"). Holds the
@@ -20,7 +20,7 @@
     }
 
     private final Frame f;
-    private final Map<String, BackOff> byKey = new Latest<>(MAX_KEYS);
+    private final Map<String, BackOff> byKey = new BoundedMap<>(MAX_KEYS);
 
     BackOffs(Frame f) {
         this.f = f;
--- a/src/main/java/sandstack/decisions/Draw.java
+++ b/src/main/java/sandstack/decisions/Draw.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import sandstack.capacity.*;
-import sandstack.chance.Chance;
 import sandstack.decisions.Decisions.RequestClass;
+import sandstack.random.SeededRandom;
 
 /**
  * The choice of a server: highest random weight over all that are ready and unmarked, home zone first. One
@@ -95,12 +95,12 @@
             passing += s.ready() && s.warmth(f) >= 1 ? 0 : 1;
         }
         boolean one = !outnumbered() || passing > fleet.listed.length * FEW_PLACES;
-        return one ? 0 : Chance.mix(Chance.hash(r.key)) >>> 63;
+        return one ? 0 : SeededRandom.mix(SeededRandom.hash(r.key)) >>> 63;
     }
 
     /** The server for this request. Null where none can take it. */
     Server choose(Request r) {
-        long seed = r.ask.group() == null ? f.chance.next() : Chance.hash(r.ask.group()) + place(r);
+        long seed = r.ask.group() == null ? f.chance.next() : SeededRandom.hash(r.ask.group()) + place(r);
         survey.clear();
         double usable = 0;
         for (Server s : fleet.home) {
@@ -159,7 +159,7 @@
     }
 
     private double score(Request r, Server s, double room, long seed) {
-        double score = Math.log(Chance.unit(Chance.mix(seed ^ s.hash)));
+        double score = Math.log(SeededRandom.unit(SeededRandom.mix(seed ^ s.hash)));
         score /= s.rating * ColdBudget.pull(s.warmth(f)) * (fleet.isHome(s) ? HOME_WEIGHT : 1);
         // its own load here counts in mean connections: two heavy ones of one balancer part ways
         double held = f.capacity.loadsKnown() ? s.estimate.held() / f.capacity.mean() : s.held.size();
--- a/src/main/java/sandstack/decisions/Frame.java
+++ b/src/main/java/sandstack/decisions/Frame.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import sandstack.capacity.*;
-import sandstack.chance.Chance;
 import sandstack.decisions.Decisions.*;
+import sandstack.random.SeededRandom;
 
 /**
  * What the parts of the module share: settings, the time of the event, chance, the actions so far, and the
@@ -19,7 +19,7 @@
     Settings set;
     final Capacity capacity;
     final Limits limits;
-    final Chance chance;
+    final SeededRandom chance;
     long slot;
     /** Half of the shortest deadline: the unit of marks, and the pace of looks at the whole. */
     long markSlot;
@@ -36,7 +36,7 @@
 
     Frame(Settings settings, Stated.Book book, Limits limits, long seed, long now) {
         this.limits = limits;
-        this.chance = new Chance(seed);
+        this.chance = new SeededRandom(seed);
         this.now = now;
         use(settings);
         capacity = new Capacity(book, slot, settings.instances(), settings.sized());
--- a/src/main/java/sandstack/decisions/Server.java
+++ b/src/main/java/sandstack/decisions/Server.java
@@ -3,8 +3,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import sandstack.capacity.*;
-import sandstack.chance.Chance;
 import sandstack.decisions.Decisions.Phase;
+import sandstack.random.SeededRandom;
 
 /** What this instance knows of one server; its health marks are here too. One thread; all calls O(1). */
 final class Server {
@@ -42,7 +42,7 @@
 
     Server(String id, Frame f) {
         this.id = id;
-        this.hash = Chance.hash(id);
+        this.hash = SeededRandom.hash(id);
         this.estimate = f.capacity.unknown();
         this.gate = new Gate(f.limits.setups(), f.now);
     }
--- a/src/main/java/sandstack/decisions/Shedding.java
+++ b/src/main/java/sandstack/decisions/Shedding.java
@@ -5,8 +5,8 @@
 import sandstack.capacity.ClassLoads;
 import sandstack.capacity.Tally;
 import sandstack.capacity.TenantShares;
-import sandstack.chance.Chance;
 import sandstack.decisions.Decisions.Tenant;
+import sandstack.random.SeededRandom;
 
 /**
  * What part of the load is refused where most servers are late. One thread; a look costs O(servers and
@@ -112,6 +112,6 @@
         // what a tenant holds beyond its share is worth little: that part goes before any class
         double excess = f.set.overShareWorth() < 1 ? shares.excess(r.ask.tenant()) : 0;
         double part = Math.max(loads.gives(r.ask.requestClass()), excess);
-        return Chance.unit(Chance.mix(Chance.hash(r.key))) < part;
+        return SeededRandom.unit(SeededRandom.mix(SeededRandom.hash(r.key))) < part;
     }
 }
--- a/src/main/java/sandstack/front/amqp/AmqpFront.java
+++ b/src/main/java/sandstack/front/amqp/AmqpFront.java
@@ -8,11 +8,11 @@
 import org.glassfish.grizzly.filterchain.BaseFilter;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
-import sandstack.chance.Latest;
 import sandstack.core.NameTable;
 import sandstack.core.Relay;
 import sandstack.net.Lobby;
 import sandstack.net.Loop;
+import sandstack.random.BoundedMap;
 
 /** AMQP 1.0: listens for clients, connects to feed servers and knows which link is whose. */
 public final class AmqpFront {
@@ -29,7 +29,7 @@
     private final String container;
     private final Lobby lobby;
     private final Map<LinkId, AmqpClient> holders = new HashMap<>();
-    private final Map<LinkId, Deliveries> broken = new Latest<>(MOST_REMEMBERED);
+    private final Map<LinkId, Deliveries> broken = new BoundedMap<>(MOST_REMEMBERED);
 
     /** @param container what the relay calls itself to clients */
     public AmqpFront(Loop loop, Relay relay, Lobby lobby, String container) {
--- a/src/main/java/sandstack/chance/Latest.java
+++ b/src/main/java/sandstack/random/BoundedMap.java
@@ -1,15 +1,15 @@
-package sandstack.chance;
+package sandstack.random;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** A map that holds the newest so many keys and forgets the one that was put first. One thread; O(1) a call. */
-public final class Latest<K, V> extends LinkedHashMap<K, V> {
+public final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
     private static final long serialVersionUID = 1L;
 
     private final int most;
 
-    public Latest(int most) {
+    public BoundedMap(int most) {
         this.most = most;
     }
 
--- a/src/main/java/sandstack/chance/Chance.java
+++ b/src/main/java/sandstack/random/SeededRandom.java
@@ -1,13 +1,13 @@
-package sandstack.chance;
+package sandstack.random;
 
 /**
  * Random numbers by SplitMix64 (Steele, Lea, Flood, 2014) and hashes by FNV-1a with its finisher: the same seed gives
  * the same draws everywhere. An object has one owner and is used on its thread only; the static methods on any; each call is a few shifts.
  */
-public final class Chance {
+public final class SeededRandom {
     private long state;
 
-    public Chance(long seed) {
+    public SeededRandom(long seed) {
         state = mix(seed);
     }
 
