--- a/src/main/java/sandstack/fleet/Words.java
+++ b/src/main/java/sandstack/fleet/FleetMessages.java
@@ -4,11 +4,11 @@
 import java.util.Set;
 
 /** What members say to each other, whatever the wire. Each carries the version of these words that its sender speaks. */
-public final class Words {
+public final class FleetMessages {
     /** A member that hears a higher one takes nothing of it and says so once. */
     public static final int VERSION = 1;
 
-    private Words() {}
+    private FleetMessages() {}
 
     /**
      * Asked by each member of each: are you there, and what is new?
@@ -58,7 +58,7 @@
      *
      * @param life who it is, for those whose library has not met it; null from a member that does not say
      */
-    public record Spread(int v, String id, News news, Life life) {}
+    public record Spread(int v, String id, News news, Incarnation life) {}
 
     /** One member's request to another; what the body means is the kind's business. */
     public record Call(int v, String from, String kind, String body) {}
--- a/src/main/java/sandstack/fleet/Act.java
+++ b/src/main/java/sandstack/fleet/GuardedOperation.java
@@ -4,23 +4,23 @@
 import java.util.Set;
 
 /** Something that a part of the program does for the fleet. Each part names its acts, and for each where it is allowed. */
-public interface Act {
+public interface GuardedOperation {
     /** The grounds on which it is allowed. */
-    Set<Ground> allowedOn();
+    Set<QuorumState> allowedOn();
 
     /** What the membership itself does at the word of staff. */
-    enum OfStaff implements Act {
+    enum OfStaff implements GuardedOperation {
         /** A lost relay is no longer counted: with fewer to count, a half may become a majority. */
-        TAKE_OUT(EnumSet.of(Ground.MOST, Ground.FEW, Ground.ALONE));
+        TAKE_OUT(EnumSet.of(QuorumState.MOST, QuorumState.FEW, QuorumState.ALONE));
 
-        private final Set<Ground> on;
+        private final Set<QuorumState> on;
 
-        OfStaff(Set<Ground> on) {
+        OfStaff(Set<QuorumState> on) {
             this.on = on;
         }
 
         @Override
-        public Set<Ground> allowedOn() {
+        public Set<QuorumState> allowedOn() {
             return on;
         }
     }
--- a/src/main/java/sandstack/fleet/Life.java
+++ b/src/main/java/sandstack/fleet/Incarnation.java
@@ -10,11 +10,11 @@
  * @param machine what it shares with whatever fails with it
  * @param address where members reach it
  */
-public record Life(String id, String name, String zone, String machine, String address) {
+public record Incarnation(String id, String name, String zone, String machine, String address) {
     /** Longer words are not told and not taken. */
     public static final int LONGEST = 200;
 
-    public Life {
+    public Incarnation {
         for (String word : List.of(id, name, zone, machine, address)) {
             if (word.length() > LONGEST) {
                 throw new IllegalArgumentException(
--- a/src/main/java/sandstack/fleet/Standing.java
+++ b/src/main/java/sandstack/fleet/MemberStatus.java
@@ -1,7 +1,7 @@
 package sandstack.fleet;
 
 /** How a member stands, as far as one member can know. */
-public enum Standing {
+public enum MemberStatus {
     /** Nobody who has asked it lacks its answer. */
     ALIVE,
     /** Some reach it and others do not: a cut link, no failed member. */
--- a/src/main/java/sandstack/fleet/Roster.java
+++ b/src/main/java/sandstack/fleet/MemberTable.java
@@ -19,11 +19,11 @@
  *
  * <p>One thread; O(members squared) a look at all, O(1) an event. Of the gone the last {@link #GONE_KEPT} are kept.
  */
-public final class Roster {
+public final class MemberTable {
     static final int GONE_KEPT = 64;
 
     private static final class Entry {
-        final Life life;
+        final Incarnation life;
         /** Whether the library holds it. */
         boolean held = true;
 
@@ -33,18 +33,18 @@
 
         long since;
         /** As it was last shown, and since when it is shown so. */
-        Standing shown;
+        MemberStatus shown;
 
         long shownSince;
 
-        Entry(Life life, long since) {
+        Entry(Incarnation life, long since) {
             this.life = life;
             this.since = since;
         }
     }
 
     /** What a member says of its own reach. */
-    private record Say(Set<String> reached, Set<String> unreached) {}
+    private record ReachReport(Set<String> reached, Set<String> unreached) {}
 
     /**
      * How one life stands.
@@ -54,25 +54,26 @@
      * @param voices how many members have a say about it
      * @param against names of those who do not reach it
      */
-    public record Line(Life life, Standing standing, long since, int reached, int voices, List<String> against) {}
+    public record Row(
+            Incarnation life, MemberStatus standing, long since, int reached, int voices, List<String> against) {}
 
-    private final Life self;
+    private final Incarnation self;
     private final long began;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final Map<String, Say> says = new HashMap<>();
+    private final Map<String, ReachReport> says = new HashMap<>();
 
-    public Roster(Life self, long now) {
+    public MemberTable(Incarnation self, long now) {
         this.self = self;
         this.began = now;
         added(self, now);
     }
 
-    public Life self() {
+    public Incarnation self() {
         return self;
     }
 
     /** The library has this life for a member. */
-    public void added(Life life, long now) {
+    public void added(Incarnation life, long now) {
         Entry entry = entries.get(life.id());
         if (entry == null) {
             entries.put(life.id(), new Entry(life, now));
@@ -84,7 +85,7 @@
     }
 
     /** Others know this life; returns whether it is new here. It is present as far as somebody says that they reach it. */
-    public boolean toldOf(Life life, long now) {
+    public boolean toldOf(Incarnation life, long now) {
         if (entries.containsKey(life.id())) {
             return false;
         }
@@ -141,13 +142,13 @@
     public void says(String id, Set<String> reached, Set<String> unreached) {
         Entry entry = entries.get(id);
         if (entry != null && (entry.held || reachedHere(id))) {
-            says.put(id, new Say(Set.copyOf(reached), Set.copyOf(unreached)));
+            says.put(id, new ReachReport(Set.copyOf(reached), Set.copyOf(unreached)));
         }
     }
 
     /** Whether this member reaches it itself. */
     private boolean reachedHere(String id) {
-        Say own = says.get(self.id());
+        ReachReport own = says.get(self.id());
         return own != null && own.reached().contains(id);
     }
 
@@ -172,14 +173,14 @@
     }
 
     /** The life with this id, gone or not; null where there is none. */
-    public Life life(String id) {
+    public Incarnation life(String id) {
         Entry entry = entries.get(id);
         return entry == null ? null : entry.life;
     }
 
     /** How all stand, by name and then by age. */
-    public List<Line> lines(long now) {
-        List<Line> lines = new ArrayList<>();
+    public List<Row> lines(long now) {
+        List<Row> lines = new ArrayList<>();
         for (Entry e : entries.values()) {
             String id = e.life.id();
             e.unmet &= !present(e) && !e.left;
@@ -188,7 +189,7 @@
             }
             List<String> against = new ArrayList<>();
             int voices = 0;
-            for (Map.Entry<String, Say> say : says.entrySet()) {
+            for (Map.Entry<String, ReachReport> say : says.entrySet()) {
                 // whoever is not reached itself by us has its word all the same: it came by others
                 boolean not = say.getValue().unreached().contains(id);
                 if (!say.getKey().equals(id) && (not || say.getValue().reached().contains(id))) {
@@ -201,19 +202,21 @@
             against.sort(null);
             boolean some = against.size() < voices;
             boolean met = e.held || reachedHere(id) && against.isEmpty();
-            Standing is = e.left
-                    ? Standing.LEFT
+            MemberStatus is = e.left
+                    ? MemberStatus.LEFT
                     : !met
-                            ? some ? Standing.PARTLY : Standing.LOST
-                            : against.isEmpty() ? Standing.ALIVE : some ? Standing.PARTLY : Standing.SUSPECT;
+                            ? some ? MemberStatus.PARTLY : MemberStatus.LOST
+                            : against.isEmpty()
+                                    ? MemberStatus.ALIVE
+                                    : some ? MemberStatus.PARTLY : MemberStatus.SUSPECT;
             if (e.shown != is) {
                 e.shown = is;
                 e.shownSince = e.life == self ? began : now;
             }
-            lines.add(new Line(e.life, is, e.shownSince, voices - against.size(), voices, against));
+            lines.add(new Row(e.life, is, e.shownSince, voices - against.size(), voices, against));
         }
-        lines.sort(Comparator.comparing((Line l) -> l.life().name())
-                .thenComparingLong(Line::since)
+        lines.sort(Comparator.comparing((Row l) -> l.life().name())
+                .thenComparingLong(Row::since)
                 .thenComparing(l -> l.life().id()));
         return lines;
     }
--- a/src/main/java/sandstack/fleet/Board.java
+++ b/src/main/java/sandstack/fleet/MemberValues.java
@@ -11,7 +11,7 @@
  *
  * <p>One thread; O(1) a call but for the copy of a member's few values.
  */
-public final class Board {
+public final class MemberValues {
     public static final int MOST_KEYS = 16;
     /** Characters of a key and of a value. */
     public static final int LONGEST = 512;
@@ -47,7 +47,7 @@
     private final String self;
     private final Map<String, Held> held = new HashMap<>();
 
-    public Board(String self) {
+    public MemberValues(String self) {
         this.self = self;
     }
 
--- a/src/main/java/sandstack/fleet/Membership.java
+++ b/src/main/java/sandstack/fleet/Membership.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
-import sandstack.fleet.Words.Answer;
-import sandstack.fleet.Words.News;
-import sandstack.fleet.Words.Question;
+import sandstack.fleet.FleetMessages.Answer;
+import sandstack.fleet.FleetMessages.News;
+import sandstack.fleet.FleetMessages.Question;
 
 /**
  * One member's part in knowing the others: puts the library's word, own questions and the words of others together, and
@@ -19,7 +19,7 @@
  * <p><b>Failure model.</b> Members crash and restart with or without their disk, stop for any time and go on, are slow;
  * links lose, delay, cut one way or both. Members do not lie; what is no word of ours is refused before it comes here.
  * <b>Promised:</b> the values of a member that others hold are values that it told, the later never before the earlier;
- * a member is called {@link Standing#PARTLY} and not lost while anyone reaches it and says so; of two processes that
+ * a member is called {@link MemberStatus#PARTLY} and not lost while anyone reaches it and says so; of two processes that
  * start with one name at most one is told that the name is its own, as long as they reach each other when they start.
  * <b>Not promised:</b> that all hold the same view at one moment, or that a name has one holder across a cut: what
  * needs that needs one order, and this has none.
@@ -38,12 +38,12 @@
 
     /** How all stand, and what they tell, at one moment. */
     public record View(
-            Life self,
-            List<Roster.Line> lines,
-            Map<String, Board.Held> told,
+            Incarnation self,
+            List<MemberTable.Row> lines,
+            Map<String, MemberValues.Held> told,
             boolean settled,
             Set<String> unreached,
-            Finding finding,
+            QuorumAssessment finding,
             long at) {
         /** The same, with what may be acted on at this moment. */
         public View asOf(long now) {
@@ -56,10 +56,10 @@
 
     static final String OUT = "out";
 
-    private final Roster roster;
-    private final Reach reach;
-    private final Board board;
-    private final Grounds grounds;
+    private final MemberTable roster;
+    private final ReachabilityProbe reach;
+    private final MemberValues board;
+    private final QuorumTracker grounds;
     /** Of the first turn; -1 before it. */
     private long began = -1;
 
@@ -71,16 +71,16 @@
     private String takenBy;
 
     /** Where staff have not said which relays there are. */
-    public Membership(Life self, long now, RandomGenerator chance) {
+    public Membership(Incarnation self, long now, RandomGenerator chance) {
         this(self, Set.of(), now, chance);
     }
 
     /** @param relays names of all relays that there are, as staff state them */
-    public Membership(Life self, Set<String> relays, long now, RandomGenerator chance) {
-        grounds = new Grounds(relays, self.name(), now);
-        roster = new Roster(self, now);
-        reach = new Reach(chance);
-        board = new Board(self.id());
+    public Membership(Incarnation self, Set<String> relays, long now, RandomGenerator chance) {
+        grounds = new QuorumTracker(relays, self.name(), now);
+        roster = new MemberTable(self, now);
+        reach = new ReachabilityProbe(chance);
+        board = new MemberValues(self.id());
         lastTurn = now;
         mine = new News(0, Map.of(), Set.of(), Set.of());
         if (!relays.isEmpty()) {
@@ -89,7 +89,7 @@
     }
 
     /** The library has this life for a member. */
-    public void added(Life life, long now) {
+    public void added(Incarnation life, long now) {
         roster.added(life, now);
         membersChanged();
     }
@@ -98,7 +98,7 @@
      * A life tells of itself through others: the library meets it only by a word with it, drawn once in a while, and two
      * that started behind a cut met late. Whoever is reached by others is asked.
      */
-    public void toldOf(String id, Life life, long now) {
+    public void toldOf(String id, Incarnation life, long now) {
         if (life != null && life.id().equals(id) && roster.toldOf(life, now)) {
             membersChanged();
         }
@@ -148,7 +148,7 @@
     }
 
     /** Whom to ask now. */
-    public List<Life> turn(long now) {
+    public List<Incarnation> turn(long now) {
         if (now - lastTurn > SLEPT) {
             // others may have waited for this process in vain; nothing follows about them
             reach.slept();
@@ -157,15 +157,15 @@
         lastTurn = now;
         began = began < 0 ? now : began;
         settled |= takenBy == null && now - began >= SETTLES;
-        List<Life> ask = new ArrayList<>();
+        List<Incarnation> ask = new ArrayList<>();
         reach.due(now).forEach(id -> ask.add(roster.life(id)));
         return ask;
     }
 
     /** What to ask this member. */
-    public Question question(Life of) {
+    public Question question(Incarnation of) {
         return new Question(
-                Words.VERSION,
+                FleetMessages.VERSION,
                 roster.self().id(),
                 roster.self().name(),
                 board.state(of.id()).number(),
@@ -176,7 +176,7 @@
     public Answer answer(Question question, long now) {
         namesake(question.from(), question.name(), question.settled());
         return new Answer(
-                Words.VERSION,
+                FleetMessages.VERSION,
                 roster.self().id(),
                 roster.self().name(),
                 question.has() < mine.number() ? mine : null,
@@ -184,7 +184,7 @@
     }
 
     /** A member answered. */
-    public void answered(Life asked, Answer answer, long now) {
+    public void answered(Incarnation asked, Answer answer, long now) {
         if (!answer.id().equals(asked.id())) {
             // another life answers at its address: this one is gone, whatever the library still waits for
             missed(asked);
@@ -201,7 +201,9 @@
 
     /** What a member tells, by whatever way: one that this one does not reach is heard of through others. */
     public void heard(String id, News news, long now) {
-        if (news != null && roster.present(id) && board.heard(id, new Board.State(news.number(), news.values()), now)) {
+        if (news != null
+                && roster.present(id)
+                && board.heard(id, new MemberValues.State(news.number(), news.values()), now)) {
             roster.says(id, news.reached(), news.unreached());
             // whom the library gave up comes back by the word of one who reaches it, and goes with that
             reach.members(roster.others());
@@ -219,7 +221,7 @@
     }
 
     /** A question to this member had no answer in time. */
-    public void missed(Life asked) {
+    public void missed(Incarnation asked) {
         if (reach.missed(asked.id())) {
             reachChanged();
         }
@@ -248,25 +250,25 @@
 
     /** How all stand now. */
     public View view(long now) {
-        Map<String, Board.Held> told = new HashMap<>();
-        List<Roster.Line> lines = roster.lines(now);
-        for (Roster.Line line : lines) {
-            Board.Held h = board.held(line.life().id());
+        Map<String, MemberValues.Held> told = new HashMap<>();
+        List<MemberTable.Row> lines = roster.lines(now);
+        for (MemberTable.Row line : lines) {
+            MemberValues.Held h = board.held(line.life().id());
             if (h != null && line.standing().present()) {
                 told.put(line.life().id(), h);
             }
         }
         Map<String, String> stated = new HashMap<>();
         told.forEach((id, h) -> stated.put(id, h.state().values().getOrDefault(STATED, "")));
-        Finding finding = grounds.look(lines, reach.reached(), stated, out(lines, now), now);
+        QuorumAssessment finding = grounds.look(lines, reach.reached(), stated, out(lines, now), now);
         return new View(roster.self(), lines, Map.copyOf(told), settled, reach.unreached(), finding, now);
     }
 
     /** Whom staff have taken out, at any relay that is heard of. One that lives counts again, and is told no longer. */
-    private Set<String> out(List<Roster.Line> lines, long now) {
+    private Set<String> out(List<MemberTable.Row> lines, long now) {
         Set<String> present = new HashSet<>();
         Set<String> out = new TreeSet<>(outBy(roster.self().id()));
-        for (Roster.Line line : lines) {
+        for (MemberTable.Row line : lines) {
             if (line.standing().present()) {
                 present.add(line.life().name());
                 out.addAll(outBy(line.life().id()));
@@ -274,7 +276,7 @@
         }
         out.removeIf(name -> present.contains(name) || !grounds.states(name));
         String text = String.join(",", out);
-        if (text.length() <= Board.LONGEST) {
+        if (text.length() <= MemberValues.LONGEST) {
             // whoever hears of it tells it too: it outlasts the relay at which staff said it
             tell(OUT, text.isEmpty() ? null : text, now);
         }
@@ -298,10 +300,10 @@
             return name + " is not among the relays that staff state";
         } else if (present) {
             return name + " is not lost: stop it first";
-        } else if (!view.finding().allows(Act.OfStaff.TAKE_OUT)) {
+        } else if (!view.finding().allows(GuardedOperation.OfStaff.TAKE_OUT)) {
             return "this relay is " + view.finding().ground() + " ("
                     + view.finding().why() + "); ask one that is not";
-        } else if (after.length() > Board.LONGEST) {
+        } else if (after.length() > MemberValues.LONGEST) {
             return "too many are out; correct the file of each relay";
         }
         tell(OUT, after, now);
--- a/src/main/java/sandstack/fleet/Finding.java
+++ b/src/main/java/sandstack/fleet/QuorumAssessment.java
@@ -12,26 +12,27 @@
  * @param without names of those that are not
  * @param why one sentence
  */
-public record Finding(Ground ground, long since, long at, List<String> with, List<String> without, String why) {
+public record QuorumAssessment(
+        QuorumState ground, long since, long at, List<String> with, List<String> without, String why) {
     /** Older than this, the member stood still meanwhile. */
     static final long FRESH = Membership.SLEPT;
 
-    public Finding {
+    public QuorumAssessment {
         with = List.copyOf(with);
         without = List.copyOf(without);
     }
 
     /** Whether this act may begin. */
-    public boolean allows(Act act) {
+    public boolean allows(GuardedOperation act) {
         return act.allowedOn().contains(ground);
     }
 
     /** The same as it counts at this moment: what was found before a standstill is not acted on. */
-    public Finding asOf(long now) {
+    public QuorumAssessment asOf(long now) {
         return now - at <= FRESH
                 ? this
-                : new Finding(
-                        Ground.UNSURE,
+                : new QuorumAssessment(
+                        QuorumState.UNSURE,
                         at,
                         now,
                         with,
--- a/src/main/java/sandstack/fleet/Ground.java
+++ b/src/main/java/sandstack/fleet/QuorumState.java
@@ -1,7 +1,7 @@
 package sandstack.fleet;
 
 /** On what ground a member stands with the others when it wants to act for the fleet. */
-public enum Ground {
+public enum QuorumState {
     /** All relays that staff state are reached, and all of them reach each other. */
     WHOLE,
     /** More than half of the relays that staff state are reached; two halves never both are. */
--- a/src/main/java/sandstack/fleet/Grounds.java
+++ b/src/main/java/sandstack/fleet/QuorumTracker.java
@@ -11,15 +11,15 @@
 /**
  * Finds on what ground this member stands. How many relays there are is what staff state, never what is seen: a half does
  * not shrink into a whole by losing the other. A relay that others reach and this one does not is neither taken away from
- * what there is nor counted as reached. Any doubt shows at once as {@link Ground#UNSURE}; better news has to last.
+ * what there is nor counted as reached. Any doubt shows at once as {@link QuorumState#UNSURE}; better news has to last.
  *
  * <p>One thread; a look costs O(members squared). No clock, I/O or thread of its own.
  */
-public final class Grounds {
+public final class QuorumTracker {
     /** A new finding counts once it has lasted so long. */
     public static final long STEADY = 1_500_000;
     /** After a standstill all have been asked anew by then: two rounds and their answers. */
-    public static final long ASKED_ANEW = 2 * Reach.ROUND + 500_000;
+    public static final long ASKED_ANEW = 2 * ReachabilityProbe.ROUND + 500_000;
 
     private final Set<String> stated = new TreeSet<>();
     private final String self;
@@ -29,16 +29,16 @@
     /** Lives that answered since the last standstill; null where there was none. */
     private Set<String> answered;
 
-    private Ground coming;
+    private QuorumState coming;
     private long comingSince;
-    private Finding last;
+    private QuorumAssessment last;
 
     /** @param relays names of all relays that staff say there are; none: they have not said */
-    public Grounds(Collection<String> relays, String self, long now) {
+    public QuorumTracker(Collection<String> relays, String self, long now) {
         stated.addAll(relays);
         this.self = self;
         this.began = now;
-        this.last = new Finding(Ground.UNSURE, now, now, List.of(self), List.of(), "has just started");
+        this.last = new QuorumAssessment(QuorumState.UNSURE, now, now, List.of(self), List.of(), "has just started");
     }
 
     /** What two members compare, to see whether staff told them of the same relays. */
@@ -76,13 +76,13 @@
      * @param statedBy what each life says it was told of relays, see {@link #statedAs}
      * @param out names that staff have taken out
      */
-    public Finding look(
-            List<Roster.Line> lines, Set<String> reached, Map<String, String> statedBy, Set<String> out, long now) {
+    public QuorumAssessment look(
+            List<MemberTable.Row> lines, Set<String> reached, Map<String, String> statedBy, Set<String> out, long now) {
         Set<String> all = new TreeSet<>(stated);
-        Map<String, Roster.Line> with = new HashMap<>();
+        Map<String, MemberTable.Row> with = new HashMap<>();
         String differs = null;
         Set<String> present = new HashSet<>();
-        for (Roster.Line line : lines) {
+        for (MemberTable.Row line : lines) {
             String name = line.life().name();
             if (line.standing().present()) {
                 present.add(name);
@@ -104,7 +104,7 @@
                 all.stream().filter(name -> !with.containsKey(name)).toList();
         String apart = null;
         int core = 0;
-        for (Map.Entry<String, Roster.Line> one : with.entrySet()) {
+        for (Map.Entry<String, MemberTable.Row> one : with.entrySet()) {
             List<String> against =
                     one.getValue().against().stream().filter(with::containsKey).toList();
             core += against.isEmpty() ? 1 : 0;
@@ -117,16 +117,18 @@
         String doubtOfSelf = doubtOfSelf(with.size() - 1, now);
         doubt = doubtOfSelf != null ? doubtOfSelf : doubt;
         String why = doubt != null ? doubt : with.size() + " of " + all.size() + " stated relays are reached";
-        Ground ground = doubt != null
-                ? Ground.UNSURE
-                : core == all.size() ? Ground.WHOLE : most ? Ground.MOST : with.size() == 1 ? Ground.ALONE : Ground.FEW;
+        QuorumState ground = doubt != null
+                ? QuorumState.UNSURE
+                : core == all.size()
+                        ? QuorumState.WHOLE
+                        : most ? QuorumState.MOST : with.size() == 1 ? QuorumState.ALONE : QuorumState.FEW;
         if (ground != coming) {
             coming = ground;
             comingSince = now;
         }
-        boolean steady = ground == Ground.UNSURE || ground == last.ground() || now - comingSince >= STEADY;
-        Ground shown = steady ? ground : Ground.UNSURE;
-        last = new Finding(
+        boolean steady = ground == QuorumState.UNSURE || ground == last.ground() || now - comingSince >= STEADY;
+        QuorumState shown = steady ? ground : QuorumState.UNSURE;
+        last = new QuorumAssessment(
                 shown,
                 shown == last.ground() ? last.since() : now,
                 now,
--- a/src/main/java/sandstack/fleet/Reach.java
+++ b/src/main/java/sandstack/fleet/ReachabilityProbe.java
@@ -17,7 +17,7 @@
  *
  * <p>One thread; a turn costs O(members). Keeps a few numbers a member.
  */
-public final class Reach {
+public final class ReachabilityProbe {
     /** Microseconds of a round, at least, and for each member. */
     public static final long ROUND = 1_000_000;
 
@@ -37,7 +37,7 @@
     private final List<String> round = new ArrayList<>();
     private long roundBegan = Long.MIN_VALUE / 2;
 
-    public Reach(RandomGenerator chance) {
+    public ReachabilityProbe(RandomGenerator chance) {
         this.chance = chance;
     }
 
--- a/src/main/java/sandstack/fleet/link/FleetLink.java
+++ b/src/main/java/sandstack/fleet/link/FleetLink.java
@@ -30,17 +30,17 @@
 import reactor.core.scheduler.Schedulers;
 import sandstack.config.BadSettings;
 import sandstack.config.FleetFile;
-import sandstack.fleet.Ground;
-import sandstack.fleet.Life;
+import sandstack.fleet.FleetMessages;
+import sandstack.fleet.FleetMessages.Answer;
+import sandstack.fleet.FleetMessages.Call;
+import sandstack.fleet.FleetMessages.Question;
+import sandstack.fleet.FleetMessages.Result;
+import sandstack.fleet.FleetMessages.Spread;
+import sandstack.fleet.Incarnation;
+import sandstack.fleet.MemberStatus;
+import sandstack.fleet.MemberTable;
 import sandstack.fleet.Membership;
-import sandstack.fleet.Roster;
-import sandstack.fleet.Standing;
-import sandstack.fleet.Words;
-import sandstack.fleet.Words.Answer;
-import sandstack.fleet.Words.Call;
-import sandstack.fleet.Words.Question;
-import sandstack.fleet.Words.Result;
-import sandstack.fleet.Words.Spread;
+import sandstack.fleet.QuorumState;
 
 /**
  * This relay as a member: carries out what {@link Membership} decides over the library's transport. Owns one thread, on
@@ -91,7 +91,7 @@
     }
 
     private final FleetFile file;
-    private final Life self;
+    private final Incarnation self;
     private final KnownTypes codec = new KnownTypes();
     private final ScheduledThreadPoolExecutor thread;
     private final Scheduler scheduler;
@@ -100,7 +100,7 @@
     private final Map<String, AtomicInteger> calling = new ConcurrentHashMap<>();
     private final AtomicInteger calls = new AtomicInteger();
     private final AtomicInteger waiting = new AtomicInteger();
-    private final Map<String, Standing> logged = new HashMap<>();
+    private final Map<String, MemberStatus> logged = new HashMap<>();
     private final CompletableFuture<Void> taken = new CompletableFuture<>();
     private volatile Cluster cluster;
     private volatile Membership.View view;
@@ -115,7 +115,7 @@
     public FleetLink(FleetFile file, String name, String zone) {
         LIBRARIES.forEach(library -> library.setLevel(java.util.logging.Level.OFF));
         this.file = file;
-        this.self = new Life(
+        this.self = new Incarnation(
                 UUID.randomUUID().toString().replace("-", "").substring(0, 16),
                 name,
                 zone,
@@ -193,7 +193,7 @@
                 .memberAlias(self.name())
                 .externalHost(file.listen().host())
                 .externalPort(file.listen().port())
-                .metadata(Bodies.text(new Card(Words.VERSION, self.name(), self.zone(), self.machine())))
+                .metadata(MessageJson.text(new Card(FleetMessages.VERSION, self.name(), self.zone(), self.machine())))
                 .metadataCodec(Card.CODEC)
                 .metadataTimeout(CARD_WITHIN)
                 .transport(t -> t.port(file.listen().port())
@@ -290,7 +290,7 @@
         if (event.isAdded()) {
             try {
                 membership.added(life(member, event.newMetadata()), now());
-            } catch (Bodies.NotUnderstood | IllegalArgumentException e) {
+            } catch (MessageJson.NotUnderstood | IllegalArgumentException e) {
                 LOG.warning("a member at " + member.address() + " is not counted: " + e.getMessage());
             }
         } else if (event.isLeaving()) {
@@ -301,27 +301,27 @@
         show();
     }
 
-    private static Life life(Member member, ByteBuffer metadata) throws Bodies.NotUnderstood {
+    private static Incarnation life(Member member, ByteBuffer metadata) throws MessageJson.NotUnderstood {
         if (metadata == null) {
-            throw new Bodies.NotUnderstood("it does not say who it is");
+            throw new MessageJson.NotUnderstood("it does not say who it is");
         }
-        Card card = Bodies.read(Card.CODEC.deserialize(metadata), Card.class);
+        Card card = MessageJson.read(Card.CODEC.deserialize(metadata), Card.class);
         if (card.name() == null || card.zone() == null || card.machine() == null) {
-            throw new Bodies.NotUnderstood("it does not say who it is");
+            throw new MessageJson.NotUnderstood("it does not say who it is");
         }
-        return new Life(member.id(), card.name(), card.zone(), card.machine(), member.address());
+        return new Incarnation(member.id(), card.name(), card.zone(), card.machine(), member.address());
     }
 
     private void turn() {
         try {
-            for (Life member : membership.turn(now())) {
+            for (Incarnation member : membership.turn(now())) {
                 ask(member);
             }
-            Words.News news = membership.spread(now());
+            FleetMessages.News news = membership.spread(now());
             if (news != null) {
                 cluster.spreadGossip(Message.builder()
                                 .qualifier(SPREAD)
-                                .data(Bodies.text(new Spread(Words.VERSION, self.id(), news, self)))
+                                .data(MessageJson.text(new Spread(FleetMessages.VERSION, self.id(), news, self)))
                                 .build())
                         .subscribe(done -> {}, lost -> {});
             }
@@ -336,15 +336,15 @@
         }
     }
 
-    private void ask(Life member) {
-        exchange(member, QUESTION, Bodies.text(membership.question(member)), ANSWER_WITHIN)
+    private void ask(Incarnation member) {
+        exchange(member, QUESTION, MessageJson.text(membership.question(member)), ANSWER_WITHIN)
                 .whenComplete((text, failed) -> {
                     try {
                         if (failed == null) {
-                            membership.answered(member, Bodies.read(text, Answer.class), now());
+                            membership.answered(member, MessageJson.read(text, Answer.class), now());
                             return;
                         }
-                    } catch (Bodies.NotUnderstood e) {
+                    } catch (MessageJson.NotUnderstood e) {
                         warn(member.name() + " at " + member.address() + " answers with " + e.getMessage());
                     }
                     membership.missed(member);
@@ -352,7 +352,7 @@
     }
 
     /** One message there and one back, within this time; completes on the fleet's thread. */
-    private CompletableFuture<String> exchange(Life member, String what, String body, Duration within) {
+    private CompletableFuture<String> exchange(Incarnation member, String what, String body, Duration within) {
         Message message = Message.builder()
                 .qualifier(what)
                 .correlationId(UUID.randomUUID().toString())
@@ -369,16 +369,16 @@
     private void received(Message message) {
         try {
             if (QUESTION.equals(message.qualifier())) {
-                Question question = Bodies.read(message.data(), Question.class);
-                answer(message, Bodies.text(membership.answer(question, now())));
+                Question question = MessageJson.read(message.data(), Question.class);
+                answer(message, MessageJson.text(membership.answer(question, now())));
             } else if (SPREAD.equals(message.qualifier())) {
-                Spread spread = Bodies.read(message.data(), Spread.class);
+                Spread spread = MessageJson.read(message.data(), Spread.class);
                 membership.toldOf(spread.id(), spread.life(), now());
                 membership.heard(spread.id(), spread.news(), now());
             } else if (CALL.equals(message.qualifier())) {
-                called(message, Bodies.read(message.data(), Call.class));
+                called(message, MessageJson.read(message.data(), Call.class));
             }
-        } catch (Bodies.NotUnderstood | IllegalArgumentException e) {
+        } catch (MessageJson.NotUnderstood | IllegalArgumentException e) {
             warn("from " + message.sender() + " came " + e.getMessage());
         }
     }
@@ -388,8 +388,8 @@
         if (handler == null || call.body() == null || call.body().length() > LONGEST_BODY) {
             answer(
                     message,
-                    Bodies.text(new Result(
-                            Words.VERSION,
+                    MessageJson.text(new Result(
+                            FleetMessages.VERSION,
                             null,
                             handler == null
                                     ? "nothing here takes calls of this kind"
@@ -399,8 +399,10 @@
         handler.handle(call.from(), call.body())
                 .whenComplete((body, failed) -> answer(
                         message,
-                        Bodies.text(new Result(
-                                Words.VERSION, body, failed == null ? null : String.valueOf(failed.getMessage())))));
+                        MessageJson.text(new Result(
+                                FleetMessages.VERSION,
+                                body,
+                                failed == null ? null : String.valueOf(failed.getMessage())))));
     }
 
     private void answer(Message asked, String body) {
@@ -430,14 +432,14 @@
 
     private void show() {
         shownAt = now();
-        Ground before = view.finding().ground();
+        QuorumState before = view.finding().ground();
         view = membership.view(shownAt);
         if (view.finding().ground() != before && !file.relays().isEmpty()) {
             LOG.info("the fleet is " + view.finding().ground() + " here: "
                     + view.finding().why());
         }
-        for (Roster.Line line : view.lines()) {
-            Standing stood = logged.put(line.life().id(), line.standing());
+        for (MemberTable.Row line : view.lines()) {
+            MemberStatus stood = logged.put(line.life().id(), line.standing());
             if (stood != line.standing() && !(stood == null && line.life().id().equals(self.id()))) {
                 LOG.info("member " + line.life().name() + " ("
                         + line.life().id().substring(0, 8) + ") is "
@@ -485,9 +487,9 @@
      * many calls out, not a member, refused there. What was asked may have been done all the same where no answer came.
      */
     public CompletableFuture<String> call(String id, String kind, String body, Duration within) {
-        Life member = view.lines().stream()
+        Incarnation member = view.lines().stream()
                 .filter(l -> l.life().id().equals(id) && l.standing().present())
-                .map(Roster.Line::life)
+                .map(MemberTable.Row::life)
                 .findFirst()
                 .orElse(null);
         if (member == null) {
@@ -504,7 +506,7 @@
             }
             return CompletableFuture.failedFuture(new IllegalStateException("too many calls are out"));
         }
-        String text = Bodies.text(new Call(Words.VERSION, self.id(), kind, body));
+        String text = MessageJson.text(new Call(FleetMessages.VERSION, self.id(), kind, body));
         return exchange(member, CALL, text, within).handle((answer, failed) -> {
             calls.decrementAndGet();
             if (each.decrementAndGet() == 0) {
@@ -512,13 +514,13 @@
             }
             try {
                 Result result = failed != null
-                        ? new Result(Words.VERSION, null, String.valueOf(failed.getMessage()))
-                        : Bodies.read(answer, Result.class);
+                        ? new Result(FleetMessages.VERSION, null, String.valueOf(failed.getMessage()))
+                        : MessageJson.read(answer, Result.class);
                 if (result.error() != null) {
                     throw new IllegalStateException(result.error());
                 }
                 return result.body();
-            } catch (Bodies.NotUnderstood e) {
+            } catch (MessageJson.NotUnderstood e) {
                 throw new IllegalStateException("answered with " + e.getMessage());
             }
         });
--- a/src/main/java/sandstack/fleet/link/FleetText.java
+++ b/src/main/java/sandstack/fleet/link/FleetText.java
@@ -5,11 +5,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import sandstack.fleet.Board;
-import sandstack.fleet.Finding;
-import sandstack.fleet.Life;
+import sandstack.fleet.Incarnation;
+import sandstack.fleet.MemberTable;
+import sandstack.fleet.MemberValues;
 import sandstack.fleet.Membership;
-import sandstack.fleet.Roster;
+import sandstack.fleet.QuorumAssessment;
 
 /** What the console shows of a view. Pure; O(members). */
 public final class FleetText {
@@ -20,15 +20,15 @@
     /** A line a member. */
     public static List<String> lines(Membership.View view) {
         List<String> lines = new ArrayList<>();
-        Finding found = view.finding();
+        QuorumAssessment found = view.finding();
         lines.add(String.format(
                 "%s for %.1f s: %s%s",
                 found.ground(),
                 (found.at() - found.since()) / 1e6,
                 found.why(),
                 found.without().isEmpty() ? "" : "; not " + String.join(", ", found.without())));
-        for (Roster.Line line : view.lines()) {
-            Life life = line.life();
+        for (MemberTable.Row line : view.lines()) {
+            Incarnation life = line.life();
             lines.add(String.format(
                     "%-12s %s  %-7s since %6.1f s  zone %s  machine %s  %s%s",
                     life.name(),
@@ -58,7 +58,7 @@
     /** All as one JSON object. */
     public static String json(Membership.View view) {
         ObjectNode root = JSON.createObjectNode().put("self", view.self().id()).put("settled", view.settled());
-        Finding found = view.finding();
+        QuorumAssessment found = view.finding();
         ObjectNode ground = root.putObject("ground")
                 .put("is", found.ground().name())
                 .put("since_ms", (found.at() - found.since()) / 1_000)
@@ -66,8 +66,8 @@
         found.with().forEach(ground.putArray("with")::add);
         found.without().forEach(ground.putArray("without")::add);
         ArrayNode members = root.putArray("members");
-        for (Roster.Line line : view.lines()) {
-            Life life = line.life();
+        for (MemberTable.Row line : view.lines()) {
+            Incarnation life = line.life();
             ObjectNode member = members.addObject()
                     .put("name", life.name())
                     .put("life", life.id())
@@ -79,7 +79,7 @@
                     .put("reached", line.reached())
                     .put("voices", line.voices());
             line.against().forEach(member.putArray("against")::add);
-            Board.Held held = view.told().get(life.id());
+            MemberValues.Held held = view.told().get(life.id());
             if (held != null) {
                 ObjectNode told = member.putObject("told");
                 held.state().values().forEach(told::put);
--- a/src/main/java/sandstack/fleet/link/Bodies.java
+++ b/src/main/java/sandstack/fleet/link/MessageJson.java
@@ -5,10 +5,10 @@
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import sandstack.fleet.Words;
+import sandstack.fleet.FleetMessages;
 
 /** The members' words as JSON, each with its version. Pure; O(characters) a body. */
-final class Bodies {
+final class MessageJson {
     private static final ObjectMapper JSON = new ObjectMapper(JsonFactory.builder()
             .streamReadConstraints(
                     StreamReadConstraints.builder().maxNestingDepth(8).build())
@@ -23,7 +23,7 @@
         }
     }
 
-    private Bodies() {}
+    private MessageJson() {}
 
     static String text(Object words) {
         try {
@@ -43,9 +43,9 @@
             if (!body.path("v").isInt() || body.path("v").asInt() < 1) {
                 throw new NotUnderstood("a body without a version");
             }
-            if (body.path("v").asInt() > Words.VERSION) {
-                throw new NotUnderstood(
-                        "version " + body.path("v").asInt() + " of the words, known are up to " + Words.VERSION);
+            if (body.path("v").asInt() > FleetMessages.VERSION) {
+                throw new NotUnderstood("version " + body.path("v").asInt() + " of the words, known are up to "
+                        + FleetMessages.VERSION);
             }
             return JSON.treeToValue(body, type);
         } catch (JsonProcessingException | IllegalArgumentException e) {
--- a/src/main/java/sandstack/rig/Facts.java
+++ b/src/main/java/sandstack/rig/Facts.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import sandstack.fleet.Ground;
-import sandstack.fleet.Standing;
+import sandstack.fleet.MemberStatus;
+import sandstack.fleet.QuorumState;
 
 /**
  * What happened in one run, in order: what was done to members and links, and what each said that it saw. Filled by the
@@ -32,10 +32,10 @@
     record Seen(long at, long asked, int member, String life, Map<String, Line> seen) implements Fact {}
 
     /** On what ground a member found itself, and how many of the stated relays it reached by that. */
-    record Stands(long at, int member, Ground ground, int with) implements Fact {}
+    record Stands(long at, int member, QuorumState ground, int with) implements Fact {}
 
     /** How one life is seen. */
-    record Line(String name, Standing standing) {}
+    record Line(String name, MemberStatus standing) {}
 
     private final List<Fact> all = new ArrayList<>();
 
--- a/src/main/java/sandstack/rig/FaultRun.java
+++ b/src/main/java/sandstack/rig/FaultRun.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import sandstack.fleet.Ground;
-import sandstack.fleet.Standing;
+import sandstack.fleet.MemberStatus;
+import sandstack.fleet.QuorumState;
 import sandstack.rig.Facts.Done;
 import sandstack.rig.Facts.LetGo;
 import sandstack.rig.Facts.Line;
@@ -182,7 +182,7 @@
                     member.path("life").asText(),
                     new Line(
                             member.path("name").asText(),
-                            Standing.valueOf(member.path("standing").asText())));
+                            MemberStatus.valueOf(member.path("standing").asText())));
         }
         Seen fact = new Seen(now(), asked, i, view.path("self").asText(), seen);
         facts.add(fact);
@@ -190,7 +190,7 @@
         facts.add(new Stands(
                 fact.at(),
                 i,
-                Ground.valueOf(ground.path("is").asText()),
+                QuorumState.valueOf(ground.path("is").asText()),
                 ground.path("with").size()));
         return fact;
     }
@@ -201,13 +201,14 @@
             Seen seen = look(i);
             all &= seen != null
                     && seen.seen().values().stream()
-                                    .filter(l -> l.standing() == Standing.ALIVE)
+                                    .filter(l -> l.standing() == MemberStatus.ALIVE)
                                     .map(Line::name)
                                     .distinct()
                                     .count()
                             == schedule.members()
                     && seen.seen().values().stream()
-                            .noneMatch(l -> l.standing() == Standing.PARTLY || l.standing() == Standing.SUSPECT);
+                            .noneMatch(
+                                    l -> l.standing() == MemberStatus.PARTLY || l.standing() == MemberStatus.SUSPECT);
         }
         return all;
     }
--- a/src/main/java/sandstack/rig/Rules.java
+++ b/src/main/java/sandstack/rig/Rules.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sandstack.fleet.Ground;
-import sandstack.fleet.Standing;
+import sandstack.fleet.MemberStatus;
+import sandstack.fleet.QuorumState;
 import sandstack.rig.Facts.Done;
 import sandstack.rig.Facts.Fact;
 import sandstack.rig.Facts.LetGo;
@@ -51,7 +51,7 @@
     private final long[] resumedAt;
     private final Map<String, Integer> owner = new HashMap<>();
     private final Map<Integer, String> lifeOf = new HashMap<>();
-    private final Map<String, Standing> ended = new HashMap<>();
+    private final Map<String, MemberStatus> ended = new HashMap<>();
     private final Map<String, Long> deadSince = new HashMap<>();
     private final List<Broken> broken = new ArrayList<>();
 
@@ -148,13 +148,13 @@
 
     /** Who acts as most is more than half of what staff state, and nobody acts on what was believed before a standstill. */
     private void stands(Stands s) {
-        boolean most = s.ground() == Ground.MOST || s.ground() == Ground.WHOLE;
-        if (most && (2 * s.with() <= members || s.ground() == Ground.WHOLE && s.with() < members)) {
+        boolean most = s.ground() == QuorumState.MOST || s.ground() == QuorumState.WHOLE;
+        if (most && (2 * s.with() <= members || s.ground() == QuorumState.WHOLE && s.with() < members)) {
             broken.add(new Broken(
                     "most is more than half of what staff state",
                     s.member() + " is " + s.ground() + " with " + s.with() + " of " + members));
         }
-        if (s.ground() != Ground.UNSURE
+        if (s.ground() != QuorumState.UNSURE
                 && s.at() >= resumedAt[s.member()]
                 && s.at() - resumedAt[s.member()] < UNSURE_FOR) {
             broken.add(new Broken(
@@ -205,7 +205,7 @@
             if (of == null || of == seen.member()) {
                 return;
             }
-            if (line.standing() == Standing.LOST && !deadSince.containsKey(life)) {
+            if (line.standing() == MemberStatus.LOST && !deadSince.containsKey(life)) {
                 lost(seen, of, line);
             }
             Long dead = deadSince.get(life);
@@ -215,7 +215,7 @@
                         seen.member() + " calls " + line.name() + " " + line.standing() + " "
                                 + (seen.asked() - dead) / 1_000 + " ms after it died"));
             }
-            if (line.standing() == Standing.LEFT && dead == null) {
+            if (line.standing() == MemberStatus.LEFT && dead == null) {
                 broken.add(new Broken("who runs has not left", seen.member() + " calls " + line.name() + " LEFT"));
             }
         });
@@ -238,7 +238,7 @@
     /** A life that left never comes back, for anyone who has seen it leave. */
     private void ended(Seen seen, String life, Line line) {
         String key = seen.life() + "<" + life;
-        if (ended.get(key) == Standing.LEFT && line.standing() != Standing.LEFT) {
+        if (ended.get(key) == MemberStatus.LEFT && line.standing() != MemberStatus.LEFT) {
             broken.add(new Broken(
                     "who left stays left",
                     seen.member() + " calls " + line.name() + " " + line.standing() + " after LEFT"));
@@ -263,14 +263,14 @@
                 broken.add(new Broken("whoever runs answers", i + " told nothing after all faults had ended"));
                 continue;
             }
-            Map<String, Standing> present = new HashMap<>();
+            Map<String, MemberStatus> present = new HashMap<>();
             seen.seen().forEach((life, line) -> {
                 if (line.standing().present() && present.put(line.name(), line.standing()) != null) {
                     broken.add(
                             new Broken("a name has one present life", seen.member() + " sees two of " + line.name()));
                 }
             });
-            if (present.size() != members || present.values().stream().anyMatch(s -> s != Standing.ALIVE)) {
+            if (present.size() != members || present.values().stream().anyMatch(s -> s != MemberStatus.ALIVE)) {
                 broken.add(new Broken(
                         "views are equal after all faults have ended",
                         i + " sees " + present + " " + (seen.at() - go) / 1_000 + " ms after"));
--- a/src/test/java/sandstack/fleet/MembershipTest.java
+++ b/src/test/java/sandstack/fleet/MembershipTest.java
@@ -18,8 +18,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import sandstack.fleet.Words.Answer;
-import sandstack.fleet.Words.News;
+import sandstack.fleet.FleetMessages.Answer;
+import sandstack.fleet.FleetMessages.News;
 
 /** Many memberships in one simulated clock, with a library that is as slow and as blind as the real one. */
 class MembershipTest {
@@ -32,7 +32,7 @@
     /** The world: who lives, what passes, what is on its way. */
     private static final class Sim {
         final SplittableRandom chance;
-        final List<Life> lives = new ArrayList<>();
+        final List<Incarnation> lives = new ArrayList<>();
         final Map<String, Membership> members = new HashMap<>();
         final Set<String> dead = new HashSet<>();
         final Set<String> paused = new HashSet<>();
@@ -51,16 +51,16 @@
         }
 
         void start(String name) {
-            Life life = new Life(name + "-" + lives.size(), name, "z", name, name);
+            Incarnation life = new Incarnation(name + "-" + lives.size(), name, "z", name, name);
             lives.add(life);
             members.put(life.id(), new Membership(life, now, chance.split()));
         }
 
-        boolean up(Life life) {
+        boolean up(Incarnation life) {
             return !dead.contains(life.id()) && !paused.contains(life.id());
         }
 
-        boolean passes(Life from, Life to) {
+        boolean passes(Incarnation from, Incarnation to) {
             return !cut.contains(from.id() + ">" + to.id());
         }
 
@@ -73,8 +73,8 @@
         }
 
         /** One direct question and its answer. */
-        void ask(Life a, Life b) {
-            Words.Question question = members.get(a.id()).question(b);
+        void ask(Incarnation a, Incarnation b) {
+            FleetMessages.Question question = members.get(a.id()).question(b);
             boolean[] answered = {false};
             after(way(), () -> {
                 if (up(b) && passes(a, b)) {
@@ -96,11 +96,11 @@
         }
 
         /** Whom a member that is up reaches over others that are up, where each link is such a one. */
-        Set<Life> chain(Life from, BiPredicate<Life, Life> link) {
-            Set<Life> reached = new HashSet<>(Set.of(from));
+        Set<Incarnation> chain(Incarnation from, BiPredicate<Incarnation, Incarnation> link) {
+            Set<Incarnation> reached = new HashSet<>(Set.of(from));
             for (boolean grew = true; grew; ) {
-                Set<Life> next = new HashSet<>(reached);
-                for (Life a : reached) {
+                Set<Incarnation> next = new HashSet<>(reached);
+                for (Incarnation a : reached) {
                     lives.stream().filter(b -> up(b) && link.test(a, b)).forEach(next::add);
                 }
                 grew = next.size() > reached.size();
@@ -110,8 +110,8 @@
         }
 
         /** What one member spreads reaches whoever some chain of members reaches. */
-        void spread(Life from, News news) {
-            for (Life to : chain(from, this::passes)) {
+        void spread(Incarnation from, News news) {
+            for (Incarnation to : chain(from, this::passes)) {
                 if (to != from) {
                     after(5 * way(), () -> {
                         if (up(to)) {
@@ -134,7 +134,7 @@
                 }
                 now = turn;
                 library();
-                for (Life life : List.copyOf(lives)) {
+                for (Incarnation life : List.copyOf(lives)) {
                     if (up(life)) {
                         Membership m = members.get(life.id());
                         m.turn(now).forEach(other -> ask(life, other));
@@ -151,12 +151,12 @@
 
         /** Whom each can reach by any chain is added, whom nobody can is given up after a while. */
         private void library() {
-            for (Life a : lives) {
+            for (Incarnation a : lives) {
                 if (!up(a)) {
                     continue;
                 }
-                Set<Life> chain = chain(a, (x, y) -> passes(x, y) && passes(y, x));
-                for (Life b : lives) {
+                Set<Incarnation> chain = chain(a, (x, y) -> passes(x, y) && passes(y, x));
+                for (Incarnation b : lives) {
                     String key = a.id() + ">" + b.id();
                     if (a == b) {
                         continue;
@@ -171,9 +171,10 @@
             }
         }
 
-        Map<String, Standing> seen(Life by) {
+        Map<String, MemberStatus> seen(Incarnation by) {
             return members.get(by.id()).view(now).lines().stream()
-                    .collect(Collectors.toMap(l -> l.life().id(), Roster.Line::standing, (a, b) -> a, TreeMap::new));
+                    .collect(
+                            Collectors.toMap(l -> l.life().id(), MemberTable.Row::standing, (a, b) -> a, TreeMap::new));
         }
     }
 
@@ -190,8 +191,8 @@
     void viewsAreEqualFiveSecondsAfterWhateverHappenedIsOver(@ForAll long seed) {
         Sim sim = fleet(seed, 6);
         for (int fault = 0; fault < 6; fault++) {
-            Life a = sim.lives.get(sim.chance.nextInt(6));
-            Life b = sim.lives.get(sim.chance.nextInt(6));
+            Incarnation a = sim.lives.get(sim.chance.nextInt(6));
+            Incarnation b = sim.lives.get(sim.chance.nextInt(6));
             switch (sim.chance.nextInt(4)) {
                 case 0 -> sim.cut.add(a.id() + ">" + b.id());
                 case 1 -> sim.cut.addAll(List.of(a.id() + ">" + b.id(), b.id() + ">" + a.id()));
@@ -203,10 +204,10 @@
         sim.cut.clear();
         sim.paused.clear();
         sim.run(5_000_000);
-        for (Life by : sim.lives) {
+        for (Incarnation by : sim.lives) {
             assertThat(sim.seen(by).values())
                     .as("as " + by.name() + " sees them")
-                    .containsOnly(Standing.ALIVE);
+                    .containsOnly(MemberStatus.ALIVE);
         }
     }
 
@@ -215,17 +216,17 @@
         Sim sim = fleet(seed, 4);
         Map<String, Long> newest = new HashMap<>();
         for (int step = 0; step < 30; step++) {
-            Life teller = sim.lives.get(sim.chance.nextInt(4));
+            Incarnation teller = sim.lives.get(sim.chance.nextInt(4));
             if (sim.up(teller)) {
                 sim.members.get(teller.id()).tell("load", String.valueOf(step), sim.now);
             }
-            Life a = sim.lives.get(sim.chance.nextInt(4));
-            Life b = sim.lives.get(sim.chance.nextInt(4));
+            Incarnation a = sim.lives.get(sim.chance.nextInt(4));
+            Incarnation b = sim.lives.get(sim.chance.nextInt(4));
             if (!sim.cut.remove(a.id() + ">" + b.id())) {
                 sim.cut.add(a.id() + ">" + b.id());
             }
             sim.run(sim.chance.nextLong(2_000_000));
-            for (Life by : sim.lives) {
+            for (Incarnation by : sim.lives) {
                 sim.members.get(by.id()).view(sim.now).told().forEach((id, held) -> {
                     if (!id.equals(by.id()) && held.state().number() > 0) {
                         Map<String, String> told =
@@ -245,18 +246,18 @@
     @Test
     void aMemberThatSomeReachIsPartlyAndNotLostHoweverLongItLasts() {
         Sim sim = fleet(1, 5);
-        Life a = sim.lives.get(1);
-        Life b = sim.lives.get(3);
+        Incarnation a = sim.lives.get(1);
+        Incarnation b = sim.lives.get(3);
         sim.cut.addAll(List.of(a.id() + ">" + b.id(), b.id() + ">" + a.id()));
         sim.run(4_000_000);
         for (int i = 0; i < 30; i++) {
             sim.run(1_000_000);
-            for (Life by : sim.lives) {
+            for (Incarnation by : sim.lives) {
                 assertThat(sim.seen(by))
                         .as(by.name())
-                        .containsEntry(a.id(), Standing.PARTLY)
-                        .containsEntry(b.id(), Standing.PARTLY)
-                        .containsEntry(sim.lives.get(0).id(), Standing.ALIVE);
+                        .containsEntry(a.id(), MemberStatus.PARTLY)
+                        .containsEntry(b.id(), MemberStatus.PARTLY)
+                        .containsEntry(sim.lives.get(0).id(), MemberStatus.ALIVE);
             }
         }
     }
@@ -264,17 +265,17 @@
     @Test
     void whomNobodyReachesIsSuspectThenLost() {
         Sim sim = fleet(2, 4);
-        Life gone = sim.lives.get(2);
+        Incarnation gone = sim.lives.get(2);
         sim.dead.add(gone.id());
         sim.run(3_500_000);
-        assertThat(sim.seen(sim.lives.get(0))).containsEntry(gone.id(), Standing.SUSPECT);
+        assertThat(sim.seen(sim.lives.get(0))).containsEntry(gone.id(), MemberStatus.SUSPECT);
         sim.run(4_000_000);
-        assertThat(sim.seen(sim.lives.get(0))).containsEntry(gone.id(), Standing.LOST);
+        assertThat(sim.seen(sim.lives.get(0))).containsEntry(gone.id(), MemberStatus.LOST);
         sim.start("m2");
         sim.run(4_000_000);
         assertThat(sim.seen(sim.lives.get(0)))
-                .containsEntry(gone.id(), Standing.LOST)
-                .containsEntry("m2-4", Standing.ALIVE);
+                .containsEntry(gone.id(), MemberStatus.LOST)
+                .containsEntry("m2-4", MemberStatus.ALIVE);
     }
 
     @Test
@@ -295,7 +296,7 @@
         Sim sim = new Sim(4);
         sim.start("b");
         sim.run(3_000_000);
-        Life later = new Life("a-0", "b", "z", "b", "b");
+        Incarnation later = new Incarnation("a-0", "b", "z", "b", "b");
         sim.lives.add(later);
         sim.members.put(later.id(), new Membership(later, sim.now, new SplittableRandom(1)));
         sim.run(3_000_000);
@@ -310,9 +311,10 @@
         m.left("m1-1", sim.now);
         m.removed("m1-1", sim.now);
         m.added(sim.lives.get(1), sim.now);
-        assertThat(sim.seen(sim.lives.get(0))).containsEntry("m1-1", Standing.LEFT);
-        assertThatThrownBy(() -> m.tell("k", "x".repeat(Board.LONGEST + 1), 0)).hasMessageContaining("longer than");
-        for (int i = 0; i < Board.MOST_KEYS; i++) {
+        assertThat(sim.seen(sim.lives.get(0))).containsEntry("m1-1", MemberStatus.LEFT);
+        assertThatThrownBy(() -> m.tell("k", "x".repeat(MemberValues.LONGEST + 1), 0))
+                .hasMessageContaining("longer than");
+        for (int i = 0; i < MemberValues.MOST_KEYS; i++) {
             m.tell("k" + i, "v", 0);
         }
         assertThatThrownBy(() -> m.tell("one more", "v", 0)).hasMessageContaining("at most");
@@ -321,26 +323,26 @@
     /** The library gives up whom it cannot ask itself where one other does not answer in time; others know better. */
     @Test
     void whomTheLibraryGaveUpStaysByTheWordOfOneWhoReachesIt() {
-        Roster roster = new Roster(new Life("me", "me", "z", "m", "a"), 0);
-        roster.added(new Life("x", "x", "z", "m", "a"), 1);
-        roster.added(new Life("y", "y", "z", "m", "a"), 1);
+        MemberTable roster = new MemberTable(new Incarnation("me", "me", "z", "m", "a"), 0);
+        roster.added(new Incarnation("x", "x", "z", "m", "a"), 1);
+        roster.added(new Incarnation("y", "y", "z", "m", "a"), 1);
         roster.says("me", Set.of("y"), Set.of("x"));
         roster.says("y", Set.of("me", "x"), Set.of());
         roster.removed("x", 2);
-        assertThat(standing(roster, "x")).isEqualTo(Standing.PARTLY);
+        assertThat(standing(roster, "x")).isEqualTo(MemberStatus.PARTLY);
         assertThat(roster.others()).containsExactlyInAnyOrder("x", "y");
         roster.says("y", Set.of("me"), Set.of("x"));
-        assertThat(standing(roster, "x")).isEqualTo(Standing.LOST);
+        assertThat(standing(roster, "x")).isEqualTo(MemberStatus.LOST);
         assertThat(roster.others()).containsExactly("y");
         roster.says("y", Set.of("me", "x"), Set.of());
         roster.removed("y", 3);
         // a word of one who is gone itself is none
-        assertThat(standing(roster, "x")).isEqualTo(Standing.LOST);
-        roster.added(new Life("x", "x", "z", "m", "a"), 4);
-        assertThat(standing(roster, "x")).isEqualTo(Standing.SUSPECT);
+        assertThat(standing(roster, "x")).isEqualTo(MemberStatus.LOST);
+        roster.added(new Incarnation("x", "x", "z", "m", "a"), 4);
+        assertThat(standing(roster, "x")).isEqualTo(MemberStatus.SUSPECT);
     }
 
-    private static Standing standing(Roster roster, String id) {
+    private static MemberStatus standing(MemberTable roster, String id) {
         return roster.lines(9).stream()
                 .filter(l -> l.life().id().equals(id))
                 .findFirst()
@@ -350,20 +352,20 @@
 
     @Test
     void ofTheGoneOnlyTheLastAreKept() {
-        Roster roster = new Roster(new Life("me", "me", "z", "m", "a"), 0);
+        MemberTable roster = new MemberTable(new Incarnation("me", "me", "z", "m", "a"), 0);
         for (int i = 0; i < 10_000; i++) {
-            roster.added(new Life("x" + i, "n" + i, "z", "m", "a"), i);
+            roster.added(new Incarnation("x" + i, "n" + i, "z", "m", "a"), i);
             roster.removed("x" + i, i);
         }
-        assertThat(roster.lines(10_000)).hasSize(1 + Roster.GONE_KEPT);
+        assertThat(roster.lines(10_000)).hasSize(1 + MemberTable.GONE_KEPT);
     }
 
     /** Two that started behind a cut: the library of one had not met the other 6 s after the heal, though all others had. */
     @Test
     void whoIsToldOfByOthersIsAskedAndCountsOnceItAnswers() {
-        Life self = new Life("a-0", "a", "z", "m", "a");
-        Life known = new Life("b-1", "b", "z", "m", "b");
-        Life late = new Life("c-2", "c", "z", "m", "c");
+        Incarnation self = new Incarnation("a-0", "a", "z", "m", "a");
+        Incarnation known = new Incarnation("b-1", "b", "z", "m", "b");
+        Incarnation late = new Incarnation("c-2", "c", "z", "m", "c");
         Membership m = new Membership(self, 0, new SplittableRandom(1));
         m.added(known, 0);
         m.toldOf(late.id(), late, 1);
@@ -373,8 +375,8 @@
                 .as("nobody has said that they reach it")
                 .noneMatch(l -> l.life().name().equals("c"));
         m.heard(known.id(), new News(1, Map.of(), Set.of(late.id()), Set.of()), 2);
-        assertThat(standing(m, "c", 3)).isEqualTo(Standing.PARTLY);
-        List<Life> asked = new ArrayList<>();
+        assertThat(standing(m, "c", 3)).isEqualTo(MemberStatus.PARTLY);
+        List<Incarnation> asked = new ArrayList<>();
         for (long now = 100_000; now <= 2_000_000; now += TURN) {
             asked.addAll(m.turn(now));
         }
@@ -383,13 +385,13 @@
                 late,
                 new Answer(1, late.id(), "c", new News(1, Map.of("k", "v"), Set.of(), Set.of()), true),
                 2_000_001);
-        assertThat(standing(m, "c", 2_000_002)).isEqualTo(Standing.ALIVE);
+        assertThat(standing(m, "c", 2_000_002)).isEqualTo(MemberStatus.ALIVE);
         m.left(late.id(), 3_000_000);
         m.toldOf(late.id(), late, 3_000_001);
-        assertThat(standing(m, "c", 3_000_002)).as("who left stays left").isEqualTo(Standing.LEFT);
+        assertThat(standing(m, "c", 3_000_002)).as("who left stays left").isEqualTo(MemberStatus.LEFT);
     }
 
-    private static Standing standing(Membership m, String name, long now) {
+    private static MemberStatus standing(Membership m, String name, long now) {
         return m.view(now).lines().stream()
                 .filter(line -> line.life().name().equals(name))
                 .findFirst()
--- a/src/test/java/sandstack/fleet/GroundsTest.java
+++ b/src/test/java/sandstack/fleet/QuorumTrackerTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** On what ground a member stands, on a clock that the test moves. */
-class GroundsTest {
+class QuorumTrackerTest {
     private static final long LONG_AGO = 0;
     private long now = 60_000_000;
 
-    private static Roster.Line line(String name, Standing standing, String... against) {
-        return new Roster.Line(
-                new Life("id-" + name, name, "z", "m", "a:1"), standing, LONG_AGO, 0, 0, List.of(against));
+    private static MemberTable.Row line(String name, MemberStatus standing, String... against) {
+        return new MemberTable.Row(
+                new Incarnation("id-" + name, name, "z", "m", "a:1"), standing, LONG_AGO, 0, 0, List.of(against));
     }
 
     private static List<String> names(String text) {
@@ -34,14 +34,14 @@
         return ids;
     }
 
-    private Finding look(Grounds grounds, List<Roster.Line> lines, Set<String> reached) {
+    private QuorumAssessment look(QuorumTracker grounds, List<MemberTable.Row> lines, Set<String> reached) {
         return grounds.look(lines, reached, Map.of(), Set.of(), now);
     }
 
     /** Seen twice, so that it has lasted. */
-    private Finding steady(Grounds grounds, List<Roster.Line> lines, Set<String> reached) {
+    private QuorumAssessment steady(QuorumTracker grounds, List<MemberTable.Row> lines, Set<String> reached) {
         look(grounds, lines, reached);
-        now += Grounds.STEADY;
+        now += QuorumTracker.STEADY;
         return look(grounds, lines, reached);
     }
 
@@ -67,116 +67,118 @@
                 "            | b         |     | UNSURE",
                 "b c         | b c       |     | UNSURE",
             })
-    void theGroundFollowsFromWhatStaffState(String stated, String reached, String partly, Ground ground) {
-        Grounds grounds = new Grounds(names(stated), "a", LONG_AGO);
-        List<Roster.Line> lines = new ArrayList<>(List.of(line("a", Standing.ALIVE)));
-        names(reached).forEach(name -> lines.add(line(name, Standing.ALIVE)));
-        names(partly).forEach(name -> lines.add(line(name, Standing.PARTLY, "a")));
+    void theGroundFollowsFromWhatStaffState(String stated, String reached, String partly, QuorumState ground) {
+        QuorumTracker grounds = new QuorumTracker(names(stated), "a", LONG_AGO);
+        List<MemberTable.Row> lines = new ArrayList<>(List.of(line("a", MemberStatus.ALIVE)));
+        names(reached).forEach(name -> lines.add(line(name, MemberStatus.ALIVE)));
+        names(partly).forEach(name -> lines.add(line(name, MemberStatus.PARTLY, "a")));
         assertThat(steady(grounds, lines, ids(names(reached))).ground()).isEqualTo(ground);
     }
 
     @Test
     void aHalfDoesNotShrinkIntoAWholeUntilStaffSaySo() {
-        Grounds grounds = new Grounds(List.of("a", "b", "c", "d"), "a", LONG_AGO);
-        List<Roster.Line> lines = List.of(
-                line("a", Standing.ALIVE),
-                line("b", Standing.ALIVE),
-                line("c", Standing.LOST),
-                line("d", Standing.LOST));
+        QuorumTracker grounds = new QuorumTracker(List.of("a", "b", "c", "d"), "a", LONG_AGO);
+        List<MemberTable.Row> lines = List.of(
+                line("a", MemberStatus.ALIVE),
+                line("b", MemberStatus.ALIVE),
+                line("c", MemberStatus.LOST),
+                line("d", MemberStatus.LOST));
         for (int i = 0; i < 1_000; i++) {
             now += 60_000_000;
-            assertThat(look(grounds, lines, ids(List.of("b"))).ground()).isIn(Ground.FEW, Ground.UNSURE);
+            assertThat(look(grounds, lines, ids(List.of("b"))).ground()).isIn(QuorumState.FEW, QuorumState.UNSURE);
         }
         for (int i = 0; i < 2; i++) {
-            now += Grounds.STEADY;
+            now += QuorumTracker.STEADY;
             grounds.look(lines, ids(List.of("b")), Map.of(), Set.of("d"), now);
         }
-        Finding found = grounds.look(lines, ids(List.of("b")), Map.of(), Set.of("d"), now);
-        assertThat(found.ground()).isEqualTo(Ground.MOST);
+        QuorumAssessment found = grounds.look(lines, ids(List.of("b")), Map.of(), Set.of("d"), now);
+        assertThat(found.ground()).isEqualTo(QuorumState.MOST);
         assertThat(found.without()).containsExactly("c");
     }
 
     @Test
     void whoWasTakenOutCountsAgainOnceItLives() {
-        Grounds grounds = new Grounds(List.of("a", "b", "c"), "a", LONG_AGO);
-        List<Roster.Line> lines =
-                List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.PARTLY, "a"));
+        QuorumTracker grounds = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO);
+        List<MemberTable.Row> lines = List.of(
+                line("a", MemberStatus.ALIVE), line("b", MemberStatus.ALIVE), line("c", MemberStatus.PARTLY, "a"));
         grounds.look(lines, ids(List.of("b")), Map.of(), Set.of("c"), now);
-        now += Grounds.STEADY;
-        Finding found = grounds.look(lines, ids(List.of("b")), Map.of(), Set.of("c"), now);
+        now += QuorumTracker.STEADY;
+        QuorumAssessment found = grounds.look(lines, ids(List.of("b")), Map.of(), Set.of("c"), now);
         assertThat(found.without()).containsExactly("c");
-        assertThat(found.ground()).isEqualTo(Ground.MOST);
+        assertThat(found.ground()).isEqualTo(QuorumState.MOST);
     }
 
     @Test
     void worseNewsShowAtOnceAsADoubtAndBetterOnesHaveToLast() {
-        Grounds grounds = new Grounds(List.of("a", "b", "c"), "a", LONG_AGO);
-        List<Roster.Line> all =
-                List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.ALIVE));
-        List<Roster.Line> two =
-                List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.SUSPECT, "a", "b"));
-        assertThat(steady(grounds, all, ids(List.of("b", "c"))).ground()).isEqualTo(Ground.WHOLE);
-        assertThat(look(grounds, two, ids(List.of("b"))).ground()).isEqualTo(Ground.UNSURE);
-        now += Grounds.STEADY - 1;
-        assertThat(look(grounds, two, ids(List.of("b"))).ground()).isEqualTo(Ground.UNSURE);
+        QuorumTracker grounds = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO);
+        List<MemberTable.Row> all =
+                List.of(line("a", MemberStatus.ALIVE), line("b", MemberStatus.ALIVE), line("c", MemberStatus.ALIVE));
+        List<MemberTable.Row> two = List.of(
+                line("a", MemberStatus.ALIVE),
+                line("b", MemberStatus.ALIVE),
+                line("c", MemberStatus.SUSPECT, "a", "b"));
+        assertThat(steady(grounds, all, ids(List.of("b", "c"))).ground()).isEqualTo(QuorumState.WHOLE);
+        assertThat(look(grounds, two, ids(List.of("b"))).ground()).isEqualTo(QuorumState.UNSURE);
+        now += QuorumTracker.STEADY - 1;
+        assertThat(look(grounds, two, ids(List.of("b"))).ground()).isEqualTo(QuorumState.UNSURE);
         now += 1;
-        Finding most = look(grounds, two, ids(List.of("b")));
-        assertThat(most.ground()).isEqualTo(Ground.MOST);
+        QuorumAssessment most = look(grounds, two, ids(List.of("b")));
+        assertThat(most.ground()).isEqualTo(QuorumState.MOST);
         assertThat(most.since()).isEqualTo(now);
     }
 
     /** Three of five, and each of them lacks another: no two of them could settle anything together. */
     @Test
     void aMajorityWhoseMembersDoNotReachEachOtherIsADoubt() {
-        Grounds grounds = new Grounds(List.of("a", "b", "c", "d", "e"), "a", LONG_AGO);
-        List<Roster.Line> lines = List.of(
-                line("a", Standing.ALIVE),
-                line("b", Standing.PARTLY, "c"),
-                line("c", Standing.PARTLY, "b"),
-                line("d", Standing.LOST),
-                line("e", Standing.LOST));
-        Finding found = steady(grounds, lines, ids(List.of("b", "c")));
-        assertThat(found.ground()).isEqualTo(Ground.UNSURE);
+        QuorumTracker grounds = new QuorumTracker(List.of("a", "b", "c", "d", "e"), "a", LONG_AGO);
+        List<MemberTable.Row> lines = List.of(
+                line("a", MemberStatus.ALIVE),
+                line("b", MemberStatus.PARTLY, "c"),
+                line("c", MemberStatus.PARTLY, "b"),
+                line("d", MemberStatus.LOST),
+                line("e", MemberStatus.LOST));
+        QuorumAssessment found = steady(grounds, lines, ids(List.of("b", "c")));
+        assertThat(found.ground()).isEqualTo(QuorumState.UNSURE);
         assertThat(found.why()).startsWith("views differ: ");
     }
 
     @Test
     void whoStoodStillAsksAllAnewBeforeItIsSure() {
-        Grounds grounds = new Grounds(List.of("a", "b", "c"), "a", LONG_AGO);
-        List<Roster.Line> lines =
-                List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.ALIVE));
+        QuorumTracker grounds = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO);
+        List<MemberTable.Row> lines =
+                List.of(line("a", MemberStatus.ALIVE), line("b", MemberStatus.ALIVE), line("c", MemberStatus.ALIVE));
         Set<String> reached = ids(List.of("b", "c"));
-        Finding whole = steady(grounds, lines, reached);
-        assertThat(whole.ground()).isEqualTo(Ground.WHOLE);
+        QuorumAssessment whole = steady(grounds, lines, reached);
+        assertThat(whole.ground()).isEqualTo(QuorumState.WHOLE);
         now += 20_000_000;
         // read before its own thread has run again
-        assertThat(whole.asOf(now).ground()).isEqualTo(Ground.UNSURE);
-        assertThat(whole.asOf(now).allows(Act.OfStaff.TAKE_OUT)).isFalse();
+        assertThat(whole.asOf(now).ground()).isEqualTo(QuorumState.UNSURE);
+        assertThat(whole.asOf(now).allows(GuardedOperation.OfStaff.TAKE_OUT)).isFalse();
         grounds.stoodStill(20_000_000, now);
         assertThat(look(grounds, lines, reached).why()).contains("stood still for 20 s");
         grounds.answered("id-b");
-        now += Grounds.ASKED_ANEW;
+        now += QuorumTracker.ASKED_ANEW;
         // c has not answered since: it is believed no longer
         look(grounds, lines, reached);
-        now += Grounds.STEADY;
-        Finding after = look(grounds, lines, reached);
-        assertThat(after.ground()).isEqualTo(Ground.MOST);
+        now += QuorumTracker.STEADY;
+        QuorumAssessment after = look(grounds, lines, reached);
+        assertThat(after.ground()).isEqualTo(QuorumState.MOST);
         assertThat(after.without()).containsExactly("c");
     }
 
     @Test
     void relaysThatWereToldOfOtherRelaysAreADoubt() {
-        Grounds grounds = new Grounds(List.of("a", "b", "c"), "a", LONG_AGO);
-        Grounds other = new Grounds(List.of("a", "b", "c", "d"), "b", LONG_AGO);
-        List<Roster.Line> lines =
-                List.of(line("a", Standing.ALIVE), line("b", Standing.ALIVE), line("c", Standing.ALIVE));
-        Finding found = grounds.look(
+        QuorumTracker grounds = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO);
+        QuorumTracker other = new QuorumTracker(List.of("a", "b", "c", "d"), "b", LONG_AGO);
+        List<MemberTable.Row> lines =
+                List.of(line("a", MemberStatus.ALIVE), line("b", MemberStatus.ALIVE), line("c", MemberStatus.ALIVE));
+        QuorumAssessment found = grounds.look(
                 lines,
                 ids(List.of("b", "c")),
                 Map.of("id-b", other.statedAs(), "id-c", grounds.statedAs()),
                 Set.of(),
                 now);
-        assertThat(found.ground()).isEqualTo(Ground.UNSURE);
+        assertThat(found.ground()).isEqualTo(QuorumState.UNSURE);
         assertThat(found.why()).isEqualTo("b was told of other relays than this one");
     }
 
@@ -198,12 +200,12 @@
             if (mine.isEmpty()) {
                 continue;
             }
-            Grounds grounds = new Grounds(all, mine.get(0), LONG_AGO);
-            List<Roster.Line> lines = all.stream()
-                    .map(name -> line(name, mine.contains(name) ? Standing.ALIVE : Standing.LOST))
+            QuorumTracker grounds = new QuorumTracker(all, mine.get(0), LONG_AGO);
+            List<MemberTable.Row> lines = all.stream()
+                    .map(name -> line(name, mine.contains(name) ? MemberStatus.ALIVE : MemberStatus.LOST))
                     .toList();
-            Ground ground = steady(grounds, lines, ids(mine)).ground();
-            found += ground == Ground.MOST || ground == Ground.WHOLE ? 1 : 0;
+            QuorumState ground = steady(grounds, lines, ids(mine)).ground();
+            found += ground == QuorumState.MOST || ground == QuorumState.WHOLE ? 1 : 0;
         }
         assertThat(found).isLessThanOrEqualTo(1);
     }
--- a/src/test/java/sandstack/fleet/ReachTest.java
+++ b/src/test/java/sandstack/fleet/ReachabilityProbeTest.java
@@ -15,18 +15,18 @@
 import org.junit.jupiter.api.Test;
 
 /** Whom a member reaches itself. */
-class ReachTest {
-    private final Reach reach = new Reach(new SplittableRandom(1));
+class ReachabilityProbeTest {
+    private final ReachabilityProbe reach = new ReachabilityProbe(new SplittableRandom(1));
 
     @Property(tries = 100)
     void everyMemberIsAskedOnceARoundHoweverTurnsFall(
             @ForAll @IntRange(min = 1, max = 60) int members,
             @ForAll @IntRange(min = 10, max = 400) int turnMillis,
             @ForAll long seed) {
-        Reach asked = new Reach(new SplittableRandom(seed));
+        ReachabilityProbe asked = new ReachabilityProbe(new SplittableRandom(seed));
         List<String> ids = IntStream.range(0, members).mapToObj(i -> "m" + i).toList();
         asked.members(ids);
-        long round = Math.max(Reach.ROUND, Reach.EACH * members);
+        long round = Math.max(ReachabilityProbe.ROUND, ReachabilityProbe.EACH * members);
         Map<String, Integer> counts = new HashMap<>();
         int most = 0;
         for (long now = 0; now < 5 * round; now += turnMillis * 1_000L) {
@@ -75,7 +75,7 @@
         assertThat(reach.unreached()).isEmpty();
         assertThat(reach.missed("a")).isFalse();
         List<String> due = new ArrayList<>();
-        for (long now = 0; now < 3 * Reach.ROUND; now += 100_000) {
+        for (long now = 0; now < 3 * ReachabilityProbe.ROUND; now += 100_000) {
             due.addAll(reach.due(now));
         }
         assertThat(Set.copyOf(due)).containsExactly("b");
--- a/src/test/java/sandstack/fleet/link/FleetLinkTest.java
+++ b/src/test/java/sandstack/fleet/link/FleetLinkTest.java
@@ -30,10 +30,10 @@
 import sandstack.config.BadSettings;
 import sandstack.config.FleetFile;
 import sandstack.config.PlatformConfig.Address;
-import sandstack.fleet.Board;
-import sandstack.fleet.Roster;
-import sandstack.fleet.Standing;
-import sandstack.fleet.Words;
+import sandstack.fleet.FleetMessages;
+import sandstack.fleet.MemberStatus;
+import sandstack.fleet.MemberTable;
+import sandstack.fleet.MemberValues;
 
 /** Members over real sockets in one process: what they tell and ask each other, and peers that are none. */
 @Execution(ExecutionMode.CONCURRENT)
@@ -75,10 +75,10 @@
         }
     }
 
-    private static Standing standing(FleetLink by, FleetLink of) {
+    private static MemberStatus standing(FleetLink by, FleetLink of) {
         return by.view().lines().stream()
                 .filter(l -> l.life().id().equals(of.view().self().id()))
-                .map(Roster.Line::standing)
+                .map(MemberTable.Row::standing)
                 .findFirst()
                 .orElse(null);
     }
@@ -86,12 +86,14 @@
     private FleetLink[] two() throws Exception {
         FleetLink a = join("inst", "a");
         FleetLink b = join("inst", "b");
-        eventually("they see each other", () -> standing(a, b) == Standing.ALIVE && standing(b, a) == Standing.ALIVE);
+        eventually(
+                "they see each other",
+                () -> standing(a, b) == MemberStatus.ALIVE && standing(b, a) == MemberStatus.ALIVE);
         return new FleetLink[] {a, b};
     }
 
     private static String told(FleetLink by, FleetLink of, String key) {
-        Board.Held held = by.view().told().get(of.view().self().id());
+        MemberValues.Held held = by.view().told().get(of.view().self().id());
         return held == null ? null : held.state().values().get(key);
     }
 
@@ -168,7 +170,7 @@
         }
         two[0].tell("mark", "2");
         eventually("the fleet goes on", () -> "2".equals(told(two[1], two[0], "mark")));
-        assertThat(standing(two[1], two[0])).isEqualTo(Standing.ALIVE);
+        assertThat(standing(two[1], two[0])).isEqualTo(MemberStatus.ALIVE);
         assertThat(two[0].view().lines()).hasSize(2);
         for (Socket one : slow) {
             one.close();
@@ -228,15 +230,16 @@
 
     @Test
     void wordsOfALaterVersionAreToldApartFromRubbish() {
-        assertThatThrownBy(() -> Bodies.read("{\"v\":2,\"new\":[]}", Words.Question.class))
+        assertThatThrownBy(() -> MessageJson.read("{\"v\":2,\"new\":[]}", FleetMessages.Question.class))
                 .hasMessage("version 2 of the words, known are up to 1");
-        assertThatThrownBy(() -> Bodies.read("{\"name\":1}", Words.Question.class))
+        assertThatThrownBy(() -> MessageJson.read("{\"name\":1}", FleetMessages.Question.class))
                 .hasMessage("a body without a version");
-        assertThatThrownBy(() -> Bodies.read("{\"v\":1,\"has\":\"x\"}", Words.Question.class))
+        assertThatThrownBy(() -> MessageJson.read("{\"v\":1,\"has\":\"x\"}", FleetMessages.Question.class))
                 .hasMessage("a body that is no Question");
-        assertThatThrownBy(() -> Bodies.read("[[[[[[[[[[[[", Words.Question.class))
+        assertThatThrownBy(() -> MessageJson.read("[[[[[[[[[[[[", FleetMessages.Question.class))
                 .hasMessageContaining("no Question");
-        assertThatThrownBy(() -> Bodies.read(17, Words.Question.class)).hasMessage("a body that is no text");
+        assertThatThrownBy(() -> MessageJson.read(17, FleetMessages.Question.class))
+                .hasMessage("a body that is no text");
     }
 
     /** At an upgrade the next process of a relay becomes the member once the one before has left. */
@@ -261,7 +264,7 @@
         two[1].close();
         eventually(
                 "the next one is the member, and the one before has left",
-                () -> standing(two[0], next) == Standing.ALIVE && standing(two[0], two[1]) == Standing.LEFT);
+                () -> standing(two[0], next) == MemberStatus.ALIVE && standing(two[0], two[1]) == MemberStatus.LEFT);
         eventually("it holds the name", () -> next.view().settled());
     }
 
--- a/src/test/java/sandstack/rig/RulesTest.java
+++ b/src/test/java/sandstack/rig/RulesTest.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sandstack.fleet.Ground;
-import sandstack.fleet.Standing;
+import sandstack.fleet.MemberStatus;
+import sandstack.fleet.QuorumState;
 import sandstack.rig.Facts.Done;
 import sandstack.rig.Facts.LetGo;
 import sandstack.rig.Facts.Line;
@@ -24,7 +24,7 @@
     private final Facts facts = new Facts();
 
     /** What member i says at this second: of m0, m1, m2. */
-    private void seen(double second, int i, Standing... standings) {
+    private void seen(double second, int i, MemberStatus... standings) {
         Map<String, Line> seen = new TreeMap<>();
         for (int j = 0; j < standings.length; j++) {
             seen.put("life" + j, new Line("m" + j, standings[j]));
@@ -34,7 +34,7 @@
 
     private void allAlive(double second) {
         for (int i = 0; i < 3; i++) {
-            seen(second, i, Standing.ALIVE, Standing.ALIVE, Standing.ALIVE);
+            seen(second, i, MemberStatus.ALIVE, MemberStatus.ALIVE, MemberStatus.ALIVE);
         }
     }
 
@@ -54,15 +54,15 @@
     void aCleanRunBreaksNothing() {
         allAlive(0);
         done(1, Kind.CUT, 0, 1);
-        seen(4, 2, Standing.PARTLY, Standing.PARTLY, Standing.ALIVE);
+        seen(4, 2, MemberStatus.PARTLY, MemberStatus.PARTLY, MemberStatus.ALIVE);
         done(5, Kind.CUT, 2, 1);
-        seen(12, 0, Standing.ALIVE, Standing.LOST, Standing.ALIVE);
+        seen(12, 0, MemberStatus.ALIVE, MemberStatus.LOST, MemberStatus.ALIVE);
         letGo(13);
         allAlive(16);
         assertThat(broken()).isEmpty();
     }
 
-    private void stands(double second, int i, Ground ground, int with) {
+    private void stands(double second, int i, QuorumState ground, int with) {
         facts.add(new Stands((long) (second * SECOND), i, ground, with));
     }
 
@@ -70,14 +70,14 @@
     @Test
     void aPartThatShrinksIntoAWholeIsFound() {
         allAlive(0);
-        stands(0, 0, Ground.WHOLE, 3);
-        stands(1, 0, Ground.MOST, 2);
-        stands(2, 0, Ground.FEW, 1);
+        stands(0, 0, QuorumState.WHOLE, 3);
+        stands(1, 0, QuorumState.MOST, 2);
+        stands(2, 0, QuorumState.FEW, 1);
         letGo(3);
         allAlive(4);
         assertThat(broken()).isEmpty();
-        stands(5, 0, Ground.WHOLE, 2);
-        stands(6, 0, Ground.MOST, 1);
+        stands(5, 0, QuorumState.WHOLE, 2);
+        stands(6, 0, QuorumState.MOST, 1);
         assertThat(Rules.check(3, facts))
                 .extracting(Rules.Broken::rule)
                 .containsExactly(
@@ -89,13 +89,13 @@
         allAlive(0);
         done(1, Kind.PAUSE, 1, -1);
         done(9, Kind.RESUME, 1, -1);
-        stands(9.2, 1, Ground.UNSURE, 3);
-        stands(9.3, 0, Ground.MOST, 2);
-        stands(12, 1, Ground.WHOLE, 3);
+        stands(9.2, 1, QuorumState.UNSURE, 3);
+        stands(9.3, 0, QuorumState.MOST, 2);
+        stands(12, 1, QuorumState.WHOLE, 3);
         letGo(13);
         allAlive(14);
         assertThat(broken()).isEmpty();
-        facts.all().add(5, new Stands(9_100_000, 1, Ground.WHOLE, 3));
+        facts.all().add(5, new Stands(9_100_000, 1, QuorumState.WHOLE, 3));
         assertThat(broken()).containsExactly("who stood still is unsure");
     }
 
@@ -104,7 +104,7 @@
         allAlive(0);
         done(1, Kind.CUT, 0, 1);
         // m2 reaches both all the time
-        seen(10, 0, Standing.ALIVE, Standing.LOST, Standing.ALIVE);
+        seen(10, 0, MemberStatus.ALIVE, MemberStatus.LOST, MemberStatus.ALIVE);
         letGo(11);
         allAlive(13);
         assertThat(broken()).containsExactly("nobody within reach is lost");
@@ -115,7 +115,7 @@
         allAlive(0);
         done(1, Kind.PAUSE, 1, -1);
         done(1.5, Kind.RESUME, 1, -1);
-        seen(4, 0, Standing.ALIVE, Standing.LOST, Standing.ALIVE);
+        seen(4, 0, MemberStatus.ALIVE, MemberStatus.LOST, MemberStatus.ALIVE);
         letGo(5);
         allAlive(6);
         assertThat(broken()).containsExactly("nobody within reach is lost");
@@ -125,8 +125,8 @@
     void aDeadProcessIsNoMemberForLong() {
         allAlive(0);
         done(1, Kind.KILL, 1, -1);
-        seen(10, 0, Standing.ALIVE, Standing.SUSPECT, Standing.ALIVE);
-        seen(30, 2, Standing.ALIVE, Standing.ALIVE, Standing.ALIVE);
+        seen(10, 0, MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.ALIVE);
+        seen(30, 2, MemberStatus.ALIVE, MemberStatus.ALIVE, MemberStatus.ALIVE);
         letGo(31);
         allAlive(33);
         assertThat(broken()).contains("a dead process is no member");
@@ -135,7 +135,7 @@
     @Test
     void whoRunsHasNotLeftAndWhoLeftStaysLeft() {
         allAlive(0);
-        seen(1, 0, Standing.ALIVE, Standing.LEFT, Standing.ALIVE);
+        seen(1, 0, MemberStatus.ALIVE, MemberStatus.LEFT, MemberStatus.ALIVE);
         letGo(2);
         allAlive(3);
         assertThat(broken()).containsExactlyInAnyOrder("who runs has not left", "who left stays left");
@@ -145,8 +145,8 @@
     void viewsAreEqualAtTheEndAndEveryoneAnswers() {
         allAlive(0);
         letGo(1);
-        seen(5, 0, Standing.ALIVE, Standing.ALIVE, Standing.ALIVE);
-        seen(5, 1, Standing.ALIVE, Standing.ALIVE, Standing.PARTLY);
+        seen(5, 0, MemberStatus.ALIVE, MemberStatus.ALIVE, MemberStatus.ALIVE);
+        seen(5, 1, MemberStatus.ALIVE, MemberStatus.ALIVE, MemberStatus.PARTLY);
         assertThat(broken())
                 .containsExactlyInAnyOrder("views are equal after all faults have ended", "whoever runs answers");
     }
@@ -163,13 +163,13 @@
                 "life0",
                 Map.of(
                         "life0",
-                        new Line("m0", Standing.ALIVE),
+                        new Line("m0", MemberStatus.ALIVE),
                         "life1",
-                        new Line("m1", Standing.ALIVE),
+                        new Line("m1", MemberStatus.ALIVE),
                         "other",
-                        new Line("m1", Standing.ALIVE),
+                        new Line("m1", MemberStatus.ALIVE),
                         "life2",
-                        new Line("m2", Standing.ALIVE))));
+                        new Line("m2", MemberStatus.ALIVE))));
         assertThat(broken()).containsExactly("a name has one present life");
     }
 
