--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -35,7 +35,7 @@
 import sandstack.handover.ResourceShares;
 import sandstack.handover.SiblingProcesses;
 import sandstack.nametable.DiscoveryWatch;
-import sandstack.net.Lobby;
+import sandstack.net.ConnectionAdmission;
 import sandstack.net.Loop;
 import sun.misc.Signal;
 
@@ -60,7 +60,7 @@
     private final List<String> listeners = new ArrayList<>();
     private final CountDownLatch drained = new CountDownLatch(1);
     private final NameTableJson form;
-    private final Lobby lobby;
+    private final ConnectionAdmission lobby;
     /** Descriptors for clients and feed servers, of all processes of this relay together. */
     private final int descriptors;
     /** What one process needs besides. */
@@ -101,7 +101,7 @@
         this.watch = new DiscoveryWatch(loop, relay, config.discovery(), form);
         this.kept = OTHER_DESCRIPTORS + (config.operator() == null ? 0 : OperatorDoor.MOST);
         this.descriptors = config.sockets() - kept;
-        this.lobby = new Lobby(loop, relay.deadlines(), descriptors);
+        this.lobby = new ConnectionAdmission(loop, relay.deadlines(), descriptors);
         this.platform = new PlatformFront(loop, relay, lobby);
     }
 
--- a/src/main/java/sandstack/front/amqp/AmqpClient.java
+++ b/src/main/java/sandstack/front/amqp/AmqpClient.java
@@ -24,11 +24,11 @@
 import sandstack.core.Execution;
 import sandstack.core.Nack;
 import sandstack.core.ServiceClient;
-import sandstack.net.Lobby;
+import sandstack.net.ConnectionAdmission;
 import sandstack.net.Peer;
 
 /** A client's side of AMQP: one connection with its one link is one request. */
-final class AmqpClient extends ServiceClient implements AmqpSocket.Owner, Lobby.Guest {
+final class AmqpClient extends ServiceClient implements AmqpSocket.Owner, ConnectionAdmission.Guest {
     private final AmqpFront front;
     private final AmqpSocket socket;
     private Connection connection;
@@ -104,8 +104,8 @@
             return;
         }
         if (!front.lobby().admit(socket.peer())) {
-            front.relay().turnedBack(command, Lobby.NO_ROOM);
-            nack(Lobby.NO_ROOM);
+            front.relay().turnedBack(command, ConnectionAdmission.NO_ROOM);
+            nack(ConnectionAdmission.NO_ROOM);
             return;
         }
         id = new LinkId(connection.getRemoteContainerId(), link.getName(), link.isReceiver());
--- a/src/main/java/sandstack/front/amqp/AmqpFront.java
+++ b/src/main/java/sandstack/front/amqp/AmqpFront.java
@@ -10,7 +10,7 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 import sandstack.core.NameTable;
 import sandstack.core.Relay;
-import sandstack.net.Lobby;
+import sandstack.net.ConnectionAdmission;
 import sandstack.net.Loop;
 import sandstack.random.BoundedMap;
 
@@ -27,12 +27,12 @@
     private final Loop loop;
     private final Relay relay;
     private final String container;
-    private final Lobby lobby;
+    private final ConnectionAdmission lobby;
     private final Map<LinkId, AmqpClient> holders = new HashMap<>();
     private final Map<LinkId, Deliveries> broken = new BoundedMap<>(MOST_REMEMBERED);
 
     /** @param container what the relay calls itself to clients */
-    public AmqpFront(Loop loop, Relay relay, Lobby lobby, String container) {
+    public AmqpFront(Loop loop, Relay relay, ConnectionAdmission lobby, String container) {
         this.loop = loop;
         this.relay = relay;
         this.container = container;
@@ -88,7 +88,7 @@
         return left;
     }
 
-    Lobby lobby() {
+    ConnectionAdmission lobby() {
         return lobby;
     }
 
--- a/src/main/java/sandstack/front/platform/PlatformClient.java
+++ b/src/main/java/sandstack/front/platform/PlatformClient.java
@@ -5,11 +5,11 @@
 import sandstack.core.Nack;
 import sandstack.core.Relay;
 import sandstack.core.ServiceClient;
-import sandstack.net.Lobby;
+import sandstack.net.ConnectionAdmission;
 import sandstack.net.Peer;
 
 /** A client's side of the line protocol: its first line, its answer, and the passing of lines after UP. */
-final class PlatformClient extends ServiceClient implements Peer.Owner, Lobby.Guest {
+final class PlatformClient extends ServiceClient implements Peer.Owner, ConnectionAdmission.Guest {
     private static final int LONGEST_LINE = 4096;
 
     private enum State {
@@ -79,8 +79,8 @@
         }
         firstLine = line;
         if (!front.lobby().admit(peer)) {
-            relay.turnedBack(command, Lobby.NO_ROOM);
-            nack(Lobby.NO_ROOM);
+            relay.turnedBack(command, ConnectionAdmission.NO_ROOM);
+            nack(ConnectionAdmission.NO_ROOM);
             return;
         }
         state = State.WAITING;
@@ -98,13 +98,13 @@
 
     @Override
     public void turnAway() {
-        nack(Lobby.NO_ROOM);
+        nack(ConnectionAdmission.NO_ROOM);
         peer.close();
     }
 
     @Override
     public void late() {
-        nack(Lobby.NO_ROOM);
+        nack(ConnectionAdmission.NO_ROOM);
     }
 
     @Override
--- a/src/main/java/sandstack/front/platform/PlatformFront.java
+++ b/src/main/java/sandstack/front/platform/PlatformFront.java
@@ -10,19 +10,19 @@
 import sandstack.core.Execution;
 import sandstack.core.NameTable;
 import sandstack.core.Relay;
-import sandstack.net.Lobby;
+import sandstack.net.ConnectionAdmission;
 import sandstack.net.Loop;
 
 /** The platform's line protocol: listens for clients and connects to feed servers. */
 public final class PlatformFront {
     private final Loop loop;
     private final Relay relay;
-    private final Lobby lobby;
+    private final ConnectionAdmission lobby;
     private final Set<String> ids = new HashSet<>();
     private final LoadLines loadLines;
     private Loop.Listener listener;
 
-    public PlatformFront(Loop loop, Relay relay, Lobby lobby) {
+    public PlatformFront(Loop loop, Relay relay, ConnectionAdmission lobby) {
         this.loop = loop;
         this.relay = relay;
         this.lobby = lobby;
@@ -78,7 +78,7 @@
         return loop.connect(server.host(), server.port(), told);
     }
 
-    Lobby lobby() {
+    ConnectionAdmission lobby() {
         return lobby;
     }
 
--- a/src/main/java/sandstack/measure/MeasureCapacity.java
+++ b/src/main/java/sandstack/measure/MeasureCapacity.java
@@ -51,7 +51,7 @@
             site.server("box", 1, Machine.IDLE);
             // ten thousand connections are more than the platform's heap is meant for
             site.relays(way.jar(), 1, KNOWS_NOTHING, clients > 1000 ? ROOMY : List.of());
-            Crowd crowd = new Crowd(site.yard(), way.seed(), site.ports(), 20);
+            OpenLoopLoad crowd = new OpenLoopLoad(site.yard(), way.seed(), site.ports(), 20);
             double rate = 700;
             for (int sent = 0; sent < clients; sent += 7) {
                 int now = Math.min(7, clients - sent);
@@ -62,7 +62,7 @@
                 });
                 pause(7 / rate);
             }
-            Crowd.Count count = settled(site, crowd);
+            OpenLoopLoad.Count count = settled(site, crowd);
             progress.say("idle, " + clients + " clients: " + count);
             aims.add(Aim.atLeast("idle: standing of " + clients, count.standing(), clients));
             aims.add(Aim.atMost("idle: refused of " + clients, count.refused() + count.failed(), 0));
@@ -70,8 +70,8 @@
     }
 
     /** Waits until nobody waits for an answer. */
-    private static Crowd.Count settled(Site site, Crowd crowd) throws InterruptedException {
-        Crowd.Count count = site.yard().on(crowd::count);
+    private static OpenLoopLoad.Count settled(Site site, OpenLoopLoad crowd) throws InterruptedException {
+        OpenLoopLoad.Count count = site.yard().on(crowd::count);
         for (int i = 0; i < 100 && count.served() + count.refused() + count.failed() < count.asked(); i++) {
             pause(0.05);
             count = site.yard().on(crowd::count);
@@ -89,16 +89,16 @@
                 site.server(i % 2 == 0 ? "old-box" : "new-box", 1, Machine.IDLE.holding(cap, i % 3 == 0));
             }
             site.relays(way.jar(), 3, KNOWS_NOTHING, List.of("-Dsandstack.log=FINE"));
-            Crowd crowd = new Crowd(site.yard(), way.seed(), site.ports(), 40);
+            OpenLoopLoad crowd = new OpenLoopLoad(site.yard(), way.seed(), site.ports(), 40);
             double life = way.quick() ? 3 : 10;
             double learn = way.quick() ? 5 : 20;
             double watch = way.quick() ? 5 : 20;
             offer(site, crowd, 0.8 * fits, life);
             pause(learn);
-            Crowd.Count before = site.yard().on(crowd::count);
+            OpenLoopLoad.Count before = site.yard().on(crowd::count);
             long shedBefore = shed(site);
             pause(watch);
-            Crowd.Count at80 = site.yard().on(crowd::count).since(before);
+            OpenLoopLoad.Count at80 = site.yard().on(crowd::count).since(before);
             long shed80 = shed(site) - shedBefore;
             progress.say("fleet at 80%: " + at80 + ", shed " + shed80);
             double answered = Math.max(1, at80.served() + at80.refused() + at80.failed());
@@ -116,7 +116,7 @@
                         .mapToInt(s -> s.books().standing())
                         .sum());
             }
-            Crowd.Count at150 = site.yard().on(crowd::count).since(before);
+            OpenLoopLoad.Count at150 = site.yard().on(crowd::count).since(before);
             progress.say("fleet at 150%: " + at150 + ", of " + fits + " fit; all refusals by cause and executions "
                     + causes(site.logs()));
             aims.add(Aim.atLeast("fleet at 150%: standing of what fits", stood / looks / fits, 0.9));
@@ -138,7 +138,7 @@
         return causes;
     }
 
-    private static void offer(Site site, Crowd crowd, double standing, double life) {
+    private static void offer(Site site, OpenLoopLoad crowd, double standing, double life) {
         site.yard().run(() -> crowd.arrive(standing / life, life));
     }
 
@@ -156,18 +156,18 @@
                 site.server("box", 1, Machine.IDLE.working(2, 2_000, 6_000));
             }
             site.relays(jar, 2, KNOWS_NOTHING, List.of());
-            Crowd crowd = new Crowd(site.yard(), way.seed(), site.ports(), 30);
+            OpenLoopLoad crowd = new OpenLoopLoad(site.yard(), way.seed(), site.ports(), 30);
             site.yard().run(() -> crowd.talks(200_000, 150_000));
             offer(site, crowd, 240, 6);
             pause(way.quick() ? 4 : 10);
-            Crowd.Count before = site.yard().on(crowd::count);
+            OpenLoopLoad.Count before = site.yard().on(crowd::count);
             take(site, 0.74);
             pause(way.quick() ? 4 : 10);
-            Crowd.Count during = site.yard().on(crowd::count).since(before);
+            OpenLoopLoad.Count during = site.yard().on(crowd::count).since(before);
             take(site, 0);
-            Crowd.Count middle = site.yard().on(crowd::count);
+            OpenLoopLoad.Count middle = site.yard().on(crowd::count);
             pause(way.quick() ? 3 : 10);
-            Crowd.Count after = site.yard().on(crowd::count).since(middle);
+            OpenLoopLoad.Count after = site.yard().on(crowd::count).since(middle);
             progress.say("neighbour" + suffix + ": during " + during + ", after " + after);
             aims.add(Aim.told("neighbour: late share during" + suffix, part(during)));
             aims.add(Aim.told("neighbour: late share after" + suffix, part(after)));
@@ -178,7 +178,7 @@
         }
     }
 
-    private static double part(Crowd.Count count) {
+    private static double part(OpenLoopLoad.Count count) {
         return count.late() / (double) Math.max(1, count.lines());
     }
 
--- a/src/main/java/sandstack/measure/Crowd.java
+++ b/src/main/java/sandstack/measure/OpenLoopLoad.java
@@ -7,17 +7,17 @@
 import org.HdrHistogram.Histogram;
 import sandstack.standin.ShopClient;
 import sandstack.standin.ShopClient.Happened;
-import sandstack.standin.Yard;
+import sandstack.standin.StandInLoop;
 
 /**
  * Stand-in clients that arrive at random, stay for a while and leave: a load that does not wait for answers. Lives on
- * its yard's thread; its counts are read there.
+ * its loop's thread; its counts are read there.
  */
-final class Crowd {
+final class OpenLoopLoad {
     private static final long PATIENCE = 3_000_000;
     private static final long MOST_MICROS = 60_000_000;
 
-    private final Yard yard;
+    private final StandInLoop yard;
     private final SplittableRandom chance;
     private final List<Integer> ports;
     private final int groups;
@@ -39,7 +39,7 @@
     private long late;
 
     /** @param groups how many groups clients belong to; the first is the largest */
-    Crowd(Yard yard, long seed, List<Integer> ports, int groups) {
+    OpenLoopLoad(StandInLoop yard, long seed, List<Integer> ports, int groups) {
         this.yard = yard;
         this.chance = new SplittableRandom(seed);
         this.ports = ports;
--- a/src/main/java/sandstack/measure/Site.java
+++ b/src/main/java/sandstack/measure/Site.java
@@ -8,13 +8,13 @@
 import sandstack.standin.Discovery;
 import sandstack.standin.FeedServer;
 import sandstack.standin.Machine;
-import sandstack.standin.Yard;
+import sandstack.standin.StandInLoop;
 
 /** Feed servers, discovery and relays for one measurement, in one zone. Closing it ends all of them. */
 final class Site implements AutoCloseable {
     private static final int SOCKETS = 20_000;
 
-    private final Yard yard = new Yard();
+    private final StandInLoop yard = new StandInLoop();
     private final Discovery discovery;
     private final List<FeedServer> servers = new ArrayList<>();
     private final List<RelayProcess> relays = new ArrayList<>();
@@ -52,7 +52,7 @@
         }
     }
 
-    Yard yard() {
+    StandInLoop yard() {
         return yard;
     }
 
--- a/src/main/java/sandstack/measure/StandInCommand.java
+++ b/src/main/java/sandstack/measure/StandInCommand.java
@@ -8,7 +8,7 @@
 import sandstack.standin.Discovery;
 import sandstack.standin.FeedServer;
 import sandstack.standin.Machine;
-import sandstack.standin.Yard;
+import sandstack.standin.StandInLoop;
 
 /** {@code standin}: feed servers and a discovery on this terminal, to try a relay by hand. Ends at an interrupt. */
 @Command(
@@ -42,7 +42,7 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        try (Yard yard = new Yard()) {
+        try (StandInLoop yard = new StandInLoop()) {
             Discovery discovery = new Discovery(yard, discoveryPort);
             for (int i = 0; i < servers; i++) {
                 FeedServer server =
--- a/src/main/java/sandstack/net/Lobby.java
+++ b/src/main/java/sandstack/net/ConnectionAdmission.java
@@ -13,7 +13,7 @@
  * its last word is only waited for. Where descriptors run short, those that are leaving go first, then the
  * guests that have been silent longest: peers that say nothing cannot crowd out clients that ask.
  */
-public final class Lobby {
+public final class ConnectionAdmission {
     /** What a client hears for whom there is no room, or who has not asked in time. */
     public static final Nack NO_ROOM = new Nack(Nack.Kind.REFUSED, 1000);
     /** Who connects has to ask by then; an error or a close is due after 3 s, whatever came in between. */
@@ -55,7 +55,7 @@
     private boolean makingRoom;
 
     /** @param most descriptors that sockets of clients and feed servers may take together */
-    public Lobby(Loop loop, Deadlines deadlines, int most) {
+    public ConnectionAdmission(Loop loop, Deadlines deadlines, int most) {
         this.loop = loop;
         this.deadlines = deadlines;
         this.most = most;
--- a/src/main/java/sandstack/net/Peer.java
+++ b/src/main/java/sandstack/net/Peer.java
@@ -45,7 +45,7 @@
     private boolean finishing;
     private boolean outEnded;
     private boolean discarding;
-    private Lobby lobby;
+    private ConnectionAdmission lobby;
     private boolean inEnded;
     private boolean outBroken;
     private boolean closed;
@@ -66,7 +66,7 @@
     }
 
     /** The lobby hears of this socket's end. */
-    void watchedBy(Lobby watching) {
+    void watchedBy(ConnectionAdmission watching) {
         lobby = watching;
     }
 
--- a/src/main/java/sandstack/rig/FleetRig.java
+++ b/src/main/java/sandstack/rig/FleetRig.java
@@ -16,7 +16,7 @@
 import sandstack.standin.Discovery;
 import sandstack.standin.FeedServer;
 import sandstack.standin.Machine;
-import sandstack.standin.Yard;
+import sandstack.standin.StandInLoop;
 
 /**
  * So many relays of one fleet as real processes, each with an address and a folder of its own, and a link for each
@@ -36,7 +36,7 @@
     private final int zones;
     private final List<String> program;
     private final Path folder;
-    private final Yard yard;
+    private final StandInLoop yard;
     private final Discovery discovery;
     private final int[] ports;
     private final PairLink[][] links;
@@ -56,7 +56,7 @@
         this.size = size;
         this.zones = zones;
         this.folder = Files.createTempDirectory("sandstack-fleet");
-        this.yard = new Yard();
+        this.yard = new StandInLoop();
         this.discovery = yard.make(() -> new Discovery(yard));
         FeedServer server = yard.make(() -> new FeedServer(yard, "s0", "zone-0", Machine.IDLE));
         yard.run(() -> discovery.list(server, "box", 1, "ready"));
--- a/src/main/java/sandstack/rig/PairLink.java
+++ b/src/main/java/sandstack/rig/PairLink.java
@@ -11,7 +11,7 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 import sandstack.net.Loop;
 import sandstack.net.Peer;
-import sandstack.standin.Yard;
+import sandstack.standin.StandInLoop;
 
 /**
  * The way from one member to another, as the first dials it. Bytes pass in order; each direction can be stopped, and
@@ -22,7 +22,7 @@
     /** Bytes held of one direction of one connection. */
     private static final int MOST_HELD = 1 << 20;
 
-    private final Yard yard;
+    private final StandInLoop yard;
     private final String host;
     private final int to;
     private final SplittableRandom chance;
@@ -38,7 +38,7 @@
     private long passed;
 
     /** Leads to this address; is called on the yard's thread. */
-    PairLink(Yard yard, String host, int to, long seed) throws IOException {
+    PairLink(StandInLoop yard, String host, int to, long seed) throws IOException {
         this.yard = yard;
         this.host = host;
         this.to = to;
--- a/src/main/java/sandstack/standin/Discovery.java
+++ b/src/main/java/sandstack/standin/Discovery.java
@@ -28,7 +28,7 @@
     /** One feed server as it is told. */
     private record Target(FeedServer server, String model, double hint, String state, long bootMillis, long rev) {}
 
-    private final Yard yard;
+    private final StandInLoop yard;
     private final int port;
     private final Map<String, Target> targets = new LinkedHashMap<>();
     private final Set<Call> watches = new LinkedHashSet<>();
@@ -38,15 +38,15 @@
     private boolean down;
 
     /** At a port of the system's choice. */
-    public Discovery(Yard yard) throws IOException {
+    public Discovery(StandInLoop yard) throws IOException {
         this(yard, 0);
     }
 
     /** At this port; 0 for one of the system's choice. */
-    public Discovery(Yard yard, int at) throws IOException {
+    public Discovery(StandInLoop yard, int at) throws IOException {
         this.yard = yard;
         this.port = yard.loop()
-                .listen(Yard.LOOPBACK, at, yard.loop().chain(new BaseFilter() {
+                .listen(StandInLoop.LOOPBACK, at, yard.loop().chain(new BaseFilter() {
                     @Override
                     public NextAction handleAccept(FilterChainContext context) {
                         new Call(Loop.peer(context));
@@ -97,7 +97,7 @@
             if (t.rev() > from && (from >= 0 || !t.state().equals("gone"))) {
                 list.addObject()
                         .put("uid", t.server().uid())
-                        .put("endpoint", Yard.LOOPBACK + ":" + t.server().port())
+                        .put("endpoint", StandInLoop.LOOPBACK + ":" + t.server().port())
                         .put("az", t.server().zone())
                         .put("model", t.model())
                         .put("pod_group", 0)
--- a/src/main/java/sandstack/standin/FeedServer.java
+++ b/src/main/java/sandstack/standin/FeedServer.java
@@ -35,7 +35,7 @@
             long reads,
             double busy) {}
 
-    private final Yard yard;
+    private final StandInLoop yard;
     private final String uid;
     private final String zone;
     private final Machine machine;
@@ -65,18 +65,18 @@
      *
      * @param zone name of its zone, as discovery tells it
      */
-    public FeedServer(Yard yard, String uid, String zone, Machine machine) throws IOException {
+    public FeedServer(StandInLoop yard, String uid, String zone, Machine machine) throws IOException {
         this(yard, uid, zone, machine, 0);
     }
 
     /** The same at this port; 0 for one of the system's choice. */
-    public FeedServer(Yard yard, String uid, String zone, Machine machine, int at) throws IOException {
+    public FeedServer(StandInLoop yard, String uid, String zone, Machine machine, int at) throws IOException {
         this.yard = yard;
         this.uid = uid;
         this.zone = zone;
         this.machine = machine;
         this.port = yard.loop()
-                .listen(Yard.LOOPBACK, at, yard.loop().chain(new BaseFilter() {
+                .listen(StandInLoop.LOOPBACK, at, yard.loop().chain(new BaseFilter() {
                     @Override
                     public NextAction handleAccept(FilterChainContext context) {
                         new Session(Loop.peer(context));
--- a/src/main/java/sandstack/standin/ShopClient.java
+++ b/src/main/java/sandstack/standin/ShopClient.java
@@ -29,7 +29,7 @@
      */
     public record Told(ShopClient client, Happened what, long after, long comeBack) {}
 
-    private final Yard yard;
+    private final StandInLoop yard;
     private final String key;
     private final long patience;
     private final Consumer<Told> tells;
@@ -56,14 +56,15 @@
      * @param values what stands behind the key: class, deadline, group
      * @param patience microseconds for the answer
      */
-    public ShopClient(Yard yard, int port, String id, String key, String values, long patience, Consumer<Told> tells) {
+    public ShopClient(
+            StandInLoop yard, int port, String id, String key, String values, long patience, Consumer<Told> tells) {
         this.yard = yard;
         this.key = key;
         this.patience = patience;
         this.tells = tells;
         this.began = yard.now();
         this.silence = yard.after(patience, () -> ended(Happened.SILENT, 0));
-        connecting = yard.loop().connect(Yard.LOOPBACK, port, new Loop.Connecting() {
+        connecting = yard.loop().connect(StandInLoop.LOOPBACK, port, new Loop.Connecting() {
             @Override
             public void connected(Peer made) {
                 peer = made;
--- a/src/main/java/sandstack/standin/Yard.java
+++ b/src/main/java/sandstack/standin/StandInLoop.java
@@ -16,7 +16,7 @@
  * The one thread on which stand-ins live, with their deadlines. Stand-ins are created and spoken to on that thread;
  * {@link #on} gets there from others. Listens on loopback only, at ports of the system's choice.
  */
-public final class Yard implements AutoCloseable {
+public final class StandInLoop implements AutoCloseable {
     static final String LOOPBACK = "127.0.0.1";
     private static final long PATIENCE_SECONDS = 30;
 
@@ -25,11 +25,11 @@
     private final List<Runnable> closing = new ArrayList<>();
 
     /** Starts the thread. */
-    public Yard() throws IOException {
+    public StandInLoop() throws IOException {
         loop.start(() -> deadlines.sweep(loop.now()), deadlines::next);
     }
 
-    /** Runs this on the yard's thread and waits for what it gives. */
+    /** Runs this on the loop's thread and waits for what it gives. */
     public <T> T on(Supplier<T> what) {
         CompletableFuture<T> result = new CompletableFuture<>();
         loop.execute(() -> {
--- a/src/main/java/sandstack/standin/ZoneLink.java
+++ b/src/main/java/sandstack/standin/ZoneLink.java
@@ -13,7 +13,7 @@
  * order. Lives on its yard's thread; a piece costs one deadline.
  */
 public final class ZoneLink {
-    private final Yard yard;
+    private final StandInLoop yard;
     private final int port;
     private final int to;
     private final long delay;
@@ -26,14 +26,14 @@
      * @param delay one way, in microseconds
      * @param jitter up to so much is added
      */
-    public ZoneLink(Yard yard, int to, long delay, long jitter, long seed) throws IOException {
+    public ZoneLink(StandInLoop yard, int to, long delay, long jitter, long seed) throws IOException {
         this.yard = yard;
         this.to = to;
         this.delay = delay;
         this.jitter = jitter;
         this.chance = new SplittableRandom(seed);
         this.port = yard.loop()
-                .listen(Yard.LOOPBACK, 0, yard.loop().chain(new BaseFilter() {
+                .listen(StandInLoop.LOOPBACK, 0, yard.loop().chain(new BaseFilter() {
                     @Override
                     public NextAction handleAccept(FilterChainContext context) {
                         accepted(Loop.peer(context));
@@ -54,7 +54,7 @@
 
     private void accepted(Peer near) {
         End here = new End(near);
-        yard.loop().connect(Yard.LOOPBACK, to, new Loop.Connecting() {
+        yard.loop().connect(StandInLoop.LOOPBACK, to, new Loop.Connecting() {
             @Override
             public void connected(Peer far) {
                 End there = new End(far);
--- a/src/test/java/sandstack/ReloadUnderTrafficTest.java
+++ b/src/test/java/sandstack/ReloadUnderTrafficTest.java
@@ -23,7 +23,7 @@
 import sandstack.standin.Machine;
 import sandstack.standin.ShopClient;
 import sandstack.standin.ShopClient.Happened;
-import sandstack.standin.Yard;
+import sandstack.standin.StandInLoop;
 
 /** SIGHUP after SIGHUP under steady traffic: settings and discovery change, and no client notices. */
 @Timeout(60)
@@ -39,7 +39,7 @@
     @TempDir
     Path folder;
 
-    private final Yard yard;
+    private final StandInLoop yard;
     private final List<Discovery> discoveries = new ArrayList<>();
     private final List<FeedServer> servers = new ArrayList<>();
     private final Map<Happened, Integer> happened = new EnumMap<>(Happened.class);
@@ -52,7 +52,7 @@
     private boolean traffic = true;
 
     ReloadUnderTrafficTest() throws IOException {
-        yard = new Yard();
+        yard = new StandInLoop();
         for (int i = 0; i < 2; i++) {
             discoveries.add(yard.make(() -> new Discovery(yard)));
             String uid = "s" + i;
--- a/src/test/java/sandstack/UpgradeTest.java
+++ b/src/test/java/sandstack/UpgradeTest.java
@@ -24,7 +24,7 @@
 import sandstack.standin.Discovery;
 import sandstack.standin.FeedServer;
 import sandstack.standin.Machine;
-import sandstack.standin.Yard;
+import sandstack.standin.StandInLoop;
 
 /** An upgrade under load: real processes that inherit the clients' listening socket. */
 @Timeout(60)
@@ -32,7 +32,7 @@
     @TempDir
     Path folder;
 
-    private final Yard yard;
+    private final StandInLoop yard;
     private final Discovery discovery;
     private final List<FeedServer> servers = new ArrayList<>();
     private final Queue<String> answers = new ConcurrentLinkedQueue<>();
@@ -41,7 +41,7 @@
     private SocketHolder holder;
 
     UpgradeTest() throws IOException {
-        yard = new Yard();
+        yard = new StandInLoop();
         discovery = yard.make(() -> new Discovery(yard));
         for (int i = 0; i < 2; i++) {
             String uid = "s" + i;
--- a/src/test/java/sandstack/front/platform/FiguresTest.java
+++ b/src/test/java/sandstack/front/platform/FiguresTest.java
@@ -29,7 +29,7 @@
 import sandstack.decisions.Decisions.ServerEntry;
 import sandstack.decisions.Decisions.Settings;
 import sandstack.front.operators.OperatorDoor;
-import sandstack.net.Lobby;
+import sandstack.net.ConnectionAdmission;
 import sandstack.net.Loop;
 import sandstack.settings.SettingsBuilder;
 import sandstack.standin.FeedServer;
@@ -37,7 +37,7 @@
 import sandstack.standin.ShopClient;
 import sandstack.standin.ShopClient.Happened;
 import sandstack.standin.ShopClient.Told;
-import sandstack.standin.Yard;
+import sandstack.standin.StandInLoop;
 
 /** The relay's figures against the books of stand-in clients and feed servers after a mixed run. */
 @Timeout(30)
@@ -45,7 +45,7 @@
     private static final List<String> CLASSES = List.of("light", "heavy");
     private static final int CLIENTS = 60;
 
-    private final Yard yard = new Yard();
+    private final StandInLoop yard = new StandInLoop();
     private final Loop loop = new Loop();
     private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
     private final Relay relay;
@@ -69,7 +69,8 @@
                 .build();
         relay = new Relay(new Terms(settings, CLASSES, true), Stated.Book.EMPTY, Limits.NONE, 5, loop::now, () -> {});
         loop.start(relay::turn, relay::nextTurn);
-        port = new PlatformFront(loop, relay, new Lobby(loop, relay.deadlines(), 400)).listen("127.0.0.1", 0);
+        port = new PlatformFront(loop, relay, new ConnectionAdmission(loop, relay.deadlines(), 400))
+                .listen("127.0.0.1", 0);
     }
 
     @AfterEach
--- a/src/test/java/sandstack/front/platform/HeldRelay.java
+++ b/src/test/java/sandstack/front/platform/HeldRelay.java
@@ -30,7 +30,7 @@
 import sandstack.decisions.Decisions.Scope;
 import sandstack.decisions.Decisions.ServerEntry;
 import sandstack.decisions.Decisions.Settings;
-import sandstack.net.Lobby;
+import sandstack.net.ConnectionAdmission;
 import sandstack.net.Loop;
 
 /**
@@ -78,7 +78,7 @@
 
     final Loop loop = new Loop();
     final Relay relay;
-    final Lobby lobby;
+    final ConnectionAdmission lobby;
     private final int port;
     private final List<ServerSocket> servers = new ArrayList<>();
     private final BlockingQueue<End> asked = new LinkedBlockingQueue<>();
@@ -124,7 +124,7 @@
                 5,
                 loop::now,
                 () -> {});
-        lobby = new Lobby(loop, relay.deadlines(), 40);
+        lobby = new ConnectionAdmission(loop, relay.deadlines(), 40);
         loop.start(this::turn, relay::nextTurn);
         port = new PlatformFront(loop, relay, lobby).listen("127.0.0.1", 0);
     }
--- a/src/test/java/sandstack/scenario/Stage.java
+++ b/src/test/java/sandstack/scenario/Stage.java
@@ -25,7 +25,7 @@
 import sandstack.decisions.Decisions.Settings;
 import sandstack.front.amqp.AmqpFront;
 import sandstack.front.platform.PlatformFront;
-import sandstack.net.Lobby;
+import sandstack.net.ConnectionAdmission;
 import sandstack.net.Loop;
 import sandstack.settings.SettingsBuilder;
 
@@ -66,7 +66,7 @@
                 .build();
         relay = new Relay(new Terms(settings, CLASSES, true), Stated.Book.EMPTY, Limits.NONE, 11, loop::now, () -> {});
         loop.start(relay::turn, relay::nextTurn);
-        Lobby lobby = new Lobby(loop, relay.deadlines(), SOCKETS);
+        ConnectionAdmission lobby = new ConnectionAdmission(loop, relay.deadlines(), SOCKETS);
         port = amqp
                 ? new AmqpFront(loop, relay, lobby, "relay").listen("127.0.0.1", 0)
                 : new PlatformFront(loop, relay, lobby).listen("127.0.0.1", 0);
--- a/src/test/java/sandstack/standin/StandInTest.java
+++ b/src/test/java/sandstack/standin/StandInTest.java
@@ -24,12 +24,12 @@
 
     private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new ArrayList<>();
-    private Yard yard;
+    private StandInLoop yard;
     private int asked;
 
     @BeforeEach
     void start() throws IOException {
-        yard = new Yard();
+        yard = new StandInLoop();
     }
 
     @AfterEach
