--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -24,9 +24,9 @@
 import sandstack.config.PlatformConfig.Address;
 import sandstack.console.Commands;
 import sandstack.console.Console;
+import sandstack.core.EffectiveSettings;
 import sandstack.core.NameTable;
 import sandstack.core.Relay;
-import sandstack.core.Terms;
 import sandstack.decisions.Decisions.ListKind;
 import sandstack.directory.TenantDirectory;
 import sandstack.front.amqp.AmqpFront;
@@ -72,7 +72,7 @@
     private int processes = 1;
     private final PlatformFront platform;
     /** What the last reload led to; the relay has the same, on its own thread. */
-    private Terms terms;
+    private EffectiveSettings terms;
 
     private volatile boolean accepting;
     /** Whether a client may be there, or may come: told to stop before, the process just ends. */
@@ -348,7 +348,7 @@
     private synchronized void reload() {
         try {
             PlatformConfig next = config.next(env);
-            Terms after = terms.followedBy(next.terms());
+            EffectiveSettings after = terms.followedBy(next.terms());
             terms = after;
             loop.execute(() -> {
                 relay.termsAre(after);
--- a/src/main/java/sandstack/config/PlatformConfig.java
+++ b/src/main/java/sandstack/config/PlatformConfig.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.function.Function;
+import sandstack.core.EffectiveSettings;
 import sandstack.core.NameTable;
-import sandstack.core.Terms;
 
 /**
  * What the platform tells a relay: the file that PROXY_CONFIG names, and the variables beside it, which come
@@ -35,7 +35,7 @@
         boolean inherits,
         long seed,
         int sockets,
-        Terms terms,
+        EffectiveSettings terms,
         List<String> zones,
         NameTable.News known,
         Keys keys) {
@@ -148,7 +148,7 @@
                 inherits(env.get("PROXY_SOCKET_FD")),
                 seed(root.path("seed")),
                 root.path("limits").path("sockets").asInt(4096),
-                new Terms(
+                new EffectiveSettings(
                         reader.settings(),
                         classes,
                         settings.path("family_info").path("tells_delay").asBoolean(false)),
--- a/src/main/java/sandstack/core/Command.java
+++ b/src/main/java/sandstack/core/ClientRequest.java
@@ -13,7 +13,7 @@
  * @param standingAt the feed server at which this connection stood before the relay started; null for a
  *     new connection
  */
-public record Command(
+public record ClientRequest(
         String key,
         int requestClass,
         int tenant,
--- a/src/main/java/sandstack/core/Ending.java
+++ b/src/main/java/sandstack/core/ConnectionOutcome.java
@@ -3,7 +3,7 @@
 import sandstack.decisions.Decisions.Outcome;
 
 /** Every way in which an execution, standing or not, can end, and what each is to the module. */
-public enum Ending {
+public enum ConnectionOutcome {
     /** The feed server said good-bye: served to its end. */
     SERVED(Outcome.OK),
     /** The feed server sent its client away, as it does while it drains. */
@@ -31,7 +31,7 @@
 
     private final Outcome outcome;
 
-    Ending(Outcome outcome) {
+    ConnectionOutcome(Outcome outcome) {
         this.outcome = outcome;
     }
 
--- a/src/main/java/sandstack/core/Draining.java
+++ b/src/main/java/sandstack/core/Draining.java
@@ -49,8 +49,8 @@
     }
 
     /** A refusal for who comes once draining has finished. */
-    Nack refusalOfLateCommand() {
-        return new Nack(Nack.Kind.REFUSED, random.nextLong(LATE_COME_AGAIN_MILLIS) + 1);
+    Refusal refusalOfLateCommand() {
+        return new Refusal(Refusal.Kind.REFUSED, random.nextLong(LATE_COME_AGAIN_MILLIS) + 1);
     }
 
     /** Begins; a second call changes nothing. */
@@ -75,7 +75,7 @@
         long latest = Math.max(earliest + 1, lastMove());
         relay.deadlines().at(random.nextLong(earliest, latest), () -> {
             if (client.execution != null) {
-                client.execution.move(Ending.MOVED);
+                client.execution.move(ConnectionOutcome.MOVED);
             }
         });
     }
@@ -102,7 +102,7 @@
     private void endTheRest() {
         for (ServiceClient client : List.copyOf(relay.clients())) {
             if (client.execution != null && client.execution.standing()) {
-                client.execution.move(Ending.MOVED);
+                client.execution.move(ConnectionOutcome.MOVED);
             } else {
                 relay.failUnanswered(client);
             }
--- a/src/main/java/sandstack/core/Terms.java
+++ b/src/main/java/sandstack/core/EffectiveSettings.java
@@ -18,23 +18,23 @@
  * @param offered the classes that a command may ask for
  * @param delaysTold whether feed servers tell how long a message takes
  */
-public record Terms(Settings settings, List<String> classes, Set<String> offered, boolean delaysTold) {
+public record EffectiveSettings(Settings settings, List<String> classes, Set<String> offered, boolean delaysTold) {
     /** Classes that ever were, over all reloads of one process: each costs memory for as long as it runs. */
     public static final int MOST_CLASSES = 256;
 
-    public Terms {
+    public EffectiveSettings {
         classes = List.copyOf(classes);
         offered = Set.copyOf(offered);
     }
 
     /** Terms to start with. */
-    public Terms(Settings settings, List<String> classes, boolean delaysTold) {
+    public EffectiveSettings(Settings settings, List<String> classes, boolean delaysTold) {
         this(settings, classes, Set.copyOf(classes), delaysTold);
     }
 
     /** Terms of classes that have no names but their numbers. */
-    static Terms numbered(Settings settings) {
-        return new Terms(
+    static EffectiveSettings numbered(Settings settings) {
+        return new EffectiveSettings(
                 settings,
                 IntStream.range(0, settings.classes().size())
                         .mapToObj(Integer::toString)
@@ -48,7 +48,7 @@
     }
 
     /** Next terms as they count after these. */
-    public Terms followedBy(Terms next) {
+    public EffectiveSettings followedBy(EffectiveSettings next) {
         List<String> names = new ArrayList<>(classes);
         List<RequestClass> all = new ArrayList<>(settings.classes());
         for (int i = 0; i < next.classes.size(); i++) {
@@ -68,6 +68,6 @@
                 .forInstanceOf(settings)
                 .classes(all)
                 .build();
-        return new Terms(settingsOfAll, names, next.offered, next.delaysTold);
+        return new EffectiveSettings(settingsOfAll, names, next.offered, next.delaysTold);
     }
 }
--- a/src/main/java/sandstack/core/Execution.java
+++ b/src/main/java/sandstack/core/Execution.java
@@ -46,7 +46,7 @@
     }
 
     void start() {
-        waiting = relay.deadlines().at(began + patience, () -> giveUp(Ending.OUT_OF_TIME));
+        waiting = relay.deadlines().at(began + patience, () -> giveUp(ConnectionOutcome.OUT_OF_TIME));
         // a machine that has vanished never refuses: without this the whole patience would go on its silence
         connecting = relay.deadlines().at(began + Math.min(patience, relay.connectTimeout()), this::connectLate);
         Wire opened = client.execute(this);
@@ -62,7 +62,7 @@
      * that has come up meanwhile is not taken for a failed one, as it gets one more look.
      */
     private void connectLate() {
-        connecting = relay.deadlines().at(relay.now() + LAST_LOOK, () -> giveUp(Ending.NOT_CONNECTED));
+        connecting = relay.deadlines().at(relay.now() + LAST_LOOK, () -> giveUp(ConnectionOutcome.NOT_CONNECTED));
     }
 
     /**
@@ -76,7 +76,7 @@
             return false;
         }
         if (relay.takesNoMore(this)) {
-            giveUp(Ending.NEVER_SENT);
+            giveUp(ConnectionOutcome.NEVER_SENT);
             return false;
         }
         connectEnded();
@@ -108,7 +108,7 @@
     }
 
     /** The feed server's way has ended, or the client's. */
-    public void ended(Ending ending) {
+    public void ended(ConnectionOutcome ending) {
         if (state == State.OVER) {
             return;
         }
@@ -155,12 +155,12 @@
 
     private void fellSilent() {
         Wire open = wire;
-        ended(Ending.SILENT);
+        ended(ConnectionOutcome.SILENT);
         open.move();
     }
 
     /** Gives the execution up; the feed server's side is closed before anything else may be sent. */
-    void giveUp(Ending ending) {
+    void giveUp(ConnectionOutcome ending) {
         Wire open = wire;
         if (state != State.OVER && open != null) {
             open.abandon();
@@ -168,7 +168,7 @@
         ended(ending);
     }
 
-    void move(Ending ending) {
+    void move(ConnectionOutcome ending) {
         if (state == State.STANDING) {
             Wire open = wire;
             ended(ending);
--- a/src/main/java/sandstack/core/Figures.java
+++ b/src/main/java/sandstack/core/Figures.java
@@ -38,8 +38,8 @@
     }
 
     /** A command of this class had this final answer. */
-    void answered(String name, Nack.Kind kind) {
-        if (kind == Nack.Kind.REFUSED) {
+    void answered(String name, Refusal.Kind kind) {
+        if (kind == Refusal.Kind.REFUSED) {
             of(name).shed++;
         } else {
             of(name).errors++;
--- a/src/main/java/sandstack/core/Nack.java
+++ b/src/main/java/sandstack/core/Refusal.java
@@ -9,7 +9,7 @@
  * @param comeBackMillis with REFUSED: when to come again; 0 gives no advice
  * @param cause why the module refused it; null where it was not the module that did
  */
-public record Nack(Kind kind, long comeBackMillis, Cause cause) {
+public record Refusal(Kind kind, long comeBackMillis, Cause cause) {
     /** What a nack says; each front has words of its own for them. */
     public enum Kind {
         /** Nothing has happened and trying again is harmless. */
@@ -20,15 +20,15 @@
         BAD_INPUT
     }
 
-    static final Nack FAILED = new Nack(Kind.FAILED, 0);
+    static final Refusal FAILED = new Refusal(Kind.FAILED, 0);
 
     /** An answer that the module had no part in. */
-    public Nack(Kind kind, long comeBackMillis) {
+    public Refusal(Kind kind, long comeBackMillis) {
         this(kind, comeBackMillis, null);
     }
 
     /** Rounds up, so that nobody comes back before the interval has ended. */
-    static Nack refused(long comeBackMicros, Cause cause) {
-        return new Nack(Kind.REFUSED, (comeBackMicros + 999) / 1000, cause);
+    static Refusal refused(long comeBackMicros, Cause cause) {
+        return new Refusal(Kind.REFUSED, (comeBackMicros + 999) / 1000, cause);
     }
 }
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -60,7 +60,7 @@
     private static final long ADOPT_PAUSE = 250_000;
     private static final Logger LOG = Logger.getLogger("sandstack.relay");
 
-    private Terms terms;
+    private EffectiveSettings terms;
     private Settings settings;
     private final Figures figures = new Figures();
     private final LongSupplier clock;
@@ -69,7 +69,7 @@
     private final NameTable names = new NameTable();
     private final Tenants tenants = new Tenants();
     private final Map<String, ServiceClient> clients = new LinkedHashMap<>();
-    private final Map<Ending, Long> endings = new EnumMap<>(Ending.class);
+    private final Map<ConnectionOutcome, Long> endings = new EnumMap<>(ConnectionOutcome.class);
     private final Map<Cause, Long> refusals = new EnumMap<>(Cause.class);
     private final Runnable watch;
     private final Actions handler = new Actions();
@@ -85,14 +85,15 @@
      * @param watch asks discovery for changes; answered by {@link #listed} or {@link #listFailed}
      */
     public Relay(Settings settings, long seed, LongSupplier clock, Runnable watch) {
-        this(Terms.numbered(settings), Stated.Book.EMPTY, Limits.NONE, seed, clock, watch);
+        this(EffectiveSettings.numbered(settings), Stated.Book.EMPTY, Limits.NONE, seed, clock, watch);
     }
 
     /**
      * @param book what an operator knows of the feed servers
      * @param limits what the installation allows
      */
-    public Relay(Terms terms, Stated.Book book, Limits limits, long seed, LongSupplier clock, Runnable watch) {
+    public Relay(
+            EffectiveSettings terms, Stated.Book book, Limits limits, long seed, LongSupplier clock, Runnable watch) {
         use(terms);
         this.clock = clock;
         this.watch = watch;
@@ -100,14 +101,14 @@
         this.draining = new Draining(this, new SplittableRandom(seed));
     }
 
-    private void use(Terms next) {
+    private void use(EffectiveSettings next) {
         terms = next;
         settings = next.settings();
         figures.offered(next.offered());
     }
 
     /** Other terms count from now on, in one turn: what was read is swapped in whole. Commands under way keep theirs. */
-    public void termsAre(Terms next) {
+    public void termsAre(EffectiveSettings next) {
         use(next);
         figures.configApplied();
         ready.add(new SettingsChanged(settings));
@@ -161,19 +162,19 @@
         @Override
         public void refuse(Refuse action) {
             refusals.merge(action.cause(), 1L, Long::sum);
-            answer(clients.get(action.id()), Nack.refused(action.retryAfter(), action.cause()));
+            answer(clients.get(action.id()), Refusal.refused(action.retryAfter(), action.cause()));
         }
 
         @Override
         public void fail(Fail action) {
-            answer(clients.get(action.id()), Nack.FAILED);
+            answer(clients.get(action.id()), Refusal.FAILED);
         }
 
         @Override
         public void relocate(Relocate action) {
             ServiceClient client = clients.get(action.id());
             if (client != null && client.execution != null) {
-                client.execution.move(Ending.MOVED);
+                client.execution.move(ConnectionOutcome.MOVED);
             }
         }
 
@@ -190,14 +191,14 @@
         }
         if (client == null || client.finished) {
             // the client has left; without this the module would count the attempt as out for good
-            ready.add(new AttemptEnded(a.id(), 0, a.server(), Ending.NEVER_SENT.outcome(), true, 0, null));
+            ready.add(new AttemptEnded(a.id(), 0, a.server(), ConnectionOutcome.NEVER_SENT.outcome(), true, 0, null));
             return;
         }
         long left = client.deadline - now();
         NameTable.Line line = names.get(a.server());
         if (client.execution != null || line == null || left <= 0 || executionsLeft(client) <= 0) {
             ready.add(new AttemptEnded(
-                    a.id(), client.executions, a.server(), Ending.NEVER_SENT.outcome(), false, 0, null));
+                    a.id(), client.executions, a.server(), ConnectionOutcome.NEVER_SENT.outcome(), false, 0, null));
             client.executions++;
             return;
         }
@@ -220,11 +221,11 @@
     // ---- what fronts report -----------------------------------------------------------------------
 
     /** Takes a command: from now on exactly one final answer is owed for it. */
-    public void take(ServiceClient client, Command command) {
+    public void take(ServiceClient client, ClientRequest command) {
         client.command = command;
         if (draining.finished()) {
             client.finished = true;
-            Nack later = draining.refusalOfLateCommand();
+            Refusal later = draining.refusalOfLateCommand();
             turnedBack(command, later);
             client.nack(later);
             return;
@@ -244,7 +245,7 @@
     }
 
     private ConnectRequest asRequest(ServiceClient client) {
-        Command c = client.command;
+        ClientRequest c = client.command;
         return new ConnectRequest(
                 client.id,
                 c.requestClass(),
@@ -265,7 +266,7 @@
         NameTable.Line line = names.get(client.command.standingAt());
         long left = client.deadline - now();
         if (line == null || left <= 0 || executionsLeft(client) <= 0) {
-            answer(client, Nack.FAILED);
+            answer(client, Refusal.FAILED);
             return;
         }
         begin(client, line, left);
@@ -282,7 +283,7 @@
             ready.add(new ClientGone(client.id));
         }
         if (client.execution != null) {
-            client.execution.giveUp(Ending.CLIENT_LEFT);
+            client.execution.giveUp(ConnectionOutcome.CLIENT_LEFT);
         }
     }
 
@@ -299,11 +300,11 @@
     }
 
     /** A front has answered this command by itself: the relay has not taken it, or its client broke its word. */
-    public void turnedBack(Command command, Nack nack) {
+    public void turnedBack(ClientRequest command, Refusal nack) {
         figures.answered(className(command), nack.kind());
     }
 
-    private String className(Command command) {
+    private String className(ClientRequest command) {
         return terms.classes().get(command.requestClass());
     }
 
@@ -326,7 +327,7 @@
         }
     }
 
-    void ended(Execution execution, Ending ending, boolean stood) {
+    void ended(Execution execution, ConnectionOutcome ending, boolean stood) {
         ServiceClient client = execution.client();
         client.execution = null;
         endings.merge(ending, 1L, Long::sum);
@@ -339,7 +340,7 @@
             }
             return;
         }
-        if (ending == Ending.SENT_AWAY) {
+        if (ending == ConnectionOutcome.SENT_AWAY) {
             leaves(execution.server());
         }
         boolean over = stood || client.finished;
@@ -387,16 +388,16 @@
     /** Answers a command as failed without asking the module, which hears that its client has gone. */
     void failUnanswered(ServiceClient client) {
         ready.add(new ClientGone(client.id));
-        answer(client, Nack.FAILED);
+        answer(client, Refusal.FAILED);
     }
 
-    private void answer(ServiceClient client, Nack nack) {
+    private void answer(ServiceClient client, Refusal nack) {
         if (client == null || client.finished) {
             return;
         }
         finish(client);
         if (client.execution != null) {
-            client.execution.giveUp(Ending.CLIENT_LEFT);
+            client.execution.giveUp(ConnectionOutcome.CLIENT_LEFT);
         }
         LOG.fine(() -> "command " + client.id + " of " + client.command.key() + " was answered " + nack.kind() + " "
                 + (nack.cause() == null ? "" : nack.cause() + " ") + nack.comeBackMillis() + " after "
@@ -500,7 +501,7 @@
     }
 
     /** What counts for the commands that come now. */
-    public Terms terms() {
+    public EffectiveSettings terms() {
         return terms;
     }
 
@@ -531,7 +532,7 @@
     }
 
     /** How many executions have ended in which way. */
-    public Map<Ending, Long> endings() {
+    public Map<ConnectionOutcome, Long> endings() {
         return endings;
     }
 }
--- a/src/main/java/sandstack/core/ServiceClient.java
+++ b/src/main/java/sandstack/core/ServiceClient.java
@@ -6,7 +6,7 @@
  */
 public abstract class ServiceClient {
     String id;
-    Command command;
+    ClientRequest command;
     long deadline;
     Execution execution;
     int executions;
@@ -24,10 +24,10 @@
     protected void look() {}
 
     /** Gives the final answer of a command that is not served, and ends the connection. */
-    protected abstract void nack(Nack nack);
+    protected abstract void nack(Refusal nack);
 
     /** The command that the client sent; null before it has come. */
-    public final Command command() {
+    public final ClientRequest command() {
         return command;
     }
 
--- a/src/main/java/sandstack/front/amqp/AmqpClient.java
+++ b/src/main/java/sandstack/front/amqp/AmqpClient.java
@@ -19,10 +19,10 @@
 import org.apache.qpid.protonj2.types.transport.DeliveryState;
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 import org.apache.qpid.protonj2.types.transport.LinkError;
-import sandstack.core.Command;
-import sandstack.core.Ending;
+import sandstack.core.ClientRequest;
+import sandstack.core.ConnectionOutcome;
 import sandstack.core.Execution;
-import sandstack.core.Nack;
+import sandstack.core.Refusal;
 import sandstack.core.ServiceClient;
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.Peer;
@@ -97,10 +97,10 @@
         link = attached;
         link.closeHandler(l -> left());
         link.detachHandler(l -> left());
-        Command command = Words.command(
+        ClientRequest command = Words.command(
                 link.getRemoteProperties(), front.relay().terms(), front.relay().tenants());
         if (command == null) {
-            nack(new Nack(Nack.Kind.BAD_INPUT, 0));
+            nack(new Refusal(Refusal.Kind.BAD_INPUT, 0));
             return;
         }
         if (!front.lobby().admit(socket.peer())) {
@@ -123,11 +123,11 @@
     }
 
     @Override
-    public void ended(Ending how) {
+    public void ended(ConnectionOutcome how) {
         leave(how);
     }
 
-    private void leave(Ending broken) {
+    private void leave(ConnectionOutcome broken) {
         if (over) {
             return;
         }
@@ -184,7 +184,7 @@
     }
 
     @Override
-    protected void nack(Nack nack) {
+    protected void nack(Refusal nack) {
         finish(true);
         closeLink(Words.error(nack));
         socket.close(null);
--- a/src/main/java/sandstack/front/amqp/AmqpServer.java
+++ b/src/main/java/sandstack/front/amqp/AmqpServer.java
@@ -7,8 +7,8 @@
 import org.apache.qpid.protonj2.types.messaging.Source;
 import org.apache.qpid.protonj2.types.messaging.Target;
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
+import sandstack.core.ConnectionOutcome;
 import sandstack.core.Deadlines;
-import sandstack.core.Ending;
 import sandstack.core.Execution;
 import sandstack.net.Loop;
 import sandstack.net.Peer;
@@ -53,7 +53,7 @@
 
     @Override
     public void failed() {
-        execution.ended(Ending.NOT_CONNECTED);
+        execution.ended(ConnectionOutcome.NOT_CONNECTED);
         over();
     }
 
@@ -128,25 +128,27 @@
             over();
             return;
         }
-        Ending ending = Words.ending(error, execution.standing());
+        ConnectionOutcome ending = Words.ending(error, execution.standing());
         boolean stood = execution.standing();
         shut();
         execution.ended(ending);
         if (stood) {
-            client.end(ending == Ending.SENT_AWAY ? null : error, ending == Ending.SENT_AWAY ? Words.move() : null);
+            client.end(
+                    ending == ConnectionOutcome.SENT_AWAY ? null : error,
+                    ending == ConnectionOutcome.SENT_AWAY ? Words.move() : null);
         }
     }
 
     /** The connection to the feed server is no more. */
     @Override
-    public void ended(Ending how) {
+    public void ended(ConnectionOutcome how) {
         boolean stood = execution.standing();
         closed = true;
         // until the feed server has sent its header, the attach has not been written
-        execution.ended(stood || socket.heard() ? how : Ending.NOT_CONNECTED);
+        execution.ended(stood || socket.heard() ? how : ConnectionOutcome.NOT_CONNECTED);
         over();
         if (stood) {
-            if (how == Ending.SILENT) {
+            if (how == ConnectionOutcome.SILENT) {
                 client.end(null, Words.move());
             } else {
                 client.reset();
@@ -156,7 +158,7 @@
 
     /** The client is gone: cleanly, or with its connection broken. */
     void clientLeft(boolean clean) {
-        execution.ended(Ending.CLIENT_LEFT);
+        execution.ended(ConnectionOutcome.CLIENT_LEFT);
         if (clean) {
             shut();
         } else {
--- a/src/main/java/sandstack/front/amqp/AmqpSocket.java
+++ b/src/main/java/sandstack/front/amqp/AmqpSocket.java
@@ -8,8 +8,8 @@
 import org.apache.qpid.protonj2.engine.exceptions.EngineStateException;
 import org.apache.qpid.protonj2.engine.exceptions.IdleTimeoutException;
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
+import sandstack.core.ConnectionOutcome;
 import sandstack.core.Deadlines;
-import sandstack.core.Ending;
 import sandstack.net.Peer;
 
 /** One AMQP connection: an engine without sockets inside, a socket with its rings outside. */
@@ -29,7 +29,7 @@
         void started(Connection connection);
 
         /** The connection is no more. Told once. */
-        void ended(Ending how);
+        void ended(ConnectionOutcome how);
 
         /** All that waited has gone out. */
         void flushed();
@@ -70,7 +70,7 @@
     private void failed(Throwable cause) {
         // what a peer did is told in a line and never as a fault of ours
         LOG.info(() -> "amqp: connection given up: " + cause.getMessage());
-        end(cause instanceof IdleTimeoutException ? Ending.SILENT : Ending.ENDED_EARLY);
+        end(cause instanceof IdleTimeoutException ? ConnectionOutcome.SILENT : ConnectionOutcome.ENDED_EARLY);
         peer.finish();
         linger();
     }
@@ -104,7 +104,7 @@
             if (engine.isFailed()) {
                 return;
             }
-            end(Ending.ENDED_EARLY);
+            end(ConnectionOutcome.ENDED_EARLY);
             peer.reset();
         }
     }
@@ -148,7 +148,7 @@
         front.lobby().leave(peer);
     }
 
-    private void end(Ending how) {
+    private void end(ConnectionOutcome how) {
         if (over) {
             return;
         }
@@ -168,7 +168,7 @@
 
     @Override
     public void finished() {
-        end(Ending.ENDED_EARLY);
+        end(ConnectionOutcome.ENDED_EARLY);
         peer.finish();
         if (peer.outEnded()) {
             peer.close();
@@ -179,7 +179,7 @@
 
     @Override
     public void broken() {
-        end(Ending.RESET);
+        end(ConnectionOutcome.RESET);
     }
 
     Peer peer() {
--- a/src/main/java/sandstack/front/amqp/Words.java
+++ b/src/main/java/sandstack/front/amqp/Words.java
@@ -8,11 +8,11 @@
 import org.apache.qpid.protonj2.types.transport.ConnectionError;
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 import org.apache.qpid.protonj2.types.transport.LinkError;
-import sandstack.core.Command;
-import sandstack.core.Ending;
-import sandstack.core.Nack;
+import sandstack.core.ClientRequest;
+import sandstack.core.ConnectionOutcome;
+import sandstack.core.EffectiveSettings;
+import sandstack.core.Refusal;
 import sandstack.core.Tenants;
-import sandstack.core.Terms;
 
 /** How commands, nacks and endings are said in AMQP. */
 final class Words {
@@ -28,7 +28,7 @@
     private Words() {}
 
     /** The command that a link's properties ask for; null where they make no sense. */
-    static Command command(Map<Symbol, Object> properties, Terms terms, Tenants tenants) {
+    static ClientRequest command(Map<Symbol, Object> properties, EffectiveSettings terms, Tenants tenants) {
         if (properties == null) {
             return null;
         }
@@ -45,7 +45,7 @@
             return null;
         }
         int tenant = properties.containsKey(TENANT) ? tenants.indexOf(text(properties, TENANT)) : 0;
-        return new Command(
+        return new ClientRequest(
                 key,
                 requestClass,
                 tenant,
@@ -69,7 +69,7 @@
         return passed;
     }
 
-    static ErrorCondition error(Nack nack) {
+    static ErrorCondition error(Refusal nack) {
         return switch (nack.kind()) {
             case REFUSED -> new ErrorCondition(
                     AmqpError.RESOURCE_LIMIT_EXCEEDED,
@@ -88,15 +88,17 @@
     }
 
     /** How an execution ended whose feed server detached or closed with this error, if any. */
-    static Ending ending(ErrorCondition error, boolean standing) {
+    static ConnectionOutcome ending(ErrorCondition error, boolean standing) {
         Symbol condition = error == null ? null : error.getCondition();
         boolean leaving =
                 ConnectionError.CONNECTION_FORCED.equals(condition) || LinkError.DETACH_FORCED.equals(condition);
         if (standing) {
-            return condition == null ? Ending.SERVED : leaving ? Ending.SENT_AWAY : Ending.SERVER_ERROR;
+            return condition == null
+                    ? ConnectionOutcome.SERVED
+                    : leaving ? ConnectionOutcome.SENT_AWAY : ConnectionOutcome.SERVER_ERROR;
         }
         return leaving || AmqpError.RESOURCE_LIMIT_EXCEEDED.equals(condition)
-                ? Ending.TURNED_AWAY
-                : Ending.SERVER_ERROR;
+                ? ConnectionOutcome.TURNED_AWAY
+                : ConnectionOutcome.SERVER_ERROR;
     }
 }
--- a/src/main/java/sandstack/front/platform/FirstLine.java
+++ b/src/main/java/sandstack/front/platform/FirstLine.java
@@ -3,9 +3,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.regex.Pattern;
-import sandstack.core.Command;
+import sandstack.core.ClientRequest;
+import sandstack.core.EffectiveSettings;
 import sandstack.core.Tenants;
-import sandstack.core.Terms;
 
 /**
  * The line with which a client opens its connection:
@@ -47,7 +47,7 @@
     }
 
     /** The command that the line asks for; null where a value makes no sense or the class is unknown. */
-    Command command(Terms terms, Tenants tenants) {
+    ClientRequest command(EffectiveSettings terms, Tenants tenants) {
         int requestClass = terms.indexOf(values.get("c"));
         String waits = values.get("d");
         if (requestClass < 0 || waits == null || !MILLIS.matcher(waits).matches()) {
@@ -59,7 +59,7 @@
             return null;
         }
         int tenant = values.containsKey("t") ? tenants.indexOf(values.get("t")) : 0;
-        return new Command(
+        return new ClientRequest(
                 key,
                 requestClass,
                 tenant,
--- a/src/main/java/sandstack/front/platform/PlatformClient.java
+++ b/src/main/java/sandstack/front/platform/PlatformClient.java
@@ -1,8 +1,8 @@
 package sandstack.front.platform;
 
-import sandstack.core.Command;
+import sandstack.core.ClientRequest;
 import sandstack.core.Execution;
-import sandstack.core.Nack;
+import sandstack.core.Refusal;
 import sandstack.core.Relay;
 import sandstack.core.ServiceClient;
 import sandstack.net.ConnectionAdmission;
@@ -72,7 +72,7 @@
     }
 
     private void request(FirstLine line) {
-        Command command = line == null ? null : line.command(relay.terms(), relay.tenants());
+        ClientRequest command = line == null ? null : line.command(relay.terms(), relay.tenants());
         if (command == null || !peer.in().isEmpty() || !front.claim(line.id())) {
             badInput(command);
             return;
@@ -88,8 +88,8 @@
     }
 
     /** @param asked what the client asked for; null where that is not known */
-    private void badInput(Command asked) {
-        Nack nack = new Nack(Nack.Kind.BAD_INPUT, 0);
+    private void badInput(ClientRequest asked) {
+        Refusal nack = new Refusal(Refusal.Kind.BAD_INPUT, 0);
         if (asked != null) {
             relay.turnedBack(asked, nack);
         }
@@ -169,7 +169,7 @@
     }
 
     @Override
-    protected void nack(Nack nack) {
+    protected void nack(Refusal nack) {
         end(
                 switch (nack.kind()) {
                     case REFUSED -> nack.comeBackMillis() > 0 ? "BUSY " + nack.comeBackMillis() + "\r\n" : "BUSY\r\n";
--- a/src/main/java/sandstack/front/platform/ServerWire.java
+++ b/src/main/java/sandstack/front/platform/ServerWire.java
@@ -1,7 +1,7 @@
 package sandstack.front.platform;
 
 import java.util.logging.Logger;
-import sandstack.core.Ending;
+import sandstack.core.ConnectionOutcome;
 import sandstack.core.Execution;
 import sandstack.net.Loop;
 import sandstack.net.Peer;
@@ -57,14 +57,14 @@
 
     @Override
     public void failed() {
-        execution.ended(Ending.NOT_CONNECTED);
+        execution.ended(ConnectionOutcome.NOT_CONNECTED);
     }
 
     private void answered() {
         int end = peer.in().indexOf('\n');
         if (end < 0 || end >= LONGEST_LINE) {
             if (peer.in().size() >= LONGEST_LINE) {
-                fail(Ending.SERVER_ERROR);
+                fail(ConnectionOutcome.SERVER_ERROR);
             }
             return;
         }
@@ -84,14 +84,16 @@
         }
         fail(
                 switch (line) {
-                    case "BUSY" -> Ending.TURNED_AWAY;
-                    case "MOVE" -> Ending.SENT_AWAY;
-                    case "BYE" -> Ending.ENDED_EARLY;
-                    default -> line.startsWith("BUSY ") ? Ending.TURNED_AWAY : Ending.SERVER_ERROR;
+                    case "BUSY" -> ConnectionOutcome.TURNED_AWAY;
+                    case "MOVE" -> ConnectionOutcome.SENT_AWAY;
+                    case "BYE" -> ConnectionOutcome.ENDED_EARLY;
+                    default -> line.startsWith("BUSY ")
+                            ? ConnectionOutcome.TURNED_AWAY
+                            : ConnectionOutcome.SERVER_ERROR;
                 });
     }
 
-    private void fail(Ending ending) {
+    private void fail(ConnectionOutcome ending) {
         abandon();
         execution.ended(ending);
     }
@@ -115,10 +117,13 @@
     @Override
     public void finished() {
         if (!standing) {
-            fail(!sent ? Ending.NOT_CONNECTED : peer.in().isEmpty() ? Ending.ENDED_EARLY : Ending.SERVER_ERROR);
+            fail(
+                    !sent
+                            ? ConnectionOutcome.NOT_CONNECTED
+                            : peer.in().isEmpty() ? ConnectionOutcome.ENDED_EARLY : ConnectionOutcome.SERVER_ERROR);
             return;
         }
-        execution.ended(lastWord(Ending.ENDED_EARLY));
+        execution.ended(lastWord(ConnectionOutcome.ENDED_EARLY));
         if (moving) {
             moveNow();
         } else {
@@ -131,14 +136,14 @@
     public void broken() {
         if (!standing) {
             // what never had the whole line never ran
-            execution.ended(sent ? Ending.RESET : Ending.NOT_CONNECTED);
+            execution.ended(sent ? ConnectionOutcome.RESET : ConnectionOutcome.NOT_CONNECTED);
             return;
         }
-        Ending ending = lastWord(Ending.RESET);
+        ConnectionOutcome ending = lastWord(ConnectionOutcome.RESET);
         execution.ended(ending);
         if (moving) {
             moveNow();
-        } else if (ending == Ending.RESET) {
+        } else if (ending == ConnectionOutcome.RESET) {
             client.reset();
         } else {
             // it had said its last word: a reset on this side too would take that from the client
@@ -147,10 +152,10 @@
     }
 
     /** What the feed server's last line makes of the end of a standing connection. */
-    private Ending lastWord(Ending without) {
+    private ConnectionOutcome lastWord(ConnectionOutcome without) {
         return switch (lastLine) {
-            case "BYE" -> Ending.SERVED;
-            case "MOVE" -> Ending.SENT_AWAY;
+            case "BYE" -> ConnectionOutcome.SERVED;
+            case "MOVE" -> ConnectionOutcome.SENT_AWAY;
             default -> without;
         };
     }
@@ -195,14 +200,14 @@
 
     /** The client has ended its sending: so is ours to the feed server, which may still have something to say. */
     void clientFinished() {
-        execution.ended(Ending.CLIENT_LEFT);
+        execution.ended(ConnectionOutcome.CLIENT_LEFT);
         peer.finish();
         halfOpen();
         closeIfBothEnded();
     }
 
     void clientBroke() {
-        execution.ended(Ending.CLIENT_LEFT);
+        execution.ended(ConnectionOutcome.CLIENT_LEFT);
         peer.reset();
     }
 
--- a/src/main/java/sandstack/net/ConnectionAdmission.java
+++ b/src/main/java/sandstack/net/ConnectionAdmission.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import sandstack.core.Deadlines;
 import sandstack.core.Deadlines.Deadline;
-import sandstack.core.Nack;
+import sandstack.core.Refusal;
 
 /**
  * Keeps the descriptors for those who are served. An accepted peer is a guest until it has asked for something
@@ -15,7 +15,7 @@
  */
 public final class ConnectionAdmission {
     /** What a client hears for whom there is no room, or who has not asked in time. */
-    public static final Nack NO_ROOM = new Nack(Nack.Kind.REFUSED, 1000);
+    public static final Refusal NO_ROOM = new Refusal(Refusal.Kind.REFUSED, 1000);
     /** Who connects has to ask by then; an error or a close is due after 3 s, whatever came in between. */
     private static final long ASK_WITHIN = 2_500_000;
     /** How long a peer that has had its last word may keep its end open. */
--- a/src/test/java/sandstack/console/ConsoleTest.java
+++ b/src/test/java/sandstack/console/ConsoleTest.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
-import sandstack.core.Command;
-import sandstack.core.Ending;
+import sandstack.core.ClientRequest;
+import sandstack.core.ConnectionOutcome;
 import sandstack.core.Execution;
-import sandstack.core.Nack;
 import sandstack.core.NameTable;
+import sandstack.core.Refusal;
 import sandstack.core.Relay;
 import sandstack.core.ServiceClient;
 import sandstack.core.Tenants;
@@ -37,7 +37,7 @@
         }
 
         @Override
-        protected void nack(Nack nack) {}
+        protected void nack(Refusal nack) {}
     }
 
     private final long[] now = {1_000_000};
@@ -72,11 +72,11 @@
                 List.of(new NameTable.Line(new ServerEntry("s1", 0, 0, 0, 0, Phase.READY, 1), "127.0.0.1", 80))));
         relay.tenantsListed(List.of(new Tenants.Entry("gobi", 0.25, 40)));
         ServiceClient client = new Standing();
-        relay.take(client, new Command("k", 0, 0, null, 1_000_000, 0, false, null));
+        relay.take(client, new ClientRequest("k", 0, 0, null, 1_000_000, 0, false, null));
         ServiceClient gone = new Standing();
-        relay.take(gone, new Command("l", 0, 0, null, 1_000_000, 0, false, null));
+        relay.take(gone, new ClientRequest("l", 0, 0, null, 1_000_000, 0, false, null));
         relay.turn();
-        gone.execution().ended(Ending.SERVED);
+        gone.execution().ended(ConnectionOutcome.SERVED);
         String shown = say("listeners\nnames\nstanding\nendings\ntenants\n");
         assertThat(shown)
                 .contains(
--- a/src/test/java/sandstack/core/ExecutionTest.java
+++ b/src/test/java/sandstack/core/ExecutionTest.java
@@ -11,7 +11,7 @@
 /** Executions on a clock that the test moves. */
 class ExecutionTest {
     private long now = 1_000_000;
-    private final List<Nack> nacks = new ArrayList<>();
+    private final List<Refusal> nacks = new ArrayList<>();
     private final List<Execution> begun = new ArrayList<>();
     private int abandoned;
     private int moved;
@@ -54,14 +54,14 @@
         }
 
         @Override
-        protected void nack(Nack nack) {
+        protected void nack(Refusal nack) {
             nacks.add(nack);
         }
     }
 
     private Counting take(String key) {
         Counting client = new Counting();
-        relay.take(client, new Command(key, 0, 0, null, 1_000_000, 0, false, null));
+        relay.take(client, new ClientRequest(key, 0, 0, null, 1_000_000, 0, false, null));
         return client;
     }
 
@@ -70,7 +70,7 @@
                 ListKind.FULL,
                 1,
                 List.of(new NameTable.Line(new ServerEntry("s1", 0, 0, 0, 0, Phase.READY, 1), "127.0.0.1", 80))));
-        relay.take(new Counting(), new Command("k", 0, 0, null, 1_000_000, 0, false, null));
+        relay.take(new Counting(), new ClientRequest("k", 0, 0, null, 1_000_000, 0, false, null));
         relay.turn();
         return begun.get(0);
     }
@@ -97,7 +97,7 @@
         relay.turn();
         assertThat(execution.over()).isTrue();
         assertThat(abandoned).isEqualTo(1);
-        assertThat(relay.endings()).containsEntry(Ending.NOT_CONNECTED, 1L);
+        assertThat(relay.endings()).containsEntry(ConnectionOutcome.NOT_CONNECTED, 1L);
     }
 
     /** Its feed server was told to drain while the way there came up: the first line would have gone to it all the same. */
@@ -111,7 +111,7 @@
         assertThat(execution.connected()).isFalse();
         assertThat(execution.over()).isTrue();
         assertThat(abandoned).isEqualTo(1);
-        assertThat(relay.endings()).containsOnlyKeys(Ending.NEVER_SENT);
+        assertThat(relay.endings()).containsOnlyKeys(ConnectionOutcome.NEVER_SENT);
     }
 
     @Test
@@ -137,11 +137,11 @@
     /** The one trial of a server whose mark has run out went to a client that had left: it was out of use for good. */
     @Test
     void aTrialWhoseClientLeftInTheSameTurnIsOver() {
-        begin().ended(Ending.RESET);
+        begin().ended(ConnectionOutcome.RESET);
         for (int i = 0; i < 300; i++) {
             now += 10_000;
             relay.turn();
-            begun.stream().filter(e -> !e.over()).forEach(e -> e.ended(Ending.RESET));
+            begun.stream().filter(e -> !e.over()).forEach(e -> e.ended(ConnectionOutcome.RESET));
         }
         assertThat(relay.clients()).isEmpty();
         now += 10_000_000;
@@ -159,7 +159,7 @@
     void aDrainingRelayKeepsItsClientsAlmostUntilItIsKilled() {
         begin().up();
         for (int i = 0; i < 19; i++) {
-            relay.take(new Counting(), new Command("k" + i, 0, 0, null, 1_000_000, 0, false, null));
+            relay.take(new Counting(), new ClientRequest("k" + i, 0, 0, null, 1_000_000, 0, false, null));
         }
         relay.turn();
         begun.forEach(Execution::up);
@@ -178,7 +178,7 @@
     @Test
     void aServerThatSendsAClientAwayDrainsUntilDiscoveryTellsOrTimePasses() {
         begin().up();
-        begun.get(0).ended(Ending.SENT_AWAY);
+        begun.get(0).ended(ConnectionOutcome.SENT_AWAY);
         assertThat(relay.names().get("s1").entry().phase()).isEqualTo(Phase.DRAINING);
         now += 10_000_000;
         relay.turn();
@@ -192,12 +192,12 @@
         execution.connected();
         now += 1_000_000;
         relay.turn();
-        execution.ended(Ending.RESET);
+        execution.ended(ConnectionOutcome.RESET);
         execution.up();
         now += 1_000_000;
         relay.turn();
-        assertThat(nacks).containsExactly(new Nack(Nack.Kind.FAILED, 0));
+        assertThat(nacks).containsExactly(new Refusal(Refusal.Kind.FAILED, 0));
         assertThat(relay.clients()).isEmpty();
-        assertThat(relay.endings()).containsOnlyKeys(Ending.OUT_OF_TIME);
+        assertThat(relay.endings()).containsOnlyKeys(ConnectionOutcome.OUT_OF_TIME);
     }
 }
--- a/src/test/java/sandstack/front/platform/CrossingsTest.java
+++ b/src/test/java/sandstack/front/platform/CrossingsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sandstack.core.Ending;
+import sandstack.core.ConnectionOutcome;
 import sandstack.front.platform.HeldRelay.End;
 
 /**
@@ -56,7 +56,7 @@
         return client;
     }
 
-    private long endings(Ending ending) {
+    private long endings(ConnectionOutcome ending) {
         return held.relay.endings().getOrDefault(ending, 0L);
     }
 
@@ -74,7 +74,7 @@
     }
 
     private End leftAsItsRetryFellDue(Leaving how) throws Exception {
-        held.holdWhen(() -> endings(Ending.RESET) == 1);
+        held.holdWhen(() -> endings(ConnectionOutcome.RESET) == 1);
         End client = asking("gone", "safe");
         held.ask().reset();
         held.awaitHeld();
@@ -178,7 +178,7 @@
         held.release();
         assertThat(client.hear()).isEqualTo("MOVE");
         assertThat(client.hear()).as("an end, not a reset").isNull();
-        held.onLoop(() -> assertThat(endings(Ending.SENT_AWAY)).isEqualTo(1));
+        held.onLoop(() -> assertThat(endings(ConnectionOutcome.SENT_AWAY)).isEqualTo(1));
     }
 
     @Test
--- a/src/test/java/sandstack/front/platform/FiguresTest.java
+++ b/src/test/java/sandstack/front/platform/FiguresTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.Timeout;
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
+import sandstack.core.EffectiveSettings;
 import sandstack.core.NameTable;
 import sandstack.core.Relay;
-import sandstack.core.Terms;
 import sandstack.decisions.Decisions.ListKind;
 import sandstack.decisions.Decisions.Phase;
 import sandstack.decisions.Decisions.Repeat;
@@ -67,7 +67,8 @@
                 .tipMultiple(3)
                 .tipAfter(1_500_000)
                 .build();
-        relay = new Relay(new Terms(settings, CLASSES, true), Stated.Book.EMPTY, Limits.NONE, 5, loop::now, () -> {});
+        relay = new Relay(
+                new EffectiveSettings(settings, CLASSES, true), Stated.Book.EMPTY, Limits.NONE, 5, loop::now, () -> {});
         loop.start(relay::turn, relay::nextTurn);
         port = new PlatformFront(loop, relay, new ConnectionAdmission(loop, relay.deadlines(), 400))
                 .listen("127.0.0.1", 0);
--- a/src/test/java/sandstack/front/platform/HeldRelay.java
+++ b/src/test/java/sandstack/front/platform/HeldRelay.java
@@ -20,9 +20,9 @@
 import java.util.function.BooleanSupplier;
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
+import sandstack.core.EffectiveSettings;
 import sandstack.core.NameTable;
 import sandstack.core.Relay;
-import sandstack.core.Terms;
 import sandstack.decisions.Decisions.ListKind;
 import sandstack.decisions.Decisions.Phase;
 import sandstack.decisions.Decisions.Repeat;
@@ -118,7 +118,7 @@
                 1_500_000,
                 false);
         relay = new Relay(
-                new Terms(settings, List.of("safe", "unsafe"), false),
+                new EffectiveSettings(settings, List.of("safe", "unsafe"), false),
                 Stated.Book.EMPTY,
                 Limits.NONE,
                 5,
--- a/src/test/java/sandstack/scenario/Stage.java
+++ b/src/test/java/sandstack/scenario/Stage.java
@@ -13,9 +13,9 @@
 import java.util.function.Supplier;
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
+import sandstack.core.EffectiveSettings;
 import sandstack.core.NameTable;
 import sandstack.core.Relay;
-import sandstack.core.Terms;
 import sandstack.decisions.Decisions.ListKind;
 import sandstack.decisions.Decisions.Phase;
 import sandstack.decisions.Decisions.Repeat;
@@ -64,7 +64,13 @@
                 .tipMultiple(3)
                 .tipAfter(1_500_000)
                 .build();
-        relay = new Relay(new Terms(settings, CLASSES, true), Stated.Book.EMPTY, Limits.NONE, 11, loop::now, () -> {});
+        relay = new Relay(
+                new EffectiveSettings(settings, CLASSES, true),
+                Stated.Book.EMPTY,
+                Limits.NONE,
+                11,
+                loop::now,
+                () -> {});
         loop.start(relay::turn, relay::nextTurn);
         ConnectionAdmission lobby = new ConnectionAdmission(loop, relay.deadlines(), SOCKETS);
         port = amqp
