--- a/src/main/java/sandstack/capacity/Capacity.java
+++ b/src/main/java/sandstack/capacity/Capacity.java
@@ -35,6 +35,8 @@
     }
 
     /**
+     * Creates an estimate of what is stated, without evidence.
+     *
      * @param slot the length of a slot, in microseconds
      * @param relays how many relays place connections at the same servers
      * @param sized ratings are sizes: of servers of which nobody states anything the platform's pages do
@@ -118,6 +120,7 @@
         counts(load);
     }
 
+    /** A standing connection has ended. */
     public void left() {
         count = Math.max(0, count - 1);
     }
--- a/src/main/java/sandstack/capacity/ClassLoads.java
+++ b/src/main/java/sandstack/capacity/ClassLoads.java
@@ -23,6 +23,7 @@
         shed = Arrays.copyOf(shed, count);
     }
 
+    /** A connection of class {@code c} told its load. */
     public void told(int c, double load) {
         mean[c] += (load - mean[c]) * (mean[c] == 0 ? 1 : TOLD);
     }
@@ -37,6 +38,7 @@
         Arrays.fill(held, 0);
     }
 
+    /** Adds one load to what class {@code c} holds, since {@link #clear}. */
     public void holds(int c, double load) {
         held[c] += load;
     }
--- a/src/main/java/sandstack/capacity/Counted.java
+++ b/src/main/java/sandstack/capacity/Counted.java
@@ -12,6 +12,7 @@
     private final Map<String, Integer> groups = new HashMap<>();
     private int all;
 
+    /** Creates counters at 0, held against these limits. */
     public Counted(Limits limits) {
         this.limits = limits;
     }
@@ -26,6 +27,7 @@
                 : null;
     }
 
+    /** One request has arrived; a group of null is of no group. */
     public void entered(String group) {
         all++;
         if (group != null && limits.group() > 0) {
@@ -33,6 +35,7 @@
         }
     }
 
+    /** One request has ended, with the group that it entered with. */
     public void left(String group) {
         all--;
         if (group != null && limits.group() > 0) {
--- a/src/main/java/sandstack/capacity/Estimate.java
+++ b/src/main/java/sandstack/capacity/Estimate.java
@@ -57,6 +57,7 @@
         return standing + out;
     }
 
+    /** Connections that stand here. */
     public int standing() {
         return standing;
     }
@@ -127,6 +128,7 @@
 
     // ---- what happens -----------------------------------------------------------------------------
 
+    /** An attempt to set up one more connection goes out. */
     public void sent() {
         connections.sent(standing + out, 1);
         if (load.known()) {
@@ -164,6 +166,7 @@
         counts(to, 1);
     }
 
+    /** A standing connection has ended; its load as last told, 0 where it told none. */
     public void left(double weight) {
         standing = Math.max(0, standing - 1);
         counts(weight, -1);
--- a/src/main/java/sandstack/capacity/Gate.java
+++ b/src/main/java/sandstack/capacity/Gate.java
@@ -11,7 +11,11 @@
     private double tokens;
     private long at;
 
-    /** @param perSecond set-ups a second; 0 lets everything through */
+    /**
+     * Creates a gate whose bucket is full at {@code now}, in microseconds.
+     *
+     * @param perSecond set-ups a second; 0 lets everything through
+     */
     public Gate(double perSecond, long now) {
         this.perMicro = perSecond / 1e6;
         this.depth = Math.max(1, perSecond * DEPTH_SECONDS);
@@ -19,6 +23,7 @@
         this.at = now;
     }
 
+    /** Whether one set-up may pass at {@code now}, in microseconds; takes nothing from the bucket. */
     public boolean open(long now) {
         if (perMicro <= 0) {
             return true;
@@ -28,6 +33,7 @@
         return tokens >= 1;
     }
 
+    /** One set-up has passed: takes a token from the bucket. */
     public void through() {
         tokens -= 1;
     }
--- a/src/main/java/sandstack/capacity/Limits.java
+++ b/src/main/java/sandstack/capacity/Limits.java
@@ -9,6 +9,7 @@
  * @param setups set-ups a second at one feed server
  */
 public record Limits(int relay, int server, int group, double setups) {
+    /** No limits. */
     public static final Limits NONE = new Limits(0, 0, 0, 0);
 
     /** Refuses what makes no sense with an {@link IllegalArgumentException} that names the value. */
--- a/src/main/java/sandstack/capacity/Stated.java
+++ b/src/main/java/sandstack/capacity/Stated.java
@@ -46,12 +46,15 @@
      * @param kinds by the position that server lists give as the kind
      */
     public record Book(Stated other, List<Stated> kinds) {
+        /** Nothing is stated of any kind. */
         public static final Book EMPTY = new Book(NOTHING, List.of());
 
+        /** Copies the list. */
         public Book {
             kinds = List.copyOf(kinds);
         }
 
+        /** What is stated for this machine kind; {@link #other} for one that is not in the list. */
         public Stated of(int kind) {
             return kind >= 0 && kind < kinds.size() ? kinds.get(kind) : other;
         }
--- a/src/main/java/sandstack/capacity/Survey.java
+++ b/src/main/java/sandstack/capacity/Survey.java
@@ -18,7 +18,11 @@
     private int limited;
     private int open;
 
-    /** @param worth of each class */
+    /**
+     * Creates a survey that has seen no server yet.
+     *
+     * @param worth of each class
+     */
     public Survey(double[] worth) {
         part = new double[worth.length];
         for (int c = 0; c < worth.length; c++) {
--- a/src/main/java/sandstack/capacity/TenantShares.java
+++ b/src/main/java/sandstack/capacity/TenantShares.java
@@ -11,7 +11,11 @@
     private double[] held = quota;
     private double[] excess = quota;
 
-    /** @param connections within the share of each tenant, over all relays; those before keep what is known of them */
+    /**
+     * Takes the shares of the tenants, by their positions.
+     *
+     * @param connections within the share of each tenant, over all relays; those before keep what is known of them
+     */
     public void tenantsAre(double[] connections) {
         quota = connections.clone();
         held = new double[quota.length];
--- a/src/main/java/sandstack/decisions/Brain.java
+++ b/src/main/java/sandstack/decisions/Brain.java
@@ -33,7 +33,7 @@
     private final Map<String, Request> requests = new LinkedHashMap<>();
     private long nextLook;
 
-    /** @param book what an operator knows of the servers; @param limits what the installation allows */
+    /** Creates a module at {@code now}, in microseconds; the book states what is known of the servers. */
     public Brain(Settings settings, Stated.Book book, Limits limits, long seed, long now) {
         set = settings;
         f = new Frame(settings, book, limits, seed, now);
--- a/src/main/java/sandstack/decisions/Decisions.java
+++ b/src/main/java/sandstack/decisions/Decisions.java
@@ -17,15 +17,21 @@
 
     /** What repeating a request does. */
     public enum Repeat {
+        /** Repeats do no harm. */
         SAFE,
+        /** Repeats do no harm at servers that drop them by the request's key; see {@link Scope}. */
         KEYED,
+        /** A repeat may do harm: never sent again once an attempt may have run. */
         UNSAFE
     }
 
     /** For keyed requests: the servers that drop each other's repeats. */
     public enum Scope {
+        /** All servers. */
         ALL,
+        /** The servers of one zone. */
         ZONE,
+        /** The servers of one cell of one zone. */
         CELL;
 
         /** Whether a server of that zone and cell drops what one of this zone and cell has seen. */
@@ -36,16 +42,23 @@
 
     /** State of a server in the list: takes work, finishes what it has, or taken away. */
     public enum Phase {
+        /** Takes new work. */
         READY,
+        /** Finishes what it has and takes nothing new. */
         DRAINING,
+        /** Taken away. */
         GONE
     }
 
     /** What a server list event brings. SAVED is the last list held before a restart; it may be old. */
     public enum ListKind {
+        /** All servers there are; one that is missing is gone. */
         FULL,
+        /** Only the servers that have changed. */
         CHANGES,
+        /** The last list held before a restart; it may be old. */
         SAVED,
+        /** The ask or the watch has failed; there is no list. */
         FAILED
     }
 
@@ -167,6 +180,7 @@
             long tipAfter,
             boolean sized) {
 
+        /** Checks the values; an {@link IllegalArgumentException} names the one that is out of range. */
         public Settings {
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
@@ -212,10 +226,12 @@
             return classes.stream().mapToLong(RequestClass::aim).min().orElseThrow();
         }
 
+        /** The least deadline of any class, in microseconds. */
         public long shortestDeadline() {
             return classes.stream().mapToLong(RequestClass::deadline).min().orElseThrow();
         }
 
+        /** The greatest deadline of any class, in microseconds. */
         public long longestDeadline() {
             return classes.stream().mapToLong(RequestClass::deadline).max().orElseThrow();
         }
--- a/src/main/java/sandstack/decisions/Request.java
+++ b/src/main/java/sandstack/decisions/Request.java
@@ -10,6 +10,7 @@
 
 /** One client connection, from its arrival to its end. */
 final class Request {
+    /** Whether it is held here, out at a server as an attempt, or open. */
     enum State {
         HELD,
         OUT,
--- a/src/main/java/sandstack/random/BoundedMap.java
+++ b/src/main/java/sandstack/random/BoundedMap.java
@@ -9,6 +9,7 @@
 
     private final int most;
 
+    /** Creates an empty map that holds {@code most} keys at most. */
     public BoundedMap(int most) {
         this.most = most;
     }
