--- a/src/main/java/sandstack/Main.java
+++ b/src/main/java/sandstack/Main.java
@@ -42,6 +42,7 @@
         return new Service(PlatformConfig.load(env, kinds), env, files(), capacity, kinds);
     }
 
+    /** Runs the command that the arguments name; exits with 2 for bad usage or settings, 1 for other failures. */
     public static void main(String[] args) {
         boolean serves = args.length == 1 || args.length == 3 && args[1].equals("--capacity");
         if (!serves || !args[0].equals("serve") && !args[0].equals("rehearse")) {
--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -87,6 +87,8 @@
     }
 
     /**
+     * Creates a service that does not listen yet.
+     *
      * @param env where the configuration was read from, and is read from again
      * @param kinds has learned the machine kinds of the configuration
      */
--- a/src/main/java/sandstack/benchlink/Link.java
+++ b/src/main/java/sandstack/benchlink/Link.java
@@ -39,11 +39,16 @@
     private final List<List<ServerEntry>> tables = new ArrayList<>();
     private final EventReader reader = new EventReader();
 
+    /** Creates a link whose instances are told nothing of the servers beforehand. */
     public Link() {
         this(CapacityFile.NONE);
     }
 
-    /** @param capacity what every instance is told of the servers */
+    /**
+     * Creates a link whose instances are all told the same of the servers beforehand.
+     *
+     * @param capacity what every instance is told of the servers
+     */
     public Link(CapacityFile capacity) {
         this.capacity = capacity;
         for (int i = 0; i < TABLES; i++) {
--- a/src/main/java/sandstack/benchlink/WireException.java
+++ b/src/main/java/sandstack/benchlink/WireException.java
@@ -4,6 +4,7 @@
 public final class WireException extends Exception {
     private static final long serialVersionUID = 1L;
 
+    /** Creates the error; its message is one line. */
     public WireException(String message) {
         super(message);
     }
--- a/src/main/java/sandstack/config/BadSettings.java
+++ b/src/main/java/sandstack/config/BadSettings.java
@@ -4,6 +4,7 @@
 public final class BadSettings extends Exception {
     private static final long serialVersionUID = 1L;
 
+    /** Creates the error; its message is one line that names file, key and value. */
     public BadSettings(String message) {
         super(message);
     }
--- a/src/main/java/sandstack/config/FleetFile.java
+++ b/src/main/java/sandstack/config/FleetFile.java
@@ -28,7 +28,9 @@
         List<String> members,
         Set<String> relays,
         Map<String, String> via) {
+    /** The file's name in the folder of our own files. */
     public static final String FILE = "fleet.toml";
+
     private static final Set<String> KEYS =
             Set.of("enabled", "installation", "listen", "machine", "members", "relays", "via");
     private static final int MOST_MEMBERS = 1_000;
--- a/src/main/java/sandstack/config/MachineKinds.java
+++ b/src/main/java/sandstack/config/MachineKinds.java
@@ -11,7 +11,11 @@
     private static final int MOST = 64;
     private final List<String> names;
 
-    /** @param named the kinds that the operator has named */
+    /**
+     * Creates a list of kinds whose first positions are given, in this order.
+     *
+     * @param named the kinds that the operator has named
+     */
     public MachineKinds(List<String> named) {
         names = new ArrayList<>(named);
     }
--- a/src/main/java/sandstack/config/NameTableJson.java
+++ b/src/main/java/sandstack/config/NameTableJson.java
@@ -19,7 +19,11 @@
     private final List<String> zones;
     private final MachineKinds kinds;
 
-    /** @param zones names of the settings' zones, in their order */
+    /**
+     * Creates a reader for these zones; machine kinds that it meets are added to {@code kinds}.
+     *
+     * @param zones names of the settings' zones, in their order
+     */
     public NameTableJson(List<String> zones, MachineKinds kinds) {
         this.zones = zones;
         this.kinds = kinds;
--- a/src/main/java/sandstack/config/OwnFiles.java
+++ b/src/main/java/sandstack/config/OwnFiles.java
@@ -13,6 +13,7 @@
 public final class OwnFiles {
     private final Path folder;
 
+    /** Creates a view of the files in this folder; each is read when it is asked for. */
     public OwnFiles(Path folder) {
         this.folder = folder;
     }
--- a/src/main/java/sandstack/console/Commands.java
+++ b/src/main/java/sandstack/console/Commands.java
@@ -31,6 +31,8 @@
     private final Map<String, Function<String, List<String>>> withWord = new LinkedHashMap<>();
 
     /**
+     * Creates the commands of this relay.
+     *
      * @param loop runs what is given on the relay's thread
      * @param listeners a line for each address at which the relay listens
      * @param drain begins to take the relay out of service
--- a/src/main/java/sandstack/console/Console.java
+++ b/src/main/java/sandstack/console/Console.java
@@ -18,6 +18,7 @@
 public final class Console {
     private final Commands commands;
 
+    /** Creates a console that answers with these commands; {@link #run} starts it. */
     public Console(Commands commands) {
         this.commands = commands;
     }
--- a/src/main/java/sandstack/core/Deadlines.java
+++ b/src/main/java/sandstack/core/Deadlines.java
@@ -18,6 +18,7 @@
             this.task = task;
         }
 
+        /** Calls it off; without effect once it has run or was called off before. */
         public void cancel() {
             sorted.remove(this);
         }
@@ -48,6 +49,7 @@
         return sorted.isEmpty() ? Long.MAX_VALUE : sorted.first().due;
     }
 
+    /** How many are set. */
     public int size() {
         return sorted.size();
     }
--- a/src/main/java/sandstack/core/EffectiveSettings.java
+++ b/src/main/java/sandstack/core/EffectiveSettings.java
@@ -22,6 +22,7 @@
     /** Classes that ever were, over all reloads of one process: each costs memory for as long as it runs. */
     public static final int MOST_CLASSES = 256;
 
+    /** Copies the collections. */
     public EffectiveSettings {
         classes = List.copyOf(classes);
         offered = Set.copyOf(offered);
--- a/src/main/java/sandstack/core/Execution.java
+++ b/src/main/java/sandstack/core/Execution.java
@@ -16,6 +16,7 @@
 
     private static final long LAST_LOOK = 1_000;
 
+    /** Whether the connection is being made, stands, or has ended. */
     private enum State {
         OUT,
         STANDING,
@@ -176,18 +177,22 @@
         }
     }
 
+    /** Whether the connection stands. */
     public boolean standing() {
         return state == State.STANDING;
     }
 
+    /** Whether it has ended, in whatever way. */
     public boolean over() {
         return state == State.OVER;
     }
 
+    /** The client that it serves. */
     public ServiceClient client() {
         return client;
     }
 
+    /** The feed server, as it was listed when the execution began. */
     public NameTable.Line server() {
         return server;
     }
@@ -197,6 +202,7 @@
         return number;
     }
 
+    /** When it began, in microseconds of the relay's clock. */
     public long began() {
         return began;
     }
--- a/src/main/java/sandstack/core/NameTable.java
+++ b/src/main/java/sandstack/core/NameTable.java
@@ -61,6 +61,7 @@
         return lines.get(server);
     }
 
+    /** The lines of all listed feed servers; a view that follows the table. */
     public Collection<Line> lines() {
         return lines.values();
     }
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -81,6 +81,8 @@
     private final Draining draining;
 
     /**
+     * Creates a relay without statements of an operator and without limits; classes are named by their numbers.
+     *
      * @param clock microseconds that never go back
      * @param watch asks discovery for changes; answered by {@link #listed} or {@link #listFailed}
      */
@@ -89,6 +91,8 @@
     }
 
     /**
+     * Creates a relay that knows no feed servers yet.
+     *
      * @param book what an operator knows of the feed servers
      * @param limits what the installation allows
      */
@@ -488,6 +492,7 @@
         return clock.getAsLong();
     }
 
+    /** The deadlines that each turn sweeps. */
     public Deadlines deadlines() {
         return deadlines;
     }
@@ -513,10 +518,12 @@
         return figures.lines(clients.size(), names.lines().size(), (int) ejected);
     }
 
+    /** The feed servers as discovery listed them. */
     public NameTable names() {
         return names;
     }
 
+    /** The tenants by name. */
     public Tenants tenants() {
         return tenants;
     }
--- a/src/main/java/sandstack/core/Tenants.java
+++ b/src/main/java/sandstack/core/Tenants.java
@@ -41,6 +41,7 @@
         return -1;
     }
 
+    /** A copy of all tenants, by position; one that is no longer listed has a share of 0. */
     public List<Entry> entries() {
         return List.copyOf(entries);
     }
--- a/src/main/java/sandstack/directory/TenantDirectory.java
+++ b/src/main/java/sandstack/directory/TenantDirectory.java
@@ -71,12 +71,17 @@
     });
     private boolean reached = true;
 
-    /** @param told takes each list that was read, on the directory's thread */
+    /**
+     * Creates a reader, which reads nothing before {@link #start}.
+     *
+     * @param told takes each list that was read, on the directory's thread
+     */
     public TenantDirectory(Where where, Consumer<List<Tenants.Entry>> told) {
         this.where = where;
         this.told = told;
     }
 
+    /** Reads the directory at once and then at its refresh interval, until it is closed. */
     public void start() {
         thread.scheduleWithFixedDelay(this::refresh, 0, where.refreshMillis(), TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/sandstack/front/amqp/AmqpFront.java
+++ b/src/main/java/sandstack/front/amqp/AmqpFront.java
@@ -31,7 +31,11 @@
     private final Map<LinkId, AmqpClient> holders = new HashMap<>();
     private final Map<LinkId, Deliveries> broken = new BoundedMap<>(MOST_REMEMBERED);
 
-    /** @param container what the relay calls itself to clients */
+    /**
+     * Creates a front that does not listen yet.
+     *
+     * @param container what the relay calls itself to clients
+     */
     public AmqpFront(Loop loop, Relay relay, ConnectionAdmission lobby, String container) {
         this.loop = loop;
         this.relay = relay;
--- a/src/main/java/sandstack/front/amqp/Pipe.java
+++ b/src/main/java/sandstack/front/amqp/Pipe.java
@@ -30,6 +30,8 @@
     private IncomingDelivery reading;
 
     /**
+     * Creates a pipe from the receiver to the sender.
+     *
      * @param deliveries keeps what became of each delivery; null where nobody will ask
      * @param before what became of those of an earlier connection of this link
      */
--- a/src/main/java/sandstack/front/operators/OperatorDoor.java
+++ b/src/main/java/sandstack/front/operators/OperatorDoor.java
@@ -34,6 +34,8 @@
     private final Set<Caller> callers = new LinkedHashSet<>();
 
     /**
+     * Creates a door that does not listen yet.
+     *
      * @param hindrance why this process cannot serve; null once it can
      * @param figures the figures, a line each
      */
--- a/src/main/java/sandstack/front/platform/LoadLines.java
+++ b/src/main/java/sandstack/front/platform/LoadLines.java
@@ -29,7 +29,11 @@
     private final BooleanSupplier delaysTold;
     private final Map<String, Long> toldAt = new HashMap<>();
 
-    /** @param delaysTold whether feed servers tell delays at all, as the settings have it now */
+    /**
+     * Creates a reader that has been told no figure yet.
+     *
+     * @param delaysTold whether feed servers tell delays at all, as the settings have it now
+     */
     LoadLines(BooleanSupplier delaysTold) {
         this.delaysTold = delaysTold;
     }
--- a/src/main/java/sandstack/front/platform/PlatformClient.java
+++ b/src/main/java/sandstack/front/platform/PlatformClient.java
@@ -12,6 +12,7 @@
 final class PlatformClient extends ServiceClient implements Peer.Owner, ConnectionAdmission.Guest {
     private static final int LONGEST_LINE = 4096;
 
+    /** How far the client has come. */
     private enum State {
         FIRST_LINE,
         WAITING,
@@ -87,7 +88,11 @@
         relay.take(this, command);
     }
 
-    /** @param asked what the client asked for; null where that is not known */
+    /**
+     * Answers input that cannot be read, and counts it as turned back where the command is known.
+     *
+     * @param asked what the client asked for; null where that is not known
+     */
     private void badInput(ClientRequest asked) {
         Refusal nack = new Refusal(Refusal.Kind.BAD_INPUT, 0);
         if (asked != null) {
--- a/src/main/java/sandstack/front/platform/PlatformFront.java
+++ b/src/main/java/sandstack/front/platform/PlatformFront.java
@@ -22,6 +22,7 @@
     private final LoadLines loadLines;
     private Loop.Listener listener;
 
+    /** Creates a front that does not listen yet. */
     public PlatformFront(Loop loop, Relay relay, ConnectionAdmission lobby) {
         this.loop = loop;
         this.relay = relay;
--- a/src/main/java/sandstack/nametable/DiscoveryWatch.java
+++ b/src/main/java/sandstack/nametable/DiscoveryWatch.java
@@ -45,6 +45,7 @@
     /** Whether the name table's version is one of this address's: another's count on their own. */
     private boolean versionKnownHere = true;
 
+    /** Creates a watch on this address, which is not asked before {@link #ask}. */
     public DiscoveryWatch(Loop loop, Relay relay, Address discovery, NameTableJson form) {
         this.loop = loop;
         this.relay = relay;
--- a/src/main/java/sandstack/net/ConnectionAdmission.java
+++ b/src/main/java/sandstack/net/ConnectionAdmission.java
@@ -44,6 +44,7 @@
         default void gone() {}
     }
 
+    /** A peer's guest and when its time runs out. */
     private record Stay(Guest guest, Deadline until) {}
 
     private final Deadlines deadlines;
@@ -54,7 +55,11 @@
     private final Map<Peer, Stay> leaving = new LinkedHashMap<>();
     private boolean makingRoom;
 
-    /** @param most descriptors that sockets of clients and feed servers may take together */
+    /**
+     * Creates an admission without peers.
+     *
+     * @param most descriptors that sockets of clients and feed servers may take together
+     */
     public ConnectionAdmission(Loop loop, Deadlines deadlines, int most) {
         this.loop = loop;
         this.deadlines = deadlines;
--- a/src/main/java/sandstack/net/Loop.java
+++ b/src/main/java/sandstack/net/Loop.java
@@ -41,20 +41,25 @@
 
     /** Told of a connection with rings that was being made. */
     public interface Connecting {
+        /** The connection is made. */
         void connected(Peer peer);
 
+        /** The connection could not be made. */
         void failed();
     }
 
     /** Told of a connection with a chain of its own that was being made. */
     public interface Dialled {
+        /** The connection is made. */
         void connected(Connection<?> connection);
 
+        /** The connection could not be made. */
         void failed();
     }
 
     /** A connection that is being made; it may be called off. */
     public interface Attempted {
+        /** Calls it off: nobody is told of its end, and a connection that comes all the same is closed. */
         void cancel();
     }
 
@@ -76,6 +81,7 @@
     private Runnable turn;
     private LongSupplier nextTurn;
 
+    /** Creates a loop whose thread has not started; see {@link #start}. */
     public Loop() {
         transport = TCPNIOTransportBuilder.newInstance()
                 .setName("loop")
@@ -111,6 +117,7 @@
         transport.start();
     }
 
+    /** Closes all sockets and ends the thread. */
     public void stop() throws IOException {
         transport.shutdownNow();
     }
@@ -303,6 +310,7 @@
         }
     }
 
+    /** A connection that is being made, and who is told of it unless it is called off. */
     private final class Connector extends TCPNIOConnectorHandler implements Attempted {
         private Connection<?> connection;
         private boolean over;
--- a/src/main/java/sandstack/net/Peer.java
+++ b/src/main/java/sandstack/net/Peer.java
@@ -61,6 +61,7 @@
         return OF.get(connection);
     }
 
+    /** From now on this owner is told what the socket does. */
     public void ownedBy(Owner newOwner) {
         owner = newOwner;
     }
@@ -229,10 +230,12 @@
         return outEnded;
     }
 
+    /** Whether the socket is closed here. */
     public boolean closed() {
         return closed;
     }
 
+    /** Closes the socket at once; what has not been written is lost. Without effect where it is closed already. */
     public void close() {
         if (!closed) {
             closed = true;
--- a/src/main/java/sandstack/net/Ring.java
+++ b/src/main/java/sandstack/net/Ring.java
@@ -19,7 +19,11 @@
     private int head;
     private int size;
 
-    /** @param limit a power of two; {@link #append} alone may go beyond it */
+    /**
+     * Creates an empty ring, which takes no memory yet.
+     *
+     * @param limit a power of two; {@link #append} alone may go beyond it
+     */
     public Ring(int limit) {
         this.limit = limit;
     }
@@ -62,6 +66,7 @@
         size += count;
     }
 
+    /** Adds this text, one byte a character, whatever the limit says. */
     public void append(String text) {
         byte[] more = text.getBytes(StandardCharsets.ISO_8859_1);
         append(more, 0, more.length);
@@ -87,6 +92,7 @@
         }
     }
 
+    /** The byte at this position, from 0 to {@link #size} - 1. */
     public byte at(int i) {
         return bytes[(head + i) & (bytes.length - 1)];
     }
@@ -120,6 +126,7 @@
         return all;
     }
 
+    /** Drops the first bytes; {@code count} is at most {@link #size}. */
     public void skip(int count) {
         head = (head + count) & Math.max(0, bytes.length - 1);
         size -= count;
@@ -132,14 +139,17 @@
         release();
     }
 
+    /** How many bytes it holds. */
     public int size() {
         return size;
     }
 
+    /** How many bytes it takes until its limit; never negative. */
     public int room() {
         return Math.max(0, limit - size);
     }
 
+    /** Whether it holds nothing. */
     public boolean isEmpty() {
         return size == 0;
     }
