--- a/src/main/java/sandstack/fleet/FleetMessages.java
+++ b/src/main/java/sandstack/fleet/FleetMessages.java
@@ -43,6 +43,7 @@
         /** Ids that a list holds at most: more members than the library keeps. */
         static final int MOST_IDS = 1_000;
 
+        /** Copies the collections, null as empty; an {@link IllegalArgumentException} where a list is too long. */
         public News {
             values = values == null ? Map.of() : Map.copyOf(values);
             reached = reached == null ? Set.of() : Set.copyOf(reached);
--- a/src/main/java/sandstack/fleet/Incarnation.java
+++ b/src/main/java/sandstack/fleet/Incarnation.java
@@ -14,6 +14,7 @@
     /** Longer words are not told and not taken. */
     public static final int LONGEST = 200;
 
+    /** An {@link IllegalArgumentException} where a value is longer than {@link #LONGEST}. */
     public Incarnation {
         for (String word : List.of(id, name, zone, machine, address)) {
             if (word.length() > LONGEST) {
--- a/src/main/java/sandstack/fleet/MemberTable.java
+++ b/src/main/java/sandstack/fleet/MemberTable.java
@@ -22,6 +22,7 @@
 public final class MemberTable {
     static final int GONE_KEPT = 64;
 
+    /** What is held of one incarnation. */
     private static final class Entry {
         final Incarnation life;
         /** Whether the library holds it. */
@@ -62,12 +63,14 @@
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final Map<String, ReachReport> says = new HashMap<>();
 
+    /** Creates a table of this member alone, from {@code now} on. */
     public MemberTable(Incarnation self, long now) {
         this.self = self;
         this.began = now;
         added(self, now);
     }
 
+    /** This member's own incarnation. */
     public Incarnation self() {
         return self;
     }
--- a/src/main/java/sandstack/fleet/MemberValues.java
+++ b/src/main/java/sandstack/fleet/MemberValues.java
@@ -12,6 +12,7 @@
  * <p>One thread; O(1) a call but for the copy of a member's few values.
  */
 public final class MemberValues {
+    /** Values that one incarnation may tell at the same time. */
     public static final int MOST_KEYS = 16;
     /** Characters of a key and of a value. */
     public static final int LONGEST = 512;
@@ -24,6 +25,7 @@
     public record State(long number, Map<String, String> values) {
         static final State NONE = new State(0, Map.of());
 
+        /** Copies the values; an {@link IllegalArgumentException} where they are too many or too long. */
         public State {
             if (values.size() > MOST_KEYS) {
                 throw new IllegalArgumentException(values.size() + " values, " + MOST_KEYS + " at most");
@@ -47,6 +49,7 @@
     private final String self;
     private final Map<String, Held> held = new HashMap<>();
 
+    /** Creates an empty table; its own values are those of the incarnation with this id. */
     public MemberValues(String self) {
         this.self = self;
     }
--- a/src/main/java/sandstack/fleet/Membership.java
+++ b/src/main/java/sandstack/fleet/Membership.java
@@ -75,7 +75,11 @@
         this(self, Set.of(), now, chance);
     }
 
-    /** @param relays names of all relays that there are, as staff state them */
+    /**
+     * Creates a membership that has met no other member yet.
+     *
+     * @param relays names of all relays that there are, as staff state them
+     */
     public Membership(Incarnation self, Set<String> relays, long now, RandomGenerator chance) {
         grounds = new QuorumTracker(relays, self.name(), now);
         roster = new MemberTable(self, now);
--- a/src/main/java/sandstack/fleet/QuorumAssessment.java
+++ b/src/main/java/sandstack/fleet/QuorumAssessment.java
@@ -17,6 +17,7 @@
     /** Older than this, the member stood still meanwhile. */
     static final long FRESH = Membership.SLEPT;
 
+    /** Copies the lists. */
     public QuorumAssessment {
         with = List.copyOf(with);
         without = List.copyOf(without);
--- a/src/main/java/sandstack/fleet/QuorumTracker.java
+++ b/src/main/java/sandstack/fleet/QuorumTracker.java
@@ -33,7 +33,11 @@
     private long comingSince;
     private QuorumAssessment last;
 
-    /** @param relays names of all relays that staff say there are; none: they have not said */
+    /**
+     * Creates a tracker that is unsure at {@code now}.
+     *
+     * @param relays names of all relays that staff say there are; none: they have not said
+     */
     public QuorumTracker(Collection<String> relays, String self, long now) {
         stated.addAll(relays);
         this.self = self;
--- a/src/main/java/sandstack/fleet/ReachabilityProbe.java
+++ b/src/main/java/sandstack/fleet/ReachabilityProbe.java
@@ -25,6 +25,7 @@
     /** Questions in a row that decide. */
     static final int DECIDES = 2;
 
+    /** What the last questions to one member came to. */
     private static final class Count {
         int misses;
         int answers;
@@ -37,6 +38,7 @@
     private final List<String> round = new ArrayList<>();
     private long roundBegan = Long.MIN_VALUE / 2;
 
+    /** Creates a probe without members; {@code chance} draws the order of each round. */
     public ReachabilityProbe(RandomGenerator chance) {
         this.chance = chance;
     }
--- a/src/main/java/sandstack/fleet/link/FleetLink.java
+++ b/src/main/java/sandstack/fleet/link/FleetLink.java
@@ -74,14 +74,15 @@
     private static final long JOIN_AGAIN_MS = 500;
     /** Log lines about what is no word of ours, at most one in so long. */
     private static final long WARN_EVERY = 10_000_000;
-    /** The library's own detector; its suspicion lasts this many intervals times the logarithm of the members. */
     /** A card is asked for again at the next sync; a question that a cut holds back must not keep that from happening. */
     private static final int CARD_WITHIN = 500;
 
     private static final int PING_EVERY = 500;
     private static final int PING_WITHIN = 300;
     private static final int ASK_OTHERS = 3;
+    /** The library's own detector; its suspicion lasts this many intervals times the logarithm of the members. */
     private static final int SUSPICION = 3;
+
     private static final int SYNC_EVERY = 2_000;
 
     /** What a member does with another's calls of one kind. On the fleet's thread: it must not wait. */
@@ -109,6 +110,8 @@
     private int warnings;
 
     /**
+     * Creates a member that has not joined yet.
+     *
      * @param name the relay's
      * @param zone name of the zone in which it runs
      */
--- a/src/main/java/sandstack/handover/SiblingProcesses.java
+++ b/src/main/java/sandstack/handover/SiblingProcesses.java
@@ -43,12 +43,18 @@
     /** Asked for this process's state, told of the others'. */
     public interface Relay {
         /**
+         * Gives this process's state; called on the thread of this class, and may wait.
+         *
          * @param writtenList the number of the list that was written last
          * @return the state, with a null list where its number is still that
          */
         Own own(long writtenList) throws InterruptedException;
 
-        /** @param used descriptors that each of the others uses */
+        /**
+         * Tells of the other processes as they are now; called on the thread of this class.
+         *
+         * @param used descriptors that each of the others uses
+         */
         void others(List<Integer> used);
     }
 
@@ -63,6 +69,8 @@
     private volatile boolean over;
 
     /**
+     * Creates an object that writes and reads nothing yet.
+     *
      * @param folder shared by the processes of the relay
      * @param relay its name
      * @param clock Unix microseconds
--- a/src/main/java/sandstack/measure/MeasureEstimators.java
+++ b/src/main/java/sandstack/measure/MeasureEstimators.java
@@ -77,6 +77,10 @@
         }
     }
 
+    /**
+     * What one estimator came to on one course: the part of the room in use, and how many connections a second were
+     * turned away and shed.
+     */
     private record Result(double used, double wasted, double shed) {}
 
     @Override
--- a/src/main/java/sandstack/measure/MeasureFleet.java
+++ b/src/main/java/sandstack/measure/MeasureFleet.java
@@ -22,12 +22,14 @@
     /** Clock ticks of the system's process table a second. */
     private static final double TICKS = 100;
 
+    /** What is done to a member. */
     private enum Fault {
         KILL,
         CUT,
         PAUSE
     }
 
+    /** Times that were measured, in seconds. */
     private static final class Times {
         private final List<Double> seconds = new ArrayList<>();
 
--- a/src/main/java/sandstack/measure/OpenLoopLoad.java
+++ b/src/main/java/sandstack/measure/OpenLoopLoad.java
@@ -38,7 +38,11 @@
     private long moved;
     private long late;
 
-    /** @param groups how many groups clients belong to; the first is the largest */
+    /**
+     * Creates a load without clients.
+     *
+     * @param groups how many groups clients belong to; the first is the largest
+     */
     OpenLoopLoad(StandInLoop yard, long seed, List<Integer> ports, int groups) {
         this.yard = yard;
         this.chance = new SplittableRandom(seed);
--- a/src/main/java/sandstack/rig/FleetRig.java
+++ b/src/main/java/sandstack/rig/FleetRig.java
@@ -89,6 +89,7 @@
         return host(i) + ":" + ports[i];
     }
 
+    /** How many members there are, started or not. */
     public int size() {
         return size;
     }
@@ -166,6 +167,7 @@
         return members[i];
     }
 
+    /** Kills a member's process, without a word to the others. */
     public void kill(int i) {
         members[i].close();
     }
@@ -176,10 +178,12 @@
         members[i].ended(20);
     }
 
+    /** Stops a member's process from running until it is resumed. */
     public void pause(int i) throws IOException {
         members[i].pause();
     }
 
+    /** Lets a paused member's process run again. */
     public void resume(int i) throws IOException {
         members[i].resume();
     }
--- a/src/main/java/sandstack/rig/PairLink.java
+++ b/src/main/java/sandstack/rig/PairLink.java
@@ -37,7 +37,7 @@
 
     private long passed;
 
-    /** Leads to this address; is called on the yard's thread. */
+    /** Leads to this address; is called on the loop's thread. */
     PairLink(StandInLoop yard, String host, int to, long seed) throws IOException {
         this.yard = yard;
         this.host = host;
--- a/src/main/java/sandstack/standin/Discovery.java
+++ b/src/main/java/sandstack/standin/Discovery.java
@@ -57,6 +57,7 @@
         yard.after(EMPTY_LINE_EVERY, this::beat);
     }
 
+    /** The port at which it listens. */
     public int port() {
         return port;
     }
@@ -77,7 +78,11 @@
         }
     }
 
-    /** Lists this feed server, or tells that it has changed. @param state ready, draining or gone */
+    /**
+     * Lists this feed server, or tells that it has changed.
+     *
+     * @param state ready, draining or gone
+     */
     public void list(FeedServer server, String model, double hint, String state) {
         targets.put(server.uid(), new Target(server, model, hint, state, server.bootedAt() / 1000, ++rev));
         long from = rev - 1;
--- a/src/main/java/sandstack/standin/FeedServer.java
+++ b/src/main/java/sandstack/standin/FeedServer.java
@@ -58,6 +58,7 @@
     private long syntax;
     private double busy;
 
+    /** One piece of work, in microseconds of a standard core, and what follows once it is done. */
     private record Job(long work, Runnable done) {}
 
     /**
@@ -131,26 +132,32 @@
 
     // ---- what others see --------------------------------------------------------------------------
 
+    /** The id that discovery lists it by. */
     public String uid() {
         return uid;
     }
 
+    /** The name of its zone. */
     public String zone() {
         return zone;
     }
 
+    /** The port at which it listens. */
     public int port() {
         return port;
     }
 
+    /** The machine that it runs on. */
     public Machine machine() {
         return machine;
     }
 
+    /** When its process last started, in microseconds of its loop's clock; 0 where it has not restarted. */
     public long bootedAt() {
         return bootedAt;
     }
 
+    /** Whether it takes no new connections any more. */
     public boolean draining() {
         return draining;
     }
--- a/src/main/java/sandstack/standin/ShopClient.java
+++ b/src/main/java/sandstack/standin/ShopClient.java
@@ -12,12 +12,19 @@
 public final class ShopClient {
     /** What a client tells of itself. */
     public enum Happened {
+        /** The connection stands. */
         UP,
+        /** The relay refused it. */
         BUSY,
+        /** No connection, its end before an answer, or an answer that is none of the others. */
         FAILED,
+        /** No answer within its patience. */
         SILENT,
+        /** The standing connection was told to move. */
         MOVED,
+        /** The standing connection broke or was closed by the other side. */
         LOST,
+        /** The client ended it. */
         LEFT
     }
 
@@ -31,7 +38,6 @@
 
     private final StandInLoop yard;
     private final String key;
-    private final long patience;
     private final Consumer<Told> tells;
     private final Tap tap = new Tap();
     private Peer peer;
@@ -46,6 +52,7 @@
 
     /** Told of each line that came back and what it took, in microseconds. */
     public interface LineHeard {
+        /** A line came back, {@code took} microseconds after it was sent. */
         void heard(long took);
     }
 
@@ -60,7 +67,6 @@
             StandInLoop yard, int port, String id, String key, String values, long patience, Consumer<Told> tells) {
         this.yard = yard;
         this.key = key;
-        this.patience = patience;
         this.tells = tells;
         this.began = yard.now();
         this.silence = yard.after(patience, () -> ended(Happened.SILENT, 0));
@@ -79,10 +85,12 @@
         });
     }
 
+    /** The key that it asked with. */
     public String key() {
         return key;
     }
 
+    /** Whether its connection stands. */
     public boolean standing() {
         return up && !over;
     }
@@ -135,6 +143,7 @@
         tells.accept(new Told(this, what, yard.now() - began, comeBack));
     }
 
+    /** Reads what the relay sends. */
     private final class Tap implements Peer.Owner {
         @Override
         public void received(int count) {
--- a/src/main/java/sandstack/standin/StandInLoop.java
+++ b/src/main/java/sandstack/standin/StandInLoop.java
@@ -59,6 +59,7 @@
 
     /** What may fail to listen. */
     public interface Made<T> {
+        /** Makes it; called on the loop's thread. */
         T make() throws IOException;
     }
 
--- a/src/main/java/sandstack/standin/ZoneLink.java
+++ b/src/main/java/sandstack/standin/ZoneLink.java
@@ -22,6 +22,8 @@
     private boolean cut;
 
     /**
+     * Creates a link that listens at a port of the system's choice.
+     *
      * @param to port of the feed server
      * @param delay one way, in microseconds
      * @param jitter up to so much is added
@@ -43,6 +45,7 @@
                 .port();
     }
 
+    /** The port at which it listens. */
     public int port() {
         return port;
     }
