--- a/src/bench/java/sandstack/decisions/DecisionBenchmark.java
+++ b/src/bench/java/sandstack/decisions/DecisionBenchmark.java
@@ -35,6 +35,7 @@
     private long now = 1_000_000_000;
     private long asked;
 
+    /** Fills the module with servers and standing connections. */
     @Setup
     public void fill() {
         RequestClass cls = new RequestClass(500_000, 3_000_000, 5, Repeat.SAFE, Decisions.Scope.ALL, 0, 150_000);
--- a/src/test/java/sandstack/CommandLineTest.java
+++ b/src/test/java/sandstack/CommandLineTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 
+/** The command line: wrong usage, help and version. */
 class CommandLineTest {
     private final StringWriter said = new StringWriter();
 
--- a/src/test/java/sandstack/PushedListTest.java
+++ b/src/test/java/sandstack/PushedListTest.java
@@ -7,6 +7,7 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
@@ -61,15 +62,16 @@
 
     private void answer() throws Exception {
         watch = agent.accept();
-        BufferedReader in = new BufferedReader(new InputStreamReader(watch.getInputStream()));
+        BufferedReader in = new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.UTF_8));
         assertThat(in.readLine()).startsWith("GET /registry/instances?watch=1");
-        watch.getOutputStream().write(HEAD.getBytes());
+        watch.getOutputStream().write(HEAD.getBytes(StandardCharsets.UTF_8));
     }
 
     private void tell(int rev, String state) throws Exception {
         String text = "{\"rev\":" + rev + ",\"all\":true,\"targets\":[{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.1:9\","
                 + "\"az\":\"ulaanbaatar\",\"state\":\"" + state + "\",\"capacity_hint\":1,\"boot_ms\":0}]}\n";
-        watch.getOutputStream().write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes());
+        watch.getOutputStream()
+                .write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes(StandardCharsets.UTF_8));
     }
 
     private String untilLogged(String text) throws Exception {
--- a/src/test/java/sandstack/RareMomentsTest.java
+++ b/src/test/java/sandstack/RareMomentsTest.java
@@ -9,6 +9,7 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -83,7 +84,8 @@
             discovery.setSoTimeout(20_000);
             long back = System.nanoTime();
             try (Socket call = discovery.accept()) {
-                assertThat(new BufferedReader(new InputStreamReader(call.getInputStream())).readLine())
+                assertThat(new BufferedReader(new InputStreamReader(call.getInputStream(), StandardCharsets.UTF_8))
+                                .readLine())
                         .startsWith("GET /registry/instances?watch=1");
             }
             assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - back)).isLessThan(6_000);
@@ -115,8 +117,9 @@
         }
         for (int i = 0; i < 10; i++) {
             try (Socket front = new Socket(LOOPBACK, program.port("n" + i))) {
-                front.getOutputStream().write("PING\r\n".getBytes());
-                assertThat(new BufferedReader(new InputStreamReader(front.getInputStream())).readLine())
+                front.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.UTF_8));
+                assertThat(new BufferedReader(new InputStreamReader(front.getInputStream(), StandardCharsets.UTF_8))
+                                .readLine())
                         .isEqualTo("PONG");
             }
         }
--- a/src/test/java/sandstack/ReloadTest.java
+++ b/src/test/java/sandstack/ReloadTest.java
@@ -7,6 +7,7 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -88,7 +89,8 @@
     }
 
     private static String ask(ServerSocket discovery) throws Exception {
-        return new BufferedReader(new InputStreamReader(discovery.accept().getInputStream())).readLine();
+        return new BufferedReader(new InputStreamReader(discovery.accept().getInputStream(), StandardCharsets.UTF_8))
+                .readLine();
     }
 
     private void untilLogged(String text) throws Exception {
@@ -101,8 +103,8 @@
 
     private String call(String call) throws Exception {
         try (Socket socket = new Socket("127.0.0.1", door)) {
-            socket.getOutputStream().write((call + "\r\n").getBytes());
-            return new String(socket.getInputStream().readAllBytes());
+            socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.UTF_8));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
@@ -120,8 +122,10 @@
     /** The answer to a request of this class: its feed servers are not there, so a known class is refused. */
     private String open(String requestClass) throws Exception {
         try (Socket socket = new Socket("127.0.0.1", clients)) {
-            socket.getOutputStream().write(("OPEN i" + ++asked + " k c=" + requestClass + ",d=300\r\n").getBytes());
-            return new String(socket.getInputStream().readAllBytes());
+            socket.getOutputStream()
+                    .write(("OPEN i" + ++asked + " k c=" + requestClass + ",d=300\r\n")
+                            .getBytes(StandardCharsets.UTF_8));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
--- a/src/test/java/sandstack/SocketHolder.java
+++ b/src/test/java/sandstack/SocketHolder.java
@@ -8,6 +8,7 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.channels.ServerSocketChannel;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -45,7 +46,7 @@
                     .start();
             control = listening.accept();
         }
-        from = new BufferedReader(new InputStreamReader(control.getInputStream()));
+        from = new BufferedReader(new InputStreamReader(control.getInputStream(), StandardCharsets.UTF_8));
         to = new PrintStream(control.getOutputStream(), true);
         port = Integer.parseInt(from.readLine());
     }
@@ -85,7 +86,8 @@
         dup2.setAccessible(true);
         dup2.invoke(null, fd.getInt(listening), 0);
         try (Socket control = new Socket("127.0.0.1", Integer.parseInt(args[0]))) {
-            BufferedReader from = new BufferedReader(new InputStreamReader(control.getInputStream()));
+            BufferedReader from =
+                    new BufferedReader(new InputStreamReader(control.getInputStream(), StandardCharsets.UTF_8));
             PrintStream to = new PrintStream(control.getOutputStream(), true);
             to.println(((InetSocketAddress) listening.getLocalAddress()).getPort());
             for (String line = from.readLine(); line != null; line = from.readLine()) {
--- a/src/test/java/sandstack/UpgradeTest.java
+++ b/src/test/java/sandstack/UpgradeTest.java
@@ -7,6 +7,7 @@
 import java.io.InputStreamReader;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -104,8 +105,8 @@
 
     private static String call(int door, String call) {
         try (Socket socket = new Socket("127.0.0.1", door)) {
-            socket.getOutputStream().write((call + "\r\n").getBytes());
-            return new String(socket.getInputStream().readAllBytes());
+            socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.UTF_8));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             return "";
         }
@@ -115,10 +116,12 @@
     private void client(int number) throws Exception {
         Socket socket = new Socket("127.0.0.1", holder.port());
         socket.getOutputStream()
-                .write(("OPEN id" + number + " key" + number + " c=order-status,d=3000\r\n").getBytes());
+                .write(("OPEN id" + number + " key" + number + " c=order-status,d=3000\r\n")
+                        .getBytes(StandardCharsets.UTF_8));
         Thread thread = new Thread(() -> {
             try (socket) {
-                BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream()));
+                BufferedReader in =
+                        new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
                 String answer = in.readLine();
                 answers.add(String.valueOf(answer));
                 String last = answer;
@@ -223,7 +226,7 @@
             program.environment().put("PROXY_CONFIG", "examples/config.json");
             program.environment().put("PROXY_SOCKET_FD", descriptor);
             Process relay = program.start();
-            assertThat(new String(relay.getInputStream().readAllBytes()).lines())
+            assertThat(new String(relay.getInputStream().readAllBytes(), StandardCharsets.UTF_8).lines())
                     .hasSize(1)
                     .allMatch(line -> line.startsWith("serve: PROXY_SOCKET_FD is " + descriptor));
             assertThat(relay.waitFor()).isEqualTo(2);
--- a/src/test/java/sandstack/capacity/ColdBudgetTest.java
+++ b/src/test/java/sandstack/capacity/ColdBudgetTest.java
@@ -67,7 +67,10 @@
                     now = next;
                 }
                 int r = 0;
-                for (double at = chance.nextDouble(); r < relays - 1 && upTo[r] < at; r++) {}
+                double at = chance.nextDouble();
+                while (r < relays - 1 && upTo[r] < at) {
+                    r++;
+                }
                 ColdBudget budget = budgets[r];
                 if (budget.allowsCold(rule, 1, fill, true, first && !back, now, chance::nextDouble)) {
                     budget.spend(now);
--- a/src/test/java/sandstack/config/CapacityFileTest.java
+++ b/src/test/java/sandstack/config/CapacityFileTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** What an operator states of the feed servers, read from our own file and from one that a command names. */
 class CapacityFileTest {
     @TempDir
     Path folder;
--- a/src/test/java/sandstack/config/PlatformConfigTest.java
+++ b/src/test/java/sandstack/config/PlatformConfigTest.java
@@ -12,6 +12,7 @@
 import sandstack.decisions.Decisions.ListKind;
 import sandstack.decisions.Decisions.Phase;
 
+/** The platform's configuration and the variables that come before it. */
 class PlatformConfigTest {
     private static final Path EXAMPLE = Path.of("examples/config.json");
 
--- a/src/test/java/sandstack/console/ConsoleTest.java
+++ b/src/test/java/sandstack/console/ConsoleTest.java
@@ -21,6 +21,7 @@
 import sandstack.decisions.Decisions.*;
 import sandstack.settings.SettingsBuilder;
 
+/** The console without a terminal: a command a line in, its answer out. */
 class ConsoleTest {
     /** A client whose executions stand at once. */
     private static final class Standing extends ServiceClient {
--- a/src/test/java/sandstack/core/DeadlinesTest.java
+++ b/src/test/java/sandstack/core/DeadlinesTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** The order in which deadlines run. */
 class DeadlinesTest {
     private final Deadlines deadlines = new Deadlines();
     private final List<String> ran = new ArrayList<>();
--- a/src/test/java/sandstack/decisions/SourceTest.java
+++ b/src/test/java/sandstack/decisions/SourceTest.java
@@ -9,6 +9,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import org.junit.jupiter.api.Test;
 
 /** What the module's text must keep to, over all files that deploy/balancer.toml names as policy. */
@@ -43,7 +44,7 @@
     @Test
     void moduleKnowsNoDeploymentAndReadsNothingFromOutside() throws IOException {
         for (Path file : policy()) {
-            String text = Files.readString(file).toLowerCase().replace("clock, thread or", "");
+            String text = Files.readString(file).toLowerCase(Locale.ROOT).replace("clock, thread or", "");
             assertThat(text)
                     .as(file.toString())
                     .doesNotContain(
--- a/src/test/java/sandstack/decisions/World.java
+++ b/src/test/java/sandstack/decisions/World.java
@@ -89,6 +89,7 @@
         }
     }
 
+    /** Something to do at a time; {@code order} settles equal times. */
     private record Due(long at, long order, Runnable what) {}
 
     private final boolean bySight;
@@ -143,7 +144,10 @@
         w.relays.forEach(w::start);
         w.standing(clients, groups);
         w.run(1_000_000);
-        w.wanted = w.served = w.dropped = w.refused = 0;
+        w.wanted = 0;
+        w.served = 0;
+        w.dropped = 0;
+        w.refused = 0;
         return w;
     }
 
--- a/src/test/java/sandstack/directory/TenantDirectoryTest.java
+++ b/src/test/java/sandstack/directory/TenantDirectoryTest.java
@@ -13,6 +13,7 @@
 import sandstack.core.Tenants;
 import sandstack.directory.TenantDirectory.Where;
 
+/** Tenants read from a stand-in LDAP directory, also while it is away. */
 class TenantDirectoryTest {
     private static Where where(int port, String more) throws Exception {
         return Where.read(new TomlMapper()
--- a/src/test/java/sandstack/fleet/MembershipTest.java
+++ b/src/test/java/sandstack/fleet/MembershipTest.java
@@ -27,6 +27,7 @@
     /** The library gives a member up so long after nobody reaches it. */
     private static final long GIVES_UP = 6_000_000;
 
+    /** Something to do at a time; {@code order} settles equal times. */
     private record Due(long at, long order, Runnable what) {}
 
     /** The world: who lives, what passes, what is on its way. */
--- a/src/test/java/sandstack/front/operators/OperatorDoorTest.java
+++ b/src/test/java/sandstack/front/operators/OperatorDoorTest.java
@@ -4,6 +4,7 @@
 
 import java.io.IOException;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
@@ -13,6 +14,7 @@
 import sandstack.core.Deadlines;
 import sandstack.net.Loop;
 
+/** The operators' door: its answers, bad input and callers that say nothing. */
 @Timeout(20)
 class OperatorDoorTest {
     private final Loop loop = new Loop();
@@ -40,7 +42,7 @@
 
     private String call(String words) throws IOException {
         try (Socket socket = caller(words)) {
-            return new String(socket.getInputStream().readAllBytes());
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
@@ -69,7 +71,7 @@
     void answersACallThatEndsWithoutALineEnd() throws IOException {
         try (Socket socket = caller("PING")) {
             socket.shutdownOutput();
-            assertThat(new String(socket.getInputStream().readAllBytes()))
+            assertThat(new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
                     .isEqualTo("NAK the call has no line end\r\n");
         }
     }
@@ -85,8 +87,9 @@
         assertThat(System.nanoTime() - began).isLessThan(1_000_000_000L);
         // who came last is still there, and may say the rest of it
         Socket last = silent.get(49);
-        last.getOutputStream().write("NG\r\n".getBytes());
-        assertThat(new String(last.getInputStream().readAllBytes())).isEqualTo("ACK\r\n");
+        last.getOutputStream().write("NG\r\n".getBytes(StandardCharsets.UTF_8));
+        assertThat(new String(last.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
+                .isEqualTo("ACK\r\n");
         for (Socket socket : silent) {
             socket.close();
         }
--- a/src/test/java/sandstack/front/platform/FiguresTest.java
+++ b/src/test/java/sandstack/front/platform/FiguresTest.java
@@ -4,6 +4,7 @@
 
 import java.io.IOException;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashMap;
@@ -113,8 +114,8 @@
                 crowd.add(new Socket("127.0.0.1", door));
                 long began = System.nanoTime();
                 try (Socket caller = new Socket("127.0.0.1", door)) {
-                    caller.getOutputStream().write("INFO\r\n".getBytes());
-                    assertThat(new String(caller.getInputStream().readAllBytes()))
+                    caller.getOutputStream().write("INFO\r\n".getBytes(StandardCharsets.UTF_8));
+                    assertThat(new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
                             .startsWith("ACK\r\n")
                             .endsWith("--\r\n");
                 }
@@ -155,8 +156,9 @@
         // one whose class is known and whose request makes no sense, and one whose class is not known
         for (String words : List.of("OPEN x k c=light,d=1500\r\nmore\r\n", "OPEN y k c=none,d=1500\r\n")) {
             try (Socket socket = new Socket("127.0.0.1", port)) {
-                socket.getOutputStream().write(words.getBytes());
-                assertThat(new String(socket.getInputStream().readAllBytes())).isEqualTo("ERR\r\n");
+                socket.getOutputStream().write(words.getBytes(StandardCharsets.UTF_8));
+                assertThat(new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
+                        .isEqualTo("ERR\r\n");
             }
         }
         Map<String, Long> figures = figures();
--- a/src/test/java/sandstack/front/platform/LoadLinesTest.java
+++ b/src/test/java/sandstack/front/platform/LoadLinesTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Which figure of a feed server is a delay and which a load. */
 class LoadLinesTest {
     private static final long SECOND = 1_000_000;
     private final LoadLines lines = new LoadLines(() -> true);
--- a/src/test/java/sandstack/handover/SiblingProcessesTest.java
+++ b/src/test/java/sandstack/handover/SiblingProcessesTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Several processes of one relay that share a folder: what each knows of the others. */
 @Timeout(20)
 class SiblingProcessesTest {
     @TempDir
--- a/src/test/java/sandstack/rig/ScheduleTest.java
+++ b/src/test/java/sandstack/rig/ScheduleTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sandstack.config.BadSettings;
 
+/** Fault schedules: written, read back, and rejected with one line. */
 class ScheduleTest {
     @TempDir
     Path folder;
--- a/src/test/java/sandstack/scenario/AmqpActor.java
+++ b/src/test/java/sandstack/scenario/AmqpActor.java
@@ -5,6 +5,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
+import java.util.Locale;
 import java.util.Map;
 import org.apache.qpid.protonj2.buffer.ProtonBuffer;
 import org.apache.qpid.protonj2.buffer.ProtonBufferAllocator;
@@ -221,7 +222,7 @@
             delivery.deliveryStateUpdatedHandler(d -> {
                 String state = String.valueOf(d.getRemoteState());
                 events.add((d.isRemotelySettled() ? "settled " : "told ")
-                        + state.replaceAll("[^A-Za-z].*", "").toLowerCase());
+                        + state.replaceAll("[^A-Za-z].*", "").toLowerCase(Locale.ROOT));
                 if (d.isRemotelySettled()) {
                     d.settle();
                 }
--- a/src/test/java/sandstack/scenario/TextActor.java
+++ b/src/test/java/sandstack/scenario/TextActor.java
@@ -5,6 +5,7 @@
 import java.io.InputStreamReader;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.util.Locale;
 
 /** Speaks the platform's lines. */
 final class TextActor extends Actor {
@@ -23,7 +24,7 @@
                     case "ask" -> "OPEN id" + ++lastId + " " + words[1 + 1] + " c=" + words[1] + ",d=" + words[3]
                             + ",g=g1" + (words.length > 4 ? "," + words[4] : "");
                     case "up" -> "UP receipt";
-                    case "bye", "move", "busy" -> words[0].toUpperCase();
+                    case "bye", "move", "busy" -> words[0].toUpperCase(Locale.ROOT);
                     case "error" -> "ERR";
                     case "line" -> what.substring(5);
                     case "raw" -> what.substring(4)
@@ -51,7 +52,7 @@
             events.add(
                     switch (words[0]) {
                         case "OPEN" -> "ask " + words[3].substring(2);
-                        case "UP", "MOVE", "BYE", "PONG" -> words[0].toLowerCase();
+                        case "UP", "MOVE", "BYE", "PONG" -> words[0].toLowerCase(Locale.ROOT);
                         case "ERR" -> "error";
                         case "BUSY" -> words.length > 1 && Integer.parseInt(words[1]) > 0 ? "busy later" : "busy";
                         default -> "line " + line;
