--- a/src/main/java/sandstack/measure/RelayProcess.java
+++ b/src/main/java/sandstack/measure/RelayProcess.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -27,7 +26,7 @@
  * A real relay in a process of its own, started as {@code run} of deploy/balancer.toml says, with a configuration and
  * a deploy folder of its own in a temporary folder. One thread reads what it logs.
  */
-final class RelayProcess implements AutoCloseable {
+public final class RelayProcess implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Pattern LISTENS = Pattern.compile("listens for lines at [^ ]*:([0-9]+)$");
     private static final long START_SECONDS = 20;
@@ -42,7 +41,7 @@
      * @param files the files of its deploy folder: names and texts
      * @param options of the virtual machine, after those of {@code run}
      */
-    record Setup(
+    public record Setup(
             String name,
             int me,
             int relays,
@@ -60,7 +59,7 @@
     private final Queue<String> log = new ConcurrentLinkedQueue<>();
 
     /** Starts a relay from this jar and waits until it listens. */
-    RelayProcess(Path jar, Setup setup) throws IOException {
+    public RelayProcess(Path jar, Setup setup) throws IOException {
         folder = Files.createTempDirectory("sandstack-relay");
         Path deploy = Files.createDirectory(folder.resolve("deploy"));
         for (Map.Entry<String, String> file : setup.files().entrySet()) {
@@ -68,10 +67,7 @@
         }
         Path config =
                 Files.writeString(folder.resolve("config.json"), config(setup).toString());
-        String run = new TomlMapper()
-                .readTree(Files.readString(Path.of("deploy/balancer.toml")))
-                .path("run")
-                .asText();
+        String run = RunCommand.read();
         String options = "-Dsandstack.deploy=" + deploy + " " + String.join(" ", setup.options());
         run = run.replaceFirst(" --capacity \\S+", ""); // it goes by its own folder
         // the class archive belongs to one jar; without it the relay only starts later
@@ -162,22 +158,33 @@
         return root;
     }
 
-    int port() {
+    /** The port at which it listens for lines. */
+    public int port() {
         return port;
     }
 
     /** What it has logged, oldest first. */
-    List<String> log() {
+    public List<String> log() {
         return List.copyOf(log);
     }
 
+    /** The number of its process. */
+    public long pid() {
+        return process.pid();
+    }
+
+    /** Whether its process is there yet. */
+    public boolean alive() {
+        return process.isAlive();
+    }
+
     /** Asks it to stop, as the platform does. */
-    void stop() {
+    public void stop() {
         process.destroy();
     }
 
     /** Waits until it has ended; false where it has not by then. */
-    boolean ended(long seconds) throws InterruptedException {
+    public boolean ended(long seconds) throws InterruptedException {
         return process.waitFor(seconds, TimeUnit.SECONDS);
     }
 
--- a/src/main/java/sandstack/measure/Site.java
+++ b/src/main/java/sandstack/measure/Site.java
@@ -11,20 +11,28 @@
 import sandstack.standin.StandInLoop;
 
 /** Feed servers, discovery and relays for one measurement, in one zone. Closing it ends all of them. */
-final class Site implements AutoCloseable {
+public final class Site implements AutoCloseable {
     private static final int SOCKETS = 20_000;
 
+    private final int sockets;
     private final StandInLoop yard = new StandInLoop();
     private final Discovery discovery;
     private final List<FeedServer> servers = new ArrayList<>();
     private final List<RelayProcess> relays = new ArrayList<>();
 
-    Site() throws IOException {
+    /** With relays that may use as many descriptors as a process usually has here. */
+    public Site() throws IOException {
+        this(SOCKETS);
+    }
+
+    /** @param sockets descriptors that the configuration of each relay allows it */
+    public Site(int sockets) throws IOException {
+        this.sockets = sockets;
         discovery = yard.make(() -> new Discovery(yard));
     }
 
     /** Adds a feed server and lists it as ready. */
-    FeedServer server(String model, double hint, Machine machine) {
+    public FeedServer server(String model, double hint, Machine machine) {
         return yard.make(() -> {
             FeedServer server = new FeedServer(yard, "s" + servers.size(), "home", machine);
             servers.add(server);
@@ -34,7 +42,7 @@
     }
 
     /** Starts so many relays from this jar, with these files of their own. */
-    void relays(Path jar, int count, Map<String, String> files, List<String> options) throws IOException {
+    public void relays(Path jar, int count, Map<String, String> files, List<String> options) throws IOException {
         for (int i = 0; i < count; i++) {
             relays.add(new RelayProcess(
                     jar,
@@ -46,20 +54,27 @@
                             0,
                             discovery.port(),
                             yard.on(discovery::known),
-                            SOCKETS,
+                            sockets,
                             files,
                             options)));
         }
     }
 
-    StandInLoop yard() {
+    /** The thread of all stand-ins here. */
+    public StandInLoop yard() {
         return yard;
     }
 
-    List<FeedServer> servers() {
+    /** The feed servers, in the order in which they were added. */
+    public List<FeedServer> servers() {
         return servers;
     }
 
+    /** The relays, in the order in which they were started. */
+    public List<RelayProcess> relays() {
+        return List.copyOf(relays);
+    }
+
     List<Integer> ports() {
         return relays.stream().map(RelayProcess::port).toList();
     }
--- a/src/main/java/sandstack/nametable/ListStream.java
+++ b/src/main/java/sandstack/nametable/ListStream.java
@@ -16,7 +16,7 @@
  * in pieces of any size. Owned by its watch, on the loop's thread; time is linear in the bytes, memory is that of one
  * object, which may be so many bytes long and no longer.
  */
-final class ListStream {
+public final class ListStream {
     /** The whole list of a large site is far below this. */
     private static final int LONGEST = 4 << 20;
 
@@ -28,7 +28,8 @@
     private int depth;
     private long length;
 
-    ListStream() {
+    /** A stream of which nothing has been heard. */
+    public ListStream() {
         try {
             parser = new JsonFactory().createNonBlockingByteArrayParser();
         } catch (IOException e) {
@@ -38,12 +39,12 @@
     }
 
     /** Whether an object has begun and not ended. */
-    boolean partial() {
+    public boolean partial() {
         return depth > 0;
     }
 
     /** Takes what came; returns the objects that it completes, in order. */
-    List<JsonNode> heard(byte[] bytes) throws IOException {
+    public List<JsonNode> heard(byte[] bytes) throws IOException {
         List<JsonNode> whole = new ArrayList<>(1);
         length += bytes.length;
         feeder.feedInput(bytes, 0, bytes.length);
--- a/src/main/java/sandstack/standin/Discovery.java
+++ b/src/main/java/sandstack/standin/Discovery.java
@@ -1,14 +1,10 @@
 package sandstack.standin;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import org.glassfish.grizzly.filterchain.BaseFilter;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
@@ -21,19 +17,14 @@
  * while it is down. Each relay may be told addresses of its own. Lives on its yard's thread; a change costs O(watches).
  */
 public final class Discovery {
-    private static final ObjectMapper JSON = new ObjectMapper();
     private static final long EMPTY_LINE_EVERY = 2_000_000;
     private static final int LONGEST_REQUEST = 8192;
 
-    /** One feed server as it is told. */
-    private record Target(FeedServer server, String model, double hint, String state, long bootMillis, long rev) {}
-
     private final StandInLoop yard;
     private final int port;
-    private final Map<String, Target> targets = new LinkedHashMap<>();
+    private final InstanceList instances = new InstanceList();
     private final Set<Call> watches = new LinkedHashSet<>();
     private final Set<Call> calls = new LinkedHashSet<>();
-    private long rev = 1;
     private long delay;
     private boolean down;
 
@@ -84,34 +75,21 @@
      * @param state ready, draining or gone
      */
     public void list(FeedServer server, String model, double hint, String state) {
-        targets.put(server.uid(), new Target(server, model, hint, state, server.bootedAt() / 1000, ++rev));
-        long from = rev - 1;
+        long from = instances.revision();
+        instances.put(new InstanceList.Instance(
+                server.uid(),
+                StandInLoop.LOOPBACK + ":" + server.port(),
+                server.zone(),
+                model,
+                hint,
+                state,
+                server.bootedAt() / 1000));
         yard.after(delay, () -> Set.copyOf(watches).forEach(watch -> watch.tell(from)));
     }
 
     /** The whole list, as the object that a configuration holds under {@code known}. */
     public ObjectNode known() {
-        return object(-1);
-    }
-
-    private ObjectNode object(long from) {
-        ObjectNode object = JSON.createObjectNode();
-        object.put("rev", rev).put("all", from < 0);
-        ArrayNode list = object.putArray("targets");
-        for (Target t : targets.values()) {
-            if (t.rev() > from && (from >= 0 || !t.state().equals("gone"))) {
-                list.addObject()
-                        .put("uid", t.server().uid())
-                        .put("endpoint", StandInLoop.LOOPBACK + ":" + t.server().port())
-                        .put("az", t.server().zone())
-                        .put("model", t.model())
-                        .put("pod_group", 0)
-                        .put("state", t.state())
-                        .put("capacity_hint", t.hint())
-                        .put("boot_ms", t.bootMillis());
-            }
-        }
-        return object;
+        return instances.whole();
     }
 
     private void beat() {
@@ -161,14 +139,14 @@
                 watches.add(this);
                 tell(told);
             } else {
-                answer("200 OK", object(-1) + "\n");
+                answer("200 OK", instances.whole() + "\n");
             }
         }
 
         void tell(long from) {
             if (!peer.closed() && watches.contains(this)) {
-                chunk(object(Math.min(from, told)) + "\n");
-                told = rev;
+                chunk(instances.since(Math.min(from, told)) + "\n");
+                told = instances.revision();
             }
         }
 
--- a/src/main/java/sandstack/standin/FeedServer.java
+++ b/src/main/java/sandstack/standin/FeedServer.java
@@ -6,6 +6,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import org.glassfish.grizzly.filterchain.BaseFilter;
@@ -130,6 +131,17 @@
         }
     }
 
+    /** One standing connection, as the receiver of lines that the feed server sends by itself. */
+    public interface Subscriber {
+        /** Sends it this line, which ends with a line feed; false where the connection is over. */
+        boolean send(String line);
+    }
+
+    /** All connections that stand now. */
+    public List<Subscriber> subscribers() {
+        return List.copyOf(standing);
+    }
+
     // ---- what others see --------------------------------------------------------------------------
 
     /** The id that discovery lists it by. */
@@ -221,7 +233,7 @@
     }
 
     /** One connection, from its first line to its end. */
-    private final class Session implements Peer.Owner {
+    private final class Session implements Peer.Owner, Subscriber {
         final Peer peer;
         String values;
         long since;
@@ -256,6 +268,14 @@
             }
         }
 
+        @Override
+        public boolean send(String line) {
+            if (!over) {
+                peer.send(line);
+            }
+            return !over;
+        }
+
         private void echo(String line) {
             if (!over) {
                 peer.send(line);
--- /dev/null
+++ b/src/main/java/sandstack/standin/InstanceList.java
@@ -0,0 +1,77 @@
+package sandstack.standin;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * The list of feed servers that a discovery keeps, with a revision for each change, in the JSON form of its published
+ * protocol. No I/O and no clock; one thread; a change costs O(1), a list O(instances).
+ */
+public final class InstanceList {
+    /** The state of an instance that is listed no longer. */
+    public static final String GONE = "gone";
+
+    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final long FROM_THE_START = -1;
+
+    /**
+     * One feed server.
+     *
+     * @param endpoint host and port
+     * @param model kind of machine
+     * @param hint its size against others
+     * @param state ready, draining or gone
+     * @param bootMillis when its process started, in Unix milliseconds; 0 for long ago
+     */
+    public record Instance(
+            String uid, String endpoint, String zone, String model, double hint, String state, long bootMillis) {}
+
+    private record Listed(Instance instance, long revision) {}
+
+    private final Map<String, Listed> byUid = new LinkedHashMap<>();
+    private long revision = 1;
+
+    /** Lists this instance, or tells that it has changed. */
+    public void put(Instance instance) {
+        byUid.put(instance.uid(), new Listed(instance, ++revision));
+    }
+
+    /** The number of the last change. */
+    public long revision() {
+        return revision;
+    }
+
+    /** The whole list, without what is gone. */
+    public ObjectNode whole() {
+        return since(FROM_THE_START);
+    }
+
+    /** What has changed after this revision; the whole list for one below 0. */
+    public ObjectNode since(long from) {
+        boolean all = from < 0;
+        ObjectNode object = JSON.createObjectNode().put("rev", revision).put("all", all);
+        ArrayNode targets = object.putArray("targets");
+        for (Listed listed : byUid.values()) {
+            boolean gone = listed.instance().state().equals(GONE);
+            if (all ? !gone : listed.revision() > from) {
+                add(targets, listed.instance());
+            }
+        }
+        return object;
+    }
+
+    private static void add(ArrayNode targets, Instance instance) {
+        targets.addObject()
+                .put("uid", instance.uid())
+                .put("endpoint", instance.endpoint())
+                .put("az", instance.zone())
+                .put("model", instance.model())
+                .put("pod_group", 0)
+                .put("state", instance.state())
+                .put("capacity_hint", instance.hint())
+                .put("boot_ms", instance.bootMillis());
+    }
+}
--- a/src/main/java/sandstack/standin/ShopClient.java
+++ b/src/main/java/sandstack/standin/ShopClient.java
@@ -48,6 +48,7 @@
     private long lineEvery;
     private long sentAt;
     private LineHeard heard;
+    private Consumer<String> delivered;
     private Deadline silence;
 
     /** Told of each line that came back and what it took, in microseconds. */
@@ -102,6 +103,11 @@
         say();
     }
 
+    /** From now on tells each line that the feed server sends by itself. */
+    public void onDelivery(Consumer<String> listener) {
+        delivered = listener;
+    }
+
     private void say() {
         if (!standing()) {
             return;
@@ -125,6 +131,14 @@
         }
     }
 
+    /** Ends the connection by a reset, as a client whose process dies; its port is free at once. */
+    public void abort() {
+        if (!over && peer != null) {
+            peer.reset();
+        }
+        leave();
+    }
+
     private void ended(Happened what, long comeBack) {
         if (over) {
             return;
@@ -181,6 +195,8 @@
                 long took = yard.now() - sentAt;
                 sentAt = 0;
                 heard.heard(took);
+            } else if (delivered != null) {
+                delivered.accept(line);
             }
         }
 
