--- /dev/null
+++ b/src/main/java/sandstack/measure/scale/DiscoveryListScale.java
@@ -0,0 +1,161 @@
+package sandstack.measure.scale;
+
+import java.util.ArrayList;
+import java.util.List;
+import sandstack.measure.scale.Series.Point;
+
+/**
+ * What discovery's list costs: its bytes, the relay's work with it, and, reckoned, what all relays ask of one discovery.
+ * With {@link Effort#SMALL} no time and no heap is measured.
+ */
+public final class DiscoveryListScale implements ScaleMeasurement {
+    private static final String SERVERS = "feed servers";
+    private static final String RELAYS = "relays";
+    private static final int[] SERVERS_SMALL = {100, 200, 400};
+    private static final int[] SERVERS_QUICK = {100, 500, 1_000};
+    private static final int[] SERVERS_FULL = {100, 500, 1_000, 2_500, 5_000};
+    private static final int[] RELAYS_SMALL = {50, 100, 200};
+    private static final int[] RELAYS_ALL = {50, 200, 800, 2_400, 5_600};
+    private static final int SERVERS_IN_CHANGE = 1_000;
+
+    private static final long OUTAGE = 10_000_000;
+    private static final long SEED = 1;
+    /** A watch tells an empty line so often, as a chunk of six bytes. */
+    private static final double KEEPALIVES_A_SECOND = 0.5;
+
+    private static final int KEEPALIVE_BYTES = 6;
+
+    private static final String BYTES = "the list as the stand-in discovery writes it, counted";
+    private static final String TIME = "bytes in pieces of 8 KB through parser, name table and decision module, in a "
+            + "process of its own with compiler and collector of run; median of five rounds, processor time of its thread; ";
+    private static final String PROBE = "the same process; ";
+    private static final String RECKONED_CALLS =
+            "reckoned: the pauses of ListClock with ask_every_us of 10 s, drawn for each "
+                    + "relay, after all watches broke at once and discovery was away for 10 s; ";
+
+    @Override
+    public String name() {
+        return "discovery-list";
+    }
+
+    @Override
+    public List<Series> measure(Effort effort) throws Exception {
+        int[] servers =
+                switch (effort) {
+                    case SMALL -> SERVERS_SMALL;
+                    case QUICK -> SERVERS_QUICK;
+                    case FULL -> SERVERS_FULL;
+                };
+        List<Series> all = new ArrayList<>(bytes(servers));
+        all.addAll(reckoned(effort == Effort.SMALL ? RELAYS_SMALL : RELAYS_ALL));
+        if (effort != Effort.SMALL) {
+            all.addAll(inRelay(servers));
+        }
+        return all;
+    }
+
+    private static List<Series> bytes(int[] sizes) {
+        List<Point> whole = new ArrayList<>();
+        List<Point> change = new ArrayList<>();
+        for (int servers : sizes) {
+            SampleList list = new SampleList(servers);
+            whole.add(new Point(servers, list.whole().length));
+            list.change(0, SampleList.DRAINING);
+            change.add(new Point(servers, list.lastChange().length));
+        }
+        return List.of(
+                discovery("whole-list", Resource.NETWORK, "bytes", SERVERS, BYTES + ", whole", whole),
+                discovery("change", Resource.NETWORK, "bytes", SERVERS, BYTES + ", one feed server changed", change));
+    }
+
+    private static List<Series> reckoned(int[] sizes) {
+        SampleList list = new SampleList(SERVERS_IN_CHANGE);
+        list.change(0, SampleList.DRAINING);
+        int changeBytes = list.lastChange().length;
+        List<Point> fanOut = new ArrayList<>();
+        List<Point> keepalive = new ArrayList<>();
+        List<Point> whileDown = new ArrayList<>();
+        List<Point> firstSecond = new ArrayList<>();
+        for (int relays : sizes) {
+            fanOut.add(new Point(relays, (double) changeBytes * relays));
+            keepalive.add(new Point(relays, KEEPALIVES_A_SECOND * KEEPALIVE_BYTES * relays));
+            WatchOutage.Calls calls = new WatchOutage(DecisionDriver.ASK_WITHIN, OUTAGE, SEED).play(relays);
+            whileDown.add(new Point(relays, calls.perSecondWhileDown()));
+            firstSecond.add(new Point(relays, calls.inFirstSecond()));
+        }
+        return List.of(
+                discovery(
+                        "change-to-all",
+                        Resource.NETWORK,
+                        "bytes a change",
+                        RELAYS,
+                        "reckoned: the bytes of a change among " + SERVERS_IN_CHANGE
+                                + " feed servers times the relays, each " + "of which has a watch",
+                        fanOut),
+                discovery(
+                        "keepalive",
+                        Resource.NETWORK,
+                        "bytes a second",
+                        RELAYS,
+                        "reckoned: an empty line each 2 s on each watch; nothing else passes while nothing changes",
+                        keepalive),
+                discovery(
+                        "calls-while-down",
+                        Resource.MESSAGES,
+                        "calls a second",
+                        RELAYS,
+                        RECKONED_CALLS + "calls in that time, which all fail",
+                        whileDown),
+                discovery(
+                        "calls-after-outage",
+                        Resource.MESSAGES,
+                        "calls",
+                        RELAYS,
+                        RECKONED_CALLS + "calls in the first second after it",
+                        firstSecond));
+    }
+
+    private static Series discovery(
+            String id, Resource resource, String unit, String per, String method, List<Point> points) {
+        return new Series("discovery." + id, Role.DISCOVERY, resource, unit, per, method, points);
+    }
+
+    private static List<Series> inRelay(int[] sizes) throws Exception {
+        ProbeOutput output = ProbeProcess.run(ListProbe.class, sizes);
+        return List.of(
+                relay(
+                        "whole-time",
+                        Resource.PROCESSOR,
+                        "microseconds",
+                        TIME + "the whole list",
+                        output,
+                        ListProbe.WHOLE),
+                relay(
+                        "change-time",
+                        Resource.PROCESSOR,
+                        "microseconds",
+                        TIME + "a change of one",
+                        output,
+                        ListProbe.CHANGE),
+                relay(
+                        "heap",
+                        Resource.MEMORY,
+                        "bytes",
+                        PROBE + "heap of name table and decision module after a full collection",
+                        output,
+                        ListProbe.HEAP),
+                relay(
+                        "allocated",
+                        Resource.MEMORY,
+                        "bytes",
+                        PROBE + "bytes allocated while one whole list is read for the first time",
+                        output,
+                        ListProbe.ALLOCATED));
+    }
+
+    private static Series relay(
+            String id, Resource resource, String unit, String method, ProbeOutput output, String curve) {
+        return new Series(
+                "relay.list." + id, Role.RELAY_CONTROL, resource, unit, SERVERS, method, output.points(curve));
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/measure/scale/ProbeProcess.java
@@ -0,0 +1,46 @@
+package sandstack.measure.scale;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import sandstack.measure.RunCommand;
+
+/**
+ * Runs the main method of a class of this program in a process of its own, with compiler and collector as {@code run}
+ * has them: times and heaps are those of a relay, and nothing else uses the heap.
+ */
+final class ProbeProcess {
+    private static final List<String> HEAP = List.of("-Xmx1g", LiveHeap.COMPACT_ALWAYS);
+    private static final long WITHIN_SECONDS = 120;
+
+    private ProbeProcess() {}
+
+    /**
+     * Runs it to its end.
+     *
+     * @throws IOException where it fails; the message has the last line that it said
+     */
+    static ProbeOutput run(Class<?> probe, int... sizes) throws IOException, InterruptedException {
+        List<String> command = new ArrayList<>();
+        command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+        command.addAll(RunCommand.compilerAndCollector());
+        command.addAll(HEAP);
+        command.addAll(List.of("-cp", System.getProperty("java.class.path"), probe.getName()));
+        Arrays.stream(sizes).mapToObj(Integer::toString).forEach(command::add);
+        Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
+        try {
+            String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            List<String> lines = said.lines().toList();
+            if (!process.waitFor(WITHIN_SECONDS, TimeUnit.SECONDS) || process.exitValue() != 0) {
+                throw new IOException(probe.getSimpleName() + " failed: " + (lines.isEmpty() ? "" : lines.get(0)));
+            }
+            return ProbeOutput.read(lines);
+        } finally {
+            process.destroyForcibly();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
@@ -0,0 +1,167 @@
+package sandstack.measure.scale;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import sandstack.measure.scale.Series.Point;
+
+/**
+ * What it costs a real relay to pass one line from a feed server on to its client, how long that takes, and what
+ * connections cost while nothing passes.
+ */
+public final class RelayDeliveryScale implements ScaleMeasurement {
+    private static final String METHOD =
+            "one relay process as run starts it but with a heap of 512 MB, two stand-in feed "
+                    + "servers that send lines of " + DeliveryLoad.LINE_BYTES
+                    + " bytes to their clients in turn on loopback, ";
+    private static final String PROCESSOR_TIME =
+            "processor time of the relay's threads less that of an idle relay, over the lines that arrived";
+    private static final String DELAY = "from the feed server's writing to the client's reading, by HdrHistogram; both "
+            + "share one thread, whose hold-ups are in it";
+    private static final int[] QUICK = {500, 1_000, 2_000};
+    private static final int[] FULL = {1_000, 4_000, 9_000};
+    private static final long[] RATES_QUICK = {1_000, 4_000};
+    private static final long[] RATES_FULL = {1_000, 2_000, 4_000, 8_750};
+    /** The rate at which the number of connections varies. */
+    private static final long RATE = 2_000;
+
+    private static final long WARM_UP_MILLIS = 400;
+    private static final long DELIVER_MILLIS_QUICK = 400;
+    private static final long DELIVER_MILLIS_FULL = 5_000;
+    private static final long IDLE_MILLIS_QUICK = 300;
+    private static final long IDLE_MILLIS_FULL = 4_000;
+    private static final long ARRIVE_WITHIN_MILLIS = 100;
+
+    private final Path jar;
+
+    /** Measures the program that was built in the working directory. */
+    public RelayDeliveryScale() {
+        this(Path.of("target/sandstack.jar"));
+    }
+
+    /** @param jar the program that the relay is started from */
+    public RelayDeliveryScale(Path jar) {
+        this.jar = jar;
+    }
+
+    @Override
+    public String name() {
+        return "relay-delivery";
+    }
+
+    /** Points of the series that vary with one size. */
+    private static final class Curves {
+        final List<Point> processor = new ArrayList<>();
+        final List<Point> median = new ArrayList<>();
+        final List<Point> ninetyNinth = new ArrayList<>();
+
+        void add(double size, Sample sample) {
+            processor.add(new Point(size, sample.microsPerLine()));
+            median.add(new Point(size, sample.delays().median()));
+            ninetyNinth.add(new Point(size, sample.delays().ninetyNinth()));
+        }
+
+        List<Series> series(String by, String per, String method) {
+            return List.of(
+                    one(
+                            "processor" + by,
+                            Resource.PROCESSOR,
+                            "microseconds a delivery",
+                            per,
+                            method + PROCESSOR_TIME,
+                            processor),
+                    one(
+                            "delay-median" + by,
+                            Resource.LATENCY,
+                            "microseconds",
+                            per,
+                            method + "half of all: " + DELAY,
+                            median),
+                    one(
+                            "delay-99th" + by,
+                            Resource.LATENCY,
+                            "microseconds",
+                            per,
+                            method + "99 in 100: " + DELAY,
+                            ninetyNinth));
+        }
+    }
+
+    private record Sample(double microsPerLine, DeliveryLoad.Result delays) {}
+
+    /** Needs a process: with {@link Effort#SMALL} there is nothing that could be measured. */
+    @Override
+    public List<Series> measure(Effort effort) throws Exception {
+        if (effort == Effort.SMALL) {
+            return List.of();
+        }
+        boolean full = effort == Effort.FULL;
+        long millis = full ? DELIVER_MILLIS_FULL : DELIVER_MILLIS_QUICK;
+        List<Point> idle = new ArrayList<>();
+        Curves byConnections = new Curves();
+        Curves byRate = new Curves();
+        try (RelayUnderLoad load = new RelayUnderLoad(jar, RelayUnderLoad.ROOMY)) {
+            DeliveryLoad deliveries = load.yard().on(() -> new DeliveryLoad(load.yard(), load.clients()));
+            double idleMicros = 0;
+            for (int connections : full ? FULL : QUICK) {
+                load.standUp(connections);
+                if (full || idle.isEmpty()) {
+                    deliver(load, deliveries, RATE, WARM_UP_MILLIS, 0);
+                }
+                idleMicros = idle(load, full ? IDLE_MILLIS_FULL : IDLE_MILLIS_QUICK);
+                idle.add(new Point(connections, idleMicros));
+                byConnections.add(connections, deliver(load, deliveries, RATE, millis, idleMicros));
+            }
+            for (long rate : full ? RATES_FULL : RATES_QUICK) {
+                byRate.add(rate, deliver(load, deliveries, rate, millis, idleMicros));
+            }
+        }
+        List<Series> all = new ArrayList<>();
+        all.add(one(
+                "idle-processor",
+                Resource.PROCESSOR,
+                "microseconds a second",
+                "connections",
+                METHOD + "processor time of the relay's threads while nothing passes",
+                idle));
+        all.addAll(byConnections.series("", "connections", METHOD + RATE + " lines a second; "));
+        int most = full ? FULL[FULL.length - 1] : QUICK[QUICK.length - 1];
+        all.addAll(byRate.series("-by-rate", "deliveries a second", METHOD + most + " connections; "));
+        return all;
+    }
+
+    private static Series one(
+            String id, Resource resource, String unit, String per, String method, List<Point> points) {
+        return new Series("relay.delivery." + id, Role.RELAY_CONNECTIONS, resource, unit, per, method, points);
+    }
+
+    /** Processor time a second of a relay to which nothing happens, in microseconds. */
+    private static double idle(RelayUnderLoad load, long millis) throws IOException, InterruptedException {
+        ProcessUsage before = load.usage();
+        long began = System.nanoTime();
+        RelayUnderLoad.pause(millis);
+        double seconds = (System.nanoTime() - began) / 1e9;
+        return load.usage().processorMicrosSince(before) / seconds;
+    }
+
+    /** @param idleMicros processor time a second that counts for no line */
+    private static Sample deliver(
+            RelayUnderLoad load, DeliveryLoad deliveries, long rate, long millis, double idleMicros)
+            throws IOException, InterruptedException {
+        load.yard().run(deliveries::reset);
+        ProcessUsage before = load.usage();
+        long began = System.nanoTime();
+        load.yard().run(() -> deliveries.start(load.feedServers(), rate));
+        RelayUnderLoad.pause(millis);
+        load.yard().run(deliveries::stop);
+        RelayUnderLoad.pause(ARRIVE_WITHIN_MILLIS);
+        double idle = idleMicros * (System.nanoTime() - began) / 1e9;
+        double used = load.usage().processorMicrosSince(before) - idle;
+        DeliveryLoad.Result result = load.yard().on(deliveries::result);
+        if (result.arrived() < result.sent()) {
+            throw new IllegalStateException("deliveries that have not arrived: " + result);
+        }
+        return new Sample(used / result.arrived(), result);
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/measure/scale/RelaySetupScale.java
@@ -0,0 +1,81 @@
+package sandstack.measure.scale;
+
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import sandstack.measure.scale.Series.Point;
+
+/** What setting up one connection costs a real relay by the number of connections that stand there already. */
+public final class RelaySetupScale implements ScaleMeasurement {
+    private static final String PER = "connections";
+    private static final String METHOD =
+            "one relay process as run starts it but with a heap of 512 MB, two stand-in feed "
+                    + "servers on loopback, clients in a closed loop of 32 that connect, send their line, hear UP and stay; ";
+    private static final int[] QUICK = {200, 900, 1_600};
+    private static final int[] FULL = {500, 2_500, 5_000, 7_500};
+    private static final int WARM_UP_QUICK = 300;
+    private static final int WARM_UP_FULL = 2_000;
+    private static final int MEASURED_QUICK = 400;
+    private static final int MEASURED_FULL = 1_500;
+    private static final double NANOS_IN_SECOND = 1e9;
+
+    private final Path jar;
+
+    /** Measures the program that was built in the working directory. */
+    public RelaySetupScale() {
+        this(Path.of("target/sandstack.jar"));
+    }
+
+    /** @param jar the program that the relay is started from */
+    public RelaySetupScale(Path jar) {
+        this.jar = jar;
+    }
+
+    @Override
+    public String name() {
+        return "relay-setup";
+    }
+
+    /** Needs a process: with {@link Effort#SMALL} there is nothing that could be measured. */
+    @Override
+    public List<Series> measure(Effort effort) throws Exception {
+        if (effort == Effort.SMALL) {
+            return List.of();
+        }
+        boolean full = effort == Effort.FULL;
+        int measured = full ? MEASURED_FULL : MEASURED_QUICK;
+        List<Point> processor = new ArrayList<>();
+        List<Point> rate = new ArrayList<>();
+        try (RelayUnderLoad load = new RelayUnderLoad(jar, RelayUnderLoad.ROOMY)) {
+            load.warmUp(full ? WARM_UP_FULL : WARM_UP_QUICK);
+            for (int connections : full ? FULL : QUICK) {
+                load.standUp(connections);
+                ProcessUsage before = load.usage();
+                long began = System.nanoTime();
+                load.standUp(connections + measured);
+                double seconds = (System.nanoTime() - began) / NANOS_IN_SECOND;
+                double used = load.usage().processorMicrosSince(before);
+                processor.add(new Point(connections, used / measured));
+                rate.add(new Point(connections, measured / seconds));
+            }
+        }
+        return List.of(
+                new Series(
+                        "relay.setup.processor",
+                        Role.RELAY_PLACEMENT,
+                        Resource.PROCESSOR,
+                        "microseconds a set-up",
+                        PER,
+                        METHOD + "processor time of the relay's threads over the next " + measured + " set-ups",
+                        processor),
+                new Series(
+                        "relay.setup.rate",
+                        Role.RELAY_PLACEMENT,
+                        Resource.MESSAGES,
+                        "set-ups a second",
+                        PER,
+                        METHOD + "the next " + measured
+                                + " set-ups by wall clock; clients and feed servers share one thread",
+                        rate));
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/measure/scale/SampleList.java
@@ -0,0 +1,54 @@
+package sandstack.measure.scale;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Locale;
+import sandstack.standin.InstanceList;
+import sandstack.standin.InstanceList.Instance;
+
+/** A discovery's list with so many feed servers in four zones, in the form in which relays are told it. */
+final class SampleList {
+    static final List<String> ZONES = List.of("zone-a", "zone-b", "zone-c", "zone-d");
+    static final String READY = "ready";
+    static final String DRAINING = "draining";
+
+    private static final long BOOTED = 1_750_000_000_000L;
+    private static final int FIRST_PORT = 3_000;
+    private static final int SERVERS_IN_NETWORK = 250;
+
+    private final InstanceList list = new InstanceList();
+
+    SampleList(int servers) {
+        for (int i = 0; i < servers; i++) {
+            change(i, READY);
+        }
+    }
+
+    /** This feed server has another state. */
+    void change(int server, String state) {
+        String host = "10.1." + server / SERVERS_IN_NETWORK + "." + server % SERVERS_IN_NETWORK;
+        list.put(new Instance(
+                String.format(Locale.ROOT, "feed-%05d", server),
+                host + ":" + (FIRST_PORT + server % ZONES.size()),
+                ZONES.get(server % ZONES.size()),
+                "box-" + server % 2,
+                1,
+                state,
+                BOOTED + server));
+    }
+
+    /** The whole list as one line. */
+    byte[] whole() {
+        return line(list.whole());
+    }
+
+    /** The last change as one line. */
+    byte[] lastChange() {
+        return line(list.since(list.revision() - 1));
+    }
+
+    private static byte[] line(ObjectNode object) {
+        return (object + "\n").getBytes(StandardCharsets.UTF_8);
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/measure/scale/ProcessUsageTest.java
@@ -0,0 +1,73 @@
+package sandstack.measure.scale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import java.io.IOException;
+import java.nio.channels.FileChannel;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+class ProcessUsageTest {
+    private static final long OWN = ProcessHandle.current().pid();
+
+    @Test
+    void processorTimeGrowsByWhatAThreadWorks() throws IOException {
+        long micros = 200_000;
+        ProcessUsage before = ProcessUsage.of(OWN);
+        double began = ProbeClock.threadMicros();
+        while (ProbeClock.threadMicros() - began < micros) {
+            Thread.onSpinWait();
+        }
+        // the kernel brings the figure up to date at its ticks
+        assertThat(ProcessUsage.of(OWN).processorMicrosSince(before)).isGreaterThan(micros * 9 / 10);
+    }
+
+    @Test
+    void aThreadThatHasEndedTakesNothingAway() {
+        ProcessUsage before = new ProcessUsage(Map.of("1", 5_000L, "2", 90_000L), 0, 0);
+        ProcessUsage after = new ProcessUsage(Map.of("1", 7_000L, "3", 4_000L), 0, 0);
+
+        assertThat(after.processorMicrosSince(before)).isEqualTo(6);
+    }
+
+    @Test
+    void openFilesAreCounted() throws IOException {
+        int before = ProcessUsage.of(OWN).descriptors();
+        List<FileChannel> open = new ArrayList<>();
+        try {
+            for (int i = 0; i < 50; i++) {
+                open.add(FileChannel.open(Path.of("/dev/null")));
+            }
+            assertThat(ProcessUsage.of(OWN).descriptors() - before).isBetween(45, 55);
+        } finally {
+            for (FileChannel channel : open) {
+                channel.close();
+            }
+        }
+    }
+
+    @Test
+    void residentMemoryIsThatOfAVirtualMachine() throws IOException {
+        assertThat(ProcessUsage.of(OWN).residentBytes()).isBetween(20L << 20, 8L << 30);
+    }
+
+    @Test
+    void aProcessThatIsNotThereIsAnError() {
+        assertThatThrownBy(() -> ProcessUsage.of(Integer.MAX_VALUE)).isInstanceOf(IOException.class);
+    }
+
+    @Test
+    void theHeapIsTheTotalOfTheHistogram() throws Exception {
+        assertThat(LiveHeap.total(" num     #instances         #bytes  class name (module)\n"
+                        + "   1:         14206        1230224  [B (java.base@17)\n"
+                        + "Total         97331        4973320\n"))
+                .isEqualTo(4973320);
+        assertThatThrownBy(() -> LiveHeap.total("1234:\nnot responding\n"))
+                .isInstanceOf(IOException.class)
+                .hasMessageContaining("1234:");
+    }
+}
