--- /dev/null
+++ b/src/main/java/sandstack/measure/scale/hollow/ThreadTime.java
@@ -0,0 +1,36 @@
+package sandstack.measure.scale.hollow;
+
+import java.lang.management.ManagementFactory;
+import java.lang.management.ThreadMXBean;
+
+/** Adds up the processor time that one piece of work takes of the calling thread. */
+final class ThreadTime {
+    private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
+
+    private long nanos;
+    private long calls;
+
+    void run(Runnable work) {
+        long began = THREADS.getCurrentThreadCpuTime();
+        work.run();
+        nanos += THREADS.getCurrentThreadCpuTime() - began;
+        calls++;
+    }
+
+    double millis() {
+        return nanos / 1e6;
+    }
+
+    long calls() {
+        return calls;
+    }
+
+    double millisEach() {
+        return calls == 0 ? 0 : millis() / calls;
+    }
+
+    void clear() {
+        nanos = 0;
+        calls = 0;
+    }
+}
