--- a/src/main/java/sandstack/measure/scale/storm/StormScale.java
+++ b/src/main/java/sandstack/measure/scale/storm/StormScale.java
@@ -205,7 +205,7 @@
     private List<Series> byRate(int sampled) {
         List<StormResult> results = new ArrayList<>();
         for (double rate : RATES) {
-            results.add(play(planned.withAccepts(rate), ClientBehaviour.SPREAD_THEN_ADVICE, sampled));
+            results.add(play(planned.withSetUps(rate), ClientBehaviour.SPREAD_THEN_ADVICE, sampled));
         }
         return List.of(
                 series(
@@ -259,9 +259,9 @@
                 "simulated: one zone of %d lost, %d clients a relay, %.0f set-ups a second and relay, refusals cost nothing"
                         + " but where it says so (then %.1f of a set-up), intervals of the decision module, -1 where"
                         + " clients are not back after two minutes",
-                planned.zones(),
-                planned.clientsEach(),
-                planned.acceptsEach(),
+                planned.fleet().zones(),
+                planned.fleet().clientsEach(),
+                planned.admission().setUps(),
                 REFUSAL_COST);
     }
 }
--- a/src/main/java/sandstack/measure/scale/storm/StormSetting.java
+++ b/src/main/java/sandstack/measure/scale/storm/StormSetting.java
@@ -1,175 +1,100 @@
 package sandstack.measure.scale.storm;
 
-/**
- * What a simulated return goes by. Times are in microseconds.
- *
- * @param relays of the fleet, over all zones
- * @param zones one of these is lost
- * @param clientsEach connections that each relay held
- * @param feedServers that accepted clients are passed on to
- * @param acceptsEach set-ups that one relay makes a second
- * @param refusalCost what a refusal costs a relay, as a part of a set-up
- * @param patience a relay keeps a client waiting no longer; whoever would wait longer is refused at once
- * @param slot the unit of the back-off's intervals
- * @param firstInterval number of the interval that follows the first refusal
- * @param longestInterval number of the longest interval: it spans two to the power of this many slots
- * @param earliest of the moments between which clients spread themselves
- * @param latest of these moments
- * @param connectTimeout how soon a client that waits for nothing comes again
- */
-public record StormSetting(
-        int relays,
-        int zones,
-        int clientsEach,
-        int feedServers,
-        double acceptsEach,
-        double refusalCost,
-        long patience,
-        long slot,
-        int firstInterval,
-        int longestInterval,
-        long earliest,
-        long latest,
-        long connectTimeout) {
-    private static final int PLANNED_RELAYS = 5_600;
-    private static final int PLANNED_ZONES = 8;
-    private static final int PLANNED_CLIENTS = 80_400;
-    private static final int PLANNED_FEED_SERVERS = 1_000;
+/** What a simulated return goes by. All times are in microseconds. */
+public record StormSetting(Fleet fleet, Admission admission, BackOff backOff, Clients clients) {
     /** Silent connections a second that half a core sets up (docs/ROADMAP.md, "Crowds"). */
     public static final double MEASURED_ACCEPTS = 570;
 
-    private static final long DEADLINE = 1_800_000;
-    /** A sixteenth of the tightest aim, 300 ms, as the decision module reckons it. */
-    private static final long SLOT = 18_750;
-    /** As the decision module has them. */
-    public static final int FIRST_INTERVAL = 1;
+    private static final Fleet PLANNED_FLEET = new Fleet(5_600, 8, 80_400, 1_000);
+    private static final Admission MEASURED_ADMISSION = new Admission(MEASURED_ACCEPTS, 0, 1_800_000);
+    /** As the decision module has it: a slot is a sixteenth of the tightest aim, 300 ms. */
+    private static final BackOff DECISION_MODULE = new BackOff(18_750, 1, 8);
 
-    public static final int LONGEST_INTERVAL = 8;
+    private static final Clients USUAL_CLIENTS = new Clients(150_000, 1_600_000, 100_000);
 
-    private static final long EARLIEST = 150_000;
-    private static final long LATEST = 1_600_000;
-    private static final long CONNECT_TIMEOUT = 100_000;
+    /**
+     * The fleet, of which one zone is lost.
+     *
+     * @param relays over all zones
+     * @param zones of equal size
+     * @param clientsEach connections that each relay held
+     * @param feedServers that accepted clients are passed on to
+     */
+    public record Fleet(int relays, int zones, int clientsEach, int feedServers) {}
+
+    /**
+     * What a relay takes.
+     *
+     * @param setUps that it makes a second
+     * @param refusalCost what a refusal costs it, as a part of a set-up
+     * @param patience it keeps a client waiting no longer; whoever would wait longer is refused at once
+     */
+    public record Admission(double setUps, double refusalCost, long patience) {}
+
+    /**
+     * The advice that goes with a refusal: interval n spans 2^n slots.
+     *
+     * @param slot length of a slot
+     * @param first the interval that follows a client's first refusal
+     * @param longest intervals grow no further
+     */
+    public record BackOff(long slot, int first, int longest) {}
+
+    /**
+     * What clients do of their own accord.
+     *
+     * @param earliest of the moments between which they spread themselves
+     * @param latest of these moments
+     * @param connectTimeout how soon a client that waits for nothing comes again
+     */
+    public record Clients(long earliest, long latest, long connectTimeout) {}
 
     /** The planned fleet with the measured rate of set-ups, where refusals cost nothing. */
     public static StormSetting planned() {
-        return new StormSetting(
-                PLANNED_RELAYS,
-                PLANNED_ZONES,
-                PLANNED_CLIENTS,
-                PLANNED_FEED_SERVERS,
-                MEASURED_ACCEPTS,
-                0,
-                DEADLINE,
-                SLOT,
-                FIRST_INTERVAL,
-                LONGEST_INTERVAL,
-                EARLIEST,
-                LATEST,
-                CONNECT_TIMEOUT);
+        return new StormSetting(PLANNED_FLEET, MEASURED_ADMISSION, DECISION_MODULE, USUAL_CLIENTS);
     }
 
     /** The same with another number of relays. */
-    public StormSetting withRelays(int count) {
-        return new StormSetting(
-                count,
-                zones,
-                clientsEach,
-                feedServers,
-                acceptsEach,
-                refusalCost,
-                patience,
-                slot,
-                firstInterval,
-                longestInterval,
-                earliest,
-                latest,
-                connectTimeout);
+    public StormSetting withRelays(int relays) {
+        Fleet other = new Fleet(relays, fleet.zones(), fleet.clientsEach(), fleet.feedServers());
+        return new StormSetting(other, admission, backOff, clients);
     }
 
     /** The same with another rate of set-ups. */
-    public StormSetting withAccepts(double each) {
-        return new StormSetting(
-                relays,
-                zones,
-                clientsEach,
-                feedServers,
-                each,
-                refusalCost,
-                patience,
-                slot,
-                firstInterval,
-                longestInterval,
-                earliest,
-                latest,
-                connectTimeout);
+    public StormSetting withSetUps(double aSecond) {
+        Admission other = new Admission(aSecond, admission.refusalCost(), admission.patience());
+        return new StormSetting(fleet, other, backOff, clients);
     }
 
     /** The same with refusals that cost this part of a set-up. */
     public StormSetting withRefusalCost(double part) {
-        return new StormSetting(
-                relays,
-                zones,
-                clientsEach,
-                feedServers,
-                acceptsEach,
-                part,
-                patience,
-                slot,
-                firstInterval,
-                longestInterval,
-                earliest,
-                latest,
-                connectTimeout);
+        Admission other = new Admission(admission.setUps(), part, admission.patience());
+        return new StormSetting(fleet, other, backOff, clients);
     }
 
     /** The same with another longest interval. */
-    public StormSetting withLongestInterval(int n) {
-        return new StormSetting(
-                relays,
-                zones,
-                clientsEach,
-                feedServers,
-                acceptsEach,
-                refusalCost,
-                patience,
-                slot,
-                firstInterval,
-                n,
-                earliest,
-                latest,
-                connectTimeout);
+    public StormSetting withLongestInterval(int longest) {
+        return new StormSetting(fleet, admission, new BackOff(backOff.slot(), backOff.first(), longest), clients);
     }
 
     /** The same with intervals that begin at this one. */
-    public StormSetting withFirstInterval(int n) {
-        return new StormSetting(
-                relays,
-                zones,
-                clientsEach,
-                feedServers,
-                acceptsEach,
-                refusalCost,
-                patience,
-                slot,
-                n,
-                Math.max(n, longestInterval),
-                earliest,
-                latest,
-                connectTimeout);
+    public StormSetting withFirstInterval(int first) {
+        BackOff other = new BackOff(backOff.slot(), first, Math.max(first, backOff.longest()));
+        return new StormSetting(fleet, admission, other, clients);
     }
 
     /** Relays of the zones that remain. */
     public int remaining() {
-        return relays - relays / zones;
+        return fleet.relays() - fleet.relays() / fleet.zones();
     }
 
     /** Clients that have to find another relay. */
     public long lostClients() {
-        return (long) (relays / zones) * clientsEach;
+        return (long) (fleet.relays() / fleet.zones()) * fleet.clientsEach();
     }
 
     /** Seconds that the remaining relays need at least, were no attempt wasted. */
     public double leastSeconds() {
-        return lostClients() / (remaining() * acceptsEach);
+        return lostClients() / (remaining() * admission.setUps());
     }
 }
--- a/src/main/java/sandstack/measure/scale/storm/StormSimulation.java
+++ b/src/main/java/sandstack/measure/scale/storm/StormSimulation.java
@@ -89,12 +89,12 @@
     }
 
     private long spread() {
-        return random.nextLong(setting.earliest(), setting.latest());
+        return random.nextLong(setting.clients().earliest(), setting.clients().latest());
     }
 
     /** Each relay sets up those that wait; time it spent on refusals is paid off first. */
     private void work(int second) {
-        double each = setting.acceptsEach() / STEPS_A_SECOND;
+        double each = setting.admission().setUps() / STEPS_A_SECOND;
         for (int relay = 0; relay < sampled; relay++) {
             credit[relay] += each;
             if (credit[relay] > 0) {
@@ -108,7 +108,7 @@
 
     private void attempt(int client, int relay, int step) {
         attempts++;
-        double room = setting.acceptsEach() * setting.patience() / 1e6;
+        double room = setting.admission().setUps() * setting.admission().patience() / 1e6;
         double owed = Math.max(0, -credit[relay]);
         if (backlog[relay] + owed + 1 <= room) {
             backlog[relay]++;
@@ -118,13 +118,13 @@
         }
         refusals++;
         // refusals cannot cost more time than there is: the rest of the crowd waits at the door of the system
-        credit[relay] = Math.max(credit[relay] - setting.refusalCost(), -room);
+        credit[relay] = Math.max(credit[relay] - setting.admission().refusalCost(), -room);
         due.add(step + 1, step(nextAttempt(client, step * STEP)), client);
     }
 
     private long nextAttempt(int client, long now) {
         return switch (behaviour) {
-            case AT_ONCE -> now + setting.connectTimeout();
+            case AT_ONCE -> now + setting.clients().connectTimeout();
             case SPREAD -> now + spread();
             case SPREAD_THEN_ADVICE, AT_ONCE_THEN_ADVICE -> advice(client, now);
         };
@@ -132,9 +132,9 @@
 
     /** The next interval begins where the present one ends and is twice as long; the moment is drawn over all of it. */
     private long advice(int client, long now) {
-        int next = Math.max(interval[client] + 1, setting.firstInterval());
-        interval[client] = (byte) Math.min(next, setting.longestInterval());
-        long length = setting.slot() << interval[client];
+        int next = Math.max(interval[client] + 1, setting.backOff().first());
+        interval[client] = (byte) Math.min(next, setting.backOff().longest());
+        long length = setting.backOff().slot() << interval[client];
         long begins = Math.max(now, intervalEnd[client]);
         intervalEnd[client] = begins + length;
         return begins + random.nextLong(length);
@@ -153,7 +153,7 @@
         int nearlyAll = -1;
         for (int second = 0; second < seconds; second++) {
             each[second] = attemptsBySecond[second] / (double) sampled;
-            if (each[second] > setting.acceptsEach()) {
+            if (each[second] > setting.admission().setUps()) {
                 over++;
                 lastOver = second + 1;
             }
@@ -173,6 +173,6 @@
                 accepted == interval.length ? steps / (double) STEPS_A_SECOND : -1,
                 attempts / (double) interval.length,
                 refusals / (double) interval.length,
-                mostSetUps * setting.remaining() / setting.feedServers());
+                mostSetUps * setting.remaining() / setting.fleet().feedServers());
     }
 }
--- a/src/test/java/sandstack/measure/scale/storm/StormSimulationTest.java
+++ b/src/test/java/sandstack/measure/scale/storm/StormSimulationTest.java
@@ -29,7 +29,8 @@
     @EnumSource(ClientBehaviour.class)
     void allComeBackWhereRefusalsCostNothingAndNoSoonerThanRelaysCanSetThemUp(ClientBehaviour behaviour) {
         StormResult result = play(PLANNED, behaviour);
-        assertThat(result.secondsAll()).isBetween(PLANNED.leastSeconds() - PLANNED.patience() / 1e6, 60.0);
+        assertThat(result.secondsAll())
+                .isBetween(PLANNED.leastSeconds() - PLANNED.admission().patience() / 1e6, 60.0);
         assertThat(result.attemptsEach()).isCloseTo(1 + result.refusalsEach(), within(1e-9));
         double attempts = 0;
         for (double second : result.attemptsBySecond()) {
@@ -37,7 +38,9 @@
         }
         double clientsEach = PLANNED.lostClients() / (double) PLANNED.remaining();
         assertThat(attempts / clientsEach).isBetween(0.999 * result.attemptsEach(), 1.001 * result.attemptsEach());
-        double mostSetUps = PLANNED.acceptsEach() * PLANNED.remaining() / PLANNED.feedServers();
+        double mostSetUps = PLANNED.admission().setUps()
+                * PLANNED.remaining()
+                / PLANNED.fleet().feedServers();
         assertThat(result.peakAtFeedServer()).isBetween(0.9 * mostSetUps, 1.001 * mostSetUps);
     }
 
