--- a/src/main/java/sandstack/measure/scale/hollow/EventQueue.java
+++ b/src/main/java/sandstack/measure/scale/hollow/EventQueue.java
@@ -5,6 +5,7 @@
 
 /** A simulated clock, in microseconds, and what is due on it. One thread; O(log events) an event. */
 final class EventQueue {
+    /** What is due at a moment; of two at one moment the one with the lower order is first. */
     private record Event(long at, long order, Runnable action) {}
 
     private final PriorityQueue<Event> events =
--- a/src/main/java/sandstack/measure/scale/hollow/FleetFaults.java
+++ b/src/main/java/sandstack/measure/scale/hollow/FleetFaults.java
@@ -42,7 +42,11 @@
     private final int size;
     private final long wallNanos;
 
-    /** @param wallSeconds of work that one fault may take */
+    /**
+     * Prepares fleets of a size.
+     *
+     * @param wallSeconds of work that one fault may take
+     */
     FleetFaults(int size, double wallSeconds) {
         this.size = size;
         this.wallNanos = (long) (wallSeconds * 1e9);
--- a/src/main/java/sandstack/measure/scale/hollow/HollowFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowFleetScale.java
@@ -39,6 +39,7 @@
     private static final long SEED = 4;
     private static final double MICROS_IN_SECOND = 1e6;
 
+    /** What one relay sends and does a second while nothing happens. */
     private record Steady(int relays, double messages, double bytes, double membershipMillis, long reportsInView) {}
 
     @Override
--- a/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
@@ -36,6 +36,7 @@
 
     private static final int SYSTEM_TIME = 12;
 
+    /** What one real member of a fleet costs, and how soon all know of a kill. */
     private record Figures(
             int relays, double bytes, double millis, double resident, double noticedSeconds, double givenUpSeconds) {}
 
@@ -46,7 +47,11 @@
         this(Path.of("target/sandstack.jar"));
     }
 
-    /** @param jar the program that members are started from */
+    /**
+     * Measures another build.
+     *
+     * @param jar the program that members are started from
+     */
     public RealFleetScale(Path jar) {
         this.jar = jar;
     }
--- a/src/main/java/sandstack/measure/scale/hollow/Traffic.java
+++ b/src/main/java/sandstack/measure/scale/hollow/Traffic.java
@@ -5,6 +5,7 @@
 
 /** Counts what all members of a fleet send. One thread; O(1) a message. */
 final class Traffic {
+    /** What was sent of one kind. */
     private static final class Count {
         private long messages;
         private long bytes;
--- a/src/main/java/sandstack/measure/scale/hollow/WireSizes.java
+++ b/src/main/java/sandstack/measure/scale/hollow/WireSizes.java
@@ -39,14 +39,17 @@
         return id + name + address + namespace;
     }
 
+    /** Of a ping. */
     public int ping() {
         return PING + 2 * member() + address;
     }
 
+    /** Of its acknowledgement. */
     public int pingAck() {
         return PING_ACK + 2 * member() + address;
     }
 
+    /** Of the request that another member pings. */
     public int pingRequest() {
         return PING_REQUEST + 2 * member() + address;
     }
@@ -56,6 +59,7 @@
         return SYNC + address + members * (RECORD + member());
     }
 
+    /** Of the table with which that is answered. */
     public int syncAck(int members) {
         return SYNC_ACK + address + members * (RECORD + member());
     }
@@ -65,10 +69,12 @@
         return RECORD_GOSSIP + member() + 2 * id + address;
     }
 
+    /** Of the question who a member is. */
     public int metadataRequest() {
         return METADATA_REQUEST + member() + address;
     }
 
+    /** Of its answer. */
     public int metadataResponse() {
         return METADATA_RESPONSE + member() + address + metadata;
     }
@@ -78,10 +84,12 @@
         return STATE_GOSSIP + 2 * id + address + text(body);
     }
 
+    /** Of a reachability probe with a body of so many bytes. */
     public int probe(int body) {
         return PROBE + address + text(body);
     }
 
+    /** Of its answer. */
     public int probeAnswer(int body) {
         return PROBE_ANSWER + address + text(body);
     }
--- a/src/main/java/sandstack/measure/scale/storm/StormScale.java
+++ b/src/main/java/sandstack/measure/scale/storm/StormScale.java
@@ -37,7 +37,11 @@
         this(StormSetting.planned());
     }
 
-    /** @param planned what is simulated at the planned size; other sizes differ in the number of relays alone */
+    /**
+     * Simulates another plan.
+     *
+     * @param planned what is simulated at the planned size; other sizes differ in the number of relays alone
+     */
     public StormScale(StormSetting planned) {
         this.planned = planned;
     }
--- a/src/main/java/sandstack/measure/scale/storm/StormSimulation.java
+++ b/src/main/java/sandstack/measure/scale/storm/StormSimulation.java
@@ -36,6 +36,8 @@
     private long accepted;
 
     /**
+     * Makes the relays and their clients; nobody comes yet.
+     *
      * @param sampledRelays so many of the remaining relays are played, with their part of the clients
      */
     public StormSimulation(StormSetting setting, ClientBehaviour behaviour, int sampledRelays, long seed) {
