--- a/src/main/java/sandstack/measure/Site.java
+++ b/src/main/java/sandstack/measure/Site.java
@@ -25,7 +25,11 @@
         this(SOCKETS);
     }
 
-    /** @param sockets descriptors that the configuration of each relay allows it */
+    /**
+     * Starts a discovery that lists no feed server yet.
+     *
+     * @param sockets descriptors that the configuration of each relay allows it
+     */
     public Site(int sockets) throws IOException {
         this.sockets = sockets;
         discovery = yard.make(() -> new Discovery(yard));
--- a/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
@@ -40,7 +40,11 @@
         this(Path.of("target/sandstack.jar"));
     }
 
-    /** @param jar the program that the relay is started from */
+    /**
+     * Measures relays of this program.
+     *
+     * @param jar the program that the relay is started from
+     */
     public RelayDeliveryScale(Path jar) {
         this.jar = jar;
     }
@@ -88,6 +92,7 @@
         }
     }
 
+    /** Processor time a line and the delays of one period. */
     private record Sample(double microsPerLine, DeliveryLoad.Result delays) {}
 
     /** Needs a process: with {@link Effort#SMALL} there is nothing that could be measured. */
@@ -145,7 +150,11 @@
         return load.usage().processorMicrosSince(before) / seconds;
     }
 
-    /** @param idleMicros processor time a second that counts for no line */
+    /**
+     * Delivers lines at a rate for a period.
+     *
+     * @param idleMicros processor time a second that counts for no line
+     */
     private static Sample deliver(
             RelayUnderLoad load, DeliveryLoad deliveries, long rate, long millis, double idleMicros)
             throws IOException, InterruptedException {
--- a/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
@@ -28,7 +28,11 @@
         this(Path.of("target/sandstack.jar"));
     }
 
-    /** @param jar the program that the relay is started from */
+    /**
+     * Measures relays of this program.
+     *
+     * @param jar the program that the relay is started from
+     */
     public RelayHeapLimitScale(Path jar) {
         this.jar = jar;
     }
--- a/src/main/java/sandstack/measure/scale/RelayMemoryScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayMemoryScale.java
@@ -22,7 +22,11 @@
         this(Path.of("target/sandstack.jar"));
     }
 
-    /** @param jar the program that the relay is started from */
+    /**
+     * Measures relays of this program.
+     *
+     * @param jar the program that the relay is started from
+     */
     public RelayMemoryScale(Path jar) {
         this.jar = jar;
     }
--- a/src/main/java/sandstack/measure/scale/RelaySetupScale.java
+++ b/src/main/java/sandstack/measure/scale/RelaySetupScale.java
@@ -26,7 +26,11 @@
         this(Path.of("target/sandstack.jar"));
     }
 
-    /** @param jar the program that the relay is started from */
+    /**
+     * Measures relays of this program.
+     *
+     * @param jar the program that the relay is started from
+     */
     public RelaySetupScale(Path jar) {
         this.jar = jar;
     }
--- a/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
+++ b/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
@@ -31,7 +31,11 @@
     private final RelayProcess relay;
     private final ClientPool clients;
 
-    /** @param options of the relay's virtual machine, after those of {@code run} */
+    /**
+     * Starts a relay and one feed server.
+     *
+     * @param options of the relay's virtual machine, after those of {@code run}
+     */
     RelayUnderLoad(Path jar, List<String> options) throws IOException {
         site = new Site(DESCRIPTORS);
         try {
--- a/src/main/java/sandstack/measure/scale/WatchOutage.java
+++ b/src/main/java/sandstack/measure/scale/WatchOutage.java
@@ -16,7 +16,11 @@
     private long callsWhileDown;
     private long callsInFirstSecond;
 
-    /** @param askWithin the pace that relays are told, in microseconds */
+    /**
+     * An outage of discovery.
+     *
+     * @param askWithin the pace that relays are told, in microseconds
+     */
     WatchOutage(long askWithin, long downMicros, long seed) {
         this.clock = new ListClock(false, askWithin);
         this.downMicros = downMicros;
--- a/src/main/java/sandstack/standin/InstanceList.java
+++ b/src/main/java/sandstack/standin/InstanceList.java
@@ -29,6 +29,7 @@
     public record Instance(
             String uid, String endpoint, String zone, String model, double hint, String state, long bootMillis) {}
 
+    /** An instance and the revision at which it last changed. */
     private record Listed(Instance instance, long revision) {}
 
     private final Map<String, Listed> byUid = new LinkedHashMap<>();
--- a/src/test/java/sandstack/measure/scale/ProcessUsageTest.java
+++ b/src/test/java/sandstack/measure/scale/ProcessUsageTest.java
@@ -11,6 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Processor time, memory and descriptors of a process, as the system tells them. */
 class ProcessUsageTest {
     private static final long OWN = ProcessHandle.current().pid();
 
--- a/src/test/java/sandstack/measure/scale/ReachableObjectsTest.java
+++ b/src/test/java/sandstack/measure/scale/ReachableObjectsTest.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Objects that can be reached from one, counted by class. */
 class ReachableObjectsTest {
     /** Something of this program that holds others. */
     private static class Node {
@@ -21,6 +22,7 @@
         final Effort effort = Effort.ONE;
     }
 
+    /** A constant, which belongs to no object. */
     private enum Effort {
         ONE
     }
--- a/src/test/java/sandstack/measure/scale/WatchOutageTest.java
+++ b/src/test/java/sandstack/measure/scale/WatchOutageTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Calls of many relays while discovery is down and right after. */
 class WatchOutageTest {
     private static final long ASK_WITHIN = 10_000_000;
 
