--- /dev/null
+++ b/src/main/java/sandstack/configuration/BoundedReader.java
@@ -0,0 +1,80 @@
+package sandstack.configuration;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.CharacterCodingException;
+import java.nio.charset.StandardCharsets;
+
+/** Reads fields of a frame; allocates nothing before the length is checked against the bound and what is left. */
+final class BoundedReader {
+    private final ByteBuffer bytes;
+
+    BoundedReader(byte[] frame) {
+        bytes = ByteBuffer.wrap(frame);
+    }
+
+    int remaining() {
+        return bytes.remaining();
+    }
+
+    byte readByte() throws MalformedConfigurationException {
+        require(Byte.BYTES);
+        return bytes.get();
+    }
+
+    boolean readBoolean() throws MalformedConfigurationException {
+        byte value = readByte();
+        if (value != 0 && value != 1) {
+            throw new MalformedConfigurationException("a flag is " + value);
+        }
+        return value == 1;
+    }
+
+    int readInt() throws MalformedConfigurationException {
+        require(Integer.BYTES);
+        return bytes.getInt();
+    }
+
+    long readLong() throws MalformedConfigurationException {
+        require(Long.BYTES);
+        return bytes.getLong();
+    }
+
+    /** A number of things that take at least so many bytes each. */
+    int readCount(int most, int leastBytesEach) throws MalformedConfigurationException {
+        int count = readInt();
+        if (count < 0 || count > most || (long) count * leastBytesEach > bytes.remaining()) {
+            throw new MalformedConfigurationException("a count of " + count + ", the most is " + most);
+        }
+        return count;
+    }
+
+    String readText(int mostBytes) throws MalformedConfigurationException {
+        byte[] text = readBytes(mostBytes);
+        try {
+            return StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(text))
+                    .toString();
+        } catch (CharacterCodingException e) {
+            throw new MalformedConfigurationException("a text is not UTF-8");
+        }
+    }
+
+    byte[] readBytes(int most) throws MalformedConfigurationException {
+        byte[] value = new byte[readCount(most, 1)];
+        bytes.get(value);
+        return value;
+    }
+
+    void requireEnd() throws MalformedConfigurationException {
+        if (bytes.hasRemaining()) {
+            throw new MalformedConfigurationException(bytes.remaining() + " bytes too many");
+        }
+    }
+
+    private void require(int count) throws MalformedConfigurationException {
+        if (bytes.remaining() < count) {
+            throw new MalformedConfigurationException("it ends too early");
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/configuration/ConfigurationCodec.java
@@ -0,0 +1,192 @@
+package sandstack.configuration;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * The binary form of changes and snapshots, for the consensus log, the network and the disk. Integers are big-endian,
+ * texts and byte arrays follow their length. What is read is held to the limits, and nothing is allocated by a length
+ * that was not checked. A format version from the future is read where the fields are the same; refusing it is the
+ * validator's part, so that the refusal names it.
+ */
+public final class ConfigurationCodec {
+    private static final int PUT = 1;
+    private static final int REMOVE = 2;
+    private static final int VERSION_BYTES = 2 * Long.BYTES;
+    private static final int LEAST_EDIT_BYTES = Byte.BYTES + Integer.BYTES;
+    private static final int LEAST_ENTRY_BYTES = 2 * Integer.BYTES;
+    /** Lengths and numbers of a change or snapshot beside its texts. */
+    private static final int HEADER_BYTES = 256;
+
+    private final ConfigurationLimits limits;
+
+    /** Reads no more than these limits allow. */
+    public ConfigurationCodec(ConfigurationLimits limits) {
+        this.limits = limits;
+    }
+
+    /** The longest encoded change that is read. */
+    public int mostChangeBytes() {
+        return limits.changeBytes()
+                + limits.editsPerChange() * (LEAST_EDIT_BYTES + Integer.BYTES)
+                + limits.authorBytes()
+                + limits.reasonBytes()
+                + HEADER_BYTES;
+    }
+
+    /** The longest encoded snapshot that is read. */
+    public int mostSnapshotBytes() {
+        return limits.configurationBytes() + limits.entries() * LEAST_ENTRY_BYTES + HEADER_BYTES;
+    }
+
+    /** Encodes a proposal. */
+    public byte[] encode(ConfigurationChange change) {
+        FieldWriter out = new FieldWriter();
+        write(out, change);
+        return out.toBytes();
+    }
+
+    /** Decodes a proposal. */
+    public ConfigurationChange decodeChange(byte[] bytes) throws MalformedConfigurationException {
+        requireAtMost(bytes, mostChangeBytes());
+        BoundedReader in = new BoundedReader(bytes);
+        ConfigurationChange change = readChange(in);
+        in.requireEnd();
+        return change;
+    }
+
+    /** Encodes an agreed change. */
+    public byte[] encode(AgreedChange agreed) {
+        FieldWriter out = new FieldWriter();
+        write(out, agreed);
+        return out.toBytes();
+    }
+
+    /** Decodes an agreed change. */
+    public AgreedChange decodeAgreedChange(byte[] bytes) throws MalformedConfigurationException {
+        requireAtMost(bytes, mostChangeBytes());
+        BoundedReader in = new BoundedReader(bytes);
+        AgreedChange agreed = readAgreed(in);
+        in.requireEnd();
+        return agreed;
+    }
+
+    /** Encodes a whole state; equal states give equal bytes. */
+    public byte[] encode(ConfigurationSnapshot snapshot) {
+        FieldWriter out = new FieldWriter().writeInt(snapshot.formatVersion());
+        write(out, snapshot.version());
+        write(out, snapshot.digest());
+        out.writeInt(snapshot.entries().size());
+        new TreeMap<>(snapshot.entries())
+                .forEach((key, value) -> out.writeText(key).writeText(value));
+        return out.toBytes();
+    }
+
+    /** Decodes a whole state; one whose entries do not match its digest is malformed. */
+    public ConfigurationSnapshot decodeSnapshot(byte[] bytes) throws MalformedConfigurationException {
+        requireAtMost(bytes, mostSnapshotBytes());
+        BoundedReader in = new BoundedReader(bytes);
+        int formatVersion = in.readInt();
+        ConfigurationVersion version = readVersion(in);
+        ConfigurationDigest digest = readDigest(in);
+        int count = in.readCount(limits.entries(), LEAST_ENTRY_BYTES);
+        Map<String, String> entries = new HashMap<>();
+        for (int i = 0; i < count; i++) {
+            entries.put(in.readText(limits.keyBytes()), in.readText(limits.valueBytes()));
+        }
+        in.requireEnd();
+        ConfigurationSnapshot snapshot = ConfigurationSnapshot.of(version, formatVersion, entries);
+        if (entries.size() != count || !snapshot.digest().equals(digest)) {
+            throw new MalformedConfigurationException("the entries of " + version + " do not match their digest");
+        }
+        return snapshot;
+    }
+
+    void write(FieldWriter out, ConfigurationVersion version) {
+        out.writeLong(version.term()).writeLong(version.index());
+    }
+
+    ConfigurationVersion readVersion(BoundedReader in) throws MalformedConfigurationException {
+        long term = in.readLong();
+        long index = in.readLong();
+        if (term < 0 || index < 0) {
+            throw new MalformedConfigurationException("a version is negative");
+        }
+        return new ConfigurationVersion(term, index);
+    }
+
+    void write(FieldWriter out, ConfigurationDigest digest) {
+        out.writeLong(digest.high()).writeLong(digest.low());
+    }
+
+    ConfigurationDigest readDigest(BoundedReader in) throws MalformedConfigurationException {
+        return new ConfigurationDigest(in.readLong(), in.readLong());
+    }
+
+    void write(FieldWriter out, AgreedChange agreed) {
+        write(out, agreed.version());
+        write(out, agreed.digest());
+        write(out, agreed.change());
+    }
+
+    AgreedChange readAgreed(BoundedReader in) throws MalformedConfigurationException {
+        ConfigurationVersion version = readVersion(in);
+        ConfigurationDigest digest = readDigest(in);
+        ConfigurationChange change = readChange(in);
+        if (!version.follows(change.basedOn())) {
+            throw new MalformedConfigurationException(version + " does not follow " + change.basedOn());
+        }
+        return new AgreedChange(version, change, digest);
+    }
+
+    /** The fewest bytes of an agreed change, for bounds of counts. */
+    int leastAgreedBytes() {
+        return 2 * VERSION_BYTES + 2 * Long.BYTES + 4 * Integer.BYTES;
+    }
+
+    private void write(FieldWriter out, ConfigurationChange change) {
+        out.writeInt(change.formatVersion());
+        write(out, change.basedOn());
+        out.writeText(change.author()).writeText(change.reason());
+        out.writeInt(change.edits().size());
+        for (ConfigurationEdit edit : change.edits()) {
+            if (edit instanceof ConfigurationEdit.Put put) {
+                out.writeByte(PUT).writeText(put.key()).writeText(put.value());
+            } else {
+                out.writeByte(REMOVE).writeText(edit.key());
+            }
+        }
+    }
+
+    private ConfigurationChange readChange(BoundedReader in) throws MalformedConfigurationException {
+        int formatVersion = in.readInt();
+        ConfigurationVersion basedOn = readVersion(in);
+        String author = in.readText(limits.authorBytes());
+        String reason = in.readText(limits.reasonBytes());
+        int count = in.readCount(limits.editsPerChange(), LEAST_EDIT_BYTES);
+        List<ConfigurationEdit> edits = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            edits.add(readEdit(in));
+        }
+        return new ConfigurationChange(formatVersion, basedOn, author, reason, edits);
+    }
+
+    private ConfigurationEdit readEdit(BoundedReader in) throws MalformedConfigurationException {
+        byte kind = in.readByte();
+        String key = in.readText(limits.keyBytes());
+        return switch (kind) {
+            case PUT -> new ConfigurationEdit.Put(key, in.readText(limits.valueBytes()));
+            case REMOVE -> new ConfigurationEdit.Remove(key);
+            default -> throw new MalformedConfigurationException("an edit of kind " + kind);
+        };
+    }
+
+    private static void requireAtMost(byte[] bytes, int most) throws MalformedConfigurationException {
+        if (bytes.length > most) {
+            throw new MalformedConfigurationException(bytes.length + " bytes, the most is " + most);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/configuration/ConfigurationSnapshot.java
@@ -0,0 +1,106 @@
+package sandstack.configuration;
+
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Objects;
+
+/**
+ * The whole configuration at one version. Immutable; applying a change costs O(entries) and digests only what changes.
+ */
+public final class ConfigurationSnapshot {
+    /** Before the first change. */
+    public static final ConfigurationSnapshot EMPTY = new ConfigurationSnapshot(
+            ConfigurationVersion.NONE, ConfigurationChange.FORMAT_VERSION, Map.of(), ConfigurationDigest.EMPTY);
+
+    private final ConfigurationVersion version;
+    private final int formatVersion;
+    private final Map<String, String> entries;
+    private final ConfigurationDigest digest;
+
+    private ConfigurationSnapshot(
+            ConfigurationVersion version, int formatVersion, Map<String, String> entries, ConfigurationDigest digest) {
+        this.version = Objects.requireNonNull(version, "version");
+        this.formatVersion = formatVersion;
+        this.entries = entries;
+        this.digest = digest;
+    }
+
+    /** The state with these entries; digests them all. */
+    public static ConfigurationSnapshot of(
+            ConfigurationVersion version, int formatVersion, Map<String, String> entries) {
+        Map<String, String> copy = Collections.unmodifiableMap(new HashMap<>(entries));
+        return new ConfigurationSnapshot(version, formatVersion, copy, ConfigurationDigest.of(copy));
+    }
+
+    /** The version at which the configuration is this. */
+    public ConfigurationVersion version() {
+        return version;
+    }
+
+    /** The format that the last change was written in; who reads this state has to know it. */
+    public int formatVersion() {
+        return formatVersion;
+    }
+
+    /** All keys with their values; cannot be changed. */
+    public Map<String, String> entries() {
+        return entries;
+    }
+
+    /** Of the entries. */
+    public ConfigurationDigest digest() {
+        return digest;
+    }
+
+    /** Whether the entries still are what the digest was made of; reads them all. */
+    public boolean matchesItsDigest() {
+        return ConfigurationDigest.of(entries).equals(digest);
+    }
+
+    /**
+     * The state after a change.
+     *
+     * @param next the version of the change
+     * @throws IllegalArgumentException where the change is based on another version, or the next version does not follow
+     */
+    public ConfigurationSnapshot apply(ConfigurationVersion next, ConfigurationChange change) {
+        if (!change.basedOn().equals(version) || !next.follows(version)) {
+            throw new IllegalArgumentException(
+                    "a change " + next + " based on " + change.basedOn() + " cannot be applied to " + version);
+        }
+        Map<String, String> changed = new HashMap<>(entries);
+        ConfigurationDigest changedDigest = digest;
+        for (ConfigurationEdit edit : change.edits()) {
+            String before = edit instanceof ConfigurationEdit.Put put
+                    ? changed.put(put.key(), put.value())
+                    : changed.remove(edit.key());
+            if (before != null) {
+                changedDigest = changedDigest.without(edit.key(), before);
+            }
+            if (edit instanceof ConfigurationEdit.Put put) {
+                changedDigest = changedDigest.with(put.key(), put.value());
+            }
+        }
+        return new ConfigurationSnapshot(
+                next, change.formatVersion(), Collections.unmodifiableMap(changed), changedDigest);
+    }
+
+    @Override
+    public boolean equals(Object other) {
+        return other instanceof ConfigurationSnapshot that
+                && version.equals(that.version)
+                && formatVersion == that.formatVersion
+                && entries.equals(that.entries);
+    }
+
+    @Override
+    public int hashCode() {
+        return Objects.hash(version, formatVersion, digest);
+    }
+
+    @Override
+    public String toString() {
+        return "configuration " + version + " with " + entries.size() + " entries, digest " + digest;
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/configuration/ConfigurationVersion.java
@@ -0,0 +1,53 @@
+package sandstack.configuration;
+
+/**
+ * A place in the one order of agreed changes. The index rises by one with each agreed change; the term is that of the
+ * leader under which it was agreed and never falls along the order. Two versions with one index and different terms
+ * belong to different histories and are never exchanged for each other.
+ *
+ * @param term of the consensus, 0 before the first change
+ * @param index number of changes agreed so far
+ */
+public record ConfigurationVersion(long term, long index) implements Comparable<ConfigurationVersion> {
+    /** Before the first change. */
+    public static final ConfigurationVersion NONE = new ConfigurationVersion(0, 0);
+
+    /** Refuses negative numbers. */
+    public ConfigurationVersion {
+        if (term < 0 || index < 0) {
+            throw new IllegalArgumentException("negative version " + term + "/" + index);
+        }
+    }
+
+    /** The version of the change that is agreed next, in this term or a later one. */
+    public ConfigurationVersion next(long agreedIn) {
+        return new ConfigurationVersion(Math.max(term, agreedIn), index + 1);
+    }
+
+    /** Whether a change with this version can come directly after the other. */
+    public boolean follows(ConfigurationVersion other) {
+        return index == other.index + 1 && term >= other.term;
+    }
+
+    /** Whether this is later than the other in a history that may hold both. */
+    public boolean isAfter(ConfigurationVersion other) {
+        return index > other.index && term >= other.term;
+    }
+
+    /** Whether no single history holds both this and the other. */
+    public boolean contradicts(ConfigurationVersion other) {
+        return index == other.index ? term != other.term : index > other.index ? term < other.term : term > other.term;
+    }
+
+    /** By index, then by term. */
+    @Override
+    public int compareTo(ConfigurationVersion other) {
+        int byIndex = Long.compare(index, other.index);
+        return byIndex != 0 ? byIndex : Long.compare(term, other.term);
+    }
+
+    @Override
+    public String toString() {
+        return term + "/" + index;
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/configuration/MalformedConfigurationException.java
@@ -0,0 +1,16 @@
+package sandstack.configuration;
+
+/** Bytes that are no configuration, change or message of this format, or that exceed its bounds. */
+public final class MalformedConfigurationException extends Exception {
+    private static final long serialVersionUID = 1L;
+
+    /** @param message what is wrong, without the bytes themselves */
+    public MalformedConfigurationException(String message) {
+        super(message);
+    }
+
+    /** As a refusal. */
+    public ChangeRefusal refusal() {
+        return new ChangeRefusal(ChangeRefusal.Reason.MALFORMED, getMessage());
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/configuration/ConfigurationCodecTest.java
@@ -0,0 +1,111 @@
+package sandstack.configuration;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import java.nio.ByteBuffer;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.ByteRange;
+import net.jqwik.api.constraints.IntRange;
+import net.jqwik.api.constraints.Size;
+import net.jqwik.api.constraints.StringLength;
+import net.jqwik.api.constraints.UniqueElements;
+import org.junit.jupiter.api.Test;
+import sandstack.configuration.ConfigurationEdit.Put;
+import sandstack.configuration.ConfigurationEdit.Remove;
+
+/** What is written is read, and nothing else is. */
+class ConfigurationCodecTest {
+    private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
+
+    private static AgreedChange agreed(List<ConfigurationEdit> edits) {
+        ConfigurationVersion base = new ConfigurationVersion(3, 41);
+        ConfigurationChange change = new ConfigurationChange(7, base, "ann é", "why\n", edits);
+        return new AgreedChange(base.next(4), change, new ConfigurationDigest(-1, 5));
+    }
+
+    @Property(tries = 200)
+    void changesComeBackAsTheyWere(@ForAll @Size(max = 20) List<@StringLength(max = 30) String> texts)
+            throws Exception {
+        List<ConfigurationEdit> edits = texts.stream()
+                .map(text -> text.replaceAll("[\\ud800-\\udfff]", "x"))
+                .map(text -> text.length() % 2 == 0 ? new Put(text, text + text) : new Remove(text))
+                .map(ConfigurationEdit.class::cast)
+                .toList();
+        AgreedChange agreed = agreed(edits);
+        assertThat(codec.decodeAgreedChange(codec.encode(agreed))).isEqualTo(agreed);
+        assertThat(codec.decodeChange(codec.encode(agreed.change()))).isEqualTo(agreed.change());
+    }
+
+    @Property(tries = 100)
+    void snapshotsComeBackAsTheyWere(@ForAll @Size(max = 30) @UniqueElements List<@IntRange(min = 0) Integer> keys)
+            throws Exception {
+        Map<String, String> entries =
+                keys.stream().collect(java.util.stream.Collectors.toMap(k -> "k" + k, k -> "value of " + k));
+        ConfigurationSnapshot snapshot = ConfigurationSnapshot.of(new ConfigurationVersion(2, 9), 1, entries);
+        assertThat(codec.decodeSnapshot(codec.encode(snapshot))).isEqualTo(snapshot);
+    }
+
+    /** Cut or changed anywhere: an exception of the one kind, or another valid value; never anything else. */
+    @Property(tries = 500)
+    void damagedBytesAreRefusedOrRead(
+            @ForAll @IntRange(max = 400) int at, @ForAll @ByteRange byte value, @ForAll boolean cut) {
+        byte[] change = codec.encode(agreed(List.of(new Put("a", "1"), new Remove("b"))));
+        byte[] snapshot =
+                codec.encode(ConfigurationSnapshot.of(new ConfigurationVersion(2, 9), 1, Map.of("a", "1", "b", "2")));
+        for (byte[] bytes : List.of(change, snapshot)) {
+            byte[] damaged = cut ? Arrays.copyOf(bytes, at % bytes.length) : bytes.clone();
+            if (!cut) {
+                damaged[at % bytes.length] = value;
+            }
+            try {
+                Object read = bytes == change ? codec.decodeAgreedChange(damaged) : codec.decodeSnapshot(damaged);
+                assertThat(read).isNotNull();
+                assertThat(cut).isFalse();
+            } catch (MalformedConfigurationException e) {
+                assertThat(e.refusal().toString()).hasSizeLessThan(300);
+            }
+        }
+    }
+
+    @Test
+    void aDamagedValueOfASnapshotIsRefused() {
+        byte[] bytes =
+                codec.encode(ConfigurationSnapshot.of(new ConfigurationVersion(2, 9), 1, Map.of("a", "1", "b", "2")));
+        bytes[bytes.length - 1] ^= 1;
+        assertThatThrownBy(() -> codec.decodeSnapshot(bytes))
+                .isInstanceOf(MalformedConfigurationException.class)
+                .hasMessageContaining("digest");
+    }
+
+    @Test
+    void whatIsTooLargeIsRefusedBeforeItIsRead() {
+        assertThatThrownBy(() -> codec.decodeSnapshot(new byte[60 << 20]))
+                .isInstanceOf(MalformedConfigurationException.class);
+        assertThatThrownBy(() -> codec.decodeChange(new byte[60 << 20]))
+                .isInstanceOf(MalformedConfigurationException.class);
+        byte[] claims = codec.encode(agreed(List.of(new Put("a", "1"))).change());
+        // the length of the author, after format and base version
+        ByteBuffer.wrap(claims).putInt(Integer.BYTES + 2 * Long.BYTES, Integer.MAX_VALUE);
+        assertThatThrownBy(() -> codec.decodeChange(claims)).isInstanceOf(MalformedConfigurationException.class);
+    }
+
+    /** The largest that the validator takes fits into what the codec reads. */
+    @Test
+    void whatTheValidatorTakesTheCodecReads() throws Exception {
+        ConfigurationLimits limits = new ConfigurationLimits(8, 16, 4, 4, 10, 200, 20, 300, 0);
+        ConfigurationCodec small = new ConfigurationCodec(limits);
+        List<ConfigurationEdit> edits = java.util.stream.IntStream.range(0, 10)
+                .mapToObj(i -> (ConfigurationEdit) new Put("key-key" + i, "012345678901"))
+                .toList();
+        ConfigurationChange change = ConfigurationChange.of(ConfigurationVersion.NONE, "abcd", "efgh", edits);
+        assertThat(new ChangeValidator(limits, ConfigurationCheck.NONE).refuse(ConfigurationSnapshot.EMPTY, change))
+                .isEmpty();
+        AgreedChange agreed = new AgreedChange(new ConfigurationVersion(1, 1), change, ConfigurationDigest.EMPTY);
+        assertThat(small.decodeAgreedChange(small.encode(agreed))).isEqualTo(agreed);
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/configuration/ConfigurationHistoryTest.java
@@ -0,0 +1,109 @@
+package sandstack.configuration;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import org.junit.jupiter.api.Test;
+import sandstack.configuration.ConfigurationEdit.Put;
+import sandstack.configuration.ConfigurationEdit.Remove;
+import sandstack.configuration.ConfigurationHistory.Outcome;
+
+/** One order of changes, the same on every machine. */
+class ConfigurationHistoryTest {
+    private static final ChangeValidator VALIDATOR =
+            new ChangeValidator(ConfigurationLimits.DEFAULT, ConfigurationCheck.NONE);
+
+    private static ConfigurationChange drawn(SplittableRandom random, ConfigurationVersion base) {
+        String key = "key-" + random.nextInt(8);
+        ConfigurationEdit edit = random.nextInt(3) == 0 ? new Remove(key) : new Put(key, "v" + random.nextInt(4));
+        return ConfigurationChange.of(base, "ann", "drawn", List.of(edit, new Put("other", "" + random.nextInt(3))));
+    }
+
+    /** Some proposals are late for their base, as happens when two are put to the leader at once. */
+    @Property(tries = 200)
+    void machinesThatSeeTheSameProposalsHoldTheSame(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        RecordingListener changes = new RecordingListener();
+        ConfigurationHistory one = new ConfigurationHistory(VALIDATOR, changes);
+        ConfigurationHistory other = new ConfigurationHistory(VALIDATOR, new RecordingListener());
+        Map<String, String> model = new HashMap<>();
+        for (int i = 0; i < 60; i++) {
+            ConfigurationVersion base = random.nextInt(5) == 0
+                    ? new ConfigurationVersion(0, i)
+                    : one.current().version();
+            ConfigurationChange change = drawn(random, base);
+            // a leader that lost its term and won a later one may have proposed under the earlier
+            long term = Math.max(0, 1 + i / 10 - random.nextInt(2));
+            ConfigurationVersion before = one.current().version();
+            Outcome outcome = one.committed(term, change);
+            assertThat(other.committed(term, change)).isEqualTo(outcome);
+            if (outcome instanceof Outcome.Accepted accepted) {
+                assertThat(accepted.change().version().follows(before)).isTrue();
+                for (ConfigurationEdit edit : change.edits()) {
+                    if (edit instanceof Put put) {
+                        model.put(put.key(), put.value());
+                    } else {
+                        model.remove(edit.key());
+                    }
+                }
+            }
+            assertThat(one.current().entries()).isEqualTo(model);
+            assertThat(one.current().matchesItsDigest()).isTrue();
+        }
+        assertThat(other.current()).isEqualTo(one.current());
+        assertThat(changes.changes).hasSize((int) one.current().version().index());
+    }
+
+    @Test
+    void aRollBackIsAChangeLikeAnother() {
+        ConfigurationHistory history = new ConfigurationHistory(VALIDATOR, new RecordingListener());
+        history.committed(1, ConfigurationChange.of(ConfigurationVersion.NONE, "ann", "a", List.of(new Put("a", "1"))));
+        ConfigurationSnapshot good = history.current();
+        history.committed(1, ConfigurationChange.of(good.version(), "ann", "b", List.of(new Put("a", "2"))));
+        history.committed(
+                2,
+                ConfigurationChange.of(
+                        history.current().version(), "ann", "back to " + good.version(), List.of(new Put("a", "1"))));
+        assertThat(history.current().digest()).isEqualTo(good.digest());
+        assertThat(history.current().version()).isEqualTo(new ConfigurationVersion(2, 3));
+    }
+
+    @Test
+    void restoringNeverGoesBack() {
+        RecordingListener listener = new RecordingListener();
+        ConfigurationHistory history = new ConfigurationHistory(VALIDATOR, listener);
+        ConfigurationSnapshot later = ConfigurationSnapshot.of(new ConfigurationVersion(3, 7), 1, Map.of("a", "1"));
+        history.restore(later);
+        history.restore(ConfigurationSnapshot.of(new ConfigurationVersion(2, 6), 1, Map.of()));
+        history.restore(ConfigurationSnapshot.of(new ConfigurationVersion(3, 7), 1, Map.of("b", "1")));
+        assertThat(history.current()).isEqualTo(later);
+        assertThat(listener.restored).containsExactly(later);
+    }
+
+    @Test
+    void aSnapshotTakesNoChangeOfAnotherBase() {
+        ConfigurationChange change =
+                ConfigurationChange.of(ConfigurationVersion.NONE, "ann", "a", List.of(new Put("a", "1")));
+        assertThatThrownBy(() -> ConfigurationSnapshot.EMPTY.apply(new ConfigurationVersion(1, 2), change))
+                .isInstanceOf(IllegalArgumentException.class);
+        ConfigurationSnapshot one = ConfigurationSnapshot.EMPTY.apply(new ConfigurationVersion(1, 1), change);
+        assertThatThrownBy(() -> one.apply(new ConfigurationVersion(1, 2), change))
+                .isInstanceOf(IllegalArgumentException.class);
+    }
+
+    @Property(tries = 200)
+    void versionsOfTwoHistoriesAreToldApart(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        ConfigurationVersion a = new ConfigurationVersion(random.nextLong(4), random.nextLong(4));
+        ConfigurationVersion b = new ConfigurationVersion(random.nextLong(4), random.nextLong(4));
+        assertThat(a.contradicts(b)).isEqualTo(b.contradicts(a));
+        int relations = (a.equals(b) ? 1 : 0) + (a.isAfter(b) ? 1 : 0) + (b.isAfter(a) ? 1 : 0);
+        assertThat(relations).isEqualTo(a.contradicts(b) ? 0 : 1);
+    }
+}
