--- /dev/null
+++ b/src/main/java/sandstack/configuration/ControlMachine.java
@@ -0,0 +1,32 @@
+package sandstack.configuration;
+
+import java.util.Comparator;
+import java.util.List;
+import java.util.Objects;
+import sandstack.random.SeededRandom;
+
+/**
+ * One of the machines that agree on the configuration.
+ *
+ * @param name by which its transport reaches it
+ */
+public record ControlMachine(String name, String region) {
+    /** Refuses nulls. */
+    public ControlMachine {
+        Objects.requireNonNull(name, "name");
+        Objects.requireNonNull(region, "region");
+    }
+
+    /**
+     * The order in which a relay asks machines: those of its region first, and in each part by rendezvous hashing
+     * (highest random weight), so that relays spread evenly and those of a machine that dies spread over all others.
+     */
+    static List<ControlMachine> inOrderFor(String relay, String region, List<ControlMachine> machines) {
+        return machines.stream()
+                .sorted(Comparator.comparing((ControlMachine machine) -> !machine.region.equals(region))
+                        .thenComparing(
+                                machine -> SeededRandom.mix(SeededRandom.hash(relay) ^ SeededRandom.hash(machine.name)))
+                        .thenComparing(ControlMachine::name))
+                .toList();
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
@@ -0,0 +1,170 @@
+package sandstack.measure.configuration;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import sandstack.configuration.ChangeValidator;
+import sandstack.configuration.ConfigurationCheck;
+import sandstack.configuration.ConfigurationCodec;
+import sandstack.configuration.ConfigurationFollower;
+import sandstack.configuration.ConfigurationLimits;
+import sandstack.configuration.ConfigurationPublisher;
+import sandstack.configuration.ConfigurationVersion;
+import sandstack.configuration.ControlMachine;
+import sandstack.configuration.FollowerSettings;
+import sandstack.configuration.MessageCodec;
+import sandstack.configuration.PublisherSettings;
+
+/** A fleet of relays and control machines in two regions, in one process and in simulated time. One thread. */
+public final class HollowConfigurationFleet {
+    /** Between two turns of a relay, in microseconds. */
+    static final long RELAY_TURN = 250_000;
+    /** Between two turns of a control machine, in microseconds. */
+    static final long CONTROL_TURN = 100_000;
+
+    private static final List<String> REGIONS = List.of("north", "south");
+
+    /**
+     * What the fleet is made of.
+     *
+     * @param seed of all draws; the same gives the same run
+     */
+    public record Plan(int relays, int machines, PublisherSettings publisher, FollowerSettings follower, long seed) {
+        /** With the settings that hold where staff state nothing else. */
+        public static Plan of(int relays, int machines, long seed) {
+            return new Plan(relays, machines, PublisherSettings.DEFAULT, FollowerSettings.DEFAULT, seed);
+        }
+    }
+
+    private final Plan plan;
+    private final SplittableRandom random;
+    private final SimulatedClock clock = new SimulatedClock();
+    private final CountedNetwork network;
+    private final ChangeValidator validator = new ChangeValidator(ConfigurationLimits.DEFAULT, ConfigurationCheck.NONE);
+    private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
+    private final MessageCodec messages = new MessageCodec(codec);
+    private final List<HollowControlMachine> machines = new ArrayList<>();
+    private final List<HollowRelay> relays = new ArrayList<>();
+    private final List<ControlMachine> controlMachines = new ArrayList<>();
+    private final ModelledConsensus consensus;
+    private long connections;
+
+    /** Makes all processes; none runs yet. */
+    public HollowConfigurationFleet(Plan plan) {
+        this.plan = plan;
+        this.random = new SplittableRandom(plan.seed());
+        this.network = new CountedNetwork(clock, random.split());
+        this.consensus = new ModelledConsensus(this, validator);
+        for (int i = 0; i < plan.machines(); i++) {
+            HollowControlMachine machine = new HollowControlMachine(this, "control-" + i, REGIONS.get(i % 2));
+            machines.add(machine);
+            controlMachines.add(new ControlMachine(machine.name(), machine.region()));
+        }
+        for (int i = 0; i < plan.relays(); i++) {
+            relays.add(new HollowRelay(this, "relay-" + i, REGIONS.get(i % 2)));
+        }
+    }
+
+    /** Starts all that do not run. */
+    public void start() {
+        machines.stream().filter(each -> !each.isRunning()).forEach(HollowProcess::start);
+        relays.stream().filter(each -> !each.isRunning()).forEach(HollowProcess::start);
+    }
+
+    /** The simulated time. */
+    public SimulatedClock clock() {
+        return clock;
+    }
+
+    /** What the machines have agreed on. */
+    public ModelledConsensus consensus() {
+        return consensus;
+    }
+
+    /** All control machines. */
+    public List<HollowControlMachine> machines() {
+        return List.copyOf(machines);
+    }
+
+    /** All relays. */
+    public List<HollowRelay> relays() {
+        return List.copyOf(relays);
+    }
+
+    /** What happens to messages from now on. */
+    public void faults(NetworkFaults faults) {
+        network.faults(faults);
+    }
+
+    /** Whether the last agreed state is in force at every relay. */
+    public boolean isEverywhere() {
+        ConfigurationVersion version = consensus.current().version();
+        return relays.stream()
+                .allMatch(relay -> relay.follower() != null
+                        && relay.follower().inForce().version().equals(version));
+    }
+
+    /** Runs until the last agreed state is in force everywhere; returns how long that took, -1 where it did not. */
+    public long runUntilEverywhere(long step, long most) {
+        long began = clock.now();
+        while (!isEverywhere()) {
+            if (clock.now() - began >= most) {
+                return -1;
+            }
+            clock.run(step);
+        }
+        return clock.now() - began;
+    }
+
+    CountedNetwork network() {
+        return network;
+    }
+
+    MessageCodec messages() {
+        return messages;
+    }
+
+    long drawTurn() {
+        return random.nextLong(RELAY_TURN);
+    }
+
+    ConfigurationFollower newFollower(HollowRelay relay) {
+        return new ConfigurationFollower(
+                plan.follower(),
+                relay.name(),
+                relay.region(),
+                controlMachines,
+                validator,
+                codec,
+                relay.store(),
+                relay,
+                random.split(),
+                clock.now());
+    }
+
+    ConfigurationPublisher newPublisher(HollowControlMachine machine) {
+        return new ConfigurationPublisher(plan.publisher(), codec, machine, clock.now());
+    }
+
+    HollowConnection connect(HollowRelay relay, String machineName) {
+        HollowControlMachine machine = machines.stream()
+                .filter(each -> each.name().equals(machineName))
+                .findFirst()
+                .orElseThrow();
+        return new HollowConnection(++connections, relay, machine);
+    }
+
+    /** The machine hears that a connection is gone. */
+    void endAtMachine(HollowConnection connection) {
+        network.signal(connection.relay(), connection.machine(), connection.toMachine(), () -> connection
+                .machine()
+                .ended(connection));
+    }
+
+    /** The relay hears that a connection is gone. */
+    void endAtRelay(HollowConnection connection) {
+        network.signal(connection.machine(), connection.relay(), connection.toRelay(), () -> connection
+                .relay()
+                .ended(connection));
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/measure/configuration/HollowControlMachine.java
@@ -0,0 +1,136 @@
+package sandstack.measure.configuration;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import sandstack.configuration.ConfigurationMessage;
+import sandstack.configuration.ConfigurationPublisher;
+import sandstack.configuration.MalformedConfigurationException;
+import sandstack.configuration.PublisherOutput;
+
+/** A control machine: the real publisher, on a simulated network and a modelled consensus. One thread. */
+public final class HollowControlMachine extends HollowProcess implements PublisherOutput {
+    private final HollowConfigurationFleet fleet;
+    private final Map<String, HollowConnection> connections = new LinkedHashMap<>();
+    private ConfigurationPublisher publisher;
+    private long hellos;
+    private int mostSessions;
+    private long lines;
+
+    HollowControlMachine(HollowConfigurationFleet fleet, String name, String region) {
+        super(name, region);
+        this.fleet = fleet;
+    }
+
+    /** The real publisher; null where the process does not run. */
+    public ConfigurationPublisher publisher() {
+        return publisher;
+    }
+
+    /** Hellos that have arrived. */
+    public long hellos() {
+        return hellos;
+    }
+
+    /** The most sessions that it had at once. */
+    public int mostSessions() {
+        return mostSessions;
+    }
+
+    /** Lines that it has logged. */
+    public long lines() {
+        return lines;
+    }
+
+    @Override
+    void started() {
+        publisher = fleet.newPublisher(this);
+        fleet.consensus().started(this);
+        scheduleTurn(life(), fleet.drawTurn());
+    }
+
+    @Override
+    void killed() {
+        publisher = null;
+        List<HollowConnection> open = List.copyOf(connections.values());
+        connections.clear();
+        if (!isMachineLost()) {
+            open.forEach(fleet::endAtRelay);
+        }
+    }
+
+    private void scheduleTurn(long ofLife, long in) {
+        fleet.clock().after(in, () -> {
+            if (isRunning() && life() == ofLife) {
+                if (!isPaused()) {
+                    work(this::turn);
+                }
+                scheduleTurn(ofLife, HollowConfigurationFleet.CONTROL_TURN);
+            }
+        });
+    }
+
+    private void turn() {
+        fleet.consensus().turn(this);
+        publisher.turn(fleet.clock().now());
+        mostSessions = Math.max(mostSessions, publisher.sessions());
+    }
+
+    /** A frame has arrived; where no process listens, the machine says so. */
+    void receive(HollowConnection connection, byte[] frame) {
+        if (!isRunning()) {
+            if (!isMachineLost()) {
+                fleet.endAtRelay(connection);
+            }
+            return;
+        }
+        work(() -> handle(connection, frame));
+    }
+
+    private void handle(HollowConnection connection, byte[] frame) {
+        connections.put(connection.peer(), connection);
+        try {
+            ConfigurationMessage decoded = fleet.messages().decode(frame);
+            if (decoded instanceof ConfigurationMessage.FromFollower message) {
+                hellos += decoded instanceof ConfigurationMessage.Hello ? 1 : 0;
+                publisher.received(connection.peer(), message, fleet.clock().now());
+            }
+        } catch (MalformedConfigurationException e) {
+            throw new IllegalStateException("a frame of ours is not read", e);
+        }
+    }
+
+    /** The connection is gone. */
+    void ended(HollowConnection connection) {
+        work(() -> {
+            connections.remove(connection.peer());
+            publisher.disconnected(connection.peer());
+        });
+    }
+
+    @Override
+    public boolean send(String peer, ConfigurationMessage.FromPublisher message) {
+        HollowConnection connection = connections.get(peer);
+        if (connection == null) {
+            return false;
+        }
+        byte[] frame = fleet.messages().encode(message);
+        fleet.network().send(this, connection.relay(), connection.toRelay(), frame, bytes -> connection
+                .relay()
+                .receive(connection, bytes));
+        return true;
+    }
+
+    @Override
+    public void close(String peer) {
+        HollowConnection connection = connections.remove(peer);
+        if (connection != null) {
+            fleet.endAtRelay(connection);
+        }
+    }
+
+    @Override
+    public void line(String text) {
+        lines++;
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/measure/configuration/HollowRelay.java
@@ -0,0 +1,135 @@
+package sandstack.measure.configuration;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import sandstack.configuration.ConfigurationFollower;
+import sandstack.configuration.ConfigurationMessage;
+import sandstack.configuration.ConfigurationSnapshot;
+import sandstack.configuration.FollowerOutput;
+import sandstack.configuration.MalformedConfigurationException;
+
+/** A relay without clients: the real follower, on a simulated network and disk. One thread. */
+public final class HollowRelay extends HollowProcess implements FollowerOutput {
+    private final HollowConfigurationFleet fleet;
+    private final StoredInMemory store = new StoredInMemory();
+    private final Map<String, HollowConnection> connections = new LinkedHashMap<>();
+    private BiConsumer<HollowRelay, ConfigurationSnapshot> observer = (relay, snapshot) -> {};
+    private ConfigurationFollower follower;
+    private long lines;
+
+    HollowRelay(HollowConfigurationFleet fleet, String name, String region) {
+        super(name, region);
+        this.fleet = fleet;
+    }
+
+    /** Is told of each state that is put in force. */
+    public void observer(BiConsumer<HollowRelay, ConfigurationSnapshot> told) {
+        observer = told;
+    }
+
+    /** Its disk. */
+    public StoredInMemory store() {
+        return store;
+    }
+
+    /** The real follower; null where the process does not run. */
+    public ConfigurationFollower follower() {
+        return follower;
+    }
+
+    /** Lines that it has logged. */
+    public long lines() {
+        return lines;
+    }
+
+    @Override
+    void started() {
+        follower = fleet.newFollower(this);
+        scheduleTurn(life(), fleet.drawTurn());
+    }
+
+    @Override
+    void killed() {
+        follower = null;
+        boolean heard = !isMachineLost();
+        List<HollowConnection> open = List.copyOf(connections.values());
+        connections.clear();
+        if (heard) {
+            open.forEach(fleet::endAtMachine);
+        }
+    }
+
+    private void scheduleTurn(long ofLife, long in) {
+        fleet.clock().after(in, () -> {
+            if (isRunning() && life() == ofLife) {
+                if (!isPaused()) {
+                    work(() -> follower.turn(fleet.clock().now()));
+                }
+                scheduleTurn(ofLife, HollowConfigurationFleet.RELAY_TURN);
+            }
+        });
+    }
+
+    /** A frame has arrived on a connection; one that is no longer open hangs up on its sender. */
+    void receive(HollowConnection connection, byte[] frame) {
+        if (!isRunning() || connections.get(connection.machine().name()) != connection) {
+            if (!isMachineLost()) {
+                fleet.endAtMachine(connection);
+            }
+            return;
+        }
+        work(() -> handle(connection, frame));
+    }
+
+    private void handle(HollowConnection connection, byte[] frame) {
+        if (connections.get(connection.machine().name()) != connection) {
+            return;
+        }
+        try {
+            if (fleet.messages().decode(frame) instanceof ConfigurationMessage.FromPublisher message) {
+                follower.received(
+                        connection.machine().name(), message, fleet.clock().now());
+            }
+        } catch (MalformedConfigurationException e) {
+            throw new IllegalStateException("a frame of ours is not read", e);
+        }
+    }
+
+    /** The connection is gone. */
+    void ended(HollowConnection connection) {
+        work(() -> {
+            if (connections.remove(connection.machine().name(), connection)) {
+                follower.disconnected(connection.machine().name(), fleet.clock().now());
+            }
+        });
+    }
+
+    @Override
+    public void send(String machine, ConfigurationMessage.FromFollower message) {
+        HollowConnection connection = connections.computeIfAbsent(machine, name -> fleet.connect(this, name));
+        byte[] frame = fleet.messages().encode(message);
+        fleet.network().send(this, connection.machine(), connection.toMachine(), frame, bytes -> connection
+                .machine()
+                .receive(connection, bytes));
+    }
+
+    @Override
+    public void close(String machine) {
+        HollowConnection connection = connections.remove(machine);
+        if (connection != null) {
+            fleet.endAtMachine(connection);
+        }
+    }
+
+    @Override
+    public void inForce(ConfigurationSnapshot snapshot) {
+        observer.accept(this, snapshot);
+    }
+
+    @Override
+    public void line(String text) {
+        lines++;
+    }
+}
