--- /dev/null
+++ b/src/main/java/sandstack/measure/configuration/ConfigurationScale.java
@@ -0,0 +1,254 @@
+package sandstack.measure.configuration;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.ToDoubleFunction;
+import sandstack.measure.scale.Resource;
+import sandstack.measure.scale.Role;
+import sandstack.measure.scale.ScaleMeasurement;
+import sandstack.measure.scale.Series;
+import sandstack.measure.scale.Series.Point;
+
+/**
+ * What it costs to keep one configuration in force at a whole fleet, and how long a change takes: the real publishers
+ * and followers of seven control machines and up to 5,600 relays, in simulated time on a counted network. The consensus
+ * among the control machines is modelled, its own messages and processor time are not in these figures.
+ */
+public final class ConfigurationScale implements ScaleMeasurement {
+    private static final List<Integer> SIZES = List.of(50, 200, 800, 2_400, 5_600);
+    private static final List<Integer> SMALL_SIZES = List.of(50, 200, 800);
+    private static final FleetScenario.Length SMALL = new FleetScenario.Length(20, 1, 20, false);
+    private static final FleetScenario.Length QUICK = new FleetScenario.Length(20, 1, 20, true);
+    private static final FleetScenario.Length FULL = new FleetScenario.Length(60, 5, 600, true);
+    private static final long SEED = 40;
+    private static final String RELAYS = "relays";
+    private static final String WHERE =
+            "hollow relays with 7 control machines in simulated time, configuration of 28 KB";
+
+    @Override
+    public String name() {
+        return "configuration";
+    }
+
+    @Override
+    public List<Series> measure(Effort effort) {
+        FleetScenario.Length length =
+                switch (effort) {
+                    case SMALL -> SMALL;
+                    case QUICK -> QUICK;
+                    case FULL -> FULL;
+                };
+        List<FleetFigures> figures = new ArrayList<>();
+        for (int relays : effort == Effort.SMALL ? SMALL_SIZES : SIZES) {
+            figures.add(new FleetScenario(relays, length, SEED).play());
+        }
+        List<Series> series = new ArrayList<>();
+        series.addAll(relaySeries(figures));
+        series.addAll(controlSeries(figures));
+        series.addAll(latencySeries(figures));
+        if (length.timed()) {
+            series.addAll(timedSeries(figures));
+            series.add(ConfigurationHeap.series());
+        }
+        return series;
+    }
+
+    private static List<Series> relaySeries(List<FleetFigures> figures) {
+        return List.of(
+                relay(
+                        "idle-bytes",
+                        Resource.NETWORK,
+                        "bytes/s",
+                        "sent and received, nothing changes",
+                        figures,
+                        f -> f.idle().relayBytes()),
+                relay(
+                        "idle-messages",
+                        Resource.MESSAGES,
+                        "messages/s",
+                        "sent and received, nothing changes",
+                        figures,
+                        f -> f.idle().relayMessages()),
+                relay(
+                        "changing-bytes",
+                        Resource.NETWORK,
+                        "bytes/s",
+                        "at 3,700 changes a day",
+                        figures,
+                        f -> f.changing().relayBytes()),
+                relay(
+                        "changing-messages",
+                        Resource.MESSAGES,
+                        "messages/s",
+                        "at 3,700 changes a day",
+                        figures,
+                        f -> f.changing().relayMessages()),
+                relay(
+                        "apart-most-bytes",
+                        Resource.NETWORK,
+                        "bytes/s",
+                        "of the relay with most, while two regions are apart",
+                        figures,
+                        f -> f.apart().relayMostBytes()));
+    }
+
+    private static List<Series> controlSeries(List<FleetFigures> figures) {
+        return List.of(
+                control(
+                        "sessions",
+                        Resource.STATE,
+                        "relays",
+                        "the most at one machine in the whole run",
+                        figures,
+                        FleetFigures::mostSessions),
+                control(
+                        "idle-bytes",
+                        Resource.NETWORK,
+                        "bytes/s",
+                        "the busiest machine, nothing changes",
+                        figures,
+                        f -> f.idle().controlBytes()),
+                control(
+                        "changing-bytes",
+                        Resource.NETWORK,
+                        "bytes/s",
+                        "the busiest machine, 3,700 changes a day",
+                        figures,
+                        f -> f.changing().controlBytes()),
+                control(
+                        "changing-messages",
+                        Resource.MESSAGES,
+                        "messages/s",
+                        "the busiest machine, 3,700 changes a day",
+                        figures,
+                        f -> f.changing().controlMessages()),
+                control(
+                        "other-region-bytes",
+                        Resource.NETWORK,
+                        "bytes/s",
+                        "the part that crosses regions, 3,700 changes a day",
+                        figures,
+                        f -> f.changing().controlOtherRegionBytes()),
+                control(
+                        "hellos-after-kill",
+                        Resource.MESSAGES,
+                        "hellos/s",
+                        "busiest second at the busiest machine after another was lost",
+                        figures,
+                        FleetFigures::peakHellosAfterKill),
+                control(
+                        "hellos-apart",
+                        Resource.MESSAGES,
+                        "hellos/s",
+                        "busiest second at the busiest machine while regions were apart",
+                        figures,
+                        FleetFigures::peakHellosInCut),
+                control(
+                        "hellos-zone-back",
+                        Resource.MESSAGES,
+                        "hellos/s",
+                        "busiest second at the busiest machine as a zone of eight starts",
+                        figures,
+                        FleetFigures::peakHellosAfterZoneBack));
+    }
+
+    private static List<Series> latencySeries(List<FleetFigures> figures) {
+        return List.of(
+                latency(
+                        "in-force-everywhere",
+                        "from agreement to the last relay, the slowest of the changes",
+                        figures,
+                        FleetFigures::everywhere),
+                latency(
+                        "in-force-after-kill",
+                        "the same as the machine with most relays is lost silently",
+                        figures,
+                        FleetFigures::afterKill),
+                latency(
+                        "equal-after-regions-apart",
+                        "from the heal until all relays hold the same",
+                        figures,
+                        FleetFigures::afterRegionCut),
+                latency(
+                        "equal-after-zone-back",
+                        "from the start of a zone's relays until all hold the same",
+                        figures,
+                        FleetFigures::afterZoneBack),
+                latency(
+                        "equal-after-start",
+                        "from the start of all relays with empty disks",
+                        figures,
+                        FleetFigures::afterStart));
+    }
+
+    private static List<Series> timedSeries(List<FleetFigures> figures) {
+        return List.of(
+                relay(
+                        "idle-processor",
+                        Resource.PROCESSOR,
+                        "us/s",
+                        "thread time, nothing changes",
+                        figures,
+                        f -> f.idle().relayProcessor()),
+                relay(
+                        "changing-processor",
+                        Resource.PROCESSOR,
+                        "us/s",
+                        "thread time, 3,700 changes a day",
+                        figures,
+                        f -> f.changing().relayProcessor()),
+                relay(
+                        "memory",
+                        Resource.MEMORY,
+                        "bytes",
+                        "heap of the process after collection by the number of relays",
+                        figures,
+                        FleetFigures::heapBytesPerRelay),
+                control(
+                        "changing-processor",
+                        Resource.PROCESSOR,
+                        "us/s",
+                        "thread time, 3,700 changes a day",
+                        figures,
+                        f -> f.changing().controlProcessor()));
+    }
+
+    private static Series relay(
+            String id,
+            Resource resource,
+            String unit,
+            String method,
+            List<FleetFigures> figures,
+            ToDoubleFunction<FleetFigures> value) {
+        return series("configuration.relay." + id, Role.RELAY_CONTROL, resource, unit, method, figures, value);
+    }
+
+    private static Series control(
+            String id,
+            Resource resource,
+            String unit,
+            String method,
+            List<FleetFigures> figures,
+            ToDoubleFunction<FleetFigures> value) {
+        return series("configuration.control." + id, Role.CONTROL_MACHINE, resource, unit, method, figures, value);
+    }
+
+    private static Series latency(
+            String id, String method, List<FleetFigures> figures, ToDoubleFunction<FleetFigures> value) {
+        return series("configuration.latency." + id, Role.RELAY_CONTROL, Resource.LATENCY, "s", method, figures, value);
+    }
+
+    private static Series series(
+            String id,
+            Role role,
+            Resource resource,
+            String unit,
+            String method,
+            List<FleetFigures> figures,
+            ToDoubleFunction<FleetFigures> value) {
+        List<Point> points = figures.stream()
+                .map(f -> new Point(f.relays(), value.applyAsDouble(f)))
+                .toList();
+        return new Series(id, role, resource, unit, RELAYS, method + "; " + WHERE, points);
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/measure/configuration/ConfigurationScaleTest.java
@@ -0,0 +1,43 @@
+package sandstack.measure.configuration;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import sandstack.measure.scale.ScaleMeasurement.Effort;
+import sandstack.measure.scale.Series;
+import sandstack.measure.scale.Series.Point;
+
+/** The small form of the measurement: the same every time, and within the budgets at each size. */
+class ConfigurationScaleTest {
+    private static final double BYTES_PER_SECOND = 4_096;
+    private static final double SECONDS_TO_BE_IN_FORCE = 16;
+
+    @Test
+    void countsAreTheSameEveryTimeAndWithinTheBudgets() {
+        List<Series> series = new ConfigurationScale().measure(Effort.SMALL);
+        assertThat(new ConfigurationScale().measure(Effort.SMALL)).isEqualTo(series);
+        assertThat(series).extracting(Series::id).doesNotHaveDuplicates();
+        assertThat(series).allMatch(s -> s.points().size() == 3);
+        for (Series s : series) {
+            for (Point point : s.points()) {
+                switch (s.id().split("\\.")[1]) {
+                    case "latency" -> assertThat(point.value()).as(s.id()).isBetween(0.0, SECONDS_TO_BE_IN_FORCE);
+                    case "relay" -> assertThat(point.value()).as(s.id()).isBetween(0.1, BYTES_PER_SECOND);
+                    default -> assertThat(point.value()).as(s.id()).isNotNegative();
+                }
+            }
+        }
+    }
+
+    /** Nothing that a relay does grows with the fleet. */
+    @Test
+    void aRelaysCostDoesNotGrowWithTheFleet() {
+        for (Series s : new ConfigurationScale().measure(Effort.SMALL)) {
+            if (s.id().startsWith("configuration.relay.")) {
+                double first = s.points().get(0).value();
+                assertThat(s.points()).as(s.id()).allMatch(point -> point.value() < 1.5 * first);
+            }
+        }
+    }
+}
