--- a/src/main/java/sandstack/configuration/ControlSession.java
+++ b/src/main/java/sandstack/configuration/ControlSession.java
@@ -102,6 +102,8 @@
         boolean satisfies = satisfies(head, inForce);
         if (satisfied && !satisfies) {
             unsatisfiedSince = now;
+            // all relays of a machine hear of it at once; they are not to ask the others at once
+            attemptAt = now + settings.grace() + backOff.drawWidest();
         }
         satisfied = satisfies;
     }
@@ -121,9 +123,9 @@
         attempt = null;
         session.since = now;
         satisfied = true;
+        attemptAt = now;
         heard(head, inForce, now);
         drawReturn(now);
-        attemptAt = satisfied ? now : backOff.next(now);
         return true;
     }
 
--- a/src/main/java/sandstack/configuration/ReconnectBackOff.java
+++ b/src/main/java/sandstack/configuration/ReconnectBackOff.java
@@ -32,6 +32,11 @@
         return draw(now);
     }
 
+    /** A wait over the widest interval, where there is no hurry. */
+    long drawWidest() {
+        return random.nextLong(slot << mostN);
+    }
+
     /** A session stayed up. */
     void clear() {
         n = 0;
--- a/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
@@ -19,6 +19,8 @@
 public final class HollowConfigurationFleet {
     /** Between two turns of a relay, in microseconds. */
     static final long RELAY_TURN = 250_000;
+    /** Relays take their turns in so many groups, one after another. */
+    private static final int TURN_GROUPS = 25;
     /** Between two turns of a control machine, in microseconds. */
     static final long CONTROL_TURN = 100_000;
 
@@ -63,6 +65,7 @@
         for (int i = 0; i < plan.relays(); i++) {
             relays.add(new HollowRelay(this, "relay-" + i, REGIONS.get(i % 2)));
         }
+        turnGroup(0);
     }
 
     /** Starts all that do not run. */
@@ -124,8 +127,12 @@
         return messages;
     }
 
-    long drawTurn() {
-        return random.nextLong(RELAY_TURN);
+    /** One event for many turns keeps the queue of events short. */
+    private void turnGroup(int group) {
+        for (int i = group; i < relays.size(); i += TURN_GROUPS) {
+            relays.get(i).turn();
+        }
+        clock.after(RELAY_TURN / TURN_GROUPS, () -> turnGroup((group + 1) % TURN_GROUPS));
     }
 
     ConfigurationFollower newFollower(HollowRelay relay) {
--- a/src/main/java/sandstack/measure/configuration/HollowControlMachine.java
+++ b/src/main/java/sandstack/measure/configuration/HollowControlMachine.java
@@ -46,7 +46,7 @@
     void started() {
         publisher = fleet.newPublisher(this);
         fleet.consensus().started(this);
-        scheduleTurn(life(), fleet.drawTurn());
+        scheduleTurn(life(), HollowConfigurationFleet.CONTROL_TURN);
     }
 
     @Override
