--- a/src/main/java/sandstack/measure/configuration/HollowRelay.java
+++ b/src/main/java/sandstack/measure/configuration/HollowRelay.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 import sandstack.configuration.ConfigurationFollower;
 import sandstack.configuration.ConfigurationMessage;
 import sandstack.configuration.ConfigurationSnapshot;
@@ -16,6 +17,7 @@
     private final StoredInMemory store = new StoredInMemory();
     private final Map<String, HollowConnection> connections = new LinkedHashMap<>();
     private BiConsumer<HollowRelay, ConfigurationSnapshot> observer = (relay, snapshot) -> {};
+    private Consumer<ConfigurationMessage> tap = message -> {};
     private ConfigurationFollower follower;
     private long lines;
 
@@ -29,6 +31,11 @@
         observer = told;
     }
 
+    /** Is told of each message that arrives, before the follower. */
+    void tap(Consumer<ConfigurationMessage> told) {
+        tap = told;
+    }
+
     /** Its disk. */
     public StoredInMemory store() {
         return store;
@@ -84,6 +91,7 @@
         }
         try {
             if (fleet.messages().decode(frame) instanceof ConfigurationMessage.FromPublisher message) {
+                tap.accept(message);
                 follower.received(
                         connection.machine().name(), message, fleet.clock().now());
             }
--- /dev/null
+++ b/src/test/java/sandstack/configuration/MessageCodecTest.java
@@ -0,0 +1,94 @@
+package sandstack.configuration;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.Optional;
+import java.util.SplittableRandom;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import org.junit.jupiter.api.Test;
+import sandstack.configuration.ConfigurationMessage.ChunkRequest;
+import sandstack.configuration.ConfigurationMessage.Deltas;
+import sandstack.configuration.ConfigurationMessage.Goodbye;
+import sandstack.configuration.ConfigurationMessage.Heartbeat;
+import sandstack.configuration.ConfigurationMessage.Hello;
+import sandstack.configuration.ConfigurationMessage.Rejected;
+import sandstack.configuration.ConfigurationMessage.RejectionReason;
+import sandstack.configuration.ConfigurationMessage.RepairRequest;
+import sandstack.configuration.ConfigurationMessage.Report;
+import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
+import sandstack.configuration.ConfigurationMessage.SnapshotOffer;
+import sandstack.configuration.ConfigurationMessage.SnapshotRequest;
+import sandstack.configuration.ConfigurationMessage.Welcome;
+
+/** Each message comes back as it was; nothing else is read. */
+class MessageCodecTest {
+    private final MessageCodec codec = new MessageCodec(new ConfigurationCodec(ConfigurationLimits.DEFAULT));
+
+    private static List<ConfigurationMessage> all(long session) {
+        AgreedHistory history = new AgreedHistory().addMany(3);
+        ConfigurationVersion version = history.current().version();
+        ConfigurationDigest digest = history.current().digest();
+        return List.of(
+                new Hello(session, "relay-1", 1, version),
+                new Report(session, version, digest, Optional.empty()),
+                new Report(session, version, digest, Optional.of(ChangeRefusal.Reason.TOO_MANY)),
+                new RepairRequest(session, version),
+                new SnapshotRequest(session, 7),
+                new ChunkRequest(session, version, 9),
+                new Goodbye(session),
+                new Welcome(session, history.head(true)),
+                new Rejected(session, RejectionReason.FLOOD),
+                new Heartbeat(session, history.head(false)),
+                new Deltas(session, history.changes),
+                new SnapshotOffer(session, version, 3),
+                new SnapshotChunk(session, version, 1, 100, 50, new byte[] {1, 2, 3}));
+    }
+
+    @Test
+    void messagesComeBackAsTheyWere() throws Exception {
+        assertThat(all(1).stream().map(Object::getClass).distinct())
+                .hasSize(ConfigurationMessage.FromFollower.class.getPermittedSubclasses().length
+                        + ConfigurationMessage.FromPublisher.class.getPermittedSubclasses().length);
+        for (ConfigurationMessage message : all(-5)) {
+            assertThat(codec.decode(codec.encode(message))).isEqualTo(message);
+        }
+    }
+
+    @Property(tries = 300)
+    void damagedFramesAreRefusedOrRead(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        for (ConfigurationMessage message : all(random.nextLong())) {
+            byte[] frame = codec.encode(message);
+            byte[] damaged = Arrays.copyOf(frame, random.nextInt(frame.length + 1));
+            for (int i = 0; i < 3 && damaged.length > 0; i++) {
+                damaged[random.nextInt(damaged.length)] = (byte) random.nextInt();
+            }
+            try {
+                assertThat(codec.decode(damaged)).isNotNull();
+            } catch (MalformedConfigurationException e) {
+                assertThat(e.refusal().toString()).hasSizeLessThan(300);
+            }
+        }
+    }
+
+    @Test
+    void oversizedFramesAreRefusedBeforeTheyAreRead() {
+        assertThatThrownBy(() -> codec.decode(new byte[codec.mostBytes() + 1]))
+                .isInstanceOf(MalformedConfigurationException.class);
+        // a count of changes that the frame cannot hold
+        byte[] claims = codec.encode(new Deltas(1, List.of()));
+        Arrays.fill(claims, claims.length - Integer.BYTES, claims.length, (byte) 0x7f);
+        assertThatThrownBy(() -> codec.decode(claims)).isInstanceOf(MalformedConfigurationException.class);
+    }
+
+    @Test
+    void theOrdinaryMessagesAreSmall() {
+        AgreedHistory history = new AgreedHistory().addMany(1);
+        assertThat(codec.encode(new Heartbeat(1, history.head(true)))).hasSize(42);
+        assertThat(codec.encode(all(1).get(1))).hasSize(42);
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/configuration/RecordingFollowerOutput.java
@@ -0,0 +1,46 @@
+package sandstack.configuration;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** Keeps what a follower sends, closes, puts in force and logs. */
+final class RecordingFollowerOutput implements FollowerOutput {
+    record Sent(String machine, ConfigurationMessage.FromFollower message) {}
+
+    final List<Sent> sent = new ArrayList<>();
+    final List<String> closed = new ArrayList<>();
+    final List<ConfigurationSnapshot> states = new ArrayList<>();
+    final List<String> lines = new ArrayList<>();
+
+    @Override
+    public void send(String machine, ConfigurationMessage.FromFollower message) {
+        sent.add(new Sent(machine, message));
+    }
+
+    @Override
+    public void close(String machine) {
+        closed.add(machine);
+    }
+
+    @Override
+    public void inForce(ConfigurationSnapshot snapshot) {
+        states.add(snapshot);
+    }
+
+    @Override
+    public void line(String text) {
+        lines.add(text);
+    }
+
+    <T> List<T> messages(Class<T> kind) {
+        return sent.stream()
+                .map(Sent::message)
+                .filter(kind::isInstance)
+                .map(kind::cast)
+                .toList();
+    }
+
+    Sent last() {
+        return sent.get(sent.size() - 1);
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/configuration/RecordingPublisherOutput.java
@@ -0,0 +1,40 @@
+package sandstack.configuration;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** Keeps what a publisher sends, closes and logs. */
+final class RecordingPublisherOutput implements PublisherOutput {
+    record Sent(String peer, ConfigurationMessage.FromPublisher message) {}
+
+    final List<Sent> sent = new ArrayList<>();
+    final List<String> closed = new ArrayList<>();
+    final List<String> lines = new ArrayList<>();
+    boolean full;
+
+    @Override
+    public boolean send(String peer, ConfigurationMessage.FromPublisher message) {
+        if (!full) {
+            sent.add(new Sent(peer, message));
+        }
+        return !full;
+    }
+
+    @Override
+    public void close(String peer) {
+        closed.add(peer);
+    }
+
+    @Override
+    public void line(String text) {
+        lines.add(text);
+    }
+
+    <T> List<T> messages(Class<T> kind) {
+        return sent.stream()
+                .map(Sent::message)
+                .filter(kind::isInstance)
+                .map(kind::cast)
+                .toList();
+    }
+}
