--- a/src/main/java/sandstack/configuration/ChangeRefusal.java
+++ b/src/main/java/sandstack/configuration/ChangeRefusal.java
@@ -8,8 +8,6 @@
  * @param detail for people, one bounded line
  */
 public record ChangeRefusal(Reason reason, String detail) {
-    private static final int DETAIL_CHARACTERS = 200;
-
     /** What is wrong. */
     public enum Reason {
         /** It edits nothing. */
@@ -45,12 +43,7 @@
     /** Cuts the detail to one bounded line. */
     public ChangeRefusal {
         Objects.requireNonNull(reason, "reason");
-        detail = bounded(detail);
-    }
-
-    private static String bounded(String text) {
-        String cut = text.length() <= DETAIL_CHARACTERS ? text : text.substring(0, DETAIL_CHARACTERS) + "...";
-        return cut.replaceAll("\\p{Cntrl}", " ");
+        detail = OneLine.of(detail);
     }
 
     @Override
--- a/src/main/java/sandstack/configuration/ConfigurationPublisher.java
+++ b/src/main/java/sandstack/configuration/ConfigurationPublisher.java
@@ -58,7 +58,7 @@
 
         Session(Hello hello, TokenBucket messages, long now) {
             this.id = hello.session();
-            this.relay = hello.relay();
+            this.relay = OneLine.of(hello.relay());
             this.messages = messages;
             this.sent = hello.inForce();
             this.reported = hello.inForce();
@@ -128,6 +128,7 @@
         current = snapshot;
         recent.clear();
         encoded = null;
+        sessions.forEach(this::push);
     }
 
     /** A peer said something. */
--- a/src/main/java/sandstack/configuration/InForceConfiguration.java
+++ b/src/main/java/sandstack/configuration/InForceConfiguration.java
@@ -69,7 +69,8 @@
     void load() {
         ConfigurationStore.Loaded loaded = store.load();
         if (loaded instanceof ConfigurationStore.Loaded.Unreadable unreadable) {
-            output.line("the stored configuration cannot be read and is fetched anew: " + unreadable.problem());
+            output.line(
+                    "the stored configuration cannot be read and is fetched anew: " + OneLine.of(unreadable.problem()));
         } else if (loaded instanceof ConfigurationStore.Loaded.Found found) {
             load(found);
         }
@@ -174,7 +175,8 @@
         try {
             step.run();
         } catch (ConfigurationStoreException e) {
-            storeLines.line("the configuration could not be stored: " + e.getMessage(), now);
+            storeLines.line(
+                    "the configuration could not be stored: " + OneLine.of(String.valueOf(e.getMessage())), now);
         }
     }
 }
--- a/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
@@ -19,6 +19,8 @@
 public final class HollowConfigurationFleet {
     /** Between two turns of a relay, in microseconds. */
     static final long RELAY_TURN = 250_000;
+    /** A consensus library keeps some thousands of entries of its log. */
+    private static final int MOST_REPLAYED = 1_000;
     /** Relays take their turns in so many groups, one after another. */
     private static final int TURN_GROUPS = 25;
     /** Between two turns of a control machine, in microseconds. */
@@ -29,12 +31,20 @@
     /**
      * What the fleet is made of.
      *
+     * @param mostReplayed changes that a control machine which was away is told one by one; where there are more, it gets
+     *     the whole state
      * @param seed of all draws; the same gives the same run
      */
-    public record Plan(int relays, int machines, PublisherSettings publisher, FollowerSettings follower, long seed) {
+    public record Plan(
+            int relays,
+            int machines,
+            PublisherSettings publisher,
+            FollowerSettings follower,
+            int mostReplayed,
+            long seed) {
         /** With the settings that hold where staff state nothing else. */
         public static Plan of(int relays, int machines, long seed) {
-            return new Plan(relays, machines, PublisherSettings.DEFAULT, FollowerSettings.DEFAULT, seed);
+            return new Plan(relays, machines, PublisherSettings.DEFAULT, FollowerSettings.DEFAULT, MOST_REPLAYED, seed);
         }
     }
 
@@ -56,7 +66,7 @@
         this.plan = plan;
         this.random = new SplittableRandom(plan.seed());
         this.network = new CountedNetwork(clock, random.split());
-        this.consensus = new ModelledConsensus(this, validator);
+        this.consensus = new ModelledConsensus(this, validator, plan.mostReplayed());
         for (int i = 0; i < plan.machines(); i++) {
             HollowControlMachine machine = new HollowControlMachine(this, "control-" + i, REGIONS.get(i % 2));
             machines.add(machine);
--- a/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
+++ b/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
@@ -23,8 +23,6 @@
 public final class ModelledConsensus implements AgreedChangeListener {
     /** A machine that lacks a majority for so long says that it lacks a quorum, in microseconds. */
     private static final long QUORUM_TIMEOUT = 1_000_000;
-    /** A machine that is further behind gets the whole state. */
-    private static final int MOST_REPLAYED = 20;
     /** From the agreement to the next machine's knowledge, in microseconds: one way between regions and some. */
     private static final long REPLICATION = 60_000;
 
@@ -35,6 +33,7 @@
     }
 
     private final HollowConfigurationFleet fleet;
+    private final int mostReplayed;
     private final ConfigurationHistory history;
     private final List<AgreedChange> changes = new ArrayList<>();
     private final List<ConfigurationSnapshot> states = new ArrayList<>(List.of(ConfigurationSnapshot.EMPTY));
@@ -43,8 +42,9 @@
     private HollowControlMachine leader;
     private long term;
 
-    ModelledConsensus(HollowConfigurationFleet fleet, ChangeValidator validator) {
+    ModelledConsensus(HollowConfigurationFleet fleet, ChangeValidator validator, int mostReplayed) {
         this.fleet = fleet;
+        this.mostReplayed = mostReplayed;
         this.history = new ConfigurationHistory(validator, this);
     }
 
@@ -135,7 +135,7 @@
     }
 
     private void catchUp(HollowControlMachine machine, Replica replica) {
-        if (changes.size() - replica.applied > MOST_REPLAYED) {
+        if (changes.size() - replica.applied > mostReplayed) {
             replica.applied = changes.size();
             machine.publisher().restored(current());
         }
--- a/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
@@ -132,6 +132,15 @@
         assertThat(output.lines).hasSize(1);
     }
 
+    @Test
+    void aNameCannotForgeALine() {
+        publisher.received("a", new Hello(1, "relay\nno fault\u2028x", 1, ConfigurationVersion.NONE), 0);
+        for (int i = 0; i < 100; i++) {
+            report("a", 1, ConfigurationSnapshot.EMPTY, 0);
+        }
+        assertThat(output.lines).containsExactly("a relay is turned away: relay no fault x sends too much");
+    }
+
     /** One peer's hellos are charged to it: others still get in. */
     @Test
     void hellosOfOnePeerAreBounded() {
@@ -192,6 +201,15 @@
         assertThat(output.messages(Deltas.class)).containsExactly(new Deltas(1, history.changes));
     }
 
+    @Test
+    void restoringALaterStateOffersItAtOnce() {
+        hello("a", 1, ConfigurationVersion.NONE, 0);
+        history.addMany(HISTORY);
+        publisher.restored(history.current());
+        assertThat(output.messages(SnapshotOffer.class))
+                .containsExactly(new SnapshotOffer(1, history.current().version(), 1));
+    }
+
     @Test
     void restoringAnOlderStateChangesNothing() {
         agree(3);
--- a/src/test/java/sandstack/measure/configuration/DrawnFaults.java
+++ b/src/test/java/sandstack/measure/configuration/DrawnFaults.java
@@ -19,6 +19,7 @@
 
     private static final int RELAYS = 16;
     private static final int STEPS = 24;
+    private static final int MOST_REPLAYED = 20;
     /** A short history and small parts, so that snapshots are fetched as well. */
     private static final PublisherSettings SMALL =
             new PublisherSettings(20, 2 * SECOND, 8 * SECOND, 4, 400, 6, 1 << 20, 100, 3, 1 << 20, 1_000, 50, 200);
@@ -32,6 +33,7 @@
     private double loss;
     private double duplication;
     private double delays;
+    private long settledAfter;
     private int agreed;
     private int refused;
 
@@ -39,7 +41,7 @@
         random = new SplittableRandom(seed);
         int machines = random.nextBoolean() ? 7 : 5;
         fleet = new HollowConfigurationFleet(new HollowConfigurationFleet.Plan(
-                RELAYS, machines, SMALL, FollowerSettings.DEFAULT, random.nextLong()));
+                RELAYS, machines, SMALL, FollowerSettings.DEFAULT, MOST_REPLAYED, random.nextLong()));
         rules = new DistributionRules(fleet);
         fleet.relays().forEach(relay -> relay.store().keepOlder());
     }
@@ -57,6 +59,11 @@
         return done;
     }
 
+    /** From the end of all faults until all relays held the same; -1 where they did not in time. */
+    long settledAfter() {
+        return settledAfter;
+    }
+
     int agreed() {
         return agreed;
     }
@@ -77,7 +84,7 @@
         }
         endFaults();
         propose();
-        fleet.clock().run(EQUAL_WITHIN);
+        settledAfter = fleet.runUntilEverywhere(SECOND / 20, EQUAL_WITHIN);
         rules.settled(fleet);
         return this;
     }
