--- a/src/main/java/sandstack/configuration/ConfigurationFollower.java
+++ b/src/main/java/sandstack/configuration/ConfigurationFollower.java
@@ -66,17 +66,13 @@
     /**
      * Loads what is stored and puts it in force.
      *
-     * @param relay name of this relay, unique in the fleet
-     * @param region of this relay
      * @param machines all control machines, at least one
      */
     public ConfigurationFollower(
             FollowerSettings settings,
-            String relay,
-            String region,
+            RelayIdentity relay,
             List<ControlMachine> machines,
             ChangeValidator validator,
-            ConfigurationCodec codec,
             ConfigurationStore store,
             FollowerOutput output,
             RandomGenerator random,
@@ -85,12 +81,12 @@
             throw new IllegalArgumentException("there is no control machine");
         }
         this.settings = settings;
-        this.codec = codec;
+        this.codec = new ConfigurationCodec(validator.limits());
         this.output = output;
         this.inForce = new InForceConfiguration(validator, store, output);
         this.divergenceLines = new LineLimiter(output::line, LINE_INTERVAL);
-        List<ControlMachine> order = ControlMachine.inOrderFor(relay, region, machines);
-        this.control = new ControlSession(settings, relay, order, output, random, now);
+        List<ControlMachine> order = ControlMachine.inOrderFor(relay, machines);
+        this.control = new ControlSession(settings, relay.name(), order, output, random, now);
         this.repairAt = now;
         this.snapshotAt = now;
         inForce.load();
--- a/src/main/java/sandstack/configuration/ConfigurationSize.java
+++ b/src/main/java/sandstack/configuration/ConfigurationSize.java
@@ -6,19 +6,20 @@
 
     /** Bytes of a text; a lone surrogate counts as the one byte that replaces it. */
     static long ofText(String text) {
-        long bytes = 0;
-        for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            if (Character.isHighSurrogate(c) && i + 1 < text.length() && Character.isLowSurrogate(text.charAt(i + 1))) {
-                bytes += 4;
-                i++;
-            } else if (Character.isSurrogate(c)) {
-                bytes++;
-            } else {
-                bytes += c < 0x80 ? 1 : c < 0x800 ? 2 : 3;
-            }
+        return text.codePoints().mapToLong(ConfigurationSize::ofCodePoint).sum();
+    }
+
+    private static long ofCodePoint(int codePoint) {
+        if (codePoint < 0x80) {
+            return 1;
+        }
+        if (codePoint < 0x800) {
+            return 2;
+        }
+        if (codePoint >= Character.MIN_SURROGATE && codePoint <= Character.MAX_SURROGATE) {
+            return 1;
         }
-        return bytes;
+        return Character.isSupplementaryCodePoint(codePoint) ? 4 : 3;
     }
 
     /** Bytes of an entry with what is counted for each. */
--- a/src/main/java/sandstack/configuration/InForceConfiguration.java
+++ b/src/main/java/sandstack/configuration/InForceConfiguration.java
@@ -166,6 +166,7 @@
         output.inForce(next);
     }
 
+    /** Something that the store is to keep. */
     private interface StoreStep {
         void run() throws ConfigurationStoreException;
     }
--- a/src/main/java/sandstack/configuration/MalformedConfigurationException.java
+++ b/src/main/java/sandstack/configuration/MalformedConfigurationException.java
@@ -4,7 +4,11 @@
 public final class MalformedConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** @param message what is wrong, without the bytes themselves */
+    /**
+     * With what is wrong.
+     *
+     * @param message one line, without the bytes themselves
+     */
     public MalformedConfigurationException(String message) {
         super(message);
     }
--- a/src/main/java/sandstack/configuration/RecentChanges.java
+++ b/src/main/java/sandstack/configuration/RecentChanges.java
@@ -7,6 +7,7 @@
 
 /** The latest agreed changes, bounded by number and bytes, without a gap. One thread. */
 final class RecentChanges {
+    /** A change with the size of its encoded form. */
     private record Kept(AgreedChange change, int bytes) {}
 
     private final ConfigurationCodec codec;
--- a/src/main/java/sandstack/measure/configuration/ConfigurationHeap.java
+++ b/src/main/java/sandstack/measure/configuration/ConfigurationHeap.java
@@ -42,7 +42,7 @@
         ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
         byte[] encoded = codec.encode(drawn(bytes));
         List<ConfigurationSnapshot> held = new ArrayList<>();
-        long before = usedHeap();
+        long before = UsedHeap.bytes();
         try {
             for (int i = 0; i < COPIES; i++) {
                 held.add(codec.decodeSnapshot(encoded));
@@ -50,7 +50,7 @@
         } catch (MalformedConfigurationException e) {
             throw new IllegalStateException("a state of ours is not read", e);
         }
-        double each = (usedHeap() - before) / (double) COPIES;
+        double each = (UsedHeap.bytes() - before) / (double) COPIES;
         return held.size() == COPIES ? each : Double.NaN;
     }
 
@@ -61,10 +61,4 @@
         }
         return ConfigurationSnapshot.of(new ConfigurationVersion(1, 1), 1, entries);
     }
-
-    private static long usedHeap() {
-        System.gc();
-        Runtime runtime = Runtime.getRuntime();
-        return runtime.totalMemory() - runtime.freeMemory();
-    }
 }
--- a/src/main/java/sandstack/measure/configuration/FleetScenario.java
+++ b/src/main/java/sandstack/measure/configuration/FleetScenario.java
@@ -43,7 +43,7 @@
     }
 
     FleetFigures play() {
-        long heapBefore = length.timed() ? usedHeap() : 0;
+        long heapBefore = length.timed() ? UsedHeap.bytes() : 0;
         fleet.machines().forEach(HollowProcess::start);
         fill();
         fleet.clock().run(2 * SECOND);
@@ -51,7 +51,7 @@
         double afterStart = untilEverywhere();
         settle();
         double heap = length.timed()
-                ? (double) (usedHeap() - heapBefore) / fleet.relays().size()
+                ? (double) (UsedHeap.bytes() - heapBefore) / fleet.relays().size()
                 : 0;
         Rates idle = rates(length.idle(), () -> fleet.clock().run(length.idle() * SECOND));
         double[] everywhere = {0};
@@ -232,10 +232,4 @@
     private static long threadNanos() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
-
-    private static long usedHeap() {
-        System.gc();
-        Runtime runtime = Runtime.getRuntime();
-        return runtime.totalMemory() - runtime.freeMemory();
-    }
 }
--- a/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
@@ -14,6 +14,7 @@
 import sandstack.configuration.FollowerSettings;
 import sandstack.configuration.MessageCodec;
 import sandstack.configuration.PublisherSettings;
+import sandstack.configuration.RelayIdentity;
 
 /** A fleet of relays and control machines in two regions, in one process and in simulated time. One thread. */
 public final class HollowConfigurationFleet {
@@ -148,11 +149,9 @@
     ConfigurationFollower newFollower(HollowRelay relay) {
         return new ConfigurationFollower(
                 plan.follower(),
-                relay.name(),
-                relay.region(),
+                new RelayIdentity(relay.name(), relay.region()),
                 controlMachines,
                 validator,
-                codec,
                 relay.store(),
                 relay,
                 random.split(),
--- a/src/main/java/sandstack/measure/configuration/SimulatedClock.java
+++ b/src/main/java/sandstack/measure/configuration/SimulatedClock.java
@@ -5,6 +5,7 @@
 
 /** Simulated time in microseconds and what happens in it, in a fixed order. One thread. */
 public final class SimulatedClock {
+    /** What happens at a moment; those of one moment in the order in which they were asked for. */
     private record Event(long at, long order, Runnable action) {}
 
     private final PriorityQueue<Event> events =
--- a/src/test/java/sandstack/configuration/ConfigurationCodecTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationCodecTest.java
@@ -4,6 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
@@ -72,6 +73,11 @@
         }
     }
 
+    @Property(tries = 300)
+    void sizesAreThoseOfUtf8(@ForAll String text) {
+        assertThat(ConfigurationSize.ofText(text)).isEqualTo(text.getBytes(StandardCharsets.UTF_8).length);
+    }
+
     @Test
     void aDamagedValueOfASnapshotIsRefused() {
         byte[] bytes =
--- a/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
@@ -75,11 +75,9 @@
     private void start() {
         follower = new ConfigurationFollower(
                 FollowerSettings.DEFAULT,
-                "relay-1",
-                "north",
+                new RelayIdentity("relay-1", "north"),
                 MACHINES,
                 new ChangeValidator(ConfigurationLimits.DEFAULT, state -> check.problem(state)),
-                codec,
                 disk,
                 output,
                 new SplittableRandom(5),
--- a/src/test/java/sandstack/configuration/RecordingFollowerOutput.java
+++ b/src/test/java/sandstack/configuration/RecordingFollowerOutput.java
@@ -5,6 +5,7 @@
 
 /** Keeps what a follower sends, closes, puts in force and logs. */
 final class RecordingFollowerOutput implements FollowerOutput {
+    /** A message and the machine that it went to. */
     record Sent(String machine, ConfigurationMessage.FromFollower message) {}
 
     final List<Sent> sent = new ArrayList<>();
--- a/src/test/java/sandstack/configuration/RecordingPublisherOutput.java
+++ b/src/test/java/sandstack/configuration/RecordingPublisherOutput.java
@@ -5,6 +5,7 @@
 
 /** Keeps what a publisher sends, closes and logs. */
 final class RecordingPublisherOutput implements PublisherOutput {
+    /** A message and the peer that it went to. */
     record Sent(String peer, ConfigurationMessage.FromPublisher message) {}
 
     final List<Sent> sent = new ArrayList<>();
--- a/src/test/java/sandstack/measure/configuration/DistributionRules.java
+++ b/src/test/java/sandstack/measure/configuration/DistributionRules.java
@@ -14,6 +14,7 @@
     private final Map<HollowRelay, Seen> seen = new HashMap<>();
     private long states;
 
+    /** The last state of a relay. */
     private static final class Seen {
         long life;
         long index;
