--- a/src/test/java/sandstack/measure/configuration/ConfigurationScaleTest.java
+++ b/src/test/java/sandstack/measure/configuration/ConfigurationScaleTest.java
@@ -13,13 +13,14 @@
     private static final double BYTES_PER_SECOND = 4_096;
     private static final double SECONDS_TO_BE_IN_FORCE = 16;
 
+    private static final List<Series> SERIES = new ConfigurationScale().measure(Effort.SMALL);
+
     @Test
     void countsAreTheSameEveryTimeAndWithinTheBudgets() {
-        List<Series> series = new ConfigurationScale().measure(Effort.SMALL);
-        assertThat(new ConfigurationScale().measure(Effort.SMALL)).isEqualTo(series);
-        assertThat(series).extracting(Series::id).doesNotHaveDuplicates();
-        assertThat(series).allMatch(s -> s.points().size() == 3);
-        for (Series s : series) {
+        assertThat(new ConfigurationScale().measure(Effort.SMALL)).isEqualTo(SERIES);
+        assertThat(SERIES).extracting(Series::id).doesNotHaveDuplicates();
+        assertThat(SERIES).allMatch(s -> s.points().size() == 3);
+        for (Series s : SERIES) {
             for (Point point : s.points()) {
                 switch (s.id().split("\\.")[1]) {
                     case "latency" -> assertThat(point.value()).as(s.id()).isBetween(0.0, SECONDS_TO_BE_IN_FORCE);
@@ -33,7 +34,7 @@
     /** Nothing that a relay does grows with the fleet. */
     @Test
     void aRelaysCostDoesNotGrowWithTheFleet() {
-        for (Series s : new ConfigurationScale().measure(Effort.SMALL)) {
+        for (Series s : SERIES) {
             if (s.id().startsWith("configuration.relay.")) {
                 double first = s.points().get(0).value();
                 assertThat(s.points()).as(s.id()).allMatch(point -> point.value() < 1.5 * first);
