--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -12,6 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Function;
 import java.util.function.Supplier;
 import java.util.logging.Logger;
@@ -75,12 +76,20 @@
     private EffectiveSettings terms;
 
     private volatile boolean accepting;
-    /** Whether a client may be there, or may come: told to stop before, the process just ends. */
-    private volatile boolean serving;
+    private final AtomicReference<Phase> phase = new AtomicReference<>(Phase.STARTING);
 
     private int door;
     private long startedAt;
 
+    /** How far this process is. It serves at most once, and never after it has been told to stop. */
+    private enum Phase {
+        /** No listener has been opened: told to stop, the process just ends. */
+        STARTING,
+        /** A client may be there, or may come: told to stop, the process drains. */
+        SERVING,
+        STOPPING
+    }
+
     /** What a front's listen is. */
     private interface Listening {
         int listen(String host, int port) throws IOException;
@@ -131,7 +140,7 @@
     public void serve() throws BadSettings, IOException {
         start();
         // the loop's thread is the library's daemon: if this one ended, the process would begin to stop
-        await(new CountDownLatch(1));
+        awaitEndOfProcess();
     }
 
     /**
@@ -174,6 +183,7 @@
     private int start() throws BadSettings, IOException {
         // the library's own way with SIGHUP is to end the process
         Signal.handle(new Signal("HUP"), signal -> reload());
+        stopAtShutdown();
         JsonNode amqp = files.enabled("amqp.toml");
         JsonNode directory = files.enabled("directory.toml");
         TenantDirectory.Where where = directory == null ? null : TenantDirectory.Where.read(directory);
@@ -200,7 +210,6 @@
             loop.execute(this::askDiscovery);
         }
         int port = 0;
-        Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
         if (kin != null) {
             kin.start(new KinOfRelay());
         }
@@ -256,10 +265,9 @@
             relay.deadlines().at(loop.now() + LOOK_AGAIN, this::acceptOnceItCanServe);
             return;
         }
-        if (relay.draining()) {
+        if (!mayServe()) {
             return;
         }
-        serving = true;
         try {
             int port = platform.inherit();
             accepting = true;
@@ -330,13 +338,16 @@
 
     private int listen(String what, Address at, Listening front) throws BadSettings, IOException {
         int port;
-        serving = true;
+        if (!mayServe()) {
+            awaitEndOfProcess();
+        }
         try {
             port = front.listen(at.host(), at.port());
             listeners.add(what + " at " + at.host() + ":" + port);
         } catch (IOException e) {
-            serving = false;
-            loop.stop();
+            if (phase.getAndSet(Phase.STOPPING) != Phase.STOPPING) {
+                loop.stop();
+            }
             throw new BadSettings("cannot listen at " + at + ": " + e.getMessage());
         }
         LOG.info(config.name() + " listens for " + what + " at " + at.host() + ":" + port);
@@ -367,9 +378,28 @@
         }
     }
 
+    /** Before any listener is open: a client that comes between a listener and this would be cut off by SIGTERM. */
+    private void stopAtShutdown() {
+        try {
+            Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
+        } catch (IllegalStateException e) {
+            // SIGTERM has come already
+            awaitEndOfProcess();
+        }
+    }
+
+    /** Begins to serve; false where this process has been told to stop, and may open no listener any more. */
+    private boolean mayServe() {
+        return phase.compareAndSet(Phase.STARTING, Phase.SERVING) || phase.get() == Phase.SERVING;
+    }
+
+    private static void awaitEndOfProcess() {
+        await(new CountDownLatch(1));
+    }
+
     /** On SIGTERM: moves the clients away first. */
     private void stop() {
-        if (!serving) {
+        if (phase.getAndSet(Phase.STOPPING) != Phase.SERVING) {
             return;
         }
         loop.execute(() -> {
--- a/src/main/java/sandstack/core/ConnectionOutcome.java
+++ b/src/main/java/sandstack/core/ConnectionOutcome.java
@@ -16,7 +16,7 @@
     SERVER_ERROR(Outcome.ERROR),
     /** The feed server turned it away unseen. */
     TURNED_AWAY(Outcome.FULL),
-    /** No connection came up, or it broke before the whole request was written. */
+    /** No connection came up, or it broke or was given up before the whole request was written. */
     NOT_CONNECTED(Outcome.CONNECT_FAILED),
     /** The connection ended without a word. */
     ENDED_EARLY(Outcome.RESET),
@@ -24,7 +24,7 @@
     RESET(Outcome.RESET),
     /** A standing connection on which the feed server no longer answers. */
     SILENT(Outcome.RESET),
-    /** No answer while the relay was willing to wait. */
+    /** The whole request was written, and no answer came while the relay was willing to wait. */
     OUT_OF_TIME(Outcome.TIMEOUT),
     /** Never sent: the client had gone, its time was up or the server has no address. */
     NEVER_SENT(Outcome.MOOT);
--- a/src/main/java/sandstack/core/Draining.java
+++ b/src/main/java/sandstack/core/Draining.java
@@ -30,6 +30,9 @@
     private final SplittableRandom random;
     private boolean begun;
     private long start;
+    /** When the last client is moved: the platform kills by the settings of the moment at which it said stop. */
+    private long lastMove;
+
     private IntSupplier unheardPeers = () -> 0;
     /** Called once nobody is there any more; null before draining and after that call. */
     private Runnable whenDrained;
@@ -63,16 +66,17 @@
         LOG.info("draining: " + relay.clients().size() + " clients to move or answer");
         whenDrained = drained;
         start = relay.now();
+        lastMove = start + Math.max(MOVES_BEGIN + LEFT, Math.min(relay.longestDeadline(), LONGEST));
         relay.clients().forEach(this::move);
         // a relay without clients that stopped at once would lose those who are still being sent to it
         relay.deadlines().at(start + MOVES_BEGIN, () -> {});
-        relay.deadlines().at(lastMove() + LEFT, this::endTheRest);
+        relay.deadlines().at(lastMove + LEFT, this::endTheRest);
     }
 
     /** Moves a client at a moment drawn over the span; one that comes later is moved as well. */
     void move(ServiceClient client) {
-        long earliest = Math.max(relay.now(), Math.max(start + MOVES_BEGIN, lastMove() - SPAN));
-        long latest = Math.max(earliest + 1, lastMove());
+        long earliest = Math.max(relay.now(), Math.max(start + MOVES_BEGIN, lastMove - SPAN));
+        long latest = Math.max(earliest + 1, lastMove);
         relay.deadlines().at(random.nextLong(earliest, latest), () -> {
             if (client.execution != null) {
                 client.execution.move(ConnectionOutcome.MOVED);
@@ -85,7 +89,7 @@
         if (whenDrained == null) {
             return;
         }
-        boolean heardOut = unheardPeers.getAsInt() == 0 || now >= lastMove() + LEFT;
+        boolean heardOut = unheardPeers.getAsInt() == 0 || now >= lastMove + LEFT;
         if (relay.clients().isEmpty() && now >= start + MOVES_BEGIN && heardOut) {
             Runnable callback = whenDrained;
             whenDrained = null;
@@ -93,11 +97,6 @@
         }
     }
 
-    private long lastMove() {
-        long longest = Math.min(relay.longestDeadline(), LONGEST);
-        return start + Math.max(MOVES_BEGIN + LEFT, longest);
-    }
-
     /** Whoever is still there has to be told before the process is killed. */
     private void endTheRest() {
         for (ServiceClient client : List.copyOf(relay.clients())) {
--- a/src/main/java/sandstack/core/Execution.java
+++ b/src/main/java/sandstack/core/Execution.java
@@ -47,7 +47,7 @@
     }
 
     void start() {
-        waiting = relay.deadlines().at(began + patience, () -> giveUp(ConnectionOutcome.OUT_OF_TIME));
+        waiting = relay.deadlines().at(began + patience, this::outOfTime);
         // a machine that has vanished never refuses: without this the whole patience would go on its silence
         connecting = relay.deadlines().at(began + Math.min(patience, relay.connectTimeout()), this::connectLate);
         Wire opened = client.execute(this);
@@ -58,6 +58,11 @@
         }
     }
 
+    /** What the feed server was never sent whole cannot have run, however long it was waited for. */
+    private void outOfTime() {
+        giveUp(written ? ConnectionOutcome.OUT_OF_TIME : ConnectionOutcome.NOT_CONNECTED);
+    }
+
     /**
      * A relay that was held up itself finds the deadline past before it has looked at its sockets: a connection
      * that has come up meanwhile is not taken for a failed one, as it gets one more look.
--- a/src/main/java/sandstack/net/Loop.java
+++ b/src/main/java/sandstack/net/Loop.java
@@ -4,6 +4,8 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectionKey;
+import java.nio.channels.SocketChannel;
+import java.nio.channels.WritableByteChannel;
 import java.util.Queue;
 import java.util.Set;
 import java.util.concurrent.ConcurrentLinkedQueue;
@@ -66,6 +68,12 @@
     /** What was seen at the sockets longer ago than this is no ground to act on: they are looked at first. */
     private static final long STALE = 10_000;
 
+    /** What a socket is written through. */
+    interface Output {
+        WritableByteChannel of(SocketChannel socket);
+    }
+
+    private final Output output;
     private final TCPNIOTransport transport;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final ByteBuffer scrap = ByteBuffer.allocateDirect(64 * 1024);
@@ -83,6 +91,16 @@
 
     /** Creates a loop whose thread has not started; see {@link #start}. */
     public Loop() {
+        this(socket -> socket);
+    }
+
+    /**
+     * A loop whose writes can be shortened.
+     *
+     * @param output sockets are written through these channels, which may take less than the sockets would
+     */
+    Loop(Output output) {
+        this.output = output;
         transport = TCPNIOTransportBuilder.newInstance()
                 .setName("loop")
                 .setIOStrategy(new Strategy())
@@ -197,6 +215,11 @@
         return connector;
     }
 
+    /** What this socket is written through. */
+    WritableByteChannel output(SocketChannel socket) {
+        return output.of(socket);
+    }
+
     /** An empty buffer for bytes that nobody will look at. */
     ByteBuffer scrap() {
         return scrap.clear();
--- a/src/main/java/sandstack/net/Peer.java
+++ b/src/main/java/sandstack/net/Peer.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.net.StandardSocketOptions;
 import java.nio.channels.SocketChannel;
+import java.nio.channels.WritableByteChannel;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.Grizzly;
 import org.glassfish.grizzly.IOEvent;
@@ -36,6 +37,7 @@
 
     private final NIOConnection connection;
     private final SocketChannel channel;
+    private final WritableByteChannel output;
     private final Loop loop;
     private final Ring in = new Ring(RING_LIMIT);
     private Ring out = new Ring(RING_LIMIT);
@@ -53,6 +55,7 @@
     Peer(Connection<?> connection, Loop loop) {
         this.connection = (NIOConnection) connection;
         this.channel = (SocketChannel) this.connection.getChannel();
+        this.output = loop.output(channel);
         this.loop = loop;
         OF.set(connection, this);
     }
@@ -169,7 +172,7 @@
             return;
         }
         try {
-            out.writeTo(channel);
+            out.writeTo(output);
             if (!out.isEmpty()) {
                 connection.enableIOEvent(IOEvent.WRITE);
                 return;
--- a/src/test/java/sandstack/Program.java
+++ b/src/test/java/sandstack/Program.java
@@ -7,10 +7,10 @@
 import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.jar.JarEntry;
 import java.util.jar.JarOutputStream;
@@ -25,7 +25,7 @@
     private final Path folder;
     private final String classPath;
     private final Path archive;
-    private final List<Process> started = new ArrayList<>();
+    private final List<Process> started = new CopyOnWriteArrayList<>();
 
     /** Makes jar and archive; about two seconds. */
     Program(Path folder) throws Exception {
@@ -59,12 +59,13 @@
                         "sandstack.Main",
                         "rehearse"),
                 "rehearsal",
-                config("rehearsal", 0, 1024));
+                config("rehearsal", 0, 1024),
+                0);
         assertThat(rehearsal.waitFor(60, TimeUnit.SECONDS)).isTrue();
         assertThat(archive).exists();
     }
 
-    private static String java() {
+    static String java() {
         return Path.of(System.getProperty("java.home"), "bin/java").toString();
     }
 
@@ -79,11 +80,20 @@
     }
 
     /**
-     * Starts one relay.
+     * Starts one relay at a port of the system's choice.
      *
      * @param around words before the command, as {@code taskset -c 0}
      */
     Process start(String around, String name, Path config) throws IOException {
+        return process(List.of("/bin/sh", "-c", command(around)), name, config, 0);
+    }
+
+    /** Starts one relay that listens at this port. */
+    Process startAt(int port, String name, Path config) throws IOException {
+        return process(List.of("/bin/sh", "-c", command("")), name, config, port);
+    }
+
+    private String command(String around) throws IOException {
         String run = Files.readString(Path.of("deploy/balancer.toml"))
                 .lines()
                 .filter(line -> line.startsWith("run = "))
@@ -94,14 +104,14 @@
                 .replace("target/sandstack.jsa", archive.toString())
                 .replace("-jar target/sandstack.jar", "-cp " + classPath + " sandstack.Main");
         assertThat(command).contains(archive.toString(), "sandstack.Main serve");
-        return process(List.of("/bin/sh", "-c", command), name, config);
+        return command;
     }
 
-    private Process process(List<String> command, String name, Path config) throws IOException {
+    private Process process(List<String> command, String name, Path config, int port) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(folder.resolve(name + ".log").toFile());
-        builder.environment().putAll(Map.of("PROXY_CONFIG", config.toString(), "PROXY_LISTEN", "127.0.0.1:0"));
+        builder.environment().putAll(Map.of("PROXY_CONFIG", config.toString(), "PROXY_LISTEN", "127.0.0.1:" + port));
         Process process = builder.start();
         started.add(process);
         return process;
--- a/src/test/java/sandstack/core/ExecutionTest.java
+++ b/src/test/java/sandstack/core/ExecutionTest.java
@@ -5,6 +5,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 import sandstack.decisions.Decisions.*;
 import sandstack.settings.SettingsBuilder;
 
@@ -15,15 +17,15 @@
     private final List<Execution> begun = new ArrayList<>();
     private int abandoned;
     private int moved;
-    private final Relay relay = new Relay(
-            SettingsBuilder.of(List.of(new RequestClass(300_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 0)))
-                    .connectTimeout(100_000)
-                    .maxRetryAfter(1_000_000)
-                    .tipMultiple(3)
-                    .build(),
-            1,
-            () -> now,
-            () -> {});
+    private final Relay relay = new Relay(settings(2_000_000), 1, () -> now, () -> {});
+
+    private static Settings settings(long deadline) {
+        return SettingsBuilder.of(List.of(new RequestClass(300_000, deadline, 1, Repeat.SAFE, Scope.ALL, 0, 0)))
+                .connectTimeout(100_000)
+                .maxRetryAfter(1_000_000)
+                .tipMultiple(3)
+                .build();
+    }
 
     /** A client whose wires only count. */
     private final class Counting extends ServiceClient {
@@ -114,6 +116,31 @@
         assertThat(relay.endings()).containsOnlyKeys(ConnectionOutcome.NEVER_SENT);
     }
 
+    /** The whole list that came after a gap has no line for it any more. */
+    @Test
+    void aWayThatComesUpToAServerThatAWholeListLeavesOutIsGivenUpUnsent() {
+        Execution execution = begin();
+        relay.listed(new NameTable.News(
+                ListKind.FULL,
+                9,
+                List.of(new NameTable.Line(new ServerEntry("s2", 0, 0, 0, 0, Phase.READY, 1), "127.0.0.1", 81))));
+        assertThat(execution.connected()).isFalse();
+        assertThat(abandoned).isEqualTo(1);
+        assertThat(relay.endings()).containsOnlyKeys(ConnectionOutcome.NEVER_SENT);
+    }
+
+    /** It counted as one that may have run, and a request that is not safe was not tried elsewhere. */
+    @Test
+    void anAttemptWhoseTimeRunsOutBeforeItsRequestIsWrittenNeverRan() {
+        Execution execution = begin();
+        execution.connected();
+        now += 1_000_000;
+        relay.turn();
+        assertThat(execution.over()).isTrue();
+        assertThat(abandoned).isEqualTo(1);
+        assertThat(relay.endings()).containsOnlyKeys(ConnectionOutcome.NOT_CONNECTED);
+    }
+
     @Test
     void aClientThatLeftWhileItsWayCameUpIsNotSentOn() {
         Execution execution = begin();
@@ -175,6 +202,30 @@
         assertThat(moved).isEqualTo(20);
     }
 
+    /**
+     * The platform kills by the settings that it had when it said stop. A reload that came after moved the end: with a
+     * longer deadline the relay waited for its guests beyond that, with a shorter one it let them down early.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = {300_000, 2_000_000, 30_000_000})
+    void aReloadWhileItDrainsMovesNeitherTheLastClientNorTheEnd(long deadline) {
+        begin().up();
+        boolean[] drained = new boolean[1];
+        relay.drain(() -> 1, () -> drained[0] = true);
+        now += 100_000;
+        relay.termsAre(EffectiveSettings.numbered(settings(deadline)));
+        take("late");
+        relay.turn();
+        begun.get(1).up();
+        now += 2_050_000;
+        relay.turn();
+        assertThat(moved).isEqualTo(2);
+        assertThat(drained[0]).as("before the end").isFalse();
+        now += 60_000;
+        relay.turn();
+        assertThat(drained[0]).as("at the end").isTrue();
+    }
+
     @Test
     void aServerThatSendsAClientAwayDrainsUntilDiscoveryTellsOrTimePasses() {
         begin().up();
@@ -190,6 +241,7 @@
     void anExecutionEndsOnceAndACommandIsAnsweredOnce() {
         Execution execution = begin();
         execution.connected();
+        execution.written();
         now += 1_000_000;
         relay.turn();
         execution.ended(ConnectionOutcome.RESET);
--- a/src/test/java/sandstack/front/platform/CrossingsTest.java
+++ b/src/test/java/sandstack/front/platform/CrossingsTest.java
@@ -4,6 +4,9 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
@@ -11,6 +14,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import sandstack.core.ConnectionOutcome;
+import sandstack.core.NameTable;
+import sandstack.decisions.Decisions.ListKind;
+import sandstack.decisions.Decisions.Phase;
 import sandstack.front.platform.HeldRelay.End;
 
 /**
@@ -19,6 +25,11 @@
  */
 @Timeout(60)
 class CrossingsTest {
+    /** Bytes of a request's line that a full socket has taken. */
+    private static final int HALF_A_LINE = "OPEN id1 k c".length();
+
+    private static final String OTHER_HALF = "=unsafe,d=";
+
     private HeldRelay held;
 
     @BeforeEach
@@ -260,4 +271,140 @@
         assertThat(held.noAsk()).as("requests sent on").isTrue();
         held.onLoop(() -> assertThat(held.relay.draining()).isTrue());
     }
+
+    /** A way to a feed server that has taken the first bytes of the line and no more. */
+    private End halfWritten() throws Exception {
+        End way = held.way();
+        byte[] begun = way.socket.getInputStream().readNBytes(HALF_A_LINE);
+        assertThat(new String(begun, StandardCharsets.US_ASCII)).startsWith("OPEN ");
+        return way;
+    }
+
+    private void isTriedAgain(End client) throws Exception {
+        held.writes.unlimited();
+        End second = held.ask();
+        assertThat(second.key).as("what never ran is tried again").isEqualTo("k");
+        second.say("UP receipt\r\n");
+        assertThat(client.hear()).isEqualTo("UP receipt");
+        assertThat(held.noAsk()).isTrue();
+        held.onLoop(() -> assertThat(endings(ConnectionOutcome.NOT_CONNECTED)).isEqualTo(1));
+    }
+
+    /** What the feed server never had whole has not run, and may be repeated though its class is not safe. */
+    @Test
+    void aWayThatIsResetBeforeItsLineIsWholeNeverRan() throws Exception {
+        held.writes.most(HALF_A_LINE);
+        End client = asking("k", "unsafe");
+        halfWritten().reset();
+        held.untilOnLoop(() -> endings(ConnectionOutcome.NOT_CONNECTED) == 1);
+        isTriedAgain(client);
+    }
+
+    @Test
+    void aWayThatEndsBeforeItsLineIsWholeNeverRan() throws Exception {
+        held.writes.most(HALF_A_LINE);
+        End client = asking("k", "unsafe");
+        End first = halfWritten();
+        first.socket.shutdownOutput();
+        assertThat(first.socket.getInputStream().read())
+                .as("nothing more of the line came")
+                .isEqualTo(-1);
+        isTriedAgain(client);
+    }
+
+    /** Its feed server takes no more, and the relay gives up first. */
+    @Test
+    void aWayThatIsGivenUpBeforeItsLineIsWholeNeverRan() throws Exception {
+        held.writes.most(HALF_A_LINE);
+        End client = asking("k", "unsafe");
+        assertThat(halfWritten().socket.getInputStream().read())
+                .as("the end of the attempt")
+                .isEqualTo(-1);
+        isTriedAgain(client);
+    }
+
+    @Test
+    void aWriteThatFailsInTheMiddleOfALineNeverRan() throws Exception {
+        held.writes.most(HALF_A_LINE);
+        End client = asking("k", "unsafe");
+        halfWritten();
+        held.writes.failOn(OTHER_HALF);
+        isTriedAgain(client);
+    }
+
+    /** What the gap has taken away gets nothing new, and who stands there is moved or stays, and is not cut off. */
+    @Test
+    void aListThatComesWholeAfterAGapCountsForTheRequestThatCameWithIt() throws Exception {
+        List<End> clients = new ArrayList<>();
+        for (int i = 0; i < 6; i++) {
+            clients.add(standing("k" + i));
+        }
+        held.server();
+        held.hold();
+        for (int i = 0; i < 6; i++) {
+            clients.add(asking("k" + i, "safe"));
+        }
+        held.loop.execute(() -> held.relay.listed(new NameTable.News(
+                ListKind.FULL, 50, List.of(held.line(2, Phase.DRAINING), held.line(3, Phase.READY)))));
+        held.release();
+        for (int i = 0; i < 6; i++) {
+            End ask = held.ask();
+            assertThat(ask.at).isEqualTo("s3");
+            ask.say("UP receipt\r\n");
+        }
+        for (End client : clients.subList(6, 12)) {
+            assertThat(client.hear()).isEqualTo("UP receipt");
+        }
+        for (End client : clients.subList(0, 6)) {
+            client.other.say("M 1\r\n");
+            assertThat(client.hear()).isIn("M 1", "MOVE");
+        }
+    }
+
+    /** The last word lay unread as the write failed, and the client heard a reset in place of it. */
+    @Test
+    void aMoveThatLiesUnreadAsAWriteFailsReachesTheClient() throws Exception {
+        List<End> clients = new ArrayList<>();
+        // whichever socket the relay looks at first, of some of them it is the client's
+        for (int i = 0; i < 8; i++) {
+            clients.add(standing("k" + i));
+        }
+        held.hold();
+        for (End client : clients) {
+            client.other.say("MOVE\r\n");
+            client.say("M 1\r\n");
+        }
+        held.writes.failOn("M 1");
+        held.release();
+        for (End client : clients) {
+            assertThat(client.hear()).isEqualTo("MOVE");
+            assertThat(client.hear()).as("an end, not a reset").isNull();
+        }
+    }
+
+    /** With its last byte written the same break leaves it open whether the request has run. */
+    @Test
+    void aWayThatIsResetOnceItsLineIsWholeMayHaveRun() throws Exception {
+        held.writes.most(HALF_A_LINE);
+        End client = asking("k", "unsafe");
+        End first = halfWritten();
+        held.writes.unlimited();
+        assertThat(first.hear()).startsWith(OTHER_HALF);
+        first.reset();
+        assertThat(client.hear()).isEqualTo("ERR");
+        assertThat(held.noAsk()).as("nothing was sent again").isTrue();
+    }
+
+    @Test
+    void aClientThatLeavesBeforeItsLineIsWholeTakesTheRestAlong() throws Exception {
+        held.writes.most(HALF_A_LINE);
+        End client = asking("k", "safe");
+        End first = halfWritten();
+        client.close();
+        assertThat(first.socket.getInputStream().read())
+                .as("nothing more of the line came")
+                .isEqualTo(-1);
+        held.writes.unlimited();
+        nextIs("next");
+    }
 }
--- /dev/null
+++ b/src/test/java/sandstack/front/platform/CutRequestTest.java
@@ -0,0 +1,183 @@
+package sandstack.front.platform;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.logging.Handler;
+import java.util.logging.LogRecord;
+import java.util.logging.Logger;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import sandstack.front.platform.HeldRelay.End;
+
+/**
+ * A legal request cut at every byte, on real sockets: what is not whole gets a close and is not sent on, what becomes whole
+ * gets the answer that it would have had in one piece, and neither leaves anything behind.
+ */
+@Timeout(60)
+class CutRequestTest {
+    private static final String REQUEST = "OPEN 9b1f03aa5c7e2d41 whole c=safe,d=5000,g=5c0f6e1a2b3d4c59,h=12.5\r\n";
+    private static final Logger PROGRAM = Logger.getLogger("sandstack");
+
+    private final List<String> logged = new ArrayList<>();
+    private final Handler log = new Handler() {
+        @Override
+        public synchronized void publish(LogRecord line) {
+            logged.add(line.getMessage());
+        }
+
+        @Override
+        public void flush() {}
+
+        @Override
+        public void close() {}
+    };
+    private HeldRelay held;
+
+    @BeforeEach
+    void start() throws Exception {
+        held = new HeldRelay();
+        held.server();
+        held.server();
+        PROGRAM.addHandler(log);
+    }
+
+    @AfterEach
+    void stop() throws Exception {
+        PROGRAM.removeHandler(log);
+        held.close();
+    }
+
+    /** What happens after so many bytes of a request. */
+    private interface Cut {
+        void at(int bytes) throws Exception;
+    }
+
+    /** At each byte of the request but the ends; the whole request is served after each cut, under the same id. */
+    private void cutEverywhere(Cut cut) throws Exception {
+        for (int bytes = 1; bytes < REQUEST.length(); bytes++) {
+            cut.at(bytes);
+        }
+        try (End client = held.client()) {
+            client.say(REQUEST);
+            isServed(client);
+        }
+        nothingIsLeft();
+    }
+
+    /** The next request that reaches a feed server is this client's, and its answer reaches it. */
+    private void isServed(End client) throws Exception {
+        try (End server = held.ask()) {
+            assertThat(server.key).isEqualTo("whole");
+            server.say("UP receipt\r\n");
+            assertThat(client.hear()).isEqualTo("UP receipt");
+            // the client goes first: a feed server that ended what it has just taken would count as a full one
+            client.close();
+            assertThat(server.hear()).isNull();
+        }
+    }
+
+    private void nothingIsLeft() throws Exception {
+        held.untilOnLoop(() -> held.lobby.taken() == 0 && held.relay.clients().isEmpty());
+        assertThat(held.noAsk()).as("requests sent on").isTrue();
+        assertThat(logged).isEmpty();
+    }
+
+    /** A client that has said so much, and whom the relay has heard. */
+    private End saying(int bytes) throws Exception {
+        End client = held.client();
+        client.say(REQUEST.substring(0, bytes));
+        held.untilOnLoop(() -> held.lobby.unheard() == 1);
+        // what was written before this turn is read in this turn or the one before
+        held.onLoop(() -> {});
+        return client;
+    }
+
+    @Test
+    void whatEndsBeforeItIsWholeIsClosedAtOnce() throws Exception {
+        cutEverywhere(bytes -> {
+            try (End client = held.client()) {
+                client.say(REQUEST.substring(0, bytes));
+                client.socket.shutdownOutput();
+                assertThat(client.hear()).isNull();
+            }
+        });
+    }
+
+    @Test
+    void whatEndsAfterAPauseIsClosedAtOnce() throws Exception {
+        cutEverywhere(bytes -> {
+            try (End client = saying(bytes)) {
+                client.socket.shutdownOutput();
+                assertThat(client.hear()).isNull();
+            }
+        });
+    }
+
+    @Test
+    void whatIsResetBeforeItIsWholeLeavesNothing() throws Exception {
+        cutEverywhere(bytes -> {
+            End client = held.client();
+            client.say(REQUEST.substring(0, bytes));
+            client.reset();
+        });
+    }
+
+    @Test
+    void whatIsResetAfterAPauseLeavesNothing() throws Exception {
+        cutEverywhere(bytes -> saying(bytes).reset());
+    }
+
+    @Test
+    void whatBecomesWholeAfterAPauseIsServed() throws Exception {
+        cutEverywhere(bytes -> {
+            try (End client = saying(bytes)) {
+                client.say(REQUEST.substring(bytes));
+                isServed(client);
+            }
+            held.untilOnLoop(() -> held.lobby.taken() == 0);
+        });
+    }
+
+    @Test
+    void aRequestThatComesByteByByteIsServed() throws Exception {
+        try (End client = held.client()) {
+            for (int i = 0; i < REQUEST.length(); i++) {
+                client.say(REQUEST.substring(i, i + 1));
+                held.onLoop(() -> {});
+            }
+            isServed(client);
+        }
+        nothingIsLeft();
+    }
+
+    /** All of them at once: each is told that its time to ask is over, and who goes on then is not sent on. */
+    @Test
+    void whatNeverBecomesWholeIsTurnedAwayInTime() throws Exception {
+        List<End> clients = new ArrayList<>();
+        // the relay of this test has room for so many
+        for (int bytes = 1; bytes < REQUEST.length(); bytes += 3) {
+            End client = held.client();
+            client.say(REQUEST.substring(0, bytes));
+            clients.add(client);
+        }
+        for (End client : clients) {
+            assertThat(client.hear()).isEqualTo("BUSY 1000");
+            assertThat(client.hear()).isNull();
+        }
+        for (int i = 0; i < clients.size(); i++) {
+            rest(clients.get(i), REQUEST.substring(1 + 3 * i));
+        }
+        nothingIsLeft();
+    }
+
+    private static void rest(End client, String text) throws IOException {
+        try (client) {
+            client.say(text);
+        }
+    }
+}
--- a/src/test/java/sandstack/front/platform/HeldRelay.java
+++ b/src/test/java/sandstack/front/platform/HeldRelay.java
@@ -16,6 +16,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import sandstack.capacity.Limits;
@@ -32,6 +33,7 @@
 import sandstack.decisions.Decisions.Settings;
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.Loop;
+import sandstack.net.ShortWrites;
 
 /**
  * A relay on loopback whose one thread the test can hold: what happens meanwhile lies in the kernel when it goes on, all at
@@ -60,6 +62,8 @@
 
         /** Of a request: its second word. */
         String key;
+        /** Of a connection to a feed server: which. */
+        String at;
         /** Of a client that stands: its feed server's end. */
         End other;
 
@@ -76,7 +80,10 @@
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-    final Loop loop = new Loop();
+    /** What the relay's sockets take. */
+    final ShortWrites writes = new ShortWrites();
+
+    final Loop loop = writes.loop();
     final Relay relay;
     final ConnectionAdmission lobby;
     private final int port;
@@ -156,32 +163,44 @@
     void server() throws Exception {
         ServerSocket listening = new ServerSocket(0, 50, LOOPBACK);
         servers.add(listening);
-        Thread accepting = new Thread(() -> accept(listening));
+        String name = "s" + servers.size();
+        Thread accepting = new Thread(() -> accept(listening, name));
         accepting.setDaemon(true);
         accepting.start();
-        onLoop(() -> relay.listed(new NameTable.News(
-                ListKind.CHANGES,
-                servers.size(),
-                List.of(new NameTable.Line(
-                        new ServerEntry("s" + servers.size(), 0, 0, 0, 0, Phase.READY, 1),
-                        "127.0.0.1",
-                        listening.getLocalPort())))));
+        onLoop(() -> relay.listed(
+                new NameTable.News(ListKind.CHANGES, servers.size(), List.of(line(servers.size(), Phase.READY)))));
+    }
+
+    /** A line of the list for a feed server that this has made, from 1. */
+    NameTable.Line line(int server, Phase phase) {
+        return new NameTable.Line(
+                new ServerEntry("s" + server, 0, 0, 0, 0, phase, 1),
+                "127.0.0.1",
+                servers.get(server - 1).getLocalPort());
     }
 
-    private void accept(ServerSocket listening) {
+    private void accept(ServerSocket listening, String name) {
         try {
             while (true) {
-                asked.add(new End(listening.accept()));
+                End way = new End(listening.accept());
+                way.at = name;
+                asked.add(way);
             }
         } catch (IOException e) {
             // the test is over
         }
     }
 
+    /** The next connection to a feed server, nothing of which has been read. */
+    End way() throws Exception {
+        End way = asked.poll(20, TimeUnit.SECONDS);
+        assertThat(way).as("a connection to a feed server").isNotNull();
+        return way;
+    }
+
     /** The next request that reaches a feed server. */
     End ask() throws Exception {
-        End ask = asked.poll(20, TimeUnit.SECONDS);
-        assertThat(ask).as("a connection to a feed server").isNotNull();
+        End ask = way();
         String line = ask.hear();
         assertThat(line).startsWith("OPEN ");
         ask.key = line.split(" ")[2];
@@ -248,6 +267,15 @@
         done.get(20, TimeUnit.SECONDS);
     }
 
+    /** Waits until the relay is like this, seen on its own thread. */
+    void untilOnLoop(BooleanSupplier state) throws Exception {
+        AtomicBoolean is = new AtomicBoolean();
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); !is.get(); ) {
+            assertThat(System.nanoTime()).as("until the relay is as awaited").isLessThan(end);
+            onLoop(() -> is.set(state.getAsBoolean()));
+        }
+    }
+
     @Override
     public void close() throws IOException {
         if (released != null) {
--- a/src/test/java/sandstack/nametable/DiscoveryWatchTest.java
+++ b/src/test/java/sandstack/nametable/DiscoveryWatchTest.java
@@ -13,9 +13,12 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.Collectors;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 import sandstack.config.MachineKinds;
 import sandstack.config.NameTableJson;
 import sandstack.config.PlatformConfig.Address;
@@ -24,6 +27,7 @@
 import sandstack.decisions.Decisions.*;
 import sandstack.net.Loop;
 import sandstack.settings.SettingsBuilder;
+import sandstack.staleness.ListClock;
 
 /** The watch against a discovery of the test's own. The module decides when to ask again: each failure is followed by an ask. */
 class DiscoveryWatchTest {
@@ -199,6 +203,83 @@
         assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - reachable)).isLessThan(6_000);
     }
 
+    private void isBackIn6SecondsAfterFallingSilent(String lastWords, int lastRev) throws Exception {
+        ask();
+        say(HEAD + chunk(news(42, "ready") + "\n"));
+        untilPhase(Phase.READY);
+        // alive for longer than a silent watch is kept: each empty line counts anew
+        for (int i = 0; i < 5; i++) {
+            say(chunk("\n"));
+            TimeUnit.MICROSECONDS.sleep(ListClock.SILENCE / 4);
+        }
+        say(lastWords);
+        long silent = System.nanoTime();
+        assertThat(ask()).isEqualTo("GET /registry/instances?watch=1&from=" + lastRev + " HTTP/1.1");
+        say(HEAD + chunk(news(50, "gone") + "\n"));
+        untilPhase(Phase.GONE);
+        assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - silent))
+                .as("not taken for silent before it was")
+                .isBetween(ListClock.SILENCE / 1_000 - 100, ListClock.MISSED / 1_000);
+    }
+
+    @Test
+    void aWatchThatFallsSilentLateIsReplacedInTime() throws Exception {
+        isBackIn6SecondsAfterFallingSilent(chunk(news(43, "draining") + "\n"), 43);
+    }
+
+    @Test
+    void aWatchThatFallsSilentLateInTheMiddleOfAListIsReplacedInTime() throws Exception {
+        isBackIn6SecondsAfterFallingSilent(chunk(news(43, "draining").substring(0, 60)), 42);
+    }
+
+    @Test
+    void aWatchThatFallsSilentLateInTheMiddleOfAChunkIsReplacedInTime() throws Exception {
+        String chunk = chunk(news(43, "draining") + "\n");
+        isBackIn6SecondsAfterFallingSilent(chunk.substring(0, chunk.length() - 40), 42);
+    }
+
+    private static String whole(int rev, String... uidsAndStates) {
+        StringBuilder targets = new StringBuilder();
+        for (int i = 0; i < uidsAndStates.length; i += 2) {
+            targets.append(i == 0 ? "" : ",")
+                    .append("{\"uid\":\"" + uidsAndStates[i] + "\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"home\","
+                            + "\"pod_group\":0,\"state\":\"" + uidsAndStates[i + 1]
+                            + "\",\"capacity_hint\":1,\"boot_ms\":0}");
+        }
+        return chunk("{\"rev\":" + rev + ",\"all\":true,\"targets\":[" + targets + "]}\n");
+    }
+
+    private String listed() throws Exception {
+        CompletableFuture<String> read = new CompletableFuture<>();
+        loop.execute(() -> read.complete(relay.names().lines().stream()
+                .map(line -> line.entry().server() + " " + line.entry().phase())
+                .sorted()
+                .collect(Collectors.joining(", "))));
+        return read.get(10, TimeUnit.SECONDS);
+    }
+
+    /** What went in the gap is told by nobody: it is only missing in the whole list, whose version may be a lower one. */
+    @ParameterizedTest
+    @ValueSource(ints = {60, 7})
+    void aListThatComesWholeAfterAGapTakesThePlaceOfTheOneBefore(int rev) throws Exception {
+        ask();
+        say(HEAD + whole(50, "s1", "ready", "s2", "ready", "s3", "ready", "s4", "draining"));
+        untilPhase(Phase.READY);
+        socket.setSoLinger(true, 0);
+        socket.close();
+        assertThat(ask()).isEqualTo("GET /registry/instances?watch=1&from=50 HTTP/1.1");
+        assertThat(listed()).as("kept over the gap").isEqualTo("s1 READY, s2 READY, s3 READY, s4 DRAINING");
+        String all = whole(rev, "s2", "draining", "s3", "ready", "s5", "ready");
+        // a list that is not whole yet changes nothing
+        say(HEAD + all.substring(0, all.length() - 20));
+        assertThat(listed()).isEqualTo("s1 READY, s2 READY, s3 READY, s4 DRAINING");
+        say(all.substring(all.length() - 20));
+        untilPhase(Phase.GONE);
+        assertThat(listed()).isEqualTo("s2 DRAINING, s3 READY, s5 READY");
+        say("0\r\n\r\n");
+        assertThat(ask()).isEqualTo("GET /registry/instances?watch=1&from=" + rev + " HTTP/1.1");
+    }
+
     private void moveTo(ServerSocket discovery) {
         Address address = new Address("127.0.0.1", discovery.getLocalPort());
         loop.execute(() -> watch.moveTo(address));
--- /dev/null
+++ b/src/test/java/sandstack/net/ShortWrites.java
@@ -0,0 +1,78 @@
+package sandstack.net;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.SocketChannel;
+import java.nio.channels.WritableByteChannel;
+import java.nio.charset.StandardCharsets;
+
+/**
+ * Sockets whose kernel buffer is full after so many bytes, or whose writes fail, as a test says: loopback itself takes
+ * every line at once.
+ */
+public final class ShortWrites {
+    private volatile int most = Integer.MAX_VALUE;
+    private volatile String failsOn;
+
+    /** A loop whose sockets are written through this. */
+    public Loop loop() {
+        return new Loop(Limited::new);
+    }
+
+    /** From now on each socket takes so many bytes in all, counted from its beginning. */
+    public void most(int bytes) {
+        most = bytes;
+    }
+
+    /** From now on sockets take all again. */
+    public void unlimited() {
+        most = Integer.MAX_VALUE;
+    }
+
+    /** From now on a write fails that begins with this text. */
+    public void failOn(String beginning) {
+        failsOn = beginning;
+    }
+
+    private boolean fails(ByteBuffer bytes) {
+        String beginning = failsOn;
+        if (beginning == null || bytes.remaining() < beginning.length()) {
+            return false;
+        }
+        byte[] first = new byte[beginning.length()];
+        bytes.duplicate().get(first);
+        return beginning.equals(new String(first, StandardCharsets.US_ASCII));
+    }
+
+    /** Takes no more than the limit allows. */
+    private final class Limited implements WritableByteChannel {
+        private final SocketChannel socket;
+        private int taken;
+
+        Limited(SocketChannel socket) {
+            this.socket = socket;
+        }
+
+        @Override
+        public int write(ByteBuffer bytes) throws IOException {
+            if (fails(bytes)) {
+                throw new IOException("a write that the test fails");
+            }
+            int room = Math.max(0, Math.min(bytes.remaining(), most - taken));
+            int written = socket.write(bytes.slice(bytes.position(), room));
+            bytes.position(bytes.position() + written);
+            taken += written;
+            return written;
+        }
+
+        @Override
+        public boolean isOpen() {
+            return socket.isOpen();
+        }
+
+        @Override
+        public void close() throws IOException {
+            socket.close();
+        }
+    }
+}
