--- /dev/null
+++ b/src/main/java/sandstack/measure/CheckedOutCommit.java
@@ -0,0 +1,30 @@
+package sandstack.measure;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.TimeUnit;
+
+/** Names the commit that is checked out in the working directory, as git says. */
+final class CheckedOutCommit {
+    private static final String UNKNOWN = "unknown";
+    private static final long PATIENCE_SECONDS = 5;
+
+    private CheckedOutCommit() {}
+
+    /** Such as {@code 6d4714b}, with {@code -dirty} behind it where files differ; {@code unknown} outside a checkout. */
+    static String name() throws InterruptedException {
+        try {
+            Process git = new ProcessBuilder("git", "describe", "--always", "--dirty", "--exclude", "*")
+                    .redirectError(ProcessBuilder.Redirect.DISCARD)
+                    .start();
+            if (!git.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS)) {
+                git.destroyForcibly();
+                return UNKNOWN;
+            }
+            String said = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
+            return git.exitValue() == 0 && !said.isEmpty() ? said : UNKNOWN;
+        } catch (IOException e) {
+            return UNKNOWN;
+        }
+    }
+}
--- a/src/main/java/sandstack/measure/MeasureCommand.java
+++ b/src/main/java/sandstack/measure/MeasureCommand.java
@@ -15,12 +15,14 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import sandstack.measure.page.CapacityPageCommand;
 
 /** {@code measure NAME}: exits 0 only if all aims hold. */
 @Command(
         name = "measure",
         description = "Starts real relays and stand-ins on loopback and measures one matter.",
-        mixinStandardHelpOptions = true)
+        mixinStandardHelpOptions = true,
+        subcommands = {ScaleCommand.class, CapacityPageCommand.class})
 public final class MeasureCommand implements Callable<Integer> {
     private static final Map<String, Measurement> ALL = new TreeMap<>(Map.of(
             "capacity", new MeasureCapacity(), "estimators", new MeasureEstimators(), "fleet", new MeasureFleet()));
@@ -28,7 +30,11 @@
     @Spec
     private CommandSpec spec;
 
-    @Parameters(index = "0", paramLabel = "NAME", description = "What to measure: capacity, estimators, fleet.")
+    @Parameters(
+            index = "0",
+            arity = "0..1",
+            paramLabel = "NAME",
+            description = "What to measure: capacity, estimators, fleet.")
     private String name;
 
     @Option(names = "--quick", description = "A short run of 40 s at most.")
@@ -52,11 +58,13 @@
 
     @Override
     public Integer call() throws Exception {
+        if (name == null) {
+            throw new ParameterException(spec.commandLine(), "what to measure is missing: " + names());
+        }
         Measurement measurement = ALL.get(name);
         if (measurement == null) {
             throw new ParameterException(
-                    spec.commandLine(),
-                    "no measurement is called " + name + "; there are " + String.join(", ", ALL.keySet()));
+                    spec.commandLine(), "no measurement is called " + name + "; there are " + names());
         }
         for (Path needed : against == null ? List.of(jar) : List.of(jar, against)) {
             if (!Files.isRegularFile(needed)) {
@@ -74,6 +82,10 @@
         return aims.stream().allMatch(Aim::held) ? 0 : 1;
     }
 
+    private static String names() {
+        return String.join(", ", ALL.keySet());
+    }
+
     private void print(List<Aim> aims) {
         int width = aims.stream().mapToInt(a -> a.name().length()).max().orElse(0);
         for (Aim aim : aims) {
--- /dev/null
+++ b/src/main/java/sandstack/measure/ScaleTable.java
@@ -0,0 +1,58 @@
+package sandstack.measure;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.OptionalDouble;
+import sandstack.measure.page.Plan;
+import sandstack.measure.page.Quantity;
+import sandstack.measure.scale.Fit;
+import sandstack.measure.scale.ScaleReport;
+import sandstack.measure.scale.ScaleReport.Failure;
+import sandstack.measure.scale.ScaleReport.Result;
+import sandstack.measure.scale.Series;
+
+/** A report as lines for a terminal: each series with its shape, residual and value at the planned size. */
+final class ScaleTable {
+    private static final String LINE = "%-44s %-12s %9s %18s  %s";
+
+    private ScaleTable() {}
+
+    static List<String> lines(ScaleReport report, Plan plan) {
+        List<String> lines = new ArrayList<>();
+        lines.add(String.format(LINE, "series", "shape", "residual", "at planned size", "measured")
+                .stripTrailing());
+        for (Result result : report.results()) {
+            lines.add(line(result, plan));
+        }
+        for (Failure failure : report.failures()) {
+            lines.add("FAILED " + failure.measurement() + ": " + failure.cause());
+        }
+        lines.add(String.format(
+                Locale.ROOT,
+                "%d series, %d measurements failed, %.1f s",
+                report.results().size(),
+                report.failures().size(),
+                report.seconds()));
+        return lines;
+    }
+
+    private static String line(Result result, Plan plan) {
+        Series series = result.series();
+        Fit fit = result.fit();
+        OptionalDouble planned = plan.sizeOf(series.per());
+        String shape = fit == null ? "not fitted" : fit.shape().name();
+        String residual = fit == null ? "-" : String.format(Locale.ROOT, "%.2f%%", fit.residual() * 100);
+        String figure =
+                fit == null || planned.isEmpty() ? "-" : Quantity.text(fit.at(planned.getAsDouble()), series.unit());
+        return String.format(LINE, series.id(), shape, residual, figure, points(series));
+    }
+
+    private static String points(Series series) {
+        List<String> points = new ArrayList<>();
+        for (Series.Point point : series.points()) {
+            points.add(Quantity.plain(point.size()) + ": " + Quantity.text(point.value(), series.unit()));
+        }
+        return String.join(", ", points) + " by " + series.per();
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/measure/page/Reckoning.java
@@ -0,0 +1,82 @@
+package sandstack.measure.page;
+
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import sandstack.config.BadSettings;
+import sandstack.measure.scale.Fit;
+
+/**
+ * Works out every figure of the slopes that follows from the rest: the figure at the planned size, the budget, need over
+ * have and the needs at each occasion. Arithmetic may name planning numbers, {@code base}, {@code slope} and
+ * {@code figure} of its own slope, and in brackets the figure of a slope before it.
+ */
+final class Reckoning {
+    private final String file;
+    private final Plan plan;
+    private final Map<String, Double> figures = new HashMap<>();
+
+    private Reckoning(String file, Plan plan) {
+        this.file = file;
+        this.plan = plan;
+    }
+
+    /** The same slopes with all figures worked out. */
+    static Slopes of(String file, Plan plan, Slopes slopes) throws BadSettings {
+        Reckoning reckoning = new Reckoning(file, plan);
+        List<Slope> reckoned = new ArrayList<>();
+        for (Slope slope : slopes.slopes()) {
+            reckoned.add(reckoning.reckon(slope));
+        }
+        return new Slopes(reckoned);
+    }
+
+    private Slope reckon(Slope slope) throws BadSettings {
+        String key = file + ": " + slope.id();
+        Map<String, Double> own = new HashMap<>();
+        double figure = slope.origin().hasRun() ? extrapolated(key, slope, own) : value(key, slope.arithmetic(), own);
+        own.put("figure", figure);
+        figures.put("[" + slope.id() + "]", figure);
+        Reckoned budget = slope.budget();
+        if (budget != null) {
+            budget = budget.withValue(value(key + ".budget", budget.arithmetic(), own));
+            if (!(budget.value() > 0)) {
+                throw new BadSettings(key + ".budget: " + budget.value() + ": must be above 0");
+            }
+        }
+        Map<Occasion, Reckoned> needs = new EnumMap<>(Occasion.class);
+        for (Map.Entry<Occasion, Reckoned> need : slope.occasions().entrySet()) {
+            Reckoned before = need.getValue();
+            needs.put(
+                    need.getKey(),
+                    before.withValue(value(key + ".occasions." + need.getKey(), before.arithmetic(), own)));
+        }
+        return slope.withFigures(figure, budget, needs);
+    }
+
+    private static double extrapolated(String key, Slope slope, Map<String, Double> own) throws BadSettings {
+        if (slope.coefficients().size() != 2 || slope.shape() == null) {
+            throw new BadSettings(
+                    key + ".coefficients: " + slope.coefficients() + ": must be base and slope of a shape");
+        }
+        own.put("base", slope.coefficients().get(0));
+        own.put("slope", slope.coefficients().get(1));
+        return new Fit(slope.shape(), own.get("base"), own.get("slope"), 0).at(slope.size());
+    }
+
+    private double value(String key, String arithmetic, Map<String, Double> own) throws BadSettings {
+        if (arithmetic == null) {
+            throw new BadSettings(key + ".arithmetic: missing");
+        }
+        try {
+            return Arithmetic.evaluate(arithmetic, name -> {
+                Double value = own.containsKey(name) ? own.get(name) : figures.get(name);
+                return value == null ? plan.valueOf(name) : value;
+            });
+        } catch (Arithmetic.Malformed e) {
+            throw new BadSettings(key + ".arithmetic: " + arithmetic + ": " + e.getMessage());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/measure/scale/ScaleRun.java
@@ -0,0 +1,64 @@
+package sandstack.measure.scale;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Set;
+import java.util.function.Consumer;
+import sandstack.measure.scale.ScaleMeasurement.Effort;
+import sandstack.measure.scale.ScaleReport.Failure;
+import sandstack.measure.scale.ScaleReport.Result;
+
+/** Runs measurements one after another and fits their series; one that fails does not stop the others. */
+public final class ScaleRun {
+    private final Effort effort;
+    private final Consumer<String> progress;
+    private final List<Result> results = new ArrayList<>();
+    private final List<Failure> failures = new ArrayList<>();
+    private final Set<String> ids = new HashSet<>();
+
+    /**
+     * Prepares a run.
+     *
+     * @param progress is told a line before and after each measurement
+     */
+    public ScaleRun(Effort effort, Consumer<String> progress) {
+        this.effort = effort;
+        this.progress = progress;
+    }
+
+    /** Makes one measurement; of one that fails no series is kept. */
+    public void measure(ScaleMeasurement measurement) throws InterruptedException {
+        String name = measurement.name();
+        progress.accept(name + " ...");
+        long began = System.nanoTime();
+        try {
+            List<Result> own = new ArrayList<>();
+            for (Series series : measurement.measure(effort)) {
+                if (!ids.add(series.id())) {
+                    throw new IllegalStateException("two series are called " + series.id());
+                }
+                own.add(new Result(name, series, Fit.best(series.points()).orElse(null)));
+            }
+            results.addAll(own);
+            progress.accept(String.format(Locale.ROOT, "%s took %.1f s", name, (System.nanoTime() - began) / 1e9));
+        } catch (InterruptedException e) {
+            throw e;
+        } catch (Exception e) {
+            String cause = String.valueOf(e).lines().findFirst().orElse("");
+            failures.add(new Failure(name, cause));
+            progress.accept(name + " FAILED: " + cause);
+        }
+    }
+
+    /** The series of all measurements that were made so far. */
+    public List<Result> results() {
+        return List.copyOf(results);
+    }
+
+    /** The measurements that could not be made so far. */
+    public List<Failure> failures() {
+        return List.copyOf(failures);
+    }
+}
--- a/src/main/java/sandstack/measure/scale/Series.java
+++ b/src/main/java/sandstack/measure/scale/Series.java
@@ -1,5 +1,6 @@
 package sandstack.measure.scale;
 
+import com.fasterxml.jackson.annotation.JsonIgnore;
 import java.util.List;
 
 /**
@@ -8,11 +9,16 @@
  * @param id unique and stable, in lower case with dots and dashes, such as {@code relay.memory-per-connection}
  * @param unit of the values, such as {@code bytes}
  * @param per what the sizes count, such as {@code connections}
- * @param method how the values were got, in one sentence
+ * @param method how the values were got, in one sentence; begins with {@value #RECKONED} or {@value #SIMULATED}
+ *     where a model gave them
  */
 public record Series(
         String id, Role role, Resource resource, String unit, String per, String method, List<Point> points) {
 
+    private static final String RECKONED = "reckoned";
+
+    private static final String SIMULATED = "simulated";
+
     /**
      * A value at a size.
      *
@@ -25,4 +31,10 @@
     public Series {
         points = List.copyOf(points);
     }
+
+    /** Whether the values were worked out by a model, with nothing real measured. */
+    @JsonIgnore
+    public boolean isModelled() {
+        return method.startsWith(RECKONED) || method.startsWith(SIMULATED);
+    }
 }
--- /dev/null
+++ b/src/test/java/sandstack/measure/page/CapacityPageTest.java
@@ -0,0 +1,198 @@
+package sandstack.measure.page;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.io.StringWriter;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import picocli.CommandLine;
+import sandstack.config.BadSettings;
+import sandstack.measure.scale.Resource;
+import sandstack.measure.scale.Role;
+import sandstack.measure.scale.ScaleMeasurement.Effort;
+import sandstack.measure.scale.ScaleReport;
+import sandstack.measure.scale.Series;
+
+/** The page of the repository agrees with its JSON, and a change of either alone is found. */
+class CapacityPageTest {
+    private static final Path REPOSITORY = Path.of("");
+    private static final Pattern TABLE = Pattern.compile("<!-- table: .*?<!-- end: [a-z-]+ -->", Pattern.DOTALL);
+    private static final Pattern NUMBER = Pattern.compile("(?<![\\w.,-])[0-9][0-9,.]*");
+    private static final ObjectMapper JSON = new ObjectMapper();
+
+    @TempDir
+    Path copy;
+
+    private final StringWriter said = new StringWriter();
+
+    @BeforeEach
+    void copyOfAll() throws IOException {
+        Files.createDirectories(copy.resolve("docs/capacity"));
+        for (String file : List.of(CapacityFiles.PAGE, CapacityFiles.PLAN, CapacityFiles.SLOPES)) {
+            Files.copy(REPOSITORY.resolve(file), copy.resolve(file));
+        }
+    }
+
+    private int run(String... words) {
+        List<String> all = new ArrayList<>(List.of("--root", copy.toString()));
+        all.addAll(List.of(words));
+        return new CommandLine(new CapacityPageCommand())
+                .setErr(new PrintWriter(said))
+                .setExecutionExceptionHandler((e, line, parsed) -> {
+                    said.append(e.getMessage()).append('\n');
+                    return e instanceof BadSettings ? 2 : 1;
+                })
+                .execute(all.toArray(String[]::new));
+    }
+
+    private String read(String file) throws IOException {
+        return Files.readString(copy.resolve(file));
+    }
+
+    private void write(String file, String text) throws IOException {
+        Files.writeString(copy.resolve(file), text);
+    }
+
+    private JsonNode slopes() throws IOException {
+        return JSON.readTree(read(CapacityFiles.SLOPES));
+    }
+
+    @Test
+    void thePageAgreesWithItsJson() {
+        assertThat(run("--check")).as(said.toString()).isZero();
+    }
+
+    @Test
+    void aNumberChangedInAnyTableOfThePageIsFound() throws IOException {
+        String page = read(CapacityFiles.PAGE);
+        Matcher tables = TABLE.matcher(page);
+        int altered = 0;
+        while (tables.find()) {
+            Matcher number = NUMBER.matcher(page).region(tables.start(), tables.end());
+            if (number.find()) {
+                write(CapacityFiles.PAGE, page.substring(0, number.start()) + "7" + page.substring(number.start()));
+                assertThat(run("--check")).as(tables.group()).isEqualTo(1);
+                altered++;
+            }
+        }
+        assertThat(altered).isGreaterThan(10);
+    }
+
+    @Test
+    void aFigureChangedInTheJsonIsFoundForEachSlope() throws IOException {
+        int count = slopes().path("slopes").size();
+        for (int i = 0; i < count; i++) {
+            JsonNode slopes = slopes();
+            ObjectNode slope = (ObjectNode) slopes.path("slopes").get(i);
+            slope.put("figure", slope.path("figure").asDouble() * 1.01 + 1);
+            String before = read(CapacityFiles.SLOPES);
+            write(CapacityFiles.SLOPES, slopes.toString());
+
+            assertThat(run("--check")).as(slope.path("id").asText()).isEqualTo(2);
+
+            write(CapacityFiles.SLOPES, before);
+        }
+        assertThat(count).isGreaterThan(30);
+        assertThat(said.toString()).contains(".figure: ");
+    }
+
+    @ParameterizedTest
+    @CsvSource({"mechanism, by hand", "title, another cost", "method, another way"})
+    void wordsChangedInTheJsonAreFound(String key, String words) throws IOException {
+        JsonNode slopes = slopes();
+        ((ObjectNode) slopes.path("slopes").get(0)).put(key, words);
+        write(CapacityFiles.SLOPES, slopes.toString());
+
+        assertThat(run("--check")).isEqualTo(1);
+        assertThat(said.toString()).contains("is not what the JSON gives");
+    }
+
+    @Test
+    void aPlanningNumberChangedIsFoundAndTheFiguresFollowOnceReckonedAnew() throws IOException {
+        write(CapacityFiles.PLAN, read(CapacityFiles.PLAN).replace("\"value\": 48,", "\"value\": 64,"));
+        write(CapacityFiles.PLAN, read(CapacityFiles.PLAN).replace("\"value\": 50331648,", "\"value\": 67108864,"));
+
+        assertThat(run("--check")).as("stale figures").isEqualTo(2);
+        assertThat(run("--reckon")).as(said.toString()).isZero();
+        assertThat(run("--check")).isZero();
+        assertThat(read(CapacityFiles.PAGE)).contains("67.1 MB");
+    }
+
+    @Test
+    void writingThePageTwiceChangesNothing() throws IOException {
+        String page = read(CapacityFiles.PAGE);
+        String json = read(CapacityFiles.SLOPES);
+
+        assertThat(run("--reckon")).as(said.toString()).isZero();
+
+        assertThat(read(CapacityFiles.PAGE)).isEqualTo(page);
+        assertThat(read(CapacityFiles.SLOPES)).isEqualTo(json);
+    }
+
+    private static Series series(String id, String per, double... values) {
+        List<Series.Point> points = new ArrayList<>();
+        for (int i = 0; i < values.length; i++) {
+            points.add(new Series.Point(1_000 * (i + 1), values[i]));
+        }
+        return new Series(id, Role.RELAY_CONNECTIONS, Resource.MEMORY, "bytes", per, "known values", points);
+    }
+
+    private String report(Series... series) throws IOException {
+        List<ScaleReport.Result> results = Arrays.stream(series)
+                .map(s -> new ScaleReport.Result("known", s, null))
+                .toList();
+        Path file = copy.resolve("report.json");
+        JSON.writeValue(
+                file.toFile(),
+                new ScaleReport("measure scale", "2026-01-02", "abc1234", Effort.FULL, 1, results, List.of()));
+        return file.toString();
+    }
+
+    @Test
+    void whatARunMeasuredComesOntoThePage() throws IOException {
+        String report = report(
+                series("relay.memory.heap", "connections", 2e6, 3e6, 4e6),
+                series("relay.memory.resident", "connections", 2e6, 3e6),
+                series("no.such.slope", "connections", 1, 2, 3));
+
+        assertThat(run("--take", report)).as(said.toString()).isZero();
+
+        assertThat(said.toString())
+                .contains("not on the page: relay.memory.resident", "not on the page: no.such.slope");
+        assertThat(run("--check")).as(said.toString()).isZero();
+        assertThat(read(CapacityFiles.PAGE))
+                .contains("| memory: heap | 1 MB + 1 KB x connections | linear, residual 0.0%, to 3,000 | 81.4 MB |")
+                .contains("2026-01-02, abc1234");
+    }
+
+    @Test
+    void aRunWhoseSizesAreNotPlannedIsToldInOneLine() throws IOException {
+        String report = report(series("relay.memory.heap", "cups", 2e6, 3e6, 4e6));
+        String before = read(CapacityFiles.SLOPES);
+
+        assertThat(run("--take", report)).isEqualTo(2);
+
+        assertThat(said.toString().trim()).isEqualTo("relay.memory.heap.per: cups: the plan has no size of it");
+        assertThat(read(CapacityFiles.SLOPES)).isEqualTo(before);
+    }
+
+    @Test
+    void checkWritesNothing() {
+        assertThat(run("--check", "--reckon")).isEqualTo(2);
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/measure/page/MarkedPageTest.java
@@ -0,0 +1,41 @@
+package sandstack.measure.page;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import sandstack.config.BadSettings;
+
+class MarkedPageTest {
+    private static final String PAGE = "# Page\n\n<!-- table: one -->\nold\n<!-- end: one -->\n\ntext\n";
+
+    @Test
+    void whatStandsBetweenMarkersIsReplacedAndTheRestStays() throws BadSettings {
+        String once = new MarkedPage("p.md", PAGE).with(Map.of("one", "| new |"));
+
+        assertThat(once).isEqualTo("# Page\n\n<!-- table: one -->\n\n| new |\n\n<!-- end: one -->\n\ntext\n");
+        assertThat(new MarkedPage("p.md", once).with(Map.of("one", "| new |"))).isEqualTo(once);
+    }
+
+    @Test
+    void everyTableHasItsPlaceOnce() {
+        wrong(PAGE, Map.of("one", "", "two", ""), "p.md: table: two: missing");
+        wrong(PAGE, Map.of("two", ""), "p.md: table: one: not known");
+        wrong(PAGE + PAGE, Map.of("one", ""), "p.md: table: one: stands twice");
+        wrong("<!-- table: one -->\n", Map.of("one", ""), "p.md: table: one: its end is missing: <!-- end: one -->");
+    }
+
+    private static void wrong(String page, Map<String, String> tables, String message) {
+        assertThatThrownBy(() -> new MarkedPage("p.md", page).with(tables))
+                .isInstanceOf(BadSettings.class)
+                .hasMessage(message);
+    }
+
+    @Test
+    void theFirstDifferenceIsCountedInLines() {
+        assertThat(MarkedPage.firstDifference("a\nb\n", "a\nb\n")).isZero();
+        assertThat(MarkedPage.firstDifference("a\nb\n", "a\nc\n")).isEqualTo(2);
+        assertThat(MarkedPage.firstDifference("a\n", "a\nb\n")).isEqualTo(2);
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/measure/scale/FitTest.java
@@ -0,0 +1,138 @@
+package sandstack.measure.scale;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+import static org.assertj.core.api.Assertions.within;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.DoubleRange;
+import net.jqwik.api.constraints.IntRange;
+import net.jqwik.api.constraints.Scale;
+import org.junit.jupiter.api.Test;
+import sandstack.measure.scale.Series.Point;
+
+class FitTest {
+    /** The sizes that hollow relays are measured at. */
+    private static final double[] RELAYS = {50, 200, 800, 2_400, 5_600};
+
+    private static final double NOISE = 0.002;
+
+    private static List<Point> series(
+            Shape shape, double base, double slope, double noise, long seed, double... sizes) {
+        Random random = new Random(seed);
+        List<Point> points = new ArrayList<>();
+        for (double size : sizes) {
+            double value = base + slope * shape.basis(size);
+            points.add(new Point(size, value * (1 + noise * (2 * random.nextDouble() - 1))));
+        }
+        return points;
+    }
+
+    private static Fit best(List<Point> points) {
+        return Fit.best(points).orElseThrow();
+    }
+
+    /** The base is no more than the rise over all sizes, else the noise of the base hides the shape. */
+    @Property
+    void theShapeThatASeriesWasMadeFromIsRecognised(
+            @ForAll Shape shape,
+            @ForAll @DoubleRange(min = 0, max = 0.5) double base,
+            @ForAll @Scale(6) @DoubleRange(min = 1e-6, max = 1e6) double rise,
+            @ForAll long seed) {
+        boolean constant = shape == Shape.CONSTANT;
+        double slope = constant ? 0 : rise / shape.basis(RELAYS[RELAYS.length - 1]);
+        List<Point> points = series(shape, constant ? rise : base * rise, slope, NOISE, seed, RELAYS);
+
+        Fit fit = best(points);
+
+        assertThat(fit.shape()).isEqualTo(shape);
+        assertThat(fit.residual()).isLessThan(2 * NOISE);
+        double largest = RELAYS[RELAYS.length - 1];
+        double made = (constant ? rise : base * rise) + slope * shape.basis(largest);
+        assertThat(fit.at(largest)).isCloseTo(made, within(made * 2 * NOISE));
+    }
+
+    @Property
+    void noiseAloneIsNoTrend(
+            @ForAll @Scale(3) @DoubleRange(min = 1e-3, max = 1e9) double value,
+            @ForAll long seed,
+            @ForAll @IntRange(min = 3, max = 9) int sizes) {
+        double[] doubled = new double[sizes];
+        for (int i = 0; i < sizes; i++) {
+            doubled[i] = 50 << i;
+        }
+
+        assertThat(best(series(Shape.CONSTANT, value, 0, Fit.NOISE_FLOOR, seed, doubled))
+                        .shape())
+                .isEqualTo(Shape.CONSTANT);
+    }
+
+    @Property
+    void exactLinearDataIsFittedExactly(
+            @ForAll @DoubleRange(min = 0, max = 1e6) double base,
+            @ForAll @DoubleRange(min = 1, max = 1e4) double slope,
+            @ForAll @DoubleRange(min = 1, max = 1e8) double planned) {
+        Fit fit = best(series(Shape.LINEAR, base, slope, 0, 0, 1_000, 4_000, 9_000));
+        Fit line = Fit.of(Shape.LINEAR, series(Shape.LINEAR, base, slope, 0, 0, 1_000, 4_000, 9_000));
+
+        assertThat(line.slope()).isCloseTo(slope, within(slope * 1e-9));
+        assertThat(line.base()).isCloseTo(base, within((base + slope * 9_000) * 1e-9));
+        assertThat(line.residual()).isLessThan(1e-9);
+        assertThat(line.at(planned)).isCloseTo(base + slope * planned, within((base + slope * planned) * 1e-8));
+        if (slope * 9_000 > base) {
+            assertThat(fit).isEqualTo(line);
+        }
+    }
+
+    @Property
+    void leastSquaresIsNoWorseThanAnyNeighbour(
+            @ForAll Shape shape,
+            @ForAll long seed,
+            @ForAll @DoubleRange(min = -0.1, max = 0.1) double off,
+            @ForAll @DoubleRange(min = -0.1, max = 0.1) double tilt) {
+        List<Point> points = series(Shape.LINEAR, 10, 0.5, 0.2, seed, RELAYS);
+        Fit fit = Fit.of(shape, points);
+        Fit other = new Fit(shape, fit.base() * (1 + off), fit.slope() * (1 + tilt), 0);
+
+        assertThat(squares(fit, points)).isLessThanOrEqualTo(squares(other, points) * (1 + 1e-9));
+    }
+
+    private static double squares(Fit fit, List<Point> points) {
+        return points.stream()
+                .mapToDouble(p -> Math.pow(p.value() - fit.at(p.size()), 2))
+                .sum();
+    }
+
+    @Test
+    void residentMemoryThatWasMeasuredBeforeIsLinear() {
+        Fit fit = best(
+                List.of(new Point(200, 63.3), new Point(1_000, 68.2), new Point(2_000, 72.1), new Point(4_000, 83.8)));
+
+        assertThat(fit.shape()).isEqualTo(Shape.LINEAR);
+        assertThat(fit.slope() * 1_000).isBetween(5.0, 5.6);
+        assertThat(fit.residual()).isLessThan(0.01);
+    }
+
+    @Test
+    void zeroEverywhereIsAConstantWithoutResidual() {
+        assertThat(best(List.of(new Point(0, 0), new Point(10, 0), new Point(100, 0))))
+                .isEqualTo(new Fit(Shape.CONSTANT, 0, 0, 0));
+    }
+
+    @Test
+    void aShapeNeedsThreeSizes() {
+        assertThat(Fit.best(List.of(new Point(20, 1), new Point(20, 2), new Point(50, 3))))
+                .isEmpty();
+    }
+
+    @Test
+    void whatIsNoNumberIsRefused() {
+        assertThatThrownBy(() -> Fit.of(Shape.LINEAR, List.of(new Point(1, Double.NaN))))
+                .isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> Fit.of(Shape.LINEAR, List.of())).isInstanceOf(IllegalArgumentException.class);
+    }
+}
