--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -37,6 +37,7 @@
 import sandstack.handover.SiblingProcesses;
 import sandstack.nametable.DiscoveryWatch;
 import sandstack.net.ConnectionAdmission;
+import sandstack.net.DescriptorBudget;
 import sandstack.net.Loop;
 import sun.misc.Signal;
 
@@ -111,11 +112,21 @@
         this.form = new NameTableJson(config.zones(), kinds);
         this.watch = new DiscoveryWatch(loop, relay, config.discovery(), form);
         this.kept = OTHER_DESCRIPTORS + (config.operator() == null ? 0 : OperatorDoor.MOST);
-        this.descriptors = config.sockets() - kept;
+        this.descriptors = descriptorsWithin(config.sockets() - kept);
         this.lobby = new ConnectionAdmission(loop, relay.deadlines(), descriptors);
         this.platform = new PlatformFront(loop, relay, lobby);
     }
 
+    private static int descriptorsWithin(int allowed) {
+        long heap = Runtime.getRuntime().maxMemory();
+        int budget = DescriptorBudget.of(allowed, heap);
+        if (budget < allowed) {
+            LOG.info("a heap of " + (heap >> 20) + " MB bears " + budget + " of the " + allowed
+                    + " descriptors that connections may take");
+        }
+        return budget;
+    }
+
     /** The relay's name. */
     String name() {
         return config.name();
