--- a/src/test/java/sandstack/decisions/World.java
+++ b/src/test/java/sandstack/decisions/World.java
@@ -30,6 +30,10 @@
     private static final double SET_UP_WORK = 0.3;
     private static final double GROUP = 3;
     private static final double UNIT = 66_000;
+    /** Seconds of work that a machine keeps waiting at the least and at the most; what is beyond is lost in silence. */
+    private static final double LEAST_QUEUE = 0.8;
+
+    private static final double MOST_QUEUE = 2;
     private static final double[] LOAD = {0.57, 0.2, 3.4};
     private static final double[] WORTH = {5, 1, 5};
 
@@ -38,6 +42,9 @@
         ServerEntry entry;
         boolean dead;
         final double rate;
+        /** Seconds of work that wait here at the most. Below {@link #DROP_AT} it is late for ever and drops nobody. */
+        double queue = Double.POSITIVE_INFINITY;
+
         final List<Client> held = new ArrayList<>();
         double piled;
         boolean draining;
@@ -79,6 +86,9 @@
         final int zone;
         Brain brain;
         boolean draining;
+        /** What it was told of last while lists are late; null while it hears of each change. */
+        List<ServerEntry> lastList;
+
         int life;
         final Map<String, Client> clients = new LinkedHashMap<>();
         final Map<String, Integer> tries = new HashMap<>();
@@ -93,6 +103,9 @@
     private record Due(long at, long order, Runnable what) {}
 
     private final boolean bySight;
+    /** Units of work that a machine of rating 1 does in a second, or up to half as many more. */
+    private double mean = 19.5;
+
     private final Random chance;
     private final int zones;
     private final List<Relay> relays = new ArrayList<>();
@@ -107,19 +120,28 @@
     private double served;
     private int dropped;
     private int refused;
-
     /**
      * What came of a day.
      *
      * @param served part of the worth that was wanted
+     * @param servedLast the same of the last third of the day alone
      * @param dropped connections that servers dropped
+     * @param pairs of a group and a server that holds some of it, at the end
      */
-    record Outcome(double served, int dropped, int refused) {
+    record Outcome(double served, double servedLast, int dropped, int refused, int pairs) {
         /** Mean part of the worth served over days. */
         static double served(Outcome[] days) {
             return Arrays.stream(days).mapToDouble(Outcome::served).average().orElseThrow();
         }
 
+        /** The same of the last third of each day. */
+        static double servedLast(Outcome[] days) {
+            return Arrays.stream(days)
+                    .mapToDouble(Outcome::servedLast)
+                    .average()
+                    .orElseThrow();
+        }
+
         /** Mean connections dropped a day. */
         static double dropped(Outcome[] days) {
             return Arrays.stream(days).mapToInt(Outcome::dropped).average().orElseThrow();
@@ -152,8 +174,19 @@
     }
 
     private Outcome outcome(long length) {
-        run(length);
-        return new Outcome(served / wanted, dropped, refused);
+        run(length / 3 * 2);
+        double servedBefore = served;
+        double wantedBefore = wanted;
+        run(length / 3);
+        return new Outcome(
+                served / wanted, (served - servedBefore) / (wanted - wantedBefore), dropped, refused, pairs());
+    }
+
+    private int pairs() {
+        return machines.values().stream()
+                .mapToInt(
+                        m -> (int) m.held.stream().map(c -> c.group).distinct().count())
+                .sum();
     }
 
     /**
@@ -190,6 +223,66 @@
         return w.outcome(28_000_000);
     }
 
+    /**
+     * Discovery is down while seven in ten relays are killed and a release begins that replaces half of the servers.
+     * Clients came through the relays, so that groups stand on more servers than they need. Lists reach the relays
+     * seconds late; the processes that come back have the list that they were told of before.
+     *
+     * @param bySight servers are chosen by their true state instead of by the modules: what is within reach
+     */
+    static Outcome herd(long seed, int relays, int servers, int clients, int groups, boolean bySight) {
+        World w = new World(seed, relays, 3, bySight);
+        w.mean = 23.4;
+        for (int i = 0; i < servers; i++) {
+            Machine m = w.machine("s" + seed + "-" + i, i % 2 == 0 ? 1.0 : 1.5, 0);
+            m.queue = w.queue();
+        }
+        w.relays.forEach(w::start);
+        for (int i = 0; i < clients; i++) {
+            Client c = w.client(i, groups, 1.3);
+            w.at(w.between(0, 1_500_000), () -> w.come(c));
+        }
+        w.at(9_000_000, w::discoveryFails);
+        w.at(
+                12_300_000,
+                () -> w.relays.stream().filter(r -> w.chance.nextDouble() < 0.7).forEach(w::kill));
+        w.relays.forEach(r -> w.at(w.between(17_000_000, 22_000_000), () -> w.discoveryReaches(r)));
+        List<Machine> old = new ArrayList<>(w.machines.values()).subList(0, servers * 17 / 31);
+        for (int i = 0; i < old.size(); i++) {
+            Machine m = old.get(i);
+            String next = "n" + seed + "-" + i;
+            w.at(9_000_000 + 15_000_000L * i / old.size(), () -> w.replace(m, next));
+        }
+        return w.outcome(28_000_000);
+    }
+
+    private double queue() {
+        return LEAST_QUEUE + (MOST_QUEUE - LEAST_QUEUE) * chance.nextDouble();
+    }
+
+    private void discoveryFails() {
+        List<ServerEntry> last = list();
+        relays.forEach(r -> r.lastList = last);
+    }
+
+    private void discoveryReaches(Relay r) {
+        r.lastList = null;
+        tell(r, new ServerList(ListKind.FULL, list()));
+    }
+
+    /** A new machine comes under this name, and the old one sends its clients away and ends soon after. */
+    private void replace(Machine old, String next) {
+        Machine fresh = machine(next, old.entry.rating(), now);
+        fresh.queue = queue();
+        announce(fresh);
+        at(1_500_000, () -> drain(old));
+        at(3_500_000, () -> {
+            old.dead = true;
+            old.piled = 0;
+            old.held.forEach(c -> c.at = null);
+        });
+    }
+
     private void die(Machine m) {
         m.dead = true;
         m.piled = 0;
@@ -211,7 +304,7 @@
     private Machine machine(String name, double rating, long startedAt) {
         Machine m = new Machine(
                 new ServerEntry(name, Math.floorMod(name.hashCode(), 97) % zones, 0, 0, startedAt, Phase.READY, rating),
-                rating * 15 * 1.3 * (0.9 + 0.6 * chance.nextDouble()));
+                rating * mean * (0.9 + 0.6 * chance.nextDouble()));
         machines.put(name, m);
         return m;
     }
@@ -264,11 +357,12 @@
         r.brain = new Brain(settings(r), Rig.PLATFORM, Limits.NONE, chance.nextLong(), now);
         r.draining = false;
         r.life++;
-        tell(
-                r,
-                new ServerList(
-                        ListKind.SAVED,
-                        machines.values().stream().map(World::entry).toList()));
+        tell(r, new ServerList(ListKind.SAVED, r.lastList != null ? r.lastList : list()));
+    }
+
+    /** What discovery has. */
+    private List<ServerEntry> list() {
+        return machines.values().stream().filter(m -> !m.dead).map(World::entry).toList();
     }
 
     private static ServerEntry entry(Machine m) {
@@ -294,7 +388,11 @@
     /** All relays hear of this server, each when its list comes. */
     private void announce(Machine m) {
         ServerList news = new ServerList(ListKind.CHANGES, List.of(entry(m)));
-        relays.forEach(r -> at(between(1_000_000, 2_500_000), () -> tell(r, news)));
+        relays.forEach(r -> at(between(1_000_000, 2_500_000), () -> {
+            if (r.lastList == null) {
+                tell(r, news);
+            }
+        }));
     }
 
     /** The machine sends all its clients away and takes nobody. */
@@ -310,6 +408,17 @@
         announce(m);
     }
 
+    /** SIGKILL: all its clients come again elsewhere; the process comes back with the list that it had. */
+    private void kill(Relay r) {
+        for (Client c : List.copyOf(r.clients.values())) {
+            leave(c);
+            comeBack(c, 150_000, 500_000);
+        }
+        r.brain = null;
+        r.life++;
+        at(between(1_000_000, 3_000_000), () -> start(r));
+    }
+
     /** SIGTERM: clients are moved over a span, then the process ends and comes back without any memory. */
     private void restart(Relay r) {
         r.draining = true;
@@ -332,13 +441,11 @@
         at(3_800_000, () -> start(r));
     }
 
-    /** Clients that stand already, as a fleet that was filled well has them; groups as uneven as Zipf's. */
+    /** Clients that stand already, as a fleet that was filled well has them. */
     private void standing(int count, int groups) {
         for (int i = 0; i < count; i++) {
-            double u = chance.nextDouble();
-            String group = "g" + (int) (groups * u * u);
-            Client c = new Client("k" + i, group, chance.nextInt(zones), chance.nextDouble());
-            clients.add(c);
+            Client c = client(i, groups, 2);
+            String group = c.group;
             Machine best = null;
             double top = Double.NEGATIVE_INFINITY;
             for (Machine m : machines.values()) {
@@ -358,6 +465,15 @@
         }
     }
 
+    /** One more client; groups are as uneven as Zipf's. */
+    private Client client(int number, int groups, double skew) {
+        double u = chance.nextDouble();
+        String group = "g" + (int) (groups * Math.pow(u, skew));
+        Client c = new Client("k" + number, group, chance.nextInt(zones), chance.nextDouble());
+        clients.add(c);
+        return c;
+    }
+
     private void stands(Client c, Relay r, Machine m) {
         c.id = "c" + ids++;
         c.relay = r;
@@ -526,7 +642,7 @@
     /** One step of a machine's work. */
     private void work(Machine m) {
         double does = does(m);
-        m.piled = Math.max(0, m.piled + (m.asked() - does) * STEP / 1e6);
+        m.piled = Math.max(0, Math.min(m.queue * does, m.piled + (m.asked() - does) * STEP / 1e6));
         double delay = m.piled / does * 1e6;
         if (delay < AIM) {
             m.held.forEach(c -> served += WORTH[c.cls]);
