--- a/src/test/java/sandstack/decisions/World.java
+++ b/src/test/java/sandstack/decisions/World.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -22,83 +21,21 @@
 final class World {
     private static final long STEP = 20_000;
     private static final long AIM = 150_000;
-    private static final long DROP_AT = 1_000_000;
+    static final long DROP_AT = 1_000_000;
     /** Of what a server does, so much stays when it drops the rest. */
     private static final double DROP_TO = 0.2;
 
     private static final long SET_UP = 30_000;
     private static final double SET_UP_WORK = 0.3;
-    private static final double GROUP = 3;
+    static final double GROUP = 3;
     private static final double UNIT = 66_000;
     /** Seconds of work that a machine keeps waiting at the least and at the most; what is beyond is lost in silence. */
     private static final double LEAST_QUEUE = 0.8;
 
     private static final double MOST_QUEUE = 2;
-    private static final double[] LOAD = {0.57, 0.2, 3.4};
+    static final double[] LOAD = {0.57, 0.2, 3.4};
     private static final double[] WORTH = {5, 1, 5};
 
-    /** A feed server. */
-    private static final class Machine {
-        ServerEntry entry;
-        boolean dead;
-        final double rate;
-        /** Seconds of work that wait here at the most. Below {@link #DROP_AT} it is late for ever and drops nobody. */
-        double queue = Double.POSITIVE_INFINITY;
-
-        final List<Client> held = new ArrayList<>();
-        double piled;
-        boolean draining;
-
-        Machine(ServerEntry entry, double rate) {
-            this.entry = entry;
-            this.rate = rate;
-        }
-
-        double asked() {
-            Set<String> groups = new HashSet<>();
-            held.forEach(c -> groups.add(c.group));
-            return held.stream().mapToDouble(c -> LOAD[c.cls]).sum() + GROUP * groups.size();
-        }
-    }
-
-    /** A client, which wants its connection all the time. */
-    private static final class Client {
-        final String key;
-        final String group;
-        final int zone;
-        final int cls;
-        boolean returning;
-        String id;
-        Relay relay;
-        Machine at;
-
-        Client(String key, String group, int zone, double draw) {
-            this.key = key;
-            this.group = group;
-            this.zone = zone;
-            this.cls = draw < 0.5 ? 0 : draw < 0.81 ? 1 : 2;
-        }
-    }
-
-    /** One relay: its module, or none while it restarts. */
-    private static final class Relay {
-        final int number;
-        final int zone;
-        Brain brain;
-        boolean draining;
-        /** What it was told of last while lists are late; null while it hears of each change. */
-        List<ServerEntry> lastList;
-
-        int life;
-        final Map<String, Client> clients = new LinkedHashMap<>();
-        final Map<String, Integer> tries = new HashMap<>();
-
-        Relay(int number, int zone) {
-            this.number = number;
-            this.zone = zone;
-        }
-    }
-
     /** Something to do at a time; {@code order} settles equal times. */
     private record Due(long at, long order, Runnable what) {}
 
@@ -108,9 +45,9 @@
 
     private final Random chance;
     private final int zones;
-    private final List<Relay> relays = new ArrayList<>();
-    private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final List<Client> clients = new ArrayList<>();
+    private final List<WorldRelay> relays = new ArrayList<>();
+    private final Map<String, WorldMachine> machines = new LinkedHashMap<>();
+    private final List<WorldClient> clients = new ArrayList<>();
     private final PriorityQueue<Due> due =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private long now = 50_000_000;
@@ -153,7 +90,7 @@
         this.chance = new Random(seed);
         this.zones = zones;
         for (int i = 0; i < relayCount; i++) {
-            relays.add(new Relay(i, i % zones));
+            relays.add(new WorldRelay(i, i % zones));
         }
     }
 
@@ -197,12 +134,12 @@
     static Outcome roll(long seed, int relays, int servers, int clients, int groups, boolean bySight) {
         World w = standing(seed, relays, servers, clients, groups, bySight);
         for (int i = 0; i < relays; i++) {
-            Relay r = w.relays.get(i);
+            WorldRelay r = w.relays.get(i);
             w.at(1_500_000 + i / Math.max(1, relays / 10) * 1_600_000L, () -> w.restart(r));
         }
-        List<Machine> old = new ArrayList<>(w.machines.values()).subList(0, servers / 2);
+        List<WorldMachine> old = new ArrayList<>(w.machines.values()).subList(0, servers / 2);
         for (int i = 0; i < old.size(); i++) {
-            Machine m = old.get(i);
+            WorldMachine m = old.get(i);
             String next = "n" + seed + "-" + i;
             long when = 1_500_000 + i / Math.max(1, servers / 8) * 2_600_000L;
             w.at(when, () -> w.announce(w.machine(next, m.entry.rating(), w.now)));
@@ -214,7 +151,7 @@
     /** A zone whose machines all die 9 s after the start and come back cold, each 4 to 5.5 s later. */
     static Outcome zoneLost(long seed, int relays, int servers, int clients, int groups) {
         World w = standing(seed, relays, servers, clients, groups, false);
-        for (Machine m : w.machines.values()) {
+        for (WorldMachine m : w.machines.values()) {
             if (m.entry.zone() == 1) {
                 w.at(9_000_000, () -> w.die(m));
                 w.at(9_000_000 + w.between(4_000_000, 5_500_000), () -> w.comeBackCold(m));
@@ -234,12 +171,12 @@
         World w = new World(seed, relays, 3, bySight);
         w.mean = 23.4;
         for (int i = 0; i < servers; i++) {
-            Machine m = w.machine("s" + seed + "-" + i, i % 2 == 0 ? 1.0 : 1.5, 0);
+            WorldMachine m = w.machine("s" + seed + "-" + i, i % 2 == 0 ? 1.0 : 1.5, 0);
             m.queue = w.queue();
         }
         w.relays.forEach(w::start);
         for (int i = 0; i < clients; i++) {
-            Client c = w.client(i, groups, 1.3);
+            WorldClient c = w.client(i, groups, 1.3);
             w.at(w.between(0, 1_500_000), () -> w.come(c));
         }
         w.at(9_000_000, w::discoveryFails);
@@ -247,9 +184,9 @@
                 12_300_000,
                 () -> w.relays.stream().filter(r -> w.chance.nextDouble() < 0.7).forEach(w::kill));
         w.relays.forEach(r -> w.at(w.between(17_000_000, 22_000_000), () -> w.discoveryReaches(r)));
-        List<Machine> old = new ArrayList<>(w.machines.values()).subList(0, servers * 17 / 31);
+        List<WorldMachine> old = new ArrayList<>(w.machines.values()).subList(0, servers * 17 / 31);
         for (int i = 0; i < old.size(); i++) {
-            Machine m = old.get(i);
+            WorldMachine m = old.get(i);
             String next = "n" + seed + "-" + i;
             w.at(9_000_000 + 15_000_000L * i / old.size(), () -> w.replace(m, next));
         }
@@ -265,14 +202,14 @@
         relays.forEach(r -> r.lastList = last);
     }
 
-    private void discoveryReaches(Relay r) {
+    private void discoveryReaches(WorldRelay r) {
         r.lastList = null;
         tell(r, new ServerList(ListKind.FULL, list()));
     }
 
     /** A new machine comes under this name, and the old one sends its clients away and ends soon after. */
-    private void replace(Machine old, String next) {
-        Machine fresh = machine(next, old.entry.rating(), now);
+    private void replace(WorldMachine old, String next) {
+        WorldMachine fresh = machine(next, old.entry.rating(), now);
         fresh.queue = queue();
         announce(fresh);
         at(1_500_000, () -> drain(old));
@@ -283,10 +220,10 @@
         });
     }
 
-    private void die(Machine m) {
+    private void die(WorldMachine m) {
         m.dead = true;
         m.piled = 0;
-        for (Client c : List.copyOf(m.held)) {
+        for (WorldClient c : List.copyOf(m.held)) {
             if (c.at == m) {
                 end(c, Decisions.Outcome.RESET);
                 comeBack(c, 150_000, 500_000);
@@ -294,22 +231,22 @@
         }
     }
 
-    private void comeBackCold(Machine m) {
+    private void comeBackCold(WorldMachine m) {
         ServerEntry e = m.entry;
         m.dead = false;
         m.entry = new ServerEntry(e.server(), e.zone(), e.cell(), e.kind(), now, Phase.READY, e.rating());
         announce(m);
     }
 
-    private Machine machine(String name, double rating, long startedAt) {
-        Machine m = new Machine(
+    private WorldMachine machine(String name, double rating, long startedAt) {
+        WorldMachine m = new WorldMachine(
                 new ServerEntry(name, Math.floorMod(name.hashCode(), 97) % zones, 0, 0, startedAt, Phase.READY, rating),
                 rating * mean * (0.9 + 0.6 * chance.nextDouble()));
         machines.put(name, m);
         return m;
     }
 
-    private Settings settings(Relay r) {
+    private Settings settings(WorldRelay r) {
         List<RequestClass> classes = new ArrayList<>();
         for (int c = 0; c < 3; c++) {
             classes.add(new RequestClass(
@@ -353,7 +290,7 @@
     }
 
     /** A relay starts with nothing but the list. */
-    private void start(Relay r) {
+    private void start(WorldRelay r) {
         r.brain = new Brain(settings(r), Rig.PLATFORM, Limits.NONE, chance.nextLong(), now);
         r.draining = false;
         r.life++;
@@ -362,19 +299,10 @@
 
     /** What discovery has. */
     private List<ServerEntry> list() {
-        return machines.values().stream().filter(m -> !m.dead).map(World::entry).toList();
-    }
-
-    private static ServerEntry entry(Machine m) {
-        ServerEntry e = m.entry;
-        return new ServerEntry(
-                e.server(),
-                e.zone(),
-                e.cell(),
-                e.kind(),
-                e.startedAt(),
-                m.draining ? Phase.DRAINING : Phase.READY,
-                e.rating());
+        return machines.values().stream()
+                .filter(m -> !m.dead)
+                .map(WorldMachine::listed)
+                .toList();
     }
 
     private void at(long after, Runnable what) {
@@ -386,8 +314,8 @@
     }
 
     /** All relays hear of this server, each when its list comes. */
-    private void announce(Machine m) {
-        ServerList news = new ServerList(ListKind.CHANGES, List.of(entry(m)));
+    private void announce(WorldMachine m) {
+        ServerList news = new ServerList(ListKind.CHANGES, List.of(m.listed()));
         relays.forEach(r -> at(between(1_000_000, 2_500_000), () -> {
             if (r.lastList == null) {
                 tell(r, news);
@@ -396,9 +324,9 @@
     }
 
     /** The machine sends all its clients away and takes nobody. */
-    private void drain(Machine m) {
+    private void drain(WorldMachine m) {
         m.draining = true;
-        for (Client c : List.copyOf(m.held)) {
+        for (WorldClient c : List.copyOf(m.held)) {
             if (c.at == m) {
                 // what its relay hears of one may move another away first
                 end(c, Decisions.Outcome.CANCELLED);
@@ -409,8 +337,8 @@
     }
 
     /** SIGKILL: all its clients come again elsewhere; the process comes back with the list that it had. */
-    private void kill(Relay r) {
-        for (Client c : List.copyOf(r.clients.values())) {
+    private void kill(WorldRelay r) {
+        for (WorldClient c : List.copyOf(r.clients.values())) {
             leave(c);
             comeBack(c, 150_000, 500_000);
         }
@@ -420,10 +348,10 @@
     }
 
     /** SIGTERM: clients are moved over a span, then the process ends and comes back without any memory. */
-    private void restart(Relay r) {
+    private void restart(WorldRelay r) {
         r.draining = true;
         int life = r.life;
-        for (Client c : List.copyOf(r.clients.values())) {
+        for (WorldClient c : List.copyOf(r.clients.values())) {
             at(between(500_000, 2_000_000), () -> {
                 if (c.relay == r && r.life == life) {
                     leave(c);
@@ -432,7 +360,7 @@
             });
         }
         at(2_600_000, () -> {
-            for (Client c : List.copyOf(r.clients.values())) {
+            for (WorldClient c : List.copyOf(r.clients.values())) {
                 leave(c);
                 comeBack(c, 150_000, 500_000);
             }
@@ -444,11 +372,11 @@
     /** Clients that stand already, as a fleet that was filled well has them. */
     private void standing(int count, int groups) {
         for (int i = 0; i < count; i++) {
-            Client c = client(i, groups, 2);
+            WorldClient c = client(i, groups, 2);
             String group = c.group;
-            Machine best = null;
+            WorldMachine best = null;
             double top = Double.NEGATIVE_INFINITY;
-            for (Machine m : machines.values()) {
+            for (WorldMachine m : machines.values()) {
                 boolean has = m.held.stream().anyMatch(o -> o.group.equals(group));
                 double free = 0.75 - (m.asked() + LOAD[c.cls] + (has ? 0 : GROUP)) / m.rate;
                 double score = free > 0 ? (has ? 10 : 0) + free : free - 100;
@@ -457,8 +385,9 @@
                     best = m;
                 }
             }
-            List<Relay> near = relays.stream().filter(r -> r.zone == c.zone).toList();
-            Relay r = near.get(chance.nextInt(near.size()));
+            List<WorldRelay> near =
+                    relays.stream().filter(r -> r.zone == c.zone).toList();
+            WorldRelay r = near.get(chance.nextInt(near.size()));
             stands(c, r, best);
             r.tries.put(c.id, 1);
             tell(r, new Adopted(ask(c), best.entry.server()));
@@ -466,15 +395,15 @@
     }
 
     /** One more client; groups are as uneven as Zipf's. */
-    private Client client(int number, int groups, double skew) {
+    private WorldClient client(int number, int groups, double skew) {
         double u = chance.nextDouble();
         String group = "g" + (int) (groups * Math.pow(u, skew));
-        Client c = new Client("k" + number, group, chance.nextInt(zones), chance.nextDouble());
+        WorldClient c = new WorldClient("k" + number, group, chance.nextInt(zones), chance.nextDouble());
         clients.add(c);
         return c;
     }
 
-    private void stands(Client c, Relay r, Machine m) {
+    private void stands(WorldClient c, WorldRelay r, WorldMachine m) {
         c.id = "c" + ids++;
         c.relay = r;
         c.at = m;
@@ -482,7 +411,7 @@
         m.held.add(c);
     }
 
-    private ConnectRequest ask(Client c) {
+    private ConnectRequest ask(WorldClient c) {
         return new ConnectRequest(
                 c.id,
                 c.cls,
@@ -495,8 +424,8 @@
                 c.returning);
     }
 
-    private void come(Client c) {
-        List<Relay> up = relays.stream()
+    private void come(WorldClient c) {
+        List<WorldRelay> up = relays.stream()
                 .filter(r -> r.brain != null && !r.draining && r.zone == c.zone)
                 .toList();
         if (up.isEmpty()) {
@@ -509,12 +438,12 @@
         tell(c.relay, ask(c));
     }
 
-    private void comeBack(Client c, long least, long most) {
+    private void comeBack(WorldClient c, long least, long most) {
         c.returning = true;
         at(between(least, most), () -> come(c));
     }
 
-    private void leave(Client c) {
+    private void leave(WorldClient c) {
         if (c.relay != null) {
             c.relay.clients.remove(c.id);
             c.relay = null;
@@ -526,19 +455,19 @@
     }
 
     /** Its standing connection ends, and its relay is told how. */
-    private void end(Client c, Decisions.Outcome how) {
-        Machine m = c.at;
-        Relay r = c.relay;
+    private void end(WorldClient c, Decisions.Outcome how) {
+        WorldMachine m = c.at;
+        WorldRelay r = c.relay;
         String id = c.id;
         leave(c);
         if (how == Decisions.Outcome.CANCELLED && m.draining) {
             // what the relay's core makes of a server that sends a client away
-            tell(r, new ServerList(ListKind.CHANGES, List.of(entry(m))));
+            tell(r, new ServerList(ListKind.CHANGES, List.of(m.listed())));
         }
         tell(r, new AttemptEnded(id, r.tries.get(id) - 1, m.entry.server(), how, true, 1_000_000, null));
     }
 
-    private void tell(Relay r, Event e) {
+    private void tell(WorldRelay r, Event e) {
         if (r.brain == null) {
             return;
         }
@@ -557,15 +486,15 @@
             } else if (a instanceof Fail t) {
                 answered(r, t.id(), 500_000);
             } else if (a instanceof Relocate t && r.clients.containsKey(t.id()) && r.clients.get(t.id()).at != null) {
-                Client c = r.clients.get(t.id());
+                WorldClient c = r.clients.get(t.id());
                 end(c, Decisions.Outcome.CANCELLED);
                 comeBack(c, 20_000, 200_000);
             }
         }
     }
 
-    private void answered(Relay r, String id, long after) {
-        Client c = r.clients.remove(id);
+    private void answered(WorldRelay r, String id, long after) {
+        WorldClient c = r.clients.remove(id);
         if (c != null) {
             refused++;
             c.relay = null;
@@ -574,14 +503,14 @@
         }
     }
 
-    private void attempt(Relay r, Attempt t) {
-        Client c = r.clients.get(t.id());
+    private void attempt(WorldRelay r, Attempt t) {
+        WorldClient c = r.clients.get(t.id());
         int life = r.life;
         if (c == null) {
             return;
         }
         int n = r.tries.merge(t.id(), 1, Integer::sum) - 1;
-        Machine m = bySight ? inSight(c) : machines.get(t.server());
+        WorldMachine m = bySight ? inSight(c) : machines.get(t.server());
         at(SET_UP, () -> {
             if (r.life != life || c.relay != r || !t.id().equals(c.id)) {
                 return;
@@ -603,10 +532,10 @@
     }
 
     /** The server that is best off with this client: the least used, the group's where that has room. */
-    private Machine inSight(Client c) {
-        Machine best = null;
+    private WorldMachine inSight(WorldClient c) {
+        WorldMachine best = null;
         double least = Double.MAX_VALUE;
-        for (Machine m : machines.values()) {
+        for (WorldMachine m : machines.values()) {
             boolean has = m.held.stream().anyMatch(o -> o.group.equals(c.group));
             double used = (m.asked() + LOAD[c.cls] + (has ? 0 : GROUP)) / does(m);
             double cost = used + (has ? 0 : 0.4) + 5 * m.piled / m.rate + (used > 0.85 ? 3 : 0);
@@ -619,7 +548,7 @@
     }
 
     /** Units of work that a machine does in a second now. */
-    private double does(Machine m) {
+    private double does(WorldMachine m) {
         long started = m.entry.startedAt();
         return m.rate * (started == 0 ? 1 : Math.min(1, 0.13 + 0.87 * (now - started) / 23_000_000));
     }
@@ -640,7 +569,7 @@
     }
 
     /** One step of a machine's work. */
-    private void work(Machine m) {
+    private void work(WorldMachine m) {
         double does = does(m);
         m.piled = Math.max(0, Math.min(m.queue * does, m.piled + (m.asked() - does) * STEP / 1e6));
         double delay = m.piled / does * 1e6;
@@ -652,10 +581,10 @@
     }
 
     /** The newest go until what is left asks for less than this. */
-    private void drop(Machine m, double to) {
+    private void drop(WorldMachine m, double to) {
         double keeps = 0;
         Set<String> groups = new HashSet<>();
-        for (Client c : List.copyOf(m.held)) {
+        for (WorldClient c : List.copyOf(m.held)) {
             keeps += LOAD[c.cls] + (groups.contains(c.group) ? 0 : GROUP);
             if (keeps < to) {
                 groups.add(c.group);
