--- a/src/test/java/sandstack/decisions/World.java
+++ b/src/test/java/sandstack/decisions/World.java
@@ -11,6 +11,7 @@
 import java.util.Set;
 import sandstack.capacity.Limits;
 import sandstack.decisions.Decisions.*;
+import sandstack.settings.SettingsBuilder;
 
 /**
  * Many modules, their feed servers and their clients in one simulated clock. A server does so many units of work a
@@ -258,35 +259,27 @@
                     5_000_000,
                     AIM));
         }
-        return new Settings(
-                r.number,
-                relays.size(),
-                r.zone,
-                zones,
-                classes,
-                List.of(),
-                1,
-                false,
-                false,
-                true,
-                false,
-                10_000_000,
-                6,
-                100_000,
-                true,
-                1_500_000,
-                false,
-                0.002,
-                true,
-                0.01,
-                0.08,
-                0.01,
-                300_000,
-                0.13,
-                23_000_000,
-                3,
-                1_500_000,
-                false);
+        return SettingsBuilder.of(classes)
+                .self(r.number)
+                .instances(relays.size())
+                .homeZone(r.zone)
+                .zones(zones)
+                .sharedGroups(true)
+                .askWithin(10_000_000)
+                .connectTimeout(100_000)
+                .retryAfter(true)
+                .maxRetryAfter(1_500_000)
+                .probePrice(0.002)
+                .peers(true)
+                .peerPrice(0.01)
+                .crossZonePrice(0.08)
+                .movePrice(0.01)
+                .drainGrace(300_000)
+                .coldFrom(0.13)
+                .warmAfter(23_000_000)
+                .tipMultiple(3)
+                .tipAfter(1_500_000)
+                .build();
     }
 
     /** A relay starts with nothing but the list. */
--- a/src/test/java/sandstack/front/platform/HeldRelay.java
+++ b/src/test/java/sandstack/front/platform/HeldRelay.java
@@ -34,6 +34,7 @@
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.Loop;
 import sandstack.net.ShortWrites;
+import sandstack.settings.SettingsBuilder;
 
 /**
  * A relay on loopback whose one thread the test can hold: what happens meanwhile lies in the kernel when it goes on, all at
@@ -95,35 +96,17 @@
     private int ids;
 
     HeldRelay() throws IOException {
-        Settings settings = new Settings(
-                0,
-                1,
-                0,
-                1,
-                List.of(cls(Repeat.SAFE), cls(Repeat.UNSAFE)),
-                List.of(),
-                1,
-                false,
-                false,
-                false,
-                true,
-                10_000_000,
-                6,
-                100_000,
-                false,
-                1_500_000,
-                false,
-                0,
-                false,
-                0,
-                0,
-                0,
-                300_000,
-                0.13,
-                23_000_000,
-                3,
-                1_500_000,
-                false);
+        Settings settings = SettingsBuilder.of(List.of(cls(Repeat.SAFE), cls(Repeat.UNSAFE)))
+                .listOnRequest(true)
+                .askWithin(10_000_000)
+                .connectTimeout(100_000)
+                .maxRetryAfter(1_500_000)
+                .drainGrace(300_000)
+                .coldFrom(0.13)
+                .warmAfter(23_000_000)
+                .tipMultiple(3)
+                .tipAfter(1_500_000)
+                .build();
         relay = new Relay(
                 new EffectiveSettings(settings, List.of("safe", "unsafe"), false),
                 Stated.Book.EMPTY,
