--- a/src/main/java/sandstack/configuration/BoundedReader.java
+++ b/src/main/java/sandstack/configuration/BoundedReader.java
@@ -5,23 +5,27 @@
 import java.nio.charset.StandardCharsets;
 
 /** Reads fields of a frame; allocates nothing before the length is checked against the bound and what is left. */
-final class BoundedReader {
+public final class BoundedReader {
     private final ByteBuffer bytes;
 
-    BoundedReader(byte[] frame) {
+    /** Reads this frame from its start. */
+    public BoundedReader(byte[] frame) {
         bytes = ByteBuffer.wrap(frame);
     }
 
-    int remaining() {
+    /** Bytes not yet read. */
+    public int remaining() {
         return bytes.remaining();
     }
 
-    byte readByte() throws MalformedConfigurationException {
+    /** One byte. */
+    public byte readByte() throws MalformedConfigurationException {
         require(Byte.BYTES);
         return bytes.get();
     }
 
-    boolean readBoolean() throws MalformedConfigurationException {
+    /** A byte that is 0 or 1. */
+    public boolean readBoolean() throws MalformedConfigurationException {
         byte value = readByte();
         if (value != 0 && value != 1) {
             throw new MalformedConfigurationException("a flag is " + value);
@@ -29,18 +33,20 @@
         return value == 1;
     }
 
-    int readInt() throws MalformedConfigurationException {
+    /** Four bytes. */
+    public int readInt() throws MalformedConfigurationException {
         require(Integer.BYTES);
         return bytes.getInt();
     }
 
-    long readLong() throws MalformedConfigurationException {
+    /** Eight bytes. */
+    public long readLong() throws MalformedConfigurationException {
         require(Long.BYTES);
         return bytes.getLong();
     }
 
     /** A number of things that take at least so many bytes each. */
-    int readCount(int most, int leastBytesEach) throws MalformedConfigurationException {
+    public int readCount(int most, int leastBytesEach) throws MalformedConfigurationException {
         int count = readInt();
         if (count < 0 || count > most || (long) count * leastBytesEach > bytes.remaining()) {
             throw new MalformedConfigurationException("a count of " + count + ", the most is " + most);
@@ -48,7 +54,8 @@
         return count;
     }
 
-    String readText(int mostBytes) throws MalformedConfigurationException {
+    /** A text of UTF-8 after its length. */
+    public String readText(int mostBytes) throws MalformedConfigurationException {
         byte[] text = readBytes(mostBytes);
         try {
             return StandardCharsets.UTF_8
@@ -60,13 +67,15 @@
         }
     }
 
-    byte[] readBytes(int most) throws MalformedConfigurationException {
+    /** Bytes after their number. */
+    public byte[] readBytes(int most) throws MalformedConfigurationException {
         byte[] value = new byte[readCount(most, 1)];
         bytes.get(value);
         return value;
     }
 
-    void requireEnd() throws MalformedConfigurationException {
+    /** Refuses a frame that goes on. */
+    public void requireEnd() throws MalformedConfigurationException {
         if (bytes.hasRemaining()) {
             throw new MalformedConfigurationException(bytes.remaining() + " bytes too many");
         }
--- a/src/main/java/sandstack/configuration/FieldWriter.java
+++ b/src/main/java/sandstack/configuration/FieldWriter.java
@@ -5,39 +5,46 @@
 import java.nio.charset.StandardCharsets;
 
 /** Writes the fields that {@link BoundedReader} reads. */
-final class FieldWriter {
+public final class FieldWriter {
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
-    FieldWriter writeByte(int value) {
+    /** One byte, the lowest of the value. */
+    public FieldWriter writeByte(int value) {
         bytes.write(value);
         return this;
     }
 
-    FieldWriter writeBoolean(boolean value) {
+    /** A byte that is 0 or 1. */
+    public FieldWriter writeBoolean(boolean value) {
         return writeByte(value ? 1 : 0);
     }
 
-    FieldWriter writeInt(int value) {
+    /** Four bytes. */
+    public FieldWriter writeInt(int value) {
         bytes.writeBytes(ByteBuffer.allocate(Integer.BYTES).putInt(value).array());
         return this;
     }
 
-    FieldWriter writeLong(long value) {
+    /** Eight bytes. */
+    public FieldWriter writeLong(long value) {
         bytes.writeBytes(ByteBuffer.allocate(Long.BYTES).putLong(value).array());
         return this;
     }
 
-    FieldWriter writeText(String text) {
+    /** A text as UTF-8 after its length. */
+    public FieldWriter writeText(String text) {
         return writeBytes(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    FieldWriter writeBytes(byte[] value) {
+    /** One byte, the lowest of the value. */
+    public FieldWriter writeBytes(byte[] value) {
         writeInt(value.length);
         bytes.writeBytes(value);
         return this;
     }
 
-    byte[] toBytes() {
+    /** All that was written. */
+    public byte[] toBytes() {
         return bytes.toByteArray();
     }
 }
--- /dev/null
+++ b/src/main/java/sandstack/configuration/consensus/EncodedRaftStore.java
@@ -0,0 +1,125 @@
+package sandstack.configuration.consensus;
+
+import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.RaftGroupMembersView;
+import io.microraft.model.log.SnapshotChunk;
+import io.microraft.model.persistence.RaftEndpointPersistentState;
+import io.microraft.model.persistence.RaftTermPersistentState;
+import io.microraft.persistence.RaftStore;
+import io.microraft.persistence.RestoredRaftState;
+import java.io.IOException;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.LongPredicate;
+import sandstack.configuration.ConfigurationLimits;
+import sandstack.configuration.FieldWriter;
+
+/** What Raft has to remember, encoded and with checksums, in three sorted maps; how they reach a disk is the heirs' part. */
+abstract class EncodedRaftStore implements RaftStore {
+    static final String LOCAL_ENDPOINT = "local-endpoint";
+    static final String INITIAL_MEMBERS = "initial-members";
+    static final String TERM = "term";
+
+    private final RaftRecordCodec codec;
+
+    EncodedRaftStore(ConfigurationLimits limits) {
+        codec = new RaftRecordCodec(limits);
+    }
+
+    /** The values that there are one of. */
+    abstract Map<String, byte[]> header();
+
+    /** Log entries by index, in order. */
+    abstract Map<Long, byte[]> log();
+
+    /** Snapshot chunks by {@link #chunkKey}, in order. */
+    abstract Map<Long, byte[]> chunks();
+
+    /** Something was removed that takes space on disk until it is compacted. */
+    abstract void removed();
+
+    /** Names the store in refusals. */
+    abstract String name();
+
+    /** What the store holds, for the Raft node to go on with; empty where the node never ran. */
+    public Optional<RestoredRaftState> restore() throws IOException {
+        return stored().restore();
+    }
+
+    final StoredState stored() {
+        return new StoredState(name(), codec, header(), log(), chunks());
+    }
+
+    @Override
+    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState local) throws IOException {
+        FieldWriter out = new FieldWriter();
+        codec.write(out, local);
+        put(header(), LOCAL_ENDPOINT, out);
+        flush();
+    }
+
+    @Override
+    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
+        FieldWriter out = new FieldWriter();
+        codec.write(out, members);
+        put(header(), INITIAL_MEMBERS, out);
+        flush();
+    }
+
+    @Override
+    public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
+        FieldWriter out = new FieldWriter();
+        codec.write(out, term);
+        put(header(), TERM, out);
+        flush();
+    }
+
+    @Override
+    public void persistLogEntries(List<LogEntry> entries) throws IOException {
+        for (LogEntry entry : entries) {
+            FieldWriter out = new FieldWriter();
+            codec.write(out, entry);
+            put(log(), entry.getIndex(), out);
+        }
+    }
+
+    @Override
+    public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
+        FieldWriter out = new FieldWriter();
+        codec.write(out, chunk);
+        put(chunks(), chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex()), out);
+    }
+
+    @Override
+    public void truncateLogEntriesFrom(long index) throws IOException {
+        removeEntries(key -> key >= index);
+    }
+
+    @Override
+    public void truncateLogEntriesUntil(long index) throws IOException {
+        removeEntries(key -> key <= index);
+        removed();
+    }
+
+    @Override
+    public void deleteSnapshotChunks(long index, int chunkCount) throws IOException {
+        for (int chunk = 0; chunk < chunkCount; chunk++) {
+            chunks().remove(chunkKey(index, chunk));
+        }
+        removed();
+    }
+
+    static long chunkKey(long index, int chunk) {
+        return index * RaftRecordCodec.MOST_CHUNKS + chunk;
+    }
+
+    private void removeEntries(LongPredicate which) {
+        List<Long> keys = log().keySet().stream().filter(which::test).toList();
+        keys.forEach(log()::remove);
+    }
+
+    private static <K> void put(Map<K, byte[]> map, K key, FieldWriter value) {
+        map.put(key, Checksummed.wrap(value.toBytes()));
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/configuration/consensus/RaftRecordCodec.java
@@ -0,0 +1,198 @@
+package sandstack.configuration.consensus;
+
+import io.microraft.MembershipChangeMode;
+import io.microraft.RaftEndpoint;
+import io.microraft.model.RaftModelFactory;
+import io.microraft.model.groupop.UpdateRaftGroupMembersOp;
+import io.microraft.model.impl.DefaultRaftModelFactory;
+import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.RaftGroupMembersView;
+import io.microraft.model.log.SnapshotChunk;
+import io.microraft.model.persistence.RaftEndpointPersistentState;
+import io.microraft.model.persistence.RaftTermPersistentState;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import sandstack.configuration.BoundedReader;
+import sandstack.configuration.ConfigurationCodec;
+import sandstack.configuration.ConfigurationLimits;
+import sandstack.configuration.FieldWriter;
+import sandstack.configuration.MalformedConfigurationException;
+
+/** The binary form of what Raft keeps on disk and sends: log entries, snapshot chunks, members, term. Bounded in reading. */
+final class RaftRecordCodec {
+    /** Members of a group with its learners, and those that a change of members passes through. */
+    static final int MOST_MEMBERS = 16;
+    /** Chunks of one snapshot; the library counts them in an int. */
+    static final int MOST_CHUNKS = 4_096;
+
+    private static final int NEW_TERM = 1;
+    private static final int PROPOSAL = 2;
+    private static final int MEMBERS_CHANGE = 3;
+    private static final int LEAST_ENDPOINT_BYTES = Integer.BYTES;
+
+    private final RaftModelFactory models = new DefaultRaftModelFactory();
+    private final int mostChangeBytes;
+
+    RaftRecordCodec(ConfigurationLimits limits) {
+        mostChangeBytes = new ConfigurationCodec(limits).mostChangeBytes();
+    }
+
+    /** The longest encoded log entry or snapshot chunk, with its members. */
+    int mostRecordBytes() {
+        int members = 4 * MOST_MEMBERS * (Integer.BYTES + ControlMachine.MOST_CHARACTERS);
+        return Math.max(mostChangeBytes, ConfigurationStateMachine.CHUNK_BYTES) + members + 128;
+    }
+
+    void write(FieldWriter out, LogEntry entry) {
+        out.writeLong(entry.getIndex()).writeInt(entry.getTerm());
+        writeOperation(out, entry.getOperation());
+    }
+
+    LogEntry readLogEntry(BoundedReader in) throws MalformedConfigurationException {
+        return models.createLogEntryBuilder()
+                .setIndex(in.readLong())
+                .setTerm(in.readInt())
+                .setOperation(readOperation(in))
+                .build();
+    }
+
+    void write(FieldWriter out, SnapshotChunk chunk) {
+        out.writeLong(chunk.getIndex())
+                .writeInt(chunk.getTerm())
+                .writeInt(chunk.getSnapshotChunkIndex())
+                .writeInt(chunk.getSnapshotChunkCount())
+                .writeBytes(((StateChunk) chunk.getOperation()).bytes());
+        write(out, chunk.getGroupMembersView());
+    }
+
+    SnapshotChunk readSnapshotChunk(BoundedReader in) throws MalformedConfigurationException {
+        SnapshotChunk.SnapshotChunkBuilder chunk =
+                models.createSnapshotChunkBuilder().setIndex(in.readLong()).setTerm(in.readInt());
+        int index = in.readInt();
+        int count = in.readInt();
+        if (count < 1 || count > MOST_CHUNKS || index < 0 || index >= count) {
+            throw new MalformedConfigurationException("snapshot chunk " + index + " of " + count);
+        }
+        return chunk.setSnapshotChunkIndex(index)
+                .setSnapshotChunkCount(count)
+                .setOperation(new StateChunk(in.readBytes(ConfigurationStateMachine.CHUNK_BYTES)))
+                .setGroupMembersView(readMembersView(in))
+                .build();
+    }
+
+    void write(FieldWriter out, RaftGroupMembersView members) {
+        out.writeLong(members.getLogIndex());
+        writeEndpoints(out, members.getMembers());
+        writeEndpoints(out, members.getVotingMembers());
+    }
+
+    RaftGroupMembersView readMembersView(BoundedReader in) throws MalformedConfigurationException {
+        return models.createRaftGroupMembersViewBuilder()
+                .setLogIndex(in.readLong())
+                .setMembers(readEndpoints(in))
+                .setVotingMembers(readEndpoints(in))
+                .build();
+    }
+
+    void write(FieldWriter out, RaftTermPersistentState term) {
+        out.writeInt(term.getTerm()).writeBoolean(term.getVotedFor() != null);
+        if (term.getVotedFor() != null) {
+            writeEndpoint(out, term.getVotedFor());
+        }
+    }
+
+    RaftTermPersistentState readTerm(BoundedReader in) throws MalformedConfigurationException {
+        RaftTermPersistentState.RaftTermPersistentStateBuilder term =
+                models.createRaftTermPersistentStateBuilder().setTerm(in.readInt());
+        return in.readBoolean() ? term.setVotedFor(readEndpoint(in)).build() : term.build();
+    }
+
+    void write(FieldWriter out, RaftEndpointPersistentState local) {
+        writeEndpoint(out, local.getLocalEndpoint());
+        out.writeBoolean(local.isVoting());
+    }
+
+    RaftEndpointPersistentState readLocalEndpoint(BoundedReader in) throws MalformedConfigurationException {
+        return models.createRaftEndpointPersistentStateBuilder()
+                .setLocalEndpoint(readEndpoint(in))
+                .setVoting(in.readBoolean())
+                .build();
+    }
+
+    void writeEndpoint(FieldWriter out, RaftEndpoint endpoint) {
+        out.writeText(((ControlMachine) endpoint).identity());
+    }
+
+    ControlMachine readEndpoint(BoundedReader in) throws MalformedConfigurationException {
+        String identity = in.readText(ControlMachine.MOST_CHARACTERS);
+        try {
+            return new ControlMachine(identity);
+        } catch (IllegalArgumentException e) {
+            throw new MalformedConfigurationException("an identity is malformed");
+        }
+    }
+
+    void writeEndpoints(FieldWriter out, Collection<RaftEndpoint> endpoints) {
+        out.writeInt(endpoints.size());
+        endpoints.forEach(endpoint -> writeEndpoint(out, endpoint));
+    }
+
+    List<RaftEndpoint> readEndpoints(BoundedReader in) throws MalformedConfigurationException {
+        int count = in.readCount(MOST_MEMBERS, LEAST_ENDPOINT_BYTES);
+        List<RaftEndpoint> endpoints = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            endpoints.add(readEndpoint(in));
+        }
+        return endpoints;
+    }
+
+    private void writeOperation(FieldWriter out, Object operation) {
+        if (operation instanceof LogOperation.NewTerm newTerm) {
+            out.writeByte(NEW_TERM).writeLong(newTerm.term());
+        } else if (operation instanceof LogOperation.Proposal proposal) {
+            out.writeByte(PROPOSAL)
+                    .writeLong(proposal.id().high())
+                    .writeLong(proposal.id().low())
+                    .writeBytes(proposal.encodedChange());
+        } else if (operation instanceof UpdateRaftGroupMembersOp change) {
+            out.writeByte(MEMBERS_CHANGE);
+            writeEndpoints(out, change.getMembers());
+            writeEndpoints(out, change.getVotingMembers());
+            writeEndpoint(out, change.getEndpoint());
+            out.writeText(change.getMode().name());
+        } else {
+            throw new IllegalArgumentException("an operation that cannot be kept: " + operation);
+        }
+    }
+
+    private Object readOperation(BoundedReader in) throws MalformedConfigurationException {
+        byte type = in.readByte();
+        switch (type) {
+            case NEW_TERM:
+                return new LogOperation.NewTerm(in.readLong());
+            case PROPOSAL:
+                return new LogOperation.Proposal(
+                        new ChangeId(in.readLong(), in.readLong()), in.readBytes(mostChangeBytes));
+            case MEMBERS_CHANGE:
+                return models.createUpdateRaftGroupMembersOpBuilder()
+                        .setMembers(readEndpoints(in))
+                        .setVotingMembers(readEndpoints(in))
+                        .setEndpoint(readEndpoint(in))
+                        .setMode(readMode(in))
+                        .build();
+            default:
+                throw new MalformedConfigurationException("operation type " + type + " is unknown");
+        }
+    }
+
+    private static MembershipChangeMode readMode(BoundedReader in) throws MalformedConfigurationException {
+        String name = in.readText(ControlMachine.MOST_CHARACTERS);
+        for (MembershipChangeMode mode : MembershipChangeMode.values()) {
+            if (mode.name().equals(name)) {
+                return mode;
+            }
+        }
+        throw new MalformedConfigurationException("a change of members has an unknown mode");
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/configuration/consensus/StoredState.java
@@ -0,0 +1,138 @@
+package sandstack.configuration.consensus;
+
+import io.microraft.model.RaftModelFactory;
+import io.microraft.model.impl.DefaultRaftModelFactory;
+import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.RaftGroupMembersView;
+import io.microraft.model.log.SnapshotChunk;
+import io.microraft.model.log.SnapshotEntry;
+import io.microraft.model.persistence.RaftEndpointPersistentState;
+import io.microraft.model.persistence.RaftTermPersistentState;
+import io.microraft.persistence.RestoredRaftState;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import sandstack.configuration.BoundedReader;
+import sandstack.configuration.MalformedConfigurationException;
+
+/** Reads a store back, and refuses with one line what is damaged or does not hang together. */
+final class StoredState {
+    /** Reads one value. */
+    private interface ValueReader<T> {
+        T read(BoundedReader in) throws MalformedConfigurationException;
+    }
+
+    private final RaftModelFactory models = new DefaultRaftModelFactory();
+    private final String file;
+    private final RaftRecordCodec codec;
+    private final Map<String, byte[]> header;
+    private final Map<Long, byte[]> log;
+    private final Map<Long, byte[]> chunks;
+
+    StoredState(
+            String file,
+            RaftRecordCodec codec,
+            Map<String, byte[]> header,
+            Map<Long, byte[]> log,
+            Map<Long, byte[]> chunks) {
+        this.file = file;
+        this.codec = codec;
+        this.header = header;
+        this.log = log;
+        this.chunks = chunks;
+    }
+
+    long headerLong(String key) throws StoreRefusedException {
+        return read(key, header.get(key), BoundedReader::readLong);
+    }
+
+    void requireText(String key, String expected) throws StoreRefusedException {
+        String found = read(key, header.get(key), in -> in.readText(RaftMessageCodec.MOST_GROUP_BYTES));
+        if (!found.equals(expected)) {
+            throw new StoreRefusedException(
+                    file + ": " + key + " is " + found + " on this disk, " + expected + " in the settings");
+        }
+    }
+
+    /** The state to go on from; empty where the node never ran. */
+    Optional<RestoredRaftState> restore() throws StoreRefusedException {
+        if (!header.containsKey(EncodedRaftStore.LOCAL_ENDPOINT)) {
+            return Optional.empty();
+        }
+        RaftEndpointPersistentState local = read(
+                EncodedRaftStore.LOCAL_ENDPOINT, header.get(EncodedRaftStore.LOCAL_ENDPOINT), codec::readLocalEndpoint);
+        if (!header.containsKey(EncodedRaftStore.INITIAL_MEMBERS) || !header.containsKey(EncodedRaftStore.TERM)) {
+            return restoreUnstarted();
+        }
+        RaftGroupMembersView members = read(
+                EncodedRaftStore.INITIAL_MEMBERS, header.get(EncodedRaftStore.INITIAL_MEMBERS), codec::readMembersView);
+        RaftTermPersistentState term = read(EncodedRaftStore.TERM, header.get(EncodedRaftStore.TERM), codec::readTerm);
+        SnapshotEntry snapshot = restoreSnapshot();
+        long snapshotIndex = snapshot == null ? 0 : snapshot.getIndex();
+        return Optional.of(new RestoredRaftState(local, members, term, snapshot, restoreLog(snapshotIndex)));
+    }
+
+    /** A node that was killed before its first start was complete has neither voted nor acknowledged anything. */
+    private Optional<RestoredRaftState> restoreUnstarted() throws StoreRefusedException {
+        if (!log.isEmpty() || !chunks.isEmpty() || header.containsKey(EncodedRaftStore.TERM)) {
+            throw new StoreRefusedException(file + ": damaged: a log without members or term");
+        }
+        return Optional.empty();
+    }
+
+    /** The newest snapshot that has all its chunks; null where there is none. */
+    private SnapshotEntry restoreSnapshot() throws StoreRefusedException {
+        TreeMap<Long, List<SnapshotChunk>> byIndex = new TreeMap<>();
+        for (Map.Entry<Long, byte[]> entry : chunks.entrySet()) {
+            SnapshotChunk chunk = read("snapshot chunk " + entry.getKey(), entry.getValue(), codec::readSnapshotChunk);
+            byIndex.computeIfAbsent(chunk.getIndex(), index -> new ArrayList<>())
+                    .add(chunk);
+        }
+        for (List<SnapshotChunk> parts : byIndex.descendingMap().values()) {
+            SnapshotChunk first = parts.get(0);
+            if (parts.size() == first.getSnapshotChunkCount()) {
+                return models.createSnapshotEntryBuilder()
+                        .setIndex(first.getIndex())
+                        .setTerm(first.getTerm())
+                        .setSnapshotChunks(parts)
+                        .setGroupMembersView(first.getGroupMembersView())
+                        .build();
+            }
+        }
+        return null;
+    }
+
+    private List<LogEntry> restoreLog(long snapshotIndex) throws StoreRefusedException {
+        List<LogEntry> entries = new ArrayList<>();
+        long expected = snapshotIndex + 1;
+        for (Map.Entry<Long, byte[]> stored : log.entrySet()) {
+            if (stored.getKey() <= snapshotIndex) {
+                continue;
+            }
+            LogEntry entry = read("log entry " + stored.getKey(), stored.getValue(), codec::readLogEntry);
+            if (entry.getIndex() != stored.getKey() || entry.getIndex() != expected) {
+                throw new StoreRefusedException(
+                        file + ": damaged: log entry " + entry.getIndex() + " where " + expected + " follows");
+            }
+            expected++;
+            entries.add(entry);
+        }
+        return entries;
+    }
+
+    private <T> T read(String what, byte[] wrapped, ValueReader<T> reader) throws StoreRefusedException {
+        if (wrapped == null) {
+            throw new StoreRefusedException(file + ": damaged: " + what + " is missing");
+        }
+        try {
+            BoundedReader in = new BoundedReader(Checksummed.unwrap(wrapped));
+            T value = reader.read(in);
+            in.requireEnd();
+            return value;
+        } catch (MalformedConfigurationException e) {
+            throw new StoreRefusedException(file + ": damaged: " + what + ": " + e.getMessage());
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/configuration/consensus/DrawnSchedulesTest.java
@@ -0,0 +1,44 @@
+package sandstack.configuration.consensus;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Drawn faults: kills, pauses, one-way cuts, regions apart, lost messages. {@code -Dsandstack.consensus.schedules=N}
+ * plays more than CI does, {@code -Dsandstack.consensus.first=SEED} from another seed on.
+ */
+class DrawnSchedulesTest {
+    private static final int SCHEDULES = Integer.getInteger("sandstack.consensus.schedules", 25);
+    private static final int FIRST_SEED = Integer.getInteger("sandstack.consensus.first", 1);
+
+    @Test
+    void drawnSchedulesAreKept() {
+        int agreed = 0;
+        int faults = 0;
+        for (int seed = FIRST_SEED; seed < FIRST_SEED + SCHEDULES; seed++) {
+            DrawnSchedule schedule = new DrawnSchedule(seed);
+            List<String> breaches = schedule.play();
+            assertThat(breaches).as("seed " + seed).isEmpty();
+            agreed += schedule.cluster.checker.agreedChanges();
+            faults += schedule.faults;
+        }
+        System.out.println(SCHEDULES + " schedules kept: " + agreed + " changes agreed on, " + faults + " faults");
+        // a schedule in which nothing happens would show nothing
+        assertThat(agreed).isGreaterThan(5 * SCHEDULES);
+        assertThat(faults).isGreaterThan(10 * SCHEDULES);
+    }
+
+    @Test
+    void theSameSeedGivesTheSamePlay() {
+        assertThat(outcomeOf(7)).isEqualTo(outcomeOf(7));
+    }
+
+    private static String outcomeOf(long seed) {
+        DrawnSchedule schedule = new DrawnSchedule(seed);
+        List<String> breaches = schedule.play();
+        SimulatedMachine any = schedule.cluster.machines.get(0);
+        return breaches + " " + any.node.current() + " " + schedule.cluster.network.sent.get(any.identity).bytes;
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/configuration/consensus/PlantedFaultsTest.java
@@ -0,0 +1,150 @@
+package sandstack.configuration.consensus;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.function.LongSupplier;
+import org.junit.jupiter.api.Test;
+import sandstack.configuration.AgreedChange;
+import sandstack.configuration.AgreedChangeListener;
+import sandstack.configuration.ChangeValidator;
+import sandstack.configuration.ConfigurationChange;
+import sandstack.configuration.ConfigurationCodec;
+import sandstack.configuration.ConfigurationSnapshot;
+import sandstack.configuration.MalformedConfigurationException;
+
+/** The checker finds faults that are planted, so that its silence elsewhere says something. */
+class PlantedFaultsTest {
+    private static final Duration SETTLING = Duration.ofSeconds(16);
+
+    /** Forgets the entry at which the eleventh proposal comes. */
+    private static final class SkipsOne extends ConfigurationStateMachine {
+        private int seen;
+
+        SkipsOne(ChangeValidator validator, AgreedChangeListener listener, LongSupplier leaderTerm) {
+            super(validator, listener, leaderTerm);
+        }
+
+        @Override
+        public Object runOperation(long commitIndex, Object operation) {
+            if (operation instanceof LogOperation.Proposal && ++seen == 11) {
+                return null;
+            }
+            return super.runOperation(commitIndex, operation);
+        }
+    }
+
+    /** Applies a repetition again, as its memory of ids is gone. */
+    private static final class TakesEachIdForNew extends ConfigurationStateMachine {
+        TakesEachIdForNew(ChangeValidator validator, AgreedChangeListener listener, LongSupplier leaderTerm) {
+            super(validator, listener, leaderTerm);
+        }
+
+        @Override
+        public Object runOperation(long commitIndex, Object operation) {
+            if (!(operation instanceof LogOperation.Proposal proposal)) {
+                return super.runOperation(commitIndex, operation);
+            }
+            return super.runOperation(
+                    commitIndex, new LogOperation.Proposal(new ChangeId(commitIndex, 1), rebased(proposal)));
+        }
+
+        private byte[] rebased(LogOperation.Proposal proposal) {
+            ConfigurationCodec codec = new ConfigurationCodec(SimulatedMachine.VALIDATOR.limits());
+            try {
+                ConfigurationChange change = codec.decodeChange(proposal.encodedChange());
+                return codec.encode(
+                        ConfigurationChange.of(current().version(), change.author(), change.reason(), change.edits()));
+            } catch (MalformedConfigurationException e) {
+                throw new AssertionError(e);
+            }
+        }
+    }
+
+    private static SimulatedCluster cluster(SimulatedMachine.StateMachines planted, int plantedMachines) {
+        SimulatedCluster cluster = new SimulatedCluster(5, 1, 1_000);
+        cluster.machines.stream().limit(plantedMachines).forEach(machine -> machine.stateMachines = planted);
+        cluster.startAll();
+        cluster.awaitLeader();
+        return cluster;
+    }
+
+    private static void agree(SimulatedCluster cluster, int changes) {
+        for (int i = 0; i < changes; i++) {
+            cluster.agree();
+        }
+    }
+
+    @Test
+    void aStateMachineThatSkipsAChangeIsFound() {
+        SimulatedCluster cluster = cluster(SkipsOne::new, 1);
+        agree(cluster, 20);
+        assertThat(cluster.settleAndCheck(SETTLING)).anyMatch(breach -> breach.contains("where another was told"));
+    }
+
+    @Test
+    void aChangeAppliedTwiceIsFound() {
+        SimulatedCluster cluster = cluster(TakesEachIdForNew::new, 5);
+        SimulatedMachine leader = cluster.awaitLeader();
+        ConfigurationChange change = cluster.drawChange(leader.node.current().version());
+        cluster.propose(leader, change);
+        cluster.runFor(Duration.ofSeconds(1));
+        cluster.propose(leader, change);
+        assertThat(cluster.settleAndCheck(SETTLING)).anyMatch(breach -> breach.contains("was applied at 1 and 2"));
+    }
+
+    /** A leader that tells of a change when it is proposed, before the others have it. */
+    @Test
+    void aChangeToldBeforeItIsCommittedIsFound() {
+        SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
+        SimulatedMachine leader = cluster.awaitLeader();
+        ConfigurationSnapshot before = leader.node.current();
+        ConfigurationChange change = cluster.drawChange(before.version());
+        cluster.propose(leader, change);
+        ConfigurationSnapshot after = before.apply(before.version().next(leader.node.currentTerm()), change);
+        cluster.checker.new Life(leader.identity)
+                .agreed(
+                        new AgreedChange(after.version(), change, after.digest()),
+                        () -> cluster.majorityHolds(new AgreedChange(after.version(), change, after.digest())));
+        assertThat(cluster.settleAndCheck(SETTLING))
+                .anyMatch(breach -> breach.contains("before a majority of the disks held it"));
+    }
+
+    /** Disks that lose what they said they had. */
+    @Test
+    void disksThatForgetAreFound() {
+        SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
+        agree(cluster, 5);
+        cluster.machines.forEach(machine -> machine.disk.forgetFlushes());
+        agree(cluster, 5);
+        cluster.machines.forEach(SimulatedMachine::kill);
+        cluster.startAll();
+        agree(cluster, 5);
+        assertThat(cluster.settleAndCheck(SETTLING)).anyMatch(breach -> breach.contains("where another was told"));
+    }
+
+    /** Why a wiped disk must not vote under its old identity: a majority of those that hold a change can be lost. */
+    @Test
+    void wipedDisksThatVoteUnderTheirOldIdentityAreFound() {
+        SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
+        List<SimulatedMachine> holders = cluster.machines.subList(0, 3);
+        List<SimulatedMachine> late = cluster.machines.subList(3, 5);
+        cluster.runFor(Duration.ofSeconds(3));
+        late.forEach(SimulatedMachine::kill);
+        agree(cluster, 5);
+        holders.forEach(SimulatedMachine::kill);
+        holders.get(0).disk.wipe();
+        late.forEach(cluster::start);
+        cluster.start(holders.get(0));
+        agree(cluster, 5);
+        assertThat(cluster.settleAndCheck(SETTLING)).anyMatch(breach -> breach.contains("where another was told"));
+    }
+
+    @Test
+    void withoutAFaultTheCheckerIsSilent() {
+        SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
+        agree(cluster, 20);
+        assertThat(cluster.settleAndCheck(SETTLING)).isEmpty();
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedCluster.java
@@ -0,0 +1,186 @@
+package sandstack.configuration.consensus;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+import sandstack.configuration.AgreedChange;
+import sandstack.configuration.ConfigurationChange;
+import sandstack.configuration.ConfigurationEdit;
+import sandstack.configuration.ConfigurationVersion;
+
+/** Control machines in two regions, the first with the smaller half, all in simulated time and on one thread. */
+final class SimulatedCluster {
+    private static final ControlNodeSettings.Times TIMES = ControlNodeSettings.Times.DEFAULT;
+    private static final int PENDING = 64;
+    /** The library tells of each vote; held here, as a logger that nobody holds forgets its level. */
+    private static final Logger LIBRARY = Logger.getLogger("io.microraft");
+
+    static {
+        LIBRARY.setLevel(Level.OFF);
+    }
+
+    /** An attempt that a client made. */
+    static final class Attempt {
+        final String change;
+        final long askedMicros;
+        long answeredMicros;
+        ProposalOutcome outcome;
+
+        private Attempt(String change, long askedMicros) {
+            this.change = change;
+            this.askedMicros = askedMicros;
+        }
+
+        long millis() {
+            return (answeredMicros - askedMicros) / 1_000;
+        }
+    }
+
+    final SimulatedTime time = new SimulatedTime();
+    final SplittableRandom random;
+    final SimulatedNetwork network;
+    final AgreementChecker checker = new AgreementChecker();
+    final List<SimulatedMachine> machines = new ArrayList<>();
+    private final List<ControlMachine> voters = new ArrayList<>();
+    private final Set<Attempt> unanswered = new HashSet<>();
+    private final int snapshotEvery;
+    private int drawnChanges;
+
+    SimulatedCluster(int size, long seed, int snapshotEvery) {
+        this.random = new SplittableRandom(seed);
+        this.network = new SimulatedNetwork(time, random.split());
+        this.snapshotEvery = snapshotEvery;
+        for (int i = 0; i < size; i++) {
+            voters.add(new ControlMachine("control-" + i));
+        }
+        for (int i = 0; i < size; i++) {
+            machines.add(new SimulatedMachine(this, voters.get(i), i < size / 2 ? 0 : 1));
+        }
+    }
+
+    void startAll() {
+        machines.forEach(this::start);
+    }
+
+    void start(SimulatedMachine machine) {
+        machine.start(settings(machine.identity));
+    }
+
+    /** A machine that is no voter yet. */
+    SimulatedMachine add(String identity, int region) {
+        SimulatedMachine machine = new SimulatedMachine(this, new ControlMachine(identity), region);
+        machines.add(machine);
+        return machine;
+    }
+
+    ControlNodeSettings settings(ControlMachine self) {
+        return new ControlNodeSettings(SimulatedNetwork.GROUP, self, voters, TIMES, PENDING, snapshotEvery);
+    }
+
+    void runFor(Duration duration) {
+        time.runForMillis(duration.toMillis());
+    }
+
+    /** The working machine that leads in the latest term. */
+    Optional<SimulatedMachine> leader() {
+        return machines.stream()
+                .filter(SimulatedMachine::isWorking)
+                .filter(machine -> machine.node.leader().equals(Optional.of(machine.identity)))
+                .max((one, other) -> Long.compare(one.node.currentTerm(), other.node.currentTerm()));
+    }
+
+    SimulatedMachine awaitLeader() {
+        for (int i = 0; i < 600 && leader().isEmpty(); i++) {
+            time.runForMillis(100);
+        }
+        return leader().orElseThrow(() -> new AssertionError("no leader within 60 s"));
+    }
+
+    /** A change that only this cluster makes, by its reason. */
+    ConfigurationChange drawChange(ConfigurationVersion base) {
+        String reason = "change " + drawnChanges++;
+        String key = "key-" + random.nextInt(20);
+        return ConfigurationChange.of(base, "ann", reason, List.of(new ConfigurationEdit.Put(key, reason)));
+    }
+
+    static ChangeId idOf(ConfigurationChange change) {
+        return new ChangeId(0, change.reason().hashCode());
+    }
+
+    /** A client asks a machine that is up. */
+    Attempt propose(SimulatedMachine machine, ConfigurationChange change) {
+        Attempt attempt = new Attempt(change.reason(), time.nowMicros());
+        checker.asked(change.reason());
+        unanswered.add(attempt);
+        machine.node.propose(idOf(change), change).thenAccept(outcome -> {
+            attempt.outcome = outcome;
+            attempt.answeredMicros = time.nowMicros();
+            unanswered.remove(attempt);
+            checker.answered(change.reason(), outcome);
+        });
+        return attempt;
+    }
+
+    /** A client asks the leader for a change based on what that has applied, and waits. */
+    Attempt agree() {
+        SimulatedMachine leader = awaitLeader();
+        Attempt attempt = propose(leader, drawChange(leader.node.current().version()));
+        for (int i = 0; i < 1_000 && attempt.outcome == null; i++) {
+            time.runForMillis(10);
+        }
+        return attempt;
+    }
+
+    /** Cuts the regions from each other, both ways. */
+    void cutRegions() {
+        for (SimulatedMachine one : machines) {
+            for (SimulatedMachine other : machines) {
+                if (one.region != other.region) {
+                    network.cut(one.identity, other.identity);
+                }
+            }
+        }
+    }
+
+    boolean majorityHolds(AgreedChange change) {
+        long holders =
+                machines.stream().filter(machine -> machine.disk.holds(change)).count();
+        return holders > voters.size() / 2;
+    }
+
+    boolean allEqual() {
+        return machines.stream()
+                        .map(machine -> machine.node.current())
+                        .distinct()
+                        .count()
+                == 1;
+    }
+
+    /** Mends everything, lets it settle, and asks the checker. */
+    List<String> settleAndCheck(Duration settling) {
+        network.heal();
+        network.lossShare = 0;
+        for (SimulatedMachine machine : machines) {
+            if (!machine.isUp()) {
+                start(machine);
+            } else if (!machine.isWorking()) {
+                machine.resume();
+            }
+        }
+        runFor(settling);
+        Set<String> open = new HashSet<>();
+        unanswered.forEach(attempt -> open.add(attempt.change));
+        checker.finish(open);
+        List<String> breaches = new ArrayList<>(checker.breaches);
+        if (!allEqual()) {
+            breaches.add("the machines differ " + settling + " after all is mended");
+        }
+        return breaches;
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedDisk.java
@@ -0,0 +1,128 @@
+package sandstack.configuration.consensus;
+
+import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.SnapshotChunk;
+import io.microraft.model.log.SnapshotEntry;
+import io.microraft.persistence.RestoredRaftState;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import sandstack.configuration.AgreedChange;
+import sandstack.configuration.ConfigurationCodec;
+import sandstack.configuration.ConfigurationLimits;
+
+/** A disk in memory: a crash leaves what the last flush left. */
+final class SimulatedDisk extends EncodedRaftStore {
+    private final String name;
+    private TreeMap<String, byte[]> header = new TreeMap<>();
+    private TreeMap<Long, byte[]> log = new TreeMap<>();
+    private TreeMap<Long, byte[]> chunks = new TreeMap<>();
+    private Map<String, byte[]> durableHeader = new TreeMap<>();
+    private Map<Long, byte[]> durableLog = new TreeMap<>();
+    private Map<Long, byte[]> durableChunks = new TreeMap<>();
+    private boolean forgetful;
+    long flushes;
+    int mostLogEntries;
+
+    SimulatedDisk(String name) {
+        super(ConfigurationLimits.DEFAULT);
+        this.name = name;
+    }
+
+    /** A planted fault: what is flushed from now on is lost in a crash. */
+    void forgetFlushes() {
+        forgetful = true;
+    }
+
+    void wipe() {
+        durableHeader = new TreeMap<>();
+        durableLog = new TreeMap<>();
+        durableChunks = new TreeMap<>();
+        crash();
+    }
+
+    void crash() {
+        header = new TreeMap<>(durableHeader);
+        log = new TreeMap<>(durableLog);
+        chunks = new TreeMap<>(durableChunks);
+    }
+
+    /** Whether a crash now would leave this change, as a log entry of its term or in the snapshot. */
+    boolean holds(AgreedChange change) {
+        Optional<RestoredRaftState> state = durableState();
+        return state.isPresent()
+                && (inLog(state.get().getLogEntries(), change)
+                        || snapshotIndex(state.get().getSnapshotEntry())
+                                >= change.version().index());
+    }
+
+    private Optional<RestoredRaftState> durableState() {
+        try {
+            RaftRecordCodec codec = new RaftRecordCodec(ConfigurationLimits.DEFAULT);
+            return new StoredState(name, codec, durableHeader, durableLog, durableChunks).restore();
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    private static boolean inLog(List<LogEntry> entries, AgreedChange change) {
+        byte[] encoded = new ConfigurationCodec(ConfigurationLimits.DEFAULT).encode(change.change());
+        return entries.stream()
+                .anyMatch(entry -> entry.getTerm() == change.version().term()
+                        && entry.getOperation() instanceof LogOperation.Proposal proposal
+                        && Arrays.equals(proposal.encodedChange(), encoded));
+    }
+
+    private static long snapshotIndex(SnapshotEntry snapshot) {
+        if (snapshot == null) {
+            return 0;
+        }
+        ConfigurationStateMachine state =
+                new ConfigurationStateMachine(SimulatedMachine.VALIDATOR, new IgnoringListener(), () -> 0);
+        List<Object> parts = new ArrayList<>();
+        ((List<?>) snapshot.getOperation()).forEach(chunk -> parts.add(((SnapshotChunk) chunk).getOperation()));
+        state.installSnapshot(snapshot.getIndex(), parts);
+        return state.current().version().index();
+    }
+
+    @Override
+    public void flush() {
+        flushes++;
+        mostLogEntries = Math.max(mostLogEntries, log.size());
+        if (!forgetful) {
+            durableHeader = new TreeMap<>(header);
+            durableLog = new TreeMap<>(log);
+            durableChunks = new TreeMap<>(chunks);
+        }
+    }
+
+    @Override
+    Map<String, byte[]> header() {
+        return header;
+    }
+
+    @Override
+    Map<Long, byte[]> log() {
+        return log;
+    }
+
+    @Override
+    Map<Long, byte[]> chunks() {
+        return chunks;
+    }
+
+    @Override
+    void removed() {
+        // nothing is compacted in memory
+    }
+
+    @Override
+    String name() {
+        return name;
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedNetwork.java
@@ -0,0 +1,86 @@
+package sandstack.configuration.consensus;
+
+import io.microraft.model.message.RaftMessage;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.function.Consumer;
+import sandstack.configuration.ConfigurationLimits;
+import sandstack.configuration.MalformedConfigurationException;
+
+/** Carries encoded messages between machines of two regions, each direction by itself, and counts them. */
+final class SimulatedNetwork {
+    static final String GROUP = "configuration";
+
+    private record Direction(ControlMachine from, ControlMachine to) {}
+
+    /** Messages and bytes that one machine sent. */
+    static final class Traffic {
+        long messages;
+        long bytes;
+    }
+
+    private final SimulatedTime time;
+    private final SplittableRandom random;
+    private final RaftMessageCodec codec = new RaftMessageCodec(GROUP, ConfigurationLimits.DEFAULT);
+    private final Map<ControlMachine, Integer> regions = new HashMap<>();
+    private final Map<ControlMachine, Consumer<RaftMessage>> receivers = new HashMap<>();
+    private final Set<Direction> cuts = new HashSet<>();
+    final Map<ControlMachine, Traffic> sent = new HashMap<>();
+    /** One way between the regions. */
+    long betweenRegionsMicros = 20_000;
+
+    private static final long WITHIN_REGION_MICROS = 500;
+    /** Each message takes up to so much of its delay more. */
+    private static final double JITTER = 0.2;
+
+    double lossShare;
+
+    SimulatedNetwork(SimulatedTime time, SplittableRandom random) {
+        this.time = time;
+        this.random = random;
+    }
+
+    void attach(ControlMachine machine, int region, Consumer<RaftMessage> receiver) {
+        regions.put(machine, region);
+        receivers.put(machine, receiver);
+        sent.computeIfAbsent(machine, ignored -> new Traffic());
+    }
+
+    void cut(ControlMachine from, ControlMachine to) {
+        cuts.add(new Direction(from, to));
+    }
+
+    void heal() {
+        cuts.clear();
+    }
+
+    void send(ControlMachine from, ControlMachine to, RaftMessage message) {
+        byte[] frame = codec.encode(message);
+        Traffic traffic = sent.get(from);
+        traffic.messages++;
+        traffic.bytes += frame.length;
+        Direction direction = new Direction(from, to);
+        boolean lost = random.nextDouble() < lossShare;
+        long delay = regions.get(from).equals(regions.get(to)) ? WITHIN_REGION_MICROS : betweenRegionsMicros;
+        long jittered = delay + (long) (delay * JITTER * random.nextDouble());
+        if (lost || !receivers.containsKey(to)) {
+            return;
+        }
+        time.after(jittered, () -> {
+            if (!cuts.contains(direction)) {
+                receivers.get(to).accept(decode(frame));
+            }
+        });
+    }
+
+    private RaftMessage decode(byte[] frame) {
+        try {
+            return codec.decode(frame);
+        } catch (MalformedConfigurationException e) {
+            throw new AssertionError("a message does not survive its codec", e);
+        }
+    }
+}
