--- a/src/main/java/sandstack/configuration/consensus/ControlNode.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNode.java
@@ -46,6 +46,7 @@
     private final ConfigurationCodec codec;
     private final ConfigurationStateMachine stateMachine;
     private final SnapshotBoundary boundary;
+    private final SnapshotStall snapshotStall;
     private volatile RaftNode raft;
     private boolean restarting;
 
@@ -78,6 +79,7 @@
         this.validator = validator;
         this.codec = new ConfigurationCodec(validator.limits());
         this.stateMachine = stateMachines.create(this::currentTerm);
+        this.snapshotStall = new SnapshotStall(settings.times().heartbeatTimeout());
         this.boundary = new SnapshotBoundary(environment.store());
         this.raft = buildRaftNode();
     }
@@ -120,15 +122,16 @@
         if (restarting) {
             return;
         }
-        if (boundary.contradictedFrom(message, currentTerm()).isPresent()) {
-            restartWithoutContradicted(message);
+        boolean stalled = snapshotStall.stalledBy(message, environment.clock().millis());
+        if (stalled || boundary.contradictedFrom(message, currentTerm()).isPresent()) {
+            restart(message);
         } else {
             raft.handle(boundary.withoutHeldEntries(message));
         }
     }
 
     /** The library's node is begun anew over the store; messages until then are lost, as on any network. */
-    private void restartWithoutContradicted(RaftMessage message) {
+    private void restart(RaftMessage message) {
         restarting = true;
         raft.terminate().whenComplete((ignored, failure) -> {
             try {
@@ -180,8 +183,8 @@
     }
 
     /** Whom this machine believes to lead. */
-    public Optional<ControlMachine> leader() {
-        return Optional.ofNullable((ControlMachine) raft.getTerm().getLeaderEndpoint());
+    public Optional<ControlIdentity> leader() {
+        return Optional.ofNullable((ControlIdentity) raft.getTerm().getLeaderEndpoint());
     }
 
     /** The term that this machine is in. */
@@ -196,7 +199,7 @@
 
     /** Has a machine admitted, promoted or removed; asked of the leader with the index of the members that it saw. */
     public CompletionStage<RaftGroupMembers> changeMembership(
-            ControlMachine machine, MembershipChangeMode mode, long membersLogIndex) {
+            ControlIdentity machine, MembershipChangeMode mode, long membersLogIndex) {
         return raft.changeMembership(machine, mode, membersLogIndex).thenApply(ordered -> ordered.getResult());
     }
 
@@ -211,7 +214,7 @@
     }
 
     private Optional<ProposalOutcome> outcomeWithoutLeading() {
-        Optional<ControlMachine> leader = leader();
+        Optional<ControlIdentity> leader = leader();
         if (leader.isEmpty()) {
             return Optional.of(noQuorum());
         }
--- a/src/main/java/sandstack/configuration/consensus/ControlNodeSettings.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNodeSettings.java
@@ -16,8 +16,8 @@
  */
 public record ControlNodeSettings(
         String group,
-        ControlMachine self,
-        List<ControlMachine> bootstrapVoters,
+        ControlIdentity self,
+        List<ControlIdentity> bootstrapVoters,
         Times times,
         int maxPendingProposals,
         int snapshotEveryEntries) {
@@ -73,7 +73,7 @@
     }
 
     /** With what an installation rarely changes. */
-    public static ControlNodeSettings of(String group, ControlMachine self, List<ControlMachine> bootstrapVoters) {
+    public static ControlNodeSettings of(String group, ControlIdentity self, List<ControlIdentity> bootstrapVoters) {
         return new ControlNodeSettings(group, self, bootstrapVoters, Times.DEFAULT, 64, 1_000);
     }
 
--- a/src/main/java/sandstack/configuration/consensus/MvStoreRaftStore.java
+++ b/src/main/java/sandstack/configuration/consensus/MvStoreRaftStore.java
@@ -68,7 +68,8 @@
      * @param key the setting that permits it, named in the refusal
      */
     public static MvStoreRaftStore create(
-            String file, String key, String group, ControlMachine self, ConfigurationLimits limits) throws IOException {
+            String file, String key, String group, ControlIdentity self, ConfigurationLimits limits)
+            throws IOException {
         if (StoreFiles.exists(file) || StoreFiles.exists(file + ".flushes")) {
             throw new StoreRefusedException(file + ": " + key + " permits a new disk, but this file exists: remove "
                     + key + " from the settings");
@@ -88,7 +89,8 @@
      * @param key the setting that would permit a new disk, named in the refusal
      */
     public static MvStoreRaftStore reopen(
-            String file, String key, String group, ControlMachine self, ConfigurationLimits limits) throws IOException {
+            String file, String key, String group, ControlIdentity self, ConfigurationLimits limits)
+            throws IOException {
         if (!StoreFiles.exists(file)) {
             throw new StoreRefusedException(file + ": no disk of " + self + ": a machine that lost it takes a new"
                     + " identity, states that as " + key + " and is admitted by the others");
@@ -115,7 +117,7 @@
         }
     }
 
-    private void requireOwner(String group, ControlMachine self) throws StoreRefusedException {
+    private void requireOwner(String group, ControlIdentity self) throws StoreRefusedException {
         StoredState stored = stored();
         long format = stored.headerLong(FORMAT);
         if (format != FORMAT_VERSION) {
--- a/src/main/java/sandstack/configuration/consensus/ProposalOutcome.java
+++ b/src/main/java/sandstack/configuration/consensus/ProposalOutcome.java
@@ -21,7 +21,7 @@
     }
 
     /** This machine does not lead, nothing was done; the leader that it knows of may answer. */
-    record NotLeader(ControlMachine leader) implements ProposalOutcome {
+    record NotLeader(ControlIdentity leader) implements ProposalOutcome {
         /** Refuses null. */
         public NotLeader {
             Objects.requireNonNull(leader, "leader");
--- a/src/main/java/sandstack/configuration/consensus/RaftMessageCodec.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftMessageCodec.java
@@ -43,7 +43,7 @@
     private static final int HEADER_BYTES = 512;
 
     /** What every message has. */
-    private record Header(ControlMachine sender, int term) {}
+    private record Header(ControlIdentity sender, int term) {}
 
     private final RaftModelFactory models = new DefaultRaftModelFactory();
     private final RaftRecordCodec records;
--- a/src/main/java/sandstack/configuration/consensus/RaftRecordCodec.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftRecordCodec.java
@@ -40,7 +40,7 @@
 
     /** The longest encoded log entry or snapshot chunk, with its members. */
     int mostRecordBytes() {
-        int members = 4 * MOST_MEMBERS * (Integer.BYTES + ControlMachine.MOST_CHARACTERS);
+        int members = 4 * MOST_MEMBERS * (Integer.BYTES + ControlIdentity.MOST_CHARACTERS);
         return Math.max(mostChangeBytes, ConfigurationStateMachine.CHUNK_BYTES) + members + 128;
     }
 
@@ -121,13 +121,13 @@
     }
 
     void writeEndpoint(FieldWriter out, RaftEndpoint endpoint) {
-        out.writeText(((ControlMachine) endpoint).identity());
+        out.writeText(((ControlIdentity) endpoint).identity());
     }
 
-    ControlMachine readEndpoint(BoundedReader in) throws MalformedConfigurationException {
-        String identity = in.readText(ControlMachine.MOST_CHARACTERS);
+    ControlIdentity readEndpoint(BoundedReader in) throws MalformedConfigurationException {
+        String identity = in.readText(ControlIdentity.MOST_CHARACTERS);
         try {
-            return new ControlMachine(identity);
+            return new ControlIdentity(identity);
         } catch (IllegalArgumentException e) {
             throw new MalformedConfigurationException("an identity is malformed");
         }
@@ -187,7 +187,7 @@
     }
 
     private static MembershipChangeMode readMode(BoundedReader in) throws MalformedConfigurationException {
-        String name = in.readText(ControlMachine.MOST_CHARACTERS);
+        String name = in.readText(ControlIdentity.MOST_CHARACTERS);
         for (MembershipChangeMode mode : MembershipChangeMode.values()) {
             if (mode.name().equals(name)) {
                 return mode;
--- a/src/test/java/sandstack/configuration/consensus/AgreementChecker.java
+++ b/src/test/java/sandstack/configuration/consensus/AgreementChecker.java
@@ -26,10 +26,10 @@
 
     /** One life of a machine's state machine. */
     final class Life {
-        private final ControlMachine machine;
+        private final ControlIdentity machine;
         private ConfigurationVersion last = ConfigurationVersion.NONE;
 
-        Life(ControlMachine machine) {
+        Life(ControlIdentity machine) {
             this.machine = machine;
         }
 
@@ -118,7 +118,7 @@
         return answeredAgreed.size();
     }
 
-    private void requireEqual(ControlMachine machine, AgreedChange first, AgreedChange told) {
+    private void requireEqual(ControlIdentity machine, AgreedChange first, AgreedChange told) {
         if (!first.equals(told)) {
             breach(machine + " was told " + told + " where another was told " + first);
         }
--- a/src/test/java/sandstack/configuration/consensus/DrawnSchedulesTest.java
+++ b/src/test/java/sandstack/configuration/consensus/DrawnSchedulesTest.java
@@ -30,10 +30,10 @@
         assertThat(faults).isGreaterThan(10 * SCHEDULES);
     }
 
-    /** In these a machine stayed behind for good, before {@link SnapshotBoundary}. */
+    /** In these a machine stayed behind for good, before {@link SnapshotBoundary} and {@link SnapshotStall}. */
     @Test
     void schedulesThatWereNotKeptAre() {
-        for (long seed : new long[] {1081, 1089}) {
+        for (long seed : new long[] {1081, 1089, 20242}) {
             assertThat(new DrawnSchedule(seed).play()).as("seed " + seed).isEmpty();
         }
     }
--- a/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
+++ b/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
@@ -22,7 +22,7 @@
 
 /** What Raft has to remember on a real disk: all that was flushed, or a refusal of one line. */
 class MvStoreRaftStoreTest {
-    private static final ControlMachine SELF = new ControlMachine("control-0");
+    private static final ControlIdentity SELF = new ControlIdentity("control-0");
     private static final String GROUP = "configuration";
     private static final String KEY = "new_identity";
     private static final DefaultRaftModelFactory MODELS = new DefaultRaftModelFactory();
@@ -169,7 +169,7 @@
     void aDiskOfAnotherMachineOrGroupIsRefused() throws IOException {
         create().close();
         assertThatThrownBy(() -> MvStoreRaftStore.reopen(
-                        file, KEY, GROUP, new ControlMachine("control-1"), ConfigurationLimits.DEFAULT))
+                        file, KEY, GROUP, new ControlIdentity("control-1"), ConfigurationLimits.DEFAULT))
                 .isInstanceOf(StoreRefusedException.class)
                 .hasMessageContaining("identity is control-0 on this disk, control-1 in the settings");
         assertThatThrownBy(() -> MvStoreRaftStore.reopen(file, KEY, "other", SELF, ConfigurationLimits.DEFAULT))
--- a/src/test/java/sandstack/configuration/consensus/NewIdentityTest.java
+++ b/src/test/java/sandstack/configuration/consensus/NewIdentityTest.java
@@ -14,7 +14,7 @@
     private static final int SNAPSHOT_EVERY = 20;
 
     private static RaftGroupMembers change(
-            SimulatedCluster cluster, ControlMachine machine, MembershipChangeMode mode) {
+            SimulatedCluster cluster, ControlIdentity machine, MembershipChangeMode mode) {
         SimulatedMachine leader = cluster.awaitLeader();
         long seen = leader.node.members().getLogIndex();
         CompletableFuture<RaftGroupMembers> change =
--- a/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
@@ -24,7 +24,7 @@
 /** Messages between control machines come back as they were, and anything else is refused with one line. */
 class RaftMessageCodecTest {
     private static final String GROUP = "configuration";
-    private static final ControlMachine SENDER = new ControlMachine("control-1");
+    private static final ControlIdentity SENDER = new ControlIdentity("control-1");
     private static final DefaultRaftModelFactory MODELS = new DefaultRaftModelFactory();
     private static final int TYPE_OFFSET = 0;
 
--- a/src/test/java/sandstack/configuration/consensus/SimulatedCluster.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedCluster.java
@@ -47,7 +47,7 @@
     final SimulatedNetwork network;
     final AgreementChecker checker = new AgreementChecker();
     final List<SimulatedMachine> machines = new ArrayList<>();
-    private final List<ControlMachine> voters = new ArrayList<>();
+    private final List<ControlIdentity> voters = new ArrayList<>();
     private final Set<Attempt> unanswered = new HashSet<>();
     private final int snapshotEvery;
     private int drawnChanges;
@@ -57,7 +57,7 @@
         this.network = new SimulatedNetwork(time, random.split());
         this.snapshotEvery = snapshotEvery;
         for (int i = 0; i < size; i++) {
-            voters.add(new ControlMachine("control-" + i));
+            voters.add(new ControlIdentity("control-" + i));
         }
         for (int i = 0; i < size; i++) {
             machines.add(new SimulatedMachine(this, voters.get(i), i < size / 2 ? 0 : 1));
@@ -74,12 +74,12 @@
 
     /** A machine that is no voter yet. */
     SimulatedMachine add(String identity, int region) {
-        SimulatedMachine machine = new SimulatedMachine(this, new ControlMachine(identity), region);
+        SimulatedMachine machine = new SimulatedMachine(this, new ControlIdentity(identity), region);
         machines.add(machine);
         return machine;
     }
 
-    ControlNodeSettings settings(ControlMachine self) {
+    ControlNodeSettings settings(ControlIdentity self) {
         return new ControlNodeSettings(SimulatedNetwork.GROUP, self, voters, TIMES, PENDING, snapshotEvery);
     }
 
--- a/src/test/java/sandstack/configuration/consensus/SimulatedMachine.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedMachine.java
@@ -35,7 +35,7 @@
         void crash(EncodedRaftStore store);
     }
 
-    final ControlMachine identity;
+    final ControlIdentity identity;
     final int region;
     final SimulatedDisk disk;
     /** What the node remembers by; the simulated disk, unless a test has another. */
@@ -50,7 +50,7 @@
     StateMachines stateMachines = ConfigurationStateMachine::new;
     ControlNode node;
 
-    SimulatedMachine(SimulatedCluster cluster, ControlMachine identity, int region) {
+    SimulatedMachine(SimulatedCluster cluster, ControlIdentity identity, int region) {
         this.cluster = cluster;
         this.identity = identity;
         this.region = region;
@@ -163,7 +163,7 @@
             @Override
             public void send(RaftEndpoint target, RaftMessage message) {
                 if (now == life) {
-                    cluster.network.send(identity, (ControlMachine) target, message);
+                    cluster.network.send(identity, (ControlIdentity) target, message);
                 }
             }
 
--- a/src/test/java/sandstack/configuration/consensus/SimulatedNetwork.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedNetwork.java
@@ -14,7 +14,8 @@
 final class SimulatedNetwork {
     static final String GROUP = "configuration";
 
-    private record Direction(ControlMachine from, ControlMachine to) {}
+    /** One way of a connection. */
+    private record Direction(ControlIdentity from, ControlIdentity to) {}
 
     /** Messages and bytes that one machine sent. */
     static final class Traffic {
@@ -25,10 +26,10 @@
     private final SimulatedTime time;
     private final SplittableRandom random;
     private final RaftMessageCodec codec = new RaftMessageCodec(GROUP, ConfigurationLimits.DEFAULT);
-    private final Map<ControlMachine, Integer> regions = new HashMap<>();
-    private final Map<ControlMachine, Consumer<RaftMessage>> receivers = new HashMap<>();
+    private final Map<ControlIdentity, Integer> regions = new HashMap<>();
+    private final Map<ControlIdentity, Consumer<RaftMessage>> receivers = new HashMap<>();
     private final Set<Direction> cuts = new HashSet<>();
-    final Map<ControlMachine, Traffic> sent = new HashMap<>();
+    final Map<ControlIdentity, Traffic> sent = new HashMap<>();
     /** One way between the regions. */
     long betweenRegionsMicros = 20_000;
 
@@ -43,13 +44,13 @@
         this.random = random;
     }
 
-    void attach(ControlMachine machine, int region, Consumer<RaftMessage> receiver) {
+    void attach(ControlIdentity machine, int region, Consumer<RaftMessage> receiver) {
         regions.put(machine, region);
         receivers.put(machine, receiver);
         sent.computeIfAbsent(machine, ignored -> new Traffic());
     }
 
-    void cut(ControlMachine from, ControlMachine to) {
+    void cut(ControlIdentity from, ControlIdentity to) {
         cuts.add(new Direction(from, to));
     }
 
@@ -57,7 +58,7 @@
         cuts.clear();
     }
 
-    void send(ControlMachine from, ControlMachine to, RaftMessage message) {
+    void send(ControlIdentity from, ControlIdentity to, RaftMessage message) {
         byte[] frame = codec.encode(message);
         Traffic traffic = sent.get(from);
         traffic.messages++;
--- a/src/test/java/sandstack/configuration/consensus/SnapshotBoundaryTest.java
+++ b/src/test/java/sandstack/configuration/consensus/SnapshotBoundaryTest.java
@@ -16,7 +16,7 @@
 
 /** A snapshot up to 5, and entries 6 and 7 of term 2 in the log. */
 class SnapshotBoundaryTest {
-    private static final ControlMachine SELF = new ControlMachine("control-0");
+    private static final ControlIdentity SELF = new ControlIdentity("control-0");
     private static final DefaultRaftModelFactory MODELS = new DefaultRaftModelFactory();
     private static final long CURRENT_TERM = 3;
 
