--- a/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
@@ -68,22 +68,34 @@
             return List.of();
         }
         List<Figures> figures = new ArrayList<>();
+        String ends = "";
         for (int size : FULL) {
-            figures.add(measure(size));
+            try {
+                figures.add(measure(size));
+            } catch (IOException e) {
+                ends = "; ends before " + size + " relays: " + e.getMessage();
+                break;
+            }
         }
         return List.of(
-                series("real-fleet.bytes", Resource.NETWORK, "bytes a second", figures, Figures::bytes),
-                series("real-fleet.processor", Resource.PROCESSOR, "ms a second", figures, Figures::millis),
-                series("real-fleet.resident", Resource.MEMORY, "bytes", figures, Figures::resident),
-                series("real-fleet.kill.seconds", Resource.LATENCY, "seconds", figures, Figures::noticedSeconds),
-                series("real-fleet.given-up.seconds", Resource.LATENCY, "seconds", figures, Figures::givenUpSeconds));
+                series("real-fleet.bytes", Resource.NETWORK, "bytes a second", ends, figures, Figures::bytes),
+                series("real-fleet.processor", Resource.PROCESSOR, "ms a second", ends, figures, Figures::millis),
+                series("real-fleet.resident", Resource.MEMORY, "bytes", ends, figures, Figures::resident),
+                series("real-fleet.kill.seconds", Resource.LATENCY, "seconds", ends, figures, Figures::noticedSeconds),
+                series(
+                        "real-fleet.given-up.seconds",
+                        Resource.LATENCY,
+                        "seconds",
+                        ends,
+                        figures,
+                        Figures::givenUpSeconds));
     }
 
     private Figures measure(int size) throws IOException, InterruptedException {
         try (FleetRig rig = new FleetRig(List.of("-jar", jar.toString()), size, ZONES)) {
             rig.startAll();
             if (FleetRig.until(rig::allAlive, PATIENCE_SECONDS + size) < 0) {
-                throw new IOException("a fleet of " + size + " processes did not see itself whole");
+                throw new IOException("did not see itself whole within " + (PATIENCE_SECONDS + size) + " s");
             }
             Thread.sleep(SETTLES_MS);
             long bytes = rig.bytes();
@@ -144,7 +156,12 @@
     }
 
     private static Series series(
-            String id, Resource resource, String unit, List<Figures> all, ToDoubleFunction<Figures> value) {
+            String id,
+            Resource resource,
+            String unit,
+            String ends,
+            List<Figures> all,
+            ToDoubleFunction<Figures> value) {
         List<Point> points = all.stream()
                 .map(one -> new Point(one.relays(), value.applyAsDouble(one)))
                 .toList();
@@ -152,6 +169,6 @@
                 Locale.ROOT,
                 "real processes on loopback with a link for each pair, heap of 64 MB, watched for %.0f s; each relay",
                 WATCHED_MS / MILLIS_IN_SECOND);
-        return new Series(id, Role.RELAY_CONTROL, resource, unit, PER, method, points);
+        return new Series(id, Role.RELAY_CONTROL, resource, unit, PER, method + ends, points);
     }
 }
