--- a/src/test/java/sandstack/capacity/ColdBudgetTest.java
+++ b/src/test/java/sandstack/capacity/ColdBudgetTest.java
@@ -132,8 +132,15 @@
     }
 
     /** The count above has to see a flood where there is one: relays that take their number for a quarter of what it is. */
-    @Test
-    void fourTimesThePermitsAreAFlood() {
-        assertThat(play(200, 100, 5, 20, false, 400, true, 4).falls).isGreaterThan(20);
+    @ParameterizedTest(name = "{0} relays, {1} allowed, {2} a second, uneven {3}, a crowd of {4}")
+    @CsvSource({
+        "100, 5,  20, false, 400",
+        "30,  3,  12, true,  120",
+        "30,  5,  20, false, 200",
+        "30,  15, 60, true,  400",
+    })
+    void fourTimesThePermitsAreAFlood(int relays, double allowed, double perSecond, boolean uneven, int crowd) {
+        assertThat(play(200, relays, allowed, perSecond, uneven, crowd, true, 4).falls)
+                .isGreaterThan(20);
     }
 }
