--- a/src/test/java/sandstack/scenario/Stage.java
+++ b/src/test/java/sandstack/scenario/Stage.java
@@ -18,16 +18,12 @@
 import sandstack.core.Relay;
 import sandstack.decisions.Decisions.ListKind;
 import sandstack.decisions.Decisions.Phase;
-import sandstack.decisions.Decisions.Repeat;
-import sandstack.decisions.Decisions.RequestClass;
-import sandstack.decisions.Decisions.Scope;
 import sandstack.decisions.Decisions.ServerEntry;
-import sandstack.decisions.Decisions.Settings;
 import sandstack.front.amqp.AmqpFront;
 import sandstack.front.platform.PlatformFront;
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.Loop;
-import sandstack.settings.SettingsBuilder;
+import sandstack.settings.TestSettings;
 
 /** A relay on loopback with stand-in feed servers of ours, for one scenario. All ports are the system's choice. */
 final class Stage implements AutoCloseable {
@@ -49,23 +45,8 @@
 
     Stage(boolean amqp) throws IOException {
         this.amqp = amqp;
-        RequestClass cls = new RequestClass(320_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 100_000);
-        Settings settings = SettingsBuilder.of(List.of(cls, cls))
-                .sharedGroups(true)
-                .listOnRequest(true)
-                .askWithin(10_000_000)
-                .connectTimeout(100_000)
-                .maxRetryAfter(1_500_000)
-                .crossZonePrice(0.1)
-                .movePrice(0.01)
-                .drainGrace(300_000)
-                .coldFrom(0.13)
-                .warmAfter(23_000_000)
-                .tipMultiple(3)
-                .tipAfter(1_500_000)
-                .build();
         relay = new Relay(
-                new EffectiveSettings(settings, CLASSES, true),
+                new EffectiveSettings(TestSettings.oneRelayWithGroups(), CLASSES, true),
                 Stated.Book.EMPTY,
                 Limits.NONE,
                 11,
