--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -350,7 +350,7 @@
         boolean over = stood || client.finished;
         ready.add(new AttemptEnded(
                 client.id,
-                client.command.standingAt() != null ? 0 : execution.number(),
+                moduleNumber(execution),
                 execution.server().entry().server(),
                 ending.outcome(),
                 over,
