--- /dev/null
+++ b/src/test/java/sandstack/decisions/ActionDigest.java
@@ -0,0 +1,144 @@
+package sandstack.decisions;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HexFormat;
+import java.util.Map;
+import java.util.TreeMap;
+import sandstack.capacity.Cause;
+import sandstack.decisions.Decisions.ActionHandler;
+import sandstack.decisions.Decisions.Attempt;
+import sandstack.decisions.Decisions.Fail;
+import sandstack.decisions.Decisions.Refuse;
+import sandstack.decisions.Decisions.Relocate;
+import sandstack.decisions.Decisions.SetTimer;
+import sandstack.decisions.Decisions.WatchServers;
+
+/**
+ * Running SHA-256 over the values of actions. Every action is written with a code and a layout of this class, so
+ * that the digest depends on no name of a type, component or constant. Counts the codes as well. One thread.
+ */
+final class ActionDigest implements ActionHandler<RuntimeException> {
+    private static final int SHORT_BYTES = 8;
+
+    private final MessageDigest digest;
+    private final Map<String, Integer> counts = new TreeMap<>();
+
+    ActionDigest() {
+        try {
+            digest = MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException("SHA-256 is missing", e);
+        }
+    }
+
+    /** Starts the actions of one event. */
+    void event(int number, long now) {
+        code('E');
+        number(number);
+        number(now);
+    }
+
+    /** Whether the module avoids a server at the moment. */
+    void avoids(String server, boolean avoided) {
+        code('V');
+        text(server);
+        number(avoided ? 1 : 0);
+        count(avoided ? "avoided" : "not avoided");
+    }
+
+    /** Counts an occurrence that is not part of the digest. */
+    void count(String what) {
+        counts.merge(what, 1, Integer::sum);
+    }
+
+    Map<String, Integer> counts() {
+        return counts;
+    }
+
+    /** The first 16 hexadecimal digits of the digest of everything so far. */
+    String soFar() {
+        return full().substring(0, 2 * SHORT_BYTES);
+    }
+
+    /** The digest of everything so far. */
+    String full() {
+        try {
+            return HexFormat.of().formatHex(((MessageDigest) digest.clone()).digest());
+        } catch (CloneNotSupportedException e) {
+            throw new IllegalStateException("SHA-256 cannot be cloned", e);
+        }
+    }
+
+    @Override
+    public void attempt(Attempt action) {
+        code('A');
+        text(action.id());
+        text(action.server());
+        number(action.timeout());
+    }
+
+    @Override
+    public void refuse(Refuse action) {
+        code('R');
+        text(action.id());
+        number(action.retryAfter());
+        int cause = codeOf(action.cause());
+        number(cause);
+        count("cause " + cause);
+    }
+
+    @Override
+    public void fail(Fail action) {
+        code('F');
+        text(action.id());
+    }
+
+    @Override
+    public void relocate(Relocate action) {
+        code('M');
+        text(action.id());
+    }
+
+    @Override
+    public void setTimer(SetTimer action) {
+        code('T');
+        number(action.after());
+        number(action.token());
+    }
+
+    @Override
+    public void watchServers(WatchServers action) {
+        code('W');
+    }
+
+    private static int codeOf(Cause cause) {
+        return switch (cause) {
+            case SHED -> 1;
+            case FULL -> 2;
+            case RESERVED -> 3;
+            case RELAY_LIMIT -> 4;
+            case GROUP_LIMIT -> 5;
+            case SERVER_LIMIT -> 6;
+            case ATTEMPTS -> 7;
+            case NO_TIME -> 8;
+        };
+    }
+
+    private void code(char code) {
+        digest.update((byte) code);
+        count("code " + code);
+    }
+
+    private void number(long value) {
+        digest.update(ByteBuffer.allocate(Long.BYTES).putLong(value).array());
+    }
+
+    private void text(String value) {
+        byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
+        number(bytes.length);
+        digest.update(bytes);
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/decisions/DecisionDigestTest.java
@@ -0,0 +1,118 @@
+package sandstack.decisions;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.fail;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Plays drawn event streams to the module and compares running digests of its actions with stored ones, so that a
+ * change of names or shape is seen to change no decision.
+ *
+ * <p>With the system property {@value #REGENERATE} set to the short id of a commit, the comparison writes
+ * {@code target/decision-digests.txt} in the form of the resource {@value #RESOURCE} instead and fails: copying the
+ * file is a step of its own, for a commit that means to change decisions.
+ */
+class DecisionDigestTest {
+    private static final String REGENERATE = "sandstack.digest.regenerate";
+    private static final String RESOURCE = "/decisions/decision-digests.txt";
+    private static final int EVENTS = 8_000;
+    private static final int CHECK_EVERY = 250;
+
+    @ParameterizedTest
+    @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
+    void sameEventsGiveTheSameActions(int seed) throws IOException {
+        String commit = System.getProperty(REGENERATE);
+        if (commit != null) {
+            regenerate(commit);
+            fail("wrote target/decision-digests.txt; nothing was compared");
+        }
+        List<String> expected = stored(seed);
+        List<String> actual = play(new DigestStream(DigestScenario.of(seed)));
+        assertThat(expected).as("stored digests of seed %d", seed).hasSameSizeAs(actual);
+        for (int i = 0; i < actual.size(); i++) {
+            int last = Math.min(EVENTS, (i + 1) * CHECK_EVERY);
+            assertThat(actual.get(i))
+                    .as(
+                            "seed %d: the first difference is at one of the events %d to %d",
+                            seed, Math.max(0, last - CHECK_EVERY), last - 1)
+                    .isEqualTo(expected.get(i));
+        }
+    }
+
+    /** The streams are not hollow: they reach every kind of action, every cause, and the rarer decisions. */
+    @Test
+    void streamsReachEveryKindOfDecision() {
+        Map<String, Integer> counts = new TreeMap<>();
+        for (int seed = 0; seed < DigestScenario.COUNT; seed++) {
+            DigestStream stream = new DigestStream(DigestScenario.of(seed));
+            play(stream);
+            stream.digest.counts().forEach((what, count) -> counts.merge(what, count, Integer::sum));
+        }
+        for (char code : "ARFMTWV".toCharArray()) {
+            assertThat(counts).containsKey("code " + code);
+        }
+        for (int cause = 1; cause <= 8; cause++) {
+            assertThat(counts).containsKey("cause " + cause);
+        }
+        assertThat(counts)
+                .containsKeys(
+                        "home", "other zone", "trial after failure", "trial after rejection", "avoided", "not avoided");
+        assertThat(counts.get("code A")).as("attempts").isGreaterThan(10_000);
+        assertThat(counts.get("code M")).as("relocations").isGreaterThan(1_000);
+        assertThat(counts.get("cause 1")).as("shed").isGreaterThan(1_000);
+        assertThat(counts.get("other zone")).as("spilled").isGreaterThan(1_000);
+        assertThat(counts.get("trial after failure")).as("trials").isGreaterThan(100);
+    }
+
+    /** The short digests after every {@value #CHECK_EVERY} events, then the complete one at the end. */
+    private static List<String> play(DigestStream stream) {
+        List<String> digests = new ArrayList<>();
+        for (int event = 1; event <= EVENTS; event++) {
+            stream.step();
+            if (event % CHECK_EVERY == 0) {
+                digests.add(stream.digest.soFar());
+            }
+        }
+        digests.add(stream.digest.full());
+        return digests;
+    }
+
+    private static List<String> stored(int seed) throws IOException {
+        try (InputStream in = DecisionDigestTest.class.getResourceAsStream(RESOURCE)) {
+            assertThat(in).as(RESOURCE).isNotNull();
+            List<String> digests = new ArrayList<>();
+            for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
+                if (line.startsWith(seed + " ")) {
+                    digests.add(line.substring(line.lastIndexOf(' ') + 1));
+                }
+            }
+            return digests;
+        }
+    }
+
+    private static void regenerate(String commit) throws IOException {
+        StringBuilder text = new StringBuilder("# seed, events so far, SHA-256 of the actions so far; made by\n"
+                + "# DecisionDigestTest with -D" + REGENERATE + "=" + commit + " on the decision module of " + commit
+                + "\n");
+        for (int seed = 0; seed < DigestScenario.COUNT; seed++) {
+            List<String> digests = play(new DigestStream(DigestScenario.of(seed)));
+            for (int i = 0; i < digests.size(); i++) {
+                text.append(seed).append(' ').append(Math.min(EVENTS, (i + 1) * CHECK_EVERY));
+                text.append(' ').append(digests.get(i)).append('\n');
+            }
+        }
+        Files.writeString(Path.of("target", "decision-digests.txt"), text);
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/decisions/DigestCondition.java
@@ -0,0 +1,100 @@
+package sandstack.decisions;
+
+import java.util.SplittableRandom;
+import sandstack.decisions.Decisions.Outcome;
+
+/**
+ * State of the world of a {@link DigestStream} for some hundred events: the longest pause between two, the weights of
+ * the kinds of events, and how servers behave.
+ */
+enum DigestCondition {
+    CALM(25_000, 24, 30, 10, 12, 12, 3, 3, 3),
+    BURST(3_000, 55, 28, 3, 5, 5, 2, 1, 1),
+    QUIET(300_000, 6, 10, 14, 20, 20, 8, 5, 10),
+    OVERLOAD(20_000, 30, 30, 2, 18, 24, 1, 1, 1),
+    FULL(15_000, 34, 44, 5, 5, 5, 2, 2, 3),
+    OUTAGE(20_000, 32, 36, 8, 5, 5, 8, 2, 2);
+
+    private static final Outcome[] OUTCOMES = {
+        Outcome.ERROR,
+        Outcome.FULL,
+        Outcome.TIMEOUT,
+        Outcome.CONNECT_FAILED,
+        Outcome.RESET,
+        Outcome.CANCELLED,
+        Outcome.MOOT,
+        Outcome.OK
+    };
+
+    final int longestPauseMicros;
+    private final int[] weights;
+
+    DigestCondition(int longestPauseMicros, int... weights) {
+        this.longestPauseMicros = longestPauseMicros;
+        this.weights = weights;
+    }
+
+    /** The condition that follows: calm as often as all others together. */
+    static DigestCondition next(SplittableRandom random) {
+        return switch (random.nextInt(10)) {
+            case 0 -> BURST;
+            case 1 -> QUIET;
+            case 2 -> OVERLOAD;
+            case 3 -> FULL;
+            case 4 -> OUTAGE;
+            default -> CALM;
+        };
+    }
+
+    /** A kind of event by its position in the weights. */
+    int kind(SplittableRandom random) {
+        int draw = random.nextInt(100);
+        for (int kind = 0; kind < weights.length; kind++) {
+            draw -= weights[kind];
+            if (draw < 0) {
+                return kind;
+            }
+        }
+        return 0;
+    }
+
+    /** Whether an attempt at the server of this number ends with a connection. */
+    boolean succeeds(int server, SplittableRandom random) {
+        return switch (this) {
+            case FULL -> random.nextInt(10) < 4;
+            case OUTAGE -> server % 2 == 0 && random.nextInt(10) < 7;
+            case OVERLOAD -> random.nextInt(10) < 9;
+            default -> random.nextInt(20) < 17;
+        };
+    }
+
+    /** How an attempt ends that ends without a connection. */
+    Outcome failure(SplittableRandom random) {
+        return switch (this) {
+            case FULL -> random.nextInt(8) > 0 ? Outcome.FULL : any(random);
+            case OUTAGE -> random.nextInt(3) > 0 ? Outcome.TIMEOUT : any(random);
+            default -> any(random);
+        };
+    }
+
+    static Outcome any(SplittableRandom random) {
+        return OUTCOMES[random.nextInt(OUTCOMES.length)];
+    }
+
+    double load(SplittableRandom random) {
+        return switch (random.nextInt(60)) {
+            case 0 -> 0;
+            case 1 -> -5_000;
+            case 2 -> Double.NaN;
+            case 3 -> random.nextInt(4) == 0 ? 1e300 : 2e6;
+            case 4, 5, 6 -> 100_000 + random.nextDouble() * 300_000;
+            default -> random.nextDouble() * (this == OVERLOAD ? 250_000 : 60_000);
+        };
+    }
+
+    /** The delay of messages that a server comes closer to. */
+    double delayMicros(SplittableRandom random) {
+        double part = this == OVERLOAD ? 0.7 + random.nextDouble() * 2 : random.nextDouble() * 0.8;
+        return DigestScenario.MESSAGE_AIM_MICROS * part;
+    }
+}
