--- a/src/bench/java/sandstack/decisions/DecisionBenchmark.java
+++ b/src/bench/java/sandstack/decisions/DecisionBenchmark.java
@@ -15,7 +15,20 @@
 import org.openjdk.jmh.annotations.Warmup;
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
-import sandstack.decisions.Decisions.*;
+import sandstack.decisions.Decisions.Action;
+import sandstack.decisions.Decisions.Adopted;
+import sandstack.decisions.Decisions.Attempt;
+import sandstack.decisions.Decisions.AttemptEnded;
+import sandstack.decisions.Decisions.ConnectRequest;
+import sandstack.decisions.Decisions.DelayReported;
+import sandstack.decisions.Decisions.Established;
+import sandstack.decisions.Decisions.ListKind;
+import sandstack.decisions.Decisions.Outcome;
+import sandstack.decisions.Decisions.Phase;
+import sandstack.decisions.Decisions.Repeat;
+import sandstack.decisions.Decisions.RequestClass;
+import sandstack.decisions.Decisions.ServerEntry;
+import sandstack.decisions.Decisions.ServerList;
 import sandstack.settings.SettingsBuilder;
 
 /** One connection from its request to its end, among 1,000 servers and 100,000 that stand. */
--- a/src/main/java/sandstack/decisions/Draw.java
+++ b/src/main/java/sandstack/decisions/Draw.java
@@ -1,7 +1,9 @@
 package sandstack.decisions;
 
 import java.util.List;
-import sandstack.capacity.*;
+import sandstack.capacity.ColdBudget;
+import sandstack.capacity.Limits;
+import sandstack.capacity.Survey;
 import sandstack.decisions.Decisions.RequestClass;
 import sandstack.random.SeededRandom;
 
--- a/src/main/java/sandstack/decisions/Fleet.java
+++ b/src/main/java/sandstack/decisions/Fleet.java
@@ -6,7 +6,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import sandstack.decisions.Decisions.*;
+import sandstack.decisions.Decisions.ListKind;
+import sandstack.decisions.Decisions.Phase;
+import sandstack.decisions.Decisions.ServerEntry;
+import sandstack.decisions.Decisions.ServerList;
+import sandstack.decisions.Decisions.SetTimer;
+import sandstack.decisions.Decisions.WatchServers;
 
 /**
  * The servers that this instance knows of and the list they come from. One thread; a list costs O(its
--- a/src/main/java/sandstack/decisions/Frame.java
+++ b/src/main/java/sandstack/decisions/Frame.java
@@ -4,8 +4,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sandstack.capacity.*;
-import sandstack.decisions.Decisions.*;
+import sandstack.capacity.Capacity;
+import sandstack.capacity.ColdBudget;
+import sandstack.capacity.Limits;
+import sandstack.capacity.Stated;
+import sandstack.decisions.Decisions.Action;
+import sandstack.decisions.Decisions.SetTimer;
+import sandstack.decisions.Decisions.Settings;
 import sandstack.random.SeededRandom;
 
 /**
--- a/src/main/java/sandstack/decisions/Server.java
+++ b/src/main/java/sandstack/decisions/Server.java
@@ -2,7 +2,9 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import sandstack.capacity.*;
+import sandstack.capacity.ColdBudget;
+import sandstack.capacity.Estimate;
+import sandstack.capacity.Gate;
 import sandstack.decisions.Decisions.Phase;
 import sandstack.random.SeededRandom;
 
--- a/src/test/java/sandstack/console/ConsoleTest.java
+++ b/src/test/java/sandstack/console/ConsoleTest.java
@@ -18,7 +18,12 @@
 import sandstack.core.Relay;
 import sandstack.core.ServiceClient;
 import sandstack.core.Tenants;
-import sandstack.decisions.Decisions.*;
+import sandstack.decisions.Decisions.ListKind;
+import sandstack.decisions.Decisions.Phase;
+import sandstack.decisions.Decisions.Repeat;
+import sandstack.decisions.Decisions.RequestClass;
+import sandstack.decisions.Decisions.Scope;
+import sandstack.decisions.Decisions.ServerEntry;
 import sandstack.settings.SettingsBuilder;
 
 /** The console without a terminal: a command a line in, its answer out. */
--- a/src/test/java/sandstack/core/ExecutionTest.java
+++ b/src/test/java/sandstack/core/ExecutionTest.java
@@ -7,7 +7,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sandstack.decisions.Decisions.*;
+import sandstack.decisions.Decisions.ListKind;
+import sandstack.decisions.Decisions.Phase;
+import sandstack.decisions.Decisions.Repeat;
+import sandstack.decisions.Decisions.RequestClass;
+import sandstack.decisions.Decisions.Scope;
+import sandstack.decisions.Decisions.ServerEntry;
+import sandstack.decisions.Decisions.Settings;
 import sandstack.settings.SettingsBuilder;
 
 /** Executions on a clock that the test moves. */
--- a/src/test/java/sandstack/decisions/BrainTest.java
+++ b/src/test/java/sandstack/decisions/BrainTest.java
@@ -12,7 +12,32 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import sandstack.decisions.Decisions.*;
+import sandstack.decisions.Decisions.Action;
+import sandstack.decisions.Decisions.Adopted;
+import sandstack.decisions.Decisions.Attempt;
+import sandstack.decisions.Decisions.AttemptEnded;
+import sandstack.decisions.Decisions.ClientGone;
+import sandstack.decisions.Decisions.ConnectRequest;
+import sandstack.decisions.Decisions.DelayReported;
+import sandstack.decisions.Decisions.Established;
+import sandstack.decisions.Decisions.Event;
+import sandstack.decisions.Decisions.Fail;
+import sandstack.decisions.Decisions.ListKind;
+import sandstack.decisions.Decisions.LoadChanged;
+import sandstack.decisions.Decisions.Outcome;
+import sandstack.decisions.Decisions.PeerMessage;
+import sandstack.decisions.Decisions.Phase;
+import sandstack.decisions.Decisions.ProbeEnded;
+import sandstack.decisions.Decisions.Refuse;
+import sandstack.decisions.Decisions.Relocate;
+import sandstack.decisions.Decisions.Repeat;
+import sandstack.decisions.Decisions.Scope;
+import sandstack.decisions.Decisions.ServerEntry;
+import sandstack.decisions.Decisions.ServerList;
+import sandstack.decisions.Decisions.SetTimer;
+import sandstack.decisions.Decisions.Settings;
+import sandstack.decisions.Decisions.TimerDue;
+import sandstack.decisions.Decisions.WatchServers;
 
 /** The four rules, the back-off and the outcomes, on scripted events. */
 class BrainTest {
--- a/src/test/java/sandstack/decisions/CapacityInTheModuleTest.java
+++ b/src/test/java/sandstack/decisions/CapacityInTheModuleTest.java
@@ -11,7 +11,14 @@
 import sandstack.capacity.Cause;
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
-import sandstack.decisions.Decisions.*;
+import sandstack.decisions.Decisions.Attempt;
+import sandstack.decisions.Decisions.AttemptEnded;
+import sandstack.decisions.Decisions.ClientGone;
+import sandstack.decisions.Decisions.ConnectRequest;
+import sandstack.decisions.Decisions.Established;
+import sandstack.decisions.Decisions.LoadChanged;
+import sandstack.decisions.Decisions.Outcome;
+import sandstack.decisions.Decisions.Refuse;
 
 /** What the module makes of the evidence of its servers and of the limits of an installation. */
 class CapacityInTheModuleTest {
--- a/src/test/java/sandstack/decisions/EmbeddingTest.java
+++ b/src/test/java/sandstack/decisions/EmbeddingTest.java
@@ -6,7 +6,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sandstack.capacity.Limits;
-import sandstack.decisions.Decisions.*;
+import sandstack.decisions.Decisions.Action;
+import sandstack.decisions.Decisions.Attempt;
+import sandstack.decisions.Decisions.AttemptEnded;
+import sandstack.decisions.Decisions.ConnectRequest;
+import sandstack.decisions.Decisions.Established;
+import sandstack.decisions.Decisions.ListKind;
+import sandstack.decisions.Decisions.Outcome;
+import sandstack.decisions.Decisions.Phase;
+import sandstack.decisions.Decisions.Repeat;
+import sandstack.decisions.Decisions.RequestClass;
+import sandstack.decisions.Decisions.Scope;
+import sandstack.decisions.Decisions.ServerEntry;
+import sandstack.decisions.Decisions.ServerList;
+import sandstack.decisions.Decisions.SetTimer;
+import sandstack.decisions.Decisions.Settings;
+import sandstack.decisions.Decisions.TimerDue;
 import sandstack.settings.SettingsBuilder;
 
 /** The example of the README: one request through a failed attempt, back-off, placement and end. */
--- a/src/test/java/sandstack/decisions/NothingStatedTest.java
+++ b/src/test/java/sandstack/decisions/NothingStatedTest.java
@@ -7,7 +7,11 @@
 import org.junit.jupiter.api.Test;
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
-import sandstack.decisions.Decisions.*;
+import sandstack.decisions.Decisions.Attempt;
+import sandstack.decisions.Decisions.ConnectRequest;
+import sandstack.decisions.Decisions.Established;
+import sandstack.decisions.Decisions.LoadChanged;
+import sandstack.decisions.Decisions.Settings;
 import sandstack.settings.SettingsBuilder;
 
 /** The module where nobody states anything of the feed servers: what settings, lists and told loads say. */
--- a/src/test/java/sandstack/decisions/OverloadTest.java
+++ b/src/test/java/sandstack/decisions/OverloadTest.java
@@ -10,7 +10,19 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import sandstack.decisions.Decisions.*;
+import sandstack.decisions.Decisions.Action;
+import sandstack.decisions.Decisions.Adopted;
+import sandstack.decisions.Decisions.Attempt;
+import sandstack.decisions.Decisions.AttemptEnded;
+import sandstack.decisions.Decisions.ConnectRequest;
+import sandstack.decisions.Decisions.DelayReported;
+import sandstack.decisions.Decisions.Established;
+import sandstack.decisions.Decisions.LoadChanged;
+import sandstack.decisions.Decisions.Outcome;
+import sandstack.decisions.Decisions.Refuse;
+import sandstack.decisions.Decisions.Relocate;
+import sandstack.decisions.Decisions.Settings;
+import sandstack.decisions.Decisions.TimerDue;
 
 /** Shedding, spilling, store trouble and bounded memory. */
 class OverloadTest {
--- a/src/test/java/sandstack/decisions/Rig.java
+++ b/src/test/java/sandstack/decisions/Rig.java
@@ -17,7 +17,26 @@
 import java.util.Set;
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
-import sandstack.decisions.Decisions.*;
+import sandstack.decisions.Decisions.Action;
+import sandstack.decisions.Decisions.Attempt;
+import sandstack.decisions.Decisions.AttemptEnded;
+import sandstack.decisions.Decisions.ClientGone;
+import sandstack.decisions.Decisions.ConnectRequest;
+import sandstack.decisions.Decisions.Established;
+import sandstack.decisions.Decisions.Event;
+import sandstack.decisions.Decisions.Fail;
+import sandstack.decisions.Decisions.ListKind;
+import sandstack.decisions.Decisions.Outcome;
+import sandstack.decisions.Decisions.Phase;
+import sandstack.decisions.Decisions.Refuse;
+import sandstack.decisions.Decisions.Repeat;
+import sandstack.decisions.Decisions.RequestClass;
+import sandstack.decisions.Decisions.Scope;
+import sandstack.decisions.Decisions.ServerEntry;
+import sandstack.decisions.Decisions.ServerList;
+import sandstack.decisions.Decisions.SetTimer;
+import sandstack.decisions.Decisions.Settings;
+import sandstack.decisions.Decisions.TimerDue;
 import sandstack.settings.SettingsBuilder;
 
 /** Feeds one Brain and checks each of its actions against the rules. */
