--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -28,7 +28,7 @@
 import sandstack.core.EffectiveSettings;
 import sandstack.core.NameTable;
 import sandstack.core.Relay;
-import sandstack.decisions.Decisions.ListKind;
+import sandstack.decisions.EndpointListKind;
 import sandstack.directory.TenantDirectory;
 import sandstack.front.amqp.AmqpFront;
 import sandstack.front.operators.OperatorDoor;
@@ -206,7 +206,9 @@
         startedAt = loop.now();
         NameTable.News known = config.inherits() ? joinKin() : null;
         if (known == null) {
-            known = config.known() != null ? config.known() : new NameTable.News(ListKind.SAVED, -1, List.of());
+            known = config.known() != null
+                    ? config.known()
+                    : new NameTable.News(EndpointListKind.CACHED, -1, List.of());
         }
         relay.listed(known);
         loop.start(relay::turn, relay::nextTurn);
@@ -216,7 +218,7 @@
                     config.operator(),
                     new OperatorDoor(loop, relay.deadlines(), this::hindrance, relay::figures)::listen);
         }
-        if (terms.settings().list().pushed()) {
+        if (terms.settings().endpointListStaleness().pushed()) {
             // nobody tells unasked over a socket: what the agent has binds all the same
             loop.execute(this::askDiscovery);
         }
@@ -251,7 +253,7 @@
 
     /** Where what the agent has counts from the first moment, no client comes before the relay has heard it. */
     private void awaitFirstList() {
-        if (terms.settings().list().firstList() > 0) {
+        if (terms.settings().endpointListStaleness().firstList() > 0) {
             CountDownLatch told = new CountDownLatch(1);
             loop.execute(() -> untilTold(told));
             await(told);
@@ -260,7 +262,8 @@
 
     private void untilTold(CountDownLatch told) {
         if (relay.names().told()
-                || loop.now() - startedAt >= terms.settings().list().firstList()) {
+                || loop.now() - startedAt
+                        >= terms.settings().endpointListStaleness().firstList()) {
             told.countDown();
         } else {
             relay.deadlines().at(loop.now() + LOOK_AGAIN, () -> untilTold(told));
--- a/src/main/java/sandstack/benchlink/ActionWriter.java
+++ b/src/main/java/sandstack/benchlink/ActionWriter.java
@@ -2,56 +2,56 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
-import sandstack.decisions.Decisions.ActionHandler;
-import sandstack.decisions.Decisions.Attempt;
-import sandstack.decisions.Decisions.Fail;
-import sandstack.decisions.Decisions.Refuse;
-import sandstack.decisions.Decisions.Relocate;
-import sandstack.decisions.Decisions.SetTimer;
-import sandstack.decisions.Decisions.WatchServers;
+import sandstack.decisions.BalancerAction;
+import sandstack.decisions.BalancerAction.Fail;
+import sandstack.decisions.BalancerAction.Migrate;
+import sandstack.decisions.BalancerAction.Reject;
+import sandstack.decisions.BalancerAction.SetTimer;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerAction.WatchEndpointList;
 
 /** Writes the members of one action in the simulator's words, into an object that the caller begins and ends. */
-record ActionWriter(JsonGenerator out) implements ActionHandler<IOException> {
+record ActionWriter(JsonGenerator out) implements BalancerAction.Handler<IOException> {
     @Override
-    public void attempt(Attempt action) throws IOException {
+    public void startAttempt(StartAttempt action) throws IOException {
         out.writeStringField("t", "HandOff");
-        out.writeStringField("corr", action.id());
-        out.writeStringField("server", action.server());
-        if (action.timeout() != 0) {
-            out.writeNumberField("patience_us", action.timeout());
+        out.writeStringField("corr", action.requestId());
+        out.writeStringField("server", action.serverId());
+        if (action.timeoutMicros() != 0) {
+            out.writeNumberField("patience_us", action.timeoutMicros());
         }
     }
 
     @Override
     public void setTimer(SetTimer action) throws IOException {
         out.writeStringField("t", "Timer");
-        out.writeNumberField("after_us", action.after());
+        out.writeNumberField("after_us", action.delayMicros());
         out.writeStringField("handle", Long.toString(action.token()));
     }
 
     @Override
-    public void refuse(Refuse action) throws IOException {
+    public void reject(Reject action) throws IOException {
         out.writeStringField("t", "TurnAway");
-        out.writeStringField("corr", action.id());
-        if (action.retryAfter() > 0) {
-            out.writeNumberField("hold_off_us", action.retryAfter());
+        out.writeStringField("corr", action.requestId());
+        if (action.retryAfterMicros() > 0) {
+            out.writeNumberField("hold_off_us", action.retryAfterMicros());
         }
     }
 
     @Override
     public void fail(Fail action) throws IOException {
         out.writeStringField("t", "Error");
-        out.writeStringField("corr", action.id());
+        out.writeStringField("corr", action.requestId());
     }
 
     @Override
-    public void relocate(Relocate action) throws IOException {
+    public void migrate(Migrate action) throws IOException {
         out.writeStringField("t", "Migrate");
-        out.writeStringField("corr", action.id());
+        out.writeStringField("corr", action.requestId());
     }
 
     @Override
-    public void watchServers(WatchServers action) throws IOException {
+    public void watchEndpointList(WatchEndpointList action) throws IOException {
         out.writeStringField("t", "Subscribe");
         out.writeBooleanField("active", true);
     }
--- a/src/main/java/sandstack/benchlink/EventReader.java
+++ b/src/main/java/sandstack/benchlink/EventReader.java
@@ -8,21 +8,21 @@
 import java.util.List;
 import java.util.Map;
 import sandstack.config.SettingsReader;
-import sandstack.decisions.Decisions.Adopted;
-import sandstack.decisions.Decisions.AttemptEnded;
-import sandstack.decisions.Decisions.ClientGone;
-import sandstack.decisions.Decisions.ConnectRequest;
-import sandstack.decisions.Decisions.DelayReported;
-import sandstack.decisions.Decisions.Established;
-import sandstack.decisions.Decisions.Event;
-import sandstack.decisions.Decisions.ListKind;
-import sandstack.decisions.Decisions.LoadChanged;
-import sandstack.decisions.Decisions.Outcome;
-import sandstack.decisions.Decisions.PeerMessage;
-import sandstack.decisions.Decisions.Phase;
-import sandstack.decisions.Decisions.ProbeEnded;
-import sandstack.decisions.Decisions.ServerEntry;
-import sandstack.decisions.Decisions.TimerDue;
+import sandstack.decisions.AttemptOutcome;
+import sandstack.decisions.BalancerEvent;
+import sandstack.decisions.BalancerEvent.AttemptEnded;
+import sandstack.decisions.BalancerEvent.ClientDisconnected;
+import sandstack.decisions.BalancerEvent.ConnectRequested;
+import sandstack.decisions.BalancerEvent.ConnectionAdopted;
+import sandstack.decisions.BalancerEvent.ConnectionEstablished;
+import sandstack.decisions.BalancerEvent.DelayReported;
+import sandstack.decisions.BalancerEvent.HealthCheckEnded;
+import sandstack.decisions.BalancerEvent.LoadReported;
+import sandstack.decisions.BalancerEvent.PeerMessage;
+import sandstack.decisions.BalancerEvent.TimerExpired;
+import sandstack.decisions.EndpointEntry;
+import sandstack.decisions.EndpointListKind;
+import sandstack.decisions.EndpointState;
 
 /** Reads one batch line of the wire; every complaint names the batch and the field. */
 final class EventReader {
@@ -170,7 +170,7 @@
             }
             raw.fields.put(name, java.util.Arrays.copyOf(row, n));
         } else if (name.equals("items")) {
-            List<ServerEntry> items = new ArrayList<>();
+            List<EndpointEntry> items = new ArrayList<>();
             while (in.nextToken() != JsonToken.END_ARRAY) {
                 items.add(entry(in));
             }
@@ -180,10 +180,10 @@
         }
     }
 
-    private ServerEntry entry(JsonParser in) throws IOException, WireException {
+    private EndpointEntry entry(JsonParser in) throws IOException, WireException {
         expect(in.currentToken(), JsonToken.START_OBJECT, "an item of items is not an object");
         String server = null;
-        Phase phase = null;
+        EndpointState phase = null;
         long zone = -1;
         long cell = 0;
         long kind = 0;
@@ -222,7 +222,7 @@
         if (server == null || phase == null || zone < 0) {
             throw trouble("items: an entry lacks " + (server == null ? "server" : phase == null ? "phase" : "dc"));
         }
-        return new ServerEntry(server, (int) zone, (int) cell, (int) kind, since, phase, rating);
+        return new EndpointEntry(server, (int) zone, (int) cell, (int) kind, since, phase, rating);
     }
 
     /** One event as read, before its fields are checked. */
@@ -292,42 +292,42 @@
         }
 
         @SuppressWarnings("unchecked")
-        List<ServerEntry> items(String field) throws WireException {
+        List<EndpointEntry> items(String field) throws WireException {
             Object v = fields.get(field);
             if (v instanceof List) {
-                return (List<ServerEntry>) v;
+                return (List<EndpointEntry>) v;
             }
             throw trouble(type + " lacks " + field);
         }
 
-        ListKind listKind() throws WireException {
+        EndpointListKind listKind() throws WireException {
             return switch (text("form")) {
-                case "Partial" -> ListKind.CHANGES;
-                case "Complete" -> ListKind.FULL;
-                case "Persisted" -> ListKind.SAVED;
-                case "Error" -> ListKind.FAILED;
+                case "Partial" -> EndpointListKind.DELTA;
+                case "Complete" -> EndpointListKind.FULL;
+                case "Persisted" -> EndpointListKind.CACHED;
+                case "Error" -> EndpointListKind.FAILED;
                 default -> throw trouble(type + ": form has no known value");
             };
         }
 
-        private Outcome outcome() throws WireException {
+        private AttemptOutcome outcome() throws WireException {
             return switch (text("ending")) {
-                case "completed" -> Outcome.OK;
-                case "errored" -> Outcome.ERROR;
-                case "saturated" -> Outcome.FULL;
-                case "overdue" -> Outcome.TIMEOUT;
-                case "refused_conn" -> Outcome.CONNECT_FAILED;
-                case "severed" -> Outcome.RESET;
-                case "recalled" -> Outcome.CANCELLED;
-                case "superseded" -> Outcome.MOOT;
+                case "completed" -> AttemptOutcome.OK;
+                case "errored" -> AttemptOutcome.ERROR;
+                case "saturated" -> AttemptOutcome.REJECTED;
+                case "overdue" -> AttemptOutcome.TIMEOUT;
+                case "refused_conn" -> AttemptOutcome.CONNECT_FAILED;
+                case "severed" -> AttemptOutcome.RESET;
+                case "recalled" -> AttemptOutcome.CANCELLED;
+                case "superseded" -> AttemptOutcome.NOT_SENT;
                 default -> throw trouble(type + ": ending has no known value");
             };
         }
 
-        private ConnectRequest request() throws WireException {
+        private ConnectRequested request() throws WireException {
             long bits = number("bitmap", 0);
             double load = (bits & HINT_VALID) != 0 && fields.get("work_hint_us") != null ? real("work_hint_us") : 0;
-            return new ConnectRequest(
+            return new ConnectRequested(
                     text("corr"),
                     (int) number("kind"),
                     (int) number("org", 0),
@@ -339,22 +339,22 @@
                     (bits & RETURNED) != 0);
         }
 
-        private Event update() throws WireException {
+        private BalancerEvent update() throws WireException {
             long sort = number("sort");
             String id = text("corr");
             int attempt = (int) number("go");
             if (sort == 1) {
-                return new LoadChanged(id, attempt, text("server"), real("value"));
+                return new LoadReported(id, attempt, text("server"), real("value"));
             }
             return sort == 2 ? new DelayReported(id, attempt, text("server"), real("value") * 1000) : null;
         }
 
         /** The event in the module's terms; null for one that this version of the wire does not name. */
-        Event event() throws WireException {
+        BalancerEvent event() throws WireException {
             return switch (type) {
                 case "Ingress" -> request();
-                case "Handover" -> new Adopted(request(), text("server"));
-                case "Accepted" -> new Established(
+                case "Handover" -> new ConnectionAdopted(request(), text("server"));
+                case "Accepted" -> new ConnectionEstablished(
                         text("corr"), (int) number("go"), text("server"), number("duration_us"));
                 case "UpdateOf" -> update();
                 case "Settled" -> new AttemptEnded(
@@ -365,17 +365,17 @@
                         flag("done_flag"),
                         number("duration_us"),
                         row());
-                case "Expired" -> new ClientGone(text("corr"));
+                case "Expired" -> new ClientDisconnected(text("corr"));
                 case "DeadlineHit" -> timer();
-                case "ProbeDone" -> new ProbeEnded(text("server"), outcome(), number("duration_us"), row());
+                case "ProbeDone" -> new HealthCheckEnded(text("server"), outcome(), number("duration_us"), row());
                 case "Message" -> new PeerMessage((int) number("neighbour"), text("bytes"));
                 default -> null;
             };
         }
 
-        private Event timer() throws WireException {
+        private BalancerEvent timer() throws WireException {
             try {
-                return new TimerDue(Long.parseLong(text("handle")));
+                return new TimerExpired(Long.parseLong(text("handle")));
             } catch (NumberFormatException e) {
                 throw trouble("DeadlineHit: handle was never set by an instance");
             }
--- a/src/main/java/sandstack/benchlink/Link.java
+++ b/src/main/java/sandstack/benchlink/Link.java
@@ -17,16 +17,16 @@
 import sandstack.config.BadSettings;
 import sandstack.config.CapacityFile;
 import sandstack.config.SettingsReader;
-import sandstack.decisions.Brain;
-import sandstack.decisions.Decisions.Action;
-import sandstack.decisions.Decisions.Event;
-import sandstack.decisions.Decisions.ListKind;
-import sandstack.decisions.Decisions.Phase;
-import sandstack.decisions.Decisions.ServerEntry;
-import sandstack.decisions.Decisions.ServerList;
+import sandstack.decisions.BalancerAction;
+import sandstack.decisions.BalancerEvent;
+import sandstack.decisions.BalancerEvent.EndpointListUpdate;
+import sandstack.decisions.EndpointEntry;
+import sandstack.decisions.EndpointListKind;
+import sandstack.decisions.EndpointState;
+import sandstack.decisions.LoadBalancer;
 
 /**
- * The adapter between the simulator's wire and {@link Brain}: reads batches of events, hands them to one
+ * The adapter between the simulator's wire and {@link LoadBalancer}: reads batches of events, hands them to one
  * Brain per instance, writes its actions. It translates and decides nothing.
  */
 public final class Link {
@@ -34,9 +34,9 @@
 
     private final CapacityFile capacity;
     private final JsonFactory json = new JsonFactory();
-    private final Map<Integer, Brain> brains = new HashMap<>();
+    private final Map<Integer, LoadBalancer> brains = new HashMap<>();
     private final Map<Integer, SettingsReader> profiles = new HashMap<>();
-    private final List<List<ServerEntry>> tables = new ArrayList<>();
+    private final List<List<EndpointEntry>> tables = new ArrayList<>();
     private final EventReader reader = new EventReader();
 
     /** Creates a link whose instances are told nothing of the servers beforehand. */
@@ -92,7 +92,7 @@
         for (EventReader.Part part : reader.parts) {
             boolean open = false;
             for (EventReader.Raw raw : part.events) {
-                List<Action> actions = play(part.who, raw);
+                List<BalancerAction> actions = play(part.who, raw);
                 if (actions.isEmpty()) {
                     continue;
                 }
@@ -102,7 +102,7 @@
                     out.writeNumberField("who", part.who);
                     out.writeArrayFieldStart("steps");
                 }
-                for (Action a : actions) {
+                for (BalancerAction a : actions) {
                     write(a, out);
                 }
             }
@@ -115,14 +115,14 @@
         out.writeEndObject();
     }
 
-    private List<Action> play(int who, EventReader.Raw raw) throws WireException {
+    private List<BalancerAction> play(int who, EventReader.Raw raw) throws WireException {
         switch (raw.type) {
             case "Up" -> {
                 SettingsReader profile = raw.profile;
                 try {
                     brains.put(
                             who,
-                            new Brain(
+                            new LoadBalancer(
                                     profile.settings(),
                                     capacity.book(),
                                     capacity.limits(),
@@ -146,38 +146,38 @@
             }
             default -> {}
         }
-        Brain brain = brains.get(who);
+        LoadBalancer brain = brains.get(who);
         if (brain == null) {
             throw reader.trouble(raw.type + " for instance " + who + ", which has not started (field who)");
         }
-        Event event;
+        BalancerEvent event;
         if (raw.type.equals("Registry")) {
-            ListKind kind = raw.listKind();
-            List<ServerEntry> entries = List.of();
-            if (kind != ListKind.FAILED) {
+            EndpointListKind kind = raw.listKind();
+            List<EndpointEntry> entries = List.of();
+            if (kind != EndpointListKind.FAILED) {
                 entries = tables.get(raw.tableIndex(TABLES));
                 if (entries == null) {
                     throw reader.trouble("Registry: table names a list that never came");
                 }
             }
-            event = new ServerList(kind, entries);
+            event = new EndpointListUpdate(kind, entries);
         } else {
             event = raw.event();
         }
-        return event == null ? List.of() : brain.on(event, reader.time);
+        return event == null ? List.of() : brain.handle(event, reader.time);
     }
 
-    private static void write(Action action, JsonGenerator out) throws IOException {
+    private static void write(BalancerAction action, JsonGenerator out) throws IOException {
         out.writeStartObject();
         action.dispatch(new ActionWriter(out));
         out.writeEndObject();
     }
 
-    static Phase phase(String text) {
+    static EndpointState phase(String text) {
         return switch (text) {
-            case "in_service" -> Phase.READY;
-            case "terminating" -> Phase.DRAINING;
-            case "terminated" -> Phase.GONE;
+            case "in_service" -> EndpointState.READY;
+            case "terminating" -> EndpointState.DRAINING;
+            case "terminated" -> EndpointState.GONE;
             default -> null;
         };
     }
--- a/src/main/java/sandstack/config/NameTableJson.java
+++ b/src/main/java/sandstack/config/NameTableJson.java
@@ -8,9 +8,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import sandstack.core.NameTable;
-import sandstack.decisions.Decisions.ListKind;
-import sandstack.decisions.Decisions.Phase;
-import sandstack.decisions.Decisions.ServerEntry;
+import sandstack.decisions.EndpointEntry;
+import sandstack.decisions.EndpointListKind;
+import sandstack.decisions.EndpointState;
 
 /** Discovery's form of the name table, as it comes from discovery and in the configuration. */
 public final class NameTableJson {
@@ -42,28 +42,30 @@
         if (!object.path("rev").isNumber()) {
             throw new BadSettings("the list of feed servers has no rev");
         }
-        ListKind kind = saved ? ListKind.SAVED : object.path("all").asBoolean() ? ListKind.FULL : ListKind.CHANGES;
+        EndpointListKind kind = saved
+                ? EndpointListKind.CACHED
+                : object.path("all").asBoolean() ? EndpointListKind.FULL : EndpointListKind.DELTA;
         return new NameTable.News(kind, object.path("rev").asLong(), lines);
     }
 
     private NameTable.Line line(JsonNode target) throws BadSettings {
         String uid = target.path("uid").asText("");
-        Phase phase =
+        EndpointState phase =
                 switch (target.path("state").asText()) {
-                    case "ready" -> Phase.READY;
-                    case "draining" -> Phase.DRAINING;
-                    case "gone" -> Phase.GONE;
+                    case "ready" -> EndpointState.READY;
+                    case "draining" -> EndpointState.DRAINING;
+                    case "gone" -> EndpointState.GONE;
                     default -> throw new BadSettings("feed server " + uid + " has no known state");
                 };
         if (uid.isEmpty()) {
             throw new BadSettings("a feed server has no uid");
         }
         String endpoint = target.path("endpoint").asText("");
-        PlatformConfig.Address address = phase == Phase.GONE && endpoint.isEmpty()
+        PlatformConfig.Address address = phase == EndpointState.GONE && endpoint.isEmpty()
                 ? new PlatformConfig.Address("", 0)
                 : PlatformConfig.Address.parse(endpoint, "endpoint of " + uid);
         return new NameTable.Line(
-                new ServerEntry(
+                new EndpointEntry(
                         uid,
                         zone(target.path("az")),
                         target.path("pod_group").asInt(),
@@ -80,16 +82,16 @@
         ObjectNode list = JSON.createObjectNode().put("rev", names.version()).put("all", true);
         ArrayNode targets = list.putArray("targets");
         for (NameTable.Line line : names.lines()) {
-            ServerEntry e = line.entry();
+            EndpointEntry e = line.entry();
             targets.addObject()
-                    .put("uid", e.server())
+                    .put("uid", e.serverId())
                     .put("endpoint", line.host() + ":" + line.port())
                     .put("az", e.zone() < zones.size() ? zones.get(e.zone()) : "")
-                    .put("model", kinds.name(e.kind()))
+                    .put("model", kinds.name(e.machineKind()))
                     .put("pod_group", e.cell())
-                    .put("state", e.phase() == Phase.READY ? "ready" : "draining")
+                    .put("state", e.state() == EndpointState.READY ? "ready" : "draining")
                     .put("capacity_hint", e.rating())
-                    .put("boot_ms", e.startedAt() / 1000);
+                    .put("boot_ms", e.startedAtMicros() / 1000);
         }
         return list.toString();
     }
--- a/src/main/java/sandstack/config/SettingsReader.java
+++ b/src/main/java/sandstack/config/SettingsReader.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sandstack.decisions.Decisions.Repeat;
-import sandstack.decisions.Decisions.RequestClass;
-import sandstack.decisions.Decisions.Scope;
-import sandstack.decisions.Decisions.Settings;
-import sandstack.decisions.Decisions.Tenant;
-import sandstack.settings.SettingsBuilder;
+import sandstack.decisions.BalancerSettings;
+import sandstack.decisions.DeduplicationScope;
+import sandstack.decisions.Idempotency;
+import sandstack.decisions.RequestClass;
+import sandstack.decisions.Tenant;
+import sandstack.settings.BalancerSettingsBuilder;
 
 /** Reads the settings of one instance: flattens them to dotted paths and picks what the module takes. */
 public final class SettingsReader {
@@ -110,22 +110,22 @@
     }
 
     /** The settings in the module's terms. */
-    public Settings settings() throws BadSettings {
+    public BalancerSettings settings() throws BadSettings {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < size("classes"); i++) {
             String c = "classes." + i + ".";
-            Repeat repeat =
+            Idempotency repeat =
                     switch (text(c + "idempotency")) {
-                        case "safe" -> Repeat.SAFE;
-                        case "keyed" -> Repeat.KEYED;
-                        case "unsafe" -> Repeat.UNSAFE;
+                        case "safe" -> Idempotency.IDEMPOTENT;
+                        case "keyed" -> Idempotency.WITH_KEY;
+                        case "unsafe" -> Idempotency.NOT_IDEMPOTENT;
                         default -> throw new BadSettings(c + "idempotency has no known value");
                     };
-            Scope scope =
+            DeduplicationScope scope =
                     switch (text(c + "group")) {
-                        case "zone" -> Scope.ZONE;
-                        case "cell" -> Scope.CELL;
-                        default -> Scope.ALL;
+                        case "zone" -> DeduplicationScope.ZONE;
+                        case "cell" -> DeduplicationScope.CELL;
+                        default -> DeduplicationScope.ALL;
                     };
             classes.add(new RequestClass(
                     above0(c + "goal_time_us"),
@@ -141,34 +141,34 @@
             tenants.add(new Tenant(
                     number("family_info.tenant_quota_connections." + i, 0), number("tenants." + i + ".portion", 0)));
         }
-        return SettingsBuilder.of(classes)
-                .self(count("me"))
-                .instances(count("siblings"))
+        return BalancerSettingsBuilder.of(classes)
+                .instanceIndex(count("me"))
+                .instanceCount(count("siblings"))
                 .homeZone(count("locality"))
-                .zones(size("zones"))
+                .zoneCount(size("zones"))
                 .tenants(tenants)
-                .overShareWorth(number("over_share_worth", 1))
-                .worthByWork(text("worth_by").equals("work"))
+                .overQuotaWeight(number("over_share_worth", 1))
+                .weightPerUnitOfWork(text("worth_by").equals("work"))
                 .passThrough(text("family_info.mode").equals("pass"))
                 .sharedGroups(flag("family_info.groups"))
-                .listOnRequest(text("membership_mode").equals("on_request"))
-                .askWithin(time("contract.ask_every_us"))
+                .endpointListPolled(text("membership_mode").equals("on_request"))
+                .pollIntervalMicros(time("contract.ask_every_us"))
                 .maxAttempts((int) Math.min(Integer.MAX_VALUE, above0("caps.max_attempts")))
-                .connectTimeout(time("caps.connect_timeout_us"))
-                .retryAfter(flag("caps.retry_after"))
-                .maxRetryAfter(time("caps.max_retry_after_us"))
-                .probes(flag("caps.probes"))
-                .probePrice(number("costs.probe", 0))
-                .peers(flag("caps.peers"))
-                .peerPrice(number("costs.peer", 0))
-                .crossZonePrice(number("costs.cross_zone", 0))
-                .movePrice(number("costs.moves", 0))
-                .drainGrace(time("contract.drain_grace_us"))
-                .coldFrom(number("contract.cold_from", 1))
-                .warmAfter(time("contract.warm_after_us"))
-                .tipMultiple(number("contract.tip_multiple", 1))
-                .tipAfter(time("contract.tip_after_us"))
-                .sized(SIZES.contains(text("weights")))
+                .connectTimeoutMicros(time("caps.connect_timeout_us"))
+                .retryAfterHonored(flag("caps.retry_after"))
+                .maxRetryAfterMicros(time("caps.max_retry_after_us"))
+                .healthChecksAllowed(flag("caps.probes"))
+                .healthCheckCost(number("costs.probe", 0))
+                .gossipAllowed(flag("caps.peers"))
+                .gossipCost(number("costs.peer", 0))
+                .crossZoneCost(number("costs.cross_zone", 0))
+                .migrationCost(number("costs.moves", 0))
+                .drainGraceMicros(time("contract.drain_grace_us"))
+                .slowStartInitialFraction(number("contract.cold_from", 1))
+                .slowStartDurationMicros(time("contract.warm_after_us"))
+                .overloadMultiple(number("contract.tip_multiple", 1))
+                .overloadWindowMicros(time("contract.tip_after_us"))
+                .ratingsAreSizes(SIZES.contains(text("weights")))
                 .build();
     }
 }
--- a/src/main/java/sandstack/console/Commands.java
+++ b/src/main/java/sandstack/console/Commands.java
@@ -112,10 +112,10 @@
         for (NameTable.Line line : relay.names().lines()) {
             lines.add(String.format(
                     "%-16s %-22s zone %d  %s",
-                    line.entry().server(),
+                    line.entry().serverId(),
                     line.host() + ":" + line.port(),
                     line.entry().zone(),
-                    line.entry().phase()));
+                    line.entry().state()));
         }
         return lines;
     }
@@ -126,7 +126,7 @@
         for (ServiceClient client : relay.clients()) {
             Execution execution = client.execution();
             if (execution != null && execution.standing()) {
-                at.merge(execution.server().entry().server(), 1, Integer::sum);
+                at.merge(execution.server().entry().serverId(), 1, Integer::sum);
             } else {
                 waiting++;
             }
--- a/src/main/java/sandstack/core/ConnectionOutcome.java
+++ b/src/main/java/sandstack/core/ConnectionOutcome.java
@@ -1,42 +1,42 @@
 package sandstack.core;
 
-import sandstack.decisions.Decisions.Outcome;
+import sandstack.decisions.AttemptOutcome;
 
 /** Every way in which an execution, standing or not, can end, and what each is to the module. */
 public enum ConnectionOutcome {
     /** The feed server said good-bye: served to its end. */
-    SERVED(Outcome.OK),
+    SERVED(AttemptOutcome.OK),
     /** The feed server sent its client away, as it does while it drains. */
-    SENT_AWAY(Outcome.CANCELLED),
+    SENT_AWAY(AttemptOutcome.CANCELLED),
     /** The client ended it, or left before it stood. */
-    CLIENT_LEFT(Outcome.CANCELLED),
+    CLIENT_LEFT(AttemptOutcome.CANCELLED),
     /** The relay told the client to move. */
-    MOVED(Outcome.CANCELLED),
+    MOVED(AttemptOutcome.CANCELLED),
     /** The feed server gave an error. */
-    SERVER_ERROR(Outcome.ERROR),
+    SERVER_ERROR(AttemptOutcome.ERROR),
     /** The feed server turned it away unseen. */
-    TURNED_AWAY(Outcome.FULL),
+    TURNED_AWAY(AttemptOutcome.REJECTED),
     /** No connection came up, or it broke or was given up before the whole request was written. */
-    NOT_CONNECTED(Outcome.CONNECT_FAILED),
+    NOT_CONNECTED(AttemptOutcome.CONNECT_FAILED),
     /** The connection ended without a word. */
-    ENDED_EARLY(Outcome.RESET),
+    ENDED_EARLY(AttemptOutcome.RESET),
     /** The connection was reset. */
-    RESET(Outcome.RESET),
+    RESET(AttemptOutcome.RESET),
     /** A standing connection on which the feed server no longer answers. */
-    SILENT(Outcome.RESET),
+    SILENT(AttemptOutcome.RESET),
     /** The whole request was written, and no answer came while the relay was willing to wait. */
-    OUT_OF_TIME(Outcome.TIMEOUT),
+    OUT_OF_TIME(AttemptOutcome.TIMEOUT),
     /** Never sent: the client had gone, its time was up or the server has no address. */
-    NEVER_SENT(Outcome.MOOT);
+    NEVER_SENT(AttemptOutcome.NOT_SENT);
 
-    private final Outcome outcome;
+    private final AttemptOutcome outcome;
 
-    ConnectionOutcome(Outcome outcome) {
+    ConnectionOutcome(AttemptOutcome outcome) {
         this.outcome = outcome;
     }
 
     /** What the module is told. */
-    public Outcome outcome() {
+    public AttemptOutcome outcome() {
         return outcome;
     }
 }
--- a/src/main/java/sandstack/core/EffectiveSettings.java
+++ b/src/main/java/sandstack/core/EffectiveSettings.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.IntStream;
-import sandstack.decisions.Decisions.RequestClass;
-import sandstack.decisions.Decisions.Settings;
-import sandstack.settings.SettingsBuilder;
+import sandstack.decisions.BalancerSettings;
+import sandstack.decisions.RequestClass;
+import sandstack.settings.BalancerSettingsBuilder;
 
 /**
  * What counts for the commands that come now: the settings, and the names of their classes. A value; new ones follow at
@@ -18,7 +18,8 @@
  * @param offered the classes that a command may ask for
  * @param delaysTold whether feed servers tell how long a message takes
  */
-public record EffectiveSettings(Settings settings, List<String> classes, Set<String> offered, boolean delaysTold) {
+public record EffectiveSettings(
+        BalancerSettings settings, List<String> classes, Set<String> offered, boolean delaysTold) {
     /** Classes that ever were, over all reloads of one process: each costs memory for as long as it runs. */
     public static final int MOST_CLASSES = 256;
 
@@ -29,12 +30,12 @@
     }
 
     /** Terms to start with. */
-    public EffectiveSettings(Settings settings, List<String> classes, boolean delaysTold) {
+    public EffectiveSettings(BalancerSettings settings, List<String> classes, boolean delaysTold) {
         this(settings, classes, Set.copyOf(classes), delaysTold);
     }
 
     /** Terms of classes that have no names but their numbers. */
-    static EffectiveSettings numbered(Settings settings) {
+    static EffectiveSettings numbered(BalancerSettings settings) {
         return new EffectiveSettings(
                 settings,
                 IntStream.range(0, settings.classes().size())
@@ -65,7 +66,7 @@
             throw new IllegalArgumentException(
                     "setting classes has more than " + MOST_CLASSES + " names over all reloads");
         }
-        Settings settingsOfAll = SettingsBuilder.from(next.settings)
+        BalancerSettings settingsOfAll = BalancerSettingsBuilder.from(next.settings)
                 .forInstanceOf(settings)
                 .classes(all)
                 .build();
--- a/src/main/java/sandstack/core/NameTable.java
+++ b/src/main/java/sandstack/core/NameTable.java
@@ -4,23 +4,23 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sandstack.decisions.Decisions.ListKind;
-import sandstack.decisions.Decisions.Phase;
-import sandstack.decisions.Decisions.ServerEntry;
+import sandstack.decisions.EndpointEntry;
+import sandstack.decisions.EndpointListKind;
+import sandstack.decisions.EndpointState;
 
 /** Discovery's list of feed servers as this relay last heard it, with their addresses. */
 public final class NameTable {
     /** One feed server: what the module is told of it, and where it listens for this relay. */
-    public record Line(ServerEntry entry, String host, int port) {
+    public record Line(EndpointEntry entry, String host, int port) {
         /** The same feed server in another phase. */
-        Line in(Phase phase) {
+        Line in(EndpointState phase) {
             return new Line(
-                    new ServerEntry(
-                            entry.server(),
+                    new EndpointEntry(
+                            entry.serverId(),
                             entry.zone(),
                             entry.cell(),
-                            entry.kind(),
-                            entry.startedAt(),
+                            entry.machineKind(),
+                            entry.startedAtMicros(),
                             phase,
                             entry.rating()),
                     host,
@@ -29,8 +29,8 @@
     }
 
     /** News from discovery: the whole list or what changed, and the version that it leads to. */
-    public record News(ListKind kind, long version, List<Line> lines) {
-        List<ServerEntry> entries() {
+    public record News(EndpointListKind kind, long version, List<Line> lines) {
+        List<EndpointEntry> entries() {
             return lines.stream().map(Line::entry).toList();
         }
     }
@@ -41,17 +41,17 @@
     private long changes;
 
     void apply(News news) {
-        if (news.kind() != ListKind.CHANGES) {
+        if (news.kind() != EndpointListKind.DELTA) {
             lines.clear();
         }
         version = news.version();
         changes++;
-        told |= news.kind() != ListKind.SAVED;
+        told |= news.kind() != EndpointListKind.CACHED;
         for (Line line : news.lines()) {
-            if (line.entry().phase() == Phase.GONE) {
-                lines.remove(line.entry().server());
+            if (line.entry().state() == EndpointState.GONE) {
+                lines.remove(line.entry().serverId());
             } else {
-                lines.put(line.entry().server(), line);
+                lines.put(line.entry().serverId(), line);
             }
         }
     }
@@ -78,7 +78,7 @@
 
     /** Whether a feed server is listed that takes clients. */
     public boolean usable() {
-        return lines.values().stream().anyMatch(line -> line.entry().phase() == Phase.READY);
+        return lines.values().stream().anyMatch(line -> line.entry().state() == EndpointState.READY);
     }
 
     /** Version of the list; -1 before any has come. */
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -15,32 +15,31 @@
 import sandstack.capacity.Cause;
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
-import sandstack.decisions.Brain;
-import sandstack.decisions.Decisions.Action;
-import sandstack.decisions.Decisions.ActionHandler;
-import sandstack.decisions.Decisions.Adopted;
-import sandstack.decisions.Decisions.Attempt;
-import sandstack.decisions.Decisions.AttemptEnded;
-import sandstack.decisions.Decisions.ClientGone;
-import sandstack.decisions.Decisions.ConnectRequest;
-import sandstack.decisions.Decisions.DelayReported;
-import sandstack.decisions.Decisions.Established;
-import sandstack.decisions.Decisions.Event;
-import sandstack.decisions.Decisions.Fail;
-import sandstack.decisions.Decisions.ListKind;
-import sandstack.decisions.Decisions.LoadChanged;
-import sandstack.decisions.Decisions.Phase;
-import sandstack.decisions.Decisions.Processes;
-import sandstack.decisions.Decisions.Refuse;
-import sandstack.decisions.Decisions.Relocate;
-import sandstack.decisions.Decisions.ServerEntry;
-import sandstack.decisions.Decisions.ServerList;
-import sandstack.decisions.Decisions.SetTimer;
-import sandstack.decisions.Decisions.Settings;
-import sandstack.decisions.Decisions.SettingsChanged;
-import sandstack.decisions.Decisions.TenantsChanged;
-import sandstack.decisions.Decisions.TimerDue;
-import sandstack.decisions.Decisions.WatchServers;
+import sandstack.decisions.BalancerAction;
+import sandstack.decisions.BalancerAction.Fail;
+import sandstack.decisions.BalancerAction.Migrate;
+import sandstack.decisions.BalancerAction.Reject;
+import sandstack.decisions.BalancerAction.SetTimer;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerAction.WatchEndpointList;
+import sandstack.decisions.BalancerEvent;
+import sandstack.decisions.BalancerEvent.AttemptEnded;
+import sandstack.decisions.BalancerEvent.ClientDisconnected;
+import sandstack.decisions.BalancerEvent.ConnectRequested;
+import sandstack.decisions.BalancerEvent.ConnectionAdopted;
+import sandstack.decisions.BalancerEvent.ConnectionEstablished;
+import sandstack.decisions.BalancerEvent.DelayReported;
+import sandstack.decisions.BalancerEvent.EndpointListUpdate;
+import sandstack.decisions.BalancerEvent.LoadReported;
+import sandstack.decisions.BalancerEvent.ProcessCountChanged;
+import sandstack.decisions.BalancerEvent.SettingsChanged;
+import sandstack.decisions.BalancerEvent.TenantsChanged;
+import sandstack.decisions.BalancerEvent.TimerExpired;
+import sandstack.decisions.BalancerSettings;
+import sandstack.decisions.EndpointEntry;
+import sandstack.decisions.EndpointListKind;
+import sandstack.decisions.EndpointState;
+import sandstack.decisions.LoadBalancer;
 
 /**
  * The relay without its wires. Fronts report what they see; each turn sweeps the deadlines, hands all that is
@@ -61,10 +60,10 @@
     private static final Logger LOG = Logger.getLogger("sandstack.relay");
 
     private EffectiveSettings terms;
-    private Settings settings;
+    private BalancerSettings settings;
     private final Figures figures = new Figures();
     private final LongSupplier clock;
-    private final Brain brain;
+    private final LoadBalancer brain;
     private final Deadlines deadlines = new Deadlines();
     private final NameTable names = new NameTable();
     private final Tenants tenants = new Tenants();
@@ -76,7 +75,7 @@
     /** Causes for which discovery could not be asked since it last told something; each has had its line. */
     private final Set<String> failedBy = new HashSet<>();
 
-    private List<Event> ready = new ArrayList<>();
+    private List<BalancerEvent> ready = new ArrayList<>();
     private long lastId;
     private final Draining draining;
 
@@ -86,7 +85,7 @@
      * @param clock microseconds that never go back
      * @param watch asks discovery for changes; answered by {@link #listed} or {@link #listFailed}
      */
-    public Relay(Settings settings, long seed, LongSupplier clock, Runnable watch) {
+    public Relay(BalancerSettings settings, long seed, LongSupplier clock, Runnable watch) {
         this(EffectiveSettings.numbered(settings), Stated.Book.EMPTY, Limits.NONE, seed, clock, watch);
     }
 
@@ -101,7 +100,7 @@
         use(terms);
         this.clock = clock;
         this.watch = watch;
-        this.brain = new Brain(settings, book, limits, seed, clock.getAsLong());
+        this.brain = new LoadBalancer(settings, book, limits, seed, clock.getAsLong());
         this.draining = new Draining(this, new SplittableRandom(seed));
     }
 
@@ -125,7 +124,7 @@
 
     /** So many processes are this relay together now. */
     public void processes(int count) {
-        ready.add(new Processes(count));
+        ready.add(new ProcessCountChanged(count));
     }
 
     // ---- the turn ---------------------------------------------------------------------------------
@@ -135,11 +134,11 @@
         long now = now();
         deadlines.sweep(now);
         while (!ready.isEmpty()) {
-            List<Event> gathered = ready;
+            List<BalancerEvent> gathered = ready;
             ready = new ArrayList<>();
-            List<Action> actions = new ArrayList<>();
-            for (Event event : gathered) {
-                actions.addAll(brain.on(event, now));
+            List<BalancerAction> actions = new ArrayList<>();
+            for (BalancerEvent event : gathered) {
+                actions.addAll(brain.handle(event, now));
             }
             actions.forEach(action -> action.dispatch(handler));
         }
@@ -152,61 +151,68 @@
     }
 
     /** Carries out what the module decides. */
-    private final class Actions implements ActionHandler<RuntimeException> {
+    private final class Actions implements BalancerAction.Handler<RuntimeException> {
         @Override
-        public void attempt(Attempt action) {
+        public void startAttempt(StartAttempt action) {
             Relay.this.attempt(action);
         }
 
         @Override
         public void setTimer(SetTimer action) {
-            deadlines.at(now() + action.after(), () -> ready.add(new TimerDue(action.token())));
+            deadlines.at(now() + action.delayMicros(), () -> ready.add(new TimerExpired(action.token())));
         }
 
         @Override
-        public void refuse(Refuse action) {
-            refusals.merge(action.cause(), 1L, Long::sum);
-            answer(clients.get(action.id()), Refusal.refused(action.retryAfter(), action.cause()));
+        public void reject(Reject action) {
+            refusals.merge(action.reason(), 1L, Long::sum);
+            answer(clients.get(action.requestId()), Refusal.refused(action.retryAfterMicros(), action.reason()));
         }
 
         @Override
         public void fail(Fail action) {
-            answer(clients.get(action.id()), Refusal.FAILED);
+            answer(clients.get(action.requestId()), Refusal.FAILED);
         }
 
         @Override
-        public void relocate(Relocate action) {
-            ServiceClient client = clients.get(action.id());
+        public void migrate(Migrate action) {
+            ServiceClient client = clients.get(action.requestId());
             if (client != null && client.execution != null) {
                 client.execution.move(ConnectionOutcome.MOVED);
             }
         }
 
         @Override
-        public void watchServers(WatchServers action) {
+        public void watchEndpointList(WatchEndpointList action) {
             watch.run();
         }
     }
 
-    private void attempt(Attempt a) {
-        ServiceClient client = clients.get(a.id());
+    private void attempt(StartAttempt a) {
+        ServiceClient client = clients.get(a.requestId());
         if (client != null) {
             client.look();
         }
         if (client == null || client.finished) {
             // the client has left; without this the module would count the attempt as out for good
-            ready.add(new AttemptEnded(a.id(), 0, a.server(), ConnectionOutcome.NEVER_SENT.outcome(), true, 0, null));
+            ready.add(new AttemptEnded(
+                    a.requestId(), 0, a.serverId(), ConnectionOutcome.NEVER_SENT.outcome(), true, 0, null));
             return;
         }
         long left = client.deadline - now();
-        NameTable.Line line = names.get(a.server());
+        NameTable.Line line = names.get(a.serverId());
         if (client.execution != null || line == null || left <= 0 || executionsLeft(client) <= 0) {
             ready.add(new AttemptEnded(
-                    a.id(), client.executions, a.server(), ConnectionOutcome.NEVER_SENT.outcome(), false, 0, null));
+                    a.requestId(),
+                    client.executions,
+                    a.serverId(),
+                    ConnectionOutcome.NEVER_SENT.outcome(),
+                    false,
+                    0,
+                    null));
             client.executions++;
             return;
         }
-        begin(client, line, a.timeout() <= 0 ? left : Math.min(left, a.timeout()));
+        begin(client, line, a.timeoutMicros() <= 0 ? left : Math.min(left, a.timeoutMicros()));
     }
 
     private int executionsLeft(ServiceClient client) {
@@ -218,7 +224,7 @@
         client.execution = execution;
         LOG.fine(() -> "execution " + client.id + "/" + execution.number() + " of " + client.command.key() + " class "
                 + client.command.requestClass() + " group " + client.command.group() + " begins at "
-                + line.entry().server() + (client.command.standingAt() == null ? "" : ", where it stood"));
+                + line.entry().serverId() + (client.command.standingAt() == null ? "" : ", where it stood"));
         execution.start();
     }
 
@@ -248,9 +254,9 @@
         }
     }
 
-    private ConnectRequest asRequest(ServiceClient client) {
+    private ConnectRequested asRequest(ServiceClient client) {
         ClientRequest c = client.command;
-        return new ConnectRequest(
+        return new ConnectRequested(
                 client.id,
                 c.requestClass(),
                 c.tenant(),
@@ -284,7 +290,7 @@
         boolean stood = client.execution != null && client.execution.standing();
         finish(client);
         if (!stood && client.command.standingAt() == null) {
-            ready.add(new ClientGone(client.id));
+            ready.add(new ClientDisconnected(client.id));
         }
         if (client.execution != null) {
             client.execution.giveUp(ConnectionOutcome.CLIENT_LEFT);
@@ -293,9 +299,9 @@
 
     /** Whether this execution's feed server wants nothing new any more; what stood there before the start still may. */
     boolean takesNoMore(Execution execution) {
-        NameTable.Line line = names.get(execution.server().entry().server());
+        NameTable.Line line = names.get(execution.server().entry().serverId());
         return execution.client().command.standingAt() == null
-                && (line == null || line.entry().phase() != Phase.READY);
+                && (line == null || line.entry().state() != EndpointState.READY);
     }
 
     /** The request's last byte is on its way to the feed server. */
@@ -319,12 +325,13 @@
         }
         figures.up(className(client.command));
         LOG.fine(() -> "execution " + client.id + "/" + execution.number() + " stands at "
-                + execution.server().entry().server() + " after " + (now() - execution.began()) + " us");
+                + execution.server().entry().serverId() + " after " + (now() - execution.began()) + " us");
         if (client.command.standingAt() != null) {
-            ready.add(new Adopted(asRequest(client), execution.server().entry().server()));
+            ready.add(new ConnectionAdopted(
+                    asRequest(client), execution.server().entry().serverId()));
         } else {
-            ready.add(new Established(
-                    client.id, execution.number(), execution.server().entry().server(), now() - execution.began()));
+            ready.add(new ConnectionEstablished(
+                    client.id, execution.number(), execution.server().entry().serverId(), now() - execution.began()));
         }
         if (draining.begun()) {
             draining.move(client);
@@ -336,7 +343,7 @@
         client.execution = null;
         endings.merge(ending, 1L, Long::sum);
         LOG.fine(() -> "execution " + client.id + "/" + execution.number() + " at "
-                + execution.server().entry().server() + " ended: " + ending);
+                + execution.server().entry().serverId() + " ended: " + ending);
         if (client.command.standingAt() != null && !stood) {
             // the module has not heard of it yet
             if (!client.finished) {
@@ -351,7 +358,7 @@
         ready.add(new AttemptEnded(
                 client.id,
                 moduleNumber(execution),
-                execution.server().entry().server(),
+                execution.server().entry().serverId(),
                 ending.outcome(),
                 over,
                 now() - execution.began(),
@@ -363,16 +370,16 @@
 
     void loadTold(Execution execution, double load) {
         LOG.finer(() -> "execution " + execution.client().id + "/" + execution.number() + " loads "
-                + execution.server().entry().server() + " by " + load);
-        ready.add(new LoadChanged(
+                + execution.server().entry().serverId() + " by " + load);
+        ready.add(new LoadReported(
                 execution.client().id,
                 moduleNumber(execution),
-                execution.server().entry().server(),
+                execution.server().entry().serverId(),
                 load));
     }
 
     void delayTold(Execution execution, double delay) {
-        String server = execution.server().entry().server();
+        String server = execution.server().entry().serverId();
         LOG.fine(() -> "lines at " + server + " take " + Math.round(delay) + " us, as it tells");
         ready.add(new DelayReported(execution.client().id, moduleNumber(execution), server, delay));
     }
@@ -391,7 +398,7 @@
 
     /** Answers a command as failed without asking the module, which hears that its client has gone. */
     void failUnanswered(ServiceClient client) {
-        ready.add(new ClientGone(client.id));
+        ready.add(new ClientDisconnected(client.id));
         answer(client, Refusal.FAILED);
     }
 
@@ -424,12 +431,12 @@
     public void listed(NameTable.News news) {
         names.apply(news);
         failedBy.clear();
-        ready.add(new ServerList(news.kind(), news.entries()));
+        ready.add(new EndpointListUpdate(news.kind(), news.entries()));
         for (NameTable.Line line : news.lines()) {
             LOG.fine(() -> "name table " + news.kind() + " " + news.version() + ": " + line);
-            if (news.kind() == ListKind.CHANGES) {
-                LOG.info("name table: " + line.entry().server() + " is "
-                        + line.entry().phase());
+            if (news.kind() == EndpointListKind.DELTA) {
+                LOG.info("name table: " + line.entry().serverId() + " is "
+                        + line.entry().state());
             }
         }
     }
@@ -439,15 +446,15 @@
      * those who came back were placed there again, to be sent away once more.
      */
     private void leaves(NameTable.Line line) {
-        ServerEntry e = line.entry();
-        if (names.get(e.server()) != line || e.phase() != Phase.READY) {
+        EndpointEntry e = line.entry();
+        if (names.get(e.serverId()) != line || e.state() != EndpointState.READY) {
             return;
         }
-        NameTable.Line leaving = line.in(Phase.DRAINING);
-        listed(new NameTable.News(ListKind.CHANGES, names.version(), List.of(leaving)));
+        NameTable.Line leaving = line.in(EndpointState.DRAINING);
+        listed(new NameTable.News(EndpointListKind.DELTA, names.version(), List.of(leaving)));
         deadlines.at(now() + SENT_AWAY_COUNTS, () -> {
-            if (names.get(e.server()) == leaving) {
-                listed(new NameTable.News(ListKind.CHANGES, names.version(), List.of(line)));
+            if (names.get(e.serverId()) == leaving) {
+                listed(new NameTable.News(EndpointListKind.DELTA, names.version(), List.of(line)));
             }
         });
     }
@@ -458,7 +465,7 @@
         if (failedBy.add(why)) {
             LOG.info("discovery: " + why);
         }
-        ready.add(new ServerList(ListKind.FAILED, List.of()));
+        ready.add(new EndpointListUpdate(EndpointListKind.FAILED, List.of()));
     }
 
     /** The tenants as their directory has them now. */
@@ -498,11 +505,11 @@
     }
 
     long longestDeadline() {
-        return settings.longestDeadline();
+        return settings.longestDeadlineMicros();
     }
 
     long connectTimeout() {
-        return settings.connectTimeout() > 0 ? settings.connectTimeout() : Long.MAX_VALUE / 4;
+        return settings.connectTimeoutMicros() > 0 ? settings.connectTimeoutMicros() : Long.MAX_VALUE / 4;
     }
 
     /** What counts for the commands that come now. */
@@ -513,7 +520,7 @@
     /** What this process has counted and holds now, a line each. */
     public List<String> figures() {
         long ejected = names.lines().stream()
-                .filter(line -> brain.avoids(line.entry().server()))
+                .filter(line -> brain.isEjected(line.entry().serverId()))
                 .count();
         return figures.lines(clients.size(), names.lines().size(), (int) ejected);
     }
--- a/src/main/java/sandstack/core/Tenants.java
+++ b/src/main/java/sandstack/core/Tenants.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sandstack.decisions.Decisions.Tenant;
+import sandstack.decisions.Tenant;
 
 /** The tenants by name. A tenant keeps its position for good, so that what the module holds of it stays right. */
 public final class Tenants {
--- a/src/main/java/sandstack/decisions/Shedding.java
+++ b/src/main/java/sandstack/decisions/LoadShedder.java
@@ -5,32 +5,31 @@
 import sandstack.capacity.ClassLoads;
 import sandstack.capacity.Tally;
 import sandstack.capacity.TenantShares;
-import sandstack.decisions.Decisions.Tenant;
 import sandstack.random.SeededRandom;
 
 /**
  * What part of the load is refused where most servers are late. One thread; a look costs O(servers and
  * requests), the rest O(1).
  */
-final class Shedding {
+final class LoadShedder {
     private static final double SHED_STEP = 0.2;
     private static final double SHED_MOST = 0.9;
 
-    private final Frame f;
-    private final Fleet fleet;
-    private final Room room;
+    private final BalancerContext context;
+    private final EndpointTable endpoints;
+    private final ServerHeadroom headroom;
     private final ClassLoads loads = new ClassLoads();
     private final TenantShares shares = new TenantShares();
     private double shed;
     private double lateHome;
     private double lateAway;
 
-    Shedding(Frame f, Fleet fleet, Room room) {
-        this.f = f;
-        this.fleet = fleet;
-        this.room = room;
-        classesAre(f.set.classes().size());
-        tenantsAre(f.set.tenants());
+    LoadShedder(BalancerContext context, EndpointTable endpoints, ServerHeadroom headroom) {
+        this.context = context;
+        this.endpoints = endpoints;
+        this.headroom = headroom;
+        classesAre(context.settings.classes().size());
+        tenantsAre(context.settings.tenants());
     }
 
     void classesAre(int count) {
@@ -38,7 +37,7 @@
     }
 
     void tenantsAre(List<Tenant> now) {
-        shares.tenantsAre(now.stream().mapToDouble(Tenant::connections).toArray());
+        shares.tenantsAre(now.stream().mapToDouble(Tenant::connectionQuota).toArray());
     }
 
     boolean on() {
@@ -54,11 +53,11 @@
         return lateAway;
     }
 
-    private Tally tally(Server[] among) {
+    private Tally tally(ServerState[] among) {
         Tally t = new Tally();
-        for (Server s : among) {
+        for (ServerState s : among) {
             if (s.ready()) {
-                t.add(room.late(s), room.fullHere(s), !s.held.isEmpty());
+                t.add(headroom.late(s), headroom.fullHere(s), !s.held.isEmpty());
             }
         }
         return t;
@@ -66,8 +65,8 @@
 
     /** Whether most of what is known here is late. */
     boolean jammed() {
-        Tally away = tally(fleet.away);
-        Tally home = tally(fleet.home);
+        Tally away = tally(endpoints.away);
+        Tally home = tally(endpoints.home);
         lateHome = home.evened(lateHome, 2);
         lateAway = away.evened(lateAway, 1);
         return Tally.jammed(home, away);
@@ -77,41 +76,44 @@
      * Where most servers are late, placing and moving cannot help: all lose together. A part of the load is
      * refused then, least worth for its load first, more each look until the jam is gone.
      */
-    void look(Collection<Request> requests, boolean jam) {
+    void look(Collection<TrackedRequest> requests, boolean jam) {
         boolean calm = shed == 0 && !jam;
         if (calm) {
             loads.clear();
         }
-        for (Request r : requests) {
-            if (r.state == Request.State.OPEN) {
-                loads.holds(r.ask.requestClass(), calm ? loadOf(r) : 0);
-                shares.holds(r.ask.tenant());
+        for (TrackedRequest r : requests) {
+            if (r.state == TrackedRequest.State.OPEN) {
+                loads.holds(r.ask.classIndex(), calm ? loadOf(r) : 0);
+                shares.holds(r.ask.tenantIndex());
             }
         }
-        shares.look(f.set.instances());
+        shares.look(context.settings.instanceCount());
         if (!calm) {
             shed = jam ? Math.min(SHED_MOST, shed + SHED_STEP) : Math.max(0, shed - SHED_STEP / 8);
-            loads.shed(shed, c -> f.set.classes().get(c).worth(), f.set.worthByWork());
+            loads.shed(
+                    shed,
+                    c -> context.settings.classes().get(c).priorityWeight(),
+                    context.settings.weightPerUnitOfWork());
         }
     }
 
     /** The load of a connection, or of its class where it tells none; 0 where neither is known. */
-    double loadOf(Request r) {
-        return r.load > 0 ? r.load : loads.of(r.ask.requestClass());
+    double loadOf(TrackedRequest r) {
+        return r.load > 0 ? r.load : loads.of(r.ask.classIndex());
     }
 
-    void loadTold(Request r, double load) {
-        loads.told(r.ask.requestClass(), load);
+    void loadTold(TrackedRequest r, double load) {
+        loads.told(r.ask.classIndex(), load);
     }
 
     /** Drawn by client key, so that the same clients stay away and the others are served whole. */
-    boolean sheds(Request r) {
+    boolean sheds(TrackedRequest r) {
         if (shed <= 0) {
             return false;
         }
         // what a tenant holds beyond its share is worth little: that part goes before any class
-        double excess = f.set.overShareWorth() < 1 ? shares.excess(r.ask.tenant()) : 0;
-        double part = Math.max(loads.gives(r.ask.requestClass()), excess);
+        double excess = context.settings.overQuotaWeight() < 1 ? shares.excess(r.ask.tenantIndex()) : 0;
+        double part = Math.max(loads.gives(r.ask.classIndex()), excess);
         return SeededRandom.unit(SeededRandom.mix(SeededRandom.hash(r.key))) < part;
     }
 }
--- a/src/main/java/sandstack/decisions/Draw.java
+++ b/src/main/java/sandstack/decisions/ServerPicker.java
@@ -4,14 +4,13 @@
 import sandstack.capacity.ColdBudget;
 import sandstack.capacity.Limits;
 import sandstack.capacity.Survey;
-import sandstack.decisions.Decisions.RequestClass;
 import sandstack.random.SeededRandom;
 
 /**
  * The choice of a server: highest random weight over all that are ready and unmarked, home zone first. One
  * thread; a draw costs O(servers of the zones that it looks at).
  */
-final class Draw {
+final class ServerPicker {
     /** Home zone kept while this part of its usual weight is usable. */
     private static final double SPILL_BELOW = 0.5;
     /** Home also keeps everything while this part of its servers, or less, is late. */
@@ -37,41 +36,52 @@
     /** Home keeps everything while it is used by no more than this above others; at twice that, nothing. */
     static final double USE_GAP = 0.15;
 
-    private final Frame f;
-    private final Fleet fleet;
-    private final Room room;
-    private final Shedding shedding;
+    private final BalancerContext context;
+    private final EndpointTable endpoints;
+    private final ServerHeadroom headroom;
+    private final LoadShedder shedder;
     private Survey survey;
 
-    Draw(Frame f, Fleet fleet, Room room, Shedding shedding) {
-        this.f = f;
-        this.fleet = fleet;
-        this.room = room;
-        this.shedding = shedding;
-        classesAre(f.set.classes());
+    ServerPicker(BalancerContext context, EndpointTable endpoints, ServerHeadroom headroom, LoadShedder shedder) {
+        this.context = context;
+        this.endpoints = endpoints;
+        this.headroom = headroom;
+        this.shedder = shedder;
+        classesAre(context.settings.classes());
     }
 
     void classesAre(List<RequestClass> classes) {
-        survey = new Survey(classes.stream().mapToDouble(RequestClass::worth).toArray());
+        survey = new Survey(
+                classes.stream().mapToDouble(RequestClass::priorityWeight).toArray());
     }
 
     /**
      * Whether a server that is cold, or was late a moment ago, may have this request. Who comes for the first
      * time comes steadily: as much as it can take. Who comes back does so with others, and needs a permit.
      */
-    private boolean budgetFor(Request r, Server s) {
-        double warmth = s.warmth(f);
-        long recovers = f.slot << BackOffs.MAX_N + 1;
-        if (warmth >= 1 && f.now - s.lateAt > recovers) {
+    private boolean budgetFor(TrackedRequest r, ServerState s) {
+        double warmth = s.warmth(context);
+        long recovers = context.slotMicros << RetryBackoff.MAX_N + 1;
+        if (warmth >= 1 && context.nowMicros - s.lateAt > recovers) {
             return true;
         }
-        double fill = s.estimate.fills() * warmth / (warmth < 1 ? f.set.warmAfter() : recovers);
+        double fill =
+                s.estimate.fills() * warmth / (warmth < 1 ? context.settings.slowStartDurationMicros() : recovers);
         if (warmth < 1) {
-            boolean first = !r.ask.returning() && r.attempts == 0;
-            return s.cold.allowsCold(f.cold, f.processes, fill, fleet.isHome(s), first, f.now, f::uniform);
+            boolean first = !r.ask.reconnecting() && r.attempts == 0;
+            return s.cold.allowsCold(
+                    context.slowStartRule,
+                    context.processCount,
+                    fill,
+                    endpoints.isHome(s),
+                    first,
+                    context.nowMicros,
+                    context::uniform);
         }
-        double part = ColdBudget.part(fleet.isHome(s), f.set.instances(), f.set.zones()) / f.processes;
-        return s.cold.allows(fill * part, f.set.tipAfter(), f.now, f::uniform);
+        double part =
+                ColdBudget.part(endpoints.isHome(s), context.settings.instanceCount(), context.settings.zoneCount())
+                        / context.processCount;
+        return s.cold.allows(fill * part, context.settings.overloadWindowMicros(), context.nowMicros, context::uniform);
     }
 
     /**
@@ -79,11 +89,11 @@
      * while it can bear that: not where servers are late, nor where relays outnumber them and see too little.
      */
     private boolean together() {
-        return Math.max(shedding.lateHome(), shedding.lateAway()) > TOGETHER_LATE || outnumbered();
+        return Math.max(shedder.lateHome(), shedder.lateAway()) > TOGETHER_LATE || outnumbered();
     }
 
     private boolean outnumbered() {
-        return f.set.instances() > f.set.zones() * fleet.home.length;
+        return context.settings.instanceCount() > context.settings.zoneCount() * endpoints.home.length;
     }
 
     /**
@@ -91,57 +101,59 @@
      * and no relay of many can know its size: over two places it is served whole, and what takes one takes
      * half. Each is paid for like some connections: while servers are replaced there is no room for a second.
      */
-    private long place(Request r) {
+    private long place(TrackedRequest r) {
         int passing = 0;
-        for (Server s : fleet.listed) {
-            passing += s.ready() && s.warmth(f) >= 1 ? 0 : 1;
+        for (ServerState s : endpoints.listedServers) {
+            passing += s.ready() && s.warmth(context) >= 1 ? 0 : 1;
         }
-        boolean one = !outnumbered() || passing > fleet.listed.length * FEW_PLACES;
+        boolean one = !outnumbered() || passing > endpoints.listedServers.length * FEW_PLACES;
         return one ? 0 : SeededRandom.mix(SeededRandom.hash(r.key)) >>> 63;
     }
 
     /** The server for this request. Null where none can take it. */
-    Server choose(Request r) {
-        long seed = r.ask.group() == null ? f.chance.next() : SeededRandom.hash(r.ask.group()) + place(r);
+    ServerState choose(TrackedRequest r) {
+        long seed = r.ask.group() == null ? context.random.next() : SeededRandom.hash(r.ask.group()) + place(r);
         survey.clear();
         double usable = 0;
-        for (Server s : fleet.home) {
-            usable += s.ready() && s.unmarked(f) ? s.rating * s.warmth(f) : 0;
+        for (ServerState s : endpoints.home) {
+            usable += s.ready() && s.unmarked(context) ? s.rating * s.warmth(context) : 0;
         }
-        Server best = null;
+        ServerState best = null;
         // spilled: what the zone has lost of its usual weight beyond the threshold, and a part as large as
         // the share of its servers that are late, unless those elsewhere are late too
-        double keep = fleet.homeWeight <= 0 ? 0 : usable / (fleet.homeWeight * SPILL_BELOW);
-        keep = Math.min(keep, 1 - Math.max(0, shedding.lateHome() - SPILL_LATE) * (1 - shedding.lateAway()));
+        double keep = endpoints.homeWeight <= 0 ? 0 : usable / (endpoints.homeWeight * SPILL_BELOW);
+        keep = Math.min(keep, 1 - Math.max(0, shedder.lateHome() - SPILL_LATE) * (1 - shedder.lateAway()));
         // and what the least used elsewhere is used less than the least used at home
-        keep = Math.min(keep, 1 - (room.least(fleet.home) - room.least(fleet.away) - USE_GAP) / USE_GAP);
+        keep = Math.min(
+                keep, 1 - (headroom.least(endpoints.home) - headroom.least(endpoints.away) - USE_GAP) / USE_GAP);
         // a site of one zone has nowhere to spill to: who was spilled all the same waited in vain
         if (r.ask.group() != null && together()) {
-            best = draw(r, fleet.listed, seed);
-        } else if (keep >= 1 || fleet.away.length == 0 || f.uniform() < keep) {
-            best = draw(r, fleet.home, seed);
+            best = draw(r, endpoints.listedServers, seed);
+        } else if (keep >= 1 || endpoints.away.length == 0 || context.uniform() < keep) {
+            best = draw(r, endpoints.home, seed);
         }
-        if (best == null || !survey.admits(r.ask.requestClass())) {
-            Server far = draw(r, fleet.away, seed);
+        if (best == null || !survey.admits(r.ask.classIndex())) {
+            ServerState far = draw(r, endpoints.away, seed);
             best = far != null ? far : best;
         }
-        return survey.admits(r.ask.requestClass()) ? best : null;
+        return survey.admits(r.ask.classIndex()) ? best : null;
     }
 
-    private Server draw(Request r, Server[] among, long seed) {
-        Server best = null;
+    private ServerState draw(TrackedRequest r, ServerState[] among, long seed) {
+        ServerState best = null;
         double top = Double.NEGATIVE_INFINITY;
-        for (Server s : among) {
-            if (!r.allowedAt(s) || !s.unmarked(f)) {
+        for (ServerState s : among) {
+            if (!r.allowedAt(s) || !s.unmarked(context)) {
                 continue;
             }
-            boolean over = Limits.reached(f.limits.server(), s.estimate.taken()) || !s.gate.open(f.now);
-            if (!survey.open(s.estimate, over, f.now)) {
+            boolean over =
+                    Limits.reached(context.limits.server(), s.estimate.taken()) || !s.gate.open(context.nowMicros);
+            if (!survey.open(s.estimate, over, context.nowMicros)) {
                 continue;
             }
             // no fallback to servers whose messages are late: what is added there serves nobody, and where
             // all are late, holding and refusing is what lets them recover
-            double room = this.room.room(s);
+            double room = this.headroom.room(s);
             if (room <= 0) {
                 continue;
             }
@@ -160,20 +172,20 @@
         return survey;
     }
 
-    private double score(Request r, Server s, double room, long seed) {
+    private double score(TrackedRequest r, ServerState s, double room, long seed) {
         double score = Math.log(SeededRandom.unit(SeededRandom.mix(seed ^ s.hash)));
-        score /= s.rating * ColdBudget.pull(s.warmth(f)) * (fleet.isHome(s) ? HOME_WEIGHT : 1);
+        score /= s.rating * ColdBudget.pull(s.warmth(context)) * (endpoints.isHome(s) ? HOME_WEIGHT : 1);
         // its own load here counts in mean connections: two heavy ones of one balancer part ways
-        double held = f.capacity.loadsKnown() ? s.estimate.held() / f.capacity.mean() : s.held.size();
-        held *= fleet.meanRating / s.rating;
+        double held = context.capacity.loadsKnown() ? s.estimate.held() / context.capacity.mean() : s.held.size();
+        held *= endpoints.meanRating / s.rating;
         if (r.ask.group() == null) {
             return score / room * (1 + held);
         }
         // where no loads are told, one that holds more than its part lets the next go to the place behind it
-        double most = BOUND * f.capacity.spread() * fleet.meanRating + BOUND_FEW;
-        boolean over = !f.capacity.loadsTold() && held > most;
+        double most = BOUND * context.capacity.spread() * endpoints.meanRating + BOUND_FEW;
+        boolean over = !context.capacity.loadsTold() && held > most;
         // where the group already stands it is paid for: before any other server
         score /= room * (over ? OVER_WEIGHT : s.groups.containsKey(r.ask.group()) ? HOLDER_WEIGHT : 1);
-        return score * (1 + USE_WEIGHT * this.room.use(s));
+        return score * (1 + USE_WEIGHT * this.headroom.use(s));
     }
 }
--- a/src/main/java/sandstack/decisions/Server.java
+++ b/src/main/java/sandstack/decisions/ServerState.java
@@ -5,11 +5,10 @@
 import sandstack.capacity.ColdBudget;
 import sandstack.capacity.Estimate;
 import sandstack.capacity.Gate;
-import sandstack.decisions.Decisions.Phase;
 import sandstack.random.SeededRandom;
 
 /** What this instance knows of one server; its health marks are here too. One thread; all calls O(1). */
-final class Server {
+final class ServerState {
     private static final int MAX_MARK = 3;
 
     final String id;
@@ -18,7 +17,7 @@
     int cell;
     double rating = 1;
     long startedAt;
-    Phase phase = Phase.GONE;
+    EndpointState phase = EndpointState.GONE;
     long leavingSince;
 
     int fails;
@@ -39,33 +38,33 @@
     int moveN;
     long moveStart;
     long moveEnd;
-    final Map<String, Request> held = new LinkedHashMap<>();
+    final Map<String, TrackedRequest> held = new LinkedHashMap<>();
     final Map<String, Integer> groups = new LinkedHashMap<>();
 
-    Server(String id, Frame f) {
+    ServerState(String id, BalancerContext context) {
         this.id = id;
         this.hash = SeededRandom.hash(id);
-        this.estimate = f.capacity.unknown();
-        this.gate = new Gate(f.limits.setups(), f.now);
+        this.estimate = context.capacity.unknown();
+        this.gate = new Gate(context.limits.setups(), context.nowMicros);
     }
 
     boolean ready() {
-        return phase == Phase.READY;
+        return phase == EndpointState.READY;
     }
 
-    void mark(Frame f) {
+    void mark(BalancerContext context) {
         fails = Math.min(fails + 1, MAX_MARK);
-        markedUntil = f.now + (f.markSlot << fails >> 1);
+        markedUntil = context.nowMicros + (context.ejectionUnitMicros << fails >> 1);
     }
 
     /**
      * An error may be the request's own fault: some err wherever they go, and marks for that emptied the
      * fleet. The server is at fault once it errs on another group too, or once another serves the request.
      */
-    void erred(Request r, Frame f) {
+    void erred(TrackedRequest r, BalancerContext context) {
         String what = r.ask.group() != null ? r.ask.group() : r.key;
         if (erredOn != null && !erredOn.equals(what)) {
-            mark(f);
+            mark(context);
         }
         erredOn = what;
         r.erred(this);
@@ -78,30 +77,30 @@
     }
 
     /** A mark that has run out ends by one trial, not by a crowd. */
-    boolean unmarked(Frame f) {
-        return fails == 0 || (f.now >= markedUntil && !trialOut);
+    boolean unmarked(BalancerContext context) {
+        return fails == 0 || (context.nowMicros >= markedUntil && !trialOut);
     }
 
     /**
      * A mark that has run out says nothing any more, though no trial has come to clear it: counted on, it
      * kept a balancer shedding after the trouble had passed.
      */
-    boolean marked(Frame f) {
-        return fails > 0 && f.now < markedUntil;
+    boolean marked(BalancerContext context) {
+        return fails > 0 && context.nowMicros < markedUntil;
     }
 
     /** The part of its capacity that it has by now: 1 when it is warm. */
-    double warmth(Frame f) {
-        return f.set.warmth(startedAt, f.now);
+    double warmth(BalancerContext context) {
+        return context.settings.slowStartFraction(startedAt, context.nowMicros);
     }
 
     /** A fresh process: what was known of the old one says nothing, and it is cold. */
-    void restarted(long at, Frame f) {
+    void restarted(long at, BalancerContext context) {
         startedAt = at;
         fails = 0;
         markedUntil = 0;
         delay = 0;
         estimate.restarted();
-        cold.restarted(f.now);
+        cold.restarted(context.nowMicros);
     }
 }
--- a/src/main/java/sandstack/decisions/Request.java
+++ b/src/main/java/sandstack/decisions/TrackedRequest.java
@@ -2,14 +2,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sandstack.decisions.Decisions.ConnectRequest;
-import sandstack.decisions.Decisions.Repeat;
-import sandstack.decisions.Decisions.RequestClass;
-import sandstack.decisions.Decisions.Scope;
-import sandstack.decisions.Decisions.Settings;
+import sandstack.decisions.BalancerEvent.ConnectRequested;
 
 /** One client connection, from its arrival to its end. */
-final class Request {
+final class TrackedRequest {
     /** Whether it is held here, out at a server as an attempt, or open. */
     enum State {
         HELD,
@@ -17,13 +13,13 @@
         OPEN
     }
 
-    final ConnectRequest ask;
+    final ConnectRequested ask;
     final RequestClass cls;
     final String key;
     private final int most;
     State state = State.HELD;
     int attempts;
-    Server at;
+    ServerState at;
     double load;
     /** What it is taken for while it stands: its load, or what its class tells; 0 where neither is known. */
     double weight;
@@ -32,26 +28,26 @@
     long openedAt;
     double moveDraw = -1;
     /** Servers that gave it an error. */
-    List<Server> erredAt = List.of();
+    List<ServerState> erredAt = List.of();
     // keyed and unsafe classes: the first attempt that may have run
-    Server mayHaveRunAt;
+    ServerState mayHaveRunAt;
     long mayHaveRunSince;
     long sentAt;
 
-    Request(ConnectRequest ask, Settings set) {
+    TrackedRequest(ConnectRequested ask, BalancerSettings set) {
         this.ask = ask;
-        this.cls = set.classes().get(ask.requestClass());
+        this.cls = set.classes().get(ask.classIndex());
         this.most = set.maxAttempts();
-        this.key = ask.clientKey() == null ? ask.id() : ask.clientKey();
-        this.load = ask.load();
+        this.key = ask.clientKey() == null ? ask.requestId() : ask.clientKey();
+        this.load = ask.expectedLoad();
     }
 
     /** Attempts that it still has: those allowed when it came may be fewer by now, but never more. */
-    int left(Settings set) {
+    int left(BalancerSettings set) {
         return Math.min(most, set.maxAttempts()) - attempts;
     }
 
-    void erred(Server s) {
+    void erred(ServerState s) {
         erredAt = new ArrayList<>(erredAt);
         erredAt.add(s);
     }
@@ -59,23 +55,24 @@
     /** Whether one more attempt can do no effect twice. */
     boolean mayRepeat(long now) {
         return mayHaveRunAt == null
-                || cls.repeat() == Repeat.SAFE
-                || (cls.repeat() == Repeat.KEYED && now - mayHaveRunSince < cls.window());
+                || cls.idempotency() == Idempotency.IDEMPOTENT
+                || (cls.idempotency() == Idempotency.WITH_KEY
+                        && now - mayHaveRunSince < cls.deduplicationWindowMicros());
     }
 
     boolean mayBeRefused() {
         return mayHaveRunAt == null
-                || cls.repeat() == Repeat.SAFE
-                || (cls.repeat() == Repeat.KEYED && cls.scope() == Scope.ALL);
+                || cls.idempotency() == Idempotency.IDEMPOTENT
+                || (cls.idempotency() == Idempotency.WITH_KEY && cls.deduplicationScope() == DeduplicationScope.ALL);
     }
 
     /** Whether an attempt there can do no effect twice, and the server did not err on it. */
-    boolean allowedAt(Server s) {
+    boolean allowedAt(ServerState s) {
         if (!s.ready() || erredAt.contains(s)) {
             return false;
         }
-        Server ran = mayHaveRunAt;
-        boolean anywhere = ran == null || cls.repeat() == Repeat.SAFE;
-        return anywhere || cls.scope().covers(ran.zone, ran.cell, s.zone, s.cell);
+        ServerState ran = mayHaveRunAt;
+        boolean anywhere = ran == null || cls.idempotency() == Idempotency.IDEMPOTENT;
+        return anywhere || cls.deduplicationScope().covers(ran.zone, ran.cell, s.zone, s.cell);
     }
 }
--- a/src/main/java/sandstack/front/platform/PlatformFront.java
+++ b/src/main/java/sandstack/front/platform/PlatformFront.java
@@ -68,7 +68,7 @@
 
     /** A feed server has told this figure of a standing execution. */
     void loadTold(Execution execution, double told) {
-        if (loadLines.isDelay(execution.server().entry().server(), told, now())) {
+        if (loadLines.isDelay(execution.server().entry().serverId(), told, now())) {
             execution.delay(told * 1000);
         } else {
             execution.load(told);
--- a/src/main/java/sandstack/measure/scale/DecisionDriver.java
+++ b/src/main/java/sandstack/measure/scale/DecisionDriver.java
@@ -4,23 +4,23 @@
 import java.util.List;
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
-import sandstack.decisions.Brain;
-import sandstack.decisions.Decisions.Action;
-import sandstack.decisions.Decisions.Attempt;
-import sandstack.decisions.Decisions.AttemptEnded;
-import sandstack.decisions.Decisions.ConnectRequest;
-import sandstack.decisions.Decisions.Established;
-import sandstack.decisions.Decisions.ListKind;
-import sandstack.decisions.Decisions.Outcome;
-import sandstack.decisions.Decisions.Phase;
-import sandstack.decisions.Decisions.Repeat;
-import sandstack.decisions.Decisions.RequestClass;
-import sandstack.decisions.Decisions.Scope;
-import sandstack.decisions.Decisions.ServerEntry;
-import sandstack.decisions.Decisions.ServerList;
-import sandstack.decisions.Decisions.Settings;
-import sandstack.decisions.Decisions.TimerDue;
-import sandstack.settings.SettingsBuilder;
+import sandstack.decisions.AttemptOutcome;
+import sandstack.decisions.BalancerAction;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerEvent.AttemptEnded;
+import sandstack.decisions.BalancerEvent.ConnectRequested;
+import sandstack.decisions.BalancerEvent.ConnectionEstablished;
+import sandstack.decisions.BalancerEvent.EndpointListUpdate;
+import sandstack.decisions.BalancerEvent.TimerExpired;
+import sandstack.decisions.BalancerSettings;
+import sandstack.decisions.DeduplicationScope;
+import sandstack.decisions.EndpointEntry;
+import sandstack.decisions.EndpointListKind;
+import sandstack.decisions.EndpointState;
+import sandstack.decisions.Idempotency;
+import sandstack.decisions.LoadBalancer;
+import sandstack.decisions.RequestClass;
+import sandstack.settings.BalancerSettingsBuilder;
 
 /**
  * Drives one decision module as a relay does: each connection asks, is placed, stands and ends. No I/O and no clock of
@@ -44,8 +44,8 @@
     private static final long NO_TIMER = Long.MAX_VALUE;
     private static final long SEED = 7;
 
-    private final Brain brain;
-    private final List<ServerEntry> list = new ArrayList<>();
+    private final LoadBalancer brain;
+    private final List<EndpointEntry> list = new ArrayList<>();
     private long now = 1_000_000_000;
     private long asked;
     private int standing;
@@ -55,36 +55,39 @@
 
     /** With a list of so many servers that the module has been told. */
     DecisionDriver(int servers) {
-        brain = new Brain(settings(), Stated.Book.EMPTY, Limits.NONE, SEED, now);
+        brain = new LoadBalancer(settings(), Stated.Book.EMPTY, Limits.NONE, SEED, now);
         for (int i = 0; i < servers; i++) {
-            list.add(new ServerEntry("s" + i, i % ZONES, i / SERVERS_IN_CELL, i % MACHINE_KINDS, 0, Phase.READY, 1));
+            list.add(new EndpointEntry(
+                    "s" + i, i % ZONES, i / SERVERS_IN_CELL, i % MACHINE_KINDS, 0, EndpointState.READY, 1));
         }
         tellWholeList();
     }
 
-    static Settings settings() {
-        RequestClass usual = new RequestClass(500_000, LONG_DEADLINE, 5, Repeat.SAFE, Scope.ALL, 0, 150_000);
-        RequestClass tight = new RequestClass(300_000, SHORTEST_DEADLINE, 5, Repeat.SAFE, Scope.ALL, 0, 150_000);
-        return SettingsBuilder.of(List.of(usual, tight))
-                .instances(RELAYS)
-                .zones(ZONES)
+    static BalancerSettings settings() {
+        RequestClass usual =
+                new RequestClass(500_000, LONG_DEADLINE, 5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 150_000);
+        RequestClass tight = new RequestClass(
+                300_000, SHORTEST_DEADLINE, 5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 150_000);
+        return BalancerSettingsBuilder.of(List.of(usual, tight))
+                .instanceCount(RELAYS)
+                .zoneCount(ZONES)
                 .sharedGroups(true)
-                .listOnRequest(true)
-                .askWithin(ASK_WITHIN)
-                .connectTimeout(100_000)
-                .retryAfter(true)
-                .maxRetryAfter(1_500_000)
-                .crossZonePrice(0.1)
-                .movePrice(0.012)
-                .drainGrace(300_000)
-                .coldFrom(0.13)
-                .warmAfter(23_000_000)
-                .tipMultiple(3)
-                .tipAfter(1_500_000)
+                .endpointListPolled(true)
+                .pollIntervalMicros(ASK_WITHIN)
+                .connectTimeoutMicros(100_000)
+                .retryAfterHonored(true)
+                .maxRetryAfterMicros(1_500_000)
+                .crossZoneCost(0.1)
+                .migrationCost(0.012)
+                .drainGraceMicros(300_000)
+                .slowStartInitialFraction(0.13)
+                .slowStartDurationMicros(23_000_000)
+                .overloadMultiple(3)
+                .overloadWindowMicros(1_500_000)
                 .build();
     }
 
-    Brain brain() {
+    LoadBalancer brain() {
         return brain;
     }
 
@@ -109,39 +112,39 @@
         String id = "r" + ++asked;
         String group = "g" + asked / CONNECTIONS_IN_GROUP;
         long deadline = now + LONG_DEADLINE;
-        ConnectRequest request =
-                new ConnectRequest(id, (int) (asked % 2), 0, "k" + asked, group, deadline, 0, false, false);
-        Attempt attempt = null;
-        for (Action action : brain.on(request, now)) {
-            attempt = action instanceof Attempt a ? a : attempt;
+        ConnectRequested request =
+                new ConnectRequested(id, (int) (asked % 2), 0, "k" + asked, group, deadline, 0, false, false);
+        StartAttempt attempt = null;
+        for (BalancerAction action : brain.handle(request, now)) {
+            attempt = action instanceof StartAttempt a ? a : attempt;
         }
         if (attempt == null) {
             throw new IllegalStateException("connection " + asked + " was not placed");
         }
-        brain.on(new Established(id, 0, attempt.server(), SETUP_TOOK), now);
+        brain.handle(new ConnectionEstablished(id, 0, attempt.serverId(), SETUP_TOOK), now);
         standing++;
-        return new Placed(id, attempt.server());
+        return new Placed(id, attempt.serverId());
     }
 
     /** One that stands is served to its end. */
     void end(Placed placed) {
-        brain.on(new AttemptEnded(placed.id(), 0, placed.server(), Outcome.OK, true, SETUP_TOOK, null), now);
+        brain.handle(new AttemptEnded(placed.id(), 0, placed.server(), AttemptOutcome.OK, true, SETUP_TOOK, null), now);
         standing--;
     }
 
     /** The whole list comes, with nothing new in it. */
     void tellWholeList() {
-        brain.on(new ServerList(ListKind.FULL, list), now);
+        brain.handle(new EndpointListUpdate(EndpointListKind.FULL, list), now);
     }
 
     /** One server is told to have changed. */
     void tellChange(int server) {
-        brain.on(new ServerList(ListKind.CHANGES, List.of(list.get(server))), now);
+        brain.handle(new EndpointListUpdate(EndpointListKind.DELTA, List.of(list.get(server))), now);
     }
 
     /** Lets the time pass after which the module looks at all servers and connections, and has it look. */
     void look() {
         now += LOOK_MICROS;
-        brain.on(new TimerDue(NO_TIMER), now);
+        brain.handle(new TimerExpired(NO_TIMER), now);
     }
 }
--- a/src/test/java/sandstack/config/PlatformConfigTest.java
+++ b/src/test/java/sandstack/config/PlatformConfigTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sandstack.decisions.Decisions.ListKind;
-import sandstack.decisions.Decisions.Phase;
+import sandstack.decisions.EndpointListKind;
+import sandstack.decisions.EndpointState;
 
 /** The platform's configuration and the variables that come before it. */
 class PlatformConfigTest {
@@ -33,11 +33,11 @@
         PlatformConfig config = load(Files.readString(EXAMPLE));
         assertThat(config.terms().classes()).containsExactly("order-status", "catalogue-feed", "stock-check");
         assertThat(config.terms().settings().maxAttempts()).isEqualTo(6);
-        assertThat(config.known().kind()).isEqualTo(ListKind.SAVED);
+        assertThat(config.known().kind()).isEqualTo(EndpointListKind.CACHED);
         assertThat(config.known().lines())
                 .hasSize(2)
-                .allMatch(line ->
-                        line.entry().phase() == Phase.READY && line.entry().zone() == 0);
+                .allMatch(line -> line.entry().state() == EndpointState.READY
+                        && line.entry().zone() == 0);
     }
 
     @Test
--- a/src/test/java/sandstack/console/ConsoleTest.java
+++ b/src/test/java/sandstack/console/ConsoleTest.java
@@ -18,13 +18,13 @@
 import sandstack.core.Relay;
 import sandstack.core.ServiceClient;
 import sandstack.core.Tenants;
-import sandstack.decisions.Decisions.ListKind;
-import sandstack.decisions.Decisions.Phase;
-import sandstack.decisions.Decisions.Repeat;
-import sandstack.decisions.Decisions.RequestClass;
-import sandstack.decisions.Decisions.Scope;
-import sandstack.decisions.Decisions.ServerEntry;
-import sandstack.settings.SettingsBuilder;
+import sandstack.decisions.DeduplicationScope;
+import sandstack.decisions.EndpointEntry;
+import sandstack.decisions.EndpointListKind;
+import sandstack.decisions.EndpointState;
+import sandstack.decisions.Idempotency;
+import sandstack.decisions.RequestClass;
+import sandstack.settings.BalancerSettingsBuilder;
 
 /** The console without a terminal: a command a line in, its answer out. */
 class ConsoleTest {
@@ -49,9 +49,10 @@
     private final long[] now = {1_000_000};
     private final AtomicBoolean drained = new AtomicBoolean();
     private final Relay relay = new Relay(
-            SettingsBuilder.of(List.of(new RequestClass(300_000, 2_000_000, 1, Repeat.SAFE, Scope.ALL, 0, 0)))
-                    .connectTimeout(100_000)
-                    .tipMultiple(3)
+            BalancerSettingsBuilder.of(List.of(new RequestClass(
+                            300_000, 2_000_000, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 0)))
+                    .connectTimeoutMicros(100_000)
+                    .overloadMultiple(3)
                     .build(),
             1,
             () -> now[0],
@@ -73,9 +74,10 @@
     @Test
     void showsWhatTheRelayHolds() throws Exception {
         relay.listed(new NameTable.News(
-                ListKind.FULL,
+                EndpointListKind.FULL,
                 7,
-                List.of(new NameTable.Line(new ServerEntry("s1", 0, 0, 0, 0, Phase.READY, 1), "127.0.0.1", 80))));
+                List.of(new NameTable.Line(
+                        new EndpointEntry("s1", 0, 0, 0, 0, EndpointState.READY, 1), "127.0.0.1", 80))));
         relay.tenantsListed(List.of(new Tenants.Entry("gobi", 0.25, 40)));
         ServiceClient client = new Standing();
         relay.take(client, new ClientRequest("k", 0, 0, null, 1_000_000, 0, false, null));
--- a/src/test/java/sandstack/core/ExecutionTest.java
+++ b/src/test/java/sandstack/core/ExecutionTest.java
@@ -7,14 +7,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sandstack.decisions.Decisions.ListKind;
-import sandstack.decisions.Decisions.Phase;
-import sandstack.decisions.Decisions.Repeat;
-import sandstack.decisions.Decisions.RequestClass;
-import sandstack.decisions.Decisions.Scope;
-import sandstack.decisions.Decisions.ServerEntry;
-import sandstack.decisions.Decisions.Settings;
-import sandstack.settings.SettingsBuilder;
+import sandstack.decisions.BalancerSettings;
+import sandstack.decisions.DeduplicationScope;
+import sandstack.decisions.EndpointEntry;
+import sandstack.decisions.EndpointListKind;
+import sandstack.decisions.EndpointState;
+import sandstack.decisions.Idempotency;
+import sandstack.decisions.RequestClass;
+import sandstack.settings.BalancerSettingsBuilder;
 
 /** Executions on a clock that the test moves. */
 class ExecutionTest {
@@ -25,11 +25,12 @@
     private int moved;
     private final Relay relay = new Relay(settings(2_000_000), 1, () -> now, () -> {});
 
-    private static Settings settings(long deadline) {
-        return SettingsBuilder.of(List.of(new RequestClass(300_000, deadline, 1, Repeat.SAFE, Scope.ALL, 0, 0)))
-                .connectTimeout(100_000)
-                .maxRetryAfter(1_000_000)
-                .tipMultiple(3)
+    private static BalancerSettings settings(long deadline) {
+        return BalancerSettingsBuilder.of(List.of(
+                        new RequestClass(300_000, deadline, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 0)))
+                .connectTimeoutMicros(100_000)
+                .maxRetryAfterMicros(1_000_000)
+                .overloadMultiple(3)
                 .build();
     }
 
@@ -75,9 +76,10 @@
 
     private Execution begin() {
         relay.listed(new NameTable.News(
-                ListKind.FULL,
+                EndpointListKind.FULL,
                 1,
-                List.of(new NameTable.Line(new ServerEntry("s1", 0, 0, 0, 0, Phase.READY, 1), "127.0.0.1", 80))));
+                List.of(new NameTable.Line(
+                        new EndpointEntry("s1", 0, 0, 0, 0, EndpointState.READY, 1), "127.0.0.1", 80))));
         relay.take(new Counting(), new ClientRequest("k", 0, 0, null, 1_000_000, 0, false, null));
         relay.turn();
         return begun.get(0);
@@ -113,9 +115,10 @@
     void aWayThatComesUpToADrainingServerIsGivenUpUnsent() {
         Execution execution = begin();
         relay.listed(new NameTable.News(
-                ListKind.CHANGES,
+                EndpointListKind.DELTA,
                 2,
-                List.of(new NameTable.Line(new ServerEntry("s1", 0, 0, 0, 0, Phase.DRAINING, 1), "127.0.0.1", 80))));
+                List.of(new NameTable.Line(
+                        new EndpointEntry("s1", 0, 0, 0, 0, EndpointState.DRAINING, 1), "127.0.0.1", 80))));
         assertThat(execution.connected()).isFalse();
         assertThat(execution.over()).isTrue();
         assertThat(abandoned).isEqualTo(1);
@@ -127,9 +130,10 @@
     void aWayThatComesUpToAServerThatAWholeListLeavesOutIsGivenUpUnsent() {
         Execution execution = begin();
         relay.listed(new NameTable.News(
-                ListKind.FULL,
+                EndpointListKind.FULL,
                 9,
-                List.of(new NameTable.Line(new ServerEntry("s2", 0, 0, 0, 0, Phase.READY, 1), "127.0.0.1", 81))));
+                List.of(new NameTable.Line(
+                        new EndpointEntry("s2", 0, 0, 0, 0, EndpointState.READY, 1), "127.0.0.1", 81))));
         assertThat(execution.connected()).isFalse();
         assertThat(abandoned).isEqualTo(1);
         assertThat(relay.endings()).containsOnlyKeys(ConnectionOutcome.NEVER_SENT);
@@ -236,10 +240,10 @@
     void aServerThatSendsAClientAwayDrainsUntilDiscoveryTellsOrTimePasses() {
         begin().up();
         begun.get(0).ended(ConnectionOutcome.SENT_AWAY);
-        assertThat(relay.names().get("s1").entry().phase()).isEqualTo(Phase.DRAINING);
+        assertThat(relay.names().get("s1").entry().state()).isEqualTo(EndpointState.DRAINING);
         now += 10_000_000;
         relay.turn();
-        assertThat(relay.names().get("s1").entry().phase()).isEqualTo(Phase.READY);
+        assertThat(relay.names().get("s1").entry().state()).isEqualTo(EndpointState.READY);
     }
 
     /** The first ending counts: a front that reports a second one changes nothing. */
--- a/src/test/java/sandstack/decisions/ActionDigest.java
+++ b/src/test/java/sandstack/decisions/ActionDigest.java
@@ -8,19 +8,18 @@
 import java.util.Map;
 import java.util.TreeMap;
 import sandstack.capacity.Cause;
-import sandstack.decisions.Decisions.ActionHandler;
-import sandstack.decisions.Decisions.Attempt;
-import sandstack.decisions.Decisions.Fail;
-import sandstack.decisions.Decisions.Refuse;
-import sandstack.decisions.Decisions.Relocate;
-import sandstack.decisions.Decisions.SetTimer;
-import sandstack.decisions.Decisions.WatchServers;
+import sandstack.decisions.BalancerAction.Fail;
+import sandstack.decisions.BalancerAction.Migrate;
+import sandstack.decisions.BalancerAction.Reject;
+import sandstack.decisions.BalancerAction.SetTimer;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerAction.WatchEndpointList;
 
 /**
  * Running SHA-256 over the values of actions. Every action is written with a code and a layout of this class, so
  * that the digest depends on no name of a type, component or constant. Counts the codes as well. One thread.
  */
-final class ActionDigest implements ActionHandler<RuntimeException> {
+final class ActionDigest implements BalancerAction.Handler<RuntimeException> {
     private static final int SHORT_BYTES = 8;
 
     private final MessageDigest digest;
@@ -73,19 +72,19 @@
     }
 
     @Override
-    public void attempt(Attempt action) {
+    public void startAttempt(StartAttempt action) {
         code('A');
-        text(action.id());
-        text(action.server());
-        number(action.timeout());
+        text(action.requestId());
+        text(action.serverId());
+        number(action.timeoutMicros());
     }
 
     @Override
-    public void refuse(Refuse action) {
+    public void reject(Reject action) {
         code('R');
-        text(action.id());
-        number(action.retryAfter());
-        int cause = codeOf(action.cause());
+        text(action.requestId());
+        number(action.retryAfterMicros());
+        int cause = codeOf(action.reason());
         number(cause);
         count("cause " + cause);
     }
@@ -93,24 +92,24 @@
     @Override
     public void fail(Fail action) {
         code('F');
-        text(action.id());
+        text(action.requestId());
     }
 
     @Override
-    public void relocate(Relocate action) {
+    public void migrate(Migrate action) {
         code('M');
-        text(action.id());
+        text(action.requestId());
     }
 
     @Override
     public void setTimer(SetTimer action) {
         code('T');
-        number(action.after());
+        number(action.delayMicros());
         number(action.token());
     }
 
     @Override
-    public void watchServers(WatchServers action) {
+    public void watchEndpointList(WatchEndpointList action) {
         code('W');
     }
 
--- a/src/test/java/sandstack/decisions/ActionText.java
+++ b/src/test/java/sandstack/decisions/ActionText.java
@@ -1,55 +1,55 @@
 package sandstack.decisions;
 
-import sandstack.decisions.Decisions.Action;
-import sandstack.decisions.Decisions.ActionHandler;
-import sandstack.decisions.Decisions.Attempt;
-import sandstack.decisions.Decisions.Fail;
-import sandstack.decisions.Decisions.Refuse;
-import sandstack.decisions.Decisions.Relocate;
-import sandstack.decisions.Decisions.SetTimer;
-import sandstack.decisions.Decisions.WatchServers;
+import sandstack.decisions.BalancerAction.Fail;
+import sandstack.decisions.BalancerAction.Migrate;
+import sandstack.decisions.BalancerAction.Reject;
+import sandstack.decisions.BalancerAction.SetTimer;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerAction.WatchEndpointList;
 
 /**
  * Writes an action as the records of commit 9af99ae did by themselves. Stored digests are over that text, so it does not
  * follow renamed types or components.
  */
-final class ActionText implements ActionHandler<RuntimeException> {
+final class ActionText implements BalancerAction.Handler<RuntimeException> {
     private String text;
 
     /** The text of one action. */
-    static String of(Action action) {
+    static String of(BalancerAction action) {
         ActionText writer = new ActionText();
         action.dispatch(writer);
         return writer.text;
     }
 
     @Override
-    public void attempt(Attempt action) {
-        text = "Attempt[id=" + action.id() + ", server=" + action.server() + ", timeout=" + action.timeout() + "]";
+    public void startAttempt(StartAttempt action) {
+        text = "Attempt[id=" + action.requestId() + ", server=" + action.serverId() + ", timeout="
+                + action.timeoutMicros() + "]";
     }
 
     @Override
-    public void refuse(Refuse action) {
-        text = "Refuse[id=" + action.id() + ", retryAfter=" + action.retryAfter() + ", cause=" + action.cause() + "]";
+    public void reject(Reject action) {
+        text = "Refuse[id=" + action.requestId() + ", retryAfter=" + action.retryAfterMicros() + ", cause="
+                + action.reason() + "]";
     }
 
     @Override
     public void fail(Fail action) {
-        text = "Fail[id=" + action.id() + "]";
+        text = "Fail[id=" + action.requestId() + "]";
     }
 
     @Override
-    public void relocate(Relocate action) {
-        text = "Relocate[id=" + action.id() + "]";
+    public void migrate(Migrate action) {
+        text = "Relocate[id=" + action.requestId() + "]";
     }
 
     @Override
     public void setTimer(SetTimer action) {
-        text = "SetTimer[after=" + action.after() + ", token=" + action.token() + "]";
+        text = "SetTimer[after=" + action.delayMicros() + ", token=" + action.token() + "]";
     }
 
     @Override
-    public void watchServers(WatchServers action) {
+    public void watchEndpointList(WatchEndpointList action) {
         text = "WatchServers[]";
     }
 }
--- a/src/test/java/sandstack/decisions/CapacityInTheModuleTest.java
+++ b/src/test/java/sandstack/decisions/CapacityInTheModuleTest.java
@@ -11,14 +11,13 @@
 import sandstack.capacity.Cause;
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
-import sandstack.decisions.Decisions.Attempt;
-import sandstack.decisions.Decisions.AttemptEnded;
-import sandstack.decisions.Decisions.ClientGone;
-import sandstack.decisions.Decisions.ConnectRequest;
-import sandstack.decisions.Decisions.Established;
-import sandstack.decisions.Decisions.LoadChanged;
-import sandstack.decisions.Decisions.Outcome;
-import sandstack.decisions.Decisions.Refuse;
+import sandstack.decisions.BalancerAction.Reject;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerEvent.AttemptEnded;
+import sandstack.decisions.BalancerEvent.ClientDisconnected;
+import sandstack.decisions.BalancerEvent.ConnectRequested;
+import sandstack.decisions.BalancerEvent.ConnectionEstablished;
+import sandstack.decisions.BalancerEvent.LoadReported;
 
 /** What the module makes of the evidence of its servers and of the limits of an installation. */
 class CapacityInTheModuleTest {
@@ -29,12 +28,12 @@
     }
 
     /** A client comes, and its connection stands; null where it was refused. */
-    private static Attempt stand(Rig rig, String id, int requestClass, String group) {
+    private static StartAttempt stand(Rig rig, String id, int requestClass, String group) {
         rig.now += 1_000;
-        rig.send(new ConnectRequest(id, requestClass, 0, id, group, rig.now + Rig.DEADLINE, 0, false, false));
-        Attempt a = rig.attempts.get(id);
+        rig.send(new ConnectRequested(id, requestClass, 0, id, group, rig.now + Rig.DEADLINE, 0, false, false));
+        StartAttempt a = rig.attempts.get(id);
         if (a != null) {
-            rig.send(new Established(id, 0, a.server(), 500));
+            rig.send(new ConnectionEstablished(id, 0, a.serverId(), 500));
         }
         return a;
     }
@@ -45,19 +44,19 @@
         for (int i = 0; !full.containsAll(servers); i++) {
             String id = "full" + i;
             rig.now += 1_000;
-            rig.send(new ConnectRequest(id, 0, 0, id, "f" + i, rig.now + Rig.DEADLINE, 0, false, false));
-            Attempt a = rig.attempts.get(id);
+            rig.send(new ConnectRequested(id, 0, 0, id, "f" + i, rig.now + Rig.DEADLINE, 0, false, false));
+            StartAttempt a = rig.attempts.get(id);
             if (a != null) {
-                full.add(a.server());
-                rig.send(new AttemptEnded(id, 0, a.server(), Outcome.FULL, false, 300, null));
-                rig.send(new ClientGone(id));
+                full.add(a.serverId());
+                rig.send(new AttemptEnded(id, 0, a.serverId(), AttemptOutcome.REJECTED, false, 300, null));
+                rig.send(new ClientDisconnected(id));
             }
         }
     }
 
-    private static List<Refuse> refusals(Rig rig) {
+    private static List<Reject> refusals(Rig rig) {
         return rig.log.stream()
-                .flatMap(a -> a instanceof Refuse r ? Stream.of(r) : Stream.empty())
+                .flatMap(a -> a instanceof Reject r ? Stream.of(r) : Stream.empty())
                 .toList();
     }
 
@@ -82,19 +81,21 @@
         for (int i = 0; i < 40; i++) {
             rig.now += 100;
             String id = "late" + i;
-            rig.send(new ConnectRequest(id, 0, 0, id, "h" + i, rig.now + Rig.DEADLINE, 0, false, false));
-            Attempt a = rig.attempts.get(id);
+            rig.send(new ConnectRequested(id, 0, 0, id, "h" + i, rig.now + Rig.DEADLINE, 0, false, false));
+            StartAttempt a = rig.attempts.get(id);
             if (a != null) {
-                rig.send(new AttemptEnded(id, 0, a.server(), Outcome.FULL, false, 300, null));
+                rig.send(new AttemptEnded(id, 0, a.serverId(), AttemptOutcome.REJECTED, false, 300, null));
             }
             late.add(id);
         }
         assertThat(rig.answered).as("answered without any time passing").containsAll(late);
-        assertThat(refusals(rig)).hasSize(before + 40).allMatch(r -> r.cause() == Cause.FULL && r.retryAfter() > 0);
+        assertThat(refusals(rig))
+                .hasSize(before + 40)
+                .allMatch(r -> r.reason() == Cause.FULL && r.retryAfterMicros() > 0);
         long tried = late.stream().filter(rig.attempts::containsKey).count();
         assertThat(tried).as("one look at each server was enough").isLessThanOrEqualTo(6);
         // and one that leaves makes room for one
-        rig.send(new AttemptEnded("r0", 0, rig.attempts.get("r0").server(), Outcome.OK, true, 1, null));
+        rig.send(new AttemptEnded("r0", 0, rig.attempts.get("r0").serverId(), AttemptOutcome.OK, true, 1, null));
         rig.now += 2 * Rig.DEADLINE;
         assertThat(stand(rig, "next", 0, "g0")).isNotNull();
     }
@@ -106,9 +107,9 @@
             stand(rig, "r" + i, 0, "g" + i);
         }
         fill(rig, List.of("s0", "s1"));
-        rig.send(new AttemptEnded("r0", 0, rig.attempts.get("r0").server(), Outcome.OK, true, 1, null));
+        rig.send(new AttemptEnded("r0", 0, rig.attempts.get("r0").serverId(), AttemptOutcome.OK, true, 1, null));
         assertThat(stand(rig, "light", 1, "x")).isNull();
-        assertThat(refusals(rig).get(refusals(rig).size() - 1).cause()).isEqualTo(Cause.RESERVED);
+        assertThat(refusals(rig).get(refusals(rig).size() - 1).reason()).isEqualTo(Cause.RESERVED);
         assertThat(stand(rig, "worthy", 0, "x")).isNotNull();
     }
 
@@ -118,17 +119,17 @@
         for (int i = 0; i < 8; i++) {
             stand(relay, "r" + i, 0, null);
         }
-        assertThat(refusals(relay)).hasSize(3).allMatch(r -> r.cause() == Cause.RELAY_LIMIT);
+        assertThat(refusals(relay)).hasSize(3).allMatch(r -> r.reason() == Cause.RELAY_LIMIT);
         Rig group = rig(new Limits(0, 0, 2, 0), 2);
         for (int i = 0; i < 8; i++) {
             stand(group, "r" + i, 0, i < 4 ? "one" : "g" + i);
         }
-        assertThat(refusals(group)).hasSize(2).allMatch(r -> r.cause() == Cause.GROUP_LIMIT);
+        assertThat(refusals(group)).hasSize(2).allMatch(r -> r.reason() == Cause.GROUP_LIMIT);
         Rig server = rig(new Limits(0, 3, 0, 0), 2);
         for (int i = 0; i < 8; i++) {
             stand(server, "r" + i, 0, null);
         }
-        assertThat(refusals(server)).hasSize(2).allMatch(r -> r.cause() == Cause.SERVER_LIMIT);
+        assertThat(refusals(server)).hasSize(2).allMatch(r -> r.reason() == Cause.SERVER_LIMIT);
         Rig pace = rig(new Limits(0, 0, 0, 10), 2);
         for (int i = 0; i < 50; i++) {
             stand(pace, "r" + i, 0, null);
@@ -136,16 +137,16 @@
         assertThat(refusals(pace))
                 .as("50 in 50 ms, of 10 a second each")
                 .hasSizeGreaterThan(45)
-                .allMatch(r -> r.cause() == Cause.SERVER_LIMIT);
+                .allMatch(r -> r.reason() == Cause.SERVER_LIMIT);
     }
 
     @Test
     void loadsThatMakeNoSenseChangeNothing() {
         Rig rig = new Rig(Rig.settings().build(), 4);
         rig.list(2, 1);
-        Attempt a = stand(rig, "r", 0, null);
+        StartAttempt a = stand(rig, "r", 0, null);
         for (double load : new double[] {Double.NaN, -5, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, 0}) {
-            rig.send(new LoadChanged("r", 0, a.server(), load));
+            rig.send(new LoadReported("r", 0, a.serverId(), load));
         }
         rig.now += 2 * Rig.DEADLINE;
         assertThat(stand(rig, "next", 0, null)).isNotNull();
@@ -158,7 +159,7 @@
             stand(rig, "r" + i, 0, null);
         }
         for (int i = 0; i < 30; i++) {
-            rig.send(new AttemptEnded("r" + i, 0, "s0", Outcome.RESET, true, 1, null));
+            rig.send(new AttemptEnded("r" + i, 0, "s0", AttemptOutcome.RESET, true, 1, null));
         }
         rig.restart("s0");
         rig.advance(10_000_000);
@@ -166,6 +167,6 @@
             rig.advance(50_000);
             stand(rig, "n" + i, 0, null);
         }
-        assertThat(refusals(rig)).noneMatch(r -> r.cause() == Cause.FULL);
+        assertThat(refusals(rig)).noneMatch(r -> r.reason() == Cause.FULL);
     }
 }
--- a/src/test/java/sandstack/decisions/DigestCondition.java
+++ b/src/test/java/sandstack/decisions/DigestCondition.java
@@ -1,7 +1,6 @@
 package sandstack.decisions;
 
 import java.util.SplittableRandom;
-import sandstack.decisions.Decisions.Outcome;
 
 /**
  * State of the world of a {@link DigestStream} for some hundred events: the longest pause between two, the weights of
@@ -15,15 +14,15 @@
     FULL(15_000, 34, 44, 5, 5, 5, 2, 2, 3),
     OUTAGE(20_000, 32, 36, 8, 5, 5, 8, 2, 2);
 
-    private static final Outcome[] OUTCOMES = {
-        Outcome.ERROR,
-        Outcome.FULL,
-        Outcome.TIMEOUT,
-        Outcome.CONNECT_FAILED,
-        Outcome.RESET,
-        Outcome.CANCELLED,
-        Outcome.MOOT,
-        Outcome.OK
+    private static final AttemptOutcome[] OUTCOMES = {
+        AttemptOutcome.ERROR,
+        AttemptOutcome.REJECTED,
+        AttemptOutcome.TIMEOUT,
+        AttemptOutcome.CONNECT_FAILED,
+        AttemptOutcome.RESET,
+        AttemptOutcome.CANCELLED,
+        AttemptOutcome.NOT_SENT,
+        AttemptOutcome.OK
     };
 
     final int longestPauseMicros;
@@ -69,15 +68,15 @@
     }
 
     /** How an attempt ends that ends without a connection. */
-    Outcome failure(SplittableRandom random) {
+    AttemptOutcome failure(SplittableRandom random) {
         return switch (this) {
-            case FULL -> random.nextInt(8) > 0 ? Outcome.FULL : any(random);
-            case OUTAGE -> random.nextInt(3) > 0 ? Outcome.TIMEOUT : any(random);
+            case FULL -> random.nextInt(8) > 0 ? AttemptOutcome.REJECTED : any(random);
+            case OUTAGE -> random.nextInt(3) > 0 ? AttemptOutcome.TIMEOUT : any(random);
             default -> any(random);
         };
     }
 
-    static Outcome any(SplittableRandom random) {
+    static AttemptOutcome any(SplittableRandom random) {
         return OUTCOMES[random.nextInt(OUTCOMES.length)];
     }
 
--- a/src/test/java/sandstack/decisions/DigestScenario.java
+++ b/src/test/java/sandstack/decisions/DigestScenario.java
@@ -5,12 +5,7 @@
 import java.util.SplittableRandom;
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
-import sandstack.decisions.Decisions.Repeat;
-import sandstack.decisions.Decisions.RequestClass;
-import sandstack.decisions.Decisions.Scope;
-import sandstack.decisions.Decisions.Settings;
-import sandstack.decisions.Decisions.Tenant;
-import sandstack.settings.SettingsBuilder;
+import sandstack.settings.BalancerSettingsBuilder;
 
 /**
  * What one seed of {@link DecisionDigestTest} is set up with.
@@ -23,7 +18,12 @@
  * @param delaysReported whether connections report the delays of their messages
  */
 record DigestScenario(
-        int seed, Settings settings, Stated.Book book, Limits limits, boolean loadsReported, boolean delaysReported) {
+        int seed,
+        BalancerSettings settings,
+        Stated.Book book,
+        Limits limits,
+        boolean loadsReported,
+        boolean delaysReported) {
     static final int COUNT = 10;
     static final long MESSAGE_AIM_MICROS = 100_000;
 
@@ -35,7 +35,8 @@
     private static final boolean[] LOADS = {true, false, true, true, true, false, true, true, false, true};
     private static final boolean[] DELAYS = {false, true, false, false, true, true, true, false, false, true};
     private static final boolean[] GROUPS = {true, true, false, false, true, false, true, true, false, true};
-    private static final List<Scope> SCOPES = List.of(Scope.ALL, Scope.ZONE, Scope.CELL);
+    private static final List<DeduplicationScope> SCOPES =
+            List.of(DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.CELL);
     private static final Stated FIRM = new Stated(1e6, 0, true, 1e6 / 15, 3);
     private static final Stated FIRM_AND_ROOMY = new Stated(3e6, 0, true, 1e6 / 30, 1);
     private static final Stated LOOSE = new Stated(1_500_000, 20, false, 40_000, 2);
@@ -53,63 +54,71 @@
         return new DigestScenario(seed, settings(seed), book, limits, LOADS[seed], DELAYS[seed]);
     }
 
-    private static Settings settings(int seed) {
-        return SettingsBuilder.of(classes(seed))
-                .self(seed % INSTANCES[seed])
-                .instances(INSTANCES[seed])
+    private static BalancerSettings settings(int seed) {
+        return BalancerSettingsBuilder.of(classes(seed))
+                .instanceIndex(seed % INSTANCES[seed])
+                .instanceCount(INSTANCES[seed])
                 .homeZone(HOME[seed])
-                .zones(ZONES[seed])
+                .zoneCount(ZONES[seed])
                 .tenants(List.of(new Tenant(20, 0.5), new Tenant(60, 0.3), new Tenant(0, 0.2)))
-                .overShareWorth(seed % 3 == 0 ? 1 : 0.2)
-                .worthByWork(seed % 3 == 1)
+                .overQuotaWeight(seed % 3 == 0 ? 1 : 0.2)
+                .weightPerUnitOfWork(seed % 3 == 1)
                 .passThrough(seed % 4 == 3)
                 .sharedGroups(GROUPS[seed])
-                .listOnRequest(seed % 2 == 0)
-                .askWithin(10_000_000)
+                .endpointListPolled(seed % 2 == 0)
+                .pollIntervalMicros(10_000_000)
                 .maxAttempts(2 + seed % 4)
-                .connectTimeout(seed % 3 == 2 ? 100_000 : 50_000)
-                .retryAfter(seed % 2 == 1)
-                .maxRetryAfter(seed % 3 == 0 ? 20_000_000 : 1_500_000)
-                .crossZonePrice(0.1)
-                .movePrice(0.012)
-                .drainGrace(300_000)
-                .coldFrom(0.2)
-                .warmAfter(8_000_000)
-                .tipMultiple(3)
-                .tipAfter(1_500_000)
-                .sized(seed == 5 || seed % 4 == 2)
+                .connectTimeoutMicros(seed % 3 == 2 ? 100_000 : 50_000)
+                .retryAfterHonored(seed % 2 == 1)
+                .maxRetryAfterMicros(seed % 3 == 0 ? 20_000_000 : 1_500_000)
+                .crossZoneCost(0.1)
+                .migrationCost(0.012)
+                .drainGraceMicros(300_000)
+                .slowStartInitialFraction(0.2)
+                .slowStartDurationMicros(8_000_000)
+                .overloadMultiple(3)
+                .overloadWindowMicros(1_500_000)
+                .ratingsAreSizes(seed == 5 || seed % 4 == 2)
                 .build();
     }
 
     private static List<RequestClass> classes(int seed) {
-        Scope scope = SCOPES.get(seed % SCOPES.size());
+        DeduplicationScope scope = SCOPES.get(seed % SCOPES.size());
         return List.of(
-                new RequestClass(320_000, 2_000_000, 5, Repeat.SAFE, Scope.ALL, 0, MESSAGE_AIM_MICROS),
-                new RequestClass(500_000, 3_000_000, 1, Repeat.KEYED, scope, 800_000, MESSAGE_AIM_MICROS * 3 / 2),
-                new RequestClass(500_000, 3_000_000, 2, Repeat.UNSAFE, scope, 0, 0));
+                new RequestClass(
+                        320_000, 2_000_000, 5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, MESSAGE_AIM_MICROS),
+                new RequestClass(
+                        500_000, 3_000_000, 1, Idempotency.WITH_KEY, scope, 800_000, MESSAGE_AIM_MICROS * 3 / 2),
+                new RequestClass(500_000, 3_000_000, 2, Idempotency.NOT_IDEMPOTENT, scope, 0, 0));
     }
 
     /** Settings for a reload: perhaps one class more, other attempts, other aims, another number of instances. */
-    static Settings reloaded(Settings from, SplittableRandom random) {
+    static BalancerSettings reloaded(BalancerSettings from, SplittableRandom random) {
         List<RequestClass> classes = new ArrayList<>();
         for (RequestClass old : from.classes()) {
             classes.add(new RequestClass(
                     200_000 + random.nextInt(400_000),
-                    old.deadline(),
-                    old.worth(),
-                    old.repeat(),
-                    old.scope(),
-                    old.window(),
-                    old.messageAim()));
+                    old.deadlineMicros(),
+                    old.priorityWeight(),
+                    old.idempotency(),
+                    old.deduplicationScope(),
+                    old.deduplicationWindowMicros(),
+                    old.messageLatencyObjectiveMicros()));
         }
         if (classes.size() < 6 && random.nextBoolean()) {
             classes.add(new RequestClass(
-                    400_000, 2_500_000, 1 + random.nextInt(6), Repeat.SAFE, Scope.ALL, 0, MESSAGE_AIM_MICROS));
+                    400_000,
+                    2_500_000,
+                    1 + random.nextInt(6),
+                    Idempotency.IDEMPOTENT,
+                    DeduplicationScope.ALL,
+                    0,
+                    MESSAGE_AIM_MICROS));
         }
-        return SettingsBuilder.from(from)
+        return BalancerSettingsBuilder.from(from)
                 .classes(classes)
                 .maxAttempts(1 + random.nextInt(6))
-                .instances(Math.max(from.self() + 1, from.instances() + random.nextInt(3) - 1))
+                .instanceCount(Math.max(from.instanceIndex() + 1, from.instanceCount() + random.nextInt(3) - 1))
                 .build();
     }
 }
--- a/src/test/java/sandstack/decisions/DigestServers.java
+++ b/src/test/java/sandstack/decisions/DigestServers.java
@@ -3,10 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import sandstack.decisions.Decisions.ListKind;
-import sandstack.decisions.Decisions.Phase;
-import sandstack.decisions.Decisions.ServerEntry;
-import sandstack.decisions.Decisions.ServerList;
+import sandstack.decisions.BalancerEvent.EndpointListUpdate;
 
 /** The servers of one stream of {@link DecisionDigestTest}: their list, its changes, and their delays. One thread. */
 final class DigestServers {
@@ -22,7 +19,7 @@
         final String id;
         final int zone;
         final int number;
-        Phase phase = Phase.READY;
+        EndpointState phase = EndpointState.READY;
         long startedAtMicros;
         double rating;
         double delayMicros;
@@ -36,8 +33,8 @@
             this.rating = rating;
         }
 
-        ServerEntry entry() {
-            return new ServerEntry(id, zone, number / 3, number % 3, startedAtMicros, phase, rating);
+        EndpointEntry entry() {
+            return new EndpointEntry(id, zone, number / 3, number % 3, startedAtMicros, phase, rating);
         }
     }
 
@@ -67,23 +64,23 @@
     }
 
     /** All servers that are not gone. */
-    ServerList complete(ListKind kind) {
-        return new ServerList(
+    EndpointListUpdate complete(EndpointListKind kind) {
+        return new EndpointListUpdate(
                 kind,
                 machines.stream()
-                        .filter(machine -> machine.phase != Phase.GONE)
+                        .filter(machine -> machine.phase != EndpointState.GONE)
                         .map(Machine::entry)
                         .toList());
     }
 
     /** The next event of the list: mostly a change of one server. */
-    ServerList next(long now) {
+    EndpointListUpdate next(long now) {
         int draw = random.nextInt(24);
         if (draw == 0) {
-            return new ServerList(ListKind.FAILED, List.of());
+            return new EndpointListUpdate(EndpointListKind.FAILED, List.of());
         }
         if (draw < 3) {
-            return complete(draw == 1 ? ListKind.SAVED : ListKind.FULL);
+            return complete(draw == 1 ? EndpointListKind.CACHED : EndpointListKind.FULL);
         }
         if (draw == 3) {
             return gap();
@@ -99,30 +96,30 @@
     }
 
     /** A complete list without one server that is still there. */
-    private ServerList gap() {
+    private EndpointListUpdate gap() {
         String missing = any().id;
-        List<ServerEntry> entries = complete(ListKind.FULL).entries().stream()
-                .filter(entry -> !entry.server().equals(missing))
+        List<EndpointEntry> entries = complete(EndpointListKind.FULL).entries().stream()
+                .filter(entry -> !entry.serverId().equals(missing))
                 .toList();
-        return new ServerList(ListKind.FULL, entries);
+        return new EndpointListUpdate(EndpointListKind.FULL, entries);
     }
 
-    private static ServerList changes(Machine... changed) {
-        List<ServerEntry> entries = new ArrayList<>();
+    private static EndpointListUpdate changes(Machine... changed) {
+        List<EndpointEntry> entries = new ArrayList<>();
         for (Machine machine : changed) {
             entries.add(machine.entry());
         }
-        return new ServerList(ListKind.CHANGES, entries);
+        return new EndpointListUpdate(EndpointListKind.DELTA, entries);
     }
 
     private void change(Machine machine, long now) {
-        if (machine.phase != Phase.READY) {
-            machine.phase = Phase.READY;
+        if (machine.phase != EndpointState.READY) {
+            machine.phase = EndpointState.READY;
             machine.startedAtMicros = now - random.nextInt(2_000_000);
         } else if (ready() > FIRST * 3 / 4) {
             switch (random.nextInt(4)) {
-                case 0 -> machine.phase = Phase.DRAINING;
-                case 1 -> machine.phase = Phase.GONE;
+                case 0 -> machine.phase = EndpointState.DRAINING;
+                case 1 -> machine.phase = EndpointState.GONE;
                 case 2 -> machine.startedAtMicros = now;
                 default -> machine.rating = 0.5 + random.nextDouble();
             }
@@ -130,6 +127,8 @@
     }
 
     private long ready() {
-        return machines.stream().filter(machine -> machine.phase == Phase.READY).count();
+        return machines.stream()
+                .filter(machine -> machine.phase == EndpointState.READY)
+                .count();
     }
 }
--- a/src/test/java/sandstack/decisions/DigestStream.java
+++ b/src/test/java/sandstack/decisions/DigestStream.java
@@ -8,30 +8,24 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.SplittableRandom;
-import sandstack.decisions.Decisions.Action;
-import sandstack.decisions.Decisions.Adopted;
-import sandstack.decisions.Decisions.Attempt;
-import sandstack.decisions.Decisions.AttemptEnded;
-import sandstack.decisions.Decisions.ClientGone;
-import sandstack.decisions.Decisions.ConnectRequest;
-import sandstack.decisions.Decisions.DelayReported;
-import sandstack.decisions.Decisions.Established;
-import sandstack.decisions.Decisions.Event;
-import sandstack.decisions.Decisions.Fail;
-import sandstack.decisions.Decisions.ListKind;
-import sandstack.decisions.Decisions.LoadChanged;
-import sandstack.decisions.Decisions.Outcome;
-import sandstack.decisions.Decisions.PeerMessage;
-import sandstack.decisions.Decisions.ProbeEnded;
-import sandstack.decisions.Decisions.Processes;
-import sandstack.decisions.Decisions.Refuse;
-import sandstack.decisions.Decisions.Relocate;
-import sandstack.decisions.Decisions.SetTimer;
-import sandstack.decisions.Decisions.Settings;
-import sandstack.decisions.Decisions.SettingsChanged;
-import sandstack.decisions.Decisions.Tenant;
-import sandstack.decisions.Decisions.TenantsChanged;
-import sandstack.decisions.Decisions.TimerDue;
+import sandstack.decisions.BalancerAction.Fail;
+import sandstack.decisions.BalancerAction.Migrate;
+import sandstack.decisions.BalancerAction.Reject;
+import sandstack.decisions.BalancerAction.SetTimer;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerEvent.AttemptEnded;
+import sandstack.decisions.BalancerEvent.ClientDisconnected;
+import sandstack.decisions.BalancerEvent.ConnectRequested;
+import sandstack.decisions.BalancerEvent.ConnectionAdopted;
+import sandstack.decisions.BalancerEvent.ConnectionEstablished;
+import sandstack.decisions.BalancerEvent.DelayReported;
+import sandstack.decisions.BalancerEvent.HealthCheckEnded;
+import sandstack.decisions.BalancerEvent.LoadReported;
+import sandstack.decisions.BalancerEvent.PeerMessage;
+import sandstack.decisions.BalancerEvent.ProcessCountChanged;
+import sandstack.decisions.BalancerEvent.SettingsChanged;
+import sandstack.decisions.BalancerEvent.TenantsChanged;
+import sandstack.decisions.BalancerEvent.TimerExpired;
 
 /**
  * Plays drawn events of one {@link DigestScenario} to a module, reacts to its actions and keeps the digest of them.
@@ -40,19 +34,19 @@
 final class DigestStream {
     private static final int AVOIDS_EVERY = 8;
     /** An attempt that is out, or a connection that is open. */
-    private record Connection(ConnectRequest request, String server, int attempt) {}
+    private record Connection(ConnectRequested request, String server, int attempt) {}
 
     private final DigestScenario scenario;
     private final SplittableRandom random;
     private final DigestServers servers;
-    private final Brain brain;
-    private final Map<String, ConnectRequest> requests = new HashMap<>();
+    private final LoadBalancer brain;
+    private final Map<String, ConnectRequested> requests = new HashMap<>();
     private final Map<String, Integer> attempts = new HashMap<>();
     private final List<Connection> out = new ArrayList<>();
     private final List<Connection> open = new ArrayList<>();
     private final DigestTimers timers = new DigestTimers();
-    private final Deque<Event> followUps = new ArrayDeque<>();
-    private Settings settings;
+    private final Deque<BalancerEvent> followUps = new ArrayDeque<>();
+    private BalancerSettings settings;
     private DigestCondition condition = DigestCondition.CALM;
     private int conditionEnds = 400;
     private int requested;
@@ -64,9 +58,9 @@
         this.scenario = scenario;
         random = new SplittableRandom(scenario.seed());
         settings = scenario.settings();
-        servers = new DigestServers(random, settings.zones());
-        brain = new Brain(settings, scenario.book(), scenario.limits(), scenario.seed(), now);
-        followUps.add(servers.complete(scenario.seed() % 2 == 0 ? ListKind.SAVED : ListKind.FULL));
+        servers = new DigestServers(random, settings.zoneCount());
+        brain = new LoadBalancer(settings, scenario.book(), scenario.limits(), scenario.seed(), now);
+        followUps.add(servers.complete(scenario.seed() % 2 == 0 ? EndpointListKind.CACHED : EndpointListKind.FULL));
     }
 
     /** Plays one event. */
@@ -76,26 +70,26 @@
             conditionEnds = events + 100 + random.nextInt(400);
         }
         now += random.nextInt(condition.longestPauseMicros);
-        Event event = next();
+        BalancerEvent event = next();
         digest.event(events++, now);
         // the caller's clock may stand still, and the module must not go back with it
-        for (Action action : brain.on(event, random.nextInt(40) == 0 ? now - 5_000 : now)) {
+        for (BalancerAction action : brain.handle(event, random.nextInt(40) == 0 ? now - 5_000 : now)) {
             action.dispatch(digest);
             react(action);
         }
         if (events % AVOIDS_EVERY == 0) {
             String server = random.nextInt(20) == 0 ? "unknown" : servers.any().id;
-            digest.avoids(server, brain.avoids(server));
+            digest.avoids(server, brain.isEjected(server));
         }
     }
 
-    private Event next() {
+    private BalancerEvent next() {
         if (!followUps.isEmpty()) {
             return followUps.poll();
         }
         OptionalLong token = timers.due(now, random);
         if (token.isPresent()) {
-            return new TimerDue(token.getAsLong());
+            return new TimerExpired(token.getAsLong());
         }
         return switch (condition.kind(random)) {
             case 1 -> out.isEmpty() ? request() : settle();
@@ -109,24 +103,24 @@
         };
     }
 
-    private Event connected() {
+    private BalancerEvent connected() {
         return out.isEmpty() ? request() : settle();
     }
 
-    private ConnectRequest request() {
+    private ConnectRequested request() {
         String key = random.nextInt(20) == 0 ? null : "k" + random.nextInt(500);
-        ConnectRequest request = drawn(key, random.nextInt(4) == 0);
-        requests.put(request.id(), request);
+        ConnectRequested request = drawn(key, random.nextInt(4) == 0);
+        requests.put(request.requestId(), request);
         return request;
     }
 
-    private ConnectRequest drawn(String key, boolean returning) {
+    private ConnectRequested drawn(String key, boolean returning) {
         int unknownClass = random.nextInt(200) == 0 ? 1 : 0;
         int requestClass = random.nextInt(settings.classes().size() + unknownClass);
         long patience = requestClass < settings.classes().size()
-                ? settings.classes().get(requestClass).deadline()
+                ? settings.classes().get(requestClass).deadlineMicros()
                 : 1_000_000;
-        return new ConnectRequest(
+        return new ConnectRequested(
                 "r" + requested++,
                 requestClass,
                 random.nextInt(5) - 1,
@@ -138,7 +132,7 @@
                 returning);
     }
 
-    private Event settle() {
+    private BalancerEvent settle() {
         Connection attempt = out.get(random.nextInt(out.size()));
         if (random.nextInt(50) == 0) {
             return stale(attempt);
@@ -149,26 +143,28 @@
             open.add(attempt);
             machine.failedLast = false;
             machine.rejectedLast = false;
-            return new Established(attempt.request.id(), attempt.attempt, attempt.server, 500 + random.nextInt(60_000));
+            return new ConnectionEstablished(
+                    attempt.request.requestId(), attempt.attempt, attempt.server, 500 + random.nextInt(60_000));
         }
-        Outcome outcome = condition.failure(random);
-        machine.rejectedLast = outcome == Outcome.FULL;
-        machine.failedLast =
-                outcome == Outcome.CONNECT_FAILED || outcome == Outcome.TIMEOUT || outcome == Outcome.RESET;
+        AttemptOutcome outcome = condition.failure(random);
+        machine.rejectedLast = outcome == AttemptOutcome.REJECTED;
+        machine.failedLast = outcome == AttemptOutcome.CONNECT_FAILED
+                || outcome == AttemptOutcome.TIMEOUT
+                || outcome == AttemptOutcome.RESET;
         return ended(attempt, outcome, random.nextInt(10) == 0);
     }
 
-    private Event stale(Connection attempt) {
-        String id = random.nextBoolean() ? "nobody" : attempt.request.id();
+    private BalancerEvent stale(Connection attempt) {
+        String id = random.nextBoolean() ? "nobody" : attempt.request.requestId();
         int number = attempt.attempt + (random.nextBoolean() ? 1 : -1);
-        return new AttemptEnded(id, number, attempt.server, Outcome.ERROR, false, 1_000, null);
+        return new AttemptEnded(id, number, attempt.server, AttemptOutcome.ERROR, false, 1_000, null);
     }
 
-    private Event ended(Connection connection, Outcome outcome, boolean requestOver) {
+    private BalancerEvent ended(Connection connection, AttemptOutcome outcome, boolean requestOver) {
         int tookMicros = 1 + random.nextInt(200_000);
         double[] report = random.nextInt(10) == 0 ? new double[] {0.5, 1} : null;
         return new AttemptEnded(
-                connection.request.id(),
+                connection.request.requestId(),
                 connection.attempt,
                 connection.server,
                 outcome,
@@ -177,17 +173,18 @@
                 report);
     }
 
-    private Event end() {
+    private BalancerEvent end() {
         if (open.size() < 70 && random.nextInt(4) > 0) {
             return request();
         }
         Connection connection = open.remove(random.nextInt(open.size()));
         int draw = random.nextInt(20);
-        Outcome outcome = draw < 14 ? Outcome.OK : draw < 18 ? Outcome.RESET : DigestCondition.any(random);
+        AttemptOutcome outcome =
+                draw < 14 ? AttemptOutcome.OK : draw < 18 ? AttemptOutcome.RESET : DigestCondition.any(random);
         return ended(connection, outcome, random.nextInt(6) > 0);
     }
 
-    private Event load() {
+    private BalancerEvent load() {
         Connection connection = open.get(random.nextInt(open.size()));
         double load = condition.load(random);
         if (load > 1e6) {
@@ -197,26 +194,27 @@
         return loadOf(connection, load);
     }
 
-    private static Event loadOf(Connection connection, double load) {
-        return new LoadChanged(connection.request.id(), connection.attempt, connection.server, load);
+    private static BalancerEvent loadOf(Connection connection, double load) {
+        return new LoadReported(connection.request.requestId(), connection.attempt, connection.server, load);
     }
 
-    private Event delay() {
+    private BalancerEvent delay() {
         Connection connection = open.get(random.nextInt(open.size()));
         DigestServers.Machine machine = servers.of(connection.server);
         machine.delayMicros += (condition.delayMicros(random) - machine.delayMicros) * random.nextDouble();
-        return new DelayReported(connection.request.id(), connection.attempt, connection.server, machine.delayMicros);
+        return new DelayReported(
+                connection.request.requestId(), connection.attempt, connection.server, machine.delayMicros);
     }
 
-    private Event gone() {
+    private BalancerEvent gone() {
         List<Connection> from = !out.isEmpty() && random.nextBoolean() ? out : open;
-        return new ClientGone(
+        return new ClientDisconnected(
                 from.isEmpty() || random.nextInt(20) == 0
                         ? "r" + random.nextInt(requested + 1)
-                        : from.remove(random.nextInt(from.size())).request.id());
+                        : from.remove(random.nextInt(from.size())).request.requestId());
     }
 
-    private Event rare() {
+    private BalancerEvent rare() {
         return switch (random.nextInt(12)) {
             case 0, 1 -> new TenantsChanged(List.of(
                     new Tenant(5 + random.nextInt(40), 0.4), new Tenant(random.nextInt(60), 0.5), new Tenant(9, 0.1)));
@@ -224,41 +222,41 @@
                 settings = DigestScenario.reloaded(settings, random);
                 yield new SettingsChanged(settings);
             }
-            case 3 -> new Processes(random.nextInt(3));
-            case 4 -> new ProbeEnded(servers.any().id, Outcome.TIMEOUT, 1_000, null);
+            case 3 -> new ProcessCountChanged(random.nextInt(3));
+            case 4 -> new HealthCheckEnded(servers.any().id, AttemptOutcome.TIMEOUT, 1_000, null);
             case 5 -> new PeerMessage(1, "text");
-            case 6 -> new TimerDue(random.nextInt(500));
+            case 6 -> new TimerExpired(random.nextInt(500));
             default -> adopted();
         };
     }
 
-    private Event adopted() {
-        ConnectRequest request = drawn("k" + random.nextInt(500), true);
+    private BalancerEvent adopted() {
+        ConnectRequested request = drawn("k" + random.nextInt(500), true);
         String server = servers.any().id;
-        requests.put(request.id(), request);
-        attempts.put(request.id(), 1);
+        requests.put(request.requestId(), request);
+        attempts.put(request.requestId(), 1);
         open.add(new Connection(request, server, 0));
-        return new Adopted(request, server);
+        return new ConnectionAdopted(request, server);
     }
 
-    private void react(Action action) {
-        if (action instanceof Attempt attempt) {
+    private void react(BalancerAction action) {
+        if (action instanceof StartAttempt attempt) {
             started(attempt);
         } else if (action instanceof SetTimer timer) {
-            timers.set(now + timer.after(), timer.token());
-        } else if (action instanceof Refuse refusal) {
-            finished(refusal.id(), true);
+            timers.set(now + timer.delayMicros(), timer.token());
+        } else if (action instanceof Reject refusal) {
+            finished(refusal.requestId(), true);
         } else if (action instanceof Fail failure) {
-            finished(failure.id(), false);
-        } else if (action instanceof Relocate relocation) {
-            relocated(relocation.id());
+            finished(failure.requestId(), false);
+        } else if (action instanceof Migrate relocation) {
+            relocated(relocation.requestId());
         } else if (random.nextInt(5) > 0) {
-            followUps.add(servers.complete(random.nextBoolean() ? ListKind.FULL : ListKind.CHANGES));
+            followUps.add(servers.complete(random.nextBoolean() ? EndpointListKind.FULL : EndpointListKind.DELTA));
         }
     }
 
-    private void started(Attempt attempt) {
-        DigestServers.Machine machine = servers.of(attempt.server());
+    private void started(StartAttempt attempt) {
+        DigestServers.Machine machine = servers.of(attempt.serverId());
         digest.count(machine.zone == settings.homeZone() ? "home" : "other zone");
         if (machine.failedLast) {
             digest.count("trial after failure");
@@ -266,12 +264,12 @@
         if (machine.rejectedLast) {
             digest.count("trial after rejection");
         }
-        int number = attempts.merge(attempt.id(), 1, Integer::sum) - 1;
-        out.add(new Connection(requests.get(attempt.id()), attempt.server(), number));
+        int number = attempts.merge(attempt.requestId(), 1, Integer::sum) - 1;
+        out.add(new Connection(requests.get(attempt.requestId()), attempt.serverId(), number));
     }
 
     private void finished(String id, boolean refused) {
-        ConnectRequest request = requests.get(id);
+        ConnectRequested request = requests.get(id);
         if (refused && request != null && random.nextInt(3) == 0) {
             comeAgain(request);
         }
@@ -279,19 +277,19 @@
 
     private void relocated(String id) {
         for (Connection connection : open) {
-            if (connection.request.id().equals(id) && random.nextInt(5) > 0) {
+            if (connection.request.requestId().equals(id) && random.nextInt(5) > 0) {
                 open.remove(connection);
-                followUps.add(ended(connection, Outcome.CANCELLED, true));
+                followUps.add(ended(connection, AttemptOutcome.CANCELLED, true));
                 comeAgain(connection.request);
                 return;
             }
         }
     }
 
-    private void comeAgain(ConnectRequest request) {
+    private void comeAgain(ConnectRequested request) {
         if (followUps.size() < 20) {
-            ConnectRequest again = drawn(request.clientKey(), true);
-            requests.put(again.id(), again);
+            ConnectRequested again = drawn(request.clientKey(), true);
+            requests.put(again.requestId(), again);
             followUps.add(again);
         }
     }
--- a/src/test/java/sandstack/decisions/FleetTest.java
+++ b/src/test/java/sandstack/decisions/FleetTest.java
@@ -8,21 +8,18 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import sandstack.decisions.Decisions.Action;
-import sandstack.decisions.Decisions.Adopted;
-import sandstack.decisions.Decisions.Attempt;
-import sandstack.decisions.Decisions.ConnectRequest;
-import sandstack.decisions.Decisions.DelayReported;
-import sandstack.decisions.Decisions.Established;
-import sandstack.decisions.Decisions.Phase;
-import sandstack.decisions.Decisions.Relocate;
-import sandstack.decisions.Decisions.Settings;
+import sandstack.decisions.BalancerAction.Migrate;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerEvent.ConnectRequested;
+import sandstack.decisions.BalancerEvent.ConnectionAdopted;
+import sandstack.decisions.BalancerEvent.ConnectionEstablished;
+import sandstack.decisions.BalancerEvent.DelayReported;
 
 /** Fourteen modules in one simulated clock: bounds on what feed servers get from all of them together. */
 class FleetTest {
     private static final int RELAYS = 14;
     private static final long STEP = 100_000;
-    private static final Settings SET = Rig.settings().build();
+    private static final BalancerSettings SET = Rig.settings().build();
     /** Usual connections that fill a server, by what the platform's file states. */
     private static final double FILLS =
             Rig.PLATFORM.other().work() / Rig.PLATFORM.other().load();
@@ -57,16 +54,19 @@
     private void client(boolean returning) {
         Rig rig = relays.get(chance.nextInt(relays.size()));
         String id = "r" + asked++;
-        rig.send(new ConnectRequest(id, 0, 0, "k" + id, null, rig.now + Rig.DEADLINE, 0, false, returning));
-        Attempt a = rig.attempts.get(id);
+        rig.send(new ConnectRequested(id, 0, 0, "k" + id, null, rig.now + Rig.DEADLINE, 0, false, returning));
+        StartAttempt a = rig.attempts.get(id);
         if (a != null) {
-            sent.computeIfAbsent(a.server(), s -> new ArrayList<>()).add(now());
-            rig.send(new Established(id, 0, a.server(), 20_000));
+            sent.computeIfAbsent(a.serverId(), s -> new ArrayList<>()).add(now());
+            rig.send(new ConnectionEstablished(id, 0, a.serverId(), 20_000));
         }
     }
 
     private static double warmth(long age) {
-        return Math.min(1, SET.coldFrom() + (1 - SET.coldFrom()) * age / SET.warmAfter());
+        return Math.min(
+                1,
+                SET.slowStartInitialFraction()
+                        + (1 - SET.slowStartInitialFraction()) * age / SET.slowStartDurationMicros());
     }
 
     /** Six in ten servers are replaced within 7 s: by a relay's own arrivals the new ones stood idle until warm. */
@@ -100,10 +100,13 @@
             for (int i = 0; i < times.size(); i++) {
                 long from = times.get(i);
                 long inWindow = times.stream()
-                        .filter(t -> t >= from && t < from + SET.tipAfter())
+                        .filter(t -> t >= from && t < from + SET.overloadWindowMicros())
                         .count();
-                double budget =
-                        SET.tipMultiple() * FILLS / SET.warmAfter() * SET.tipAfter() * warmth(from - s.getValue());
+                double budget = SET.overloadMultiple()
+                        * FILLS
+                        / SET.slowStartDurationMicros()
+                        * SET.overloadWindowMicros()
+                        * warmth(from - s.getValue());
                 // a Poisson number of permits around half the budget stays under it and three more
                 assertThat((double) inWindow).as(s.getKey()).isLessThanOrEqualTo(budget + 3);
             }
@@ -117,7 +120,7 @@
         fleet(2);
         for (Rig rig : relays) {
             for (String s : List.of("s0", "s1")) {
-                rig.send(new Adopted(rig.ask("held" + s, "held" + s), s));
+                rig.send(new ConnectionAdopted(rig.ask("held" + s, "held" + s), s));
                 rig.send(new DelayReported("held" + s, 0, s, Rig.MESSAGE * 5));
             }
         }
@@ -146,13 +149,13 @@
         Rig rig = new Rig(Rig.settings().build(), 4);
         rig.list(3, 1);
         for (int i = 0; i < 40; i++) {
-            rig.send(new Adopted(rig.ask("c" + i, "c" + i), "s0"));
+            rig.send(new ConnectionAdopted(rig.ask("c" + i, "c" + i), "s0"));
         }
         int[] moved = new int[6];
         double[] told = {5, 5, 3, 2, 1.9, 1.9};
         for (int second = 0; second < told.length; second++) {
-            for (Action a : rig.send(new DelayReported("c0", 0, "s0", Rig.MESSAGE * told[second]))) {
-                moved[second] += a instanceof Relocate ? 1 : 0;
+            for (BalancerAction a : rig.send(new DelayReported("c0", 0, "s0", Rig.MESSAGE * told[second]))) {
+                moved[second] += a instanceof Migrate ? 1 : 0;
             }
             rig.now += 1_000_000;
         }
@@ -167,7 +170,7 @@
         relays.add(new Rig(Rig.settings().instances(1).build(), 5));
         Rig rig = relays.get(0);
         rig.list(2, 1);
-        rig.phase("s1", Phase.DRAINING);
+        rig.phase("s1", EndpointState.DRAINING);
         rig.restart("s0");
         for (int i = 0; i < 80; i++) {
             advance();
--- a/src/test/java/sandstack/decisions/BrainTest.java
+++ b/src/test/java/sandstack/decisions/LoadBalancerTest.java
@@ -12,47 +12,38 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import sandstack.decisions.Decisions.Action;
-import sandstack.decisions.Decisions.Adopted;
-import sandstack.decisions.Decisions.Attempt;
-import sandstack.decisions.Decisions.AttemptEnded;
-import sandstack.decisions.Decisions.ClientGone;
-import sandstack.decisions.Decisions.ConnectRequest;
-import sandstack.decisions.Decisions.DelayReported;
-import sandstack.decisions.Decisions.Established;
-import sandstack.decisions.Decisions.Event;
-import sandstack.decisions.Decisions.Fail;
-import sandstack.decisions.Decisions.ListKind;
-import sandstack.decisions.Decisions.LoadChanged;
-import sandstack.decisions.Decisions.Outcome;
-import sandstack.decisions.Decisions.PeerMessage;
-import sandstack.decisions.Decisions.Phase;
-import sandstack.decisions.Decisions.ProbeEnded;
-import sandstack.decisions.Decisions.Refuse;
-import sandstack.decisions.Decisions.Relocate;
-import sandstack.decisions.Decisions.Repeat;
-import sandstack.decisions.Decisions.Scope;
-import sandstack.decisions.Decisions.ServerEntry;
-import sandstack.decisions.Decisions.ServerList;
-import sandstack.decisions.Decisions.SetTimer;
-import sandstack.decisions.Decisions.Settings;
-import sandstack.decisions.Decisions.TimerDue;
-import sandstack.decisions.Decisions.WatchServers;
+import sandstack.decisions.BalancerAction.Fail;
+import sandstack.decisions.BalancerAction.Migrate;
+import sandstack.decisions.BalancerAction.Reject;
+import sandstack.decisions.BalancerAction.SetTimer;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerAction.WatchEndpointList;
+import sandstack.decisions.BalancerEvent.AttemptEnded;
+import sandstack.decisions.BalancerEvent.ClientDisconnected;
+import sandstack.decisions.BalancerEvent.ConnectRequested;
+import sandstack.decisions.BalancerEvent.ConnectionAdopted;
+import sandstack.decisions.BalancerEvent.ConnectionEstablished;
+import sandstack.decisions.BalancerEvent.DelayReported;
+import sandstack.decisions.BalancerEvent.EndpointListUpdate;
+import sandstack.decisions.BalancerEvent.HealthCheckEnded;
+import sandstack.decisions.BalancerEvent.LoadReported;
+import sandstack.decisions.BalancerEvent.PeerMessage;
+import sandstack.decisions.BalancerEvent.TimerExpired;
 
 /** The four rules, the back-off and the outcomes, on scripted events. */
-class BrainTest {
+class LoadBalancerTest {
     private static final long SLOT = Rig.AIM / 16;
 
-    private static List<Action> fail(Rig rig, String id, Outcome how) {
-        Attempt a = rig.attempts.get(id);
-        return rig.send(new AttemptEnded(id, rig.tries.get(id) - 1, a.server(), how, false, 1000, null));
+    private static List<BalancerAction> fail(Rig rig, String id, AttemptOutcome how) {
+        StartAttempt a = rig.attempts.get(id);
+        return rig.send(new AttemptEnded(id, rig.tries.get(id) - 1, a.serverId(), how, false, 1000, null));
     }
 
     /** Makes the connection "r" stand; returns its server. */
     private static String standing(Rig rig) {
         rig.request("r", "k");
-        String server = rig.attempts.get("r").server();
-        rig.send(new Established("r", 0, server, 10));
+        String server = rig.attempts.get("r").serverId();
+        rig.send(new ConnectionEstablished("r", 0, server, 10));
         return server;
     }
 
@@ -62,7 +53,7 @@
         rig.list(6, 2);
         for (int i = 0; i < 50; i++) {
             rig.request("r" + i, "k" + i);
-            assertEquals(0, rig.zoneOf(rig.attempts.get("r" + i).server()));
+            assertEquals(0, rig.zoneOf(rig.attempts.get("r" + i).serverId()));
         }
     }
 
@@ -75,23 +66,23 @@
             rig.list(6, 2);
             rig.request("r", "k");
             long start = rig.now;
-            long first = delay(fail(rig, "r", Outcome.FULL));
+            long first = delay(fail(rig, "r", AttemptOutcome.REJECTED));
             assertTrue(first <= 2 * SLOT + 1);
             least = Math.min(least, first / (2.0 * SLOT));
             most = Math.max(most, first / (2.0 * SLOT));
             rig.advance(first);
             assertEquals(2, rig.tries.get("r"));
-            long second = rig.now + delay(fail(rig, "r", Outcome.FULL));
+            long second = rig.now + delay(fail(rig, "r", AttemptOutcome.REJECTED));
             assertTrue(second >= start + 2 * SLOT, "the second retry waits for the end of the first interval");
             assertTrue(second <= start + 2 * SLOT + 4 * SLOT + 1);
         }
         assertTrue(least < 0.05 && most > 0.95, "draws span " + least + " to " + most);
     }
 
-    private static long delay(List<Action> actions) {
-        for (Action a : actions) {
+    private static long delay(List<BalancerAction> actions) {
+        for (BalancerAction a : actions) {
             if (a instanceof SetTimer t && t.token() > 0) {
-                return t.after();
+                return t.delayMicros();
             }
         }
         throw new AssertionError("no delay in " + actions);
@@ -103,7 +94,9 @@
         Rig rig = new Rig(Rig.settings().attempts(1).noAdvicePromised().build(), 3);
         rig.list(6, 2);
         rig.request("r", "k");
-        assertEquals(2 * SLOT, ((Refuse) fail(rig, "r", Outcome.CONNECT_FAILED).get(0)).retryAfter());
+        assertEquals(
+                2 * SLOT,
+                ((Reject) fail(rig, "r", AttemptOutcome.CONNECT_FAILED).get(0)).retryAfterMicros());
     }
 
     @Test
@@ -113,9 +106,10 @@
         List<Long> rests = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             rig.request("r" + i, "k");
-            Refuse refused = (Refuse) fail(rig, "r" + i, Outcome.CONNECT_FAILED).get(0);
-            rests.add(refused.retryAfter());
-            rig.now += refused.retryAfter() + 1;
+            Reject refused =
+                    (Reject) fail(rig, "r" + i, AttemptOutcome.CONNECT_FAILED).get(0);
+            rests.add(refused.retryAfterMicros());
+            rig.now += refused.retryAfterMicros() + 1;
         }
         assertEquals(List.of(2 * SLOT, 4 * SLOT, 8 * SLOT, 16 * SLOT), rests);
     }
@@ -126,12 +120,13 @@
         Rig rig = new Rig(Rig.settings().build(), 3);
         rig.list(6, 2);
         String server = standing(rig);
-        List<Action> actions = rig.send(
-                new ServerList(ListKind.CHANGES, List.of(new ServerEntry(server, 0, 0, 0, 0, Phase.DRAINING, 1))));
+        List<BalancerAction> actions = rig.send(new EndpointListUpdate(
+                EndpointListKind.DELTA, List.of(new EndpointEntry(server, 0, 0, 0, 0, EndpointState.DRAINING, 1))));
         long wait = delay(actions);
         assertTrue(wait <= 64 * SLOT + 1);
-        List<Action> due = rig.brain.on(new TimerDue(((SetTimer) actions.get(0)).token()), rig.now + wait);
-        assertEquals(List.of(new Relocate("r")), due);
+        List<BalancerAction> due =
+                rig.brain.handle(new TimerExpired(((SetTimer) actions.get(0)).token()), rig.now + wait);
+        assertEquals(List.of(new Migrate("r")), due);
     }
 
     /** Real feed servers tell no delays: without this a crowded one was filled until it dropped connections. */
@@ -140,17 +135,17 @@
         Rig rig = new Rig(Rig.settings().build(), 3);
         rig.list(2, 2);
         String full = standing(rig);
-        rig.send(new LoadChanged("r", 0, full, 450_000));
+        rig.send(new LoadReported("r", 0, full, 450_000));
         int there = 0;
         for (int i = 0; i < 50; i++) {
             rig.request("a" + i, "k" + i);
-            there += rig.attempts.get("a" + i).server().equals(full) ? 1 : 0;
+            there += rig.attempts.get("a" + i).serverId().equals(full) ? 1 : 0;
         }
         assertEquals(0, there);
         rig.send(new DelayReported("r", 0, full, 1));
         for (int i = 0; i < 50; i++) {
             rig.request("b" + i, "l" + i);
-            there += rig.attempts.get("b" + i).server().equals(full) ? 1 : 0;
+            there += rig.attempts.get("b" + i).serverId().equals(full) ? 1 : 0;
         }
         // what stands there still weighs in the draw: a fifth as much as an empty one, where it was closed before
         assertTrue(there > 5, "a quick answer says more than the loads");
@@ -162,11 +157,12 @@
         Rig rig = new Rig(Rig.settings().build(), 3);
         rig.list(2, 2);
         String full = standing(rig);
-        rig.send(new LoadChanged("r", 0, full, 1_500_000));
+        rig.send(new LoadReported("r", 0, full, 1_500_000));
         boolean moved = false;
         for (int i = 0; i < 20 && !moved; i++) {
             rig.now += Rig.DEADLINE / 2;
-            moved = rig.send(new ServerList(ListKind.CHANGES, List.of())).contains(new Relocate("r"));
+            moved = rig.send(new EndpointListUpdate(EndpointListKind.DELTA, List.of()))
+                    .contains(new Migrate("r"));
         }
         assertTrue(moved);
     }
@@ -176,13 +172,13 @@
         Rig rig = new Rig(Rig.settings().attempts(2).build(), 3);
         rig.list(6, 2);
         rig.request("a", "k");
-        rig.advance(delay(fail(rig, "a", Outcome.FULL)));
-        Attempt second = rig.attempts.get("a");
-        rig.send(new Established("a", 1, second.server(), 10));
+        rig.advance(delay(fail(rig, "a", AttemptOutcome.REJECTED)));
+        StartAttempt second = rig.attempts.get("a");
+        rig.send(new ConnectionEstablished("a", 1, second.serverId(), 10));
         rig.now += 100 * Rig.DEADLINE;
-        rig.send(new AttemptEnded("a", 1, second.server(), Outcome.OK, true, 10, null));
+        rig.send(new AttemptEnded("a", 1, second.serverId(), AttemptOutcome.OK, true, 10, null));
         rig.request("b", "k");
-        assertTrue(delay(fail(rig, "b", Outcome.FULL)) <= 2 * SLOT + 1, "back at the first interval");
+        assertTrue(delay(fail(rig, "b", AttemptOutcome.REJECTED)) <= 2 * SLOT + 1, "back at the first interval");
     }
 
     @Test
@@ -193,9 +189,9 @@
         long end = rig.now;
         for (int n = 1; n < 50; n++) {
             end += SLOT << Math.min(n, 8);
-            List<Action> actions = fail(rig, "r", Outcome.FULL);
-            if (actions.get(0) instanceof Refuse refused) {
-                assertEquals(end - rig.now, refused.retryAfter());
+            List<BalancerAction> actions = fail(rig, "r", AttemptOutcome.REJECTED);
+            if (actions.get(0) instanceof Reject refused) {
+                assertEquals(end - rig.now, refused.retryAfterMicros());
                 assertTrue(n > 1);
                 return;
             }
@@ -206,14 +202,23 @@
 
     @Test
     void unsafeRequestThatMayHaveRunIsFailedNeverRepeated() {
-        for (Outcome o : List.of(Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)) {
-            Rig rig = new Rig(Rig.settings().repeat(Repeat.UNSAFE, Scope.ALL).build(), 1);
+        for (AttemptOutcome o :
+                List.of(AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)) {
+            Rig rig = new Rig(
+                    Rig.settings()
+                            .repeat(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL)
+                            .build(),
+                    1);
             rig.list(6, 2);
             rig.request("r", "k");
             assertEquals(List.of(new Fail("r")), fail(rig, "r", o), o.toString());
         }
-        for (Outcome o : List.of(Outcome.FULL, Outcome.CONNECT_FAILED)) {
-            Rig rig = new Rig(Rig.settings().repeat(Repeat.UNSAFE, Scope.ALL).build(), 1);
+        for (AttemptOutcome o : List.of(AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED)) {
+            Rig rig = new Rig(
+                    Rig.settings()
+                            .repeat(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL)
+                            .build(),
+                    1);
             rig.list(6, 2);
             rig.request("r", "k");
             rig.advance(delay(fail(rig, "r", o)));
@@ -224,19 +229,23 @@
     @Test
     void keyedRequestStaysInItsCellAndItsWindow() {
         for (int seed = 0; seed < 40; seed++) {
-            Rig rig = new Rig(Rig.settings().repeat(Repeat.KEYED, Scope.CELL).build(), seed);
+            Rig rig = new Rig(
+                    Rig.settings()
+                            .repeat(Idempotency.WITH_KEY, DeduplicationScope.CELL)
+                            .build(),
+                    seed);
             rig.list(6, 2);
             rig.request("r", "k");
-            String first = rig.attempts.get("r").server();
-            List<Action> actions = fail(rig, "r", Outcome.ERROR);
-            assertFalse(actions.stream().anyMatch(a -> a instanceof Refuse));
+            String first = rig.attempts.get("r").serverId();
+            List<BalancerAction> actions = fail(rig, "r", AttemptOutcome.ERROR);
+            assertFalse(actions.stream().anyMatch(a -> a instanceof Reject));
             rig.advance(delay(actions));
             if (rig.tries.get("r") == 2) {
-                assertEquals(rig.cellOf(first), rig.cellOf(rig.attempts.get("r").server()));
+                assertEquals(rig.cellOf(first), rig.cellOf(rig.attempts.get("r").serverId()));
             }
             rig.now += Rig.WINDOW + 1;
             if (rig.tries.get("r") == 2) {
-                assertEquals(List.of(new Fail("r")), fail(rig, "r", Outcome.FULL));
+                assertEquals(List.of(new Fail("r")), fail(rig, "r", AttemptOutcome.REJECTED));
             }
         }
     }
@@ -244,21 +253,25 @@
     @Test
     void keyedRequestInAnyGroupMayBeRefused() {
         Rig rig = new Rig(
-                Rig.settings().repeat(Repeat.KEYED, Scope.ALL).attempts(1).build(), 1);
+                Rig.settings()
+                        .repeat(Idempotency.WITH_KEY, DeduplicationScope.ALL)
+                        .attempts(1)
+                        .build(),
+                1);
         rig.list(6, 2);
         rig.request("r", "k");
-        assertTrue(fail(rig, "r", Outcome.ERROR).get(0) instanceof Refuse);
+        assertTrue(fail(rig, "r", AttemptOutcome.ERROR).get(0) instanceof Reject);
     }
 
     @Test
     void aDrainingServerGetsNothingNew() {
         Rig rig = new Rig(Rig.settings().build(), 2);
         rig.list(4, 1);
-        rig.phase("s0", Phase.DRAINING);
-        rig.phase("s1", Phase.GONE);
+        rig.phase("s0", EndpointState.DRAINING);
+        rig.phase("s1", EndpointState.GONE);
         for (int i = 0; i < 100; i++) {
             rig.request("r" + i, "k" + i);
-            String s = rig.attempts.get("r" + i).server();
+            String s = rig.attempts.get("r" + i).serverId();
             assertNotEquals("s0", s);
             assertNotEquals("s1", s);
         }
@@ -277,7 +290,7 @@
             rig.restart("s0");
             for (int i = 0; i < 50; i++) {
                 rig.request("r" + i, "k" + i);
-                sent += rig.attempts.get("r" + i).server().equals("s0") ? 1 : 0;
+                sent += rig.attempts.get("r" + i).serverId().equals("s0") ? 1 : 0;
             }
         }
         assertTrue(sent <= 20, "a crowd of 1000 put " + sent + " on a cold server at once");
@@ -288,17 +301,17 @@
         Rig rig = new Rig(Rig.settings().build(), 4);
         rig.list(3, 1);
         rig.request("r", "k");
-        String bad = rig.attempts.get("r").server();
-        fail(rig, "r", Outcome.CONNECT_FAILED);
+        String bad = rig.attempts.get("r").serverId();
+        fail(rig, "r", AttemptOutcome.CONNECT_FAILED);
         for (int i = 0; i < 30; i++) {
             rig.request("a" + i, "a" + i);
-            assertNotEquals(bad, rig.attempts.get("a" + i).server());
+            assertNotEquals(bad, rig.attempts.get("a" + i).serverId());
         }
         rig.now += 20 * Rig.DEADLINE;
         int trials = 0;
         for (int i = 0; i < 30; i++) {
             rig.request("b" + i, "b" + i);
-            trials += rig.attempts.get("b" + i).server().equals(bad) ? 1 : 0;
+            trials += rig.attempts.get("b" + i).serverId().equals(bad) ? 1 : 0;
         }
         assertEquals(1, trials);
     }
@@ -308,12 +321,12 @@
         Rig rig = new Rig(Rig.settings().build(), 4);
         rig.list(3, 1);
         for (int i = 0; i < 40; i++) {
-            rig.send(new Adopted(rig.ask("c" + i, "c" + i), "s0"));
+            rig.send(new ConnectionAdopted(rig.ask("c" + i, "c" + i), "s0"));
         }
         int moved = 0;
         for (int second = 0; second < 3; second++) {
-            for (Action a : rig.send(new DelayReported("c0", 0, "s0", Rig.MESSAGE * 5))) {
-                moved += a instanceof Relocate ? 1 : 0;
+            for (BalancerAction a : rig.send(new DelayReported("c0", 0, "s0", Rig.MESSAGE * 5))) {
+                moved += a instanceof Migrate ? 1 : 0;
             }
             rig.now += 1_000_000;
         }
@@ -324,21 +337,21 @@
     @Test
     void listThatMustBeAskedForIsSubscribedAndReaskedInTime() {
         Rig rig = new Rig(Rig.settings().askForList().build(), 1);
-        List<Action> first = rig.list(3, 1);
-        assertTrue(first.contains(new WatchServers()));
+        List<BalancerAction> first = rig.list(3, 1);
+        assertTrue(first.contains(new WatchEndpointList()));
         for (int i = 0; i < 10; i++) {
-            List<Action> actions = rig.send(new ServerList(ListKind.FAILED, List.of()));
+            List<BalancerAction> actions = rig.send(new EndpointListUpdate(EndpointListKind.FAILED, List.of()));
             SetTimer t = (SetTimer) actions.get(0);
-            assertTrue(t.after() <= Rig.ASK / 2 + 1);
-            rig.now += t.after();
-            assertEquals(List.of(new WatchServers()), rig.send(new TimerDue(t.token())));
+            assertTrue(t.delayMicros() <= Rig.ASK / 2 + 1);
+            rig.now += t.delayMicros();
+            assertEquals(List.of(new WatchEndpointList()), rig.send(new TimerExpired(t.token())));
         }
     }
 
     @Test
     void noServerAtAllStillAnswersEveryRequestInTime() {
         Rig rig = new Rig(Rig.settings().build(), 1);
-        rig.send(new ServerList(ListKind.SAVED, List.of()));
+        rig.send(new EndpointListUpdate(EndpointListKind.CACHED, List.of()));
         rig.request("r", "k");
         for (int i = 0; i < 400 && !rig.answered.contains("r"); i++) {
             rig.advance(Rig.DEADLINE / 200);
@@ -351,18 +364,18 @@
     void eventsForUnknownRequestsAndServersAreIgnored() {
         Rig rig = new Rig(Rig.settings().build(), 1);
         rig.list(3, 1);
-        List<Event> strays = List.of(
-                new Established("x", 0, "s0", 1),
-                new LoadChanged("x", 0, "y", 1),
+        List<BalancerEvent> strays = List.of(
+                new ConnectionEstablished("x", 0, "s0", 1),
+                new LoadReported("x", 0, "y", 1),
                 new DelayReported("x", 0, "y", 1e9),
-                new ClientGone("x"),
-                new TimerDue(77),
-                new AttemptEnded("x", 0, "y", Outcome.OK, true, 1, null),
+                new ClientDisconnected("x"),
+                new TimerExpired(77),
+                new AttemptEnded("x", 0, "y", AttemptOutcome.OK, true, 1, null),
                 new PeerMessage(5, "junk"),
-                new ProbeEnded("y", Outcome.TIMEOUT, 1, null),
-                new ConnectRequest("z", 99, 0, null, null, rig.now + 5, 0, false, false));
-        for (Event e : strays) {
-            List<Action> got = rig.send(e);
+                new HealthCheckEnded("y", AttemptOutcome.TIMEOUT, 1, null),
+                new ConnectRequested("z", 99, 0, null, null, rig.now + 5, 0, false, false));
+        for (BalancerEvent e : strays) {
+            List<BalancerAction> got = rig.send(e);
             assertTrue(got.isEmpty() || got.equals(List.of(new Fail("z"))), e + " gave " + got);
         }
     }
@@ -393,16 +406,16 @@
         for (int seed = 0; seed < 60; seed++) {
             Rig.Builder b = Rig.settings();
             if (seed % 3 == 1) {
-                b.repeat(Repeat.KEYED, Scope.values()[seed % 9 / 3]);
+                b.repeat(Idempotency.WITH_KEY, DeduplicationScope.values()[seed % 9 / 3]);
             } else if (seed % 3 == 2) {
-                b.repeat(Repeat.UNSAFE, Scope.ALL);
+                b.repeat(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
             }
             randomRun(seed, b.build());
         }
     }
 
     /** Plays chance events; the rig asserts every rule. Returns all actions. */
-    private static List<Action> randomRun(int seed, Settings settings) {
+    private static List<BalancerAction> randomRun(int seed, BalancerSettings settings) {
         Random chance = new Random(seed);
         Rig rig = new Rig(settings, seed);
         rig.list(8, 3);
@@ -411,7 +424,7 @@
             int what = chance.nextInt(100);
             if (what < 30) {
                 String group = chance.nextInt(3) == 0 ? "g" + chance.nextInt(4) : null;
-                rig.send(new ConnectRequest(
+                rig.send(new ConnectRequested(
                         "q" + step,
                         0,
                         0,
@@ -424,7 +437,7 @@
             } else if (what < 80) {
                 rig.settleOne(chance);
             } else if (what < 84) {
-                rig.phase("s" + chance.nextInt(8), Phase.values()[chance.nextInt(3)]);
+                rig.phase("s" + chance.nextInt(8), EndpointState.values()[chance.nextInt(3)]);
             } else if (what < 86) {
                 rig.restart("s" + chance.nextInt(8));
             } else if (what < 92) {
--- a/src/test/java/sandstack/decisions/NewSettingsTest.java
+++ b/src/test/java/sandstack/decisions/NewSettingsTest.java
@@ -6,55 +6,50 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import sandstack.capacity.Limits;
-import sandstack.decisions.Decisions.Action;
-import sandstack.decisions.Decisions.Attempt;
-import sandstack.decisions.Decisions.AttemptEnded;
-import sandstack.decisions.Decisions.ConnectRequest;
-import sandstack.decisions.Decisions.Fail;
-import sandstack.decisions.Decisions.Outcome;
-import sandstack.decisions.Decisions.Processes;
-import sandstack.decisions.Decisions.Refuse;
-import sandstack.decisions.Decisions.Repeat;
-import sandstack.decisions.Decisions.RequestClass;
-import sandstack.decisions.Decisions.Scope;
-import sandstack.decisions.Decisions.Settings;
-import sandstack.decisions.Decisions.SettingsChanged;
-import sandstack.settings.SettingsBuilder;
+import sandstack.decisions.BalancerAction.Fail;
+import sandstack.decisions.BalancerAction.Reject;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerEvent.AttemptEnded;
+import sandstack.decisions.BalancerEvent.ConnectRequested;
+import sandstack.decisions.BalancerEvent.ProcessCountChanged;
+import sandstack.decisions.BalancerEvent.SettingsChanged;
+import sandstack.settings.BalancerSettingsBuilder;
 
 /** Settings that come while requests are under way. */
 class NewSettingsTest {
-    private static final RequestClass UNSAFE =
-            new RequestClass(Rig.AIM, Rig.DEADLINE, 5, Repeat.UNSAFE, Scope.ALL, 0, Rig.MESSAGE);
+    private static final RequestClass UNSAFE = new RequestClass(
+            Rig.AIM, Rig.DEADLINE, 5, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, Rig.MESSAGE);
 
-    private static Settings withClass(Settings before, RequestClass more) {
+    private static BalancerSettings withClass(BalancerSettings before, RequestClass more) {
         List<RequestClass> classes = new ArrayList<>(before.classes());
         classes.add(more);
-        return SettingsBuilder.from(before).classes(classes).build();
+        return BalancerSettingsBuilder.from(before).classes(classes).build();
     }
 
-    private static Attempt attempt(List<Action> actions) {
+    private static StartAttempt attempt(List<BalancerAction> actions) {
         return actions.stream()
-                .filter(Attempt.class::isInstance)
-                .map(Attempt.class::cast)
+                .filter(StartAttempt.class::isInstance)
+                .map(StartAttempt.class::cast)
                 .findFirst()
                 .orElse(null);
     }
 
     @Test
     void aClassThatAppearsIsServedAndKeepsItsStricterRule() {
-        Settings before = Rig.settings().build();
-        Brain brain = new Brain(before, Rig.PLATFORM, Limits.NONE, 3, 1_000_000);
-        List<Decisions.ServerEntry> list = List.of(
-                new Decisions.ServerEntry("s0", 0, 0, 0, 0, Decisions.Phase.READY, 1),
-                new Decisions.ServerEntry("s1", 0, 0, 0, 0, Decisions.Phase.READY, 1));
-        brain.on(new Decisions.ServerList(Decisions.ListKind.FULL, list), 1_000_000);
-        ConnectRequest ask = new ConnectRequest("a", 1, 0, "k", null, 3_000_000, 0, false, false);
-        assertThat(brain.on(ask, 1_000_000)).containsExactly(new Fail("a"));
-        brain.on(new SettingsChanged(withClass(before, UNSAFE)), 1_000_000);
-        Attempt sent =
-                attempt(brain.on(new ConnectRequest("b", 1, 0, "k", null, 3_000_000, 0, false, false), 1_000_000));
+        BalancerSettings before = Rig.settings().build();
+        LoadBalancer brain = new LoadBalancer(before, Rig.PLATFORM, Limits.NONE, 3, 1_000_000);
+        List<EndpointEntry> list = List.of(
+                new EndpointEntry("s0", 0, 0, 0, 0, EndpointState.READY, 1),
+                new EndpointEntry("s1", 0, 0, 0, 0, EndpointState.READY, 1));
+        brain.handle(new BalancerEvent.EndpointListUpdate(EndpointListKind.FULL, list), 1_000_000);
+        ConnectRequested ask = new ConnectRequested("a", 1, 0, "k", null, 3_000_000, 0, false, false);
+        assertThat(brain.handle(ask, 1_000_000)).containsExactly(new Fail("a"));
+        brain.handle(new SettingsChanged(withClass(before, UNSAFE)), 1_000_000);
+        StartAttempt sent = attempt(
+                brain.handle(new ConnectRequested("b", 1, 0, "k", null, 3_000_000, 0, false, false), 1_000_000));
         assertThat(sent).isNotNull();
-        assertThat(brain.on(new AttemptEnded("b", 0, sent.server(), Outcome.RESET, false, 1000, null), 1_001_000))
+        assertThat(brain.handle(
+                        new AttemptEnded("b", 0, sent.serverId(), AttemptOutcome.RESET, false, 1000, null), 1_001_000))
                 .containsExactly(new Fail("b"));
     }
 
@@ -67,14 +62,14 @@
             rig.send(new SettingsChanged(Rig.settings().attempts(change[1]).build()));
             for (int i = 0; i < change[2]; i++) {
                 rig.advance(300_000);
-                Attempt out = rig.attempts.get("a");
-                rig.send(new AttemptEnded("a", i, out.server(), Outcome.CONNECT_FAILED, false, 1000, null));
+                StartAttempt out = rig.attempts.get("a");
+                rig.send(new AttemptEnded("a", i, out.serverId(), AttemptOutcome.CONNECT_FAILED, false, 1000, null));
             }
             rig.finish();
             assertThat(rig.tries.get("a"))
                     .as("from %d to %d", change[0], change[1])
                     .isLessThanOrEqualTo(change[2]);
-            assertThat(rig.log).anyMatch(Refuse.class::isInstance);
+            assertThat(rig.log).anyMatch(Reject.class::isInstance);
         }
     }
 
@@ -82,13 +77,13 @@
     void whatWasLearnedStays() {
         Rig rig = new Rig(Rig.settings().build(), 6);
         rig.list(2, 1);
-        assertThat(rig.brain.avoids("s0")).isFalse();
+        assertThat(rig.brain.isEjected("s0")).isFalse();
         rig.request("a", "k");
-        String at = rig.attempts.get("a").server();
-        rig.send(new AttemptEnded("a", 0, at, Outcome.CONNECT_FAILED, false, 1000, null));
-        assertThat(rig.brain.avoids(at)).isTrue();
+        String at = rig.attempts.get("a").serverId();
+        rig.send(new AttemptEnded("a", 0, at, AttemptOutcome.CONNECT_FAILED, false, 1000, null));
+        assertThat(rig.brain.isEjected(at)).isTrue();
         rig.send(new SettingsChanged(withClass(rig.settings, UNSAFE)));
-        assertThat(rig.brain.avoids(at)).isTrue();
+        assertThat(rig.brain.isEjected(at)).isTrue();
         rig.finish();
     }
 
@@ -108,14 +103,14 @@
     private static int sentCold(int seed, int processes) {
         Rig rig = new Rig(Rig.settings().instances(2).build(), seed);
         rig.list(2, 1);
-        rig.send(new Processes(processes));
+        rig.send(new ProcessCountChanged(processes));
         rig.restart("s0");
         for (int i = 0; i < 60; i++) {
             rig.advance(50_000);
             rig.request("r" + i, "k" + i);
         }
         return (int) rig.attempts.values().stream()
-                .filter(a -> a.server().equals("s0"))
+                .filter(a -> a.serverId().equals("s0"))
                 .count();
     }
 }
--- a/src/test/java/sandstack/decisions/NothingStatedTest.java
+++ b/src/test/java/sandstack/decisions/NothingStatedTest.java
@@ -7,33 +7,32 @@
 import org.junit.jupiter.api.Test;
 import sandstack.capacity.Limits;
 import sandstack.capacity.Stated;
-import sandstack.decisions.Decisions.Attempt;
-import sandstack.decisions.Decisions.ConnectRequest;
-import sandstack.decisions.Decisions.Established;
-import sandstack.decisions.Decisions.LoadChanged;
-import sandstack.decisions.Decisions.Settings;
-import sandstack.settings.SettingsBuilder;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerEvent.ConnectRequested;
+import sandstack.decisions.BalancerEvent.ConnectionEstablished;
+import sandstack.decisions.BalancerEvent.LoadReported;
+import sandstack.settings.BalancerSettingsBuilder;
 
 /** The module where nobody states anything of the feed servers: what settings, lists and told loads say. */
 class NothingStatedTest {
     private static Rig rig(boolean sized) {
-        Settings s = Rig.settings().build();
-        Settings with = SettingsBuilder.of(s.classes())
-                .self(s.self())
-                .instances(s.instances())
+        BalancerSettings s = Rig.settings().build();
+        BalancerSettings with = BalancerSettingsBuilder.of(s.classes())
+                .instanceIndex(s.instanceIndex())
+                .instanceCount(s.instanceCount())
                 .tenants(s.tenants())
                 .sharedGroups(true)
-                .listOnRequest(true)
-                .askWithin(Rig.ASK)
-                .connectTimeout(50_000)
-                .retryAfter(true)
-                .maxRetryAfter(60_000_000)
-                .drainGrace(Rig.GRACE)
-                .coldFrom(0.3)
-                .warmAfter(8_000_000)
-                .tipMultiple(3)
-                .tipAfter(2_000_000)
-                .sized(sized)
+                .endpointListPolled(true)
+                .pollIntervalMicros(Rig.ASK)
+                .connectTimeoutMicros(50_000)
+                .retryAfterHonored(true)
+                .maxRetryAfterMicros(60_000_000)
+                .drainGraceMicros(Rig.GRACE)
+                .slowStartInitialFraction(0.3)
+                .slowStartDurationMicros(8_000_000)
+                .overloadMultiple(3)
+                .overloadWindowMicros(2_000_000)
+                .ratingsAreSizes(sized)
                 .build();
         Rig rig = new Rig(with, Stated.Book.EMPTY, Limits.NONE, 5);
         rig.list(2, 1);
@@ -41,13 +40,13 @@
     }
 
     private static String place(Rig rig, String id, String group) {
-        rig.send(new ConnectRequest(id, 0, 0, id, group, rig.now + Rig.DEADLINE, 0, false, false));
-        Attempt a = rig.attempts.get(id);
+        rig.send(new ConnectRequested(id, 0, 0, id, group, rig.now + Rig.DEADLINE, 0, false, false));
+        StartAttempt a = rig.attempts.get(id);
         if (a == null) {
             return null;
         }
-        rig.send(new Established(id, 0, a.server(), 1_000));
-        return a.server();
+        rig.send(new ConnectionEstablished(id, 0, a.serverId(), 1_000));
+        return a.serverId();
     }
 
     /** It may prefer one, though. Figures of one deployment turned away 294 of 300 clients of two idle servers that tell no load. */
@@ -65,7 +64,7 @@
         for (boolean sized : new boolean[] {true, false}) {
             Rig rig = rig(sized);
             String full = place(rig, "heavy", null);
-            rig.send(new LoadChanged("heavy", 0, full, 900_000));
+            rig.send(new LoadReported("heavy", 0, full, 900_000));
             int there = 0;
             for (int i = 0; i < 60; i++) {
                 there += full.equals(place(rig, "r" + i, null)) ? 1 : 0;
--- a/src/test/java/sandstack/decisions/OverloadTest.java
+++ b/src/test/java/sandstack/decisions/OverloadTest.java
@@ -10,19 +10,16 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import sandstack.decisions.Decisions.Action;
-import sandstack.decisions.Decisions.Adopted;
-import sandstack.decisions.Decisions.Attempt;
-import sandstack.decisions.Decisions.AttemptEnded;
-import sandstack.decisions.Decisions.ConnectRequest;
-import sandstack.decisions.Decisions.DelayReported;
-import sandstack.decisions.Decisions.Established;
-import sandstack.decisions.Decisions.LoadChanged;
-import sandstack.decisions.Decisions.Outcome;
-import sandstack.decisions.Decisions.Refuse;
-import sandstack.decisions.Decisions.Relocate;
-import sandstack.decisions.Decisions.Settings;
-import sandstack.decisions.Decisions.TimerDue;
+import sandstack.decisions.BalancerAction.Migrate;
+import sandstack.decisions.BalancerAction.Reject;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerEvent.AttemptEnded;
+import sandstack.decisions.BalancerEvent.ConnectRequested;
+import sandstack.decisions.BalancerEvent.ConnectionAdopted;
+import sandstack.decisions.BalancerEvent.ConnectionEstablished;
+import sandstack.decisions.BalancerEvent.DelayReported;
+import sandstack.decisions.BalancerEvent.LoadReported;
+import sandstack.decisions.BalancerEvent.TimerExpired;
 
 /** Shedding, spilling, store trouble and bounded memory. */
 class OverloadTest {
@@ -30,8 +27,8 @@
         int moved = 0;
         for (int i = 0; i < looks; i++) {
             for (int s = 0; s < 6; s++) {
-                for (Action a : rig.send(new DelayReported("c" + s, 0, "s" + s, Rig.MESSAGE * 3))) {
-                    moved += a instanceof Relocate ? 1 : 0;
+                for (BalancerAction a : rig.send(new DelayReported("c" + s, 0, "s" + s, Rig.MESSAGE * 3))) {
+                    moved += a instanceof Migrate ? 1 : 0;
                 }
             }
             rig.now += Rig.DEADLINE / 2;
@@ -43,7 +40,7 @@
         Rig rig = new Rig(Rig.settings().build(), 6);
         rig.list(6, 2);
         for (int i = 0; i < 60; i++) {
-            rig.send(new Adopted(rig.ask("c" + i, "c" + i), "s" + i % 6));
+            rig.send(new ConnectionAdopted(rig.ask("c" + i, "c" + i), "s" + i % 6));
         }
         return rig;
     }
@@ -51,8 +48,8 @@
     private static int refused(Rig rig, String prefix) {
         int n = 0;
         for (int i = 0; i < 200; i++) {
-            List<Action> a = rig.send(rig.ask(prefix + i, prefix + i));
-            n += a.stream().anyMatch(x -> x instanceof Refuse) ? 1 : 0;
+            List<BalancerAction> a = rig.send(rig.ask(prefix + i, prefix + i));
+            n += a.stream().anyMatch(x -> x instanceof Reject) ? 1 : 0;
         }
         return n;
     }
@@ -66,15 +63,15 @@
         assertTrue(during > 50, during + " of 200 refused in a jam");
         for (int i = 0; i < 120; i++) {
             rig.now += Rig.DEADLINE / 2;
-            rig.send(new TimerDue(-99));
+            rig.send(new TimerExpired(-99));
         }
         assertEquals(0, refused(rig, "after"), "still shedding long after the jam, with marks that ran out");
     }
 
     private static String placed(Rig rig, String id, String group) {
-        rig.send(new ConnectRequest(id, 0, 0, id, group, rig.now + Rig.DEADLINE, 0, false, false));
-        Attempt a = rig.attempts.get(id);
-        return a == null ? null : a.server();
+        rig.send(new ConnectRequested(id, 0, 0, id, group, rig.now + Rig.DEADLINE, 0, false, false));
+        StartAttempt a = rig.attempts.get(id);
+        return a == null ? null : a.serverId();
     }
 
     /** So many of 60 groups two relays place at one server. */
@@ -101,7 +98,7 @@
         for (Rig rig : rigs) {
             rig.list(9, 2);
             for (int i = 0; i < 60; i++) {
-                rig.send(new Adopted(rig.ask("c" + i, "c" + i), "s" + i % 9));
+                rig.send(new ConnectionAdopted(rig.ask("c" + i, "c" + i), "s" + i % 9));
             }
         }
         return rigs;
@@ -140,14 +137,14 @@
         Rig rig = new Rig(Rig.settings().classes(1, 3).build(), 6);
         rig.list(6, 2);
         for (int i = 0; i < 60; i++) {
-            rig.send(new Adopted(rig.ask("c" + i, "c" + i), "s" + i % 6));
+            rig.send(new ConnectionAdopted(rig.ask("c" + i, "c" + i), "s" + i % 6));
         }
         jam(rig, 3);
         int[] refused = new int[2];
         for (int i = 0; i < 400; i++) {
-            List<Action> a = rig.send(
-                    new ConnectRequest("q" + i, i % 2, 0, "q" + i, null, rig.now + Rig.DEADLINE, 0, false, false));
-            refused[i % 2] += a.stream().anyMatch(x -> x instanceof Refuse) ? 1 : 0;
+            List<BalancerAction> a = rig.send(
+                    new ConnectRequested("q" + i, i % 2, 0, "q" + i, null, rig.now + Rig.DEADLINE, 0, false, false));
+            refused[i % 2] += a.stream().anyMatch(x -> x instanceof Reject) ? 1 : 0;
         }
         assertTrue(
                 refused[0] > 20 && refused[1] > 20 && Math.abs(refused[0] - refused[1]) < 60,
@@ -159,19 +156,19 @@
         Rig rig = new Rig(Rig.settings().classes(1, 3).build(), 6);
         rig.list(6, 2);
         for (int i = 0; i < 60; i++) {
-            rig.send(new Adopted(
-                    new ConnectRequest("c" + i, i % 2, 0, "c" + i, null, rig.now + Rig.DEADLINE, 0, false, false),
+            rig.send(new ConnectionAdopted(
+                    new ConnectRequested("c" + i, i % 2, 0, "c" + i, null, rig.now + Rig.DEADLINE, 0, false, false),
                     "s" + i % 6));
-            rig.send(new LoadChanged("c" + i, 0, "s" + i % 6, 1000));
+            rig.send(new LoadReported("c" + i, 0, "s" + i % 6, 1000));
         }
         rig.now += Rig.DEADLINE;
-        rig.send(new TimerDue(-99));
+        rig.send(new TimerExpired(-99));
         jam(rig, 2);
         int[] refused = new int[2];
         for (int i = 0; i < 400; i++) {
-            List<Action> a = rig.send(
-                    new ConnectRequest("q" + i, i % 2, 0, "q" + i, null, rig.now + Rig.DEADLINE, 0, false, false));
-            refused[i % 2] += a.stream().anyMatch(x -> x instanceof Refuse) ? 1 : 0;
+            List<BalancerAction> a = rig.send(
+                    new ConnectRequested("q" + i, i % 2, 0, "q" + i, null, rig.now + Rig.DEADLINE, 0, false, false));
+            refused[i % 2] += a.stream().anyMatch(x -> x instanceof Reject) ? 1 : 0;
         }
         assertTrue(refused[0] > 50 && refused[1] == 0, refused[0] + " and " + refused[1] + " of 200 refused");
     }
@@ -180,8 +177,8 @@
         int n = 0;
         for (int i = 0; i < 100; i++) {
             rig.request(prefix + i, prefix + i);
-            Attempt a = rig.attempts.get(prefix + i);
-            n += a != null && rig.zoneOf(a.server()) == zone ? 1 : 0;
+            StartAttempt a = rig.attempts.get(prefix + i);
+            n += a != null && rig.zoneOf(a.serverId()) == zone ? 1 : 0;
         }
         return n;
     }
@@ -191,8 +188,8 @@
         Rig rig = new Rig(Rig.settings().build(), 6);
         rig.list(6, 2);
         for (int s : servers) {
-            rig.send(new Adopted(rig.ask("c" + s, "c" + s), "s" + s));
-            rig.send(new LoadChanged("c" + s, 0, "s" + s, load));
+            rig.send(new ConnectionAdopted(rig.ask("c" + s, "c" + s), "s" + s));
+            rig.send(new LoadReported("c" + s, 0, "s" + s, load));
         }
         return rig;
     }
@@ -211,15 +208,15 @@
         Rig rig = usedBy(100_000, 0, 1, 3, 4);
         assertEquals(0, placedAt(rig, 1, "a"), "left home for nothing");
         for (int s : List.of(0, 1, 3, 4)) {
-            rig.send(new LoadChanged("c" + s, 0, "s" + s, 225_000));
+            rig.send(new LoadReported("c" + s, 0, "s" + s, 225_000));
         }
         int away = placedAt(rig, 1, "b");
         assertTrue(away > 20 && away < 80, away + " of 100 placed where servers stand idle");
     }
 
-    private static List<Action> look(Rig rig) {
+    private static List<BalancerAction> look(Rig rig) {
         rig.now += Rig.DEADLINE / 2;
-        return rig.send(new TimerDue(-99));
+        return rig.send(new TimerExpired(-99));
     }
 
     @Test
@@ -227,12 +224,12 @@
         Rig rig = new Rig(Rig.settings().build(), 6);
         rig.list(6, 2);
         for (int i = 0; i < 22; i++) {
-            rig.send(new Adopted(rig.ask("c" + i, "c" + i), "s0"));
-            rig.send(new LoadChanged("c" + i, 0, "s0", i == 1 ? 400_000 : i == 2 ? 200_000 : 5_000));
+            rig.send(new ConnectionAdopted(rig.ask("c" + i, "c" + i), "s0"));
+            rig.send(new LoadReported("c" + i, 0, "s0", i == 1 ? 400_000 : i == 2 ? 200_000 : 5_000));
         }
         assertEquals(List.of(), look(rig), "moved what has only just come");
         look(rig);
-        assertEquals(List.of(new Relocate("c2")), look(rig), "400000 of 700000 would only turn the two round");
+        assertEquals(List.of(new Migrate("c2")), look(rig), "400000 of 700000 would only turn the two round");
     }
 
     @Test
@@ -240,7 +237,7 @@
         Rig rig = new Rig(Rig.settings().build(), 6);
         rig.list(6, 2);
         for (int i = 0; i < 60; i++) {
-            rig.send(new Adopted(
+            rig.send(new ConnectionAdopted(
                     rig.ask("c" + i, "c" + i), "s" + List.of(0, 1, 3, 4).get(i % 4)));
         }
         assertTrue(placedAt(rig, 1, "r") > 90, "placed where 15 stand on each, as nothing is told of them");
@@ -258,10 +255,11 @@
 
     /** Sends a request of this group; it gets an error wherever it goes. Returns how many servers it was sent to. */
     private static int poison(Rig rig, String id, String group) {
-        rig.send(new ConnectRequest(id, 0, 0, id, group, rig.now + Rig.DEADLINE, 0, false, false));
+        rig.send(new ConnectRequested(id, 0, 0, id, group, rig.now + Rig.DEADLINE, 0, false, false));
         for (int n = 0; !rig.answered.contains(id); n = rig.tries.get(id)) {
             if (rig.tries.getOrDefault(id, 0) > n) {
-                rig.send(new AttemptEnded(id, n, rig.attempts.get(id).server(), Outcome.ERROR, false, 1000, null));
+                rig.send(new AttemptEnded(
+                        id, n, rig.attempts.get(id).serverId(), AttemptOutcome.ERROR, false, 1000, null));
             }
             rig.advance(Rig.AIM / 64);
         }
@@ -283,15 +281,15 @@
         Rig rig = new Rig(Rig.settings().build(), 6);
         rig.list(6, 2);
         rig.request("r", "k");
-        String faulty = rig.attempts.get("r").server();
-        rig.send(new AttemptEnded("r", 0, faulty, Outcome.ERROR, false, 1000, null));
+        String faulty = rig.attempts.get("r").serverId();
+        rig.send(new AttemptEnded("r", 0, faulty, AttemptOutcome.ERROR, false, 1000, null));
         rig.advance(Rig.AIM);
-        String good = rig.attempts.get("r").server();
+        String good = rig.attempts.get("r").serverId();
         assertTrue(!good.equals(faulty), "sent again to where it got an error");
-        rig.send(new Established("r", 1, good, 1000));
+        rig.send(new ConnectionEstablished("r", 1, good, 1000));
         for (int i = 0; i < 100; i++) {
             rig.request("q" + i, "q" + i);
-            assertTrue(!rig.attempts.get("q" + i).server().equals(faulty), "no mark");
+            assertTrue(!rig.attempts.get("q" + i).serverId().equals(faulty), "no mark");
         }
     }
 
@@ -307,10 +305,10 @@
         int away = 0;
         for (int i = 0; i < 300; i++) {
             rig.request("r" + i, "r" + i);
-            Attempt a = rig.attempts.get("r" + i);
+            StartAttempt a = rig.attempts.get("r" + i);
             if (a != null) {
-                assertTrue(!a.server().equals("s0"), "placed on a late server");
-                away += rig.zoneOf(a.server()) == 1 ? 1 : 0;
+                assertTrue(!a.serverId().equals("s0"), "placed on a late server");
+                away += rig.zoneOf(a.serverId()) == 1 ? 1 : 0;
             }
         }
         assertTrue(away > 5 && away < 150, away + " of 300 spilled");
@@ -322,13 +320,13 @@
         rig.list(12, 2);
         for (int i = 0; i < 30; i++) {
             rig.request("r" + i, "r" + i);
-            Attempt a = rig.attempts.get("r" + i);
+            StartAttempt a = rig.attempts.get("r" + i);
             if (rig.tries.getOrDefault("r" + i, 0) == 1) {
-                rig.send(new AttemptEnded("r" + i, 0, a.server(), Outcome.TIMEOUT, false, 800_000, null));
+                rig.send(new AttemptEnded("r" + i, 0, a.serverId(), AttemptOutcome.TIMEOUT, false, 800_000, null));
             }
         }
         rig.request("last", "last");
-        assertEquals(0, rig.zoneOf(rig.attempts.get("last").server()), "the home zone was emptied by marks");
+        assertEquals(0, rig.zoneOf(rig.attempts.get("last").serverId()), "the home zone was emptied by marks");
     }
 
     @Test
@@ -339,15 +337,15 @@
         int most = 0;
         for (int i = 0; i < 30_000; i++) {
             String id = "r" + i;
-            rig.send(new ConnectRequest(id, 0, 0, "k" + i, "g" + i % 500, rig.now + Rig.DEADLINE, 0, false, false));
+            rig.send(new ConnectRequested(id, 0, 0, "k" + i, "g" + i % 500, rig.now + Rig.DEADLINE, 0, false, false));
             rig.advance(2_000);
             if (rig.tries.containsKey(id) && !rig.answered.contains(id)) {
-                Attempt a = rig.attempts.get(id);
+                StartAttempt a = rig.attempts.get(id);
                 if (chance.nextInt(10) < 7) {
-                    rig.send(new Established(id, 0, a.server(), 100));
-                    rig.send(new AttemptEnded(id, 0, a.server(), Outcome.OK, true, 100, null));
+                    rig.send(new ConnectionEstablished(id, 0, a.serverId(), 100));
+                    rig.send(new AttemptEnded(id, 0, a.serverId(), AttemptOutcome.OK, true, 100, null));
                 } else {
-                    rig.send(new AttemptEnded(id, 0, a.server(), Outcome.FULL, true, 100, null));
+                    rig.send(new AttemptEnded(id, 0, a.serverId(), AttemptOutcome.REJECTED, true, 100, null));
                 }
             }
             if (i % 1000 == 0) {
@@ -369,8 +367,10 @@
                 n += m.size();
             } else if (v instanceof Collection<?> c) {
                 n += c.size();
-            } else if (v != null && part instanceof Brain && f.getType().getPackage() == Brain.class.getPackage()) {
-                n += v instanceof Settings ? 0 : kept(v);
+            } else if (v != null
+                    && part instanceof LoadBalancer
+                    && f.getType().getPackage() == LoadBalancer.class.getPackage()) {
+                n += v instanceof BalancerSettings ? 0 : kept(v);
             }
         }
         return n;
