--- a/src/bench/java/sandstack/decisions/DecisionBenchmark.java
+++ b/src/bench/java/sandstack/decisions/DecisionBenchmark.java
@@ -13,8 +13,8 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Stated;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.StatedCapacities;
 import sandstack.decisions.BalancerAction.StartAttempt;
 import sandstack.decisions.BalancerEvent.AttemptEnded;
 import sandstack.decisions.BalancerEvent.ConnectRequested;
@@ -64,8 +64,8 @@
                         .overloadMultiple(3)
                         .overloadWindowMicros(1_500_000)
                         .build(),
-                Stated.Book.EMPTY,
-                Limits.NONE,
+                StatedCapacities.NONE,
+                InstallationLimits.NONE,
                 7,
                 now);
         List<EndpointEntry> list = new ArrayList<>();
--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -253,7 +253,7 @@
 
     /** Where what the agent has counts from the first moment, no client comes before the relay has heard it. */
     private void awaitFirstList() {
-        if (terms.settings().endpointListStaleness().firstList() > 0) {
+        if (terms.settings().endpointListStaleness().firstListTimeoutMicros() > 0) {
             CountDownLatch told = new CountDownLatch(1);
             loop.execute(() -> untilTold(told));
             await(told);
@@ -263,7 +263,7 @@
     private void untilTold(CountDownLatch told) {
         if (relay.names().told()
                 || loop.now() - startedAt
-                        >= terms.settings().endpointListStaleness().firstList()) {
+                        >= terms.settings().endpointListStaleness().firstListTimeoutMicros()) {
             told.countDown();
         } else {
             relay.deadlines().at(loop.now() + LOOK_AGAIN, () -> untilTold(told));
--- a/src/main/java/sandstack/capacity/ClassLoads.java
+++ b/src/main/java/sandstack/capacity/ClassLoads.java
@@ -10,52 +10,56 @@
  */
 public final class ClassLoads {
     /** What one more told load weighs in its class's mean. */
-    private static final double TOLD = 0.05;
+    private static final double REPORT_WEIGHT = 0.05;
 
-    private double[] mean = new double[0];
-    private double[] held = mean;
-    private double[] shed = mean;
+    private double[] meanLoads = new double[0];
+    private double[] heldLoads = meanLoads;
+    private double[] shed = meanLoads;
 
     /** So many classes there are now; those before keep what is known of them. */
-    public void classesAre(int count) {
-        mean = Arrays.copyOf(mean, count);
-        held = Arrays.copyOf(held, count);
+    public void resize(int count) {
+        meanLoads = Arrays.copyOf(meanLoads, count);
+        heldLoads = Arrays.copyOf(heldLoads, count);
         shed = Arrays.copyOf(shed, count);
     }
 
     /** A connection of class {@code c} told its load. */
-    public void told(int c, double load) {
-        mean[c] += (load - mean[c]) * (mean[c] == 0 ? 1 : TOLD);
+    public void onLoadReported(int classIndex, double load) {
+        meanLoads[classIndex] += (load - meanLoads[classIndex]) * (meanLoads[classIndex] == 0 ? 1 : REPORT_WEIGHT);
     }
 
     /** The mean load of a class; 0 where none was told. */
-    public double of(int c) {
-        return mean[c];
+    public double meanLoad(int classIndex) {
+        return meanLoads[classIndex];
     }
 
     /** Counts what is held anew. */
-    public void clear() {
-        Arrays.fill(held, 0);
+    public void clearHeld() {
+        Arrays.fill(heldLoads, 0);
     }
 
-    /** Adds one load to what class {@code c} holds, since {@link #clear}. */
-    public void holds(int c, double load) {
-        held[c] += load;
+    /** Adds one load to what class {@code c} holds, since {@link #clearHeld}. */
+    public void addHeld(int classIndex, double load) {
+        heldLoads[classIndex] += load;
     }
 
     /**
      * Settles what each class gives so that this part of all load goes, least worth for its load first.
      *
-     * @param byWork worth is counted per unit of work already
+     * @param weightPerUnitOfWork worth is counted per unit of work already
      */
-    public void shed(double part, IntToDoubleFunction worth, boolean byWork) {
-        double[] density = new double[held.length];
-        Arrays.setAll(density, c -> byWork || mean[c] <= 0 ? worth.applyAsDouble(c) : worth.applyAsDouble(c) / mean[c]);
-        shed = Shares.leastFirst(part, held, density);
+    public void shed(double shedFraction, IntToDoubleFunction priorityWeight, boolean weightPerUnitOfWork) {
+        double[] density = new double[heldLoads.length];
+        Arrays.setAll(
+                density,
+                classIndex -> weightPerUnitOfWork || meanLoads[classIndex] <= 0
+                        ? priorityWeight.applyAsDouble(classIndex)
+                        : priorityWeight.applyAsDouble(classIndex) / meanLoads[classIndex]);
+        shed = SheddingPlan.shedLeastDenseFirst(shedFraction, heldLoads, density);
     }
 
     /** The part that this class gives, as last settled. */
-    public double gives(int c) {
-        return shed[c];
+    public double shedFraction(int classIndex) {
+        return shed[classIndex];
     }
 }
--- a/src/main/java/sandstack/capacity/Cause.java
+++ b/src/main/java/sandstack/capacity/RejectionReason.java
@@ -1,7 +1,7 @@
 package sandstack.capacity;
 
 /** Why a request is refused. */
-public enum Cause {
+public enum RejectionReason {
     /** Most servers are late, and a part of the load stays away until they are not. */
     SHED,
     /** By the evidence no server takes one more. */
--- a/src/main/java/sandstack/config/CapacityFile.java
+++ b/src/main/java/sandstack/config/CapacityFile.java
@@ -7,8 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Stated;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.StatedCapacities;
+import sandstack.capacity.StatedCapacity;
 
 /**
  * What an operator states of the feed servers, and the limits of the installation: {@code deploy/capacity.toml}, which
@@ -17,9 +18,9 @@
  *
  * @param kinds names of the machine kinds, in the order of the book
  */
-public record CapacityFile(Stated.Book book, List<String> kinds, Limits limits) {
+public record CapacityFile(StatedCapacities book, List<String> kinds, InstallationLimits limits) {
     /** Nothing stated, no limits. */
-    public static final CapacityFile NONE = new CapacityFile(Stated.Book.EMPTY, List.of(), Limits.NONE);
+    public static final CapacityFile NONE = new CapacityFile(StatedCapacities.NONE, List.of(), InstallationLimits.NONE);
 
     private static final String FILE = "capacity.toml";
     private static final Set<String> TABLES = Set.of("enabled", "servers", "kinds", "limits");
@@ -41,9 +42,9 @@
     private record Reader(String file) {
         CapacityFile read(JsonNode root) throws BadSettings {
             known(root, "", TABLES);
-            Stated other = stated(root.path("servers"), "servers", Stated.NOTHING);
+            StatedCapacity other = stated(root.path("servers"), "servers", StatedCapacity.NOTHING);
             List<String> names = new ArrayList<>();
-            List<Stated> kinds = new ArrayList<>();
+            List<StatedCapacity> kinds = new ArrayList<>();
             table(root.path("kinds"), "kinds");
             for (Iterator<Map.Entry<String, JsonNode>> i = root.path("kinds").fields(); i.hasNext(); ) {
                 Map.Entry<String, JsonNode> kind = i.next();
@@ -55,23 +56,23 @@
             }
             JsonNode l = root.path("limits");
             known(l, "limits", LIMITS);
-            Limits limits = new Limits(
+            InstallationLimits limits = new InstallationLimits(
                     count(l, "relay"), count(l, "server"), count(l, "group"), number(l, "limits", "setups", 0, 1e6));
-            return new CapacityFile(new Stated.Book(other, kinds), List.copyOf(names), limits);
+            return new CapacityFile(new StatedCapacities(other, kinds), List.copyOf(names), limits);
         }
 
         /** What a kind's table leaves out is as for all servers. */
-        private Stated stated(JsonNode of, String where, Stated other) throws BadSettings {
+        private StatedCapacity stated(JsonNode of, String where, StatedCapacity other) throws BadSettings {
             known(of, where, STATED);
             if (of.has("firm") && !of.path("firm").isBoolean()) {
                 throw new BadSettings(file + ": " + where + ".firm is neither true nor false: " + of.path("firm"));
             }
-            return new Stated(
-                    number(of, where, "work", other.work(), 1e15),
-                    number(of, where, "connections", other.connections(), 1e9),
-                    of.path("firm").asBoolean(other.firm()),
-                    number(of, where, "load", other.load(), 1e15),
-                    number(of, where, "group", other.group(), 1e6));
+            return new StatedCapacity(
+                    number(of, where, "work", other.workPerRating(), 1e15),
+                    number(of, where, "connections", other.connectionsPerRating(), 1e9),
+                    of.path("firm").asBoolean(other.upperBound()),
+                    number(of, where, "load", other.defaultConnectionLoad(), 1e15),
+                    number(of, where, "group", other.groupOverheadConnections(), 1e6));
         }
 
         private int count(JsonNode of, String name) throws BadSettings {
--- a/src/main/java/sandstack/core/Refusal.java
+++ b/src/main/java/sandstack/core/Refusal.java
@@ -1,6 +1,6 @@
 package sandstack.core;
 
-import sandstack.capacity.Cause;
+import sandstack.capacity.RejectionReason;
 
 /**
  * The final answer to a command that is not served.
@@ -9,7 +9,7 @@
  * @param comeBackMillis with REFUSED: when to come again; 0 gives no advice
  * @param cause why the module refused it; null where it was not the module that did
  */
-public record Refusal(Kind kind, long comeBackMillis, Cause cause) {
+public record Refusal(Kind kind, long comeBackMillis, RejectionReason cause) {
     /** What a nack says; each front has words of its own for them. */
     public enum Kind {
         /** Nothing has happened and trying again is harmless. */
@@ -28,7 +28,7 @@
     }
 
     /** Rounds up, so that nobody comes back before the interval has ended. */
-    static Refusal refused(long comeBackMicros, Cause cause) {
+    static Refusal refused(long comeBackMicros, RejectionReason cause) {
         return new Refusal(Kind.REFUSED, (comeBackMicros + 999) / 1000, cause);
     }
 }
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -12,9 +12,9 @@
 import java.util.function.IntSupplier;
 import java.util.function.LongSupplier;
 import java.util.logging.Logger;
-import sandstack.capacity.Cause;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Stated;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.RejectionReason;
+import sandstack.capacity.StatedCapacities;
 import sandstack.decisions.BalancerAction;
 import sandstack.decisions.BalancerAction.Fail;
 import sandstack.decisions.BalancerAction.Migrate;
@@ -69,7 +69,7 @@
     private final Tenants tenants = new Tenants();
     private final Map<String, ServiceClient> clients = new LinkedHashMap<>();
     private final Map<ConnectionOutcome, Long> endings = new EnumMap<>(ConnectionOutcome.class);
-    private final Map<Cause, Long> refusals = new EnumMap<>(Cause.class);
+    private final Map<RejectionReason, Long> refusals = new EnumMap<>(RejectionReason.class);
     private final Runnable watch;
     private final Actions handler = new Actions();
     /** Causes for which discovery could not be asked since it last told something; each has had its line. */
@@ -86,7 +86,7 @@
      * @param watch asks discovery for changes; answered by {@link #listed} or {@link #listFailed}
      */
     public Relay(BalancerSettings settings, long seed, LongSupplier clock, Runnable watch) {
-        this(EffectiveSettings.numbered(settings), Stated.Book.EMPTY, Limits.NONE, seed, clock, watch);
+        this(EffectiveSettings.numbered(settings), StatedCapacities.NONE, InstallationLimits.NONE, seed, clock, watch);
     }
 
     /**
@@ -96,7 +96,12 @@
      * @param limits what the installation allows
      */
     public Relay(
-            EffectiveSettings terms, Stated.Book book, Limits limits, long seed, LongSupplier clock, Runnable watch) {
+            EffectiveSettings terms,
+            StatedCapacities book,
+            InstallationLimits limits,
+            long seed,
+            LongSupplier clock,
+            Runnable watch) {
         use(terms);
         this.clock = clock;
         this.watch = watch;
@@ -541,7 +546,7 @@
     }
 
     /** How many commands were refused for which cause. */
-    public Map<Cause, Long> refusals() {
+    public Map<RejectionReason, Long> refusals() {
         return refusals;
     }
 
--- a/src/main/java/sandstack/decisions/BalancerAction.java
+++ b/src/main/java/sandstack/decisions/BalancerAction.java
@@ -1,6 +1,6 @@
 package sandstack.decisions;
 
-import sandstack.capacity.Cause;
+import sandstack.capacity.RejectionReason;
 
 /** What the module decides; the balancer carries actions out in order, at once. */
 public sealed interface BalancerAction {
@@ -41,7 +41,7 @@
     }
 
     /** Final answer: refused for this cause; trying again does no harm. retryAfter 0 gives no advice. */
-    record Reject(String requestId, long retryAfterMicros, Cause reason) implements BalancerAction {
+    record Reject(String requestId, long retryAfterMicros, RejectionReason reason) implements BalancerAction {
         @Override
         public <E extends Exception> void dispatch(Handler<E> handler) throws E {
             handler.reject(this);
--- a/src/main/java/sandstack/decisions/BalancerContext.java
+++ b/src/main/java/sandstack/decisions/BalancerContext.java
@@ -4,10 +4,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sandstack.capacity.Capacity;
-import sandstack.capacity.ColdBudget;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Stated;
+import sandstack.capacity.CapacityModel;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.SlowStartBudget;
+import sandstack.capacity.StatedCapacities;
 import sandstack.decisions.BalancerAction.SetTimer;
 import sandstack.random.SeededRandom;
 
@@ -20,15 +20,15 @@
     private static final int SLOTS_IN_AIM = 16;
 
     BalancerSettings settings;
-    final Capacity capacity;
-    final Limits limits;
+    final CapacityModel capacity;
+    final InstallationLimits limits;
     final SeededRandom random;
     long slotMicros;
     /** Half of the shortest deadline: the unit of marks, and the pace of looks at the whole. */
     long ejectionUnitMicros;
 
     double shortestMessageLatencyObjectiveMicros;
-    ColdBudget.Rule slowStartRule;
+    SlowStartBudget.Rule slowStartRule;
     long nowMicros;
     /** Processes that are this instance together: they share what cold servers may be sent. */
     int processCount = 1;
@@ -37,12 +37,13 @@
     private final Map<Long, TrackedRequest> timers = new LinkedHashMap<>();
     private long lastToken;
 
-    BalancerContext(BalancerSettings settings, Stated.Book book, Limits limits, long seed, long nowMicros) {
+    BalancerContext(
+            BalancerSettings settings, StatedCapacities book, InstallationLimits limits, long seed, long nowMicros) {
         this.limits = limits;
         this.random = new SeededRandom(seed);
         this.nowMicros = nowMicros;
         applySettings(settings);
-        capacity = new Capacity(book, slotMicros, settings.instanceCount(), settings.ratingsAreSizes());
+        capacity = new CapacityModel(book, slotMicros, settings.instanceCount(), settings.ratingsAreSizes());
     }
 
     /** These settings count from now on; what was learned under others stays. */
@@ -51,7 +52,7 @@
         slotMicros = Math.max(1, newSettings.shortestLatencyObjectiveMicros() / SLOTS_IN_AIM);
         ejectionUnitMicros = Math.max(1, newSettings.shortestDeadlineMicros() / 2);
         shortestMessageLatencyObjectiveMicros = newSettings.shortestMessageLatencyObjectiveMicros();
-        slowStartRule = new ColdBudget.Rule(
+        slowStartRule = new SlowStartBudget.Rule(
                 settings.overloadMultiple(),
                 settings.overloadWindowMicros(),
                 settings.instanceCount(),
--- a/src/main/java/sandstack/decisions/BalancerSettings.java
+++ b/src/main/java/sandstack/decisions/BalancerSettings.java
@@ -1,7 +1,7 @@
 package sandstack.decisions;
 
 import java.util.List;
-import sandstack.staleness.ListClock;
+import sandstack.staleness.EndpointListStaleness;
 
 /**
  * All that one balancer instance is set up with. The constructor refuses what makes no sense with an
@@ -100,8 +100,8 @@
     }
 
     /** When what the list's source has to tell counts as told, and when to ask again. */
-    public ListClock endpointListStaleness() {
-        return new ListClock(!endpointListPolled, pollIntervalMicros);
+    public EndpointListStaleness endpointListStaleness() {
+        return new EndpointListStaleness(!endpointListPolled, pollIntervalMicros);
     }
 
     /** Whether there is a class at this position. */
--- a/src/main/java/sandstack/decisions/ConnectionMigration.java
+++ b/src/main/java/sandstack/decisions/ConnectionMigration.java
@@ -1,7 +1,7 @@
 package sandstack.decisions;
 
 import java.util.List;
-import sandstack.capacity.RoomWeight;
+import sandstack.capacity.HeadroomWeight;
 import sandstack.decisions.BalancerAction.Migrate;
 
 /**
@@ -64,7 +64,9 @@
     /** What a look at the whole moves. */
     void look() {
         for (ServerState s : endpoints.all()) {
-            if (headroom.use(s) >= RoomWeight.USE_OVER && context.capacity.loadsKnown() && s.ready()) {
+            if (headroom.use(s) >= HeadroomWeight.OVERLOADED_UTILIZATION
+                    && context.capacity.loadsKnown()
+                    && s.ready()) {
                 relocate(s);
             }
         }
@@ -76,7 +78,7 @@
      * whole interval, and moves if the server is still slow then; the next interval starts at its end.
      */
     private void relocate(ServerState s) {
-        boolean over = headroom.use(s) >= RoomWeight.USE_OVER;
+        boolean over = headroom.use(s) >= HeadroomWeight.OVERLOADED_UTILIZATION;
         if (context.nowMicros >= s.moveEnd) {
             s.moveN++;
             s.moveStart = context.nowMicros;
@@ -111,14 +113,14 @@
             }
         }
         double gap = most == null ? 0 : headroom.use(most) - headroom.use(least);
-        if (gap < 2 * ServerPicker.USE_GAP || headroom.use(most) < RoomWeight.USE_FULL) {
+        if (gap < 2 * ServerPicker.USE_GAP || headroom.use(most) < HeadroomWeight.NEARLY_FULL_UTILIZATION) {
             return;
         }
-        double fits = least.estimate.load(gap / 2);
+        double fits = least.estimate.adaptiveLoadLimit(gap / 2);
         TrackedRequest heaviest = null;
         for (TrackedRequest r : most.held.values()) {
             boolean settled = context.nowMicros - r.openedAt > 2 * context.ejectionUnitMicros;
-            double above = heaviest == null ? context.capacity.group() : heaviest.load;
+            double above = heaviest == null ? context.capacity.groupOverheadLoad() : heaviest.load;
             if (settled && r.load > above && r.load <= fits) {
                 heaviest = r;
             }
--- a/src/main/java/sandstack/decisions/EndpointTable.java
+++ b/src/main/java/sandstack/decisions/EndpointTable.java
@@ -72,7 +72,7 @@
             s.zone = e.zone();
             s.cell = e.cell();
             s.rating = e.rating() > 0 ? e.rating() : 1;
-            s.estimate.listed(e.machineKind(), s.rating);
+            s.estimate.onEndpointListed(e.machineKind(), s.rating);
             if (e.startedAtMicros() != s.startedAt) {
                 s.restarted(e.startedAtMicros(), context);
             }
@@ -119,7 +119,7 @@
         for (ServerState s : home) {
             homeWeight += s.ready() ? s.rating : 0;
         }
-        context.capacity.listed(Arrays.stream(listedServers)
+        context.capacity.onReadyRating(Arrays.stream(listedServers)
                 .filter(ServerState::ready)
                 .mapToDouble(s -> s.rating)
                 .sum());
@@ -140,8 +140,8 @@
             askNow();
             return;
         }
-        context.actions.add(
-                new SetTimer(context.settings.endpointListStaleness().pause(askFails, context.uniform()), ASK_TIMER));
+        context.actions.add(new SetTimer(
+                context.settings.endpointListStaleness().backoffMicros(askFails, context.uniform()), ASK_TIMER));
     }
 
     void askNow() {
--- a/src/main/java/sandstack/decisions/LoadBalancer.java
+++ b/src/main/java/sandstack/decisions/LoadBalancer.java
@@ -4,11 +4,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sandstack.capacity.Cause;
-import sandstack.capacity.Counted;
-import sandstack.capacity.Estimate;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Stated;
+import sandstack.capacity.CapacityEstimate;
+import sandstack.capacity.ConnectionLimiter;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.RejectionReason;
+import sandstack.capacity.StatedCapacities;
 import sandstack.decisions.BalancerAction.Fail;
 import sandstack.decisions.BalancerAction.Reject;
 import sandstack.decisions.BalancerAction.StartAttempt;
@@ -49,12 +49,17 @@
     private final ServerPicker picker;
     private final ConnectionMigration migration;
     private final RetryBackoff retryBackoff;
-    private final Counted connectionLimiter;
+    private final ConnectionLimiter connectionLimiter;
     private final Map<String, TrackedRequest> requests = new LinkedHashMap<>();
     private long nextLook;
 
     /** Creates a module at {@code now}, in microseconds; the book states what is known of the servers. */
-    public LoadBalancer(BalancerSettings initialSettings, Stated.Book book, Limits limits, long seed, long nowMicros) {
+    public LoadBalancer(
+            BalancerSettings initialSettings,
+            StatedCapacities book,
+            InstallationLimits limits,
+            long seed,
+            long nowMicros) {
         settings = initialSettings;
         context = new BalancerContext(initialSettings, book, limits, seed, nowMicros);
         endpoints = new EndpointTable(context);
@@ -63,7 +68,7 @@
         picker = new ServerPicker(context, endpoints, headroom, shedder);
         migration = new ConnectionMigration(context, endpoints, headroom, shedder);
         retryBackoff = new RetryBackoff(context);
-        connectionLimiter = new Counted(limits);
+        connectionLimiter = new ConnectionLimiter(limits);
         nextLook = nowMicros;
     }
 
@@ -123,10 +128,10 @@
             return;
         }
         TrackedRequest r = new TrackedRequest(ask, settings);
-        Cause limit = connectionLimiter.over(ask.group());
+        RejectionReason limit = connectionLimiter.reachedLimit(ask.group());
         enter(r);
         if (shedder.sheds(r)) {
-            sendAway(r, Cause.SHED);
+            sendAway(r, RejectionReason.SHED);
             return;
         }
         if (limit != null) {
@@ -160,7 +165,7 @@
 
     private void enter(TrackedRequest r) {
         requests.put(r.ask.requestId(), r);
-        connectionLimiter.entered(r.ask.group());
+        connectionLimiter.onArrived(r.ask.group());
     }
 
     private void open(TrackedRequest r) {
@@ -172,7 +177,7 @@
     private void place(TrackedRequest r) {
         r.state = State.HELD;
         ServerState s = picker.choose(r);
-        Cause closed = picker.survey().closed(r.ask.classIndex());
+        RejectionReason closed = picker.survey().rejectionReason(r.ask.classIndex());
         if (s != null) {
             send(r, s);
         } else if (closed != null) {
@@ -194,9 +199,9 @@
         r.at = s;
         r.sentAt = context.nowMicros;
         r.attempts++;
-        s.estimate.sent();
-        s.gate.through();
-        s.cold.spend(context.nowMicros);
+        s.estimate.onAttemptStarted();
+        s.gate.takeToken();
+        s.cold.onSent(context.nowMicros);
         if (s.fails > 0) {
             s.trialOut = true;
         }
@@ -223,7 +228,7 @@
     private void backOff(TrackedRequest r) {
         long due = retryBackoff.draw(retryBackoff.raise(r.key));
         if (r.left(settings) <= 0 || due >= lastStart(r)) {
-            refuse(r, r.left(settings) <= 0 ? Cause.ATTEMPTS : Cause.NO_TIME);
+            refuse(r, r.left(settings) <= 0 ? RejectionReason.ATTEMPTS : RejectionReason.NO_TIME);
             return;
         }
         hold(r, due);
@@ -251,7 +256,7 @@
             return;
         }
         migration.setUp(e.setupMicros());
-        r.at.estimate.back();
+        r.at.estimate.onAttemptEnded();
         open(r);
         r.at.erredOn = null;
         r.erredAt.forEach(s -> s.mark(context));
@@ -268,21 +273,21 @@
             ServerState s = endpoints.get(e.serverId());
             if (s != null) {
                 s.trialOut = false;
-                s.estimate.back();
-                s.estimate.moot();
+                s.estimate.onAttemptEnded();
+                s.estimate.onInconclusiveAttempt();
             }
             return;
         }
         boolean stood = r.state == State.OPEN;
         r.at.trialOut = false;
         if (!stood) {
-            r.at.estimate.back();
+            r.at.estimate.onAttemptEnded();
             // some servers drop the newest connection where others turn the next away
-            boolean dropped = e.outcome() == AttemptOutcome.RESET && r.at.estimate.standing() > 0;
+            boolean dropped = e.outcome() == AttemptOutcome.RESET && r.at.estimate.establishedConnections() > 0;
             if (e.outcome() == AttemptOutcome.REJECTED || dropped) {
-                r.at.estimate.turnedAway(context.nowMicros, context.uniform());
+                r.at.estimate.onRejected(context.nowMicros, context.uniform());
             } else {
-                r.at.estimate.moot();
+                r.at.estimate.onInconclusiveAttempt();
             }
         } else {
             retryBackoff.stayedUp(r);
@@ -291,7 +296,7 @@
                 r.at.mark(context);
                 headroom.left(r);
                 if (r.at.ready()) {
-                    r.at.estimate.shed(context.nowMicros, context.uniform());
+                    r.at.estimate.onConnectionDropped(context.nowMicros, context.uniform());
                 }
                 retryBackoff.raise(r.key);
             }
@@ -319,8 +324,8 @@
             r.mayHaveRunSince = r.sentAt;
         }
         r.state = State.HELD;
-        if (e.outcome() == AttemptOutcome.REJECTED && picker.survey().scarce()) {
-            sendAway(r, Cause.FULL);
+        if (e.outcome() == AttemptOutcome.REJECTED && picker.survey().isScarce()) {
+            sendAway(r, RejectionReason.FULL);
             return;
         }
         if (context.nowMicros >= r.ask.deadlineMicros() || !r.mayRepeat(context.nowMicros)) {
@@ -341,20 +346,20 @@
     private void loadChanged(LoadReported e) {
         TrackedRequest r = requests.get(e.requestId());
         if (r != null && r.state == State.OPEN) {
-            double load = Estimate.sane(e.load());
+            double load = CapacityEstimate.sanitizeLoad(e.load());
             headroom.loadTold(r, load);
             shedder.loadTold(r, load);
         }
     }
 
     /** Refused at once, as a failed placement whose next interval the client spends away. */
-    private void sendAway(TrackedRequest r, Cause cause) {
+    private void sendAway(TrackedRequest r, RejectionReason cause) {
         retryBackoff.raise(r.key);
         refuse(r, cause);
     }
 
     /** The final answer: refused with the rest of the interval where that is allowed, else failed. */
-    private void refuse(TrackedRequest r, Cause cause) {
+    private void refuse(TrackedRequest r, RejectionReason cause) {
         if (!r.mayBeRefused()) {
             fail(r);
             return;
@@ -376,7 +381,7 @@
         }
         headroom.left(r);
         if (requests.remove(r.ask.requestId()) != null) {
-            connectionLimiter.left(r.ask.group());
+            connectionLimiter.onFinished(r.ask.group());
         }
         context.cancelTimer(r);
         r.state = State.HELD;
--- a/src/main/java/sandstack/decisions/LoadShedder.java
+++ b/src/main/java/sandstack/decisions/LoadShedder.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 import java.util.List;
 import sandstack.capacity.ClassLoads;
-import sandstack.capacity.Tally;
-import sandstack.capacity.TenantShares;
+import sandstack.capacity.OverloadCount;
+import sandstack.capacity.TenantQuotas;
 import sandstack.random.SeededRandom;
 
 /**
@@ -19,7 +19,7 @@
     private final EndpointTable endpoints;
     private final ServerHeadroom headroom;
     private final ClassLoads loads = new ClassLoads();
-    private final TenantShares shares = new TenantShares();
+    private final TenantQuotas shares = new TenantQuotas();
     private double shed;
     private double lateHome;
     private double lateAway;
@@ -33,11 +33,11 @@
     }
 
     void classesAre(int count) {
-        loads.classesAre(count);
+        loads.resize(count);
     }
 
     void tenantsAre(List<Tenant> now) {
-        shares.tenantsAre(now.stream().mapToDouble(Tenant::connectionQuota).toArray());
+        shares.setQuotas(now.stream().mapToDouble(Tenant::connectionQuota).toArray());
     }
 
     boolean on() {
@@ -53,8 +53,8 @@
         return lateAway;
     }
 
-    private Tally tally(ServerState[] among) {
-        Tally t = new Tally();
+    private OverloadCount tally(ServerState[] among) {
+        OverloadCount t = new OverloadCount();
         for (ServerState s : among) {
             if (s.ready()) {
                 t.add(headroom.late(s), headroom.fullHere(s), !s.held.isEmpty());
@@ -65,11 +65,11 @@
 
     /** Whether most of what is known here is late. */
     boolean jammed() {
-        Tally away = tally(endpoints.away);
-        Tally home = tally(endpoints.home);
-        lateHome = home.evened(lateHome, 2);
-        lateAway = away.evened(lateAway, 1);
-        return Tally.jammed(home, away);
+        OverloadCount away = tally(endpoints.away);
+        OverloadCount home = tally(endpoints.home);
+        lateHome = home.smoothedOverloadedFraction(lateHome, 2);
+        lateAway = away.smoothedOverloadedFraction(lateAway, 1);
+        return OverloadCount.isFleetOverloaded(home, away);
     }
 
     /**
@@ -79,15 +79,15 @@
     void look(Collection<TrackedRequest> requests, boolean jam) {
         boolean calm = shed == 0 && !jam;
         if (calm) {
-            loads.clear();
+            loads.clearHeld();
         }
         for (TrackedRequest r : requests) {
             if (r.state == TrackedRequest.State.OPEN) {
-                loads.holds(r.ask.classIndex(), calm ? loadOf(r) : 0);
-                shares.holds(r.ask.tenantIndex());
+                loads.addHeld(r.ask.classIndex(), calm ? loadOf(r) : 0);
+                shares.addConnection(r.ask.tenantIndex());
             }
         }
-        shares.look(context.settings.instanceCount());
+        shares.update(context.settings.instanceCount());
         if (!calm) {
             shed = jam ? Math.min(SHED_MOST, shed + SHED_STEP) : Math.max(0, shed - SHED_STEP / 8);
             loads.shed(
@@ -99,11 +99,11 @@
 
     /** The load of a connection, or of its class where it tells none; 0 where neither is known. */
     double loadOf(TrackedRequest r) {
-        return r.load > 0 ? r.load : loads.of(r.ask.classIndex());
+        return r.load > 0 ? r.load : loads.meanLoad(r.ask.classIndex());
     }
 
     void loadTold(TrackedRequest r, double load) {
-        loads.told(r.ask.classIndex(), load);
+        loads.onLoadReported(r.ask.classIndex(), load);
     }
 
     /** Drawn by client key, so that the same clients stay away and the others are served whole. */
@@ -112,8 +112,8 @@
             return false;
         }
         // what a tenant holds beyond its share is worth little: that part goes before any class
-        double excess = context.settings.overQuotaWeight() < 1 ? shares.excess(r.ask.tenantIndex()) : 0;
-        double part = Math.max(loads.gives(r.ask.classIndex()), excess);
+        double excess = context.settings.overQuotaWeight() < 1 ? shares.excessFraction(r.ask.tenantIndex()) : 0;
+        double part = Math.max(loads.shedFraction(r.ask.classIndex()), excess);
         return SeededRandom.unit(SeededRandom.mix(SeededRandom.hash(r.key))) < part;
     }
 }
--- a/src/main/java/sandstack/decisions/ServerPicker.java
+++ b/src/main/java/sandstack/decisions/ServerPicker.java
@@ -1,9 +1,9 @@
 package sandstack.decisions;
 
 import java.util.List;
-import sandstack.capacity.ColdBudget;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Survey;
+import sandstack.capacity.CandidateSummary;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.SlowStartBudget;
 import sandstack.random.SeededRandom;
 
 /**
@@ -40,7 +40,7 @@
     private final EndpointTable endpoints;
     private final ServerHeadroom headroom;
     private final LoadShedder shedder;
-    private Survey survey;
+    private CandidateSummary survey;
 
     ServerPicker(BalancerContext context, EndpointTable endpoints, ServerHeadroom headroom, LoadShedder shedder) {
         this.context = context;
@@ -51,7 +51,7 @@
     }
 
     void classesAre(List<RequestClass> classes) {
-        survey = new Survey(
+        survey = new CandidateSummary(
                 classes.stream().mapToDouble(RequestClass::priorityWeight).toArray());
     }
 
@@ -65,11 +65,12 @@
         if (warmth >= 1 && context.nowMicros - s.lateAt > recovers) {
             return true;
         }
-        double fill =
-                s.estimate.fills() * warmth / (warmth < 1 ? context.settings.slowStartDurationMicros() : recovers);
+        double fill = s.estimate.capacityInConnections()
+                * warmth
+                / (warmth < 1 ? context.settings.slowStartDurationMicros() : recovers);
         if (warmth < 1) {
             boolean first = !r.ask.reconnecting() && r.attempts == 0;
-            return s.cold.allowsCold(
+            return s.cold.admitsDuringSlowStart(
                     context.slowStartRule,
                     context.processCount,
                     fill,
@@ -78,10 +79,11 @@
                     context.nowMicros,
                     context::uniform);
         }
-        double part =
-                ColdBudget.part(endpoints.isHome(s), context.settings.instanceCount(), context.settings.zoneCount())
-                        / context.processCount;
-        return s.cold.allows(fill * part, context.settings.overloadWindowMicros(), context.nowMicros, context::uniform);
+        double part = SlowStartBudget.relayShare(
+                        endpoints.isHome(s), context.settings.instanceCount(), context.settings.zoneCount())
+                / context.processCount;
+        return s.cold.hasPermit(
+                fill * part, context.settings.overloadWindowMicros(), context.nowMicros, context::uniform);
     }
 
     /**
@@ -113,7 +115,7 @@
     /** The server for this request. Null where none can take it. */
     ServerState choose(TrackedRequest r) {
         long seed = r.ask.group() == null ? context.random.next() : SeededRandom.hash(r.ask.group()) + place(r);
-        survey.clear();
+        survey.reset();
         double usable = 0;
         for (ServerState s : endpoints.home) {
             usable += s.ready() && s.unmarked(context) ? s.rating * s.warmth(context) : 0;
@@ -146,9 +148,10 @@
             if (!r.allowedAt(s) || !s.unmarked(context)) {
                 continue;
             }
-            boolean over =
-                    Limits.reached(context.limits.server(), s.estimate.taken()) || !s.gate.open(context.nowMicros);
-            if (!survey.open(s.estimate, over, context.nowMicros)) {
+            boolean over = InstallationLimits.isReached(
+                            context.limits.maxServerConnections(), s.estimate.connectionsAndAttempts())
+                    || !s.gate.hasToken(context.nowMicros);
+            if (!survey.add(s.estimate, over, context.nowMicros)) {
                 continue;
             }
             // no fallback to servers whose messages are late: what is added there serves nobody, and where
@@ -158,7 +161,7 @@
                 continue;
             }
             // a trial may be turned away: only where nothing else here has room
-            double score = score(r, s, room, seed) - (s.estimate.fits() ? 0 : TRIAL);
+            double score = score(r, s, room, seed) - (s.estimate.hasHeadroom() ? 0 : TRIAL);
             if (score > top && budgetFor(r, s)) {
                 top = score;
                 best = s;
@@ -168,22 +171,25 @@
     }
 
     /** What the last choice saw. */
-    Survey survey() {
+    CandidateSummary survey() {
         return survey;
     }
 
     private double score(TrackedRequest r, ServerState s, double room, long seed) {
         double score = Math.log(SeededRandom.unit(SeededRandom.mix(seed ^ s.hash)));
-        score /= s.rating * ColdBudget.pull(s.warmth(context)) * (endpoints.isHome(s) ? HOME_WEIGHT : 1);
+        score /=
+                s.rating * SlowStartBudget.selectionWeight(s.warmth(context)) * (endpoints.isHome(s) ? HOME_WEIGHT : 1);
         // its own load here counts in mean connections: two heavy ones of one balancer part ways
-        double held = context.capacity.loadsKnown() ? s.estimate.held() / context.capacity.mean() : s.held.size();
+        double held = context.capacity.loadsKnown()
+                ? s.estimate.establishedLoad() / context.capacity.meanLoad()
+                : s.held.size();
         held *= endpoints.meanRating / s.rating;
         if (r.ask.group() == null) {
             return score / room * (1 + held);
         }
         // where no loads are told, one that holds more than its part lets the next go to the place behind it
-        double most = BOUND * context.capacity.spread() * endpoints.meanRating + BOUND_FEW;
-        boolean over = !context.capacity.loadsTold() && held > most;
+        double most = BOUND * context.capacity.connectionsPerRating() * endpoints.meanRating + BOUND_FEW;
+        boolean over = !context.capacity.loadsReported() && held > most;
         // where the group already stands it is paid for: before any other server
         score /= room * (over ? OVER_WEIGHT : s.groups.containsKey(r.ask.group()) ? HOLDER_WEIGHT : 1);
         return score * (1 + USE_WEIGHT * this.headroom.use(s));
--- a/src/main/java/sandstack/decisions/ServerState.java
+++ b/src/main/java/sandstack/decisions/ServerState.java
@@ -2,9 +2,9 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import sandstack.capacity.ColdBudget;
-import sandstack.capacity.Estimate;
-import sandstack.capacity.Gate;
+import sandstack.capacity.CapacityEstimate;
+import sandstack.capacity.SetupRateLimiter;
+import sandstack.capacity.SlowStartBudget;
 import sandstack.random.SeededRandom;
 
 /** What this instance knows of one server; its health marks are here too. One thread; all calls O(1). */
@@ -31,9 +31,9 @@
     /** When its messages last took too long. */
     long lateAt = Long.MIN_VALUE / 2;
 
-    final Estimate estimate;
-    final Gate gate;
-    final ColdBudget cold = new ColdBudget();
+    final CapacityEstimate estimate;
+    final SetupRateLimiter gate;
+    final SlowStartBudget cold = new SlowStartBudget();
 
     int moveN;
     long moveStart;
@@ -44,8 +44,8 @@
     ServerState(String id, BalancerContext context) {
         this.id = id;
         this.hash = SeededRandom.hash(id);
-        this.estimate = context.capacity.unknown();
-        this.gate = new Gate(context.limits.setups(), context.nowMicros);
+        this.estimate = context.capacity.newEstimate();
+        this.gate = new SetupRateLimiter(context.limits.maxSetupsPerSecond(), context.nowMicros);
     }
 
     boolean ready() {
@@ -100,7 +100,7 @@
         fails = 0;
         markedUntil = 0;
         delay = 0;
-        estimate.restarted();
-        cold.restarted(context.nowMicros);
+        estimate.onRestart();
+        cold.onRestart(context.nowMicros);
     }
 }
--- a/src/main/java/sandstack/measure/Limiter.java
+++ b/src/main/java/sandstack/measure/Limiter.java
@@ -1,9 +1,9 @@
 package sandstack.measure;
 
 import java.util.function.Supplier;
-import sandstack.capacity.Capacity;
-import sandstack.capacity.Estimate;
-import sandstack.capacity.Stated;
+import sandstack.capacity.CapacityEstimate;
+import sandstack.capacity.CapacityModel;
+import sandstack.capacity.StatedCapacities;
 
 /** One way to estimate what a server holds, for a comparison on the same runs. One thread, simulated time. */
 interface Limiter {
@@ -45,38 +45,38 @@
 
     /** The program's own. */
     final class Bracketed implements Limiter {
-        private final Estimate estimate = new Capacity(Stated.Book.EMPTY, 20_000, 1).unknown();
+        private final CapacityEstimate estimate = new CapacityModel(StatedCapacities.NONE, 20_000, 1).newEstimate();
 
         @Override
         public boolean open(int standing, long now) {
-            boolean open = estimate.open(now);
+            boolean open = estimate.admits(now);
             if (open) {
-                estimate.sent();
+                estimate.onAttemptStarted();
             }
             return open;
         }
 
         @Override
         public void stood(int standing, long setUp, long now, double draw) {
-            estimate.back();
-            estimate.stands(1, now, draw);
+            estimate.onAttemptEnded();
+            estimate.onEstablished(1, now, draw);
         }
 
         @Override
         public void away(int standing, long now, double draw) {
-            estimate.back();
-            estimate.turnedAway(now, draw);
+            estimate.onAttemptEnded();
+            estimate.onRejected(now, draw);
         }
 
         @Override
         public void left(int standing) {
-            estimate.left(1);
+            estimate.onClosed(1);
         }
 
         @Override
         public void shed(int standing, long now, double draw) {
-            estimate.left(1);
-            estimate.shed(now, draw);
+            estimate.onClosed(1);
+            estimate.onConnectionDropped(now, draw);
         }
     }
 
--- a/src/main/java/sandstack/measure/scale/DecisionDriver.java
+++ b/src/main/java/sandstack/measure/scale/DecisionDriver.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Stated;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.StatedCapacities;
 import sandstack.decisions.AttemptOutcome;
 import sandstack.decisions.BalancerAction;
 import sandstack.decisions.BalancerAction.StartAttempt;
@@ -55,7 +55,7 @@
 
     /** With a list of so many servers that the module has been told. */
     DecisionDriver(int servers) {
-        brain = new LoadBalancer(settings(), Stated.Book.EMPTY, Limits.NONE, SEED, now);
+        brain = new LoadBalancer(settings(), StatedCapacities.NONE, InstallationLimits.NONE, SEED, now);
         for (int i = 0; i < servers; i++) {
             list.add(new EndpointEntry(
                     "s" + i, i % ZONES, i / SERVERS_IN_CELL, i % MACHINE_KINDS, 0, EndpointState.READY, 1));
--- a/src/main/java/sandstack/measure/scale/WatchOutage.java
+++ b/src/main/java/sandstack/measure/scale/WatchOutage.java
@@ -1,16 +1,16 @@
 package sandstack.measure.scale;
 
 import java.util.SplittableRandom;
-import sandstack.staleness.ListClock;
+import sandstack.staleness.EndpointListStaleness;
 
 /**
  * Reckons the calls that reach a discovery which was away for a while: each relay has lost its watch at once and asks
- * again by the pauses of {@link ListClock}. No process, clock or socket; the same seed gives the same figures.
+ * again by the pauses of {@link EndpointListStaleness}. No process, clock or socket; the same seed gives the same figures.
  */
 final class WatchOutage {
     private static final long SECOND = 1_000_000;
 
-    private final ListClock clock;
+    private final EndpointListStaleness clock;
     private final long downMicros;
     private final SplittableRandom random;
     private long callsWhileDown;
@@ -22,7 +22,7 @@
      * @param askWithin the pace that relays are told, in microseconds
      */
     WatchOutage(long askWithin, long downMicros, long seed) {
-        this.clock = new ListClock(false, askWithin);
+        this.clock = new EndpointListStaleness(false, askWithin);
         this.downMicros = downMicros;
         this.random = new SplittableRandom(seed);
     }
@@ -47,11 +47,11 @@
 
     private void playOne() {
         int failures = 1;
-        long at = clock.pause(failures, random.nextDouble());
+        long at = clock.backoffMicros(failures, random.nextDouble());
         while (at < downMicros) {
             callsWhileDown++;
             failures++;
-            at += clock.pause(failures, random.nextDouble());
+            at += clock.backoffMicros(failures, random.nextDouble());
         }
         callsInFirstSecond += at < downMicros + SECOND ? 1 : 0;
     }
--- a/src/main/java/sandstack/nametable/DiscoveryWatch.java
+++ b/src/main/java/sandstack/nametable/DiscoveryWatch.java
@@ -24,7 +24,7 @@
 import sandstack.core.NameTable;
 import sandstack.core.Relay;
 import sandstack.net.Loop;
-import sandstack.staleness.ListClock;
+import sandstack.staleness.EndpointListStaleness;
 
 /**
  * The watch on discovery. Each ask makes one watch; a watch that ends, fails or falls silent is reported to
@@ -32,8 +32,10 @@
  */
 public final class DiscoveryWatch {
     private static final Logger LOG = Logger.getLogger("sandstack.discovery");
-    private static final String SILENT = "nothing heard for " + ListClock.SILENCE / 1e6 + " s";
-    private static final String ENDLESS = "a list has not ended for " + ListClock.SILENCE / 1e6 + " s";
+    private static final String SILENT =
+            "nothing heard for " + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 1e6 + " s";
+    private static final String ENDLESS =
+            "a list has not ended for " + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 1e6 + " s";
 
     private final Loop loop;
     private final Relay relay;
@@ -100,7 +102,8 @@
         private boolean over;
 
         void start() {
-            silence = relay.deadlines().at(loop.now() + ListClock.SILENCE, () -> fail(SILENT));
+            silence = relay.deadlines()
+                    .at(loop.now() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(SILENT));
             FilterChain chain = FilterChainBuilder.stateless()
                     .add(new TransportFilter())
                     .add(new HttpClientFilter())
@@ -140,7 +143,8 @@
                 return context.getStopAction();
             }
             silence.cancel();
-            silence = relay.deadlines().at(loop.now() + ListClock.SILENCE, () -> fail(SILENT));
+            silence = relay.deadlines()
+                    .at(loop.now() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(SILENT));
             Buffer bytes = content.getContent();
             byte[] heard = new byte[bytes.remaining()];
             bytes.get(heard);
@@ -186,7 +190,8 @@
                 return;
             }
             if (ending == null) {
-                ending = relay.deadlines().at(loop.now() + ListClock.SILENCE, () -> fail(ENDLESS));
+                ending = relay.deadlines()
+                        .at(loop.now() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(ENDLESS));
             } else {
                 ending.cancel();
                 ending = null;
--- a/src/main/java/sandstack/random/BoundedMap.java
+++ b/src/main/java/sandstack/random/BoundedMap.java
@@ -7,15 +7,15 @@
 public final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
     private static final long serialVersionUID = 1L;
 
-    private final int most;
+    private final int maxSize;
 
     /** Creates an empty map that holds {@code most} keys at most. */
-    public BoundedMap(int most) {
-        this.most = most;
+    public BoundedMap(int maxSize) {
+        this.maxSize = maxSize;
     }
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-        return size() > most;
+        return size() > maxSize;
     }
 }
--- a/src/test/java/sandstack/capacity/ColdBudgetTest.java
+++ b/src/test/java/sandstack/capacity/SlowStartBudgetTest.java
@@ -12,7 +12,7 @@
  * Many relays fill one cold server without a word, each with a budget of its own: how often the sum pushes it over, by the
  * page's own sentence. All in one clock, in microseconds.
  */
-class ColdBudgetTest {
+class SlowStartBudgetTest {
     private static final long WINDOW = 1_500_000;
     private static final double MULTIPLE = 3;
     private static final long LASTS = 15_000_000;
@@ -32,17 +32,17 @@
             int times) {
         SplittableRandom chance = new SplittableRandom(relays * 31L + (long) (allowed * 100) + crowd);
         double fill = allowed / MULTIPLE / WINDOW;
-        ColdBudget.Rule rule = new ColdBudget.Rule(MULTIPLE, WINDOW, relays / times, 1);
+        SlowStartBudget.Rule rule = new SlowStartBudget.Rule(MULTIPLE, WINDOW, relays / times, 1);
         int falls = 0;
         long sent = 0;
         double nearest = 0;
         for (int start = 0; start < starts; start++) {
-            ColdBudget[] budgets = new ColdBudget[relays];
+            SlowStartBudget[] budgets = new SlowStartBudget[relays];
             double[] weight = new double[relays];
             double all = 0;
             for (int r = 0; r < relays; r++) {
-                budgets[r] = new ColdBudget();
-                budgets[r].restarted(0);
+                budgets[r] = new SlowStartBudget();
+                budgets[r].onRestart(0);
                 weight[r] = uneven ? Math.pow(chance.nextDouble(), 3) + 0.05 : 1;
                 all += weight[r];
             }
@@ -71,9 +71,9 @@
                 while (r < relays - 1 && upTo[r] < at) {
                     r++;
                 }
-                ColdBudget budget = budgets[r];
-                if (budget.allowsCold(rule, 1, fill, true, first && !back, now, chance::nextDouble)) {
-                    budget.spend(now);
+                SlowStartBudget budget = budgets[r];
+                if (budget.admitsDuringSlowStart(rule, 1, fill, true, first && !back, now, chance::nextDouble)) {
+                    budget.onSent(now);
                     sent++;
                     window.addLast(now);
                 }
--- a/src/test/java/sandstack/config/CapacityFileTest.java
+++ b/src/test/java/sandstack/config/CapacityFileTest.java
@@ -28,8 +28,8 @@
         Path named = Files.writeString(
                 folder.resolve("site.toml"), "enabled = true\n[servers]\nwork = 1_000_000\nfirm = true\n");
         CapacityFile theirs = CapacityFile.read(new OwnFiles(folder), named);
-        assertThat(theirs.book().of(0).work()).isEqualTo(1e6);
-        assertThat(theirs.book().of(0).firm()).isTrue();
+        assertThat(theirs.book().forKind(0).workPerRating()).isEqualTo(1e6);
+        assertThat(theirs.book().forKind(0).upperBound()).isTrue();
     }
 
     /** What is judged on other deployments is the very command that the platform starts: it names no file of one. */
@@ -42,9 +42,9 @@
     void aKindTakesWhatItLeavesOutFromAllServers() throws Exception {
         CapacityFile file = read("enabled = true\n[servers]\nload = 5\ngroup = 2\n[kinds.big]\nconnections = 900\n");
         assertThat(file.kinds()).containsExactly("big");
-        assertThat(file.book().of(0).connections()).isEqualTo(900);
-        assertThat(file.book().of(0).load()).isEqualTo(5);
-        assertThat(file.book().of(7).connections()).isZero();
+        assertThat(file.book().forKind(0).connectionsPerRating()).isEqualTo(900);
+        assertThat(file.book().forKind(0).defaultConnectionLoad()).isEqualTo(5);
+        assertThat(file.book().forKind(7).connectionsPerRating()).isZero();
     }
 
     @Test
--- a/src/test/java/sandstack/decisions/ActionDigest.java
+++ b/src/test/java/sandstack/decisions/ActionDigest.java
@@ -7,7 +7,7 @@
 import java.util.HexFormat;
 import java.util.Map;
 import java.util.TreeMap;
-import sandstack.capacity.Cause;
+import sandstack.capacity.RejectionReason;
 import sandstack.decisions.BalancerAction.Fail;
 import sandstack.decisions.BalancerAction.Migrate;
 import sandstack.decisions.BalancerAction.Reject;
@@ -113,7 +113,7 @@
         code('W');
     }
 
-    private static int codeOf(Cause cause) {
+    private static int codeOf(RejectionReason cause) {
         return switch (cause) {
             case SHED -> 1;
             case FULL -> 2;
--- a/src/test/java/sandstack/decisions/CapacityInTheModuleTest.java
+++ b/src/test/java/sandstack/decisions/CapacityInTheModuleTest.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import sandstack.capacity.Cause;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Stated;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.RejectionReason;
+import sandstack.capacity.StatedCapacities;
 import sandstack.decisions.BalancerAction.Reject;
 import sandstack.decisions.BalancerAction.StartAttempt;
 import sandstack.decisions.BalancerEvent.AttemptEnded;
@@ -21,8 +21,8 @@
 
 /** What the module makes of the evidence of its servers and of the limits of an installation. */
 class CapacityInTheModuleTest {
-    private static Rig rig(Limits limits, int servers) {
-        Rig rig = new Rig(Rig.settings().classes(5, 1).build(), Stated.Book.EMPTY, limits, 4);
+    private static Rig rig(InstallationLimits limits, int servers) {
+        Rig rig = new Rig(Rig.settings().classes(5, 1).build(), StatedCapacities.NONE, limits, 4);
         rig.list(servers, 1);
         return rig;
     }
@@ -62,7 +62,7 @@
 
     @Test
     void serversThatTellNothingTakeWhoeverComes() {
-        Rig rig = rig(Limits.NONE, 2);
+        Rig rig = rig(InstallationLimits.NONE, 2);
         for (int i = 0; i < 1_000; i++) {
             assertThat(stand(rig, "r" + i, 0, "g" + i % 20)).as("client " + i).isNotNull();
         }
@@ -71,7 +71,7 @@
 
     @Test
     void whereEveryServerIsFullItIsSaidAtOnceAndWhenToComeAgain() {
-        Rig rig = rig(Limits.NONE, 3);
+        Rig rig = rig(InstallationLimits.NONE, 3);
         for (int i = 0; i < 60; i++) {
             stand(rig, "r" + i, 0, "g" + i);
         }
@@ -91,7 +91,7 @@
         assertThat(rig.answered).as("answered without any time passing").containsAll(late);
         assertThat(refusals(rig))
                 .hasSize(before + 40)
-                .allMatch(r -> r.reason() == Cause.FULL && r.retryAfterMicros() > 0);
+                .allMatch(r -> r.reason() == RejectionReason.FULL && r.retryAfterMicros() > 0);
         long tried = late.stream().filter(rig.attempts::containsKey).count();
         assertThat(tried).as("one look at each server was enough").isLessThanOrEqualTo(6);
         // and one that leaves makes room for one
@@ -102,42 +102,42 @@
 
     @Test
     void whatLittleIsFreeIsKeptForTheClassOfMoreWorth() {
-        Rig rig = rig(Limits.NONE, 2);
+        Rig rig = rig(InstallationLimits.NONE, 2);
         for (int i = 0; i < 200; i++) {
             stand(rig, "r" + i, 0, "g" + i);
         }
         fill(rig, List.of("s0", "s1"));
         rig.send(new AttemptEnded("r0", 0, rig.attempts.get("r0").serverId(), AttemptOutcome.OK, true, 1, null));
         assertThat(stand(rig, "light", 1, "x")).isNull();
-        assertThat(refusals(rig).get(refusals(rig).size() - 1).reason()).isEqualTo(Cause.RESERVED);
+        assertThat(refusals(rig).get(refusals(rig).size() - 1).reason()).isEqualTo(RejectionReason.RESERVED);
         assertThat(stand(rig, "worthy", 0, "x")).isNotNull();
     }
 
     @Test
     void limitsRefuseAtOnceAndByName() {
-        Rig relay = rig(new Limits(5, 0, 0, 0), 2);
+        Rig relay = rig(new InstallationLimits(5, 0, 0, 0), 2);
         for (int i = 0; i < 8; i++) {
             stand(relay, "r" + i, 0, null);
         }
-        assertThat(refusals(relay)).hasSize(3).allMatch(r -> r.reason() == Cause.RELAY_LIMIT);
-        Rig group = rig(new Limits(0, 0, 2, 0), 2);
+        assertThat(refusals(relay)).hasSize(3).allMatch(r -> r.reason() == RejectionReason.RELAY_LIMIT);
+        Rig group = rig(new InstallationLimits(0, 0, 2, 0), 2);
         for (int i = 0; i < 8; i++) {
             stand(group, "r" + i, 0, i < 4 ? "one" : "g" + i);
         }
-        assertThat(refusals(group)).hasSize(2).allMatch(r -> r.reason() == Cause.GROUP_LIMIT);
-        Rig server = rig(new Limits(0, 3, 0, 0), 2);
+        assertThat(refusals(group)).hasSize(2).allMatch(r -> r.reason() == RejectionReason.GROUP_LIMIT);
+        Rig server = rig(new InstallationLimits(0, 3, 0, 0), 2);
         for (int i = 0; i < 8; i++) {
             stand(server, "r" + i, 0, null);
         }
-        assertThat(refusals(server)).hasSize(2).allMatch(r -> r.reason() == Cause.SERVER_LIMIT);
-        Rig pace = rig(new Limits(0, 0, 0, 10), 2);
+        assertThat(refusals(server)).hasSize(2).allMatch(r -> r.reason() == RejectionReason.SERVER_LIMIT);
+        Rig pace = rig(new InstallationLimits(0, 0, 0, 10), 2);
         for (int i = 0; i < 50; i++) {
             stand(pace, "r" + i, 0, null);
         }
         assertThat(refusals(pace))
                 .as("50 in 50 ms, of 10 a second each")
                 .hasSizeGreaterThan(45)
-                .allMatch(r -> r.reason() == Cause.SERVER_LIMIT);
+                .allMatch(r -> r.reason() == RejectionReason.SERVER_LIMIT);
     }
 
     @Test
@@ -154,7 +154,7 @@
 
     @Test
     void aServerThatFellAndCameBackIsNotHeldToWhatStoodWhenItFell() {
-        Rig rig = rig(Limits.NONE, 1);
+        Rig rig = rig(InstallationLimits.NONE, 1);
         for (int i = 0; i < 30; i++) {
             stand(rig, "r" + i, 0, null);
         }
@@ -167,6 +167,6 @@
             rig.advance(50_000);
             stand(rig, "n" + i, 0, null);
         }
-        assertThat(refusals(rig)).noneMatch(r -> r.reason() == Cause.FULL);
+        assertThat(refusals(rig)).noneMatch(r -> r.reason() == RejectionReason.FULL);
     }
 }
--- a/src/test/java/sandstack/decisions/DigestScenario.java
+++ b/src/test/java/sandstack/decisions/DigestScenario.java
@@ -3,8 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Stated;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.StatedCapacities;
+import sandstack.capacity.StatedCapacity;
 import sandstack.settings.BalancerSettingsBuilder;
 
 /**
@@ -20,8 +21,8 @@
 record DigestScenario(
         int seed,
         BalancerSettings settings,
-        Stated.Book book,
-        Limits limits,
+        StatedCapacities book,
+        InstallationLimits limits,
         boolean loadsReported,
         boolean delaysReported) {
     static final int COUNT = 10;
@@ -37,20 +38,21 @@
     private static final boolean[] GROUPS = {true, true, false, false, true, false, true, true, false, true};
     private static final List<DeduplicationScope> SCOPES =
             List.of(DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.CELL);
-    private static final Stated FIRM = new Stated(1e6, 0, true, 1e6 / 15, 3);
-    private static final Stated FIRM_AND_ROOMY = new Stated(3e6, 0, true, 1e6 / 30, 1);
-    private static final Stated LOOSE = new Stated(1_500_000, 20, false, 40_000, 2);
+    private static final StatedCapacity FIRM = new StatedCapacity(1e6, 0, true, 1e6 / 15, 3);
+    private static final StatedCapacity FIRM_AND_ROOMY = new StatedCapacity(3e6, 0, true, 1e6 / 30, 1);
+    private static final StatedCapacity LOOSE = new StatedCapacity(1_500_000, 20, false, 40_000, 2);
 
     /** The scenario of a seed from 0 to {@link #COUNT}, exclusive. */
     static DigestScenario of(int seed) {
-        Stated.Book book =
+        StatedCapacities book =
                 switch (BOOKS[seed]) {
-                    case 0 -> Stated.Book.EMPTY;
-                    case 1 -> new Stated.Book(FIRM, List.of());
-                    case 3 -> new Stated.Book(FIRM_AND_ROOMY, List.of());
-                    default -> new Stated.Book(LOOSE, List.of(LOOSE, new Stated(2_000_000, 15, false, 40_000, 2)));
+                    case 0 -> StatedCapacities.NONE;
+                    case 1 -> new StatedCapacities(FIRM, List.of());
+                    case 3 -> new StatedCapacities(FIRM_AND_ROOMY, List.of());
+                    default -> new StatedCapacities(
+                            LOOSE, List.of(LOOSE, new StatedCapacity(2_000_000, 15, false, 40_000, 2)));
                 };
-        Limits limits = LIMITED[seed] ? new Limits(170, 14, 9, 20) : Limits.NONE;
+        InstallationLimits limits = LIMITED[seed] ? new InstallationLimits(170, 14, 9, 20) : InstallationLimits.NONE;
         return new DigestScenario(seed, settings(seed), book, limits, LOADS[seed], DELAYS[seed]);
     }
 
--- a/src/test/java/sandstack/decisions/EmbeddingTest.java
+++ b/src/test/java/sandstack/decisions/EmbeddingTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sandstack.capacity.Limits;
+import sandstack.capacity.InstallationLimits;
 import sandstack.decisions.BalancerAction.SetTimer;
 import sandstack.decisions.BalancerAction.StartAttempt;
 import sandstack.decisions.BalancerEvent.AttemptEnded;
@@ -34,7 +34,7 @@
                 .overloadWindowMicros(2_000_000)
                 .build();
         long now = 0;
-        LoadBalancer brain = new LoadBalancer(settings, Rig.PLATFORM, Limits.NONE, 42, now);
+        LoadBalancer brain = new LoadBalancer(settings, Rig.PLATFORM, InstallationLimits.NONE, 42, now);
         brain.handle(
                 new EndpointListUpdate(
                         EndpointListKind.FULL,
--- a/src/test/java/sandstack/decisions/FleetTest.java
+++ b/src/test/java/sandstack/decisions/FleetTest.java
@@ -22,7 +22,7 @@
     private static final BalancerSettings SET = Rig.settings().build();
     /** Usual connections that fill a server, by what the platform's file states. */
     private static final double FILLS =
-            Rig.PLATFORM.other().work() / Rig.PLATFORM.other().load();
+            Rig.PLATFORM.others().workPerRating() / Rig.PLATFORM.others().defaultConnectionLoad();
 
     private final List<Rig> relays = new ArrayList<>();
     private final Random chance = new Random(17);
--- a/src/test/java/sandstack/decisions/NewSettingsTest.java
+++ b/src/test/java/sandstack/decisions/NewSettingsTest.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sandstack.capacity.Limits;
+import sandstack.capacity.InstallationLimits;
 import sandstack.decisions.BalancerAction.Fail;
 import sandstack.decisions.BalancerAction.Reject;
 import sandstack.decisions.BalancerAction.StartAttempt;
@@ -37,7 +37,7 @@
     @Test
     void aClassThatAppearsIsServedAndKeepsItsStricterRule() {
         BalancerSettings before = Rig.settings().build();
-        LoadBalancer brain = new LoadBalancer(before, Rig.PLATFORM, Limits.NONE, 3, 1_000_000);
+        LoadBalancer brain = new LoadBalancer(before, Rig.PLATFORM, InstallationLimits.NONE, 3, 1_000_000);
         List<EndpointEntry> list = List.of(
                 new EndpointEntry("s0", 0, 0, 0, 0, EndpointState.READY, 1),
                 new EndpointEntry("s1", 0, 0, 0, 0, EndpointState.READY, 1));
--- a/src/test/java/sandstack/decisions/NothingStatedTest.java
+++ b/src/test/java/sandstack/decisions/NothingStatedTest.java
@@ -5,8 +5,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Stated;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.StatedCapacities;
 import sandstack.decisions.BalancerAction.StartAttempt;
 import sandstack.decisions.BalancerEvent.ConnectRequested;
 import sandstack.decisions.BalancerEvent.ConnectionEstablished;
@@ -34,7 +34,7 @@
                 .overloadWindowMicros(2_000_000)
                 .ratingsAreSizes(sized)
                 .build();
-        Rig rig = new Rig(with, Stated.Book.EMPTY, Limits.NONE, 5);
+        Rig rig = new Rig(with, StatedCapacities.NONE, InstallationLimits.NONE, 5);
         rig.list(2, 1);
         return rig;
     }
--- a/src/test/java/sandstack/decisions/Rig.java
+++ b/src/test/java/sandstack/decisions/Rig.java
@@ -15,8 +15,9 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Stated;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.StatedCapacities;
+import sandstack.capacity.StatedCapacity;
 import sandstack.decisions.BalancerAction.Fail;
 import sandstack.decisions.BalancerAction.Reject;
 import sandstack.decisions.BalancerAction.SetTimer;
@@ -32,7 +33,8 @@
 /** Feeds one Brain and checks each of its actions against the rules. */
 final class Rig {
     /** What an operator may state: a load, and the price of a group. */
-    static final Stated.Book PLATFORM = new Stated.Book(new Stated(1e6, 0, true, 1e6 / 15, 3), List.of());
+    static final StatedCapacities PLATFORM =
+            new StatedCapacities(new StatedCapacity(1e6, 0, true, 1e6 / 15, 3), List.of());
 
     static final long AIM = 320_000;
     static final long DEADLINE = 2_000_000;
@@ -60,10 +62,10 @@
     private final PriorityQueue<long[]> timers = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
 
     Rig(BalancerSettings settings, long seed) {
-        this(settings, PLATFORM, Limits.NONE, seed);
+        this(settings, PLATFORM, InstallationLimits.NONE, seed);
     }
 
-    Rig(BalancerSettings settings, Stated.Book book, Limits limits, long seed) {
+    Rig(BalancerSettings settings, StatedCapacities book, InstallationLimits limits, long seed) {
         this.settings = settings;
         brain = new LoadBalancer(settings, book, limits, seed, now);
     }
--- a/src/test/java/sandstack/decisions/StreamTest.java
+++ b/src/test/java/sandstack/decisions/StreamTest.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sandstack.capacity.Limits;
+import sandstack.capacity.InstallationLimits;
 import sandstack.decisions.BalancerAction.Migrate;
 import sandstack.decisions.BalancerAction.SetTimer;
 import sandstack.decisions.BalancerAction.StartAttempt;
@@ -60,7 +60,7 @@
             delays = kind.contains("delays");
             loads = kind.contains("loads");
             settings = settings(kind);
-            brain = new LoadBalancer(settings, Rig.PLATFORM, Limits.NONE, seed, now);
+            brain = new LoadBalancer(settings, Rig.PLATFORM, InstallationLimits.NONE, seed, now);
             digest = MessageDigest.getInstance("SHA-256");
             java.util.Arrays.fill(phases, EndpointState.READY);
         }
--- a/src/test/java/sandstack/decisions/World.java
+++ b/src/test/java/sandstack/decisions/World.java
@@ -8,7 +8,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
-import sandstack.capacity.Limits;
+import sandstack.capacity.InstallationLimits;
 import sandstack.decisions.BalancerAction.Fail;
 import sandstack.decisions.BalancerAction.Migrate;
 import sandstack.decisions.BalancerAction.Reject;
@@ -269,7 +269,7 @@
 
     /** A relay starts with nothing but the list. */
     private void start(WorldRelay r) {
-        r.brain = new LoadBalancer(settings(r), Rig.PLATFORM, Limits.NONE, chance.nextLong(), now);
+        r.brain = new LoadBalancer(settings(r), Rig.PLATFORM, InstallationLimits.NONE, chance.nextLong(), now);
         r.draining = false;
         r.life++;
         tell(r, new EndpointListUpdate(EndpointListKind.CACHED, r.lastList != null ? r.lastList : list()));
--- a/src/test/java/sandstack/front/platform/FiguresTest.java
+++ b/src/test/java/sandstack/front/platform/FiguresTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Stated;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.StatedCapacities;
 import sandstack.core.EffectiveSettings;
 import sandstack.core.NameTable;
 import sandstack.core.Relay;
@@ -51,8 +51,8 @@
     FiguresTest() throws IOException {
         relay = new Relay(
                 new EffectiveSettings(TestSettings.oneRelayWithGroups(), CLASSES, true),
-                Stated.Book.EMPTY,
-                Limits.NONE,
+                StatedCapacities.NONE,
+                InstallationLimits.NONE,
                 5,
                 loop::now,
                 () -> {});
--- a/src/test/java/sandstack/front/platform/HeldRelay.java
+++ b/src/test/java/sandstack/front/platform/HeldRelay.java
@@ -19,8 +19,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Stated;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.StatedCapacities;
 import sandstack.core.EffectiveSettings;
 import sandstack.core.NameTable;
 import sandstack.core.Relay;
@@ -110,8 +110,8 @@
                 .build();
         relay = new Relay(
                 new EffectiveSettings(settings, List.of("safe", "unsafe"), false),
-                Stated.Book.EMPTY,
-                Limits.NONE,
+                StatedCapacities.NONE,
+                InstallationLimits.NONE,
                 5,
                 loop::now,
                 () -> {});
--- a/src/test/java/sandstack/nametable/DiscoveryWatchTest.java
+++ b/src/test/java/sandstack/nametable/DiscoveryWatchTest.java
@@ -32,7 +32,7 @@
 import sandstack.decisions.RequestClass;
 import sandstack.net.Loop;
 import sandstack.settings.BalancerSettingsBuilder;
-import sandstack.staleness.ListClock;
+import sandstack.staleness.EndpointListStaleness;
 
 /** The watch against a discovery of the test's own. The module decides when to ask again: each failure is followed by an ask. */
 class DiscoveryWatchTest {
@@ -216,7 +216,7 @@
         // alive for longer than a silent watch is kept: each empty line counts anew
         for (int i = 0; i < 5; i++) {
             say(chunk("\n"));
-            TimeUnit.MICROSECONDS.sleep(ListClock.SILENCE / 4);
+            TimeUnit.MICROSECONDS.sleep(EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 4);
         }
         say(lastWords);
         long silent = System.nanoTime();
@@ -225,7 +225,9 @@
         untilPhase(EndpointState.GONE);
         assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - silent))
                 .as("not taken for silent before it was")
-                .isBetween(ListClock.SILENCE / 1_000 - 100, ListClock.MISSED / 1_000);
+                .isBetween(
+                        EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 1_000 - 100,
+                        EndpointListStaleness.MISSED_CHANGE_GRACE_MICROS / 1_000);
     }
 
     @Test
--- a/src/test/java/sandstack/scenario/Stage.java
+++ b/src/test/java/sandstack/scenario/Stage.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import sandstack.capacity.Limits;
-import sandstack.capacity.Stated;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.StatedCapacities;
 import sandstack.core.EffectiveSettings;
 import sandstack.core.NameTable;
 import sandstack.core.Relay;
@@ -47,8 +47,8 @@
         this.amqp = amqp;
         relay = new Relay(
                 new EffectiveSettings(TestSettings.oneRelayWithGroups(), CLASSES, true),
-                Stated.Book.EMPTY,
-                Limits.NONE,
+                StatedCapacities.NONE,
+                InstallationLimits.NONE,
                 11,
                 loop::now,
                 () -> {});
--- a/src/test/java/sandstack/staleness/ListClockTest.java
+++ b/src/test/java/sandstack/staleness/EndpointListStalenessTest.java
@@ -9,14 +9,14 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sandstack.staleness.ListClock.Way;
+import sandstack.staleness.EndpointListStaleness.NotificationPath;
 
 /** The cases of the platform's pages, a row each, in milliseconds. */
-class ListClockTest {
+class EndpointListStalenessTest {
     @ParameterizedTest(name = "{0}: made {1}, since {2}, waits {3}: told {4}")
     @CsvSource({
-        "WRITTEN,              9000, 0,    0,    9000",
-        "AT_THE_AGENT,         9000, 0,    0,    9000",
+        "DELIVERED,              9000, 0,    0,    9000",
+        "CACHED_BY_AGENT,         9000, 0,    0,    9000",
         "SILENT_WATCH,         1500, 1000, 0,    7000",
         "SILENT_WATCH,         7500, 1000, 0,    7500",
         "SILENT_CALL,          1500, 1000, 2000, 7000",
@@ -29,17 +29,21 @@
         "NEW_CONFIGURATION,    500,  1000, 0,    5000",
         "NEW_CONFIGURATION,    6000, 1000, 0,    6000",
     })
-    void aChangeCountsFromThatMomentOn(Way way, long made, long since, long wait, long told) {
-        ListClock clock = new ListClock(way == Way.AT_THE_AGENT, 10_000_000);
-        assertThat(clock.countsAt(way, made * 1000, since * 1000, wait * 1000)).isEqualTo(told * 1000);
+    void aChangeCountsFromThatMomentOn(NotificationPath way, long made, long since, long wait, long told) {
+        EndpointListStaleness clock = new EndpointListStaleness(way == NotificationPath.CACHED_BY_AGENT, 10_000_000);
+        assertThat(clock.notifiedAtMicros(way, made * 1000, since * 1000, wait * 1000))
+                .isEqualTo(told * 1000);
     }
 
     /** Two more calls, the first of them as long as discovery lets one wait, before what was missed counts. */
     @Property
     void aSilentWatchLeavesTimeForTwoCalls(@ForAll boolean pushed, @ForAll @DoubleRange(max = 0.99) double draw) {
-        ListClock clock = new ListClock(pushed, 10_000_000);
-        long second = ListClock.SILENCE + clock.pause(1, draw) + 2_000_000 + clock.pause(2, draw);
-        assertThat(second).isLessThan(ListClock.MISSED - 500_000);
+        EndpointListStaleness clock = new EndpointListStaleness(pushed, 10_000_000);
+        long second = EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS
+                + clock.backoffMicros(1, draw)
+                + 2_000_000
+                + clock.backoffMicros(2, draw);
+        assertThat(second).isLessThan(EndpointListStaleness.MISSED_CHANGE_GRACE_MICROS - 500_000);
     }
 
     /**
@@ -51,8 +55,10 @@
             @ForAll @LongRange(max = 100_000_000) long within,
             @ForAll @IntRange(min = 1) int failures,
             @ForAll @DoubleRange(max = 0.99) double draw) {
-        long there = ListClock.SILENCE + new ListClock(false, within).pause(failures, draw) + 2_000_000;
-        assertThat(there).isLessThanOrEqualTo(ListClock.MISSED);
+        long there = EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS
+                + new EndpointListStaleness(false, within).backoffMicros(failures, draw)
+                + 2_000_000;
+        assertThat(there).isLessThanOrEqualTo(EndpointListStaleness.MISSED_CHANGE_GRACE_MICROS);
     }
 
     @Property
@@ -61,7 +67,7 @@
             @ForAll @LongRange(max = 100_000_000) long within,
             @ForAll @IntRange(min = 1) int failures,
             @ForAll @DoubleRange(max = 0.99) double draw) {
-        long pause = new ListClock(pushed, within).pause(failures, draw);
+        long pause = new EndpointListStaleness(pushed, within).backoffMicros(failures, draw);
         assertThat(pause).isBetween(1L, pushed ? 80_000 : Math.max(160_000, within / 2 + 1));
     }
 
@@ -71,12 +77,14 @@
             @ForAll @LongRange(min = 1_000_000, max = 60_000_000) long within,
             @ForAll @IntRange(min = 1) int failures,
             @ForAll @DoubleRange(max = 0.99) double draw) {
-        assertThat(new ListClock(false, within).pause(failures, draw)).isLessThan(within);
+        assertThat(new EndpointListStaleness(false, within).backoffMicros(failures, draw))
+                .isLessThan(within);
     }
 
     @ParameterizedTest
     @CsvSource({"true, 1000000", "false, 0"})
     void onlyWhatAnAgentHasKeepsANewProcessWaiting(boolean pushed, long waits) {
-        assertThat(new ListClock(pushed, 10_000_000).firstList()).isEqualTo(waits);
+        assertThat(new EndpointListStaleness(pushed, 10_000_000).firstListTimeoutMicros())
+                .isEqualTo(waits);
     }
 }
