--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -18,24 +18,24 @@
 import java.util.logging.Logger;
 import sandstack.config.BadSettings;
 import sandstack.config.CapacityFile;
+import sandstack.config.EndpointListJson;
 import sandstack.config.MachineKinds;
-import sandstack.config.NameTableJson;
 import sandstack.config.OwnFiles;
 import sandstack.config.PlatformConfig;
 import sandstack.config.PlatformConfig.Address;
 import sandstack.console.Commands;
 import sandstack.console.Console;
 import sandstack.core.EffectiveSettings;
-import sandstack.core.NameTable;
+import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
 import sandstack.decisions.EndpointListKind;
 import sandstack.directory.TenantDirectory;
+import sandstack.discovery.DiscoveryWatch;
 import sandstack.front.amqp.AmqpFront;
 import sandstack.front.operators.OperatorDoor;
 import sandstack.front.platform.PlatformFront;
 import sandstack.handover.ResourceShares;
 import sandstack.handover.SiblingProcesses;
-import sandstack.nametable.DiscoveryWatch;
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.DescriptorBudget;
 import sandstack.net.Loop;
@@ -61,7 +61,7 @@
     private final DiscoveryWatch watch;
     private final List<String> listeners = new ArrayList<>();
     private final CountDownLatch drained = new CountDownLatch(1);
-    private final NameTableJson form;
+    private final EndpointListJson form;
     private final ConnectionAdmission lobby;
     /** Descriptors for clients and feed servers, of all processes of this relay together. */
     private final int descriptors;
@@ -109,7 +109,7 @@
         this.files = files;
         this.terms = config.terms();
         this.relay = new Relay(terms, capacity.book(), capacity.limits(), config.seed(), loop::now, this::askDiscovery);
-        this.form = new NameTableJson(config.zones(), kinds);
+        this.form = new EndpointListJson(config.zones(), kinds);
         this.watch = new DiscoveryWatch(loop, relay, config.discovery(), form);
         this.kept = OTHER_DESCRIPTORS + (config.operator() == null ? 0 : OperatorDoor.MOST);
         this.descriptors = descriptorsWithin(config.sockets() - kept);
@@ -176,7 +176,7 @@
     public void rehearse() throws BadSettings, IOException {
         int port = start();
         try (Socket client = new Socket(config.listen().host(), port)) {
-            String line = "OPEN rehearsal key c=" + config.terms().classes().get(0) + ",d=300\r\n";
+            String line = "OPEN rehearsal key c=" + config.terms().classNames().get(0) + ",d=300\r\n";
             client.getOutputStream().write(line.getBytes(StandardCharsets.US_ASCII));
             client.getInputStream().readAllBytes();
         }
@@ -204,19 +204,19 @@
             throw new BadSettings("PROXY_SOCKET_FD is 0, but descriptor 0 is no listening socket");
         }
         startedAt = loop.now();
-        NameTable.News known = config.inherits() ? joinKin() : null;
+        EndpointRegistry.Update known = config.inherits() ? joinKin() : null;
         if (known == null) {
             known = config.known() != null
                     ? config.known()
-                    : new NameTable.News(EndpointListKind.CACHED, -1, List.of());
+                    : new EndpointRegistry.Update(EndpointListKind.CACHED, -1, List.of());
         }
-        relay.listed(known);
-        loop.start(relay::turn, relay::nextTurn);
+        relay.onEndpointList(known);
+        loop.start(relay::runTurn, relay::nextTurnMicros);
         if (config.operator() != null) {
             door = listen(
                     "operators",
                     config.operator(),
-                    new OperatorDoor(loop, relay.deadlines(), this::hindrance, relay::figures)::listen);
+                    new OperatorDoor(loop, relay.deadlines(), this::hindrance, relay::metricLines)::listen);
         }
         if (terms.settings().endpointListStaleness().pushed()) {
             // nobody tells unasked over a socket: what the agent has binds all the same
@@ -237,16 +237,16 @@
             listen("AMQP", amqpListen, new AmqpFront(loop, relay, lobby, config.name())::listen);
         }
         if (where != null) {
-            new TenantDirectory(where, list -> loop.execute(() -> relay.tenantsListed(list))).start();
+            new TenantDirectory(where, list -> loop.execute(() -> relay.onTenants(list))).start();
         }
         return port;
     }
 
     /** Why this process cannot serve now; null where it can. On the loop's thread. */
     private String hindrance() {
-        return relay.draining()
+        return relay.isDraining()
                 ? "draining"
-                : !relay.names().usable()
+                : !relay.endpoints().hasReadyServer()
                         ? "no feed server is listed"
                         : accepting ? null : "discovery has not answered yet";
     }
@@ -261,22 +261,22 @@
     }
 
     private void untilTold(CountDownLatch told) {
-        if (relay.names().told()
+        if (relay.endpoints().hasDiscoveryList()
                 || loop.now() - startedAt
                         >= terms.settings().endpointListStaleness().firstListTimeoutMicros()) {
             told.countDown();
         } else {
-            relay.deadlines().at(loop.now() + LOOK_AGAIN, () -> untilTold(told));
+            relay.deadlines().schedule(loop.now() + LOOK_AGAIN, () -> untilTold(told));
         }
     }
 
     /** Another process serves at the inherited socket meanwhile: a client taken too early waits longer here. */
     private void acceptOnceItCanServe() {
         long since = loop.now() - startedAt;
-        boolean listed = relay.names().told() || listFromKin || since >= LIST_WITHIN;
+        boolean listed = relay.endpoints().hasDiscoveryList() || listFromKin || since >= LIST_WITHIN;
         // the process that serves has to hear of this one first, and make room for it
-        if (!relay.names().usable() || !listed || processes > 1 && since < 2 * SiblingProcesses.BEAT) {
-            relay.deadlines().at(loop.now() + LOOK_AGAIN, this::acceptOnceItCanServe);
+        if (!relay.endpoints().hasReadyServer() || !listed || processes > 1 && since < 2 * SiblingProcesses.BEAT) {
+            relay.deadlines().schedule(loop.now() + LOOK_AGAIN, this::acceptOnceItCanServe);
             return;
         }
         if (!mayServe()) {
@@ -293,7 +293,7 @@
     }
 
     /** Reckons with other processes of this relay; returns the list of one that serves, or null. */
-    private NameTable.News joinKin() {
+    private EndpointRegistry.Update joinKin() {
         kin = new SiblingProcesses(
                 Path.of(env.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))), config.name(), loop::now);
         SiblingProcesses.Found found = kin.find();
@@ -302,10 +302,10 @@
             return null;
         }
         try {
-            NameTable.News news = form.kept(found.list());
+            EndpointRegistry.Update news = form.kept(found.list());
             listFromKin = true;
             LOG.info("takes over from another process, whose list has "
-                    + news.lines().size() + " feed servers");
+                    + news.endpoints().size() + " feed servers");
             return news;
         } catch (BadSettings e) {
             LOG.warning("the list of another process cannot be used: " + e.getMessage());
@@ -316,7 +316,7 @@
     private void processesAre(int count) {
         if (count != processes) {
             processes = count;
-            relay.processes(count);
+            relay.onProcessCount(count);
             LOG.info("processes of this relay: " + count);
         }
     }
@@ -327,9 +327,9 @@
         public SiblingProcesses.Own own(long writtenList) throws InterruptedException {
             CompletableFuture<SiblingProcesses.Own> own = new CompletableFuture<>();
             loop.execute(() -> {
-                long number = relay.names().changes();
+                long number = relay.endpoints().changeCount();
                 own.complete(new SiblingProcesses.Own(
-                        lobby.taken(), number, number == writtenList ? null : form.text(relay.names())));
+                        lobby.taken(), number, number == writtenList ? null : form.text(relay.endpoints())));
             });
             try {
                 return own.get();
@@ -375,19 +375,19 @@
     private synchronized void reload() {
         try {
             PlatformConfig next = config.next(env);
-            EffectiveSettings after = terms.followedBy(next.terms());
+            EffectiveSettings after = terms.mergedWith(next.terms());
             terms = after;
             loop.execute(() -> {
-                relay.termsAre(after);
+                relay.applySettings(after);
                 watch.moveTo(next.discovery());
             });
             LOG.info("configuration read again, discovery is " + next.discovery() + ", classes are "
-                    + String.join(", ", next.terms().classes()));
+                    + String.join(", ", next.terms().classNames()));
             for (String stays : config.fromNextStart(next)) {
                 LOG.info("counts from the next start: " + stays);
             }
         } catch (BadSettings | IllegalArgumentException e) {
-            loop.execute(relay::termsRejected);
+            loop.execute(relay::onSettingsRejected);
             LOG.warning("new configuration not taken, all stays as it is: " + e.getMessage());
         }
     }
@@ -427,7 +427,7 @@
         });
         await(drained);
         CountDownLatch lastWords = new CountDownLatch(1);
-        loop.execute(() -> relay.deadlines().at(loop.now() + LAST_WORDS, lastWords::countDown));
+        loop.execute(() -> relay.deadlines().schedule(loop.now() + LAST_WORDS, lastWords::countDown));
         await(lastWords);
         if (kin != null) {
             kin.close();
--- a/src/main/java/sandstack/config/NameTableJson.java
+++ b/src/main/java/sandstack/config/EndpointListJson.java
@@ -7,13 +7,13 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import sandstack.core.NameTable;
+import sandstack.core.EndpointRegistry;
 import sandstack.decisions.EndpointEntry;
 import sandstack.decisions.EndpointListKind;
 import sandstack.decisions.EndpointState;
 
 /** Discovery's form of the name table, as it comes from discovery and in the configuration. */
-public final class NameTableJson {
+public final class EndpointListJson {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final List<String> zones;
@@ -24,7 +24,7 @@
      *
      * @param zones names of the settings' zones, in their order
      */
-    public NameTableJson(List<String> zones, MachineKinds kinds) {
+    public EndpointListJson(List<String> zones, MachineKinds kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
@@ -34,8 +34,8 @@
      *
      * @param saved the list is one that was kept, and may be old
      */
-    public NameTable.News news(JsonNode object, boolean saved) throws BadSettings {
-        List<NameTable.Line> lines = new ArrayList<>();
+    public EndpointRegistry.Update news(JsonNode object, boolean saved) throws BadSettings {
+        List<EndpointRegistry.Endpoint> lines = new ArrayList<>();
         for (JsonNode target : object.path("targets")) {
             lines.add(line(target));
         }
@@ -45,10 +45,10 @@
         EndpointListKind kind = saved
                 ? EndpointListKind.CACHED
                 : object.path("all").asBoolean() ? EndpointListKind.FULL : EndpointListKind.DELTA;
-        return new NameTable.News(kind, object.path("rev").asLong(), lines);
+        return new EndpointRegistry.Update(kind, object.path("rev").asLong(), lines);
     }
 
-    private NameTable.Line line(JsonNode target) throws BadSettings {
+    private EndpointRegistry.Endpoint line(JsonNode target) throws BadSettings {
         String uid = target.path("uid").asText("");
         EndpointState phase =
                 switch (target.path("state").asText()) {
@@ -64,7 +64,7 @@
         PlatformConfig.Address address = phase == EndpointState.GONE && endpoint.isEmpty()
                 ? new PlatformConfig.Address("", 0)
                 : PlatformConfig.Address.parse(endpoint, "endpoint of " + uid);
-        return new NameTable.Line(
+        return new EndpointRegistry.Endpoint(
                 new EndpointEntry(
                         uid,
                         zone(target.path("az")),
@@ -78,10 +78,10 @@
     }
 
     /** The name table in this form, as one whole list. */
-    public String text(NameTable names) {
+    public String text(EndpointRegistry names) {
         ObjectNode list = JSON.createObjectNode().put("rev", names.version()).put("all", true);
         ArrayNode targets = list.putArray("targets");
-        for (NameTable.Line line : names.lines()) {
+        for (EndpointRegistry.Endpoint line : names.endpoints()) {
             EndpointEntry e = line.entry();
             targets.addObject()
                     .put("uid", e.serverId())
@@ -97,7 +97,7 @@
     }
 
     /** Reads what {@link #text} gave, as a list that was kept. */
-    public NameTable.News kept(String text) throws BadSettings {
+    public EndpointRegistry.Update kept(String text) throws BadSettings {
         try {
             return news(JSON.readTree(text), true);
         } catch (JsonProcessingException e) {
--- a/src/main/java/sandstack/config/PlatformConfig.java
+++ b/src/main/java/sandstack/config/PlatformConfig.java
@@ -15,7 +15,7 @@
 import java.util.Objects;
 import java.util.function.Function;
 import sandstack.core.EffectiveSettings;
-import sandstack.core.NameTable;
+import sandstack.core.EndpointRegistry;
 
 /**
  * What the platform tells a relay: the file that PROXY_CONFIG names, and the variables beside it, which come
@@ -37,7 +37,7 @@
         int sockets,
         EffectiveSettings terms,
         List<String> zones,
-        NameTable.News known,
+        EndpointRegistry.Update known,
         Keys keys) {
 
     private static final ObjectMapper JSON = new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
@@ -153,7 +153,7 @@
                         classes,
                         settings.path("family_info").path("tells_delay").asBoolean(false)),
                 List.copyOf(zones),
-                known.isObject() ? new NameTableJson(zones, kinds).news(known, true) : null,
+                known.isObject() ? new EndpointListJson(zones, kinds).news(known, true) : null,
                 Keys.of(root));
     }
 
--- a/src/main/java/sandstack/console/Commands.java
+++ b/src/main/java/sandstack/console/Commands.java
@@ -14,11 +14,11 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import sandstack.core.Execution;
-import sandstack.core.NameTable;
+import sandstack.core.ClientSession;
+import sandstack.core.ConnectionAttempt;
+import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
-import sandstack.core.ServiceClient;
-import sandstack.core.Tenants;
+import sandstack.core.TenantRegistry;
 
 /** What the console can show and do. Each answer is read off on the relay's own thread. */
 public final class Commands {
@@ -55,7 +55,7 @@
         commands.put("standing", this::standing);
         commands.put("endings", this::endings);
         commands.put("tenants", this::tenants);
-        commands.put("figures", relay::figures);
+        commands.put("figures", relay::metricLines);
         commands.put("drain", this::drain);
         commands.putAll(more);
         commands.put(
@@ -108,8 +108,8 @@
 
     private List<String> names() {
         List<String> lines = new ArrayList<>();
-        lines.add("version " + relay.names().version());
-        for (NameTable.Line line : relay.names().lines()) {
+        lines.add("version " + relay.endpoints().version());
+        for (EndpointRegistry.Endpoint line : relay.endpoints().endpoints()) {
             lines.add(String.format(
                     "%-16s %-22s zone %d  %s",
                     line.entry().serverId(),
@@ -123,10 +123,10 @@
     private List<String> standing() {
         Map<String, Integer> at = new LinkedHashMap<>();
         int waiting = 0;
-        for (ServiceClient client : relay.clients()) {
-            Execution execution = client.execution();
-            if (execution != null && execution.standing()) {
-                at.merge(execution.server().entry().serverId(), 1, Integer::sum);
+        for (ClientSession client : relay.clients()) {
+            ConnectionAttempt execution = client.attempt();
+            if (execution != null && execution.isEstablished()) {
+                at.merge(execution.endpoint().entry().serverId(), 1, Integer::sum);
             } else {
                 waiting++;
             }
@@ -139,22 +139,23 @@
 
     private List<String> endings() {
         List<String> lines = new ArrayList<>();
-        relay.endings().forEach((ending, count) -> lines.add(String.format("%-16s %d", ending, count)));
-        relay.refusals().forEach((cause, count) -> lines.add(String.format("refused: %-12s %d", cause, count)));
+        relay.outcomeCounts().forEach((ending, count) -> lines.add(String.format("%-16s %d", ending, count)));
+        relay.rejectionCounts().forEach((cause, count) -> lines.add(String.format("refused: %-12s %d", cause, count)));
         return lines.isEmpty() ? List.of("nothing has ended yet") : lines;
     }
 
     private List<String> tenants() {
         List<String> lines = new ArrayList<>();
-        for (Tenants.Entry tenant : relay.tenants().entries()) {
+        for (TenantRegistry.Entry tenant : relay.tenants().entries()) {
             lines.add(String.format(
-                    "%-16s share %.2f  connections %.0f", tenant.name(), tenant.share(), tenant.connections()));
+                    "%-16s share %.2f  connections %.0f",
+                    tenant.name(), tenant.serviceShare(), tenant.connectionQuota()));
         }
         return lines.isEmpty() ? List.of("no tenants") : lines;
     }
 
     private List<String> drain() {
-        if (relay.draining()) {
+        if (relay.isDraining()) {
             return List.of("draining already");
         }
         drain.run();
--- a/src/main/java/sandstack/core/ClientRequest.java
+++ b/src/main/java/sandstack/core/ClientRequest.java
@@ -3,22 +3,22 @@
 /**
  * A request as a front read it. All that the placement needs and nothing of the wire it came on.
  *
- * @param key the same whenever this client comes
- * @param requestClass position in the settings' classes
- * @param tenant position in the settings' tenants
+ * @param clientKey the same whenever this client comes
+ * @param classIndex position in the settings' classes
+ * @param tenantIndex position in the settings' tenants
  * @param group connections of one group share work; null where there is none
- * @param patience how long the client waits for its connection to stand, in microseconds
- * @param load a guess at the connection's load; 0 where there is none
- * @param returning the client came back after a break or a move
- * @param standingAt the feed server at which this connection stood before the relay started; null for a
+ * @param timeoutMicros how long the client waits for its connection to stand, in microseconds
+ * @param expectedLoad a guess at the connection's load; 0 where there is none
+ * @param reconnecting the client came back after a break or a move
+ * @param adoptedFrom the feed server at which this connection stood before the relay started; null for a
  *     new connection
  */
 public record ClientRequest(
-        String key,
-        int requestClass,
-        int tenant,
+        String clientKey,
+        int classIndex,
+        int tenantIndex,
         String group,
-        long patience,
-        double load,
-        boolean returning,
-        String standingAt) {}
+        long timeoutMicros,
+        double expectedLoad,
+        boolean reconnecting,
+        String adoptedFrom) {}
--- a/src/main/java/sandstack/core/Execution.java
+++ b/src/main/java/sandstack/core/ConnectionAttempt.java
@@ -4,14 +4,14 @@
  * One attempt to serve a command at one feed server, and the standing connection that comes of it. The front
  * reports what its wire sees; the first ending counts and later reports change nothing.
  */
-public final class Execution {
+public final class ConnectionAttempt {
     /** The front's half: the way to the feed server. */
-    public interface Wire {
+    public interface Upstream {
         /** Ends the way to the feed server; the client stays. */
         void abandon();
 
         /** Tells the client to move, then ends both sides. */
-        void move();
+        void migrate();
     }
 
     private static final long LAST_LOOK = 1_000;
@@ -24,33 +24,35 @@
     }
 
     private final Relay relay;
-    private final ServiceClient client;
-    private final NameTable.Line server;
+    private final ClientSession client;
+    private final EndpointRegistry.Endpoint endpoint;
     private final int number;
-    private final long began;
-    private final long patience;
+    private final long startedAtMicros;
+    private final long timeoutMicros;
     private State state = State.OUT;
-    private Wire wire;
-    private Deadlines.Deadline connecting;
-    private Deadlines.Deadline waiting;
-    private Deadlines.Deadline silence;
+    private Upstream wire;
+    private DeadlineScheduler.Deadline connecting;
+    private DeadlineScheduler.Deadline waiting;
+    private DeadlineScheduler.Deadline silence;
     private long spokeAt;
-    private boolean written;
+    private boolean onRequestWritten;
 
-    Execution(Relay relay, ServiceClient client, NameTable.Line server, int number, long patience) {
+    ConnectionAttempt(
+            Relay relay, ClientSession client, EndpointRegistry.Endpoint endpoint, int number, long timeoutMicros) {
         this.relay = relay;
         this.client = client;
-        this.server = server;
+        this.endpoint = endpoint;
         this.number = number;
-        this.patience = patience;
-        this.began = relay.now();
+        this.timeoutMicros = timeoutMicros;
+        this.startedAtMicros = relay.now();
     }
 
     void start() {
-        waiting = relay.deadlines().at(began + patience, this::outOfTime);
+        waiting = relay.deadlines().schedule(startedAtMicros + timeoutMicros, this::outOfTime);
         // a machine that has vanished never refuses: without this the whole patience would go on its silence
-        connecting = relay.deadlines().at(began + Math.min(patience, relay.connectTimeout()), this::connectLate);
-        Wire opened = client.execute(this);
+        connecting = relay.deadlines()
+                .schedule(startedAtMicros + Math.min(timeoutMicros, relay.connectTimeout()), this::connectLate);
+        Upstream opened = client.startAttempt(this);
         if (state == State.OVER) {
             opened.abandon();
         } else {
@@ -60,7 +62,7 @@
 
     /** What the feed server was never sent whole cannot have run, however long it was waited for. */
     private void outOfTime() {
-        giveUp(written ? ConnectionOutcome.OUT_OF_TIME : ConnectionOutcome.NOT_CONNECTED);
+        giveUp(onRequestWritten ? ConnectionOutcome.TIMED_OUT : ConnectionOutcome.NOT_CONNECTED);
     }
 
     /**
@@ -68,7 +70,7 @@
      * that has come up meanwhile is not taken for a failed one, as it gets one more look.
      */
     private void connectLate() {
-        connecting = relay.deadlines().at(relay.now() + LAST_LOOK, () -> giveUp(ConnectionOutcome.NOT_CONNECTED));
+        connecting = relay.deadlines().schedule(relay.now() + LAST_LOOK, () -> giveUp(ConnectionOutcome.NOT_CONNECTED));
     }
 
     /**
@@ -76,13 +78,13 @@
      * to one that drains or is gone by now, and its client may have left meanwhile: it is given up then, and nothing has
      * been sent.
      */
-    public boolean connected() {
-        client.look();
+    public boolean onConnected() {
+        client.checkConnected();
         if (state == State.OVER) {
             return false;
         }
-        if (relay.takesNoMore(this)) {
-            giveUp(ConnectionOutcome.NEVER_SENT);
+        if (relay.isServerDraining(this)) {
+            giveUp(ConnectionOutcome.NOT_SENT);
             return false;
         }
         connectEnded();
@@ -96,15 +98,15 @@
     }
 
     /** The request's last byte has been written to the feed server; told more than once, it counts once. */
-    public void written() {
-        if (!written) {
-            written = true;
+    public void onRequestWritten() {
+        if (!onRequestWritten) {
+            onRequestWritten = true;
             relay.written(this);
         }
     }
 
     /** The feed server has taken the connection: from now on it owns it. */
-    public void up() {
+    public void onEstablished() {
         if (state == State.OUT) {
             state = State.STANDING;
             connectEnded();
@@ -114,7 +116,7 @@
     }
 
     /** The feed server's way has ended, or the client's. */
-    public void ended(ConnectionOutcome ending) {
+    public void onEnded(ConnectionOutcome ending) {
         if (state == State.OVER) {
             return;
         }
@@ -129,29 +131,29 @@
     }
 
     /** The feed server told the connection's load. */
-    public void load(double load) {
+    public void onLoadReported(double load) {
         if (state == State.STANDING) {
             relay.loadTold(this, load);
         }
     }
 
     /** The feed server told how long a message takes there now, in microseconds. */
-    public void delay(double delay) {
+    public void onDelayReported(double delay) {
         if (state == State.STANDING) {
             relay.delayTold(this, delay);
         }
     }
 
     /** The client sent something that the feed server answers at once if it is well. */
-    public void clientSpoke() {
+    public void onClientMessage() {
         if (state == State.STANDING && spokeAt == 0) {
             spokeAt = relay.now();
-            silence = relay.deadlines().at(spokeAt + Relay.SILENCE, this::fellSilent);
+            silence = relay.deadlines().schedule(spokeAt + Relay.SILENCE, this::fellSilent);
         }
     }
 
     /** The feed server answered what the client sent. */
-    public void serverSpoke() {
+    public void onServerMessage() {
         if (state == State.STANDING && spokeAt != 0) {
             // what the answer took says nothing: feed servers bring a line back at once, and the rest is our own time
             spokeAt = 0;
@@ -160,46 +162,46 @@
     }
 
     private void fellSilent() {
-        Wire open = wire;
-        ended(ConnectionOutcome.SILENT);
-        open.move();
+        Upstream open = wire;
+        onEnded(ConnectionOutcome.UNRESPONSIVE);
+        open.migrate();
     }
 
     /** Gives the execution up; the feed server's side is closed before anything else may be sent. */
     void giveUp(ConnectionOutcome ending) {
-        Wire open = wire;
+        Upstream open = wire;
         if (state != State.OVER && open != null) {
             open.abandon();
         }
-        ended(ending);
+        onEnded(ending);
     }
 
-    void move(ConnectionOutcome ending) {
+    void migrate(ConnectionOutcome ending) {
         if (state == State.STANDING) {
-            Wire open = wire;
-            ended(ending);
-            open.move();
+            Upstream open = wire;
+            onEnded(ending);
+            open.migrate();
         }
     }
 
     /** Whether the connection stands. */
-    public boolean standing() {
+    public boolean isEstablished() {
         return state == State.STANDING;
     }
 
     /** Whether it has ended, in whatever way. */
-    public boolean over() {
+    public boolean hasEnded() {
         return state == State.OVER;
     }
 
     /** The client that it serves. */
-    public ServiceClient client() {
+    public ClientSession client() {
         return client;
     }
 
     /** The feed server, as it was listed when the execution began. */
-    public NameTable.Line server() {
-        return server;
+    public EndpointRegistry.Endpoint endpoint() {
+        return endpoint;
     }
 
     /** Which attempt of its command this is, from 0. */
@@ -208,12 +210,12 @@
     }
 
     /** When it began, in microseconds of the relay's clock. */
-    public long began() {
-        return began;
+    public long startedAtMicros() {
+        return startedAtMicros;
     }
 
     /** How long the relay still waits for this execution, in whole milliseconds. */
-    public long patienceMillis() {
-        return Math.max(1, (began + patience - relay.now()) / 1000);
+    public long remainingMillis() {
+        return Math.max(1, (startedAtMicros + timeoutMicros - relay.now()) / 1000);
     }
 }
--- a/src/main/java/sandstack/core/ConnectionOutcome.java
+++ b/src/main/java/sandstack/core/ConnectionOutcome.java
@@ -7,27 +7,27 @@
     /** The feed server said good-bye: served to its end. */
     SERVED(AttemptOutcome.OK),
     /** The feed server sent its client away, as it does while it drains. */
-    SENT_AWAY(AttemptOutcome.CANCELLED),
+    SERVER_DRAINING(AttemptOutcome.CANCELLED),
     /** The client ended it, or left before it stood. */
     CLIENT_LEFT(AttemptOutcome.CANCELLED),
     /** The relay told the client to move. */
-    MOVED(AttemptOutcome.CANCELLED),
+    MIGRATED(AttemptOutcome.CANCELLED),
     /** The feed server gave an error. */
     SERVER_ERROR(AttemptOutcome.ERROR),
     /** The feed server turned it away unseen. */
-    TURNED_AWAY(AttemptOutcome.REJECTED),
+    REJECTED(AttemptOutcome.REJECTED),
     /** No connection came up, or it broke or was given up before the whole request was written. */
     NOT_CONNECTED(AttemptOutcome.CONNECT_FAILED),
     /** The connection ended without a word. */
-    ENDED_EARLY(AttemptOutcome.RESET),
+    CLOSED_EARLY(AttemptOutcome.RESET),
     /** The connection was reset. */
     RESET(AttemptOutcome.RESET),
     /** A standing connection on which the feed server no longer answers. */
-    SILENT(AttemptOutcome.RESET),
+    UNRESPONSIVE(AttemptOutcome.RESET),
     /** The whole request was written, and no answer came while the relay was willing to wait. */
-    OUT_OF_TIME(AttemptOutcome.TIMEOUT),
+    TIMED_OUT(AttemptOutcome.TIMEOUT),
     /** Never sent: the client had gone, its time was up or the server has no address. */
-    NEVER_SENT(AttemptOutcome.NOT_SENT);
+    NOT_SENT(AttemptOutcome.NOT_SENT);
 
     private final AttemptOutcome outcome;
 
--- a/src/main/java/sandstack/core/EffectiveSettings.java
+++ b/src/main/java/sandstack/core/EffectiveSettings.java
@@ -14,19 +14,19 @@
  * one that has vanished keeps its last terms there, for the commands under way, and is not offered.
  *
  * @param settings of all classes, vanished ones included
- * @param classes names of the classes, in the settings' order
- * @param offered the classes that a command may ask for
- * @param delaysTold whether feed servers tell how long a message takes
+ * @param classNames names of the classes, in the settings' order
+ * @param offeredClasses the classes that a command may ask for
+ * @param delaysReported whether feed servers tell how long a message takes
  */
 public record EffectiveSettings(
-        BalancerSettings settings, List<String> classes, Set<String> offered, boolean delaysTold) {
+        BalancerSettings settings, List<String> classNames, Set<String> offeredClasses, boolean delaysReported) {
     /** Classes that ever were, over all reloads of one process: each costs memory for as long as it runs. */
-    public static final int MOST_CLASSES = 256;
+    public static final int MAX_CLASSES = 256;
 
     /** Copies the collections. */
     public EffectiveSettings {
-        classes = List.copyOf(classes);
-        offered = Set.copyOf(offered);
+        classNames = List.copyOf(classNames);
+        offeredClasses = Set.copyOf(offeredClasses);
     }
 
     /** Terms to start with. */
@@ -46,30 +46,30 @@
 
     /** The position of a class that a command may ask for; -1 for any other name. */
     public int indexOf(String name) {
-        return name != null && offered.contains(name) ? classes.indexOf(name) : -1;
+        return name != null && offeredClasses.contains(name) ? classNames.indexOf(name) : -1;
     }
 
     /** Next terms as they count after these. */
-    public EffectiveSettings followedBy(EffectiveSettings next) {
-        List<String> names = new ArrayList<>(classes);
+    public EffectiveSettings mergedWith(EffectiveSettings next) {
+        List<String> names = new ArrayList<>(classNames);
         List<RequestClass> all = new ArrayList<>(settings.classes());
-        for (int i = 0; i < next.classes.size(); i++) {
-            int at = names.indexOf(next.classes.get(i));
+        for (int i = 0; i < next.classNames.size(); i++) {
+            int at = names.indexOf(next.classNames.get(i));
             if (at < 0) {
-                names.add(next.classes.get(i));
+                names.add(next.classNames.get(i));
                 all.add(next.settings.classes().get(i));
             } else {
                 all.set(at, next.settings.classes().get(i));
             }
         }
-        if (names.size() > MOST_CLASSES) {
+        if (names.size() > MAX_CLASSES) {
             throw new IllegalArgumentException(
-                    "setting classes has more than " + MOST_CLASSES + " names over all reloads");
+                    "setting classes has more than " + MAX_CLASSES + " names over all reloads");
         }
         BalancerSettings settingsOfAll = BalancerSettingsBuilder.from(next.settings)
                 .forInstanceOf(settings)
                 .classes(all)
                 .build();
-        return new EffectiveSettings(settingsOfAll, names, next.offered, next.delaysTold);
+        return new EffectiveSettings(settingsOfAll, names, next.offeredClasses, next.delaysReported);
     }
 }
--- a/src/main/java/sandstack/core/NameTable.java
+++ b/src/main/java/sandstack/core/EndpointRegistry.java
@@ -9,19 +9,19 @@
 import sandstack.decisions.EndpointState;
 
 /** Discovery's list of feed servers as this relay last heard it, with their addresses. */
-public final class NameTable {
+public final class EndpointRegistry {
     /** One feed server: what the module is told of it, and where it listens for this relay. */
-    public record Line(EndpointEntry entry, String host, int port) {
+    public record Endpoint(EndpointEntry entry, String host, int port) {
         /** The same feed server in another phase. */
-        Line in(EndpointState phase) {
-            return new Line(
+        Endpoint withState(EndpointState state) {
+            return new Endpoint(
                     new EndpointEntry(
                             entry.serverId(),
                             entry.zone(),
                             entry.cell(),
                             entry.machineKind(),
                             entry.startedAtMicros(),
-                            phase,
+                            state,
                             entry.rating()),
                     host,
                     port);
@@ -29,56 +29,56 @@
     }
 
     /** News from discovery: the whole list or what changed, and the version that it leads to. */
-    public record News(EndpointListKind kind, long version, List<Line> lines) {
+    public record Update(EndpointListKind kind, long version, List<Endpoint> endpoints) {
         List<EndpointEntry> entries() {
-            return lines.stream().map(Line::entry).toList();
+            return endpoints.stream().map(Endpoint::entry).toList();
         }
     }
 
-    private final Map<String, Line> lines = new LinkedHashMap<>();
+    private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
     private long version = -1;
-    private boolean told;
-    private long changes;
+    private boolean hasDiscoveryList;
+    private long changeCount;
 
-    void apply(News news) {
-        if (news.kind() != EndpointListKind.DELTA) {
-            lines.clear();
+    void apply(Update update) {
+        if (update.kind() != EndpointListKind.DELTA) {
+            endpoints.clear();
         }
-        version = news.version();
-        changes++;
-        told |= news.kind() != EndpointListKind.CACHED;
-        for (Line line : news.lines()) {
-            if (line.entry().state() == EndpointState.GONE) {
-                lines.remove(line.entry().serverId());
+        version = update.version();
+        changeCount++;
+        hasDiscoveryList |= update.kind() != EndpointListKind.CACHED;
+        for (Endpoint endpoint : update.endpoints()) {
+            if (endpoint.entry().state() == EndpointState.GONE) {
+                endpoints.remove(endpoint.entry().serverId());
             } else {
-                lines.put(line.entry().serverId(), line);
+                endpoints.put(endpoint.entry().serverId(), endpoint);
             }
         }
     }
 
     /** The line of this feed server; null where it is not listed. */
-    public Line get(String server) {
-        return lines.get(server);
+    public Endpoint get(String serverId) {
+        return endpoints.get(serverId);
     }
 
     /** The lines of all listed feed servers; a view that follows the table. */
-    public Collection<Line> lines() {
-        return lines.values();
+    public Collection<Endpoint> endpoints() {
+        return endpoints.values();
     }
 
     /** Whether discovery has told anything since the start. */
-    public boolean told() {
-        return told;
+    public boolean hasDiscoveryList() {
+        return hasDiscoveryList;
     }
 
     /** How often the list has changed since the start. */
-    public long changes() {
-        return changes;
+    public long changeCount() {
+        return changeCount;
     }
 
     /** Whether a feed server is listed that takes clients. */
-    public boolean usable() {
-        return lines.values().stream().anyMatch(line -> line.entry().state() == EndpointState.READY);
+    public boolean hasReadyServer() {
+        return endpoints.values().stream().anyMatch(line -> line.entry().state() == EndpointState.READY);
     }
 
     /** Version of the list; -1 before any has come. */
--- a/src/main/java/sandstack/core/Draining.java
+++ b/src/main/java/sandstack/core/GracefulShutdown.java
@@ -9,7 +9,7 @@
  * Takes a relay out of service: moves its standing clients away over a span of time, answers what is left before the
  * platform kills the process, and calls back once nobody is there any more. Used by the relay's one thread only.
  */
-final class Draining {
+final class GracefulShutdown {
     /** The front goes on sending clients for a moment: moves begin after it. */
     private static final long MOVES_BEGIN = 500_000;
     /** The platform waits for the longest deadline before it kills, but not for more of it than this. */
@@ -37,7 +37,7 @@
     /** Called once nobody is there any more; null before draining and after that call. */
     private Runnable whenDrained;
 
-    Draining(Relay relay, SplittableRandom random) {
+    GracefulShutdown(Relay relay, SplittableRandom random) {
         this.relay = relay;
         this.random = random;
     }
@@ -52,8 +52,8 @@
     }
 
     /** A refusal for who comes once draining has finished. */
-    Refusal refusalOfLateCommand() {
-        return new Refusal(Refusal.Kind.REFUSED, random.nextLong(LATE_COME_AGAIN_MILLIS) + 1);
+    Rejection refusalOfLateCommand() {
+        return new Rejection(Rejection.Kind.REJECTED, random.nextLong(LATE_COME_AGAIN_MILLIS) + 1);
     }
 
     /** Begins; a second call changes nothing. */
@@ -69,17 +69,17 @@
         lastMove = start + Math.max(MOVES_BEGIN + LEFT, Math.min(relay.longestDeadline(), LONGEST));
         relay.clients().forEach(this::move);
         // a relay without clients that stopped at once would lose those who are still being sent to it
-        relay.deadlines().at(start + MOVES_BEGIN, () -> {});
-        relay.deadlines().at(lastMove + LEFT, this::endTheRest);
+        relay.deadlines().schedule(start + MOVES_BEGIN, () -> {});
+        relay.deadlines().schedule(lastMove + LEFT, this::endTheRest);
     }
 
     /** Moves a client at a moment drawn over the span; one that comes later is moved as well. */
-    void move(ServiceClient client) {
+    void move(ClientSession client) {
         long earliest = Math.max(relay.now(), Math.max(start + MOVES_BEGIN, lastMove - SPAN));
         long latest = Math.max(earliest + 1, lastMove);
-        relay.deadlines().at(random.nextLong(earliest, latest), () -> {
-            if (client.execution != null) {
-                client.execution.move(ConnectionOutcome.MOVED);
+        relay.deadlines().schedule(random.nextLong(earliest, latest), () -> {
+            if (client.attempt != null) {
+                client.attempt.migrate(ConnectionOutcome.MIGRATED);
             }
         });
     }
@@ -99,9 +99,9 @@
 
     /** Whoever is still there has to be told before the process is killed. */
     private void endTheRest() {
-        for (ServiceClient client : List.copyOf(relay.clients())) {
-            if (client.execution != null && client.execution.standing()) {
-                client.execution.move(ConnectionOutcome.MOVED);
+        for (ClientSession client : List.copyOf(relay.clients())) {
+            if (client.attempt != null && client.attempt.isEstablished()) {
+                client.attempt.migrate(ConnectionOutcome.MIGRATED);
             } else {
                 relay.failUnanswered(client);
             }
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -59,31 +59,31 @@
     private static final long ADOPT_PAUSE = 250_000;
     private static final Logger LOG = Logger.getLogger("sandstack.relay");
 
-    private EffectiveSettings terms;
+    private EffectiveSettings effectiveSettings;
     private BalancerSettings settings;
-    private final Figures figures = new Figures();
+    private final RelayMetrics metricLines = new RelayMetrics();
     private final LongSupplier clock;
-    private final LoadBalancer brain;
-    private final Deadlines deadlines = new Deadlines();
-    private final NameTable names = new NameTable();
-    private final Tenants tenants = new Tenants();
-    private final Map<String, ServiceClient> clients = new LinkedHashMap<>();
-    private final Map<ConnectionOutcome, Long> endings = new EnumMap<>(ConnectionOutcome.class);
-    private final Map<RejectionReason, Long> refusals = new EnumMap<>(RejectionReason.class);
+    private final LoadBalancer loadBalancer;
+    private final DeadlineScheduler deadlines = new DeadlineScheduler();
+    private final EndpointRegistry endpoints = new EndpointRegistry();
+    private final TenantRegistry tenants = new TenantRegistry();
+    private final Map<String, ClientSession> clients = new LinkedHashMap<>();
+    private final Map<ConnectionOutcome, Long> outcomeCounts = new EnumMap<>(ConnectionOutcome.class);
+    private final Map<RejectionReason, Long> rejectionCounts = new EnumMap<>(RejectionReason.class);
     private final Runnable watch;
     private final Actions handler = new Actions();
     /** Causes for which discovery could not be asked since it last told something; each has had its line. */
     private final Set<String> failedBy = new HashSet<>();
 
-    private List<BalancerEvent> ready = new ArrayList<>();
+    private List<BalancerEvent> pendingEvents = new ArrayList<>();
     private long lastId;
-    private final Draining draining;
+    private final GracefulShutdown isDraining;
 
     /**
      * Creates a relay without statements of an operator and without limits; classes are named by their numbers.
      *
      * @param clock microseconds that never go back
-     * @param watch asks discovery for changes; answered by {@link #listed} or {@link #listFailed}
+     * @param watch asks discovery for changes; answered by {@link #onEndpointList} or {@link #onEndpointListFailed}
      */
     public Relay(BalancerSettings settings, long seed, LongSupplier clock, Runnable watch) {
         this(EffectiveSettings.numbered(settings), StatedCapacities.NONE, InstallationLimits.NONE, seed, clock, watch);
@@ -105,54 +105,54 @@
         use(terms);
         this.clock = clock;
         this.watch = watch;
-        this.brain = new LoadBalancer(settings, book, limits, seed, clock.getAsLong());
-        this.draining = new Draining(this, new SplittableRandom(seed));
+        this.loadBalancer = new LoadBalancer(settings, book, limits, seed, clock.getAsLong());
+        this.isDraining = new GracefulShutdown(this, new SplittableRandom(seed));
     }
 
     private void use(EffectiveSettings next) {
-        terms = next;
+        effectiveSettings = next;
         settings = next.settings();
-        figures.offered(next.offered());
+        metricLines.offered(next.offeredClasses());
     }
 
     /** Other terms count from now on, in one turn: what was read is swapped in whole. Commands under way keep theirs. */
-    public void termsAre(EffectiveSettings next) {
+    public void applySettings(EffectiveSettings next) {
         use(next);
-        figures.configApplied();
-        ready.add(new SettingsChanged(settings));
+        metricLines.configApplied();
+        pendingEvents.add(new SettingsChanged(settings));
     }
 
     /** A new configuration was turned down. */
-    public void termsRejected() {
-        figures.configRejected();
+    public void onSettingsRejected() {
+        metricLines.configRejected();
     }
 
     /** So many processes are this relay together now. */
-    public void processes(int count) {
-        ready.add(new ProcessCountChanged(count));
+    public void onProcessCount(int count) {
+        pendingEvents.add(new ProcessCountChanged(count));
     }
 
     // ---- the turn ---------------------------------------------------------------------------------
 
     /** One turn of the loop. */
-    public void turn() {
+    public void runTurn() {
         long now = now();
-        deadlines.sweep(now);
-        while (!ready.isEmpty()) {
-            List<BalancerEvent> gathered = ready;
-            ready = new ArrayList<>();
+        deadlines.runExpired(now);
+        while (!pendingEvents.isEmpty()) {
+            List<BalancerEvent> gathered = pendingEvents;
+            pendingEvents = new ArrayList<>();
             List<BalancerAction> actions = new ArrayList<>();
             for (BalancerEvent event : gathered) {
-                actions.addAll(brain.handle(event, now));
+                actions.addAll(loadBalancer.handle(event, now));
             }
             actions.forEach(action -> action.dispatch(handler));
         }
-        draining.turn(now);
+        isDraining.turn(now);
     }
 
     /** When the next turn is due, if nothing happens before; in the past where it is due now. */
-    public long nextTurn() {
-        return ready.isEmpty() ? deadlines.next() : Long.MIN_VALUE;
+    public long nextTurnMicros() {
+        return pendingEvents.isEmpty() ? deadlines.nextMicros() : Long.MIN_VALUE;
     }
 
     /** Carries out what the module decides. */
@@ -164,25 +164,25 @@
 
         @Override
         public void setTimer(SetTimer action) {
-            deadlines.at(now() + action.delayMicros(), () -> ready.add(new TimerExpired(action.token())));
+            deadlines.schedule(now() + action.delayMicros(), () -> pendingEvents.add(new TimerExpired(action.token())));
         }
 
         @Override
         public void reject(Reject action) {
-            refusals.merge(action.reason(), 1L, Long::sum);
-            answer(clients.get(action.requestId()), Refusal.refused(action.retryAfterMicros(), action.reason()));
+            rejectionCounts.merge(action.reason(), 1L, Long::sum);
+            answer(clients.get(action.requestId()), Rejection.rejected(action.retryAfterMicros(), action.reason()));
         }
 
         @Override
         public void fail(Fail action) {
-            answer(clients.get(action.requestId()), Refusal.FAILED);
+            answer(clients.get(action.requestId()), Rejection.FAILED);
         }
 
         @Override
         public void migrate(Migrate action) {
-            ServiceClient client = clients.get(action.requestId());
-            if (client != null && client.execution != null) {
-                client.execution.move(ConnectionOutcome.MOVED);
+            ClientSession client = clients.get(action.requestId());
+            if (client != null && client.attempt != null) {
+                client.attempt.migrate(ConnectionOutcome.MIGRATED);
             }
         }
 
@@ -193,208 +193,213 @@
     }
 
     private void attempt(StartAttempt a) {
-        ServiceClient client = clients.get(a.requestId());
+        ClientSession client = clients.get(a.requestId());
         if (client != null) {
-            client.look();
+            client.checkConnected();
         }
         if (client == null || client.finished) {
             // the client has left; without this the module would count the attempt as out for good
-            ready.add(new AttemptEnded(
-                    a.requestId(), 0, a.serverId(), ConnectionOutcome.NEVER_SENT.outcome(), true, 0, null));
+            pendingEvents.add(new AttemptEnded(
+                    a.requestId(), 0, a.serverId(), ConnectionOutcome.NOT_SENT.outcome(), true, 0, null));
             return;
         }
-        long left = client.deadline - now();
-        NameTable.Line line = names.get(a.serverId());
-        if (client.execution != null || line == null || left <= 0 || executionsLeft(client) <= 0) {
-            ready.add(new AttemptEnded(
+        long left = client.deadlineMicros - now();
+        EndpointRegistry.Endpoint line = endpoints.get(a.serverId());
+        if (client.attempt != null || line == null || left <= 0 || executionsLeft(client) <= 0) {
+            pendingEvents.add(new AttemptEnded(
                     a.requestId(),
-                    client.executions,
+                    client.attemptCount,
                     a.serverId(),
-                    ConnectionOutcome.NEVER_SENT.outcome(),
+                    ConnectionOutcome.NOT_SENT.outcome(),
                     false,
                     0,
                     null));
-            client.executions++;
+            client.attemptCount++;
             return;
         }
         begin(client, line, a.timeoutMicros() <= 0 ? left : Math.min(left, a.timeoutMicros()));
     }
 
-    private int executionsLeft(ServiceClient client) {
-        return Math.min(client.mostExecutions, settings.maxAttempts()) - client.executions;
+    private int executionsLeft(ClientSession client) {
+        return Math.min(client.maxAttempts, settings.maxAttempts()) - client.attemptCount;
     }
 
-    private void begin(ServiceClient client, NameTable.Line line, long patience) {
-        Execution execution = new Execution(this, client, line, client.executions++, patience);
-        client.execution = execution;
-        LOG.fine(() -> "execution " + client.id + "/" + execution.number() + " of " + client.command.key() + " class "
-                + client.command.requestClass() + " group " + client.command.group() + " begins at "
-                + line.entry().serverId() + (client.command.standingAt() == null ? "" : ", where it stood"));
+    private void begin(ClientSession client, EndpointRegistry.Endpoint line, long patience) {
+        ConnectionAttempt execution = new ConnectionAttempt(this, client, line, client.attemptCount++, patience);
+        client.attempt = execution;
+        LOG.fine(() ->
+                "execution " + client.id + "/" + execution.number() + " of " + client.request.clientKey() + " class "
+                        + client.request.classIndex() + " group " + client.request.group() + " begins at "
+                        + line.entry().serverId() + (client.request.adoptedFrom() == null ? "" : ", where it stood"));
         execution.start();
     }
 
     // ---- what fronts report -----------------------------------------------------------------------
 
     /** Takes a command: from now on exactly one final answer is owed for it. */
-    public void take(ServiceClient client, ClientRequest command) {
-        client.command = command;
-        if (draining.finished()) {
+    public void accept(ClientSession client, ClientRequest command) {
+        client.request = command;
+        if (isDraining.finished()) {
             client.finished = true;
-            Refusal later = draining.refusalOfLateCommand();
-            turnedBack(command, later);
-            client.nack(later);
+            Rejection later = isDraining.refusalOfLateCommand();
+            recordRejection(command, later);
+            client.sendRejection(later);
             return;
         }
         // the client's own id may be one that another connection still uses; the module's never is
         client.id = Long.toString(++lastId);
-        client.mostExecutions = settings.maxAttempts();
-        long headroom = Math.min(HEADROOM, command.patience() / 8);
-        client.deadline = now() + command.patience() - headroom;
+        client.maxAttempts = settings.maxAttempts();
+        long headroom = Math.min(HEADROOM, command.timeoutMicros() / 8);
+        client.deadlineMicros = now() + command.timeoutMicros() - headroom;
         clients.put(client.id, client);
-        if (command.standingAt() == null) {
-            client.overdue = deadlines.at(client.deadline + headroom / 2, () -> overdue(client));
-            ready.add(asRequest(client));
+        if (command.adoptedFrom() == null) {
+            client.answerTimer = deadlines.schedule(client.deadlineMicros + headroom / 2, () -> overdue(client));
+            pendingEvents.add(asRequest(client));
         } else {
             adopt(client);
         }
     }
 
-    private ConnectRequested asRequest(ServiceClient client) {
-        ClientRequest c = client.command;
+    private ConnectRequested asRequest(ClientSession client) {
+        ClientRequest c = client.request;
         return new ConnectRequested(
                 client.id,
-                c.requestClass(),
-                c.tenant(),
-                c.key(),
+                c.classIndex(),
+                c.tenantIndex(),
+                c.clientKey(),
                 c.group(),
-                client.deadline,
-                c.load(),
+                client.deadlineMicros,
+                c.expectedLoad(),
                 false,
-                c.returning());
+                c.reconnecting());
     }
 
     /** A connection that stood before the relay started goes back to its own feed server and to no other. */
-    private void adopt(ServiceClient client) {
-        if (client.finished || client.execution != null) {
+    private void adopt(ClientSession client) {
+        if (client.finished || client.attempt != null) {
             return;
         }
-        NameTable.Line line = names.get(client.command.standingAt());
-        long left = client.deadline - now();
+        EndpointRegistry.Endpoint line = endpoints.get(client.request.adoptedFrom());
+        long left = client.deadlineMicros - now();
         if (line == null || left <= 0 || executionsLeft(client) <= 0) {
-            answer(client, Refusal.FAILED);
+            answer(client, Rejection.FAILED);
             return;
         }
         begin(client, line, left);
     }
 
     /** The client's side has ended, or it asked for nothing any more. */
-    public void clientLeft(ServiceClient client) {
+    public void onClientDisconnected(ClientSession client) {
         if (client.finished || client.id == null) {
             return;
         }
-        boolean stood = client.execution != null && client.execution.standing();
+        boolean stood = client.attempt != null && client.attempt.isEstablished();
         finish(client);
-        if (!stood && client.command.standingAt() == null) {
-            ready.add(new ClientDisconnected(client.id));
+        if (!stood && client.request.adoptedFrom() == null) {
+            pendingEvents.add(new ClientDisconnected(client.id));
         }
-        if (client.execution != null) {
-            client.execution.giveUp(ConnectionOutcome.CLIENT_LEFT);
+        if (client.attempt != null) {
+            client.attempt.giveUp(ConnectionOutcome.CLIENT_LEFT);
         }
     }
 
     /** Whether this execution's feed server wants nothing new any more; what stood there before the start still may. */
-    boolean takesNoMore(Execution execution) {
-        NameTable.Line line = names.get(execution.server().entry().serverId());
-        return execution.client().command.standingAt() == null
+    boolean isServerDraining(ConnectionAttempt execution) {
+        EndpointRegistry.Endpoint line =
+                endpoints.get(execution.endpoint().entry().serverId());
+        return execution.client().request.adoptedFrom() == null
                 && (line == null || line.entry().state() != EndpointState.READY);
     }
 
     /** The request's last byte is on its way to the feed server. */
-    void written(Execution execution) {
-        figures.tried(className(execution.client().command));
+    void written(ConnectionAttempt execution) {
+        metricLines.tried(className(execution.client().request));
     }
 
     /** A front has answered this command by itself: the relay has not taken it, or its client broke its word. */
-    public void turnedBack(ClientRequest command, Refusal nack) {
-        figures.answered(className(command), nack.kind());
+    public void recordRejection(ClientRequest command, Rejection nack) {
+        metricLines.answered(className(command), nack.kind());
     }
 
     private String className(ClientRequest command) {
-        return terms.classes().get(command.requestClass());
+        return effectiveSettings.classNames().get(command.classIndex());
     }
 
-    void established(Execution execution) {
-        ServiceClient client = execution.client();
-        if (client.overdue != null) {
-            client.overdue.cancel();
+    void established(ConnectionAttempt execution) {
+        ClientSession client = execution.client();
+        if (client.answerTimer != null) {
+            client.answerTimer.cancel();
         }
-        figures.up(className(client.command));
+        metricLines.up(className(client.request));
         LOG.fine(() -> "execution " + client.id + "/" + execution.number() + " stands at "
-                + execution.server().entry().serverId() + " after " + (now() - execution.began()) + " us");
-        if (client.command.standingAt() != null) {
-            ready.add(new ConnectionAdopted(
-                    asRequest(client), execution.server().entry().serverId()));
+                + execution.endpoint().entry().serverId() + " after " + (now() - execution.startedAtMicros()) + " us");
+        if (client.request.adoptedFrom() != null) {
+            pendingEvents.add(new ConnectionAdopted(
+                    asRequest(client), execution.endpoint().entry().serverId()));
         } else {
-            ready.add(new ConnectionEstablished(
-                    client.id, execution.number(), execution.server().entry().serverId(), now() - execution.began()));
+            pendingEvents.add(new ConnectionEstablished(
+                    client.id,
+                    execution.number(),
+                    execution.endpoint().entry().serverId(),
+                    now() - execution.startedAtMicros()));
         }
-        if (draining.begun()) {
-            draining.move(client);
+        if (isDraining.begun()) {
+            isDraining.move(client);
         }
     }
 
-    void ended(Execution execution, ConnectionOutcome ending, boolean stood) {
-        ServiceClient client = execution.client();
-        client.execution = null;
-        endings.merge(ending, 1L, Long::sum);
+    void ended(ConnectionAttempt execution, ConnectionOutcome ending, boolean stood) {
+        ClientSession client = execution.client();
+        client.attempt = null;
+        outcomeCounts.merge(ending, 1L, Long::sum);
         LOG.fine(() -> "execution " + client.id + "/" + execution.number() + " at "
-                + execution.server().entry().serverId() + " ended: " + ending);
-        if (client.command.standingAt() != null && !stood) {
+                + execution.endpoint().entry().serverId() + " ended: " + ending);
+        if (client.request.adoptedFrom() != null && !stood) {
             // the module has not heard of it yet
             if (!client.finished) {
-                deadlines.at(now() + ADOPT_PAUSE, () -> adopt(client));
+                deadlines.schedule(now() + ADOPT_PAUSE, () -> adopt(client));
             }
             return;
         }
-        if (ending == ConnectionOutcome.SENT_AWAY) {
-            leaves(execution.server());
+        if (ending == ConnectionOutcome.SERVER_DRAINING) {
+            leaves(execution.endpoint());
         }
         boolean over = stood || client.finished;
-        ready.add(new AttemptEnded(
+        pendingEvents.add(new AttemptEnded(
                 client.id,
                 moduleNumber(execution),
-                execution.server().entry().serverId(),
+                execution.endpoint().entry().serverId(),
                 ending.outcome(),
                 over,
-                now() - execution.began(),
+                now() - execution.startedAtMicros(),
                 null));
         if (stood) {
             finish(client);
         }
     }
 
-    void loadTold(Execution execution, double load) {
+    void loadTold(ConnectionAttempt execution, double load) {
         LOG.finer(() -> "execution " + execution.client().id + "/" + execution.number() + " loads "
-                + execution.server().entry().serverId() + " by " + load);
-        ready.add(new LoadReported(
+                + execution.endpoint().entry().serverId() + " by " + load);
+        pendingEvents.add(new LoadReported(
                 execution.client().id,
                 moduleNumber(execution),
-                execution.server().entry().serverId(),
+                execution.endpoint().entry().serverId(),
                 load));
     }
 
-    void delayTold(Execution execution, double delay) {
-        String server = execution.server().entry().serverId();
+    void delayTold(ConnectionAttempt execution, double delay) {
+        String server = execution.endpoint().entry().serverId();
         LOG.fine(() -> "lines at " + server + " take " + Math.round(delay) + " us, as it tells");
-        ready.add(new DelayReported(execution.client().id, moduleNumber(execution), server, delay));
+        pendingEvents.add(new DelayReported(execution.client().id, moduleNumber(execution), server, delay));
     }
 
-    private static int moduleNumber(Execution execution) {
-        return execution.client().command.standingAt() != null ? 0 : execution.number();
+    private static int moduleNumber(ConnectionAttempt execution) {
+        return execution.client().request.adoptedFrom() != null ? 0 : execution.number();
     }
 
-    private void overdue(ServiceClient client) {
-        if (client.finished || (client.execution != null && client.execution.standing())) {
+    private void overdue(ClientSession client) {
+        if (client.finished || (client.attempt != null && client.attempt.isEstablished())) {
             return;
         }
         LOG.warning("command " + client.id + " was overdue; failed without the module's word");
@@ -402,42 +407,43 @@
     }
 
     /** Answers a command as failed without asking the module, which hears that its client has gone. */
-    void failUnanswered(ServiceClient client) {
-        ready.add(new ClientDisconnected(client.id));
-        answer(client, Refusal.FAILED);
+    void failUnanswered(ClientSession client) {
+        pendingEvents.add(new ClientDisconnected(client.id));
+        answer(client, Rejection.FAILED);
     }
 
-    private void answer(ServiceClient client, Refusal nack) {
+    private void answer(ClientSession client, Rejection nack) {
         if (client == null || client.finished) {
             return;
         }
         finish(client);
-        if (client.execution != null) {
-            client.execution.giveUp(ConnectionOutcome.CLIENT_LEFT);
+        if (client.attempt != null) {
+            client.attempt.giveUp(ConnectionOutcome.CLIENT_LEFT);
         }
-        LOG.fine(() -> "command " + client.id + " of " + client.command.key() + " was answered " + nack.kind() + " "
-                + (nack.cause() == null ? "" : nack.cause() + " ") + nack.comeBackMillis() + " after "
-                + client.executions + " executions");
-        figures.answered(className(client.command), nack.kind());
-        client.nack(nack);
+        LOG.fine(() ->
+                "command " + client.id + " of " + client.request.clientKey() + " was answered " + nack.kind() + " "
+                        + (nack.reason() == null ? "" : nack.reason() + " ") + nack.retryAfterMillis() + " after "
+                        + client.attemptCount + " executions");
+        metricLines.answered(className(client.request), nack.kind());
+        client.sendRejection(nack);
     }
 
-    private void finish(ServiceClient client) {
+    private void finish(ClientSession client) {
         client.finished = true;
         clients.remove(client.id);
-        if (client.overdue != null) {
-            client.overdue.cancel();
+        if (client.answerTimer != null) {
+            client.answerTimer.cancel();
         }
     }
 
     // ---- discovery --------------------------------------------------------------------------------
 
     /** News of the name table, in the order in which discovery told it. */
-    public void listed(NameTable.News news) {
-        names.apply(news);
+    public void onEndpointList(EndpointRegistry.Update news) {
+        endpoints.apply(news);
         failedBy.clear();
-        ready.add(new EndpointListUpdate(news.kind(), news.entries()));
-        for (NameTable.Line line : news.lines()) {
+        pendingEvents.add(new EndpointListUpdate(news.kind(), news.entries()));
+        for (EndpointRegistry.Endpoint line : news.endpoints()) {
             LOG.fine(() -> "name table " + news.kind() + " " + news.version() + ": " + line);
             if (news.kind() == EndpointListKind.DELTA) {
                 LOG.info("name table: " + line.entry().serverId() + " is "
@@ -450,34 +456,34 @@
      * A feed server that sends its clients away drains, and discovery tells so only seconds later: until then
      * those who came back were placed there again, to be sent away once more.
      */
-    private void leaves(NameTable.Line line) {
+    private void leaves(EndpointRegistry.Endpoint line) {
         EndpointEntry e = line.entry();
-        if (names.get(e.serverId()) != line || e.state() != EndpointState.READY) {
+        if (endpoints.get(e.serverId()) != line || e.state() != EndpointState.READY) {
             return;
         }
-        NameTable.Line leaving = line.in(EndpointState.DRAINING);
-        listed(new NameTable.News(EndpointListKind.DELTA, names.version(), List.of(leaving)));
-        deadlines.at(now() + SENT_AWAY_COUNTS, () -> {
-            if (names.get(e.serverId()) == leaving) {
-                listed(new NameTable.News(EndpointListKind.DELTA, names.version(), List.of(line)));
+        EndpointRegistry.Endpoint leaving = line.withState(EndpointState.DRAINING);
+        onEndpointList(new EndpointRegistry.Update(EndpointListKind.DELTA, endpoints.version(), List.of(leaving)));
+        deadlines.schedule(now() + SENT_AWAY_COUNTS, () -> {
+            if (endpoints.get(e.serverId()) == leaving) {
+                onEndpointList(new EndpointRegistry.Update(EndpointListKind.DELTA, endpoints.version(), List.of(line)));
             }
         });
     }
 
     /** The ask or the watch has failed; the module decides when to ask again. */
-    public void listFailed(String why) {
+    public void onEndpointListFailed(String why) {
         // an agent that is away is asked many times a second: one line a cause until it tells again
         if (failedBy.add(why)) {
             LOG.info("discovery: " + why);
         }
-        ready.add(new EndpointListUpdate(EndpointListKind.FAILED, List.of()));
+        pendingEvents.add(new EndpointListUpdate(EndpointListKind.FAILED, List.of()));
     }
 
     /** The tenants as their directory has them now. */
-    public void tenantsListed(List<Tenants.Entry> listed) {
+    public void onTenants(List<TenantRegistry.Entry> listed) {
         if (tenants.replace(listed)) {
             LOG.info("tenants: " + listed.size() + " listed");
-            ready.add(new TenantsChanged(tenants.forModule()));
+            pendingEvents.add(new TenantsChanged(tenants.forBalancer()));
         }
     }
 
@@ -490,12 +496,12 @@
      *     nobody else can hear them out
      */
     public void drain(IntSupplier unheardPeers, Runnable whenDrained) {
-        draining.begin(unheardPeers, whenDrained);
+        isDraining.begin(unheardPeers, whenDrained);
     }
 
     /** Whether this relay is being taken out of service. */
-    public boolean draining() {
-        return draining.begun();
+    public boolean isDraining() {
+        return isDraining.begun();
     }
 
     // ---- what others may see ----------------------------------------------------------------------
@@ -505,7 +511,7 @@
     }
 
     /** The deadlines that each turn sweeps. */
-    public Deadlines deadlines() {
+    public DeadlineScheduler deadlines() {
         return deadlines;
     }
 
@@ -518,40 +524,40 @@
     }
 
     /** What counts for the commands that come now. */
-    public EffectiveSettings terms() {
-        return terms;
+    public EffectiveSettings effectiveSettings() {
+        return effectiveSettings;
     }
 
     /** What this process has counted and holds now, a line each. */
-    public List<String> figures() {
-        long ejected = names.lines().stream()
-                .filter(line -> brain.isEjected(line.entry().serverId()))
+    public List<String> metricLines() {
+        long ejected = endpoints.endpoints().stream()
+                .filter(line -> loadBalancer.isEjected(line.entry().serverId()))
                 .count();
-        return figures.lines(clients.size(), names.lines().size(), (int) ejected);
+        return metricLines.lines(clients.size(), endpoints.endpoints().size(), (int) ejected);
     }
 
     /** The feed servers as discovery listed them. */
-    public NameTable names() {
-        return names;
+    public EndpointRegistry endpoints() {
+        return endpoints;
     }
 
     /** The tenants by name. */
-    public Tenants tenants() {
+    public TenantRegistry tenants() {
         return tenants;
     }
 
     /** The clients whose commands are held, out or standing. */
-    public Collection<ServiceClient> clients() {
+    public Collection<ClientSession> clients() {
         return clients.values();
     }
 
     /** How many commands were refused for which cause. */
-    public Map<RejectionReason, Long> refusals() {
-        return refusals;
+    public Map<RejectionReason, Long> rejectionCounts() {
+        return rejectionCounts;
     }
 
     /** How many executions have ended in which way. */
-    public Map<ConnectionOutcome, Long> endings() {
-        return endings;
+    public Map<ConnectionOutcome, Long> outcomeCounts() {
+        return outcomeCounts;
     }
 }
--- a/src/main/java/sandstack/core/Figures.java
+++ b/src/main/java/sandstack/core/RelayMetrics.java
@@ -9,7 +9,7 @@
  * All that a process counts of itself, from 0. Owned by the {@link Relay} and raised on its thread, where a thing
  * happens; O(1) each. Classes go by name, so that one that vanishes keeps its counts.
  */
-public final class Figures {
+public final class RelayMetrics {
     private static final String PREFIX = "edge_proxy.";
 
     /** What became of the connections of one class. */
@@ -38,8 +38,8 @@
     }
 
     /** A command of this class had this final answer. */
-    void answered(String name, Refusal.Kind kind) {
-        if (kind == Refusal.Kind.REFUSED) {
+    void answered(String name, Rejection.Kind kind) {
+        if (kind == Rejection.Kind.REJECTED) {
             of(name).shed++;
         } else {
             of(name).errors++;
--- a/src/main/java/sandstack/core/Tenants.java
+++ b/src/main/java/sandstack/core/TenantRegistry.java
@@ -5,14 +5,14 @@
 import sandstack.decisions.Tenant;
 
 /** The tenants by name. A tenant keeps its position for good, so that what the module holds of it stays right. */
-public final class Tenants {
+public final class TenantRegistry {
     /**
      * One tenant as its directory has it.
      *
-     * @param share its part of the service
-     * @param connections open connections within its share, over all relays
+     * @param serviceShare its part of the service
+     * @param connectionQuota open connections within its share, over all relays
      */
-    public record Entry(String name, double share, double connections) {}
+    public record Entry(String name, double serviceShare, double connectionQuota) {}
 
     private final List<Entry> entries = new ArrayList<>();
 
@@ -46,7 +46,9 @@
         return List.copyOf(entries);
     }
 
-    List<Tenant> forModule() {
-        return entries.stream().map(e -> new Tenant(e.connections(), e.share())).toList();
+    List<Tenant> forBalancer() {
+        return entries.stream()
+                .map(e -> new Tenant(e.connectionQuota(), e.serviceShare()))
+                .toList();
     }
 }
--- a/src/main/java/sandstack/directory/TenantDirectory.java
+++ b/src/main/java/sandstack/directory/TenantDirectory.java
@@ -16,7 +16,7 @@
 import sandstack.config.BadSettings;
 import sandstack.config.OwnFiles;
 import sandstack.config.PlatformConfig.Address;
-import sandstack.core.Tenants;
+import sandstack.core.TenantRegistry;
 
 /**
  * Reads the tenants from an LDAP directory, now and then, on a thread of its own: the library waits for its
@@ -63,7 +63,7 @@
     }
 
     private final Where where;
-    private final Consumer<List<Tenants.Entry>> told;
+    private final Consumer<List<TenantRegistry.Entry>> told;
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread made = new Thread(task, "directory");
         made.setDaemon(true);
@@ -76,7 +76,7 @@
      *
      * @param told takes each list that was read, on the directory's thread
      */
-    public TenantDirectory(Where where, Consumer<List<Tenants.Entry>> told) {
+    public TenantDirectory(Where where, Consumer<List<TenantRegistry.Entry>> told) {
         this.where = where;
         this.told = told;
     }
@@ -106,7 +106,7 @@
     }
 
     /** Reads the list once. */
-    List<Tenants.Entry> read() throws LDAPException {
+    List<TenantRegistry.Entry> read() throws LDAPException {
         LDAPConnectionOptions options = new LDAPConnectionOptions();
         options.setConnectTimeoutMillis(PATIENCE_MILLIS);
         options.setResponseTimeoutMillis(PATIENCE_MILLIS);
@@ -115,7 +115,7 @@
             if (!where.user().isEmpty()) {
                 connection.bind(where.user(), where.password());
             }
-            List<Tenants.Entry> entries = new ArrayList<>();
+            List<TenantRegistry.Entry> entries = new ArrayList<>();
             for (SearchResultEntry found : connection
                     .search(
                             where.base(),
@@ -125,7 +125,7 @@
                             where.share(),
                             where.connections())
                     .getSearchEntries()) {
-                Tenants.Entry entry = entry(found);
+                TenantRegistry.Entry entry = entry(found);
                 if (entry != null) {
                     entries.add(entry);
                 }
@@ -135,13 +135,13 @@
     }
 
     /** One tenant; null where the directory has no sense of it, which must not cost the others theirs. */
-    private Tenants.Entry entry(SearchResultEntry found) {
+    private TenantRegistry.Entry entry(SearchResultEntry found) {
         try {
             String name = found.getAttributeValue(where.name());
             double share = Double.parseDouble(found.getAttributeValue(where.share()));
             double connections = Double.parseDouble(found.getAttributeValue(where.connections()));
             if (name != null && share >= 0 && connections >= 0 && share <= 1) {
-                return new Tenants.Entry(name, share, connections);
+                return new TenantRegistry.Entry(name, share, connections);
             }
         } catch (NumberFormatException | NullPointerException e) {
             // told below
--- a/src/main/java/sandstack/nametable/DiscoveryWatch.java
+++ b/src/main/java/sandstack/discovery/DiscoveryWatch.java
@@ -1,4 +1,4 @@
-package sandstack.nametable;
+package sandstack.discovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -18,10 +18,10 @@
 import org.glassfish.grizzly.http.Method;
 import org.glassfish.grizzly.http.Protocol;
 import sandstack.config.BadSettings;
-import sandstack.config.NameTableJson;
+import sandstack.config.EndpointListJson;
 import sandstack.config.PlatformConfig.Address;
-import sandstack.core.Deadlines;
-import sandstack.core.NameTable;
+import sandstack.core.DeadlineScheduler;
+import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
 import sandstack.net.Loop;
 import sandstack.staleness.EndpointListStaleness;
@@ -39,7 +39,7 @@
 
     private final Loop loop;
     private final Relay relay;
-    private final NameTableJson form;
+    private final EndpointListJson form;
     private Address discovery;
     private Watch watch;
     /** After a move, the watch at the address before; null once the new one has told its list. */
@@ -48,7 +48,7 @@
     private boolean versionKnownHere = true;
 
     /** Creates a watch on this address, which is not asked before {@link #ask}. */
-    public DiscoveryWatch(Loop loop, Relay relay, Address discovery, NameTableJson form) {
+    public DiscoveryWatch(Loop loop, Relay relay, Address discovery, EndpointListJson form) {
         this.loop = loop;
         this.relay = relay;
         this.discovery = discovery;
@@ -92,18 +92,18 @@
 
     /** One call and what it brings. */
     private final class Watch extends BaseFilter implements Loop.Dialled {
-        private final ListStream stream = new ListStream();
+        private final JsonObjectStream stream = new JsonObjectStream();
         private Loop.Attempted connecting;
         private Connection<?> connection;
-        private Deadlines.Deadline silence;
+        private DeadlineScheduler.Deadline silence;
         /** When a list that has begun must have ended; null where none has. */
-        private Deadlines.Deadline ending;
+        private DeadlineScheduler.Deadline ending;
 
         private boolean over;
 
         void start() {
             silence = relay.deadlines()
-                    .at(loop.now() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(SILENT));
+                    .schedule(loop.now() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(SILENT));
             FilterChain chain = FilterChainBuilder.stateless()
                     .add(new TransportFilter())
                     .add(new HttpClientFilter())
@@ -115,7 +115,7 @@
         @Override
         public void connected(Connection<?> made) {
             connection = made;
-            long from = versionKnownHere ? relay.names().version() : -1;
+            long from = versionKnownHere ? relay.endpoints().version() : -1;
             HttpRequestPacket request = HttpRequestPacket.builder()
                     .method(Method.GET)
                     .protocol(Protocol.HTTP_1_1)
@@ -144,7 +144,7 @@
             }
             silence.cancel();
             silence = relay.deadlines()
-                    .at(loop.now() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(SILENT));
+                    .schedule(loop.now() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(SILENT));
             Buffer bytes = content.getContent();
             byte[] heard = new byte[bytes.remaining()];
             bytes.get(heard);
@@ -169,12 +169,12 @@
                     if (over) {
                         return;
                     }
-                    NameTable.News news = form.news(object, false);
+                    EndpointRegistry.Update news = form.news(object, false);
                     if (this == watch) {
                         versionKnownHere = true;
                         dropEarlier();
                     }
-                    relay.listed(news);
+                    relay.onEndpointList(news);
                 }
                 expectEnd();
             } catch (IOException | BadSettings e) {
@@ -191,7 +191,7 @@
             }
             if (ending == null) {
                 ending = relay.deadlines()
-                        .at(loop.now() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(ENDLESS));
+                        .schedule(loop.now() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(ENDLESS));
             } else {
                 ending.cancel();
                 ending = null;
@@ -205,7 +205,7 @@
             drop();
             if (this == watch) {
                 watch = null;
-                relay.listFailed(why);
+                relay.onEndpointListFailed(why);
             } else {
                 // the address before closes its watches: the new one is asked already
                 earlier = null;
--- a/src/main/java/sandstack/nametable/ListStream.java
+++ b/src/main/java/sandstack/discovery/JsonObjectStream.java
@@ -1,4 +1,4 @@
-package sandstack.nametable;
+package sandstack.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -16,7 +16,7 @@
  * in pieces of any size. Owned by its watch, on the loop's thread; time is linear in the bytes, memory is that of one
  * object, which may be so many bytes long and no longer.
  */
-public final class ListStream {
+public final class JsonObjectStream {
     /** The whole list of a large site is far below this. */
     private static final int LONGEST = 4 << 20;
 
@@ -29,7 +29,7 @@
     private long length;
 
     /** A stream of which nothing has been heard. */
-    public ListStream() {
+    public JsonObjectStream() {
         try {
             parser = new JsonFactory().createNonBlockingByteArrayParser();
         } catch (IOException e) {
--- a/src/main/java/sandstack/front/amqp/AmqpClient.java
+++ b/src/main/java/sandstack/front/amqp/AmqpClient.java
@@ -20,15 +20,15 @@
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 import org.apache.qpid.protonj2.types.transport.LinkError;
 import sandstack.core.ClientRequest;
+import sandstack.core.ClientSession;
+import sandstack.core.ConnectionAttempt;
 import sandstack.core.ConnectionOutcome;
-import sandstack.core.Execution;
-import sandstack.core.Refusal;
-import sandstack.core.ServiceClient;
+import sandstack.core.Rejection;
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.Peer;
 
 /** A client's side of AMQP: one connection with its one link is one request. */
-final class AmqpClient extends ServiceClient implements AmqpSocket.Owner, ConnectionAdmission.Guest {
+final class AmqpClient extends ClientSession implements AmqpSocket.Owner, ConnectionAdmission.Guest {
     private final AmqpFront front;
     private final AmqpSocket socket;
     private Connection connection;
@@ -98,21 +98,23 @@
         link.closeHandler(l -> left());
         link.detachHandler(l -> left());
         ClientRequest command = Words.command(
-                link.getRemoteProperties(), front.relay().terms(), front.relay().tenants());
+                link.getRemoteProperties(),
+                front.relay().effectiveSettings(),
+                front.relay().tenants());
         if (command == null) {
-            nack(new Refusal(Refusal.Kind.BAD_INPUT, 0));
+            sendRejection(new Rejection(Rejection.Kind.MALFORMED, 0));
             return;
         }
         if (!front.lobby().admit(socket.peer())) {
-            front.relay().turnedBack(command, ConnectionAdmission.NO_ROOM);
-            nack(ConnectionAdmission.NO_ROOM);
+            front.relay().recordRejection(command, ConnectionAdmission.NO_ROOM);
+            sendRejection(ConnectionAdmission.NO_ROOM);
             return;
         }
         id = new LinkId(connection.getRemoteContainerId(), link.getName(), link.isReceiver());
         front.claim(id, this, () -> {
             if (!over) {
                 before = front.remembered(id, clientsUnsettled);
-                front.relay().take(this, command);
+                front.relay().accept(this, command);
             }
         });
     }
@@ -136,7 +138,7 @@
         if (server != null && server.standing()) {
             server.clientLeft(clean);
         } else {
-            front.relay().clientLeft(this);
+            front.relay().onClientDisconnected(this);
         }
         if (clean) {
             closeLink(null);
@@ -149,7 +151,7 @@
         AmqpServer old = server;
         if (!over) {
             finish(false);
-            front.relay().clientLeft(this);
+            front.relay().onClientDisconnected(this);
             closeLink(new ErrorCondition(LinkError.STOLEN, "the link was attached by another connection"));
             socket.close(null);
         }
@@ -177,14 +179,14 @@
     // ---- from the relay ---------------------------------------------------------------------------
 
     @Override
-    protected Execution.Wire execute(Execution execution) {
+    protected ConnectionAttempt.Upstream startAttempt(ConnectionAttempt execution) {
         server = new AmqpServer(front, this, execution);
         server.start();
         return server;
     }
 
     @Override
-    protected void nack(Refusal nack) {
+    protected void sendRejection(Rejection nack) {
         finish(true);
         closeLink(Words.error(nack));
         socket.close(null);
--- a/src/main/java/sandstack/front/amqp/AmqpFront.java
+++ b/src/main/java/sandstack/front/amqp/AmqpFront.java
@@ -8,7 +8,7 @@
 import org.glassfish.grizzly.filterchain.BaseFilter;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
-import sandstack.core.NameTable;
+import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.Loop;
@@ -55,7 +55,7 @@
                 .port();
     }
 
-    Loop.Attempted connect(NameTable.Line server, Loop.Connecting told) {
+    Loop.Attempted connect(EndpointRegistry.Endpoint server, Loop.Connecting told) {
         return loop.connect(server.host(), server.port(), told);
     }
 
--- a/src/main/java/sandstack/front/amqp/AmqpServer.java
+++ b/src/main/java/sandstack/front/amqp/AmqpServer.java
@@ -7,43 +7,43 @@
 import org.apache.qpid.protonj2.types.messaging.Source;
 import org.apache.qpid.protonj2.types.messaging.Target;
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
+import sandstack.core.ConnectionAttempt;
 import sandstack.core.ConnectionOutcome;
-import sandstack.core.Deadlines;
-import sandstack.core.Execution;
+import sandstack.core.DeadlineScheduler;
 import sandstack.net.Loop;
 import sandstack.net.Peer;
 
 /** The way to the feed server of one execution: its connection and the link that answers the client's. */
-final class AmqpServer implements Execution.Wire, AmqpSocket.Owner, Loop.Connecting {
+final class AmqpServer implements ConnectionAttempt.Upstream, AmqpSocket.Owner, Loop.Connecting {
     /** An execution that gives way to the same client's next one waits so long for the feed server's close. */
     private static final long OVER_WITHIN = 500_000;
 
     private final AmqpFront front;
     private final AmqpClient client;
-    private final Execution execution;
+    private final ConnectionAttempt execution;
     private Loop.Attempted connecting;
     private AmqpSocket socket;
     private Link<?> link;
     private Pipe pipe;
     private Runnable whenOver;
-    private Deadlines.Deadline overLate;
+    private DeadlineScheduler.Deadline overLate;
     private boolean closed;
 
-    AmqpServer(AmqpFront front, AmqpClient client, Execution execution) {
+    AmqpServer(AmqpFront front, AmqpClient client, ConnectionAttempt execution) {
         this.front = front;
         this.client = client;
         this.execution = execution;
     }
 
     void start() {
-        connecting = front.connect(execution.server(), this);
+        connecting = front.connect(execution.endpoint(), this);
     }
 
     // ---- before the attach ------------------------------------------------------------------------
 
     @Override
     public void connected(Peer peer) {
-        if (!execution.connected()) {
+        if (!execution.onConnected()) {
             peer.close();
             return;
         }
@@ -53,7 +53,7 @@
 
     @Override
     public void failed() {
-        execution.ended(ConnectionOutcome.NOT_CONNECTED);
+        execution.onEnded(ConnectionOutcome.NOT_CONNECTED);
         over();
     }
 
@@ -78,7 +78,7 @@
         link.setTarget(target == null ? new Target() : target);
         link.setSenderSettleMode(asked.getRemoteSenderSettleMode());
         link.setReceiverSettleMode(asked.getRemoteReceiverSettleMode());
-        link.setProperties(Words.toServer(asked.getRemoteProperties(), execution.patienceMillis()));
+        link.setProperties(Words.toServer(asked.getRemoteProperties(), execution.remainingMillis()));
         link.openHandler(l -> attached());
         link.closeHandler(l -> closed(l.getRemoteCondition()));
         link.detachHandler(l -> closed(l.getRemoteCondition()));
@@ -87,13 +87,13 @@
 
     private void attached() {
         Object end = link instanceof Receiver ? link.getRemoteSource() : link.<Target>getRemoteTarget();
-        if (execution.over() || end == null) {
+        if (execution.hasEnded() || end == null) {
             // with nothing at its end the attach is a refusal, and the detach that says why follows
             return;
         }
         client.socket().guarded(() -> {
             pipe = client.stand(link);
-            execution.up();
+            execution.onEstablished();
             pipe.start();
         });
     }
@@ -101,7 +101,7 @@
     // ---- while it stands --------------------------------------------------------------------------
 
     boolean standing() {
-        return execution.standing();
+        return execution.isEstablished();
     }
 
     AmqpSocket socket() {
@@ -117,7 +117,7 @@
     @Override
     public void flushed() {
         if (link != null && socket.heard()) {
-            execution.written();
+            execution.onRequestWritten();
         }
         roomAgain();
     }
@@ -128,27 +128,27 @@
             over();
             return;
         }
-        ConnectionOutcome ending = Words.ending(error, execution.standing());
-        boolean stood = execution.standing();
+        ConnectionOutcome ending = Words.ending(error, execution.isEstablished());
+        boolean stood = execution.isEstablished();
         shut();
-        execution.ended(ending);
+        execution.onEnded(ending);
         if (stood) {
             client.end(
-                    ending == ConnectionOutcome.SENT_AWAY ? null : error,
-                    ending == ConnectionOutcome.SENT_AWAY ? Words.move() : null);
+                    ending == ConnectionOutcome.SERVER_DRAINING ? null : error,
+                    ending == ConnectionOutcome.SERVER_DRAINING ? Words.move() : null);
         }
     }
 
     /** The connection to the feed server is no more. */
     @Override
     public void ended(ConnectionOutcome how) {
-        boolean stood = execution.standing();
+        boolean stood = execution.isEstablished();
         closed = true;
         // until the feed server has sent its header, the attach has not been written
-        execution.ended(stood || socket.heard() ? how : ConnectionOutcome.NOT_CONNECTED);
+        execution.onEnded(stood || socket.heard() ? how : ConnectionOutcome.NOT_CONNECTED);
         over();
         if (stood) {
-            if (how == ConnectionOutcome.SILENT) {
+            if (how == ConnectionOutcome.UNRESPONSIVE) {
                 client.end(null, Words.move());
             } else {
                 client.reset();
@@ -158,7 +158,7 @@
 
     /** The client is gone: cleanly, or with its connection broken. */
     void clientLeft(boolean clean) {
-        execution.ended(ConnectionOutcome.CLIENT_LEFT);
+        execution.onEnded(ConnectionOutcome.CLIENT_LEFT);
         if (clean) {
             shut();
         } else {
@@ -176,7 +176,7 @@
     }
 
     @Override
-    public void move() {
+    public void migrate() {
         shut();
         client.end(null, Words.move());
     }
@@ -200,7 +200,7 @@
                 }
             });
             socket.close(null);
-            overLate = front.relay().deadlines().at(front.now() + OVER_WITHIN, this::cut);
+            overLate = front.relay().deadlines().schedule(front.now() + OVER_WITHIN, this::cut);
         }
     }
 
--- a/src/main/java/sandstack/front/amqp/AmqpSocket.java
+++ b/src/main/java/sandstack/front/amqp/AmqpSocket.java
@@ -9,7 +9,7 @@
 import org.apache.qpid.protonj2.engine.exceptions.IdleTimeoutException;
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 import sandstack.core.ConnectionOutcome;
-import sandstack.core.Deadlines;
+import sandstack.core.DeadlineScheduler;
 import sandstack.net.Peer;
 
 /** One AMQP connection: an engine without sockets inside, a socket with its rings outside. */
@@ -39,7 +39,7 @@
     private final Peer peer;
     private final Owner owner;
     private Engine engine;
-    private Deadlines.Deadline tick;
+    private DeadlineScheduler.Deadline tick;
     private boolean heard;
     private boolean over;
 
@@ -70,7 +70,7 @@
     private void failed(Throwable cause) {
         // what a peer did is told in a line and never as a fault of ours
         LOG.info(() -> "amqp: connection given up: " + cause.getMessage());
-        end(cause instanceof IdleTimeoutException ? ConnectionOutcome.SILENT : ConnectionOutcome.ENDED_EARLY);
+        end(cause instanceof IdleTimeoutException ? ConnectionOutcome.UNRESPONSIVE : ConnectionOutcome.CLOSED_EARLY);
         peer.finish();
         linger();
     }
@@ -104,7 +104,7 @@
             if (engine.isFailed()) {
                 return;
             }
-            end(ConnectionOutcome.ENDED_EARLY);
+            end(ConnectionOutcome.CLOSED_EARLY);
             peer.reset();
         }
     }
@@ -118,7 +118,7 @@
             long now = front.now() / 1000;
             long next = engine.tick(now);
             if (next > 0) {
-                tick = front.relay().deadlines().at(Math.max(next, now + 1) * 1000, this::watchIdle);
+                tick = front.relay().deadlines().schedule(Math.max(next, now + 1) * 1000, this::watchIdle);
             }
         });
     }
@@ -168,7 +168,7 @@
 
     @Override
     public void finished() {
-        end(ConnectionOutcome.ENDED_EARLY);
+        end(ConnectionOutcome.CLOSED_EARLY);
         peer.finish();
         if (peer.outEnded()) {
             peer.close();
--- a/src/main/java/sandstack/front/amqp/Words.java
+++ b/src/main/java/sandstack/front/amqp/Words.java
@@ -11,8 +11,8 @@
 import sandstack.core.ClientRequest;
 import sandstack.core.ConnectionOutcome;
 import sandstack.core.EffectiveSettings;
-import sandstack.core.Refusal;
-import sandstack.core.Tenants;
+import sandstack.core.Rejection;
+import sandstack.core.TenantRegistry;
 
 /** How commands, nacks and endings are said in AMQP. */
 final class Words {
@@ -28,7 +28,7 @@
     private Words() {}
 
     /** The command that a link's properties ask for; null where they make no sense. */
-    static ClientRequest command(Map<Symbol, Object> properties, EffectiveSettings terms, Tenants tenants) {
+    static ClientRequest command(Map<Symbol, Object> properties, EffectiveSettings terms, TenantRegistry tenants) {
         if (properties == null) {
             return null;
         }
@@ -69,16 +69,16 @@
         return passed;
     }
 
-    static ErrorCondition error(Refusal nack) {
+    static ErrorCondition error(Rejection nack) {
         return switch (nack.kind()) {
-            case REFUSED -> new ErrorCondition(
+            case REJECTED -> new ErrorCondition(
                     AmqpError.RESOURCE_LIMIT_EXCEEDED,
                     "refused; trying again is harmless",
-                    nack.comeBackMillis() <= 0
+                    nack.retryAfterMillis() <= 0
                             ? null
-                            : Map.of(COME_BACK, UnsignedInteger.valueOf(nack.comeBackMillis())));
+                            : Map.of(COME_BACK, UnsignedInteger.valueOf(nack.retryAfterMillis())));
             case FAILED -> new ErrorCondition(AmqpError.INTERNAL_ERROR, "failed");
-            case BAD_INPUT -> new ErrorCondition(AmqpError.INVALID_FIELD, "the link's properties make no sense");
+            case MALFORMED -> new ErrorCondition(AmqpError.INVALID_FIELD, "the link's properties make no sense");
         };
     }
 
@@ -95,10 +95,10 @@
         if (standing) {
             return condition == null
                     ? ConnectionOutcome.SERVED
-                    : leaving ? ConnectionOutcome.SENT_AWAY : ConnectionOutcome.SERVER_ERROR;
+                    : leaving ? ConnectionOutcome.SERVER_DRAINING : ConnectionOutcome.SERVER_ERROR;
         }
         return leaving || AmqpError.RESOURCE_LIMIT_EXCEEDED.equals(condition)
-                ? ConnectionOutcome.TURNED_AWAY
+                ? ConnectionOutcome.REJECTED
                 : ConnectionOutcome.SERVER_ERROR;
     }
 }
--- a/src/main/java/sandstack/front/operators/OperatorDoor.java
+++ b/src/main/java/sandstack/front/operators/OperatorDoor.java
@@ -8,7 +8,7 @@
 import org.glassfish.grizzly.filterchain.BaseFilter;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
-import sandstack.core.Deadlines;
+import sandstack.core.DeadlineScheduler;
 import sandstack.net.Loop;
 import sandstack.net.Peer;
 
@@ -28,7 +28,7 @@
     private static final long LINGER = 1_000_000;
 
     private final Loop loop;
-    private final Deadlines deadlines;
+    private final DeadlineScheduler deadlines;
     private final Supplier<String> hindrance;
     private final Supplier<List<String>> figures;
     private final Set<Caller> callers = new LinkedHashSet<>();
@@ -39,7 +39,8 @@
      * @param hindrance why this process cannot serve; null once it can
      * @param figures the figures, a line each
      */
-    public OperatorDoor(Loop loop, Deadlines deadlines, Supplier<String> hindrance, Supplier<List<String>> figures) {
+    public OperatorDoor(
+            Loop loop, DeadlineScheduler deadlines, Supplier<String> hindrance, Supplier<List<String>> figures) {
         this.loop = loop;
         this.deadlines = deadlines;
         this.hindrance = hindrance;
@@ -80,13 +81,13 @@
     /** One caller, from its connection to its end. */
     private final class Caller implements Peer.Owner {
         private final Peer peer;
-        private Deadlines.Deadline until;
+        private DeadlineScheduler.Deadline until;
         private boolean answered;
 
         Caller(Peer peer) {
             this.peer = peer;
             peer.ownedBy(this);
-            until = deadlines.at(loop.now() + ASK_WITHIN, () -> say("NAK no call came\r\n"));
+            until = deadlines.schedule(loop.now() + ASK_WITHIN, () -> say("NAK no call came\r\n"));
         }
 
         @Override
@@ -109,7 +110,7 @@
             }
             answered = true;
             until.cancel();
-            until = deadlines.at(loop.now() + LINGER, this::over);
+            until = deadlines.schedule(loop.now() + LINGER, this::over);
             // what else comes is thrown away: closed with words unread, the kernel would send a reset after the answer
             peer.discard();
             peer.send(words);
--- a/src/main/java/sandstack/front/platform/FirstLine.java
+++ b/src/main/java/sandstack/front/platform/FirstLine.java
@@ -5,7 +5,7 @@
 import java.util.regex.Pattern;
 import sandstack.core.ClientRequest;
 import sandstack.core.EffectiveSettings;
-import sandstack.core.Tenants;
+import sandstack.core.TenantRegistry;
 
 /**
  * The line with which a client opens its connection:
@@ -47,7 +47,7 @@
     }
 
     /** The command that the line asks for; null where a value makes no sense or the class is unknown. */
-    ClientRequest command(EffectiveSettings terms, Tenants tenants) {
+    ClientRequest command(EffectiveSettings terms, TenantRegistry tenants) {
         int requestClass = terms.indexOf(values.get("c"));
         String waits = values.get("d");
         if (requestClass < 0 || waits == null || !MILLIS.matcher(waits).matches()) {
--- a/src/main/java/sandstack/front/platform/PlatformClient.java
+++ b/src/main/java/sandstack/front/platform/PlatformClient.java
@@ -1,15 +1,15 @@
 package sandstack.front.platform;
 
 import sandstack.core.ClientRequest;
-import sandstack.core.Execution;
-import sandstack.core.Refusal;
+import sandstack.core.ClientSession;
+import sandstack.core.ConnectionAttempt;
+import sandstack.core.Rejection;
 import sandstack.core.Relay;
-import sandstack.core.ServiceClient;
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.Peer;
 
 /** A client's side of the line protocol: its first line, its answer, and the passing of lines after UP. */
-final class PlatformClient extends ServiceClient implements Peer.Owner, ConnectionAdmission.Guest {
+final class PlatformClient extends ClientSession implements Peer.Owner, ConnectionAdmission.Guest {
     private static final int LONGEST_LINE = 4096;
 
     /** How far the client has come. */
@@ -43,8 +43,8 @@
             case FIRST_LINE -> readLines();
             case WAITING -> {
                 // a client waits for its answer: more behind its line is not one request but several, or none
-                relay.clientLeft(this);
-                badInput(command());
+                relay.onClientDisconnected(this);
+                badInput(request());
             }
             case STANDING -> server.passOn();
             case LEAVING -> {}
@@ -73,19 +73,19 @@
     }
 
     private void request(FirstLine line) {
-        ClientRequest command = line == null ? null : line.command(relay.terms(), relay.tenants());
+        ClientRequest command = line == null ? null : line.command(relay.effectiveSettings(), relay.tenants());
         if (command == null || !peer.in().isEmpty() || !front.claim(line.id())) {
             badInput(command);
             return;
         }
         firstLine = line;
         if (!front.lobby().admit(peer)) {
-            relay.turnedBack(command, ConnectionAdmission.NO_ROOM);
-            nack(ConnectionAdmission.NO_ROOM);
+            relay.recordRejection(command, ConnectionAdmission.NO_ROOM);
+            sendRejection(ConnectionAdmission.NO_ROOM);
             return;
         }
         state = State.WAITING;
-        relay.take(this, command);
+        relay.accept(this, command);
     }
 
     /**
@@ -94,22 +94,22 @@
      * @param asked what the client asked for; null where that is not known
      */
     private void badInput(ClientRequest asked) {
-        Refusal nack = new Refusal(Refusal.Kind.BAD_INPUT, 0);
+        Rejection nack = new Rejection(Rejection.Kind.MALFORMED, 0);
         if (asked != null) {
-            relay.turnedBack(asked, nack);
+            relay.recordRejection(asked, nack);
         }
-        nack(nack);
+        sendRejection(nack);
     }
 
     @Override
     public void turnAway() {
-        nack(ConnectionAdmission.NO_ROOM);
+        sendRejection(ConnectionAdmission.NO_ROOM);
         peer.close();
     }
 
     @Override
     public void late() {
-        nack(ConnectionAdmission.NO_ROOM);
+        sendRejection(ConnectionAdmission.NO_ROOM);
     }
 
     @Override
@@ -118,7 +118,7 @@
     }
 
     @Override
-    protected void look() {
+    protected void checkConnected() {
         if (state == State.WAITING) {
             peer.look();
         }
@@ -137,7 +137,7 @@
         switch (state) {
             case FIRST_LINE -> peer.close();
             case WAITING -> {
-                relay.clientLeft(this);
+                relay.onClientDisconnected(this);
                 peer.close();
             }
             case STANDING -> server.clientFinished();
@@ -149,7 +149,7 @@
     @Override
     public void broken() {
         switch (state) {
-            case WAITING -> relay.clientLeft(this);
+            case WAITING -> relay.onClientDisconnected(this);
             case STANDING -> server.clientBroke();
             default -> {}
         }
@@ -167,18 +167,20 @@
     // ---- from the relay ---------------------------------------------------------------------------
 
     @Override
-    protected Execution.Wire execute(Execution execution) {
+    protected ConnectionAttempt.Upstream startAttempt(ConnectionAttempt execution) {
         server = new ServerWire(front, this, execution, firstLine);
         server.start();
         return server;
     }
 
     @Override
-    protected void nack(Refusal nack) {
+    protected void sendRejection(Rejection nack) {
         end(
                 switch (nack.kind()) {
-                    case REFUSED -> nack.comeBackMillis() > 0 ? "BUSY " + nack.comeBackMillis() + "\r\n" : "BUSY\r\n";
-                    case FAILED, BAD_INPUT -> "ERR\r\n";
+                    case REJECTED -> nack.retryAfterMillis() > 0
+                            ? "BUSY " + nack.retryAfterMillis() + "\r\n"
+                            : "BUSY\r\n";
+                    case FAILED, MALFORMED -> "ERR\r\n";
                 });
     }
 
--- a/src/main/java/sandstack/front/platform/PlatformFront.java
+++ b/src/main/java/sandstack/front/platform/PlatformFront.java
@@ -7,8 +7,8 @@
 import org.glassfish.grizzly.filterchain.FilterChain;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
-import sandstack.core.Execution;
-import sandstack.core.NameTable;
+import sandstack.core.ConnectionAttempt;
+import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.Loop;
@@ -27,7 +27,7 @@
         this.loop = loop;
         this.relay = relay;
         this.lobby = lobby;
-        this.loadLines = new LoadLines(() -> relay.terms().delaysTold());
+        this.loadLines = new LoadLines(() -> relay.effectiveSettings().delaysReported());
     }
 
     /** Listens; returns the port. */
@@ -67,15 +67,15 @@
     }
 
     /** A feed server has told this figure of a standing execution. */
-    void loadTold(Execution execution, double told) {
-        if (loadLines.isDelay(execution.server().entry().serverId(), told, now())) {
-            execution.delay(told * 1000);
+    void loadTold(ConnectionAttempt execution, double told) {
+        if (loadLines.isDelay(execution.endpoint().entry().serverId(), told, now())) {
+            execution.onDelayReported(told * 1000);
         } else {
-            execution.load(told);
+            execution.onLoadReported(told);
         }
     }
 
-    Loop.Attempted connect(NameTable.Line server, Loop.Connecting told) {
+    Loop.Attempted connect(EndpointRegistry.Endpoint server, Loop.Connecting told) {
         return loop.connect(server.host(), server.port(), told);
     }
 
--- a/src/main/java/sandstack/front/platform/ServerWire.java
+++ b/src/main/java/sandstack/front/platform/ServerWire.java
@@ -1,13 +1,13 @@
 package sandstack.front.platform;
 
 import java.util.logging.Logger;
+import sandstack.core.ConnectionAttempt;
 import sandstack.core.ConnectionOutcome;
-import sandstack.core.Execution;
 import sandstack.net.Loop;
 import sandstack.net.Peer;
 
 /** The way to the feed server of one execution: its connection, the request's line, its answer and its lines. */
-final class ServerWire implements Execution.Wire, Peer.Owner, Loop.Connecting {
+final class ServerWire implements ConnectionAttempt.Upstream, Peer.Owner, Loop.Connecting {
     private static final Logger LOG = Logger.getLogger("sandstack.platform");
     private static final int LONGEST_LINE = 4096;
     /** A move waits so long for the end of a line that the feed server has half sent. */
@@ -17,7 +17,7 @@
 
     private final PlatformFront front;
     private final PlatformClient client;
-    private final Execution execution;
+    private final ConnectionAttempt execution;
     private final FirstLine firstLine;
     private final LineTap tap = new LineTap(this::line);
     private Loop.Attempted connecting;
@@ -29,7 +29,7 @@
 
     private String lastLine = "";
 
-    ServerWire(PlatformFront front, PlatformClient client, Execution execution, FirstLine firstLine) {
+    ServerWire(PlatformFront front, PlatformClient client, ConnectionAttempt execution, FirstLine firstLine) {
         this.front = front;
         this.client = client;
         this.execution = execution;
@@ -37,7 +37,7 @@
     }
 
     void start() {
-        connecting = front.connect(execution.server(), this);
+        connecting = front.connect(execution.endpoint(), this);
     }
 
     Peer peer() {
@@ -50,14 +50,14 @@
     public void connected(Peer made) {
         peer = made;
         peer.ownedBy(this);
-        if (execution.connected()) {
-            peer.send(firstLine.toServer(execution.patienceMillis()));
+        if (execution.onConnected()) {
+            peer.send(firstLine.toServer(execution.remainingMillis()));
         }
     }
 
     @Override
     public void failed() {
-        execution.ended(ConnectionOutcome.NOT_CONNECTED);
+        execution.onEnded(ConnectionOutcome.NOT_CONNECTED);
     }
 
     private void answered() {
@@ -74,7 +74,7 @@
             client.stand();
             peer.writeFrom(client.peer());
             tap.heard(peer.in(), peer.in().size());
-            execution.up();
+            execution.onEstablished();
             client.peer().flush();
             peer.flush();
             return;
@@ -84,18 +84,16 @@
         }
         fail(
                 switch (line) {
-                    case "BUSY" -> ConnectionOutcome.TURNED_AWAY;
-                    case "MOVE" -> ConnectionOutcome.SENT_AWAY;
-                    case "BYE" -> ConnectionOutcome.ENDED_EARLY;
-                    default -> line.startsWith("BUSY ")
-                            ? ConnectionOutcome.TURNED_AWAY
-                            : ConnectionOutcome.SERVER_ERROR;
+                    case "BUSY" -> ConnectionOutcome.REJECTED;
+                    case "MOVE" -> ConnectionOutcome.SERVER_DRAINING;
+                    case "BYE" -> ConnectionOutcome.CLOSED_EARLY;
+                    default -> line.startsWith("BUSY ") ? ConnectionOutcome.REJECTED : ConnectionOutcome.SERVER_ERROR;
                 });
     }
 
     private void fail(ConnectionOutcome ending) {
         abandon();
-        execution.ended(ending);
+        execution.onEnded(ending);
     }
 
     // ---- both -------------------------------------------------------------------------------------
@@ -120,10 +118,10 @@
             fail(
                     !sent
                             ? ConnectionOutcome.NOT_CONNECTED
-                            : peer.in().isEmpty() ? ConnectionOutcome.ENDED_EARLY : ConnectionOutcome.SERVER_ERROR);
+                            : peer.in().isEmpty() ? ConnectionOutcome.CLOSED_EARLY : ConnectionOutcome.SERVER_ERROR);
             return;
         }
-        execution.ended(lastWord(ConnectionOutcome.ENDED_EARLY));
+        execution.onEnded(lastWord(ConnectionOutcome.CLOSED_EARLY));
         if (moving) {
             moveNow();
         } else {
@@ -136,11 +134,11 @@
     public void broken() {
         if (!standing) {
             // what never had the whole line never ran
-            execution.ended(sent ? ConnectionOutcome.RESET : ConnectionOutcome.NOT_CONNECTED);
+            execution.onEnded(sent ? ConnectionOutcome.RESET : ConnectionOutcome.NOT_CONNECTED);
             return;
         }
         ConnectionOutcome ending = lastWord(ConnectionOutcome.RESET);
-        execution.ended(ending);
+        execution.onEnded(ending);
         if (moving) {
             moveNow();
         } else if (ending == ConnectionOutcome.RESET) {
@@ -155,7 +153,7 @@
     private ConnectionOutcome lastWord(ConnectionOutcome without) {
         return switch (lastLine) {
             case "BYE" -> ConnectionOutcome.SERVED;
-            case "MOVE" -> ConnectionOutcome.SENT_AWAY;
+            case "MOVE" -> ConnectionOutcome.SERVER_DRAINING;
             default -> without;
         };
     }
@@ -167,7 +165,7 @@
             closeIfBothEnded();
         } else {
             sent = true;
-            execution.written();
+            execution.onRequestWritten();
         }
     }
 
@@ -182,13 +180,13 @@
                 LOG.fine("a load that is no number");
             }
         } else {
-            execution.serverSpoke();
+            execution.onServerMessage();
         }
     }
 
     /** What the client sent goes out to the feed server. */
     void passOn() {
-        execution.clientSpoke();
+        execution.onClientMessage();
         peer.flush();
     }
 
@@ -200,19 +198,19 @@
 
     /** The client has ended its sending: so is ours to the feed server, which may still have something to say. */
     void clientFinished() {
-        execution.ended(ConnectionOutcome.CLIENT_LEFT);
+        execution.onEnded(ConnectionOutcome.CLIENT_LEFT);
         peer.finish();
         halfOpen();
         closeIfBothEnded();
     }
 
     void clientBroke() {
-        execution.ended(ConnectionOutcome.CLIENT_LEFT);
+        execution.onEnded(ConnectionOutcome.CLIENT_LEFT);
         peer.reset();
     }
 
     private void halfOpen() {
-        front.relay().deadlines().at(front.now() + HALF_OPEN, this::closeBoth);
+        front.relay().deadlines().schedule(front.now() + HALF_OPEN, this::closeBoth);
     }
 
     private void closeIfBothEnded() {
@@ -239,9 +237,9 @@
     }
 
     @Override
-    public void move() {
+    public void migrate() {
         moving = true;
-        front.relay().deadlines().at(front.now() + LINE_END_WITHIN, this::moveNow);
+        front.relay().deadlines().schedule(front.now() + LINE_END_WITHIN, this::moveNow);
         moveAtLineEnd();
     }
 
--- a/src/main/java/sandstack/measure/scale/ListProbe.java
+++ b/src/main/java/sandstack/measure/scale/ListProbe.java
@@ -9,10 +9,10 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import sandstack.config.BadSettings;
+import sandstack.config.EndpointListJson;
 import sandstack.config.MachineKinds;
-import sandstack.config.NameTableJson;
 import sandstack.core.Relay;
-import sandstack.nametable.ListStream;
+import sandstack.discovery.JsonObjectStream;
 
 /**
  * Measures what a relay does with discovery's list, from the bytes to the decision module, without sockets. The arguments
@@ -34,8 +34,8 @@
     private static final Logger LOG = Logger.getLogger("sandstack");
 
     private final Relay relay = new Relay(DecisionDriver.settings(), SEED, System::nanoTime, () -> {});
-    private final NameTableJson form = new NameTableJson(SampleList.ZONES, new MachineKinds(List.of()));
-    private final ListStream stream = new ListStream();
+    private final EndpointListJson form = new EndpointListJson(SampleList.ZONES, new MachineKinds(List.of()));
+    private final JsonObjectStream stream = new JsonObjectStream();
 
     private ListProbe() {}
 
@@ -87,9 +87,9 @@
         for (int from = 0; from < bytes.length; from += PIECE) {
             byte[] piece = Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + PIECE));
             for (JsonNode object : stream.heard(piece)) {
-                relay.listed(form.news(object, false));
+                relay.onEndpointList(form.news(object, false));
             }
         }
-        relay.turn();
+        relay.runTurn();
     }
 }
--- a/src/main/java/sandstack/net/ConnectionAdmission.java
+++ b/src/main/java/sandstack/net/ConnectionAdmission.java
@@ -3,9 +3,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sandstack.core.Deadlines;
-import sandstack.core.Deadlines.Deadline;
-import sandstack.core.Refusal;
+import sandstack.core.DeadlineScheduler;
+import sandstack.core.DeadlineScheduler.Deadline;
+import sandstack.core.Rejection;
 
 /**
  * Keeps the descriptors for those who are served. An accepted peer is a guest until it has asked for something
@@ -15,7 +15,7 @@
  */
 public final class ConnectionAdmission {
     /** What a client hears for whom there is no room, or who has not asked in time. */
-    public static final Refusal NO_ROOM = new Refusal(Refusal.Kind.REFUSED, 1000);
+    public static final Rejection NO_ROOM = new Rejection(Rejection.Kind.REJECTED, 1000);
     /** Who connects has to ask by then; an error or a close is due after 3 s, whatever came in between. */
     private static final long ASK_WITHIN = 2_500_000;
     /** How long a peer that has had its last word may keep its end open. */
@@ -47,7 +47,7 @@
     /** A peer's guest and when its time runs out. */
     private record Stay(Guest guest, Deadline until) {}
 
-    private final Deadlines deadlines;
+    private final DeadlineScheduler deadlines;
     private final Loop loop;
     private int most;
     private final Map<Peer, Stay> guests = new LinkedHashMap<>();
@@ -60,7 +60,7 @@
      *
      * @param most descriptors that sockets of clients and feed servers may take together
      */
-    public ConnectionAdmission(Loop loop, Deadlines deadlines, int most) {
+    public ConnectionAdmission(Loop loop, DeadlineScheduler deadlines, int most) {
         this.loop = loop;
         this.deadlines = deadlines;
         this.most = most;
@@ -75,7 +75,7 @@
     /** A peer has been accepted. It may be turned away before this returns. */
     public void enter(Peer peer, Guest guest) {
         peer.watchedBy(this);
-        guests.put(peer, new Stay(guest, deadlines.at(loop.now() + ASK_WITHIN, () -> late(peer))));
+        guests.put(peer, new Stay(guest, deadlines.schedule(loop.now() + ASK_WITHIN, () -> late(peer))));
         makeRoom();
     }
 
@@ -92,7 +92,7 @@
     }
 
     private void linger(Peer peer, Guest guest, long length) {
-        leaving.put(peer, new Stay(guest, deadlines.at(loop.now() + length, peer::close)));
+        leaving.put(peer, new Stay(guest, deadlines.schedule(loop.now() + length, peer::close)));
     }
 
     /** Nobody is waited for any more: whoever has not asked by now is told so. */
--- a/src/main/java/sandstack/standin/ShopClient.java
+++ b/src/main/java/sandstack/standin/ShopClient.java
@@ -1,7 +1,7 @@
 package sandstack.standin;
 
 import java.util.function.Consumer;
-import sandstack.core.Deadlines.Deadline;
+import sandstack.core.DeadlineScheduler.Deadline;
 import sandstack.net.Loop;
 import sandstack.net.Peer;
 
--- a/src/main/java/sandstack/standin/StandInLoop.java
+++ b/src/main/java/sandstack/standin/StandInLoop.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Supplier;
 import org.glassfish.grizzly.filterchain.BaseFilter;
-import sandstack.core.Deadlines;
+import sandstack.core.DeadlineScheduler;
 import sandstack.net.Loop;
 
 /**
@@ -21,12 +21,12 @@
     private static final long PATIENCE_SECONDS = 30;
 
     private final Loop loop = new Loop();
-    private final Deadlines deadlines = new Deadlines();
+    private final DeadlineScheduler deadlines = new DeadlineScheduler();
     private final List<Runnable> closing = new ArrayList<>();
 
     /** Starts the thread. */
     public StandInLoop() throws IOException {
-        loop.start(() -> deadlines.sweep(loop.now()), deadlines::next);
+        loop.start(() -> deadlines.runExpired(loop.now()), deadlines::nextMicros);
     }
 
     /** Runs this on the loop's thread and waits for what it gives. */
@@ -94,8 +94,8 @@
     }
 
     /** Does this so many microseconds from now, unless it is called off. */
-    public Deadlines.Deadline after(long micros, Runnable task) {
-        return deadlines.at(loop.now() + micros, task);
+    public DeadlineScheduler.Deadline after(long micros, Runnable task) {
+        return deadlines.schedule(loop.now() + micros, task);
     }
 
     /** What is done before the thread ends. */
--- a/src/test/java/sandstack/config/PlatformConfigTest.java
+++ b/src/test/java/sandstack/config/PlatformConfigTest.java
@@ -31,10 +31,10 @@
     @Test
     void readsTheExample() throws Exception {
         PlatformConfig config = load(Files.readString(EXAMPLE));
-        assertThat(config.terms().classes()).containsExactly("order-status", "catalogue-feed", "stock-check");
+        assertThat(config.terms().classNames()).containsExactly("order-status", "catalogue-feed", "stock-check");
         assertThat(config.terms().settings().maxAttempts()).isEqualTo(6);
         assertThat(config.known().kind()).isEqualTo(EndpointListKind.CACHED);
-        assertThat(config.known().lines())
+        assertThat(config.known().endpoints())
                 .hasSize(2)
                 .allMatch(line -> line.entry().state() == EndpointState.READY
                         && line.entry().zone() == 0);
--- a/src/test/java/sandstack/console/ConsoleTest.java
+++ b/src/test/java/sandstack/console/ConsoleTest.java
@@ -11,13 +11,13 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 import sandstack.core.ClientRequest;
+import sandstack.core.ClientSession;
+import sandstack.core.ConnectionAttempt;
 import sandstack.core.ConnectionOutcome;
-import sandstack.core.Execution;
-import sandstack.core.NameTable;
-import sandstack.core.Refusal;
+import sandstack.core.EndpointRegistry;
+import sandstack.core.Rejection;
 import sandstack.core.Relay;
-import sandstack.core.ServiceClient;
-import sandstack.core.Tenants;
+import sandstack.core.TenantRegistry;
 import sandstack.decisions.DeduplicationScope;
 import sandstack.decisions.EndpointEntry;
 import sandstack.decisions.EndpointListKind;
@@ -29,21 +29,21 @@
 /** The console without a terminal: a command a line in, its answer out. */
 class ConsoleTest {
     /** A client whose executions stand at once. */
-    private static final class Standing extends ServiceClient {
+    private static final class Standing extends ClientSession {
         @Override
-        protected Execution.Wire execute(Execution execution) {
-            execution.up();
-            return new Execution.Wire() {
+        protected ConnectionAttempt.Upstream startAttempt(ConnectionAttempt execution) {
+            execution.onEstablished();
+            return new ConnectionAttempt.Upstream() {
                 @Override
                 public void abandon() {}
 
                 @Override
-                public void move() {}
+                public void migrate() {}
             };
         }
 
         @Override
-        protected void nack(Refusal nack) {}
+        protected void sendRejection(Rejection nack) {}
     }
 
     private final long[] now = {1_000_000};
@@ -73,18 +73,18 @@
 
     @Test
     void showsWhatTheRelayHolds() throws Exception {
-        relay.listed(new NameTable.News(
+        relay.onEndpointList(new EndpointRegistry.Update(
                 EndpointListKind.FULL,
                 7,
-                List.of(new NameTable.Line(
+                List.of(new EndpointRegistry.Endpoint(
                         new EndpointEntry("s1", 0, 0, 0, 0, EndpointState.READY, 1), "127.0.0.1", 80))));
-        relay.tenantsListed(List.of(new Tenants.Entry("gobi", 0.25, 40)));
-        ServiceClient client = new Standing();
-        relay.take(client, new ClientRequest("k", 0, 0, null, 1_000_000, 0, false, null));
-        ServiceClient gone = new Standing();
-        relay.take(gone, new ClientRequest("l", 0, 0, null, 1_000_000, 0, false, null));
-        relay.turn();
-        gone.execution().ended(ConnectionOutcome.SERVED);
+        relay.onTenants(List.of(new TenantRegistry.Entry("gobi", 0.25, 40)));
+        ClientSession client = new Standing();
+        relay.accept(client, new ClientRequest("k", 0, 0, null, 1_000_000, 0, false, null));
+        ClientSession gone = new Standing();
+        relay.accept(gone, new ClientRequest("l", 0, 0, null, 1_000_000, 0, false, null));
+        relay.runTurn();
+        gone.attempt().onEnded(ConnectionOutcome.SERVED);
         String shown = say("listeners\nnames\nstanding\nendings\ntenants\n");
         assertThat(shown)
                 .contains(
--- a/src/test/java/sandstack/core/ExecutionTest.java
+++ b/src/test/java/sandstack/core/ConnectionAttemptTest.java
@@ -17,10 +17,10 @@
 import sandstack.settings.BalancerSettingsBuilder;
 
 /** Executions on a clock that the test moves. */
-class ExecutionTest {
+class ConnectionAttemptTest {
     private long now = 1_000_000;
-    private final List<Refusal> nacks = new ArrayList<>();
-    private final List<Execution> begun = new ArrayList<>();
+    private final List<Rejection> nacks = new ArrayList<>();
+    private final List<ConnectionAttempt> begun = new ArrayList<>();
     private int abandoned;
     private int moved;
     private final Relay relay = new Relay(settings(2_000_000), 1, () -> now, () -> {});
@@ -35,128 +35,128 @@
     }
 
     /** A client whose wires only count. */
-    private final class Counting extends ServiceClient {
+    private final class Counting extends ClientSession {
         /** Whether it is seen to have left once somebody looks. */
         private boolean gone;
 
         @Override
-        protected void look() {
+        protected void checkConnected() {
             if (gone) {
-                relay.clientLeft(this);
+                relay.onClientDisconnected(this);
             }
         }
 
         @Override
-        protected Execution.Wire execute(Execution execution) {
+        protected ConnectionAttempt.Upstream startAttempt(ConnectionAttempt execution) {
             begun.add(execution);
-            return new Execution.Wire() {
+            return new ConnectionAttempt.Upstream() {
                 @Override
                 public void abandon() {
                     abandoned++;
                 }
 
                 @Override
-                public void move() {
+                public void migrate() {
                     moved++;
                 }
             };
         }
 
         @Override
-        protected void nack(Refusal nack) {
+        protected void sendRejection(Rejection nack) {
             nacks.add(nack);
         }
     }
 
     private Counting take(String key) {
         Counting client = new Counting();
-        relay.take(client, new ClientRequest(key, 0, 0, null, 1_000_000, 0, false, null));
+        relay.accept(client, new ClientRequest(key, 0, 0, null, 1_000_000, 0, false, null));
         return client;
     }
 
-    private Execution begin() {
-        relay.listed(new NameTable.News(
+    private ConnectionAttempt begin() {
+        relay.onEndpointList(new EndpointRegistry.Update(
                 EndpointListKind.FULL,
                 1,
-                List.of(new NameTable.Line(
+                List.of(new EndpointRegistry.Endpoint(
                         new EndpointEntry("s1", 0, 0, 0, 0, EndpointState.READY, 1), "127.0.0.1", 80))));
-        relay.take(new Counting(), new ClientRequest("k", 0, 0, null, 1_000_000, 0, false, null));
-        relay.turn();
+        relay.accept(new Counting(), new ClientRequest("k", 0, 0, null, 1_000_000, 0, false, null));
+        relay.runTurn();
         return begun.get(0);
     }
 
     /** Held up past the time-out, the relay gave up connections that had long come up. */
     @Test
     void aHeldUpRelayLooksOnceMoreBeforeAConnectCountsAsFailed() {
-        Execution execution = begin();
+        ConnectionAttempt execution = begin();
         now += 150_000;
-        relay.turn();
-        execution.connected();
+        relay.runTurn();
+        execution.onConnected();
         now += 5_000;
-        relay.turn();
-        assertThat(execution.over()).isFalse();
+        relay.runTurn();
+        assertThat(execution.hasEnded()).isFalse();
         assertThat(abandoned).isZero();
     }
 
     @Test
     void aConnectThatNeverComesUpIsGivenUp() {
-        Execution execution = begin();
+        ConnectionAttempt execution = begin();
         now += 101_000;
-        relay.turn();
+        relay.runTurn();
         now += 1_000;
-        relay.turn();
-        assertThat(execution.over()).isTrue();
+        relay.runTurn();
+        assertThat(execution.hasEnded()).isTrue();
         assertThat(abandoned).isEqualTo(1);
-        assertThat(relay.endings()).containsEntry(ConnectionOutcome.NOT_CONNECTED, 1L);
+        assertThat(relay.outcomeCounts()).containsEntry(ConnectionOutcome.NOT_CONNECTED, 1L);
     }
 
     /** Its feed server was told to drain while the way there came up: the first line would have gone to it all the same. */
     @Test
     void aWayThatComesUpToADrainingServerIsGivenUpUnsent() {
-        Execution execution = begin();
-        relay.listed(new NameTable.News(
+        ConnectionAttempt execution = begin();
+        relay.onEndpointList(new EndpointRegistry.Update(
                 EndpointListKind.DELTA,
                 2,
-                List.of(new NameTable.Line(
+                List.of(new EndpointRegistry.Endpoint(
                         new EndpointEntry("s1", 0, 0, 0, 0, EndpointState.DRAINING, 1), "127.0.0.1", 80))));
-        assertThat(execution.connected()).isFalse();
-        assertThat(execution.over()).isTrue();
+        assertThat(execution.onConnected()).isFalse();
+        assertThat(execution.hasEnded()).isTrue();
         assertThat(abandoned).isEqualTo(1);
-        assertThat(relay.endings()).containsOnlyKeys(ConnectionOutcome.NEVER_SENT);
+        assertThat(relay.outcomeCounts()).containsOnlyKeys(ConnectionOutcome.NOT_SENT);
     }
 
     /** The whole list that came after a gap has no line for it any more. */
     @Test
     void aWayThatComesUpToAServerThatAWholeListLeavesOutIsGivenUpUnsent() {
-        Execution execution = begin();
-        relay.listed(new NameTable.News(
+        ConnectionAttempt execution = begin();
+        relay.onEndpointList(new EndpointRegistry.Update(
                 EndpointListKind.FULL,
                 9,
-                List.of(new NameTable.Line(
+                List.of(new EndpointRegistry.Endpoint(
                         new EndpointEntry("s2", 0, 0, 0, 0, EndpointState.READY, 1), "127.0.0.1", 81))));
-        assertThat(execution.connected()).isFalse();
+        assertThat(execution.onConnected()).isFalse();
         assertThat(abandoned).isEqualTo(1);
-        assertThat(relay.endings()).containsOnlyKeys(ConnectionOutcome.NEVER_SENT);
+        assertThat(relay.outcomeCounts()).containsOnlyKeys(ConnectionOutcome.NOT_SENT);
     }
 
     /** It counted as one that may have run, and a request that is not safe was not tried elsewhere. */
     @Test
     void anAttemptWhoseTimeRunsOutBeforeItsRequestIsWrittenNeverRan() {
-        Execution execution = begin();
-        execution.connected();
+        ConnectionAttempt execution = begin();
+        execution.onConnected();
         now += 1_000_000;
-        relay.turn();
-        assertThat(execution.over()).isTrue();
+        relay.runTurn();
+        assertThat(execution.hasEnded()).isTrue();
         assertThat(abandoned).isEqualTo(1);
-        assertThat(relay.endings()).containsOnlyKeys(ConnectionOutcome.NOT_CONNECTED);
+        assertThat(relay.outcomeCounts()).containsOnlyKeys(ConnectionOutcome.NOT_CONNECTED);
     }
 
     @Test
     void aClientThatLeftWhileItsWayCameUpIsNotSentOn() {
-        Execution execution = begin();
+        ConnectionAttempt execution = begin();
         ((Counting) execution.client()).gone = true;
-        assertThat(execution.connected()).isFalse();
-        assertThat(execution.over()).isTrue();
+        assertThat(execution.onConnected()).isFalse();
+        assertThat(execution.hasEnded()).isTrue();
         assertThat(abandoned).isEqualTo(1);
         assertThat(relay.clients()).isEmpty();
     }
@@ -166,49 +166,49 @@
         begin();
         take("gone").gone = true;
         take("stays");
-        relay.turn();
+        relay.runTurn();
         assertThat(begun).hasSize(2);
-        assertThat(begun.get(1).client().command().key()).isEqualTo("stays");
+        assertThat(begun.get(1).client().request().clientKey()).isEqualTo("stays");
     }
 
     /** The one trial of a server whose mark has run out went to a client that had left: it was out of use for good. */
     @Test
     void aTrialWhoseClientLeftInTheSameTurnIsOver() {
-        begin().ended(ConnectionOutcome.RESET);
+        begin().onEnded(ConnectionOutcome.RESET);
         for (int i = 0; i < 300; i++) {
             now += 10_000;
-            relay.turn();
-            begun.stream().filter(e -> !e.over()).forEach(e -> e.ended(ConnectionOutcome.RESET));
+            relay.runTurn();
+            begun.stream().filter(e -> !e.hasEnded()).forEach(e -> e.onEnded(ConnectionOutcome.RESET));
         }
         assertThat(relay.clients()).isEmpty();
         now += 10_000_000;
         int before = begun.size();
-        relay.clientLeft(take("gone"));
-        relay.turn();
+        relay.onClientDisconnected(take("gone"));
+        relay.runTurn();
         assertThat(begun).hasSize(before);
         take("next");
-        relay.turn();
+        relay.runTurn();
         assertThat(begun).hasSize(before + 1);
     }
 
     /** Moved at once, clients of relays that are restarted in turn come to the one that is next, or to none. */
     @Test
     void aDrainingRelayKeepsItsClientsAlmostUntilItIsKilled() {
-        begin().up();
+        begin().onEstablished();
         for (int i = 0; i < 19; i++) {
-            relay.take(new Counting(), new ClientRequest("k" + i, 0, 0, null, 1_000_000, 0, false, null));
+            relay.accept(new Counting(), new ClientRequest("k" + i, 0, 0, null, 1_000_000, 0, false, null));
         }
-        relay.turn();
-        begun.forEach(Execution::up);
+        relay.runTurn();
+        begun.forEach(ConnectionAttempt::onEstablished);
         relay.drain(() -> 0, () -> {});
         now += 790_000;
-        relay.turn();
+        relay.runTurn();
         assertThat(moved).isZero();
         now += 700_000;
-        relay.turn();
+        relay.runTurn();
         assertThat(moved).isBetween(1, 19);
         now += 510_000;
-        relay.turn();
+        relay.runTurn();
         assertThat(moved).isEqualTo(20);
     }
 
@@ -219,47 +219,47 @@
     @ParameterizedTest
     @ValueSource(longs = {300_000, 2_000_000, 30_000_000})
     void aReloadWhileItDrainsMovesNeitherTheLastClientNorTheEnd(long deadline) {
-        begin().up();
+        begin().onEstablished();
         boolean[] drained = new boolean[1];
         relay.drain(() -> 1, () -> drained[0] = true);
         now += 100_000;
-        relay.termsAre(EffectiveSettings.numbered(settings(deadline)));
+        relay.applySettings(EffectiveSettings.numbered(settings(deadline)));
         take("late");
-        relay.turn();
-        begun.get(1).up();
+        relay.runTurn();
+        begun.get(1).onEstablished();
         now += 2_050_000;
-        relay.turn();
+        relay.runTurn();
         assertThat(moved).isEqualTo(2);
         assertThat(drained[0]).as("before the end").isFalse();
         now += 60_000;
-        relay.turn();
+        relay.runTurn();
         assertThat(drained[0]).as("at the end").isTrue();
     }
 
     @Test
     void aServerThatSendsAClientAwayDrainsUntilDiscoveryTellsOrTimePasses() {
-        begin().up();
-        begun.get(0).ended(ConnectionOutcome.SENT_AWAY);
-        assertThat(relay.names().get("s1").entry().state()).isEqualTo(EndpointState.DRAINING);
+        begin().onEstablished();
+        begun.get(0).onEnded(ConnectionOutcome.SERVER_DRAINING);
+        assertThat(relay.endpoints().get("s1").entry().state()).isEqualTo(EndpointState.DRAINING);
         now += 10_000_000;
-        relay.turn();
-        assertThat(relay.names().get("s1").entry().state()).isEqualTo(EndpointState.READY);
+        relay.runTurn();
+        assertThat(relay.endpoints().get("s1").entry().state()).isEqualTo(EndpointState.READY);
     }
 
     /** The first ending counts: a front that reports a second one changes nothing. */
     @Test
     void anExecutionEndsOnceAndACommandIsAnsweredOnce() {
-        Execution execution = begin();
-        execution.connected();
-        execution.written();
+        ConnectionAttempt execution = begin();
+        execution.onConnected();
+        execution.onRequestWritten();
         now += 1_000_000;
-        relay.turn();
-        execution.ended(ConnectionOutcome.RESET);
-        execution.up();
+        relay.runTurn();
+        execution.onEnded(ConnectionOutcome.RESET);
+        execution.onEstablished();
         now += 1_000_000;
-        relay.turn();
-        assertThat(nacks).containsExactly(new Refusal(Refusal.Kind.FAILED, 0));
+        relay.runTurn();
+        assertThat(nacks).containsExactly(new Rejection(Rejection.Kind.FAILED, 0));
         assertThat(relay.clients()).isEmpty();
-        assertThat(relay.endings()).containsOnlyKeys(ConnectionOutcome.OUT_OF_TIME);
+        assertThat(relay.outcomeCounts()).containsOnlyKeys(ConnectionOutcome.TIMED_OUT);
     }
 }
--- a/src/test/java/sandstack/directory/TenantDirectoryTest.java
+++ b/src/test/java/sandstack/directory/TenantDirectoryTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import sandstack.config.BadSettings;
-import sandstack.core.Tenants;
+import sandstack.core.TenantRegistry;
 import sandstack.directory.TenantDirectory.Where;
 
 /** Tenants read from a stand-in LDAP directory, also while it is away. */
@@ -30,14 +30,15 @@
                     StandInDirectory.tenant("altai", "0.4", "80"),
                     StandInDirectory.tenant("broken", "much", "1"));
             assertThat(new TenantDirectory(where(directory.port(), ""), list -> {}).read())
-                    .containsExactly(new Tenants.Entry("gobi", 0.6, 120), new Tenants.Entry("altai", 0.4, 80));
+                    .containsExactly(
+                            new TenantRegistry.Entry("gobi", 0.6, 120), new TenantRegistry.Entry("altai", 0.4, 80));
         }
     }
 
     /** An unreachable directory must neither empty the list nor end the refreshing. */
     @Test
     void theLastListStaysWhileTheDirectoryIsAway() throws Exception {
-        BlockingQueue<List<Tenants.Entry>> told = new LinkedBlockingQueue<>();
+        BlockingQueue<List<TenantRegistry.Entry>> told = new LinkedBlockingQueue<>();
         StandInDirectory directory = new StandInDirectory();
         directory.entries = List.of(StandInDirectory.tenant("gobi", "1", "10"));
         Where where = where(directory.port(), "refresh_s = 1");
@@ -45,7 +46,7 @@
             reading.start();
             assertThat(told.poll(10, TimeUnit.SECONDS)).hasSize(1);
             directory.close();
-            for (List<Tenants.Entry> more = told.poll(1500, TimeUnit.MILLISECONDS);
+            for (List<TenantRegistry.Entry> more = told.poll(1500, TimeUnit.MILLISECONDS);
                     more != null;
                     more = told.poll(1500, TimeUnit.MILLISECONDS)) {
                 assertThat(more).as("nothing is told of a failure").hasSize(1);
--- a/src/test/java/sandstack/nametable/DiscoveryWatchTest.java
+++ b/src/test/java/sandstack/discovery/DiscoveryWatchTest.java
@@ -1,4 +1,4 @@
-package sandstack.nametable;
+package sandstack.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import sandstack.config.EndpointListJson;
 import sandstack.config.MachineKinds;
-import sandstack.config.NameTableJson;
 import sandstack.config.PlatformConfig.Address;
-import sandstack.core.NameTable;
+import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
 import sandstack.decisions.BalancerSettings;
 import sandstack.decisions.DeduplicationScope;
@@ -64,9 +64,9 @@
                 loop,
                 relay,
                 new Address("127.0.0.1", listening.getLocalPort()),
-                new NameTableJson(List.of("home"), new MachineKinds(List.of())));
-        relay.listed(new NameTable.News(EndpointListKind.CACHED, 41, List.of()));
-        loop.start(relay::turn, relay::nextTurn);
+                new EndpointListJson(List.of("home"), new MachineKinds(List.of())));
+        relay.onEndpointList(new EndpointRegistry.Update(EndpointListKind.CACHED, 41, List.of()));
+        loop.start(relay::runTurn, relay::nextTurnMicros);
     }
 
     @AfterEach
@@ -115,9 +115,9 @@
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10); seen != phase && System.nanoTime() < end; ) {
             CompletableFuture<EndpointState> read = new CompletableFuture<>();
             loop.execute(() -> read.complete(
-                    relay.names().get("s1") == null
+                    relay.endpoints().get("s1") == null
                             ? EndpointState.GONE
-                            : relay.names().get("s1").entry().state()));
+                            : relay.endpoints().get("s1").entry().state()));
             seen = read.get(10, TimeUnit.SECONDS);
         }
         assertThat(seen).isEqualTo(phase);
@@ -259,7 +259,7 @@
 
     private String listed() throws Exception {
         CompletableFuture<String> read = new CompletableFuture<>();
-        loop.execute(() -> read.complete(relay.names().lines().stream()
+        loop.execute(() -> read.complete(relay.endpoints().endpoints().stream()
                 .map(line -> line.entry().serverId() + " " + line.entry().state())
                 .sorted()
                 .collect(Collectors.joining(", "))));
--- a/src/test/java/sandstack/front/operators/OperatorDoorTest.java
+++ b/src/test/java/sandstack/front/operators/OperatorDoorTest.java
@@ -11,20 +11,20 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sandstack.core.Deadlines;
+import sandstack.core.DeadlineScheduler;
 import sandstack.net.Loop;
 
 /** The operators' door: its answers, bad input and callers that say nothing. */
 @Timeout(20)
 class OperatorDoorTest {
     private final Loop loop = new Loop();
-    private final Deadlines deadlines = new Deadlines();
+    private final DeadlineScheduler deadlines = new DeadlineScheduler();
     private volatile String hindrance;
     private int port;
 
     @BeforeEach
     void listen() throws IOException {
-        loop.start(() -> deadlines.sweep(loop.now()), deadlines::next);
+        loop.start(() -> deadlines.runExpired(loop.now()), deadlines::nextMicros);
         port = new OperatorDoor(loop, deadlines, () -> hindrance, () -> List.of("a.b=1", "a.c=2"))
                 .listen("127.0.0.1", 0);
     }
--- a/src/test/java/sandstack/front/platform/CrossingsTest.java
+++ b/src/test/java/sandstack/front/platform/CrossingsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import sandstack.core.ConnectionOutcome;
-import sandstack.core.NameTable;
+import sandstack.core.EndpointRegistry;
 import sandstack.decisions.EndpointListKind;
 import sandstack.decisions.EndpointState;
 import sandstack.front.platform.HeldRelay.End;
@@ -68,7 +68,7 @@
     }
 
     private long endings(ConnectionOutcome ending) {
-        return held.relay.endings().getOrDefault(ending, 0L);
+        return held.relay.outcomeCounts().getOrDefault(ending, 0L);
     }
 
     @Test
@@ -121,8 +121,8 @@
         held.release();
         assertThat(server.hear()).as("the feed server's side ends too").isNull();
         nextIs("next");
-        held.onLoop(() ->
-                assertThat(held.relay.clients()).allMatch(c -> c.command().key().equals("next")));
+        held.onLoop(() -> assertThat(held.relay.clients())
+                .allMatch(c -> c.request().clientKey().equals("next")));
     }
 
     /** SIGTERM and the answer come in one turn: the client is served, and told to move before its side ends. */
@@ -189,7 +189,7 @@
         held.release();
         assertThat(client.hear()).isEqualTo("MOVE");
         assertThat(client.hear()).as("an end, not a reset").isNull();
-        held.onLoop(() -> assertThat(endings(ConnectionOutcome.SENT_AWAY)).isEqualTo(1));
+        held.onLoop(() -> assertThat(endings(ConnectionOutcome.SERVER_DRAINING)).isEqualTo(1));
     }
 
     @Test
@@ -269,7 +269,7 @@
         End late = asking("late", "safe");
         assertThat(late.hear()).matches("BUSY [1-9][0-9]{0,2}");
         assertThat(held.noAsk()).as("requests sent on").isTrue();
-        held.onLoop(() -> assertThat(held.relay.draining()).isTrue());
+        held.onLoop(() -> assertThat(held.relay.isDraining()).isTrue());
     }
 
     /** A way to a feed server that has taken the first bytes of the line and no more. */
@@ -344,7 +344,7 @@
         for (int i = 0; i < 6; i++) {
             clients.add(asking("k" + i, "safe"));
         }
-        held.loop.execute(() -> held.relay.listed(new NameTable.News(
+        held.loop.execute(() -> held.relay.onEndpointList(new EndpointRegistry.Update(
                 EndpointListKind.FULL,
                 50,
                 List.of(held.line(2, EndpointState.DRAINING), held.line(3, EndpointState.READY)))));
--- a/src/test/java/sandstack/front/platform/FiguresTest.java
+++ b/src/test/java/sandstack/front/platform/FiguresTest.java
@@ -20,7 +20,7 @@
 import sandstack.capacity.InstallationLimits;
 import sandstack.capacity.StatedCapacities;
 import sandstack.core.EffectiveSettings;
-import sandstack.core.NameTable;
+import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
 import sandstack.decisions.EndpointEntry;
 import sandstack.decisions.EndpointListKind;
@@ -56,7 +56,7 @@
                 5,
                 loop::now,
                 () -> {});
-        loop.start(relay::turn, relay::nextTurn);
+        loop.start(relay::runTurn, relay::nextTurnMicros);
         port = new PlatformFront(loop, relay, new ConnectionAdmission(loop, relay.deadlines(), 400))
                 .listen("127.0.0.1", 0);
     }
@@ -69,7 +69,7 @@
 
     private Map<String, Long> figures() throws Exception {
         CompletableFuture<List<String>> lines = new CompletableFuture<>();
-        loop.execute(() -> lines.complete(relay.figures()));
+        loop.execute(() -> lines.complete(relay.metricLines()));
         Map<String, Long> figures = new HashMap<>();
         for (String line : lines.get(10, TimeUnit.SECONDS)) {
             assertThat(line).matches("edge_proxy\\.[a-z_.]+=[0-9]+");
@@ -84,14 +84,14 @@
         return yard.make(() -> new FeedServer(yard, uid, "home", Machine.IDLE.holding(cap, false)));
     }
 
-    private static NameTable.Line line(String uid, int at, EndpointState phase) {
-        return new NameTable.Line(new EndpointEntry(uid, 0, 0, 0, 0, phase, 1), "127.0.0.1", at);
+    private static EndpointRegistry.Endpoint line(String uid, int at, EndpointState phase) {
+        return new EndpointRegistry.Endpoint(new EndpointEntry(uid, 0, 0, 0, 0, phase, 1), "127.0.0.1", at);
     }
 
     /** Crowds that say nothing fill all that clients may use; the door's callers, silent ones too, have their own. */
     @Test
     void areToldWithinASecondThroughoutACrowd() throws Exception {
-        int door = new OperatorDoor(loop, relay.deadlines(), () -> null, relay::figures).listen("127.0.0.1", 0);
+        int door = new OperatorDoor(loop, relay.deadlines(), () -> null, relay::metricLines).listen("127.0.0.1", 0);
         List<Socket> crowd = new ArrayList<>();
         long latest = 0;
         for (int i = 0; i < 1500; i++) {
@@ -118,7 +118,7 @@
     void equalWhatClientsAndFeedServersCounted() throws Exception {
         List<FeedServer> servers = List.of(server("s1", 10), server("s2", 10));
         // two that drain: in the list, and avoided
-        loop.execute(() -> relay.listed(new NameTable.News(
+        loop.execute(() -> relay.onEndpointList(new EndpointRegistry.Update(
                 EndpointListKind.FULL,
                 1,
                 List.of(
--- a/src/test/java/sandstack/front/platform/HeldRelay.java
+++ b/src/test/java/sandstack/front/platform/HeldRelay.java
@@ -22,7 +22,7 @@
 import sandstack.capacity.InstallationLimits;
 import sandstack.capacity.StatedCapacities;
 import sandstack.core.EffectiveSettings;
-import sandstack.core.NameTable;
+import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
 import sandstack.decisions.BalancerSettings;
 import sandstack.decisions.DeduplicationScope;
@@ -116,7 +116,7 @@
                 loop::now,
                 () -> {});
         lobby = new ConnectionAdmission(loop, relay.deadlines(), 40);
-        loop.start(this::turn, relay::nextTurn);
+        loop.start(this::turn, relay::nextTurnMicros);
         port = new PlatformFront(loop, relay, lobby).listen("127.0.0.1", 0);
     }
 
@@ -125,7 +125,7 @@
     }
 
     private void turn() {
-        relay.turn();
+        relay.runTurn();
         if (holdWhen.getAsBoolean()) {
             holdWhen = () -> false;
             // before the next turn, as a relay is held up that has looked at its sockets already
@@ -151,13 +151,13 @@
         Thread accepting = new Thread(() -> accept(listening, name));
         accepting.setDaemon(true);
         accepting.start();
-        onLoop(() -> relay.listed(new NameTable.News(
+        onLoop(() -> relay.onEndpointList(new EndpointRegistry.Update(
                 EndpointListKind.DELTA, servers.size(), List.of(line(servers.size(), EndpointState.READY)))));
     }
 
     /** A line of the list for a feed server that this has made, from 1. */
-    NameTable.Line line(int server, EndpointState phase) {
-        return new NameTable.Line(
+    EndpointRegistry.Endpoint line(int server, EndpointState phase) {
+        return new EndpointRegistry.Endpoint(
                 new EndpointEntry("s" + server, 0, 0, 0, 0, phase, 1),
                 "127.0.0.1",
                 servers.get(server - 1).getLocalPort());
@@ -232,7 +232,7 @@
     /** Lets it go on once its next deadline has passed. */
     void releaseWhenDue() {
         // its thread stands: nobody else touches the deadlines
-        while (loop.now() <= relay.deadlines().next()) {
+        while (loop.now() <= relay.deadlines().nextMicros()) {
             LockSupport.parkNanos(100_000);
         }
         release();
--- a/src/test/java/sandstack/scenario/Stage.java
+++ b/src/test/java/sandstack/scenario/Stage.java
@@ -14,7 +14,7 @@
 import sandstack.capacity.InstallationLimits;
 import sandstack.capacity.StatedCapacities;
 import sandstack.core.EffectiveSettings;
-import sandstack.core.NameTable;
+import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
 import sandstack.decisions.EndpointEntry;
 import sandstack.decisions.EndpointListKind;
@@ -52,7 +52,7 @@
                 11,
                 loop::now,
                 () -> {});
-        loop.start(relay::turn, relay::nextTurn);
+        loop.start(relay::runTurn, relay::nextTurnMicros);
         ConnectionAdmission lobby = new ConnectionAdmission(loop, relay.deadlines(), SOCKETS);
         port = amqp
                 ? new AmqpFront(loop, relay, lobby, "relay").listen("127.0.0.1", 0)
@@ -93,10 +93,10 @@
 
     private void list(String server, int serverPort, EndpointState phase) throws Exception {
         onLoop(() -> {
-            relay.listed(new NameTable.News(
+            relay.onEndpointList(new EndpointRegistry.Update(
                     EndpointListKind.DELTA,
                     ++version,
-                    List.of(new NameTable.Line(
+                    List.of(new EndpointRegistry.Endpoint(
                             new EndpointEntry(server, 0, 0, 0, 0, phase, 1), "127.0.0.1", serverPort))));
             return null;
         });
@@ -160,7 +160,7 @@
     }
 
     List<String> figures() throws Exception {
-        return onLoop(relay::figures);
+        return onLoop(relay::metricLines);
     }
 
     int clients() throws Exception {
