--- a/src/main/java/sandstack/fleet/link/FleetLink.java
+++ b/src/main/java/sandstack/fleet/link/FleetLink.java
@@ -53,10 +53,10 @@
     private static final List<Logger> LIBRARIES =
             List.of(Logger.getLogger("io.scalecube"), Logger.getLogger("reactor"), Logger.getLogger("io.netty"));
 
-    private static final String QUESTION = "sandstack/question";
-    private static final String SPREAD = "sandstack/spread";
-    private static final String CALL = "sandstack/call";
-    private static final String RESULT = "sandstack/result";
+    static final String QUESTION = "sandstack/question";
+    static final String SPREAD = "sandstack/spread";
+    static final String CALL = "sandstack/call";
+    static final String RESULT = "sandstack/result";
     /** The longest frame: the library's table of a thousand members fits. */
     private static final int LONGEST_FRAME = 256 * 1024;
     /** The longest body of a call or its answer, in characters. */
--- /dev/null
+++ b/src/test/java/sandstack/fleet/link/CompatibilityTest.java
@@ -0,0 +1,174 @@
+package sandstack.fleet.link;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.scalecube.cluster.transport.api.Message;
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+import sandstack.fleet.FleetMessages.Answer;
+import sandstack.fleet.FleetMessages.Call;
+import sandstack.fleet.FleetMessages.News;
+import sandstack.fleet.FleetMessages.Question;
+import sandstack.fleet.FleetMessages.Result;
+import sandstack.fleet.FleetMessages.Spread;
+import sandstack.fleet.Incarnation;
+import sandstack.fleet.MemberStatus;
+import sandstack.fleet.MemberTable;
+import sandstack.fleet.MemberValues;
+import sandstack.fleet.Membership;
+import sandstack.fleet.QuorumAssessment;
+import sandstack.fleet.QuorumState;
+import sandstack.fleet.QuorumTracker;
+
+/** Messages and console output have the bytes that an earlier build wrote; see README.md beside the fixtures. */
+class CompatibilityTest {
+    private static final Incarnation SELF =
+            new Incarnation("0123456789abcdef", "edge-1", "zone-1", "rack-7", "127.0.0.1:7001");
+    private static final Incarnation OTHER =
+            new Incarnation("fedcba9876543210", "edge-2", "zone-2", "rack-8", "127.0.0.1:7002");
+    private static final News NEWS =
+            new News(7, Map.of("relays", "3:17f2e"), Set.of(OTHER.id()), Set.of("00112233aabbccdd"));
+    private static final News EMPTY = new News(0, Map.of(), Set.of(), Set.of());
+    private static final Question QUESTION = new Question(1, SELF.id(), SELF.name(), 12, true);
+
+    private static String fixture(String file) throws IOException {
+        try (InputStream in = CompatibilityTest.class.getResourceAsStream("/fleet/" + file)) {
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8).stripTrailing();
+        }
+    }
+
+    static Stream<Arguments> messages() {
+        return Stream.of(
+                Arguments.of("question.json", QUESTION),
+                Arguments.of("answer.json", new Answer(1, SELF.id(), SELF.name(), NEWS, false)),
+                Arguments.of("answer-empty-state.json", new Answer(1, SELF.id(), SELF.name(), EMPTY, true)),
+                Arguments.of("answer-no-change.json", new Answer(1, SELF.id(), SELF.name(), null, true)),
+                Arguments.of("spread.json", new Spread(1, SELF.id(), NEWS, SELF)),
+                Arguments.of("spread-no-incarnation.json", new Spread(1, SELF.id(), NEWS, null)),
+                Arguments.of("call.json", new Call(1, SELF.id(), "configuration", "{\"a\":\"b\"}")),
+                Arguments.of("result.json", new Result(1, "{\"a\":\"b\"}", null)),
+                Arguments.of("result-error.json", new Result(1, null, "not now")),
+                Arguments.of("metadata.json", new Card(1, SELF.name(), SELF.zone(), SELF.machine())));
+    }
+
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("messages")
+    void messagesAreReadAndWrittenAsBefore(String file, Object message) throws Exception {
+        assertThat(MessageJson.read(fixture(file), message.getClass())).isEqualTo(message);
+        assertThat(MessageJson.text(message)).isEqualTo(fixture(file));
+    }
+
+    @Test
+    void framesAreReadAndWrittenAsBefore() throws Exception {
+        byte[] frame = HexFormat.of().parseHex(fixture("frame.hex"));
+        Message read = new KnownTypes().deserialize(new ByteArrayInputStream(frame));
+        assertThat(read.qualifier()).isEqualTo("sandstack/question");
+        assertThat(read.correlationId()).isEqualTo("c-1");
+        assertThat(read.sender()).isEqualTo(SELF.address());
+        assertThat(MessageJson.read(read.data(), Question.class)).isEqualTo(QUESTION);
+        ByteArrayOutputStream written = new ByteArrayOutputStream();
+        new KnownTypes()
+                .serialize(
+                        Message.builder()
+                                .qualifier("sandstack/question")
+                                .correlationId("c-1")
+                                .sender(SELF.address())
+                                .data(MessageJson.text(QUESTION))
+                                .build(),
+                        written);
+        assertThat(written.toByteArray()).isEqualTo(frame);
+    }
+
+    @Test
+    void qualifiersAreAsBefore() throws Exception {
+        assertThat(String.join("\n", FleetLink.QUESTION, FleetLink.SPREAD, FleetLink.CALL, FleetLink.RESULT))
+                .isEqualTo(fixture("qualifiers.txt"));
+    }
+
+    @Test
+    void statedRelaysAreComparedByTheSameText() throws Exception {
+        QuorumTracker tracker = new QuorumTracker(List.of("edge-3", "edge-1", "edge-2"), "edge-1", 0);
+        assertThat(tracker.statedAs()).isEqualTo(fixture("stated-relays.txt"));
+    }
+
+    @Test
+    void takeOutAnswersAndPublishesAsBefore() throws Exception {
+        Membership membership =
+                new Membership(SELF, Set.of("edge-1", "edge-2", "edge-3", "edge-4"), 0, new SplittableRandom(1));
+        membership.added(OTHER, 0);
+        for (long now = 0; now <= 6_000_000; now += 100_000) {
+            for (Incarnation asked : membership.turn(now)) {
+                membership.answered(asked, new Answer(1, OTHER.id(), OTHER.name(), null, true), now);
+            }
+            membership.view(now);
+        }
+        List<String> lines = new ArrayList<>();
+        for (String name : List.of("edge-9", "edge-2", "edge-3", "edge-4")) {
+            lines.add(String.valueOf(membership.takeOut(name, 6_000_000)));
+        }
+        MemberValues.State own =
+                membership.view(6_000_000).told().get(SELF.id()).state();
+        new TreeMap<>(own.values()).forEach((key, value) -> lines.add(key + "=" + value));
+        assertThat(String.join("\n", lines)).isEqualTo(fixture("own-values.txt"));
+    }
+
+    private static Membership.View view(QuorumState state, MemberStatus status) {
+        boolean reached = status == MemberStatus.ALIVE;
+        List<MemberTable.Row> rows = List.of(
+                new MemberTable.Row(SELF, MemberStatus.ALIVE, 1_000_000, 1, 1, List.of()),
+                new MemberTable.Row(
+                        OTHER,
+                        status,
+                        3_500_000,
+                        reached ? 2 : 1,
+                        2,
+                        reached ? List.of() : List.of("edge-1", "edge-3")));
+        MemberValues.State values = new MemberValues.State(3, Map.of("relays", "3:17f2e"));
+        return new Membership.View(
+                SELF,
+                rows,
+                Map.of(SELF.id(), new MemberValues.Held(values, 4_000_000)),
+                reached,
+                Set.of(),
+                new QuorumAssessment(
+                        state,
+                        2_000_000,
+                        5_000_000,
+                        List.of("edge-1"),
+                        reached ? List.of() : List.of("edge-2", "edge-3"),
+                        "1 of 3 stated relays are reached"),
+                9_000_000);
+    }
+
+    @Test
+    void theConsoleShowsWhatItShowedBefore() throws Exception {
+        List<String> json = new ArrayList<>();
+        List<String> text = new ArrayList<>();
+        for (QuorumState state : QuorumState.values()) {
+            for (MemberStatus status : MemberStatus.values()) {
+                json.add(FleetText.json(view(state, status)));
+                text.addAll(FleetText.lines(view(state, status)));
+            }
+        }
+        assertThat(String.join("\n", json)).isEqualTo(fixture("fleet-command.json"));
+        assertThat(String.join("\n", text)).isEqualTo(fixture("fleet-command.txt"));
+        List<String> takenOut = new ArrayList<>(FleetText.takenOut("edge-3", null));
+        takenOut.addAll(FleetText.takenOut("edge-3", "edge-3 is not lost: stop it first"));
+        assertThat(String.join("\n", takenOut)).isEqualTo(fixture("take-out-command.txt"));
+    }
+}
