--- a/src/main/java/sandstack/CommandLineOfAll.java
+++ b/src/main/java/sandstack/CommandLineOfAll.java
@@ -21,8 +21,8 @@
 import sandstack.config.BadSettings;
 import sandstack.config.CapacityFile;
 import sandstack.config.FleetFile;
-import sandstack.fleet.link.FleetLink;
-import sandstack.fleet.link.FleetText;
+import sandstack.fleet.link.FleetMember;
+import sandstack.fleet.link.FleetViewFormatter;
 import sandstack.measure.MeasureCommand;
 import sandstack.measure.OpenCommand;
 import sandstack.measure.StandInCommand;
@@ -111,22 +111,23 @@
     int console(@Mixin Known known, @Option(names = "--fleet", description = FLEET) boolean fleet)
             throws BadSettings, IOException {
         Service service = Main.service(known.file, fleet);
-        FleetLink link = member(service, fleet);
+        FleetMember link = member(service, fleet);
         service.console(
                 link == null
                         ? Map.of()
                         : Map.of(
                                 "fleet",
-                                () -> FleetText.lines(link.view()),
+                                () -> FleetViewFormatter.lines(link.view()),
                                 "fleet json",
-                                () -> List.of(FleetText.json(link.view()))),
+                                () -> List.of(FleetViewFormatter.json(link.view()))),
                 link == null ? Map.of() : Map.of("fleet take-out", name -> takeOut(link, name)));
         return 0;
     }
 
-    private static List<String> takeOut(FleetLink link, String name) {
+    private static List<String> takeOut(FleetMember link, String name) {
         try {
-            return FleetText.takenOut(name, link.takeOut(name).get(ANSWERS_SECONDS, TimeUnit.SECONDS));
+            return FleetViewFormatter.decommissionOutcome(
+                    name, link.decommission(name).get(ANSWERS_SECONDS, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return List.of("interrupted");
@@ -136,13 +137,13 @@
     }
 
     /** Joins the fleet before the relay serves, so that a second process of its name never does; null where it is off. */
-    private static FleetLink member(Service service, boolean fleet) throws BadSettings {
+    private static FleetMember member(Service service, boolean fleet) throws BadSettings {
         if (!fleet) {
             return null;
         }
-        FleetLink link = new FleetLink(FleetFile.read(Main.files()), service.name(), service.zone());
+        FleetMember link = new FleetMember(FleetFile.read(Main.files()), service.name(), service.zone());
         if (service.inherits()) {
-            link.startWhenFree();
+            link.startWhenAddressFree();
         } else {
             link.start();
         }
--- a/src/main/java/sandstack/fleet/FleetMessages.java
+++ b/src/main/java/sandstack/fleet/FleetMessages.java
@@ -1,73 +1,113 @@
 package sandstack.fleet;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.Map;
 import java.util.Set;
 
-/** What members say to each other, whatever the wire. Each carries the version of these words that its sender speaks. */
+/**
+ * The messages between members, independent of the transport. Each carries the protocol version of its sender. The JSON
+ * names are part of the protocol and do not follow the names of the components.
+ */
 public final class FleetMessages {
-    /** A member that hears a higher one takes nothing of it and says so once. */
-    public static final int VERSION = 1;
+    /** The protocol version of this build; messages of a later one are rejected. */
+    public static final int PROTOCOL_VERSION = 1;
 
     private FleetMessages() {}
 
     /**
-     * Asked by each member of each: are you there, and what is new?
+     * A periodic probe: whether the recipient is alive, and what has changed there.
      *
-     * @param v version of the words
-     * @param from id of the asker's life
-     * @param name the asker's name
-     * @param has number of the last state of the asked that the asker holds
-     * @param settled whether the asker already counts as the holder of its name
+     * @param senderId incarnation id of the sender
+     * @param senderName relay name of the sender
+     * @param knownVersion version of the recipient's state that the sender has
+     * @param ownsName whether the sender's claim to its name is settled
      */
-    public record Question(int v, String from, String name, long has, boolean settled) {}
+    public record ProbeRequest(
+            @JsonProperty("v") int protocolVersion,
+            @JsonProperty("from") String senderId,
+            @JsonProperty("name") String senderName,
+            @JsonProperty("has") long knownVersion,
+            @JsonProperty("settled") boolean ownsName) {}
 
     /**
-     * The answer.
+     * The response to a {@link ProbeRequest}.
      *
-     * @param id of the life that answers
-     * @param name its name
-     * @param news null where the asker holds the last state
-     * @param settled whether the one that answers counts as the holder of its name
+     * @param id incarnation id of the responder
+     * @param name relay name of the responder
+     * @param state null where the requester has the current version
+     * @param ownsName whether the responder's claim to its name is settled
      */
-    public record Answer(int v, String id, String name, News news, boolean settled) {}
+    public record ProbeResponse(
+            @JsonProperty("v") int protocolVersion,
+            @JsonProperty("id") String id,
+            @JsonProperty("name") String name,
+            @JsonProperty("news") MemberState state,
+            @JsonProperty("settled") boolean ownsName) {}
 
     /**
-     * A member's last state, whole.
+     * The complete state that a member publishes.
      *
-     * @param number of its last change
-     * @param values what it tells all
-     * @param reached members that it reaches itself
-     * @param unreached members that it asks in vain; of those in neither it says nothing
+     * @param version increases with each change
+     * @param values the published values
+     * @param reachable ids of the members that it reaches directly
+     * @param unreachable ids of the members whose probes time out; members in neither set have not been probed yet
      */
-    public record News(long number, Map<String, String> values, Set<String> reached, Set<String> unreached) {
-        /** Ids that a list holds at most: more members than the library keeps. */
-        static final int MOST_IDS = 1_000;
+    public record MemberState(
+            @JsonProperty("number") long version,
+            @JsonProperty("values") Map<String, String> values,
+            @JsonProperty("reached") Set<String> reachable,
+            @JsonProperty("unreached") Set<String> unreachable) {
+        /** Bound on each set, well above the number of members that the library supports. */
+        static final int MAX_IDS = 1_000;
 
-        /** Copies the collections, null as empty; an {@link IllegalArgumentException} where a list is too long. */
-        public News {
+        /**
+         * Copies the collections; null counts as empty.
+         *
+         * @throws IllegalArgumentException if a set has more than {@link #MAX_IDS} ids
+         */
+        public MemberState {
             values = values == null ? Map.of() : Map.copyOf(values);
-            reached = reached == null ? Set.of() : Set.copyOf(reached);
-            unreached = unreached == null ? Set.of() : Set.copyOf(unreached);
-            if (reached.size() > MOST_IDS || unreached.size() > MOST_IDS) {
-                throw new IllegalArgumentException("more than " + MOST_IDS + " members in one list");
+            reachable = reachable == null ? Set.of() : Set.copyOf(reachable);
+            unreachable = unreachable == null ? Set.of() : Set.copyOf(unreachable);
+            if (reachable.size() > MAX_IDS || unreachable.size() > MAX_IDS) {
+                throw new IllegalArgumentException("more than " + MAX_IDS + " members in one list");
             }
         }
     }
 
     /**
-     * A member's last state on its way through others.
+     * A member's state as it is disseminated by gossip.
      *
-     * @param life who it is, for those whose library has not met it; null from a member that does not say
+     * @param id incarnation id of the member
+     * @param incarnation the member itself, for recipients whose library has not discovered it; null if the sender does
+     *     not include it
      */
-    public record Spread(int v, String id, News news, Incarnation life) {}
+    public record StateGossip(
+            @JsonProperty("v") int protocolVersion,
+            @JsonProperty("id") String id,
+            @JsonProperty("news") MemberState state,
+            @JsonProperty("life") Incarnation incarnation) {}
 
-    /** One member's request to another; what the body means is the kind's business. */
-    public record Call(int v, String from, String kind, String body) {}
+    /**
+     * A remote call from one member to another.
+     *
+     * @param callerId incarnation id of the caller
+     * @param kind selects the handler, which alone interprets the body
+     */
+    public record CallRequest(
+            @JsonProperty("v") int protocolVersion,
+            @JsonProperty("from") String callerId,
+            @JsonProperty("kind") String kind,
+            @JsonProperty("body") String body) {}
 
     /**
-     * What became of a call at the member that was called.
+     * The response to a {@link CallRequest}.
      *
-     * @param error null where the body is the answer
+     * @param body null if the call failed
+     * @param error null if the call succeeded
      */
-    public record Result(int v, String body, String error) {}
+    public record CallResponse(
+            @JsonProperty("v") int protocolVersion,
+            @JsonProperty("body") String body,
+            @JsonProperty("error") String error) {}
 }
--- a/src/main/java/sandstack/fleet/GuardedOperation.java
+++ b/src/main/java/sandstack/fleet/GuardedOperation.java
@@ -6,22 +6,22 @@
 /** Something that a part of the program does for the fleet. Each part names its acts, and for each where it is allowed. */
 public interface GuardedOperation {
     /** The grounds on which it is allowed. */
-    Set<QuorumState> allowedOn();
+    Set<QuorumState> allowedStates();
 
     /** What the membership itself does at the word of staff. */
-    enum OfStaff implements GuardedOperation {
+    enum OperatorOperation implements GuardedOperation {
         /** A lost relay is no longer counted: with fewer to count, a half may become a majority. */
-        TAKE_OUT(EnumSet.of(QuorumState.MOST, QuorumState.FEW, QuorumState.ALONE));
+        DECOMMISSION_RELAY(EnumSet.of(QuorumState.MAJORITY, QuorumState.MINORITY, QuorumState.ISOLATED));
 
-        private final Set<QuorumState> on;
+        private final Set<QuorumState> states;
 
-        OfStaff(Set<QuorumState> on) {
-            this.on = on;
+        OperatorOperation(Set<QuorumState> states) {
+            this.states = states;
         }
 
         @Override
-        public Set<QuorumState> allowedOn() {
-            return on;
+        public Set<QuorumState> allowedStates() {
+            return states;
         }
     }
 }
--- a/src/main/java/sandstack/fleet/Incarnation.java
+++ b/src/main/java/sandstack/fleet/Incarnation.java
@@ -12,14 +12,14 @@
  */
 public record Incarnation(String id, String name, String zone, String machine, String address) {
     /** Longer words are not told and not taken. */
-    public static final int LONGEST = 200;
+    public static final int MAX_LENGTH = 200;
 
-    /** An {@link IllegalArgumentException} where a value is longer than {@link #LONGEST}. */
+    /** An {@link IllegalArgumentException} where a value is longer than {@link #MAX_LENGTH}. */
     public Incarnation {
-        for (String word : List.of(id, name, zone, machine, address)) {
-            if (word.length() > LONGEST) {
+        for (String value : List.of(id, name, zone, machine, address)) {
+            if (value.length() > MAX_LENGTH) {
                 throw new IllegalArgumentException(
-                        "longer than " + LONGEST + " characters: " + word.substring(0, 20) + "...");
+                        "longer than " + MAX_LENGTH + " characters: " + value.substring(0, 20) + "...");
             }
         }
     }
--- a/src/main/java/sandstack/fleet/MemberStatus.java
+++ b/src/main/java/sandstack/fleet/MemberStatus.java
@@ -1,20 +1,50 @@
 package sandstack.fleet;
 
-/** How a member stands, as far as one member can know. */
+/** The status of a member, as far as one member can know it. */
 public enum MemberStatus {
-    /** Nobody who has asked it lacks its answer. */
-    ALIVE,
-    /** Some reach it and others do not: a cut link, no failed member. */
-    PARTLY,
-    /** Nobody who says anything reaches it; the library still waits for it. */
-    SUSPECT,
-    /** The library gave it up, and nobody says that they reach it. It may live on behind a cut. */
-    LOST,
-    /** It said that it goes. */
-    LEFT;
+    /** No member that has probed it reports it as unreachable. */
+    ALIVE("ALIVE"),
+    /** Some members reach it and others do not: a failed link rather than a failed member. */
+    PARTIALLY_REACHABLE("PARTLY"),
+    /** No member reports that it reaches it; the library still waits for it. */
+    SUSPECT("SUSPECT"),
+    /** The library has removed it, and no member reports that it reaches it. It may run on behind a partition. */
+    LOST("LOST"),
+    /** It announced that it leaves. */
+    LEFT("LEFT");
 
-    /** Whether it counts as a member. */
-    public boolean present() {
-        return this == ALIVE || this == PARTLY || this == SUSPECT;
+    private final String label;
+
+    MemberStatus(String label) {
+        this.label = label;
+    }
+
+    /**
+     * The status with this label.
+     *
+     * @throws IllegalArgumentException if there is none
+     */
+    public static MemberStatus ofLabel(String label) {
+        for (MemberStatus status : values()) {
+            if (status.label.equals(label)) {
+                return status;
+            }
+        }
+        throw new IllegalArgumentException("not the label of a member status: " + label);
+    }
+
+    /** The label in log lines and console output, which operators and other programs read. */
+    public String label() {
+        return label;
+    }
+
+    /** Whether a member with this status belongs to the current membership. */
+    public boolean isMember() {
+        return this == ALIVE || this == PARTIALLY_REACHABLE || this == SUSPECT;
+    }
+
+    @Override
+    public String toString() {
+        return label;
     }
 }
--- a/src/main/java/sandstack/fleet/MemberTable.java
+++ b/src/main/java/sandstack/fleet/MemberTable.java
@@ -17,57 +17,62 @@
  * other the same, all derive the same standing; nothing follows from comparing clocks of two machines. It does not
  * promise that two members agree at one moment: while a cut lasts, both sides call the other lost.
  *
- * <p>One thread; O(members squared) a look at all, O(1) an event. Of the gone the last {@link #GONE_KEPT} are kept.
+ * <p>One thread; O(members squared) a look at all, O(1) an event. Of the gone the last {@link #MAX_DEPARTED} are kept.
  */
 public final class MemberTable {
-    static final int GONE_KEPT = 64;
+    static final int MAX_DEPARTED = 64;
 
     /** What is held of one incarnation. */
     private static final class Entry {
-        final Incarnation life;
+        final Incarnation incarnation;
         /** Whether the library holds it. */
-        boolean held = true;
+        boolean listedByLibrary = true;
 
         boolean left;
         /** Told of by others, and nobody has said yet that they reach it. */
-        boolean unmet;
+        boolean unconfirmed;
 
-        long since;
+        long sinceMicros;
         /** As it was last shown, and since when it is shown so. */
-        MemberStatus shown;
+        MemberStatus lastStatus;
 
-        long shownSince;
+        long lastStatusSinceMicros;
 
-        Entry(Incarnation life, long since) {
-            this.life = life;
-            this.since = since;
+        Entry(Incarnation incarnation, long sinceMicros) {
+            this.incarnation = incarnation;
+            this.sinceMicros = sinceMicros;
         }
     }
 
     /** What a member says of its own reach. */
-    private record ReachReport(Set<String> reached, Set<String> unreached) {}
+    private record ReachReport(Set<String> reachable, Set<String> unreachable) {}
 
     /**
      * How one life stands.
      *
-     * @param since when that began here, of the caller's clock
-     * @param reached how many members with a say reach it
-     * @param voices how many members have a say about it
-     * @param against names of those who do not reach it
+     * @param sinceMicros when that began here, of the caller's clock
+     * @param reachableCount how many members with a say reach it
+     * @param reporterCount how many members have a say about it
+     * @param unreachableFrom names of those who do not reach it
      */
     public record Row(
-            Incarnation life, MemberStatus standing, long since, int reached, int voices, List<String> against) {}
+            Incarnation incarnation,
+            MemberStatus status,
+            long sinceMicros,
+            int reachableCount,
+            int reporterCount,
+            List<String> unreachableFrom) {}
 
     private final Incarnation self;
-    private final long began;
+    private final long createdAtMicros;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final Map<String, ReachReport> says = new HashMap<>();
+    private final Map<String, ReachReport> reachReports = new HashMap<>();
 
     /** Creates a table of this member alone, from {@code now} on. */
-    public MemberTable(Incarnation self, long now) {
+    public MemberTable(Incarnation self, long nowMicros) {
         this.self = self;
-        this.began = now;
-        added(self, now);
+        this.createdAtMicros = nowMicros;
+        memberAdded(self, nowMicros);
     }
 
     /** This member's own incarnation. */
@@ -76,62 +81,62 @@
     }
 
     /** The library has this life for a member. */
-    public void added(Incarnation life, long now) {
-        Entry entry = entries.get(life.id());
+    public void memberAdded(Incarnation incarnation, long nowMicros) {
+        Entry entry = entries.get(incarnation.id());
         if (entry == null) {
-            entries.put(life.id(), new Entry(life, now));
-        } else if (!entry.left && !entry.held) {
+            entries.put(incarnation.id(), new Entry(incarnation, nowMicros));
+        } else if (!entry.left && !entry.listedByLibrary) {
             // behind a cut it lived on: the same life, not a new one
-            entry.held = true;
-            entry.since = now;
+            entry.listedByLibrary = true;
+            entry.sinceMicros = nowMicros;
         }
     }
 
     /** Others know this life; returns whether it is new here. It is present as far as somebody says that they reach it. */
-    public boolean toldOf(Incarnation life, long now) {
-        if (entries.containsKey(life.id())) {
+    public boolean memberDiscovered(Incarnation incarnation, long nowMicros) {
+        if (entries.containsKey(incarnation.id())) {
             return false;
         }
-        Entry entry = new Entry(life, now);
-        entry.held = false;
-        entry.unmet = true;
-        entries.put(life.id(), entry);
-        forgetOldest();
+        Entry entry = new Entry(incarnation, nowMicros);
+        entry.listedByLibrary = false;
+        entry.unconfirmed = true;
+        entries.put(incarnation.id(), entry);
+        evictOldestDeparted();
         return true;
     }
 
     /** The life said that it goes. */
-    public void left(String id, long now) {
-        gone(id, true, now);
+    public void memberLeft(String id, long nowMicros) {
+        memberDeparted(id, true, nowMicros);
     }
 
     /**
      * The library gave it up; one that had said that it goes has left. The library asks through one other member and
      * takes back what it gave up only by a word with the member itself: one that others reach stays, by their word.
      */
-    public void removed(String id, long now) {
-        gone(id, false, now);
+    public void memberRemoved(String id, long nowMicros) {
+        memberDeparted(id, false, nowMicros);
     }
 
-    private void gone(String id, boolean left, long now) {
+    private void memberDeparted(String id, boolean left, long nowMicros) {
         Entry entry = entries.get(id);
         if (entry == null || entry.left || id.equals(self.id())) {
             return;
         }
         entry.left = left;
-        entry.held = false;
-        entry.since = now;
-        says.remove(id);
-        forgetOldest();
+        entry.listedByLibrary = false;
+        entry.sinceMicros = nowMicros;
+        reachReports.remove(id);
+        evictOldestDeparted();
     }
 
-    private void forgetOldest() {
+    private void evictOldestDeparted() {
         List<Entry> gone = new ArrayList<>(entries.values().stream()
-                .filter(e -> !present(e))
-                .sorted(Comparator.comparingLong(e -> e.since))
+                .filter(entry -> !isMember(entry))
+                .sorted(Comparator.comparingLong(entry -> entry.sinceMicros))
                 .toList());
-        for (int i = 0; i < gone.size() - GONE_KEPT; i++) {
-            entries.remove(gone.get(i).life.id());
+        for (int i = 0; i < gone.size() - MAX_DEPARTED; i++) {
+            entries.remove(gone.get(i).incarnation.id());
         }
     }
 
@@ -139,88 +144,91 @@
      * What a member says of its reach. The word of one that neither the library holds nor this one reaches does not count:
      * it may be old.
      *
-     * @param reached whom it reaches itself
-     * @param unreached whom it asks in vain
+     * @param reachable whom it reaches itself
+     * @param unreachable whom it asks in vain
      */
-    public void says(String id, Set<String> reached, Set<String> unreached) {
+    public void reachReported(String id, Set<String> reachable, Set<String> unreachable) {
         Entry entry = entries.get(id);
-        if (entry != null && (entry.held || reachedHere(id))) {
-            says.put(id, new ReachReport(Set.copyOf(reached), Set.copyOf(unreached)));
+        if (entry != null && (entry.listedByLibrary || reachableFromSelf(id))) {
+            reachReports.put(id, new ReachReport(Set.copyOf(reachable), Set.copyOf(unreachable)));
         }
     }
 
     /** Whether this member reaches it itself. */
-    private boolean reachedHere(String id) {
-        ReachReport own = says.get(self.id());
-        return own != null && own.reached().contains(id);
+    private boolean reachableFromSelf(String id) {
+        ReachReport own = reachReports.get(self.id());
+        return own != null && own.reachable().contains(id);
     }
 
     /** Whether it is a member now. */
-    boolean present(String id) {
+    boolean isMember(String id) {
         Entry entry = entries.get(id);
-        return entry != null && present(entry);
+        return entry != null && isMember(entry);
     }
 
-    private boolean present(Entry e) {
-        return !e.left
-                && (e.held
-                        || says.values().stream().anyMatch(say -> say.reached().contains(e.life.id())));
+    private boolean isMember(Entry entry) {
+        return !entry.left
+                && (entry.listedByLibrary
+                        || reachReports.values().stream()
+                                .anyMatch(say -> say.reachable().contains(entry.incarnation.id())));
     }
 
     /** Ids of all members but this one. */
-    public List<String> others() {
+    public List<String> otherMemberIds() {
         return entries.values().stream()
-                .filter(e -> present(e) && e.life != self)
-                .map(e -> e.life.id())
+                .filter(entry -> isMember(entry) && entry.incarnation != self)
+                .map(entry -> entry.incarnation.id())
                 .toList();
     }
 
     /** The life with this id, gone or not; null where there is none. */
-    public Incarnation life(String id) {
+    public Incarnation incarnation(String id) {
         Entry entry = entries.get(id);
-        return entry == null ? null : entry.life;
+        return entry == null ? null : entry.incarnation;
     }
 
     /** How all stand, by name and then by age. */
-    public List<Row> lines(long now) {
-        List<Row> lines = new ArrayList<>();
-        for (Entry e : entries.values()) {
-            String id = e.life.id();
-            e.unmet &= !present(e) && !e.left;
-            if (e.unmet) {
+    public List<Row> rows(long nowMicros) {
+        List<Row> rows = new ArrayList<>();
+        for (Entry entry : entries.values()) {
+            String id = entry.incarnation.id();
+            entry.unconfirmed &= !isMember(entry) && !entry.left;
+            if (entry.unconfirmed) {
                 continue;
             }
             List<String> against = new ArrayList<>();
             int voices = 0;
-            for (Map.Entry<String, ReachReport> say : says.entrySet()) {
+            for (Map.Entry<String, ReachReport> say : reachReports.entrySet()) {
                 // whoever is not reached itself by us has its word all the same: it came by others
-                boolean not = say.getValue().unreached().contains(id);
-                if (!say.getKey().equals(id) && (not || say.getValue().reached().contains(id))) {
+                boolean not = say.getValue().unreachable().contains(id);
+                if (!say.getKey().equals(id)
+                        && (not || say.getValue().reachable().contains(id))) {
                     voices++;
                     if (not) {
-                        against.add(entries.get(say.getKey()).life.name());
+                        against.add(entries.get(say.getKey()).incarnation.name());
                     }
                 }
             }
             against.sort(null);
             boolean some = against.size() < voices;
-            boolean met = e.held || reachedHere(id) && against.isEmpty();
-            MemberStatus is = e.left
+            boolean met = entry.listedByLibrary || reachableFromSelf(id) && against.isEmpty();
+            MemberStatus is = entry.left
                     ? MemberStatus.LEFT
                     : !met
-                            ? some ? MemberStatus.PARTLY : MemberStatus.LOST
+                            ? some ? MemberStatus.PARTIALLY_REACHABLE : MemberStatus.LOST
                             : against.isEmpty()
                                     ? MemberStatus.ALIVE
-                                    : some ? MemberStatus.PARTLY : MemberStatus.SUSPECT;
-            if (e.shown != is) {
-                e.shown = is;
-                e.shownSince = e.life == self ? began : now;
+                                    : some ? MemberStatus.PARTIALLY_REACHABLE : MemberStatus.SUSPECT;
+            if (entry.lastStatus != is) {
+                entry.lastStatus = is;
+                entry.lastStatusSinceMicros = entry.incarnation == self ? createdAtMicros : nowMicros;
             }
-            lines.add(new Row(e.life, is, e.shownSince, voices - against.size(), voices, against));
+            rows.add(new Row(
+                    entry.incarnation, is, entry.lastStatusSinceMicros, voices - against.size(), voices, against));
         }
-        lines.sort(Comparator.comparing((Row l) -> l.life().name())
-                .thenComparingLong(Row::since)
-                .thenComparing(l -> l.life().id()));
-        return lines;
+        rows.sort(Comparator.comparing((Row l) -> l.incarnation().name())
+                .thenComparingLong(Row::sinceMicros)
+                .thenComparing(l -> l.incarnation().id()));
+        return rows;
     }
 }
--- a/src/main/java/sandstack/fleet/MemberValues.java
+++ b/src/main/java/sandstack/fleet/MemberValues.java
@@ -1,5 +1,6 @@
 package sandstack.fleet;
 
+import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
@@ -13,80 +14,80 @@
  */
 public final class MemberValues {
     /** Values that one incarnation may tell at the same time. */
-    public static final int MOST_KEYS = 16;
+    public static final int MAX_VALUES = 16;
     /** Characters of a key and of a value. */
-    public static final int LONGEST = 512;
+    public static final int MAX_LENGTH = 512;
 
     /**
      * What one life tells.
      *
-     * @param number of its last change
+     * @param version of its last change
      */
-    public record State(long number, Map<String, String> values) {
-        static final State NONE = new State(0, Map.of());
+    public record VersionedValues(long version, Map<String, String> entries) {
+        static final VersionedValues EMPTY = new VersionedValues(0, Map.of());
 
         /** Copies the values; an {@link IllegalArgumentException} where they are too many or too long. */
-        public State {
-            if (values.size() > MOST_KEYS) {
-                throw new IllegalArgumentException(values.size() + " values, " + MOST_KEYS + " at most");
+        public VersionedValues {
+            if (entries.size() > MAX_VALUES) {
+                throw new IllegalArgumentException(entries.size() + " values, " + MAX_VALUES + " at most");
             }
-            values.forEach((key, value) -> {
-                if (key.length() > LONGEST || value.length() > LONGEST) {
-                    throw new IllegalArgumentException("a value longer than " + LONGEST + " characters");
+            entries.forEach((key, value) -> {
+                if (key.length() > MAX_LENGTH || value.length() > MAX_LENGTH) {
+                    throw new IllegalArgumentException("a value longer than " + MAX_LENGTH + " characters");
                 }
             });
-            values = Map.copyOf(values);
+            entries = Map.copyOf(entries);
         }
     }
 
     /**
      * A value as it was last told.
      *
-     * @param at when it came here, of the caller's clock; a later one is fresher news, not a later change
+     * @param receivedAtMicros when it came here, of the caller's clock; a later one is fresher news, not a later change
      */
-    public record Held(State state, long at) {}
+    public record ReceivedValues(VersionedValues values, long receivedAtMicros) {}
 
-    private final String self;
-    private final Map<String, Held> held = new HashMap<>();
+    private final String selfId;
+    private final Map<String, ReceivedValues> received = new HashMap<>();
 
     /** Creates an empty table; its own values are those of the incarnation with this id. */
-    public MemberValues(String self) {
-        this.self = self;
+    public MemberValues(String selfId) {
+        this.selfId = selfId;
     }
 
     /** Changes one of this member's own values; null takes it away. Returns false where nothing changes. */
-    public boolean tell(String key, String value, long now) {
-        State mine = state(self);
-        Map<String, String> values = new TreeMap<>(mine.values());
-        if (value == null ? values.remove(key) == null : value.equals(values.put(key, value))) {
+    public boolean publish(String key, String value, long nowMicros) {
+        VersionedValues own = values(selfId);
+        Map<String, String> entries = new TreeMap<>(own.entries());
+        if (value == null ? entries.remove(key) == null : value.equals(entries.put(key, value))) {
             return false;
         }
-        held.put(self, new Held(new State(mine.number() + 1, values), now));
+        received.put(selfId, new ReceivedValues(new VersionedValues(own.version() + 1, entries), nowMicros));
         return true;
     }
 
     /** What a life tells; nothing where it has told nothing. */
-    public State state(String id) {
-        Held h = held.get(id);
-        return h == null ? State.NONE : h.state();
+    public VersionedValues values(String id) {
+        ReceivedValues latest = received.get(id);
+        return latest == null ? VersionedValues.EMPTY : latest.values();
     }
 
     /** The same with the moment at which it came; null where nothing has come. */
-    public Held held(String id) {
-        return held.get(id);
+    public ReceivedValues received(String id) {
+        return received.get(id);
     }
 
     /** A state came in; returns whether it is later than what was known. Nobody else changes this one's own. */
-    public boolean heard(String id, State state, long now) {
-        if (id.equals(self) || state.number() <= state(id).number()) {
+    public boolean accept(String id, VersionedValues update, long nowMicros) {
+        if (id.equals(selfId) || update.version() <= values(id).version()) {
             return false;
         }
-        held.put(id, new Held(state, now));
+        received.put(id, new ReceivedValues(update, nowMicros));
         return true;
     }
 
     /** Forgets all but these, and this one. */
-    public void keep(java.util.Collection<String> ids) {
-        held.keySet().removeIf(id -> !id.equals(self) && !ids.contains(id));
+    public void retainOnly(Collection<String> ids) {
+        received.keySet().removeIf(id -> !id.equals(selfId) && !ids.contains(id));
     }
 }
--- a/src/main/java/sandstack/fleet/Membership.java
+++ b/src/main/java/sandstack/fleet/Membership.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
-import sandstack.fleet.FleetMessages.Answer;
-import sandstack.fleet.FleetMessages.News;
-import sandstack.fleet.FleetMessages.Question;
+import sandstack.fleet.FleetMessages.MemberState;
+import sandstack.fleet.FleetMessages.ProbeRequest;
+import sandstack.fleet.FleetMessages.ProbeResponse;
 
 /**
  * One member's part in knowing the others: puts the library's word, own questions and the words of others together, and
@@ -19,7 +19,7 @@
  * <p><b>Failure model.</b> Members crash and restart with or without their disk, stop for any time and go on, are slow;
  * links lose, delay, cut one way or both. Members do not lie; what is no word of ours is refused before it comes here.
  * <b>Promised:</b> the values of a member that others hold are values that it told, the later never before the earlier;
- * a member is called {@link MemberStatus#PARTLY} and not lost while anyone reaches it and says so; of two processes that
+ * a member is called {@link MemberStatus#PARTIALLY_REACHABLE} and not lost while anyone reaches it and says so; of two processes that
  * start with one name at most one is told that the name is its own, as long as they reach each other when they start.
  * <b>Not promised:</b> that all hold the same view at one moment, or that a name has one holder across a cut: what
  * needs that needs one order, and this has none.
@@ -28,73 +28,73 @@
  */
 public final class Membership {
     /** Turns come this often; one that comes much later was slept through. */
-    public static final long TURN = 100_000;
+    public static final long TICK_MICROS = 100_000;
 
-    static final long SLEPT = 10 * TURN;
+    static final long STALL_THRESHOLD_MICROS = 10 * TICK_MICROS;
     /** So long after its first turn a life that heard of no namesake holds its name. */
-    public static final long SETTLES = 1_500_000;
+    public static final long NAME_CLAIM_MICROS = 1_500_000;
 
-    static final long SPREAD_EVERY = 500_000;
+    static final long GOSSIP_INTERVAL_MICROS = 500_000;
 
     /** How all stand, and what they tell, at one moment. */
     public record View(
             Incarnation self,
-            List<MemberTable.Row> lines,
-            Map<String, MemberValues.Held> told,
-            boolean settled,
-            Set<String> unreached,
-            QuorumAssessment finding,
-            long at) {
+            List<MemberTable.Row> rows,
+            Map<String, MemberValues.ReceivedValues> published,
+            boolean ownsName,
+            Set<String> unreachable,
+            QuorumAssessment quorum,
+            long takenAtMicros) {
         /** The same, with what may be acted on at this moment. */
-        public View asOf(long now) {
-            return new View(self, lines, told, settled, unreached, finding.asOf(now), at);
+        public View asOf(long nowMicros) {
+            return new View(self, rows, published, ownsName, unreachable, quorum.asOf(nowMicros), takenAtMicros);
         }
     }
 
     /** What a member tells of the relays that staff state, and of those that staff took out. */
-    static final String STATED = "relays";
+    static final String CONFIGURATION_DIGEST_KEY = "relays";
 
-    static final String OUT = "out";
+    static final String DECOMMISSIONED_KEY = "out";
 
-    private final MemberTable roster;
-    private final ReachabilityProbe reach;
-    private final MemberValues board;
-    private final QuorumTracker grounds;
+    private final MemberTable memberTable;
+    private final ReachabilityProbe reachability;
+    private final MemberValues memberValues;
+    private final QuorumTracker quorumTracker;
     /** Of the first turn; -1 before it. */
-    private long began = -1;
+    private long firstTickMicros = -1;
 
-    private News mine;
-    private long lastTurn;
-    private long spread;
-    private long spreadAt = Long.MIN_VALUE / 2;
-    private boolean settled;
-    private String takenBy;
+    private MemberState ownState;
+    private long lastTickMicros;
+    private long gossipedVersion;
+    private long lastGossipMicros = Long.MIN_VALUE / 2;
+    private boolean ownsName;
+    private String nameOwnerId;
 
     /** Where staff have not said which relays there are. */
-    public Membership(Incarnation self, long now, RandomGenerator chance) {
-        this(self, Set.of(), now, chance);
+    public Membership(Incarnation self, long nowMicros, RandomGenerator random) {
+        this(self, Set.of(), nowMicros, random);
     }
 
     /**
      * Creates a membership that has met no other member yet.
      *
-     * @param relays names of all relays that there are, as staff state them
+     * @param configuredRelays names of all relays that there are, as staff state them
      */
-    public Membership(Incarnation self, Set<String> relays, long now, RandomGenerator chance) {
-        grounds = new QuorumTracker(relays, self.name(), now);
-        roster = new MemberTable(self, now);
-        reach = new ReachabilityProbe(chance);
-        board = new MemberValues(self.id());
-        lastTurn = now;
-        mine = new News(0, Map.of(), Set.of(), Set.of());
-        if (!relays.isEmpty()) {
-            tell(STATED, grounds.statedAs(), now);
+    public Membership(Incarnation self, Set<String> configuredRelays, long nowMicros, RandomGenerator random) {
+        quorumTracker = new QuorumTracker(configuredRelays, self.name(), nowMicros);
+        memberTable = new MemberTable(self, nowMicros);
+        reachability = new ReachabilityProbe(random);
+        memberValues = new MemberValues(self.id());
+        lastTickMicros = nowMicros;
+        ownState = new MemberState(0, Map.of(), Set.of(), Set.of());
+        if (!configuredRelays.isEmpty()) {
+            publish(CONFIGURATION_DIGEST_KEY, quorumTracker.configurationDigest(), nowMicros);
         }
     }
 
     /** The library has this life for a member. */
-    public void added(Incarnation life, long now) {
-        roster.added(life, now);
+    public void memberAdded(Incarnation incarnation, long nowMicros) {
+        memberTable.memberAdded(incarnation, nowMicros);
         membersChanged();
     }
 
@@ -102,42 +102,44 @@
      * A life tells of itself through others: the library meets it only by a word with it, drawn once in a while, and two
      * that started behind a cut met late. Whoever is reached by others is asked.
      */
-    public void toldOf(String id, Incarnation life, long now) {
-        if (life != null && life.id().equals(id) && roster.toldOf(life, now)) {
+    public void memberDiscovered(String id, Incarnation incarnation, long nowMicros) {
+        if (incarnation != null
+                && incarnation.id().equals(id)
+                && memberTable.memberDiscovered(incarnation, nowMicros)) {
             membersChanged();
         }
     }
 
     /** It said that it goes. */
-    public void left(String id, long now) {
-        roster.left(id, now);
+    public void memberLeft(String id, long nowMicros) {
+        memberTable.memberLeft(id, nowMicros);
         membersChanged();
     }
 
     /** The library gave it up. */
-    public void removed(String id, long now) {
-        roster.removed(id, now);
+    public void memberRemoved(String id, long nowMicros) {
+        memberTable.memberRemoved(id, nowMicros);
         membersChanged();
     }
 
     private void membersChanged() {
-        reach.members(roster.others());
+        reachability.setMembers(memberTable.otherMemberIds());
         // one that comes back from behind a cut is asked for all that it tells
-        board.keep(roster.others());
-        reachChanged();
+        memberValues.retainOnly(memberTable.otherMemberIds());
+        reachabilityChanged();
     }
 
-    private void reachChanged() {
-        Set<String> reached = reach.reached();
-        Set<String> unreached = reach.unreached();
-        if (!reached.equals(mine.reached()) || !unreached.equals(mine.unreached())) {
-            say(mine.values(), reached, unreached);
+    private void reachabilityChanged() {
+        Set<String> reachable = reachability.reachable();
+        Set<String> unreachable = reachability.unreachable();
+        if (!reachable.equals(ownState.reachable()) || !unreachable.equals(ownState.unreachable())) {
+            updateOwnState(ownState.values(), reachable, unreachable);
         }
-        roster.says(roster.self().id(), reached, unreached);
+        memberTable.reachReported(memberTable.self().id(), reachable, unreachable);
     }
 
-    private void say(Map<String, String> values, Set<String> reached, Set<String> unreached) {
-        mine = new News(mine.number() + 1, values, reached, unreached);
+    private void updateOwnState(Map<String, String> values, Set<String> reachable, Set<String> unreachable) {
+        ownState = new MemberState(ownState.version() + 1, values, reachable, unreachable);
     }
 
     /**
@@ -145,172 +147,187 @@
      *
      * @throws IllegalArgumentException where it is too long, or there are too many
      */
-    public void tell(String key, String value, long now) {
-        if (board.tell(key, value, now)) {
-            say(board.state(roster.self().id()).values(), mine.reached(), mine.unreached());
+    public void publish(String key, String value, long nowMicros) {
+        if (memberValues.publish(key, value, nowMicros)) {
+            updateOwnState(
+                    memberValues.values(memberTable.self().id()).entries(),
+                    ownState.reachable(),
+                    ownState.unreachable());
         }
     }
 
     /** Whom to ask now. */
-    public List<Incarnation> turn(long now) {
-        if (now - lastTurn > SLEPT) {
+    public List<Incarnation> tick(long nowMicros) {
+        if (nowMicros - lastTickMicros > STALL_THRESHOLD_MICROS) {
             // others may have waited for this process in vain; nothing follows about them
-            reach.slept();
-            grounds.stoodStill(now - lastTurn, now);
+            reachability.processStalled();
+            quorumTracker.processStalled(nowMicros - lastTickMicros, nowMicros);
         }
-        lastTurn = now;
-        began = began < 0 ? now : began;
-        settled |= takenBy == null && now - began >= SETTLES;
-        List<Incarnation> ask = new ArrayList<>();
-        reach.due(now).forEach(id -> ask.add(roster.life(id)));
-        return ask;
+        lastTickMicros = nowMicros;
+        firstTickMicros = firstTickMicros < 0 ? nowMicros : firstTickMicros;
+        ownsName |= nameOwnerId == null && nowMicros - firstTickMicros >= NAME_CLAIM_MICROS;
+        List<Incarnation> targets = new ArrayList<>();
+        reachability.takeDue(nowMicros).forEach(id -> targets.add(memberTable.incarnation(id)));
+        return targets;
     }
 
     /** What to ask this member. */
-    public Question question(Incarnation of) {
-        return new Question(
-                FleetMessages.VERSION,
-                roster.self().id(),
-                roster.self().name(),
-                board.state(of.id()).number(),
-                settled);
+    public ProbeRequest probeRequest(Incarnation target) {
+        return new ProbeRequest(
+                FleetMessages.PROTOCOL_VERSION,
+                memberTable.self().id(),
+                memberTable.self().name(),
+                memberValues.values(target.id()).version(),
+                ownsName);
     }
 
     /** What to answer. */
-    public Answer answer(Question question, long now) {
-        namesake(question.from(), question.name(), question.settled());
-        return new Answer(
-                FleetMessages.VERSION,
-                roster.self().id(),
-                roster.self().name(),
-                question.has() < mine.number() ? mine : null,
-                settled);
+    public ProbeResponse handleProbe(ProbeRequest request, long nowMicros) {
+        resolveNameConflict(request.senderId(), request.senderName(), request.ownsName());
+        return new ProbeResponse(
+                FleetMessages.PROTOCOL_VERSION,
+                memberTable.self().id(),
+                memberTable.self().name(),
+                request.knownVersion() < ownState.version() ? ownState : null,
+                ownsName);
     }
 
     /** A member answered. */
-    public void answered(Incarnation asked, Answer answer, long now) {
-        if (!answer.id().equals(asked.id())) {
+    public void probeAnswered(Incarnation target, ProbeResponse response, long nowMicros) {
+        if (!response.id().equals(target.id())) {
             // another life answers at its address: this one is gone, whatever the library still waits for
-            missed(asked);
+            probeTimedOut(target);
             return;
         }
-        namesake(answer.id(), answer.name(), answer.settled());
-        boolean changed = reach.answered(asked.id());
-        grounds.answered(asked.id());
-        heard(asked.id(), answer.news(), now);
+        resolveNameConflict(response.id(), response.name(), response.ownsName());
+        boolean changed = reachability.probeAnswered(target.id());
+        quorumTracker.probeAnswered(target.id());
+        stateReceived(target.id(), response.state(), nowMicros);
         if (changed) {
-            reachChanged();
+            reachabilityChanged();
         }
     }
 
     /** What a member tells, by whatever way: one that this one does not reach is heard of through others. */
-    public void heard(String id, News news, long now) {
-        if (news != null
-                && roster.present(id)
-                && board.heard(id, new MemberValues.State(news.number(), news.values()), now)) {
-            roster.says(id, news.reached(), news.unreached());
+    public void stateReceived(String id, MemberState state, long nowMicros) {
+        if (state != null
+                && memberTable.isMember(id)
+                && memberValues.accept(
+                        id, new MemberValues.VersionedValues(state.version(), state.values()), nowMicros)) {
+            memberTable.reachReported(id, state.reachable(), state.unreachable());
             // whom the library gave up comes back by the word of one who reaches it, and goes with that
-            reach.members(roster.others());
+            reachability.setMembers(memberTable.otherMemberIds());
         }
     }
 
     /** What is new here and has to be spread now; null where nothing is. What changes often is spread once a while. */
-    public News spread(long now) {
-        if (spread == mine.number() || now - spreadAt < SPREAD_EVERY) {
+    public MemberState stateToGossip(long nowMicros) {
+        if (gossipedVersion == ownState.version() || nowMicros - lastGossipMicros < GOSSIP_INTERVAL_MICROS) {
             return null;
         }
-        spread = mine.number();
-        spreadAt = now;
-        return mine;
+        gossipedVersion = ownState.version();
+        lastGossipMicros = nowMicros;
+        return ownState;
     }
 
     /** A question to this member had no answer in time. */
-    public void missed(Incarnation asked) {
-        if (reach.missed(asked.id())) {
-            reachChanged();
+    public void probeTimedOut(Incarnation target) {
+        if (reachability.probeTimedOut(target.id())) {
+            reachabilityChanged();
         }
     }
 
     /** Of two lives of one name that live, the one that holds it keeps it; of two that start, the lower id. */
-    private void namesake(String id, String name, boolean holds) {
-        if (!settled
-                && takenBy == null
-                && name.equals(roster.self().name())
-                && !id.equals(roster.self().id())
-                && (holds || id.compareTo(roster.self().id()) < 0)) {
-            takenBy = id;
+    private void resolveNameConflict(String id, String name, boolean otherOwnsName) {
+        if (!ownsName
+                && nameOwnerId == null
+                && name.equals(memberTable.self().name())
+                && !id.equals(memberTable.self().id())
+                && (otherOwnsName || id.compareTo(memberTable.self().id()) < 0)) {
+            nameOwnerId = id;
         }
     }
 
     /** The id of the life that holds this one's name; null where it is its own, or nobody has said so. */
-    public String takenBy() {
-        return takenBy;
+    public String nameOwnerId() {
+        return nameOwnerId;
     }
 
     /** Whether this life holds its name. */
-    public boolean settled() {
-        return settled;
+    public boolean ownsName() {
+        return ownsName;
     }
 
     /** How all stand now. */
-    public View view(long now) {
-        Map<String, MemberValues.Held> told = new HashMap<>();
-        List<MemberTable.Row> lines = roster.lines(now);
-        for (MemberTable.Row line : lines) {
-            MemberValues.Held h = board.held(line.life().id());
-            if (h != null && line.standing().present()) {
-                told.put(line.life().id(), h);
+    public View view(long nowMicros) {
+        Map<String, MemberValues.ReceivedValues> published = new HashMap<>();
+        List<MemberTable.Row> rows = memberTable.rows(nowMicros);
+        for (MemberTable.Row row : rows) {
+            MemberValues.ReceivedValues received =
+                    memberValues.received(row.incarnation().id());
+            if (received != null && row.status().isMember()) {
+                published.put(row.incarnation().id(), received);
             }
         }
-        Map<String, String> stated = new HashMap<>();
-        told.forEach((id, h) -> stated.put(id, h.state().values().getOrDefault(STATED, "")));
-        QuorumAssessment finding = grounds.look(lines, reach.reached(), stated, out(lines, now), now);
-        return new View(roster.self(), lines, Map.copyOf(told), settled, reach.unreached(), finding, now);
+        Map<String, String> digests = new HashMap<>();
+        published.forEach((id, received) ->
+                digests.put(id, received.values().entries().getOrDefault(CONFIGURATION_DIGEST_KEY, "")));
+        QuorumAssessment quorum = quorumTracker.assess(
+                rows, reachability.reachable(), digests, decommissioned(rows, nowMicros), nowMicros);
+        return new View(
+                memberTable.self(),
+                rows,
+                Map.copyOf(published),
+                ownsName,
+                reachability.unreachable(),
+                quorum,
+                nowMicros);
     }
 
     /** Whom staff have taken out, at any relay that is heard of. One that lives counts again, and is told no longer. */
-    private Set<String> out(List<MemberTable.Row> lines, long now) {
-        Set<String> present = new HashSet<>();
-        Set<String> out = new TreeSet<>(outBy(roster.self().id()));
-        for (MemberTable.Row line : lines) {
-            if (line.standing().present()) {
-                present.add(line.life().name());
-                out.addAll(outBy(line.life().id()));
+    private Set<String> decommissioned(List<MemberTable.Row> rows, long nowMicros) {
+        Set<String> memberNames = new HashSet<>();
+        Set<String> decommissioned =
+                new TreeSet<>(decommissionedBy(memberTable.self().id()));
+        for (MemberTable.Row row : rows) {
+            if (row.status().isMember()) {
+                memberNames.add(row.incarnation().name());
+                decommissioned.addAll(decommissionedBy(row.incarnation().id()));
             }
         }
-        out.removeIf(name -> present.contains(name) || !grounds.states(name));
-        String text = String.join(",", out);
-        if (text.length() <= MemberValues.LONGEST) {
+        decommissioned.removeIf(name -> memberNames.contains(name) || !quorumTracker.isConfigured(name));
+        String text = String.join(",", decommissioned);
+        if (text.length() <= MemberValues.MAX_LENGTH) {
             // whoever hears of it tells it too: it outlasts the relay at which staff said it
-            tell(OUT, text.isEmpty() ? null : text, now);
+            publish(DECOMMISSIONED_KEY, text.isEmpty() ? null : text, nowMicros);
         }
-        return out;
+        return decommissioned;
     }
 
-    private Set<String> outBy(String id) {
-        String text = board.state(id).values().getOrDefault(OUT, "");
+    private Set<String> decommissionedBy(String id) {
+        String text = memberValues.values(id).entries().getOrDefault(DECOMMISSIONED_KEY, "");
         return text.isEmpty() ? Set.of() : Set.of(text.split(","));
     }
 
     /** Staff say that this relay is gone for good; returns why that cannot be, or null where it is done. */
-    public String takeOut(String name, long now) {
-        View view = view(now);
-        boolean present = view.lines().stream()
-                .anyMatch(line ->
-                        line.life().name().equals(name) && line.standing().present());
-        String before = board.state(roster.self().id()).values().getOrDefault(OUT, "");
+    public String decommission(String name, long nowMicros) {
+        View view = view(nowMicros);
+        boolean isMember = view.rows().stream()
+                .anyMatch(row ->
+                        row.incarnation().name().equals(name) && row.status().isMember());
+        String before = memberValues.values(memberTable.self().id()).entries().getOrDefault(DECOMMISSIONED_KEY, "");
         String after = before.isEmpty() ? name : before + "," + name;
-        if (!grounds.states(name)) {
+        if (!quorumTracker.isConfigured(name)) {
             return name + " is not among the relays that staff state";
-        } else if (present) {
+        } else if (isMember) {
             return name + " is not lost: stop it first";
-        } else if (!view.finding().allows(GuardedOperation.OfStaff.TAKE_OUT)) {
-            return "this relay is " + view.finding().ground() + " ("
-                    + view.finding().why() + "); ask one that is not";
-        } else if (after.length() > MemberValues.LONGEST) {
+        } else if (!view.quorum().allows(GuardedOperation.OperatorOperation.DECOMMISSION_RELAY)) {
+            return "this relay is " + view.quorum().state() + " ("
+                    + view.quorum().reason() + "); ask one that is not";
+        } else if (after.length() > MemberValues.MAX_LENGTH) {
             return "too many are out; correct the file of each relay";
         }
-        tell(OUT, after, now);
+        publish(DECOMMISSIONED_KEY, after, nowMicros);
         return null;
     }
 }
--- a/src/main/java/sandstack/fleet/QuorumState.java
+++ b/src/main/java/sandstack/fleet/QuorumState.java
@@ -1,15 +1,45 @@
 package sandstack.fleet;
 
-/** On what ground a member stands with the others when it wants to act for the fleet. */
+/** Which part of the configured relays a member reaches, as a condition of acting for the fleet. */
 public enum QuorumState {
-    /** All relays that staff state are reached, and all of them reach each other. */
-    WHOLE,
-    /** More than half of the relays that staff state are reached; two halves never both are. */
-    MOST,
-    /** Some others are reached, but no more than half of all. */
-    FEW,
-    /** Nobody is reached, and there should be others. */
-    ALONE,
-    /** What this member believes may be old or one-sided: it has just started, stood still, or views differ. */
-    UNSURE
+    /** All configured relays are reachable, and all of them reach each other. */
+    COMPLETE("WHOLE"),
+    /** More than half of the configured relays are reachable; two partitions never both are in this state. */
+    MAJORITY("MOST"),
+    /** Some other relays are reachable, but no more than half of all. */
+    MINORITY("FEW"),
+    /** No other relay is reachable, although others are configured. */
+    ISOLATED("ALONE"),
+    /** The local view may be stale or one-sided: this member has just started or stalled, or the views differ. */
+    UNKNOWN("UNSURE");
+
+    private final String label;
+
+    QuorumState(String label) {
+        this.label = label;
+    }
+
+    /**
+     * The state with this label.
+     *
+     * @throws IllegalArgumentException if there is none
+     */
+    public static QuorumState ofLabel(String label) {
+        for (QuorumState state : values()) {
+            if (state.label.equals(label)) {
+                return state;
+            }
+        }
+        throw new IllegalArgumentException("not the label of a quorum state: " + label);
+    }
+
+    /** The label in log lines and console output, which operators and other programs read. */
+    public String label() {
+        return label;
+    }
+
+    @Override
+    public String toString() {
+        return label;
+    }
 }
--- a/src/main/java/sandstack/fleet/ReachabilityProbe.java
+++ b/src/main/java/sandstack/fleet/ReachabilityProbe.java
@@ -19,99 +19,99 @@
  */
 public final class ReachabilityProbe {
     /** Microseconds of a round, at least, and for each member. */
-    public static final long ROUND = 1_000_000;
+    public static final long MIN_ROUND_MICROS = 1_000_000;
 
-    static final long EACH = 50_000;
+    static final long ROUND_MICROS_PER_MEMBER = 50_000;
     /** Questions in a row that decide. */
-    static final int DECIDES = 2;
+    static final int CONSECUTIVE_RESULTS = 2;
 
     /** What the last questions to one member came to. */
-    private static final class Count {
-        int misses;
-        int answers;
-        boolean reached = true;
-        boolean known;
+    private static final class ProbeHistory {
+        int consecutiveTimeouts;
+        int consecutiveAnswers;
+        boolean reachable = true;
+        boolean decided;
     }
 
-    private final RandomGenerator chance;
-    private final Map<String, Count> counts = new LinkedHashMap<>();
-    private final List<String> round = new ArrayList<>();
-    private long roundBegan = Long.MIN_VALUE / 2;
+    private final RandomGenerator random;
+    private final Map<String, ProbeHistory> histories = new LinkedHashMap<>();
+    private final List<String> pending = new ArrayList<>();
+    private long roundStartMicros = Long.MIN_VALUE / 2;
 
     /** Creates a probe without members; {@code chance} draws the order of each round. */
-    public ReachabilityProbe(RandomGenerator chance) {
-        this.chance = chance;
+    public ReachabilityProbe(RandomGenerator random) {
+        this.random = random;
     }
 
     /** The members there are now, without this one. */
-    public void members(Collection<String> ids) {
-        counts.keySet().retainAll(ids);
-        round.retainAll(counts.keySet());
-        ids.forEach(id -> counts.computeIfAbsent(id, i -> new Count()));
+    public void setMembers(Collection<String> ids) {
+        histories.keySet().retainAll(ids);
+        pending.retainAll(histories.keySet());
+        ids.forEach(id -> histories.computeIfAbsent(id, ignored -> new ProbeHistory()));
     }
 
     /** Who is to be asked now: of the present round, as many as are due by now. */
-    public List<String> due(long now) {
-        long length = Math.max(ROUND, EACH * counts.size());
+    public List<String> takeDue(long nowMicros) {
+        long roundMicros = Math.max(MIN_ROUND_MICROS, ROUND_MICROS_PER_MEMBER * histories.size());
         List<String> due = new ArrayList<>();
-        if (now - roundBegan >= length) {
+        if (nowMicros - roundStartMicros >= roundMicros) {
             // turns that come late leave some over: they are asked before the next round begins
-            due.addAll(round);
-            roundBegan = now;
-            round.clear();
-            round.addAll(counts.keySet());
-            Collections.shuffle(round, new java.util.Random(chance.nextLong()));
+            due.addAll(pending);
+            roundStartMicros = nowMicros;
+            pending.clear();
+            pending.addAll(histories.keySet());
+            Collections.shuffle(pending, new java.util.Random(random.nextLong()));
         }
-        int left = (int) (counts.size() * (length - (now - roundBegan)) / length);
-        while (round.size() > left) {
-            due.add(round.remove(round.size() - 1));
+        int remaining = (int) (histories.size() * (roundMicros - (nowMicros - roundStartMicros)) / roundMicros);
+        while (pending.size() > remaining) {
+            due.add(pending.remove(pending.size() - 1));
         }
         return due;
     }
 
     /** The member answered; returns whether that changes what is known. */
-    public boolean answered(String id) {
-        Count c = counts.get(id);
-        if (c == null) {
+    public boolean probeAnswered(String id) {
+        ProbeHistory history = histories.get(id);
+        if (history == null) {
             return false;
         }
-        boolean first = !c.known;
-        c.known = true;
-        c.misses = 0;
-        c.answers++;
-        if (c.reached || c.answers < DECIDES) {
+        boolean first = !history.decided;
+        history.decided = true;
+        history.consecutiveTimeouts = 0;
+        history.consecutiveAnswers++;
+        if (history.reachable || history.consecutiveAnswers < CONSECUTIVE_RESULTS) {
             return first;
         }
-        c.reached = true;
+        history.reachable = true;
         return true;
     }
 
     /** A question had no answer in time; returns whether that changes what is known. */
-    public boolean missed(String id) {
-        Count c = counts.get(id);
-        if (c == null) {
+    public boolean probeTimedOut(String id) {
+        ProbeHistory history = histories.get(id);
+        if (history == null) {
             return false;
         }
-        c.answers = 0;
-        c.misses++;
-        if (!c.reached || c.misses < DECIDES) {
+        history.consecutiveAnswers = 0;
+        history.consecutiveTimeouts++;
+        if (!history.reachable || history.consecutiveTimeouts < CONSECUTIVE_RESULTS) {
             return false;
         }
-        c.known = true;
-        c.reached = false;
+        history.decided = true;
+        history.reachable = false;
         return true;
     }
 
     /** This process did not run for a while: what stayed unanswered meanwhile says nothing of others. */
-    public void slept() {
-        counts.values().forEach(c -> c.misses = 0);
+    public void processStalled() {
+        histories.values().forEach(history -> history.consecutiveTimeouts = 0);
     }
 
     /** Members that this one does not reach. */
-    public Set<String> unreached() {
+    public Set<String> unreachable() {
         Set<String> ids = new HashSet<>();
-        counts.forEach((id, c) -> {
-            if (!c.reached) {
+        histories.forEach((id, history) -> {
+            if (!history.reachable) {
                 ids.add(id);
             }
         });
@@ -119,10 +119,10 @@
     }
 
     /** Members that have answered, and have not been asked in vain since. */
-    public Set<String> reached() {
+    public Set<String> reachable() {
         Set<String> ids = new HashSet<>();
-        counts.forEach((id, c) -> {
-            if (c.known && c.reached) {
+        histories.forEach((id, history) -> {
+            if (history.decided && history.reachable) {
                 ids.add(id);
             }
         });
--- a/src/main/java/sandstack/fleet/link/KnownTypes.java
+++ b/src/main/java/sandstack/fleet/link/FilteredMessageCodec.java
@@ -16,28 +16,28 @@
  * plain values, none deep, many or large. Whatever else comes is refused before an object of it is made. Any thread;
  * O(bytes) a message.
  */
-final class KnownTypes implements MessageCodec {
-    private static final int DEEPEST = 12;
-    private static final int MOST_OBJECTS = 20_000;
-    private static final int LONGEST_ARRAY = 20_000;
+final class FilteredMessageCodec implements MessageCodec {
+    private static final int MAX_DEPTH = 12;
+    private static final int MAX_OBJECTS = 20_000;
+    private static final int MAX_ARRAY_LENGTH = 20_000;
 
-    private final AtomicLong refused = new AtomicLong();
-    private final ThreadLocal<Boolean> lastRefused = ThreadLocal.withInitial(() -> false);
+    private final AtomicLong rejectedCount = new AtomicLong();
+    private final ThreadLocal<Boolean> lastRejected = ThreadLocal.withInitial(() -> false);
 
     /** Messages refused so far. */
-    long refused() {
-        return refused.get();
+    long rejectedCount() {
+        return rejectedCount.get();
     }
 
     /** Whether the last message that this thread read was refused; asked once, and forgotten. */
-    boolean takeRefused() {
-        boolean was = lastRefused.get();
-        lastRefused.set(false);
-        return was;
+    boolean pollLastRejected() {
+        boolean rejected = lastRejected.get();
+        lastRejected.set(false);
+        return rejected;
     }
 
-    private static ObjectInputFilter.Status check(ObjectInputFilter.FilterInfo info) {
-        if (info.depth() > DEEPEST || info.references() > MOST_OBJECTS || info.arrayLength() > LONGEST_ARRAY) {
+    private static ObjectInputFilter.Status filter(ObjectInputFilter.FilterInfo info) {
+        if (info.depth() > MAX_DEPTH || info.references() > MAX_OBJECTS || info.arrayLength() > MAX_ARRAY_LENGTH) {
             return ObjectInputFilter.Status.REJECTED;
         }
         Class<?> type = info.serialClass();
@@ -48,8 +48,8 @@
             return ObjectInputFilter.Status.UNDECIDED;
         }
         String name = type.getName();
-        boolean known = name.startsWith("io.scalecube.cluster.")
-                || name.startsWith("java.lang.") && plain(name)
+        boolean allowed = name.startsWith("io.scalecube.cluster.")
+                || name.startsWith("java.lang.") && isPlainValue(name)
                 || name.equals("java.util.ArrayList")
                 || name.equals("java.util.HashMap")
                 || name.equals("java.util.LinkedHashMap")
@@ -57,10 +57,10 @@
                 || name.equals("java.util.HashSet")
                 || name.equals("java.util.CollSer")
                 || name.startsWith("java.util.Collections$Unmodifiable");
-        return known ? ObjectInputFilter.Status.ALLOWED : ObjectInputFilter.Status.REJECTED;
+        return allowed ? ObjectInputFilter.Status.ALLOWED : ObjectInputFilter.Status.REJECTED;
     }
 
-    private static boolean plain(String name) {
+    private static boolean isPlainValue(String name) {
         return switch (name) {
             case "java.lang.String",
                     "java.lang.Number",
@@ -76,13 +76,13 @@
     @Override
     public Message deserialize(InputStream in) throws Exception {
         try (ObjectInputStream objects = new ObjectInputStream(in)) {
-            objects.setObjectInputFilter(KnownTypes::check);
+            objects.setObjectInputFilter(FilteredMessageCodec::filter);
             Message message = new Message();
             message.readExternal(objects);
             return message;
         } catch (IOException | ClassNotFoundException | RuntimeException e) {
-            refused.incrementAndGet();
-            lastRefused.set(true);
+            rejectedCount.incrementAndGet();
+            lastRejected.set(true);
             throw e instanceof InvalidClassException ? new IOException("a message of unknown types") : e;
         }
     }
--- a/src/main/java/sandstack/fleet/link/Card.java
+++ b/src/main/java/sandstack/fleet/link/MemberMetadata.java
@@ -1,12 +1,17 @@
 package sandstack.fleet.link;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import io.scalecube.cluster.metadata.MetadataCodec;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** What a member tells of itself when it comes: its name and where it is. */
-record Card(int v, String name, String zone, String machine) {
-    /** The library keeps it as bytes for whoever asks. */
+/** The metadata with which a member joins, as the library distributes it: its name and where it runs. */
+record MemberMetadata(
+        @JsonProperty("v") int protocolVersion,
+        @JsonProperty("name") String name,
+        @JsonProperty("zone") String zone,
+        @JsonProperty("machine") String machine) {
+    /** Passes the metadata's JSON text through the library as UTF-8. */
     static final MetadataCodec CODEC = new MetadataCodec() {
         @Override
         public Object deserialize(ByteBuffer buffer) {
--- a/src/main/java/sandstack/fleet/link/MessageJson.java
+++ b/src/main/java/sandstack/fleet/link/MessageJson.java
@@ -15,41 +15,41 @@
             .build());
 
     /** A body that is none of ours. */
-    static final class NotUnderstood extends Exception {
+    static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        NotUnderstood(String why) {
+        MalformedMessageException(String why) {
             super(why);
         }
     }
 
     private MessageJson() {}
 
-    static String text(Object words) {
+    static String write(Object message) {
         try {
-            return JSON.writeValueAsString(words);
+            return JSON.writeValueAsString(message);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("words of ours that are no JSON", e);
         }
     }
 
     /** Reads a body; the version is looked at before anything else, as a later one may have other fields. */
-    static <T> T read(Object data, Class<T> type) throws NotUnderstood {
+    static <T> T read(Object data, Class<T> type) throws MalformedMessageException {
         if (!(data instanceof String text)) {
-            throw new NotUnderstood("a body that is no text");
+            throw new MalformedMessageException("a body that is no text");
         }
         try {
             JsonNode body = JSON.readTree(text);
             if (!body.path("v").isInt() || body.path("v").asInt() < 1) {
-                throw new NotUnderstood("a body without a version");
+                throw new MalformedMessageException("a body without a version");
             }
-            if (body.path("v").asInt() > FleetMessages.VERSION) {
-                throw new NotUnderstood("version " + body.path("v").asInt() + " of the words, known are up to "
-                        + FleetMessages.VERSION);
+            if (body.path("v").asInt() > FleetMessages.PROTOCOL_VERSION) {
+                throw new MalformedMessageException("version " + body.path("v").asInt()
+                        + " of the words, known are up to " + FleetMessages.PROTOCOL_VERSION);
             }
             return JSON.treeToValue(body, type);
         } catch (JsonProcessingException | IllegalArgumentException e) {
-            throw new NotUnderstood("a body that is no " + type.getSimpleName());
+            throw new MalformedMessageException("a body that is no " + type.getSimpleName());
         }
     }
 }
--- a/src/main/java/sandstack/fleet/link/OneAddress.java
+++ b/src/main/java/sandstack/fleet/link/SingleAddressTransportFactory.java
@@ -28,51 +28,52 @@
  * The library's TCP, at one address of the machine instead of all, with bounds of our own: so many peers, frames so
  * long, and a peer that sends nothing for a while is hung up on. Threads are the library's.
  */
-final class OneAddress implements TransportFactory {
+final class SingleAddressTransportFactory implements TransportFactory {
     private static final int LENGTH_BYTES = 4;
     /** Members talk each second; whoever says nothing for so long is none, or behind a cut. */
-    private static final long SILENT_SECONDS = 30;
+    private static final long READ_TIMEOUT_SECONDS = 30;
 
     private final String host;
-    private final KnownTypes codec;
-    private final int mostPeers;
-    private final AtomicInteger peers = new AtomicInteger();
+    private final FilteredMessageCodec codec;
+    private final int maxPeers;
+    private final AtomicInteger peerCount = new AtomicInteger();
 
-    OneAddress(String host, KnownTypes codec, int mostPeers) {
+    SingleAddressTransportFactory(String host, FilteredMessageCodec codec, int maxPeers) {
         this.host = host;
         this.codec = codec;
-        this.mostPeers = mostPeers;
+        this.maxPeers = maxPeers;
     }
 
     @Override
     public Transport createTransport(TransportConfig config) {
-        return new TransportImpl(config.messageCodec(), new In(config), new Out(config), config.addressMapper());
+        return new TransportImpl(
+                config.messageCodec(), new InboundServer(config), new OutboundClient(config), config.addressMapper());
     }
 
     /** Frames belong to the channel, not to what the library does with it: they stay as long as it does. */
-    private static void frames(Channel channel, int most) {
+    private static void addFrameCodec(Channel channel, int maxFrameBytes) {
         ChannelPipeline pipeline = channel.pipeline();
         pipeline.addBefore(NettyPipeline.ReactiveBridge, "length", new LengthFieldPrepender(LENGTH_BYTES));
         pipeline.addBefore(
                 NettyPipeline.ReactiveBridge,
                 "frame",
-                new LengthFieldBasedFrameDecoder(most, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
+                new LengthFieldBasedFrameDecoder(maxFrameBytes, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
     }
 
     /** What comes in. */
-    private final class In implements Receiver {
+    private final class InboundServer implements Receiver {
         private final TransportConfig config;
 
-        In(TransportConfig config) {
+        InboundServer(TransportConfig config) {
             this.config = config;
         }
 
         @Override
         public Mono<DisposableServer> bind() {
-            return Mono.deferContextual(context -> listening(context.get(ReceiverContext.class)));
+            return Mono.deferContextual(context -> listen(context.get(ReceiverContext.class)));
         }
 
-        private Mono<DisposableServer> listening(ReceiverContext context) {
+        private Mono<DisposableServer> listen(ReceiverContext context) {
             return TcpServer.create()
                     .host(host)
                     .port(config.port())
@@ -80,14 +81,15 @@
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .doOnConnection(this::accepted)
                     .doOnChannelInit((observer, channel, remote) -> {
-                        frames(channel, config.maxFrameLength());
-                        channel.pipeline().addFirst("silent", new ReadTimeoutHandler(SILENT_SECONDS, TimeUnit.SECONDS));
+                        addFrameCodec(channel, config.maxFrameLength());
+                        channel.pipeline()
+                                .addFirst("silent", new ReadTimeoutHandler(READ_TIMEOUT_SECONDS, TimeUnit.SECONDS));
                     })
                     .handle((in, out) -> in.receive()
                             .retain()
                             .doOnNext(frame -> {
                                 context.onMessage(frame);
-                                if (codec.takeRefused()) {
+                                if (codec.pollLastRejected()) {
                                     // whoever sends one message that is none of ours is no member
                                     in.withConnection(Connection::dispose);
                                 }
@@ -98,20 +100,20 @@
         }
 
         private void accepted(Connection connection) {
-            if (peers.incrementAndGet() > mostPeers) {
-                peers.decrementAndGet();
+            if (peerCount.incrementAndGet() > maxPeers) {
+                peerCount.decrementAndGet();
                 connection.dispose();
                 return;
             }
-            connection.onDispose(peers::decrementAndGet);
+            connection.onDispose(peerCount::decrementAndGet);
         }
     }
 
     /** What goes out. */
-    private static final class Out implements Sender {
+    private static final class OutboundClient implements Sender {
         private final TransportConfig config;
 
-        Out(TransportConfig config) {
+        OutboundClient(TransportConfig config) {
             this.config = config;
         }
 
@@ -123,7 +125,7 @@
                     .port(Transport.parsePort(address))
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, config.connectTimeout())
-                    .doOnChannelInit((observer, channel, remote) -> frames(channel, config.maxFrameLength()))
+                    .doOnChannelInit((observer, channel, remote) -> addFrameCodec(channel, config.maxFrameLength()))
                     .connect()
                     .cast(Connection.class));
         }
--- a/src/main/java/sandstack/measure/scale/hollow/FleetFaults.java
+++ b/src/main/java/sandstack/measure/scale/hollow/FleetFaults.java
@@ -112,8 +112,8 @@
         HollowFleet fleet = settled(0);
         fleet.regionsApart(true);
         long apart = fleet.until(
-                view -> view.lines().stream()
-                        .noneMatch(line -> farFrom(fleet, view, line) && line.standing() != MemberStatus.LOST),
+                view -> view.rows().stream()
+                        .noneMatch(line -> farFrom(fleet, view, line) && line.status() != MemberStatus.LOST),
                 PATIENCE,
                 overdue);
         if (apart < 0) {
@@ -125,7 +125,7 @@
     }
 
     private static boolean farFrom(HollowFleet fleet, Membership.View view, MemberTable.Row line) {
-        return fleet.region(view.self().id()) != fleet.region(line.life().id());
+        return fleet.region(view.self().id()) != fleet.region(line.incarnation().id());
     }
 
     private Outcome outcome(String fault, HollowFleet fleet, long micros) {
@@ -141,16 +141,16 @@
     }
 
     private static Predicate<Membership.View> allAlive(int relays) {
-        return view -> view.lines().stream()
-                        .filter(line -> line.standing() == MemberStatus.ALIVE)
+        return view -> view.rows().stream()
+                        .filter(line -> line.status() == MemberStatus.ALIVE)
                         .count()
                 == relays;
     }
 
     private static Predicate<Membership.View> standing(List<HollowRelay> of, Predicate<MemberStatus> is) {
         List<String> ids = of.stream().map(relay -> relay.life().id()).toList();
-        return view -> view.lines().stream()
-                .filter(line -> ids.contains(line.life().id()))
-                .allMatch(line -> is.test(line.standing()));
+        return view -> view.rows().stream()
+                .filter(line -> ids.contains(line.incarnation().id()))
+                .allMatch(line -> is.test(line.status()));
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
@@ -9,10 +9,10 @@
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 import sandstack.fleet.FleetMessages;
-import sandstack.fleet.FleetMessages.Answer;
-import sandstack.fleet.FleetMessages.News;
-import sandstack.fleet.FleetMessages.Question;
-import sandstack.fleet.FleetMessages.Spread;
+import sandstack.fleet.FleetMessages.MemberState;
+import sandstack.fleet.FleetMessages.ProbeRequest;
+import sandstack.fleet.FleetMessages.ProbeResponse;
+import sandstack.fleet.FleetMessages.StateGossip;
 import sandstack.fleet.Incarnation;
 import sandstack.fleet.MemberTable;
 import sandstack.fleet.Membership;
@@ -61,12 +61,12 @@
                 clock, network, traffic, sizes, relays, gossip, random.split(), new LibraryModel.Listener() {
                     @Override
                     public void added(HollowRelay at, HollowRelay member) {
-                        timed(() -> at.membership().added(member.life(), clock.now()));
+                        timed(() -> at.membership().memberAdded(member.life(), clock.now()));
                     }
 
                     @Override
                     public void removed(HollowRelay at, HollowRelay member) {
-                        timed(() -> at.membership().removed(member.life().id(), clock.now()));
+                        timed(() -> at.membership().memberRemoved(member.life().id(), clock.now()));
                     }
                 });
         IntStream.range(0, size).forEach(i -> add());
@@ -91,31 +91,33 @@
                 .forEach(relay -> relays.forEach(other -> {
                     if (other != relay) {
                         relay.learn(other.index());
-                        relay.membership().added(other.life(), now);
+                        relay.membership().memberAdded(other.life(), now);
                     }
                 }));
         relays.parallelStream()
                 .forEach(relay -> relays.forEach(other -> {
                     if (other != relay) {
-                        relay.membership().answered(other.life(), answer(other, null), now);
+                        relay.membership().probeAnswered(other.life(), answer(other, null), now);
                     }
                 }));
-        List<News> states = relays.stream().map(relay -> state(relay, now)).toList();
+        List<MemberState> states =
+                relays.stream().map(relay -> state(relay, now)).toList();
         relays.parallelStream()
                 .forEach(relay -> relays.forEach(
-                        other -> relay.membership().heard(other.life().id(), states.get(other.index()), now)));
+                        other -> relay.membership().stateReceived(other.life().id(), states.get(other.index()), now)));
         relays.forEach(this::start);
-        relays.forEach(relay -> relay.membership().spread(now));
+        relays.forEach(relay -> relay.membership().stateToGossip(now));
     }
 
-    private static Answer answer(HollowRelay relay, News news) {
-        return new Answer(FleetMessages.VERSION, relay.life().id(), relay.life().name(), news, true);
+    private static ProbeResponse answer(HollowRelay relay, MemberState news) {
+        return new ProbeResponse(
+                FleetMessages.PROTOCOL_VERSION, relay.life().id(), relay.life().name(), news, true);
     }
 
-    private static News state(HollowRelay relay, long now) {
+    private static MemberState state(HollowRelay relay, long now) {
         return relay.membership()
-                .answer(new Question(FleetMessages.VERSION, "nobody", "nobody", -1, false), now)
-                .news();
+                .handleProbe(new ProbeRequest(FleetMessages.PROTOCOL_VERSION, "nobody", "nobody", -1, false), now)
+                .state();
     }
 
     private void start(HollowRelay relay) {
@@ -124,7 +126,7 @@
     }
 
     private void begin(HollowRelay relay) {
-        clock.every(random.nextLong(Membership.TURN), Membership.TURN, () -> turn(relay));
+        clock.every(random.nextLong(Membership.TICK_MICROS), Membership.TICK_MICROS, () -> turn(relay));
         int step = Math.max(1, relays.size() / VIEWERS);
         if (relay.index() % step == 0) {
             clock.every(random.nextLong(VIEW_EVERY), VIEW_EVERY, () -> show(relay));
@@ -136,29 +138,30 @@
             return;
         }
         List<Incarnation> due = new ArrayList<>();
-        timed(() -> due.addAll(relay.membership().turn(clock.now())));
+        timed(() -> due.addAll(relay.membership().tick(clock.now())));
         due.forEach(life -> probe(relay, byId.get(life.id())));
-        News news = relay.membership().spread(clock.now());
+        MemberState news = relay.membership().stateToGossip(clock.now());
         if (news != null) {
             spread(relay, news);
         }
     }
 
-    private void spread(HollowRelay relay, News news) {
+    private void spread(HollowRelay relay, MemberState news) {
         String id = relay.life().id();
-        int bytes = sizes.stateGossip(WireSizes.body(new Spread(FleetMessages.VERSION, id, news, relay.life())));
+        int bytes = sizes.stateGossip(
+                WireSizes.body(new StateGossip(FleetMessages.PROTOCOL_VERSION, id, news, relay.life())));
         gossip.spread(
                 relay.index(),
                 MessageKind.STATE_GOSSIP,
                 bytes,
                 at -> timed(() -> {
-                    relays.get(at).membership().toldOf(id, relay.life(), clock.now());
-                    relays.get(at).membership().heard(id, news, clock.now());
+                    relays.get(at).membership().memberDiscovered(id, relay.life(), clock.now());
+                    relays.get(at).membership().stateReceived(id, news, clock.now());
                 }));
     }
 
     private void probe(HollowRelay from, HollowRelay to) {
-        Question question = from.membership().question(to.life());
+        ProbeRequest question = from.membership().probeRequest(to.life());
         if (!network.passes(from.index(), to.index())) {
             clock.after(ANSWER_WITHIN, () -> missed(from, to));
             return;
@@ -169,21 +172,21 @@
                 clock.after(ANSWER_WITHIN - network.delay(from.index(), to.index()), () -> missed(from, to));
                 return;
             }
-            Answer answer = to.membership().answer(question, clock.now());
+            ProbeResponse answer = to.membership().handleProbe(question, clock.now());
             traffic.sent(MessageKind.PROBE_ANSWER, 1, sizes.probeAnswer(WireSizes.body(answer)));
             clock.after(network.delay(to.index(), from.index()), () -> answered(from, to, answer));
         });
     }
 
-    private void answered(HollowRelay from, HollowRelay to, Answer answer) {
+    private void answered(HollowRelay from, HollowRelay to, ProbeResponse answer) {
         if (network.up(from.index())) {
-            timed(() -> from.membership().answered(to.life(), answer, clock.now()));
+            timed(() -> from.membership().probeAnswered(to.life(), answer, clock.now()));
         }
     }
 
     private void missed(HollowRelay from, HollowRelay to) {
         if (network.up(from.index())) {
-            timed(() -> from.membership().missed(to.life()));
+            timed(() -> from.membership().probeTimedOut(to.life()));
         }
     }
 
@@ -266,8 +269,9 @@
     /** Pairs of a member and one that reports about it, in one relay's view: what a view goes through. */
     long reportsInView() {
         return views.values().stream()
-                .mapToLong(view ->
-                        view.lines().stream().mapToLong(MemberTable.Row::voices).sum())
+                .mapToLong(view -> view.rows().stream()
+                        .mapToLong(MemberTable.Row::reporterCount)
+                        .sum())
                 .max()
                 .orElse(0);
     }
--- a/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
@@ -10,9 +10,9 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import sandstack.fleet.FleetMessages;
-import sandstack.fleet.FleetMessages.Answer;
-import sandstack.fleet.FleetMessages.News;
-import sandstack.fleet.FleetMessages.Question;
+import sandstack.fleet.FleetMessages.MemberState;
+import sandstack.fleet.FleetMessages.ProbeRequest;
+import sandstack.fleet.FleetMessages.ProbeResponse;
 import sandstack.fleet.Incarnation;
 import sandstack.fleet.Membership;
 
@@ -23,8 +23,8 @@
 final class MembershipCost {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long START = 1_000_000;
-    private static final int TURNS_A_VIEW = (int) (HollowFleet.VIEW_EVERY / Membership.TURN);
-    private static final double TURNS_A_SECOND = 1e6 / Membership.TURN;
+    private static final int TURNS_A_VIEW = (int) (HollowFleet.VIEW_EVERY / Membership.TICK_MICROS);
+    private static final double TURNS_A_SECOND = 1e6 / Membership.TICK_MICROS;
     private static final double VIEWS_A_SECOND = 1e6 / HollowFleet.VIEW_EVERY;
     /** Turns before anything is timed, and turns that are; the largest fleets pay for each view. */
     private static final int WARM_UP_TURNS = 40;
@@ -98,34 +98,34 @@
     private static void refuseTooMany(int size) {
         Set<String> others =
                 IntStream.range(1, size).mapToObj(Integer::toString).collect(Collectors.toSet());
-        new News(1, Map.of(), others, Set.of());
+        new MemberState(1, Map.of(), others, Set.of());
     }
 
     private void join() {
         List<Incarnation> others = lives.subList(1, size);
-        joining.run(() -> others.forEach(life -> membership.added(life, now)));
+        joining.run(() -> others.forEach(life -> membership.memberAdded(life, now)));
     }
 
     private void answerAll() {
         Set<String> ids = lives.stream().map(Incarnation::id).collect(Collectors.toSet());
         for (Incarnation life : lives.subList(1, size)) {
-            membership.answered(life, decoded(answer(life, state(life, ids, 1))), now);
+            membership.probeAnswered(life, decoded(answer(life, state(life, ids, 1))), now);
         }
     }
 
-    private News state(Incarnation life, Set<String> ids, long number) {
+    private MemberState state(Incarnation life, Set<String> ids, long number) {
         Set<String> reached = new HashSet<>(ids);
         reached.remove(life.id());
-        return new News(number, Map.of(), reached, Set.of());
+        return new MemberState(number, Map.of(), reached, Set.of());
     }
 
-    private static Answer answer(Incarnation life, News news) {
-        return new Answer(FleetMessages.VERSION, life.id(), life.name(), news, true);
+    private static ProbeResponse answer(Incarnation life, MemberState news) {
+        return new ProbeResponse(FleetMessages.PROTOCOL_VERSION, life.id(), life.name(), news, true);
     }
 
-    private static Answer decoded(Answer answer) {
+    private static ProbeResponse decoded(ProbeResponse answer) {
         try {
-            return JSON.readValue(JSON.writeValueAsString(answer), Answer.class);
+            return JSON.readValue(JSON.writeValueAsString(answer), ProbeResponse.class);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("an answer that is no JSON", e);
         }
@@ -133,7 +133,7 @@
 
     private void run(int count) {
         for (int i = 0; i < count; i++) {
-            now += Membership.TURN;
+            now += Membership.TICK_MICROS;
             turns.run(this::turn);
             if (i % TURNS_A_VIEW == 0) {
                 views.run(() -> membership.view(now));
@@ -143,20 +143,22 @@
 
     /** Asks who is due, hears the answers, and answers as many. */
     private void turn() {
-        for (Incarnation life : membership.turn(now)) {
-            membership.question(life);
-            membership.answered(life, answer(life, null), now);
-            membership.answer(new Question(FleetMessages.VERSION, life.id(), life.name(), Long.MAX_VALUE, true), now);
+        for (Incarnation life : membership.tick(now)) {
+            membership.probeRequest(life);
+            membership.probeAnswered(life, answer(life, null), now);
+            membership.handleProbe(
+                    new ProbeRequest(FleetMessages.PROTOCOL_VERSION, life.id(), life.name(), Long.MAX_VALUE, true),
+                    now);
         }
-        membership.spread(now);
+        membership.stateToGossip(now);
     }
 
     /** A few others change their states. */
     private void hearChanges() {
         Set<String> ids = lives.stream().map(Incarnation::id).collect(Collectors.toSet());
         for (Incarnation life : lives.subList(1, Math.min(size, WARM_UP_TURNS))) {
-            News news = state(life, ids, 2);
-            hearing.run(() -> membership.heard(life.id(), news, now));
+            MemberState news = state(life, ids, 2);
+            hearing.run(() -> membership.stateReceived(life.id(), news, now));
         }
     }
 
--- a/src/main/java/sandstack/rig/FaultRun.java
+++ b/src/main/java/sandstack/rig/FaultRun.java
@@ -182,7 +182,7 @@
                     member.path("life").asText(),
                     new Line(
                             member.path("name").asText(),
-                            MemberStatus.valueOf(member.path("standing").asText())));
+                            MemberStatus.ofLabel(member.path("standing").asText())));
         }
         Seen fact = new Seen(now(), asked, i, view.path("self").asText(), seen);
         facts.add(fact);
@@ -190,7 +190,7 @@
         facts.add(new Stands(
                 fact.at(),
                 i,
-                QuorumState.valueOf(ground.path("is").asText()),
+                QuorumState.ofLabel(ground.path("is").asText()),
                 ground.path("with").size()));
         return fact;
     }
@@ -207,8 +207,8 @@
                                     .count()
                             == schedule.members()
                     && seen.seen().values().stream()
-                            .noneMatch(
-                                    l -> l.standing() == MemberStatus.PARTLY || l.standing() == MemberStatus.SUSPECT);
+                            .noneMatch(l -> l.standing() == MemberStatus.PARTIALLY_REACHABLE
+                                    || l.standing() == MemberStatus.SUSPECT);
         }
         return all;
     }
--- a/src/main/java/sandstack/rig/Rules.java
+++ b/src/main/java/sandstack/rig/Rules.java
@@ -148,13 +148,13 @@
 
     /** Who acts as most is more than half of what staff state, and nobody acts on what was believed before a standstill. */
     private void stands(Stands s) {
-        boolean most = s.ground() == QuorumState.MOST || s.ground() == QuorumState.WHOLE;
-        if (most && (2 * s.with() <= members || s.ground() == QuorumState.WHOLE && s.with() < members)) {
+        boolean most = s.ground() == QuorumState.MAJORITY || s.ground() == QuorumState.COMPLETE;
+        if (most && (2 * s.with() <= members || s.ground() == QuorumState.COMPLETE && s.with() < members)) {
             broken.add(new Broken(
                     "most is more than half of what staff state",
                     s.member() + " is " + s.ground() + " with " + s.with() + " of " + members));
         }
-        if (s.ground() != QuorumState.UNSURE
+        if (s.ground() != QuorumState.UNKNOWN
                 && s.at() >= resumedAt[s.member()]
                 && s.at() - resumedAt[s.member()] < UNSURE_FOR) {
             broken.add(new Broken(
@@ -209,7 +209,7 @@
                 lost(seen, of, line);
             }
             Long dead = deadSince.get(life);
-            if (dead != null && line.standing().present() && seen.asked() - dead > DEAD_BY) {
+            if (dead != null && line.standing().isMember() && seen.asked() - dead > DEAD_BY) {
                 broken.add(new Broken(
                         "a dead process is no member",
                         seen.member() + " calls " + line.name() + " " + line.standing() + " "
@@ -265,7 +265,7 @@
             }
             Map<String, MemberStatus> present = new HashMap<>();
             seen.seen().forEach((life, line) -> {
-                if (line.standing().present() && present.put(line.name(), line.standing()) != null) {
+                if (line.standing().isMember() && present.put(line.name(), line.standing()) != null) {
                     broken.add(
                             new Broken("a name has one present life", seen.member() + " sees two of " + line.name()));
                 }
--- a/src/test/java/sandstack/fleet/MembershipTest.java
+++ b/src/test/java/sandstack/fleet/MembershipTest.java
@@ -18,132 +18,135 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import sandstack.fleet.FleetMessages.Answer;
-import sandstack.fleet.FleetMessages.News;
+import sandstack.fleet.FleetMessages.MemberState;
+import sandstack.fleet.FleetMessages.ProbeResponse;
 
 /** Many memberships in one simulated clock, with a library that is as slow and as blind as the real one. */
 class MembershipTest {
-    private static final long TURN = Membership.TURN;
+    private static final long TICK_MICROS = Membership.TICK_MICROS;
     /** The library gives a member up so long after nobody reaches it. */
-    private static final long GIVES_UP = 6_000_000;
+    private static final long LIBRARY_TIMEOUT_MICROS = 6_000_000;
 
     /** Something to do at a time; {@code order} settles equal times. */
-    private record Due(long at, long order, Runnable what) {}
+    private record ScheduledAction(long atMicros, long order, Runnable action) {}
 
     /** The world: who lives, what passes, what is on its way. */
-    private static final class Sim {
-        final SplittableRandom chance;
-        final List<Incarnation> lives = new ArrayList<>();
-        final Map<String, Membership> members = new HashMap<>();
+    private static final class Simulation {
+        final SplittableRandom random;
+        final List<Incarnation> incarnations = new ArrayList<>();
+        final Map<String, Membership> memberships = new HashMap<>();
         final Set<String> dead = new HashSet<>();
         final Set<String> paused = new HashSet<>();
-        final Set<String> cut = new HashSet<>();
-        final Map<String, Long> unseen = new HashMap<>();
-        final PriorityQueue<Due> due =
-                new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+        final Set<String> cutLinks = new HashSet<>();
+        final Map<String, Long> unreachableSince = new HashMap<>();
+        final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>(
+                Comparator.comparingLong(ScheduledAction::atMicros).thenComparingLong(ScheduledAction::order));
         /** Every state that a life ever told, by its number. */
-        final Map<String, Map<Long, Map<String, String>>> toldTrue = new HashMap<>();
+        final Map<String, Map<Long, Map<String, String>>> publishedVersions = new HashMap<>();
 
-        long now = 1_000_000;
+        long nowMicros = 1_000_000;
         long order;
 
-        Sim(long seed) {
-            chance = new SplittableRandom(seed);
+        Simulation(long seed) {
+            random = new SplittableRandom(seed);
         }
 
         void start(String name) {
-            Incarnation life = new Incarnation(name + "-" + lives.size(), name, "z", name, name);
-            lives.add(life);
-            members.put(life.id(), new Membership(life, now, chance.split()));
+            Incarnation incarnation = new Incarnation(name + "-" + incarnations.size(), name, "z", name, name);
+            incarnations.add(incarnation);
+            memberships.put(incarnation.id(), new Membership(incarnation, nowMicros, random.split()));
         }
 
-        boolean up(Incarnation life) {
-            return !dead.contains(life.id()) && !paused.contains(life.id());
+        boolean running(Incarnation incarnation) {
+            return !dead.contains(incarnation.id()) && !paused.contains(incarnation.id());
         }
 
         boolean passes(Incarnation from, Incarnation to) {
-            return !cut.contains(from.id() + ">" + to.id());
+            return !cutLinks.contains(from.id() + ">" + to.id());
         }
 
-        void after(long micros, Runnable what) {
-            due.add(new Due(now + micros, order++, what));
+        void after(long micros, Runnable action) {
+            scheduled.add(new ScheduledAction(nowMicros + micros, order++, action));
         }
 
-        long way() {
-            return 200 + chance.nextLong(2_000);
+        long latencyMicros() {
+            return 200 + random.nextLong(2_000);
         }
 
         /** One direct question and its answer. */
-        void ask(Incarnation a, Incarnation b) {
-            FleetMessages.Question question = members.get(a.id()).question(b);
+        void probe(Incarnation a, Incarnation b) {
+            FleetMessages.ProbeRequest request = memberships.get(a.id()).probeRequest(b);
             boolean[] answered = {false};
-            after(way(), () -> {
-                if (up(b) && passes(a, b)) {
-                    Answer answer = members.get(b.id()).answer(question, now);
-                    after(way(), () -> {
-                        if (up(a) && passes(b, a) && !answered[0]) {
+            after(latencyMicros(), () -> {
+                if (running(b) && passes(a, b)) {
+                    ProbeResponse response = memberships.get(b.id()).handleProbe(request, nowMicros);
+                    after(latencyMicros(), () -> {
+                        if (running(a) && passes(b, a) && !answered[0]) {
                             answered[0] = true;
-                            members.get(a.id()).answered(b, answer, now);
+                            memberships.get(a.id()).probeAnswered(b, response, nowMicros);
                         }
                     });
                 }
             });
             after(400_000, () -> {
-                if (up(a) && !answered[0]) {
+                if (running(a) && !answered[0]) {
                     answered[0] = true;
-                    members.get(a.id()).missed(b);
+                    memberships.get(a.id()).probeTimedOut(b);
                 }
             });
         }
 
         /** Whom a member that is up reaches over others that are up, where each link is such a one. */
-        Set<Incarnation> chain(Incarnation from, BiPredicate<Incarnation, Incarnation> link) {
-            Set<Incarnation> reached = new HashSet<>(Set.of(from));
+        Set<Incarnation> reachableByChain(Incarnation from, BiPredicate<Incarnation, Incarnation> link) {
+            Set<Incarnation> reachable = new HashSet<>(Set.of(from));
             for (boolean grew = true; grew; ) {
-                Set<Incarnation> next = new HashSet<>(reached);
-                for (Incarnation a : reached) {
-                    lives.stream().filter(b -> up(b) && link.test(a, b)).forEach(next::add);
+                Set<Incarnation> next = new HashSet<>(reachable);
+                for (Incarnation a : reachable) {
+                    incarnations.stream()
+                            .filter(b -> running(b) && link.test(a, b))
+                            .forEach(next::add);
                 }
-                grew = next.size() > reached.size();
-                reached = next;
+                grew = next.size() > reachable.size();
+                reachable = next;
             }
-            return reached;
+            return reachable;
         }
 
         /** What one member spreads reaches whoever some chain of members reaches. */
-        void spread(Incarnation from, News news) {
-            for (Incarnation to : chain(from, this::passes)) {
+        void gossip(Incarnation from, MemberState state) {
+            for (Incarnation to : reachableByChain(from, this::passes)) {
                 if (to != from) {
-                    after(5 * way(), () -> {
-                        if (up(to)) {
-                            members.get(to.id()).heard(from.id(), news, now);
+                    after(5 * latencyMicros(), () -> {
+                        if (running(to)) {
+                            memberships.get(to.id()).stateReceived(from.id(), state, nowMicros);
                         }
                     });
                 }
             }
         }
 
-        void run(long length) {
-            long until = now + length;
-            long turn = now;
-            while (now < until) {
-                turn += TURN;
-                while (!due.isEmpty() && due.peek().at() <= turn) {
-                    Due d = due.poll();
-                    now = Math.max(now, d.at());
-                    d.what().run();
+        void run(long durationMicros) {
+            long endMicros = nowMicros + durationMicros;
+            long tick = nowMicros;
+            while (nowMicros < endMicros) {
+                tick += TICK_MICROS;
+                while (!scheduled.isEmpty() && scheduled.peek().atMicros() <= tick) {
+                    ScheduledAction next = scheduled.poll();
+                    nowMicros = Math.max(nowMicros, next.atMicros());
+                    next.action().run();
                 }
-                now = turn;
-                library();
-                for (Incarnation life : List.copyOf(lives)) {
-                    if (up(life)) {
-                        Membership m = members.get(life.id());
-                        m.turn(now).forEach(other -> ask(life, other));
-                        News news = m.spread(now);
-                        if (news != null) {
-                            toldTrue.computeIfAbsent(life.id(), i -> new HashMap<>())
-                                    .put(news.number(), news.values());
-                            spread(life, news);
+                nowMicros = tick;
+                updateLibrary();
+                for (Incarnation incarnation : List.copyOf(incarnations)) {
+                    if (running(incarnation)) {
+                        Membership membership = memberships.get(incarnation.id());
+                        membership.tick(nowMicros).forEach(other -> probe(incarnation, other));
+                        MemberState state = membership.stateToGossip(nowMicros);
+                        if (state != null) {
+                            publishedVersions
+                                    .computeIfAbsent(incarnation.id(), i -> new HashMap<>())
+                                    .put(state.version(), state.values());
+                            gossip(incarnation, state);
                         }
                     }
                 }
@@ -151,36 +154,37 @@
         }
 
         /** Whom each can reach by any chain is added, whom nobody can is given up after a while. */
-        private void library() {
-            for (Incarnation a : lives) {
-                if (!up(a)) {
+        private void updateLibrary() {
+            for (Incarnation a : incarnations) {
+                if (!running(a)) {
                     continue;
                 }
-                Set<Incarnation> chain = chain(a, (x, y) -> passes(x, y) && passes(y, x));
-                for (Incarnation b : lives) {
+                Set<Incarnation> chain = reachableByChain(a, (x, y) -> passes(x, y) && passes(y, x));
+                for (Incarnation b : incarnations) {
                     String key = a.id() + ">" + b.id();
                     if (a == b) {
                         continue;
                     }
                     if (chain.contains(b)) {
-                        unseen.remove(key);
-                        members.get(a.id()).added(b, now);
-                    } else if (now - unseen.computeIfAbsent(key, k -> now) >= GIVES_UP) {
-                        members.get(a.id()).removed(b.id(), now);
+                        unreachableSince.remove(key);
+                        memberships.get(a.id()).memberAdded(b, nowMicros);
+                    } else if (nowMicros - unreachableSince.computeIfAbsent(key, k -> nowMicros)
+                            >= LIBRARY_TIMEOUT_MICROS) {
+                        memberships.get(a.id()).memberRemoved(b.id(), nowMicros);
                     }
                 }
             }
         }
 
-        Map<String, MemberStatus> seen(Incarnation by) {
-            return members.get(by.id()).view(now).lines().stream()
-                    .collect(
-                            Collectors.toMap(l -> l.life().id(), MemberTable.Row::standing, (a, b) -> a, TreeMap::new));
+        Map<String, MemberStatus> statuses(Incarnation by) {
+            return memberships.get(by.id()).view(nowMicros).rows().stream()
+                    .collect(Collectors.toMap(
+                            l -> l.incarnation().id(), MemberTable.Row::status, (a, b) -> a, TreeMap::new));
         }
     }
 
-    private static Sim fleet(long seed, int size) {
-        Sim sim = new Sim(seed);
+    private static Simulation fleet(long seed, int size) {
+        Simulation sim = new Simulation(seed);
         for (int i = 0; i < size; i++) {
             sim.start("m" + i);
         }
@@ -189,54 +193,55 @@
     }
 
     @Property(tries = 50)
-    void viewsAreEqualFiveSecondsAfterWhateverHappenedIsOver(@ForAll long seed) {
-        Sim sim = fleet(seed, 6);
+    void viewsConvergeFiveSecondsAfterAllFaultsEnd(@ForAll long seed) {
+        Simulation sim = fleet(seed, 6);
         for (int fault = 0; fault < 6; fault++) {
-            Incarnation a = sim.lives.get(sim.chance.nextInt(6));
-            Incarnation b = sim.lives.get(sim.chance.nextInt(6));
-            switch (sim.chance.nextInt(4)) {
-                case 0 -> sim.cut.add(a.id() + ">" + b.id());
-                case 1 -> sim.cut.addAll(List.of(a.id() + ">" + b.id(), b.id() + ">" + a.id()));
+            Incarnation a = sim.incarnations.get(sim.random.nextInt(6));
+            Incarnation b = sim.incarnations.get(sim.random.nextInt(6));
+            switch (sim.random.nextInt(4)) {
+                case 0 -> sim.cutLinks.add(a.id() + ">" + b.id());
+                case 1 -> sim.cutLinks.addAll(List.of(a.id() + ">" + b.id(), b.id() + ">" + a.id()));
                 case 2 -> sim.paused.add(a.id());
                 default -> sim.paused.remove(a.id());
             }
-            sim.run(sim.chance.nextLong(8_000_000));
+            sim.run(sim.random.nextLong(8_000_000));
         }
-        sim.cut.clear();
+        sim.cutLinks.clear();
         sim.paused.clear();
         sim.run(5_000_000);
-        for (Incarnation by : sim.lives) {
-            assertThat(sim.seen(by).values())
+        for (Incarnation by : sim.incarnations) {
+            assertThat(sim.statuses(by).values())
                     .as("as " + by.name() + " sees them")
                     .containsOnly(MemberStatus.ALIVE);
         }
     }
 
     @Property(tries = 50)
-    void whatIsHeldOfAMemberIsAlwaysSomethingThatItToldAndNeverGoesBack(@ForAll long seed) {
-        Sim sim = fleet(seed, 4);
+    void receivedValuesWerePublishedAndNeverGoBack(@ForAll long seed) {
+        Simulation sim = fleet(seed, 4);
         Map<String, Long> newest = new HashMap<>();
         for (int step = 0; step < 30; step++) {
-            Incarnation teller = sim.lives.get(sim.chance.nextInt(4));
-            if (sim.up(teller)) {
-                sim.members.get(teller.id()).tell("load", String.valueOf(step), sim.now);
+            Incarnation publisher = sim.incarnations.get(sim.random.nextInt(4));
+            if (sim.running(publisher)) {
+                sim.memberships.get(publisher.id()).publish("load", String.valueOf(step), sim.nowMicros);
             }
-            Incarnation a = sim.lives.get(sim.chance.nextInt(4));
-            Incarnation b = sim.lives.get(sim.chance.nextInt(4));
-            if (!sim.cut.remove(a.id() + ">" + b.id())) {
-                sim.cut.add(a.id() + ">" + b.id());
+            Incarnation a = sim.incarnations.get(sim.random.nextInt(4));
+            Incarnation b = sim.incarnations.get(sim.random.nextInt(4));
+            if (!sim.cutLinks.remove(a.id() + ">" + b.id())) {
+                sim.cutLinks.add(a.id() + ">" + b.id());
             }
-            sim.run(sim.chance.nextLong(2_000_000));
-            for (Incarnation by : sim.lives) {
-                sim.members.get(by.id()).view(sim.now).told().forEach((id, held) -> {
-                    if (!id.equals(by.id()) && held.state().number() > 0) {
-                        Map<String, String> told =
-                                sim.toldTrue.get(id).get(held.state().number());
-                        assertThat(told == null || told.equals(held.state().values()))
+            sim.run(sim.random.nextLong(2_000_000));
+            for (Incarnation by : sim.incarnations) {
+                sim.memberships.get(by.id()).view(sim.nowMicros).published().forEach((id, held) -> {
+                    if (!id.equals(by.id()) && held.values().version() > 0) {
+                        Map<String, String> published =
+                                sim.publishedVersions.get(id).get(held.values().version());
+                        assertThat(published == null
+                                        || published.equals(held.values().entries()))
                                 .isTrue();
                         Long before =
-                                newest.put(by.id() + "<" + id, held.state().number());
-                        assertThat(before == null || before <= held.state().number())
+                                newest.put(by.id() + "<" + id, held.values().version());
+                        assertThat(before == null || before <= held.values().version())
                                 .isTrue();
                     }
                 });
@@ -245,158 +250,159 @@
     }
 
     @Test
-    void aMemberThatSomeReachIsPartlyAndNotLostHoweverLongItLasts() {
-        Sim sim = fleet(1, 5);
-        Incarnation a = sim.lives.get(1);
-        Incarnation b = sim.lives.get(3);
-        sim.cut.addAll(List.of(a.id() + ">" + b.id(), b.id() + ">" + a.id()));
+    void memberReachableBySomeStaysPartiallyReachable() {
+        Simulation sim = fleet(1, 5);
+        Incarnation a = sim.incarnations.get(1);
+        Incarnation b = sim.incarnations.get(3);
+        sim.cutLinks.addAll(List.of(a.id() + ">" + b.id(), b.id() + ">" + a.id()));
         sim.run(4_000_000);
         for (int i = 0; i < 30; i++) {
             sim.run(1_000_000);
-            for (Incarnation by : sim.lives) {
-                assertThat(sim.seen(by))
+            for (Incarnation by : sim.incarnations) {
+                assertThat(sim.statuses(by))
                         .as(by.name())
-                        .containsEntry(a.id(), MemberStatus.PARTLY)
-                        .containsEntry(b.id(), MemberStatus.PARTLY)
-                        .containsEntry(sim.lives.get(0).id(), MemberStatus.ALIVE);
+                        .containsEntry(a.id(), MemberStatus.PARTIALLY_REACHABLE)
+                        .containsEntry(b.id(), MemberStatus.PARTIALLY_REACHABLE)
+                        .containsEntry(sim.incarnations.get(0).id(), MemberStatus.ALIVE);
             }
         }
     }
 
     @Test
-    void whomNobodyReachesIsSuspectThenLost() {
-        Sim sim = fleet(2, 4);
-        Incarnation gone = sim.lives.get(2);
+    void unreachableMemberIsSuspectThenLost() {
+        Simulation sim = fleet(2, 4);
+        Incarnation gone = sim.incarnations.get(2);
         sim.dead.add(gone.id());
         sim.run(3_500_000);
-        assertThat(sim.seen(sim.lives.get(0))).containsEntry(gone.id(), MemberStatus.SUSPECT);
+        assertThat(sim.statuses(sim.incarnations.get(0))).containsEntry(gone.id(), MemberStatus.SUSPECT);
         sim.run(4_000_000);
-        assertThat(sim.seen(sim.lives.get(0))).containsEntry(gone.id(), MemberStatus.LOST);
+        assertThat(sim.statuses(sim.incarnations.get(0))).containsEntry(gone.id(), MemberStatus.LOST);
         sim.start("m2");
         sim.run(4_000_000);
-        assertThat(sim.seen(sim.lives.get(0)))
+        assertThat(sim.statuses(sim.incarnations.get(0)))
                 .containsEntry(gone.id(), MemberStatus.LOST)
                 .containsEntry("m2-4", MemberStatus.ALIVE);
     }
 
     @Test
-    void ofTwoThatStartWithOneNameOneIsTold() {
-        Sim sim = new Sim(3);
+    void oneOfTwoStartingWithTheSameNameLosesIt() {
+        Simulation sim = new Simulation(3);
         sim.start("same");
         sim.start("same");
         sim.run(3_000_000);
-        List<String> taken =
-                sim.lives.stream().map(l -> sim.members.get(l.id()).takenBy()).toList();
-        assertThat(taken).containsExactly(null, "same-0");
-        assertThat(sim.members.get("same-0").settled()).isTrue();
-        assertThat(sim.members.get("same-1").settled()).isFalse();
+        List<String> owners = sim.incarnations.stream()
+                .map(l -> sim.memberships.get(l.id()).nameOwnerId())
+                .toList();
+        assertThat(owners).containsExactly(null, "same-0");
+        assertThat(sim.memberships.get("same-0").ownsName()).isTrue();
+        assertThat(sim.memberships.get("same-1").ownsName()).isFalse();
     }
 
     @Test
-    void whoHoldsItsNameKeepsItAgainstALaterOneOfALowerId() {
-        Sim sim = new Sim(4);
+    void ownerKeepsItsNameAgainstALaterMemberWithALowerId() {
+        Simulation sim = new Simulation(4);
         sim.start("b");
         sim.run(3_000_000);
         Incarnation later = new Incarnation("a-0", "b", "z", "b", "b");
-        sim.lives.add(later);
-        sim.members.put(later.id(), new Membership(later, sim.now, new SplittableRandom(1)));
+        sim.incarnations.add(later);
+        sim.memberships.put(later.id(), new Membership(later, sim.nowMicros, new SplittableRandom(1)));
         sim.run(3_000_000);
-        assertThat(sim.members.get("a-0").takenBy()).isEqualTo("b-0");
-        assertThat(sim.members.get("b-0").takenBy()).isNull();
+        assertThat(sim.memberships.get("a-0").nameOwnerId()).isEqualTo("b-0");
+        assertThat(sim.memberships.get("b-0").nameOwnerId()).isNull();
     }
 
     @Test
-    void whoLeftStaysLeftAndValuesAreBounded() {
-        Sim sim = fleet(5, 2);
-        Membership m = sim.members.get("m0-0");
-        m.left("m1-1", sim.now);
-        m.removed("m1-1", sim.now);
-        m.added(sim.lives.get(1), sim.now);
-        assertThat(sim.seen(sim.lives.get(0))).containsEntry("m1-1", MemberStatus.LEFT);
-        assertThatThrownBy(() -> m.tell("k", "x".repeat(MemberValues.LONGEST + 1), 0))
+    void memberThatLeftStaysLeftAndValuesAreBounded() {
+        Simulation sim = fleet(5, 2);
+        Membership membership = sim.memberships.get("m0-0");
+        membership.memberLeft("m1-1", sim.nowMicros);
+        membership.memberRemoved("m1-1", sim.nowMicros);
+        membership.memberAdded(sim.incarnations.get(1), sim.nowMicros);
+        assertThat(sim.statuses(sim.incarnations.get(0))).containsEntry("m1-1", MemberStatus.LEFT);
+        assertThatThrownBy(() -> membership.publish("k", "x".repeat(MemberValues.MAX_LENGTH + 1), 0))
                 .hasMessageContaining("longer than");
-        for (int i = 0; i < MemberValues.MOST_KEYS; i++) {
-            m.tell("k" + i, "v", 0);
+        for (int i = 0; i < MemberValues.MAX_VALUES; i++) {
+            membership.publish("k" + i, "v", 0);
         }
-        assertThatThrownBy(() -> m.tell("one more", "v", 0)).hasMessageContaining("at most");
+        assertThatThrownBy(() -> membership.publish("one more", "v", 0)).hasMessageContaining("at most");
     }
 
     /** The library gives up whom it cannot ask itself where one other does not answer in time; others know better. */
     @Test
-    void whomTheLibraryGaveUpStaysByTheWordOfOneWhoReachesIt() {
-        MemberTable roster = new MemberTable(new Incarnation("me", "me", "z", "m", "a"), 0);
-        roster.added(new Incarnation("x", "x", "z", "m", "a"), 1);
-        roster.added(new Incarnation("y", "y", "z", "m", "a"), 1);
-        roster.says("me", Set.of("y"), Set.of("x"));
-        roster.says("y", Set.of("me", "x"), Set.of());
-        roster.removed("x", 2);
-        assertThat(standing(roster, "x")).isEqualTo(MemberStatus.PARTLY);
-        assertThat(roster.others()).containsExactlyInAnyOrder("x", "y");
-        roster.says("y", Set.of("me"), Set.of("x"));
-        assertThat(standing(roster, "x")).isEqualTo(MemberStatus.LOST);
-        assertThat(roster.others()).containsExactly("y");
-        roster.says("y", Set.of("me", "x"), Set.of());
-        roster.removed("y", 3);
+    void memberRemovedByTheLibraryStaysWhileAnotherReachesIt() {
+        MemberTable table = new MemberTable(new Incarnation("me", "me", "z", "m", "a"), 0);
+        table.memberAdded(new Incarnation("x", "x", "z", "m", "a"), 1);
+        table.memberAdded(new Incarnation("y", "y", "z", "m", "a"), 1);
+        table.reachReported("me", Set.of("y"), Set.of("x"));
+        table.reachReported("y", Set.of("me", "x"), Set.of());
+        table.memberRemoved("x", 2);
+        assertThat(status(table, "x")).isEqualTo(MemberStatus.PARTIALLY_REACHABLE);
+        assertThat(table.otherMemberIds()).containsExactlyInAnyOrder("x", "y");
+        table.reachReported("y", Set.of("me"), Set.of("x"));
+        assertThat(status(table, "x")).isEqualTo(MemberStatus.LOST);
+        assertThat(table.otherMemberIds()).containsExactly("y");
+        table.reachReported("y", Set.of("me", "x"), Set.of());
+        table.memberRemoved("y", 3);
         // a word of one who is gone itself is none
-        assertThat(standing(roster, "x")).isEqualTo(MemberStatus.LOST);
-        roster.added(new Incarnation("x", "x", "z", "m", "a"), 4);
-        assertThat(standing(roster, "x")).isEqualTo(MemberStatus.SUSPECT);
+        assertThat(status(table, "x")).isEqualTo(MemberStatus.LOST);
+        table.memberAdded(new Incarnation("x", "x", "z", "m", "a"), 4);
+        assertThat(status(table, "x")).isEqualTo(MemberStatus.SUSPECT);
     }
 
-    private static MemberStatus standing(MemberTable roster, String id) {
-        return roster.lines(9).stream()
-                .filter(l -> l.life().id().equals(id))
+    private static MemberStatus status(MemberTable table, String id) {
+        return table.rows(9).stream()
+                .filter(l -> l.incarnation().id().equals(id))
                 .findFirst()
                 .orElseThrow()
-                .standing();
+                .status();
     }
 
     @Test
-    void ofTheGoneOnlyTheLastAreKept() {
-        MemberTable roster = new MemberTable(new Incarnation("me", "me", "z", "m", "a"), 0);
+    void onlyTheLatestDepartedMembersAreRetained() {
+        MemberTable table = new MemberTable(new Incarnation("me", "me", "z", "m", "a"), 0);
         for (int i = 0; i < 10_000; i++) {
-            roster.added(new Incarnation("x" + i, "n" + i, "z", "m", "a"), i);
-            roster.removed("x" + i, i);
+            table.memberAdded(new Incarnation("x" + i, "n" + i, "z", "m", "a"), i);
+            table.memberRemoved("x" + i, i);
         }
-        assertThat(roster.lines(10_000)).hasSize(1 + MemberTable.GONE_KEPT);
+        assertThat(table.rows(10_000)).hasSize(1 + MemberTable.MAX_DEPARTED);
     }
 
     /** Two that started behind a cut: the library of one had not met the other 6 s after the heal, though all others had. */
     @Test
-    void whoIsToldOfByOthersIsAskedAndCountsOnceItAnswers() {
+    void memberDiscoveredByGossipIsProbedAndCountsOnceItAnswers() {
         Incarnation self = new Incarnation("a-0", "a", "z", "m", "a");
         Incarnation known = new Incarnation("b-1", "b", "z", "m", "b");
         Incarnation late = new Incarnation("c-2", "c", "z", "m", "c");
-        Membership m = new Membership(self, 0, new SplittableRandom(1));
-        m.added(known, 0);
-        m.toldOf(late.id(), late, 1);
-        m.toldOf("x-9", late, 1);
-        m.toldOf(self.id(), null, 1);
-        assertThat(m.view(1).lines())
+        Membership membership = new Membership(self, 0, new SplittableRandom(1));
+        membership.memberAdded(known, 0);
+        membership.memberDiscovered(late.id(), late, 1);
+        membership.memberDiscovered("x-9", late, 1);
+        membership.memberDiscovered(self.id(), null, 1);
+        assertThat(membership.view(1).rows())
                 .as("nobody has said that they reach it")
-                .noneMatch(l -> l.life().name().equals("c"));
-        m.heard(known.id(), new News(1, Map.of(), Set.of(late.id()), Set.of()), 2);
-        assertThat(standing(m, "c", 3)).isEqualTo(MemberStatus.PARTLY);
-        List<Incarnation> asked = new ArrayList<>();
-        for (long now = 100_000; now <= 2_000_000; now += TURN) {
-            asked.addAll(m.turn(now));
+                .noneMatch(l -> l.incarnation().name().equals("c"));
+        membership.stateReceived(known.id(), new MemberState(1, Map.of(), Set.of(late.id()), Set.of()), 2);
+        assertThat(status(membership, "c", 3)).isEqualTo(MemberStatus.PARTIALLY_REACHABLE);
+        List<Incarnation> probed = new ArrayList<>();
+        for (long now = 100_000; now <= 2_000_000; now += TICK_MICROS) {
+            probed.addAll(membership.tick(now));
         }
-        assertThat(asked).contains(late);
-        m.answered(
+        assertThat(probed).contains(late);
+        membership.probeAnswered(
                 late,
-                new Answer(1, late.id(), "c", new News(1, Map.of("k", "v"), Set.of(), Set.of()), true),
+                new ProbeResponse(1, late.id(), "c", new MemberState(1, Map.of("k", "v"), Set.of(), Set.of()), true),
                 2_000_001);
-        assertThat(standing(m, "c", 2_000_002)).isEqualTo(MemberStatus.ALIVE);
-        m.left(late.id(), 3_000_000);
-        m.toldOf(late.id(), late, 3_000_001);
-        assertThat(standing(m, "c", 3_000_002)).as("who left stays left").isEqualTo(MemberStatus.LEFT);
+        assertThat(status(membership, "c", 2_000_002)).isEqualTo(MemberStatus.ALIVE);
+        membership.memberLeft(late.id(), 3_000_000);
+        membership.memberDiscovered(late.id(), late, 3_000_001);
+        assertThat(status(membership, "c", 3_000_002)).as("who left stays left").isEqualTo(MemberStatus.LEFT);
     }
 
-    private static MemberStatus standing(Membership m, String name, long now) {
-        return m.view(now).lines().stream()
-                .filter(line -> line.life().name().equals(name))
+    private static MemberStatus status(Membership membership, String name, long now) {
+        return membership.view(now).rows().stream()
+                .filter(line -> line.incarnation().name().equals(name))
                 .findFirst()
                 .orElseThrow()
-                .standing();
+                .status();
     }
 }
--- a/src/test/java/sandstack/fleet/QuorumTrackerTest.java
+++ b/src/test/java/sandstack/fleet/QuorumTrackerTest.java
@@ -16,12 +16,17 @@
 
 /** On what ground a member stands, on a clock that the test moves. */
 class QuorumTrackerTest {
-    private static final long LONG_AGO = 0;
-    private long now = 60_000_000;
+    private static final long LONG_AGO_MICROS = 0;
+    private long nowMicros = 60_000_000;
 
-    private static MemberTable.Row line(String name, MemberStatus standing, String... against) {
+    private static MemberTable.Row row(String name, MemberStatus status, String... unreachableFrom) {
         return new MemberTable.Row(
-                new Incarnation("id-" + name, name, "z", "m", "a:1"), standing, LONG_AGO, 0, 0, List.of(against));
+                new Incarnation("id-" + name, name, "z", "m", "a:1"),
+                status,
+                LONG_AGO_MICROS,
+                0,
+                0,
+                List.of(unreachableFrom));
     }
 
     private static List<String> names(String text) {
@@ -34,179 +39,186 @@
         return ids;
     }
 
-    private QuorumAssessment look(QuorumTracker grounds, List<MemberTable.Row> lines, Set<String> reached) {
-        return grounds.look(lines, reached, Map.of(), Set.of(), now);
+    private QuorumAssessment assess(QuorumTracker tracker, List<MemberTable.Row> rows, Set<String> reachable) {
+        return tracker.assess(rows, reachable, Map.of(), Set.of(), nowMicros);
     }
 
     /** Seen twice, so that it has lasted. */
-    private QuorumAssessment steady(QuorumTracker grounds, List<MemberTable.Row> lines, Set<String> reached) {
-        look(grounds, lines, reached);
-        now += QuorumTracker.STEADY;
-        return look(grounds, lines, reached);
+    private QuorumAssessment assessUntilStable(
+            QuorumTracker tracker, List<MemberTable.Row> rows, Set<String> reachable) {
+        assess(tracker, rows, reachable);
+        nowMicros += QuorumTracker.STABILITY_WINDOW_MICROS;
+        return assess(tracker, rows, reachable);
     }
 
-    @ParameterizedTest(name = "{0} stated, {1} reached, {2} partly: {3}")
+    @ParameterizedTest(name = "{0} configured, {1} reachable, {2} partially: {3}")
     @CsvSource(
             delimiter = '|',
             value = {
-                "a           |           |     | WHOLE",
-                "a b         | b         |     | WHOLE",
-                "a b         |           |     | ALONE",
-                "a b c       | b         |     | MOST",
-                "a b c       |           |     | ALONE",
-                "a b c d     | b         |     | FEW",
-                "a b c d     | b c       |     | MOST",
-                "a b c d e   | b c d e   |     | WHOLE",
-                "a b c d e   | b c       |     | MOST",
-                "a b c d e   | b         |     | FEW",
+                "a           |           |     | COMPLETE",
+                "a b         | b         |     | COMPLETE",
+                "a b         |           |     | ISOLATED",
+                "a b c       | b         |     | MAJORITY",
+                "a b c       |           |     | ISOLATED",
+                "a b c d     | b         |     | MINORITY",
+                "a b c d     | b c       |     | MAJORITY",
+                "a b c d e   | b c d e   |     | COMPLETE",
+                "a b c d e   | b c       |     | MAJORITY",
+                "a b c d e   | b         |     | MINORITY",
                 // who is partly reached is not taken from what there is, and not counted as reached either
-                "a b c d e   | b         | c d | FEW",
-                "a b c       | b         | c   | MOST",
+                "a b c d e   | b         | c d | MINORITY",
+                "a b c       | b         | c   | MAJORITY",
                 // somebody of whom staff said nothing counts for nothing
-                "a b c d     | b x y     |     | FEW",
-                "            | b         |     | UNSURE",
-                "b c         | b c       |     | UNSURE",
+                "a b c d     | b x y     |     | MINORITY",
+                "            | b         |     | UNKNOWN",
+                "b c         | b c       |     | UNKNOWN",
             })
-    void theGroundFollowsFromWhatStaffState(String stated, String reached, String partly, QuorumState ground) {
-        QuorumTracker grounds = new QuorumTracker(names(stated), "a", LONG_AGO);
-        List<MemberTable.Row> lines = new ArrayList<>(List.of(line("a", MemberStatus.ALIVE)));
-        names(reached).forEach(name -> lines.add(line(name, MemberStatus.ALIVE)));
-        names(partly).forEach(name -> lines.add(line(name, MemberStatus.PARTLY, "a")));
-        assertThat(steady(grounds, lines, ids(names(reached))).ground()).isEqualTo(ground);
+    void stateFollowsFromConfiguredRelays(
+            String configured, String reachable, String partiallyReachable, QuorumState expected) {
+        QuorumTracker tracker = new QuorumTracker(names(configured), "a", LONG_AGO_MICROS);
+        List<MemberTable.Row> rows = new ArrayList<>(List.of(row("a", MemberStatus.ALIVE)));
+        names(reachable).forEach(name -> rows.add(row(name, MemberStatus.ALIVE)));
+        names(partiallyReachable).forEach(name -> rows.add(row(name, MemberStatus.PARTIALLY_REACHABLE, "a")));
+        assertThat(assessUntilStable(tracker, rows, ids(names(reachable))).state())
+                .isEqualTo(expected);
     }
 
     @Test
-    void aHalfDoesNotShrinkIntoAWholeUntilStaffSaySo() {
-        QuorumTracker grounds = new QuorumTracker(List.of("a", "b", "c", "d"), "a", LONG_AGO);
-        List<MemberTable.Row> lines = List.of(
-                line("a", MemberStatus.ALIVE),
-                line("b", MemberStatus.ALIVE),
-                line("c", MemberStatus.LOST),
-                line("d", MemberStatus.LOST));
+    void quorumSizeShrinksOnlyByDecommissioning() {
+        QuorumTracker tracker = new QuorumTracker(List.of("a", "b", "c", "d"), "a", LONG_AGO_MICROS);
+        List<MemberTable.Row> rows = List.of(
+                row("a", MemberStatus.ALIVE),
+                row("b", MemberStatus.ALIVE),
+                row("c", MemberStatus.LOST),
+                row("d", MemberStatus.LOST));
         for (int i = 0; i < 1_000; i++) {
-            now += 60_000_000;
-            assertThat(look(grounds, lines, ids(List.of("b"))).ground()).isIn(QuorumState.FEW, QuorumState.UNSURE);
+            nowMicros += 60_000_000;
+            assertThat(assess(tracker, rows, ids(List.of("b"))).state())
+                    .isIn(QuorumState.MINORITY, QuorumState.UNKNOWN);
         }
         for (int i = 0; i < 2; i++) {
-            now += QuorumTracker.STEADY;
-            grounds.look(lines, ids(List.of("b")), Map.of(), Set.of("d"), now);
+            nowMicros += QuorumTracker.STABILITY_WINDOW_MICROS;
+            tracker.assess(rows, ids(List.of("b")), Map.of(), Set.of("d"), nowMicros);
         }
-        QuorumAssessment found = grounds.look(lines, ids(List.of("b")), Map.of(), Set.of("d"), now);
-        assertThat(found.ground()).isEqualTo(QuorumState.MOST);
-        assertThat(found.without()).containsExactly("c");
+        QuorumAssessment assessment = tracker.assess(rows, ids(List.of("b")), Map.of(), Set.of("d"), nowMicros);
+        assertThat(assessment.state()).isEqualTo(QuorumState.MAJORITY);
+        assertThat(assessment.unreachable()).containsExactly("c");
     }
 
     @Test
-    void whoWasTakenOutCountsAgainOnceItLives() {
-        QuorumTracker grounds = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO);
-        List<MemberTable.Row> lines = List.of(
-                line("a", MemberStatus.ALIVE), line("b", MemberStatus.ALIVE), line("c", MemberStatus.PARTLY, "a"));
-        grounds.look(lines, ids(List.of("b")), Map.of(), Set.of("c"), now);
-        now += QuorumTracker.STEADY;
-        QuorumAssessment found = grounds.look(lines, ids(List.of("b")), Map.of(), Set.of("c"), now);
-        assertThat(found.without()).containsExactly("c");
-        assertThat(found.ground()).isEqualTo(QuorumState.MOST);
+    void decommissionedRelayCountsAgainOnceItIsAlive() {
+        QuorumTracker tracker = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO_MICROS);
+        List<MemberTable.Row> rows = List.of(
+                row("a", MemberStatus.ALIVE),
+                row("b", MemberStatus.ALIVE),
+                row("c", MemberStatus.PARTIALLY_REACHABLE, "a"));
+        tracker.assess(rows, ids(List.of("b")), Map.of(), Set.of("c"), nowMicros);
+        nowMicros += QuorumTracker.STABILITY_WINDOW_MICROS;
+        QuorumAssessment assessment = tracker.assess(rows, ids(List.of("b")), Map.of(), Set.of("c"), nowMicros);
+        assertThat(assessment.unreachable()).containsExactly("c");
+        assertThat(assessment.state()).isEqualTo(QuorumState.MAJORITY);
     }
 
     @Test
-    void worseNewsShowAtOnceAsADoubtAndBetterOnesHaveToLast() {
-        QuorumTracker grounds = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO);
+    void changeIsUnknownUntilItIsStable() {
+        QuorumTracker tracker = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO_MICROS);
         List<MemberTable.Row> all =
-                List.of(line("a", MemberStatus.ALIVE), line("b", MemberStatus.ALIVE), line("c", MemberStatus.ALIVE));
+                List.of(row("a", MemberStatus.ALIVE), row("b", MemberStatus.ALIVE), row("c", MemberStatus.ALIVE));
         List<MemberTable.Row> two = List.of(
-                line("a", MemberStatus.ALIVE),
-                line("b", MemberStatus.ALIVE),
-                line("c", MemberStatus.SUSPECT, "a", "b"));
-        assertThat(steady(grounds, all, ids(List.of("b", "c"))).ground()).isEqualTo(QuorumState.WHOLE);
-        assertThat(look(grounds, two, ids(List.of("b"))).ground()).isEqualTo(QuorumState.UNSURE);
-        now += QuorumTracker.STEADY - 1;
-        assertThat(look(grounds, two, ids(List.of("b"))).ground()).isEqualTo(QuorumState.UNSURE);
-        now += 1;
-        QuorumAssessment most = look(grounds, two, ids(List.of("b")));
-        assertThat(most.ground()).isEqualTo(QuorumState.MOST);
-        assertThat(most.since()).isEqualTo(now);
+                row("a", MemberStatus.ALIVE), row("b", MemberStatus.ALIVE), row("c", MemberStatus.SUSPECT, "a", "b"));
+        assertThat(assessUntilStable(tracker, all, ids(List.of("b", "c"))).state())
+                .isEqualTo(QuorumState.COMPLETE);
+        assertThat(assess(tracker, two, ids(List.of("b"))).state()).isEqualTo(QuorumState.UNKNOWN);
+        nowMicros += QuorumTracker.STABILITY_WINDOW_MICROS - 1;
+        assertThat(assess(tracker, two, ids(List.of("b"))).state()).isEqualTo(QuorumState.UNKNOWN);
+        nowMicros += 1;
+        QuorumAssessment majority = assess(tracker, two, ids(List.of("b")));
+        assertThat(majority.state()).isEqualTo(QuorumState.MAJORITY);
+        assertThat(majority.sinceMicros()).isEqualTo(nowMicros);
     }
 
     /** Three of five, and each of them lacks another: no two of them could settle anything together. */
     @Test
-    void aMajorityWhoseMembersDoNotReachEachOtherIsADoubt() {
-        QuorumTracker grounds = new QuorumTracker(List.of("a", "b", "c", "d", "e"), "a", LONG_AGO);
-        List<MemberTable.Row> lines = List.of(
-                line("a", MemberStatus.ALIVE),
-                line("b", MemberStatus.PARTLY, "c"),
-                line("c", MemberStatus.PARTLY, "b"),
-                line("d", MemberStatus.LOST),
-                line("e", MemberStatus.LOST));
-        QuorumAssessment found = steady(grounds, lines, ids(List.of("b", "c")));
-        assertThat(found.ground()).isEqualTo(QuorumState.UNSURE);
-        assertThat(found.why()).startsWith("views differ: ");
+    void majorityWithoutMutualReachabilityIsUnknown() {
+        QuorumTracker tracker = new QuorumTracker(List.of("a", "b", "c", "d", "e"), "a", LONG_AGO_MICROS);
+        List<MemberTable.Row> rows = List.of(
+                row("a", MemberStatus.ALIVE),
+                row("b", MemberStatus.PARTIALLY_REACHABLE, "c"),
+                row("c", MemberStatus.PARTIALLY_REACHABLE, "b"),
+                row("d", MemberStatus.LOST),
+                row("e", MemberStatus.LOST));
+        QuorumAssessment assessment = assessUntilStable(tracker, rows, ids(List.of("b", "c")));
+        assertThat(assessment.state()).isEqualTo(QuorumState.UNKNOWN);
+        assertThat(assessment.reason()).startsWith("views differ: ");
     }
 
     @Test
-    void whoStoodStillAsksAllAnewBeforeItIsSure() {
-        QuorumTracker grounds = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO);
-        List<MemberTable.Row> lines =
-                List.of(line("a", MemberStatus.ALIVE), line("b", MemberStatus.ALIVE), line("c", MemberStatus.ALIVE));
-        Set<String> reached = ids(List.of("b", "c"));
-        QuorumAssessment whole = steady(grounds, lines, reached);
-        assertThat(whole.ground()).isEqualTo(QuorumState.WHOLE);
-        now += 20_000_000;
+    void stalledProcessProbesAllMembersAgain() {
+        QuorumTracker tracker = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO_MICROS);
+        List<MemberTable.Row> rows =
+                List.of(row("a", MemberStatus.ALIVE), row("b", MemberStatus.ALIVE), row("c", MemberStatus.ALIVE));
+        Set<String> reachable = ids(List.of("b", "c"));
+        QuorumAssessment complete = assessUntilStable(tracker, rows, reachable);
+        assertThat(complete.state()).isEqualTo(QuorumState.COMPLETE);
+        nowMicros += 20_000_000;
         // read before its own thread has run again
-        assertThat(whole.asOf(now).ground()).isEqualTo(QuorumState.UNSURE);
-        assertThat(whole.asOf(now).allows(GuardedOperation.OfStaff.TAKE_OUT)).isFalse();
-        grounds.stoodStill(20_000_000, now);
-        assertThat(look(grounds, lines, reached).why()).contains("stood still for 20 s");
-        grounds.answered("id-b");
-        now += QuorumTracker.ASKED_ANEW;
+        assertThat(complete.asOf(nowMicros).state()).isEqualTo(QuorumState.UNKNOWN);
+        assertThat(complete.asOf(nowMicros).allows(GuardedOperation.OperatorOperation.DECOMMISSION_RELAY))
+                .isFalse();
+        tracker.processStalled(20_000_000, nowMicros);
+        assertThat(assess(tracker, rows, reachable).reason()).contains("stood still for 20 s");
+        tracker.probeAnswered("id-b");
+        nowMicros += QuorumTracker.RECHECK_MICROS;
         // c has not answered since: it is believed no longer
-        look(grounds, lines, reached);
-        now += QuorumTracker.STEADY;
-        QuorumAssessment after = look(grounds, lines, reached);
-        assertThat(after.ground()).isEqualTo(QuorumState.MOST);
-        assertThat(after.without()).containsExactly("c");
+        assess(tracker, rows, reachable);
+        nowMicros += QuorumTracker.STABILITY_WINDOW_MICROS;
+        QuorumAssessment after = assess(tracker, rows, reachable);
+        assertThat(after.state()).isEqualTo(QuorumState.MAJORITY);
+        assertThat(after.unreachable()).containsExactly("c");
     }
 
     @Test
-    void relaysThatWereToldOfOtherRelaysAreADoubt() {
-        QuorumTracker grounds = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO);
-        QuorumTracker other = new QuorumTracker(List.of("a", "b", "c", "d"), "b", LONG_AGO);
-        List<MemberTable.Row> lines =
-                List.of(line("a", MemberStatus.ALIVE), line("b", MemberStatus.ALIVE), line("c", MemberStatus.ALIVE));
-        QuorumAssessment found = grounds.look(
-                lines,
+    void differingConfigurationIsUnknown() {
+        QuorumTracker tracker = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO_MICROS);
+        QuorumTracker other = new QuorumTracker(List.of("a", "b", "c", "d"), "b", LONG_AGO_MICROS);
+        List<MemberTable.Row> rows =
+                List.of(row("a", MemberStatus.ALIVE), row("b", MemberStatus.ALIVE), row("c", MemberStatus.ALIVE));
+        QuorumAssessment assessment = tracker.assess(
+                rows,
                 ids(List.of("b", "c")),
-                Map.of("id-b", other.statedAs(), "id-c", grounds.statedAs()),
+                Map.of("id-b", other.configurationDigest(), "id-c", tracker.configurationDigest()),
                 Set.of(),
-                now);
-        assertThat(found.ground()).isEqualTo(QuorumState.UNSURE);
-        assertThat(found.why()).isEqualTo("b was told of other relays than this one");
+                nowMicros);
+        assertThat(assessment.state()).isEqualTo(QuorumState.UNKNOWN);
+        assertThat(assessment.reason()).isEqualTo("b was told of other relays than this one");
     }
 
     /** However relays are parted, and whatever each believes of the others, two parts never both are most. */
     @Property
-    void twoPartsAreNeverBothMost(@ForAll @IntRange(min = 1, max = 9) int relays, @ForAll int parts) {
-        List<String> all = new ArrayList<>();
+    void twoPartitionsNeverBothHaveAMajority(@ForAll @IntRange(min = 1, max = 9) int relays, @ForAll int parts) {
+        List<String> configured = new ArrayList<>();
         for (int i = 0; i < relays; i++) {
-            all.add("r" + i);
+            configured.add("r" + i);
         }
-        int found = 0;
+        int majorities = 0;
         for (int part = 0; part < 2; part++) {
-            List<String> mine = new ArrayList<>();
+            List<String> reachableNames = new ArrayList<>();
             for (int i = 0; i < relays; i++) {
                 if ((parts >> i & 1) == part) {
-                    mine.add("r" + i);
+                    reachableNames.add("r" + i);
                 }
             }
-            if (mine.isEmpty()) {
+            if (reachableNames.isEmpty()) {
                 continue;
             }
-            QuorumTracker grounds = new QuorumTracker(all, mine.get(0), LONG_AGO);
-            List<MemberTable.Row> lines = all.stream()
-                    .map(name -> line(name, mine.contains(name) ? MemberStatus.ALIVE : MemberStatus.LOST))
+            QuorumTracker tracker = new QuorumTracker(configured, reachableNames.get(0), LONG_AGO_MICROS);
+            List<MemberTable.Row> rows = configured.stream()
+                    .map(name -> row(name, reachableNames.contains(name) ? MemberStatus.ALIVE : MemberStatus.LOST))
                     .toList();
-            QuorumState ground = steady(grounds, lines, ids(mine)).ground();
-            found += ground == QuorumState.MOST || ground == QuorumState.WHOLE ? 1 : 0;
+            QuorumState expected =
+                    assessUntilStable(tracker, rows, ids(reachableNames)).state();
+            majorities += expected == QuorumState.MAJORITY || expected == QuorumState.COMPLETE ? 1 : 0;
         }
-        assertThat(found).isLessThanOrEqualTo(1);
+        assertThat(majorities).isLessThanOrEqualTo(1);
     }
 }
--- a/src/test/java/sandstack/fleet/ReachabilityProbeTest.java
+++ b/src/test/java/sandstack/fleet/ReachabilityProbeTest.java
@@ -16,67 +16,68 @@
 
 /** Whom a member reaches itself. */
 class ReachabilityProbeTest {
-    private final ReachabilityProbe reach = new ReachabilityProbe(new SplittableRandom(1));
+    private final ReachabilityProbe probe = new ReachabilityProbe(new SplittableRandom(1));
 
     @Property(tries = 100)
-    void everyMemberIsAskedOnceARoundHoweverTurnsFall(
+    void everyMemberIsProbedOnceARoundWhateverTheTickInterval(
             @ForAll @IntRange(min = 1, max = 60) int members,
-            @ForAll @IntRange(min = 10, max = 400) int turnMillis,
+            @ForAll @IntRange(min = 10, max = 400) int tickMillis,
             @ForAll long seed) {
-        ReachabilityProbe asked = new ReachabilityProbe(new SplittableRandom(seed));
+        ReachabilityProbe probe = new ReachabilityProbe(new SplittableRandom(seed));
         List<String> ids = IntStream.range(0, members).mapToObj(i -> "m" + i).toList();
-        asked.members(ids);
-        long round = Math.max(ReachabilityProbe.ROUND, ReachabilityProbe.EACH * members);
+        probe.setMembers(ids);
+        long roundMicros =
+                Math.max(ReachabilityProbe.MIN_ROUND_MICROS, ReachabilityProbe.ROUND_MICROS_PER_MEMBER * members);
         Map<String, Integer> counts = new HashMap<>();
-        int most = 0;
-        for (long now = 0; now < 5 * round; now += turnMillis * 1_000L) {
-            List<String> due = asked.due(now);
-            most = Math.max(most, due.size());
+        int maxDue = 0;
+        for (long nowMicros = 0; nowMicros < 5 * roundMicros; nowMicros += tickMillis * 1_000L) {
+            List<String> due = probe.takeDue(nowMicros);
+            maxDue = Math.max(maxDue, due.size());
             due.forEach(id -> counts.merge(id, 1, Integer::sum));
         }
         assertThat(counts).hasSize(members);
         // a round begins at a turn, so up to one turn longer than it is; of five the last may not be over
         assertThat(counts.values()).allMatch(n -> n >= 3 && n <= 5);
-        assertThat(most).isLessThanOrEqualTo(2 + 2 * (int) (members * (turnMillis * 1_000L) / round));
+        assertThat(maxDue).isLessThanOrEqualTo(2 + 2 * (int) (members * (tickMillis * 1_000L) / roundMicros));
     }
 
     @Test
-    void oneLostQuestionIsNoCutAndOneAnswerNoMendedOne() {
-        reach.members(List.of("a", "b"));
-        assertThat(reach.reached()).isEmpty();
-        assertThat(reach.answered("a")).isTrue();
-        assertThat(reach.missed("a")).isFalse();
-        assertThat(reach.answered("a")).isFalse();
-        assertThat(reach.missed("a")).isFalse();
-        assertThat(reach.missed("a")).isTrue();
-        assertThat(reach.unreached()).containsExactly("a");
-        assertThat(reach.answered("a")).isFalse();
-        assertThat(reach.unreached()).containsExactly("a");
-        assertThat(reach.answered("a")).isTrue();
-        assertThat(reach.unreached()).isEmpty();
+    void twoResultsInARowChangeReachability() {
+        probe.setMembers(List.of("a", "b"));
+        assertThat(probe.reachable()).isEmpty();
+        assertThat(probe.probeAnswered("a")).isTrue();
+        assertThat(probe.probeTimedOut("a")).isFalse();
+        assertThat(probe.probeAnswered("a")).isFalse();
+        assertThat(probe.probeTimedOut("a")).isFalse();
+        assertThat(probe.probeTimedOut("a")).isTrue();
+        assertThat(probe.unreachable()).containsExactly("a");
+        assertThat(probe.probeAnswered("a")).isFalse();
+        assertThat(probe.unreachable()).containsExactly("a");
+        assertThat(probe.probeAnswered("a")).isTrue();
+        assertThat(probe.unreachable()).isEmpty();
     }
 
     @Test
-    void whoSleptBlamesNobodyForIt() {
-        reach.members(List.of("a"));
-        reach.answered("a");
-        reach.missed("a");
-        reach.slept();
-        assertThat(reach.missed("a")).isFalse();
-        assertThat(reach.unreached()).isEmpty();
+    void stallClearsConsecutiveTimeouts() {
+        probe.setMembers(List.of("a"));
+        probe.probeAnswered("a");
+        probe.probeTimedOut("a");
+        probe.processStalled();
+        assertThat(probe.probeTimedOut("a")).isFalse();
+        assertThat(probe.unreachable()).isEmpty();
     }
 
     @Test
-    void whoIsGoneIsForgotten() {
-        reach.members(List.of("a", "b"));
-        reach.missed("a");
-        reach.missed("a");
-        reach.members(List.of("b"));
-        assertThat(reach.unreached()).isEmpty();
-        assertThat(reach.missed("a")).isFalse();
+    void departedMemberIsForgotten() {
+        probe.setMembers(List.of("a", "b"));
+        probe.probeTimedOut("a");
+        probe.probeTimedOut("a");
+        probe.setMembers(List.of("b"));
+        assertThat(probe.unreachable()).isEmpty();
+        assertThat(probe.probeTimedOut("a")).isFalse();
         List<String> due = new ArrayList<>();
-        for (long now = 0; now < 3 * ReachabilityProbe.ROUND; now += 100_000) {
-            due.addAll(reach.due(now));
+        for (long nowMicros = 0; nowMicros < 3 * ReachabilityProbe.MIN_ROUND_MICROS; nowMicros += 100_000) {
+            due.addAll(probe.takeDue(nowMicros));
         }
         assertThat(Set.copyOf(due)).containsExactly("b");
     }
--- a/src/test/java/sandstack/fleet/link/CompatibilityTest.java
+++ b/src/test/java/sandstack/fleet/link/CompatibilityTest.java
@@ -20,12 +20,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import sandstack.fleet.FleetMessages.Answer;
-import sandstack.fleet.FleetMessages.Call;
-import sandstack.fleet.FleetMessages.News;
-import sandstack.fleet.FleetMessages.Question;
-import sandstack.fleet.FleetMessages.Result;
-import sandstack.fleet.FleetMessages.Spread;
+import sandstack.fleet.FleetMessages.CallRequest;
+import sandstack.fleet.FleetMessages.CallResponse;
+import sandstack.fleet.FleetMessages.MemberState;
+import sandstack.fleet.FleetMessages.ProbeRequest;
+import sandstack.fleet.FleetMessages.ProbeResponse;
+import sandstack.fleet.FleetMessages.StateGossip;
 import sandstack.fleet.Incarnation;
 import sandstack.fleet.MemberStatus;
 import sandstack.fleet.MemberTable;
@@ -41,10 +41,10 @@
             new Incarnation("0123456789abcdef", "edge-1", "zone-1", "rack-7", "127.0.0.1:7001");
     private static final Incarnation OTHER =
             new Incarnation("fedcba9876543210", "edge-2", "zone-2", "rack-8", "127.0.0.1:7002");
-    private static final News NEWS =
-            new News(7, Map.of("relays", "3:17f2e"), Set.of(OTHER.id()), Set.of("00112233aabbccdd"));
-    private static final News EMPTY = new News(0, Map.of(), Set.of(), Set.of());
-    private static final Question QUESTION = new Question(1, SELF.id(), SELF.name(), 12, true);
+    private static final MemberState NEWS =
+            new MemberState(7, Map.of("relays", "3:17f2e"), Set.of(OTHER.id()), Set.of("00112233aabbccdd"));
+    private static final MemberState EMPTY = new MemberState(0, Map.of(), Set.of(), Set.of());
+    private static final ProbeRequest QUESTION = new ProbeRequest(1, SELF.id(), SELF.name(), 12, true);
 
     private static String fixture(String file) throws IOException {
         try (InputStream in = CompatibilityTest.class.getResourceAsStream("/fleet/" + file)) {
@@ -55,40 +55,40 @@
     static Stream<Arguments> messages() {
         return Stream.of(
                 Arguments.of("question.json", QUESTION),
-                Arguments.of("answer.json", new Answer(1, SELF.id(), SELF.name(), NEWS, false)),
-                Arguments.of("answer-empty-state.json", new Answer(1, SELF.id(), SELF.name(), EMPTY, true)),
-                Arguments.of("answer-no-change.json", new Answer(1, SELF.id(), SELF.name(), null, true)),
-                Arguments.of("spread.json", new Spread(1, SELF.id(), NEWS, SELF)),
-                Arguments.of("spread-no-incarnation.json", new Spread(1, SELF.id(), NEWS, null)),
-                Arguments.of("call.json", new Call(1, SELF.id(), "configuration", "{\"a\":\"b\"}")),
-                Arguments.of("result.json", new Result(1, "{\"a\":\"b\"}", null)),
-                Arguments.of("result-error.json", new Result(1, null, "not now")),
-                Arguments.of("metadata.json", new Card(1, SELF.name(), SELF.zone(), SELF.machine())));
+                Arguments.of("answer.json", new ProbeResponse(1, SELF.id(), SELF.name(), NEWS, false)),
+                Arguments.of("answer-empty-state.json", new ProbeResponse(1, SELF.id(), SELF.name(), EMPTY, true)),
+                Arguments.of("answer-no-change.json", new ProbeResponse(1, SELF.id(), SELF.name(), null, true)),
+                Arguments.of("spread.json", new StateGossip(1, SELF.id(), NEWS, SELF)),
+                Arguments.of("spread-no-incarnation.json", new StateGossip(1, SELF.id(), NEWS, null)),
+                Arguments.of("call.json", new CallRequest(1, SELF.id(), "configuration", "{\"a\":\"b\"}")),
+                Arguments.of("result.json", new CallResponse(1, "{\"a\":\"b\"}", null)),
+                Arguments.of("result-error.json", new CallResponse(1, null, "not now")),
+                Arguments.of("metadata.json", new MemberMetadata(1, SELF.name(), SELF.zone(), SELF.machine())));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("messages")
     void messagesAreReadAndWrittenAsBefore(String file, Object message) throws Exception {
         assertThat(MessageJson.read(fixture(file), message.getClass())).isEqualTo(message);
-        assertThat(MessageJson.text(message)).isEqualTo(fixture(file));
+        assertThat(MessageJson.write(message)).isEqualTo(fixture(file));
     }
 
     @Test
     void framesAreReadAndWrittenAsBefore() throws Exception {
         byte[] frame = HexFormat.of().parseHex(fixture("frame.hex"));
-        Message read = new KnownTypes().deserialize(new ByteArrayInputStream(frame));
+        Message read = new FilteredMessageCodec().deserialize(new ByteArrayInputStream(frame));
         assertThat(read.qualifier()).isEqualTo("sandstack/question");
         assertThat(read.correlationId()).isEqualTo("c-1");
         assertThat(read.sender()).isEqualTo(SELF.address());
-        assertThat(MessageJson.read(read.data(), Question.class)).isEqualTo(QUESTION);
+        assertThat(MessageJson.read(read.data(), ProbeRequest.class)).isEqualTo(QUESTION);
         ByteArrayOutputStream written = new ByteArrayOutputStream();
-        new KnownTypes()
+        new FilteredMessageCodec()
                 .serialize(
                         Message.builder()
                                 .qualifier("sandstack/question")
                                 .correlationId("c-1")
                                 .sender(SELF.address())
-                                .data(MessageJson.text(QUESTION))
+                                .data(MessageJson.write(QUESTION))
                                 .build(),
                         written);
         assertThat(written.toByteArray()).isEqualTo(frame);
@@ -96,34 +96,39 @@
 
     @Test
     void qualifiersAreAsBefore() throws Exception {
-        assertThat(String.join("\n", FleetLink.QUESTION, FleetLink.SPREAD, FleetLink.CALL, FleetLink.RESULT))
+        assertThat(String.join(
+                        "\n",
+                        FleetMember.PROBE_REQUEST,
+                        FleetMember.STATE_GOSSIP,
+                        FleetMember.CALL_REQUEST,
+                        FleetMember.RESPONSE))
                 .isEqualTo(fixture("qualifiers.txt"));
     }
 
     @Test
     void statedRelaysAreComparedByTheSameText() throws Exception {
         QuorumTracker tracker = new QuorumTracker(List.of("edge-3", "edge-1", "edge-2"), "edge-1", 0);
-        assertThat(tracker.statedAs()).isEqualTo(fixture("stated-relays.txt"));
+        assertThat(tracker.configurationDigest()).isEqualTo(fixture("stated-relays.txt"));
     }
 
     @Test
     void takeOutAnswersAndPublishesAsBefore() throws Exception {
         Membership membership =
                 new Membership(SELF, Set.of("edge-1", "edge-2", "edge-3", "edge-4"), 0, new SplittableRandom(1));
-        membership.added(OTHER, 0);
+        membership.memberAdded(OTHER, 0);
         for (long now = 0; now <= 6_000_000; now += 100_000) {
-            for (Incarnation asked : membership.turn(now)) {
-                membership.answered(asked, new Answer(1, OTHER.id(), OTHER.name(), null, true), now);
+            for (Incarnation asked : membership.tick(now)) {
+                membership.probeAnswered(asked, new ProbeResponse(1, OTHER.id(), OTHER.name(), null, true), now);
             }
             membership.view(now);
         }
         List<String> lines = new ArrayList<>();
         for (String name : List.of("edge-9", "edge-2", "edge-3", "edge-4")) {
-            lines.add(String.valueOf(membership.takeOut(name, 6_000_000)));
+            lines.add(String.valueOf(membership.decommission(name, 6_000_000)));
         }
-        MemberValues.State own =
-                membership.view(6_000_000).told().get(SELF.id()).state();
-        new TreeMap<>(own.values()).forEach((key, value) -> lines.add(key + "=" + value));
+        MemberValues.VersionedValues own =
+                membership.view(6_000_000).published().get(SELF.id()).values();
+        new TreeMap<>(own.entries()).forEach((key, value) -> lines.add(key + "=" + value));
         assertThat(String.join("\n", lines)).isEqualTo(fixture("own-values.txt"));
     }
 
@@ -138,11 +143,11 @@
                         reached ? 2 : 1,
                         2,
                         reached ? List.of() : List.of("edge-1", "edge-3")));
-        MemberValues.State values = new MemberValues.State(3, Map.of("relays", "3:17f2e"));
+        MemberValues.VersionedValues values = new MemberValues.VersionedValues(3, Map.of("relays", "3:17f2e"));
         return new Membership.View(
                 SELF,
                 rows,
-                Map.of(SELF.id(), new MemberValues.Held(values, 4_000_000)),
+                Map.of(SELF.id(), new MemberValues.ReceivedValues(values, 4_000_000)),
                 reached,
                 Set.of(),
                 new QuorumAssessment(
@@ -161,14 +166,14 @@
         List<String> text = new ArrayList<>();
         for (QuorumState state : QuorumState.values()) {
             for (MemberStatus status : MemberStatus.values()) {
-                json.add(FleetText.json(view(state, status)));
-                text.addAll(FleetText.lines(view(state, status)));
+                json.add(FleetViewFormatter.json(view(state, status)));
+                text.addAll(FleetViewFormatter.lines(view(state, status)));
             }
         }
         assertThat(String.join("\n", json)).isEqualTo(fixture("fleet-command.json"));
         assertThat(String.join("\n", text)).isEqualTo(fixture("fleet-command.txt"));
-        List<String> takenOut = new ArrayList<>(FleetText.takenOut("edge-3", null));
-        takenOut.addAll(FleetText.takenOut("edge-3", "edge-3 is not lost: stop it first"));
+        List<String> takenOut = new ArrayList<>(FleetViewFormatter.decommissionOutcome("edge-3", null));
+        takenOut.addAll(FleetViewFormatter.decommissionOutcome("edge-3", "edge-3 is not lost: stop it first"));
         assertThat(String.join("\n", takenOut)).isEqualTo(fixture("take-out-command.txt"));
     }
 }
--- a/src/test/java/sandstack/fleet/link/FleetLinkTest.java
+++ b/src/test/java/sandstack/fleet/link/FleetMemberTest.java
@@ -38,21 +38,21 @@
 /** Members over real sockets in one process: what they tell and ask each other, and peers that are none. */
 @Execution(ExecutionMode.CONCURRENT)
 @Timeout(60)
-class FleetLinkTest {
-    private final List<FleetLink> links = new ArrayList<>();
+class FleetMemberTest {
+    private final List<FleetMember> members = new ArrayList<>();
     private final List<Address> addresses = new ArrayList<>();
 
     @AfterEach
     void close() {
-        links.forEach(FleetLink::close);
+        members.forEach(FleetMember::close);
     }
 
-    private FleetLink join(String installation, String name) throws Exception {
+    private FleetMember join(String installation, String name) throws Exception {
         String host = "127.78.0." + (addresses.size() + 1);
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName(host))) {
             addresses.add(new Address(host, probe.getLocalPort()));
         }
-        FleetLink link = new FleetLink(
+        FleetMember member = new FleetMember(
                 new FleetFile(
                         installation,
                         addresses.get(addresses.size() - 1),
@@ -62,9 +62,9 @@
                         Map.of()),
                 name,
                 "zone");
-        links.add(link);
-        link.start();
-        return link;
+        members.add(member);
+        member.start();
+        return member;
     }
 
     private static void eventually(String what, BooleanSupplier holds) {
@@ -75,46 +75,47 @@
         }
     }
 
-    private static MemberStatus standing(FleetLink by, FleetLink of) {
-        return by.view().lines().stream()
-                .filter(l -> l.life().id().equals(of.view().self().id()))
-                .map(MemberTable.Row::standing)
+    private static MemberStatus status(FleetMember observer, FleetMember subject) {
+        return observer.view().rows().stream()
+                .filter(l -> l.incarnation().id().equals(subject.view().self().id()))
+                .map(MemberTable.Row::status)
                 .findFirst()
                 .orElse(null);
     }
 
-    private FleetLink[] two() throws Exception {
-        FleetLink a = join("inst", "a");
-        FleetLink b = join("inst", "b");
+    private FleetMember[] startTwo() throws Exception {
+        FleetMember a = join("inst", "a");
+        FleetMember b = join("inst", "b");
         eventually(
-                "they see each other",
-                () -> standing(a, b) == MemberStatus.ALIVE && standing(b, a) == MemberStatus.ALIVE);
-        return new FleetLink[] {a, b};
+                "they see each other", () -> status(a, b) == MemberStatus.ALIVE && status(b, a) == MemberStatus.ALIVE);
+        return new FleetMember[] {a, b};
     }
 
-    private static String told(FleetLink by, FleetLink of, String key) {
-        MemberValues.Held held = by.view().told().get(of.view().self().id());
-        return held == null ? null : held.state().values().get(key);
+    private static String published(FleetMember observer, FleetMember subject, String key) {
+        MemberValues.ReceivedValues received =
+                observer.view().published().get(subject.view().self().id());
+        return received == null ? null : received.values().entries().get(key);
     }
 
     @Test
-    void aValueThatOneTellsIsHeldByTheOtherAndTheLastOneWins() throws Exception {
-        FleetLink[] two = two();
+    void publishedValueReachesTheOtherMemberAndTheLastOneWins() throws Exception {
+        FleetMember[] two = startTwo();
         for (int i = 0; i <= 50; i++) {
-            two[0].tell("load", Integer.toString(i));
+            two[0].publish("load", Integer.toString(i));
         }
-        eventually("the last one is held", () -> "50".equals(told(two[1], two[0], "load")));
-        two[0].tell("load", null);
-        eventually("it is taken away", () -> told(two[1], two[0], "load") == null);
+        eventually("the last one is held", () -> "50".equals(published(two[1], two[0], "load")));
+        two[0].publish("load", null);
+        eventually("it is taken away", () -> published(two[1], two[0], "load") == null);
     }
 
     @Test
-    void aCallIsAnsweredOnceAndOneWithoutAnAnswerEndsAtItsDeadline() throws Exception {
-        FleetLink[] two = two();
+    void callIsAnsweredOnceOrTimesOut() throws Exception {
+        FleetMember[] two = startTwo();
         String to = two[1].view().self().id();
-        two[1].on("twice", (from, body) -> CompletableFuture.completedFuture(body + body));
-        two[1].on("never", (from, body) -> new CompletableFuture<>());
-        two[1].on("no", (from, body) -> CompletableFuture.failedFuture(new IllegalStateException("not now")));
+        two[1].registerHandler("twice", (from, body) -> CompletableFuture.completedFuture(body + body));
+        two[1].registerHandler("never", (from, body) -> new CompletableFuture<>());
+        two[1].registerHandler(
+                "no", (from, body) -> CompletableFuture.failedFuture(new IllegalStateException("not now")));
         assertThat(two[0].call(to, "twice", "ab", Duration.ofSeconds(5)).get(10, TimeUnit.SECONDS))
                 .isEqualTo("abab");
         assertThatThrownBy(
@@ -143,42 +144,44 @@
     }
 
     @Test
-    void aMemberOfAnotherInstallationIsNone() throws Exception {
-        FleetLink[] two = two();
-        FleetLink other = join("other", "c");
-        two[0].tell("mark", "1");
-        eventually("the fleet goes on", () -> "1".equals(told(two[1], two[0], "mark")));
-        assertThat(other.view().lines()).hasSize(1);
-        assertThat(two[0].view().lines()).hasSize(2);
+    void memberOfAnotherInstallationIsIgnored() throws Exception {
+        FleetMember[] two = startTwo();
+        FleetMember other = join("other", "c");
+        two[0].publish("mark", "1");
+        eventually("the fleet goes on", () -> "1".equals(published(two[1], two[0], "mark")));
+        assertThat(other.view().rows()).hasSize(1);
+        assertThat(two[0].view().rows()).hasSize(2);
     }
 
     @Test
-    void peersThatAreNoneAreHungUpOnAndChangeNothing() throws Exception {
-        FleetLink[] two = two();
+    void foreignPeersAreDisconnectedAndChangeNothing() throws Exception {
+        FleetMember[] two = startTwo();
         Address at = addresses.get(0);
         byte[] huge = ByteBuffer.allocate(1 << 20).putInt(60 << 20).array();
-        byte[] rubbish = ByteBuffer.allocate(1_004).putInt(1_000).array();
-        List<Socket> slow = new ArrayList<>();
+        byte[] garbage = ByteBuffer.allocate(1_004).putInt(1_000).array();
+        List<Socket> stalledPeers = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            assertThat(hangsUpOn(at, huge)).as("60 MB").isTrue();
-            assertThat(hangsUpOn(at, rubbish)).as("rubbish").isTrue();
-            assertThat(hangsUpOn(at, framed(unknownType()))).as("unknown types").isTrue();
+            assertThat(closesAfter(at, huge)).as("60 MB").isTrue();
+            assertThat(closesAfter(at, garbage)).as("rubbish").isTrue();
+            assertThat(closesAfter(at, framed(unknownType())))
+                    .as("unknown types")
+                    .isTrue();
             // one that says a little and waits
             Socket one = new Socket(at.host(), at.port());
             one.getOutputStream().write(0);
-            slow.add(one);
+            stalledPeers.add(one);
         }
-        two[0].tell("mark", "2");
-        eventually("the fleet goes on", () -> "2".equals(told(two[1], two[0], "mark")));
-        assertThat(standing(two[1], two[0])).isEqualTo(MemberStatus.ALIVE);
-        assertThat(two[0].view().lines()).hasSize(2);
-        for (Socket one : slow) {
+        two[0].publish("mark", "2");
+        eventually("the fleet goes on", () -> "2".equals(published(two[1], two[0], "mark")));
+        assertThat(status(two[1], two[0])).isEqualTo(MemberStatus.ALIVE);
+        assertThat(two[0].view().rows()).hasSize(2);
+        for (Socket one : stalledPeers) {
             one.close();
         }
     }
 
     /** Whether the other end hangs up on whoever sends this. */
-    private static boolean hangsUpOn(Address at, byte[] bytes) throws IOException {
+    private static boolean closesAfter(Address at, byte[] bytes) throws IOException {
         try (Socket socket = new Socket(at.host(), at.port())) {
             socket.setSoTimeout(2_000);
             socket.getOutputStream().write(bytes);
@@ -209,8 +212,8 @@
     }
 
     @Test
-    void onlyKnownTypesAreRead() throws Exception {
-        KnownTypes codec = new KnownTypes();
+    void onlyAllowedTypesAreRead() throws Exception {
+        FilteredMessageCodec codec = new FilteredMessageCodec();
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         codec.serialize(Message.builder().qualifier("q").data("text").build(), bytes);
         assertThat(codec.deserialize(new ByteArrayInputStream(bytes.toByteArray()))
@@ -225,28 +228,28 @@
                 bytes);
         assertThatThrownBy(() -> codec.deserialize(new ByteArrayInputStream(bytes.toByteArray())))
                 .hasMessage("a message of unknown types");
-        assertThat(codec.refused()).isEqualTo(1);
+        assertThat(codec.rejectedCount()).isEqualTo(1);
     }
 
     @Test
-    void wordsOfALaterVersionAreToldApartFromRubbish() {
-        assertThatThrownBy(() -> MessageJson.read("{\"v\":2,\"new\":[]}", FleetMessages.Question.class))
+    void laterProtocolVersionIsDistinguishedFromMalformedMessages() {
+        assertThatThrownBy(() -> MessageJson.read("{\"v\":2,\"new\":[]}", FleetMessages.ProbeRequest.class))
                 .hasMessage("version 2 of the words, known are up to 1");
-        assertThatThrownBy(() -> MessageJson.read("{\"name\":1}", FleetMessages.Question.class))
+        assertThatThrownBy(() -> MessageJson.read("{\"name\":1}", FleetMessages.ProbeRequest.class))
                 .hasMessage("a body without a version");
-        assertThatThrownBy(() -> MessageJson.read("{\"v\":1,\"has\":\"x\"}", FleetMessages.Question.class))
-                .hasMessage("a body that is no Question");
-        assertThatThrownBy(() -> MessageJson.read("[[[[[[[[[[[[", FleetMessages.Question.class))
-                .hasMessageContaining("no Question");
-        assertThatThrownBy(() -> MessageJson.read(17, FleetMessages.Question.class))
+        assertThatThrownBy(() -> MessageJson.read("{\"v\":1,\"has\":\"x\"}", FleetMessages.ProbeRequest.class))
+                .hasMessage("a body that is no ProbeRequest");
+        assertThatThrownBy(() -> MessageJson.read("[[[[[[[[[[[[", FleetMessages.ProbeRequest.class))
+                .hasMessageContaining("no ProbeRequest");
+        assertThatThrownBy(() -> MessageJson.read(17, FleetMessages.ProbeRequest.class))
                 .hasMessage("a body that is no text");
     }
 
     /** At an upgrade the next process of a relay becomes the member once the one before has left. */
     @Test
-    void theNextProcessOfARelayTakesItsPlaceOnceTheOneBeforeHasLeft() throws Exception {
-        FleetLink[] two = two();
-        FleetLink next = new FleetLink(
+    void nextProcessOfARelayJoinsOnceThePreviousOneHasLeft() throws Exception {
+        FleetMember[] two = startTwo();
+        FleetMember next = new FleetMember(
                 new FleetFile(
                         "inst",
                         addresses.get(1),
@@ -256,23 +259,23 @@
                         Map.of()),
                 "b",
                 "zone");
-        links.add(next);
-        next.startWhenFree();
-        two[0].tell("mark", "3");
-        eventually("the fleet goes on", () -> "3".equals(told(two[1], two[0], "mark")));
-        assertThat(next.view().lines()).hasSize(1);
+        members.add(next);
+        next.startWhenAddressFree();
+        two[0].publish("mark", "3");
+        eventually("the fleet goes on", () -> "3".equals(published(two[1], two[0], "mark")));
+        assertThat(next.view().rows()).hasSize(1);
         two[1].close();
         eventually(
                 "the next one is the member, and the one before has left",
-                () -> standing(two[0], next) == MemberStatus.ALIVE && standing(two[0], two[1]) == MemberStatus.LEFT);
-        eventually("it holds the name", () -> next.view().settled());
+                () -> status(two[0], next) == MemberStatus.ALIVE && status(two[0], two[1]) == MemberStatus.LEFT);
+        eventually("it holds the name", () -> next.view().ownsName());
     }
 
     @Test
-    void anAddressThatIsTakenIsOneLine() throws Exception {
-        FleetLink a = join("inst", "a");
-        assertThat(a.view().lines()).hasSize(1);
-        FleetLink second = new FleetLink(
+    void addressInUseIsReportedInOneLine() throws Exception {
+        FleetMember a = join("inst", "a");
+        assertThat(a.view().rows()).hasSize(1);
+        FleetMember second = new FleetMember(
                 new FleetFile(
                         "inst", addresses.get(0), "m", List.of(addresses.get(0).toString()), Set.of(), Map.of()),
                 "b",
--- a/src/test/java/sandstack/fleet/link/WireSizesTest.java
+++ b/src/test/java/sandstack/fleet/link/WireSizesTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import sandstack.fleet.FleetMessages;
-import sandstack.fleet.FleetMessages.Answer;
-import sandstack.fleet.FleetMessages.News;
-import sandstack.fleet.FleetMessages.Question;
-import sandstack.fleet.FleetMessages.Spread;
+import sandstack.fleet.FleetMessages.MemberState;
+import sandstack.fleet.FleetMessages.ProbeRequest;
+import sandstack.fleet.FleetMessages.ProbeResponse;
+import sandstack.fleet.FleetMessages.StateGossip;
 import sandstack.fleet.Incarnation;
 import sandstack.measure.scale.hollow.WireSizes;
 
@@ -86,7 +86,7 @@
 
     private static int encoded(Message message) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new KnownTypes().serialize(message, out);
+        new FilteredMessageCodec().serialize(message, out);
         return out.size() + LENGTH_BYTES;
     }
 
@@ -128,16 +128,16 @@
         Set<String> ids = IntStream.range(0, reached)
                 .mapToObj(i -> String.format("%064x", i))
                 .collect(Collectors.toSet());
-        News news = new News(7, Map.of("relays", "5600:12ab34cd"), ids, Set.of());
-        Object question = new Question(FleetMessages.VERSION, id, name, 7, true);
-        Object answer = new Answer(FleetMessages.VERSION, id, name, news, true);
-        Object spread =
-                new Spread(FleetMessages.VERSION, id, news, new Incarnation(id, name, "zone-1", "machine-1", address));
+        MemberState news = new MemberState(7, Map.of("relays", "5600:12ab34cd"), ids, Set.of());
+        Object question = new ProbeRequest(FleetMessages.PROTOCOL_VERSION, id, name, 7, true);
+        Object answer = new ProbeResponse(FleetMessages.PROTOCOL_VERSION, id, name, news, true);
+        Object spread = new StateGossip(
+                FleetMessages.PROTOCOL_VERSION, id, news, new Incarnation(id, name, "zone-1", "machine-1", address));
         assertThat(sizes.probe(WireSizes.body(question)))
-                .isEqualTo(sent("sandstack/question", MessageJson.text(question), true));
+                .isEqualTo(sent("sandstack/question", MessageJson.write(question), true));
         assertThat(sizes.probeAnswer(WireSizes.body(answer)))
-                .isEqualTo(sent("sandstack/result", MessageJson.text(answer), true));
+                .isEqualTo(sent("sandstack/result", MessageJson.write(answer), true));
         assertThat(sizes.stateGossip(WireSizes.body(spread)))
-                .isEqualTo(gossip("sandstack/spread", MessageJson.text(spread)));
+                .isEqualTo(gossip("sandstack/spread", MessageJson.write(spread)));
     }
 }
--- a/src/test/java/sandstack/rig/RulesTest.java
+++ b/src/test/java/sandstack/rig/RulesTest.java
@@ -54,7 +54,7 @@
     void aCleanRunBreaksNothing() {
         allAlive(0);
         done(1, Kind.CUT, 0, 1);
-        seen(4, 2, MemberStatus.PARTLY, MemberStatus.PARTLY, MemberStatus.ALIVE);
+        seen(4, 2, MemberStatus.PARTIALLY_REACHABLE, MemberStatus.PARTIALLY_REACHABLE, MemberStatus.ALIVE);
         done(5, Kind.CUT, 2, 1);
         seen(12, 0, MemberStatus.ALIVE, MemberStatus.LOST, MemberStatus.ALIVE);
         letGo(13);
@@ -70,14 +70,14 @@
     @Test
     void aPartThatShrinksIntoAWholeIsFound() {
         allAlive(0);
-        stands(0, 0, QuorumState.WHOLE, 3);
-        stands(1, 0, QuorumState.MOST, 2);
-        stands(2, 0, QuorumState.FEW, 1);
+        stands(0, 0, QuorumState.COMPLETE, 3);
+        stands(1, 0, QuorumState.MAJORITY, 2);
+        stands(2, 0, QuorumState.MINORITY, 1);
         letGo(3);
         allAlive(4);
         assertThat(broken()).isEmpty();
-        stands(5, 0, QuorumState.WHOLE, 2);
-        stands(6, 0, QuorumState.MOST, 1);
+        stands(5, 0, QuorumState.COMPLETE, 2);
+        stands(6, 0, QuorumState.MAJORITY, 1);
         assertThat(Rules.check(3, facts))
                 .extracting(Rules.Broken::rule)
                 .containsExactly(
@@ -89,13 +89,13 @@
         allAlive(0);
         done(1, Kind.PAUSE, 1, -1);
         done(9, Kind.RESUME, 1, -1);
-        stands(9.2, 1, QuorumState.UNSURE, 3);
-        stands(9.3, 0, QuorumState.MOST, 2);
-        stands(12, 1, QuorumState.WHOLE, 3);
+        stands(9.2, 1, QuorumState.UNKNOWN, 3);
+        stands(9.3, 0, QuorumState.MAJORITY, 2);
+        stands(12, 1, QuorumState.COMPLETE, 3);
         letGo(13);
         allAlive(14);
         assertThat(broken()).isEmpty();
-        facts.all().add(5, new Stands(9_100_000, 1, QuorumState.WHOLE, 3));
+        facts.all().add(5, new Stands(9_100_000, 1, QuorumState.COMPLETE, 3));
         assertThat(broken()).containsExactly("who stood still is unsure");
     }
 
@@ -146,7 +146,7 @@
         allAlive(0);
         letGo(1);
         seen(5, 0, MemberStatus.ALIVE, MemberStatus.ALIVE, MemberStatus.ALIVE);
-        seen(5, 1, MemberStatus.ALIVE, MemberStatus.ALIVE, MemberStatus.PARTLY);
+        seen(5, 1, MemberStatus.ALIVE, MemberStatus.ALIVE, MemberStatus.PARTIALLY_REACHABLE);
         assertThat(broken())
                 .containsExactlyInAnyOrder("views are equal after all faults have ended", "whoever runs answers");
     }
