--- a/src/main/java/sandstack/fleet/GuardedOperation.java
+++ b/src/main/java/sandstack/fleet/GuardedOperation.java
@@ -3,14 +3,14 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** Something that a part of the program does for the fleet. Each part names its acts, and for each where it is allowed. */
+/** An operation on behalf of the fleet that may begin only in certain quorum states. */
 public interface GuardedOperation {
-    /** The grounds on which it is allowed. */
+    /** The quorum states in which it may begin. */
     Set<QuorumState> allowedStates();
 
-    /** What the membership itself does at the word of staff. */
+    /** Operations of the membership itself, at the request of an operator. */
     enum OperatorOperation implements GuardedOperation {
-        /** A lost relay is no longer counted: with fewer to count, a half may become a majority. */
+        /** Stops counting a lost relay. With fewer relays to count, a half may become a majority. */
         DECOMMISSION_RELAY(EnumSet.of(QuorumState.MAJORITY, QuorumState.MINORITY, QuorumState.ISOLATED));
 
         private final Set<QuorumState> states;
--- a/src/main/java/sandstack/fleet/Incarnation.java
+++ b/src/main/java/sandstack/fleet/Incarnation.java
@@ -3,23 +3,30 @@
 import java.util.List;
 
 /**
- * One life of a relay: from its start until it ends. A restart is another life of the same name.
+ * One run of a relay, from its start to its end. A restart is another incarnation with the same name.
  *
- * @param id differs for each start, on whatever disk; never used twice
- * @param name the relay's, which its lives share
- * @param machine what it shares with whatever fails with it
- * @param address where members reach it
+ * @param id unique for each start, whatever is on the disk
+ * @param name name of the relay
+ * @param zone name of the zone in which it runs
+ * @param machine failure domain that it shares with other processes
+ * @param address {@code HOST:PORT} at which members reach it
  */
 public record Incarnation(String id, String name, String zone, String machine, String address) {
-    /** Longer words are not told and not taken. */
+    /** Maximum length of each component, in characters. */
     public static final int MAX_LENGTH = 200;
 
-    /** An {@link IllegalArgumentException} where a value is longer than {@link #MAX_LENGTH}. */
+    private static final int QUOTED_LENGTH = 20;
+
+    /**
+     * Checks the lengths.
+     *
+     * @throws IllegalArgumentException if a component is longer than {@link #MAX_LENGTH}
+     */
     public Incarnation {
         for (String value : List.of(id, name, zone, machine, address)) {
             if (value.length() > MAX_LENGTH) {
                 throw new IllegalArgumentException(
-                        "longer than " + MAX_LENGTH + " characters: " + value.substring(0, 20) + "...");
+                        "longer than " + MAX_LENGTH + " characters: " + value.substring(0, QUOTED_LENGTH) + "...");
             }
         }
     }
--- a/src/main/java/sandstack/fleet/MemberTable.java
+++ b/src/main/java/sandstack/fleet/MemberTable.java
@@ -9,31 +9,33 @@
 import java.util.Set;
 
 /**
- * All lives that this member has heard of, and how each stands. Three things are put together: whom the library holds
- * for a member, whom this one reaches itself, and whom the others say that they reach. Who is told of by others counts
- * as soon as this one has had its answer, however late the library meets it.
+ * The membership table: all incarnations that this member knows, and the status of each. A status combines three sources:
+ * the members that the library lists, those that this member reaches directly, and those that other members report as
+ * reachable. A member that is only known by gossip counts as soon as this one has had its response, however late the
+ * library discovers it.
  *
- * <p>What it promises: a life that is gone never comes back (a restart has another id); where all members tell each
- * other the same, all derive the same standing; nothing follows from comparing clocks of two machines. It does not
- * promise that two members agree at one moment: while a cut lasts, both sides call the other lost.
+ * <p>Guarantees: an incarnation that has left never returns, as a restart has another id; members that have received the
+ * same reports derive the same status; clocks of different machines are never compared. Not guaranteed: that two members
+ * agree at one moment. During a partition both sides call each other lost.
  *
- * <p>One thread; O(members squared) a look at all, O(1) an event. Of the gone the last {@link #MAX_DEPARTED} are kept.
+ * <p>Not thread-safe. {@link #rows} costs O(members squared), an event O(1) unless it removes members. Of departed
+ * members the latest {@link #MAX_DEPARTED} are retained.
  */
 public final class MemberTable {
     static final int MAX_DEPARTED = 64;
 
-    /** What is held of one incarnation. */
+    /** What is known of one incarnation. */
     private static final class Entry {
         final Incarnation incarnation;
-        /** Whether the library holds it. */
         boolean listedByLibrary = true;
-
         boolean left;
-        /** Told of by others, and nobody has said yet that they reach it. */
+        /** Known by gossip alone, and no member has reported that it reaches it. */
         boolean unconfirmed;
 
+        /** When the library last added or removed it. */
         long sinceMicros;
-        /** As it was last shown, and since when it is shown so. */
+
+        /** The status in the last {@link #rows}; null before the first. */
         MemberStatus lastStatus;
 
         long lastStatusSinceMicros;
@@ -44,16 +46,16 @@
         }
     }
 
-    /** What a member says of its own reach. */
+    /** Which members one member reports as reachable and unreachable. */
     private record ReachReport(Set<String> reachable, Set<String> unreachable) {}
 
     /**
-     * How one life stands.
+     * One incarnation and its status.
      *
-     * @param sinceMicros when that began here, of the caller's clock
-     * @param reachableCount how many members with a say reach it
-     * @param reporterCount how many members have a say about it
-     * @param unreachableFrom names of those who do not reach it
+     * @param sinceMicros since when it has this status here, by the caller's clock
+     * @param reachableCount how many of the reporters reach it
+     * @param reporterCount how many members report on it
+     * @param unreachableFrom names of the reporters that do not reach it
      */
     public record Row(
             Incarnation incarnation,
@@ -66,9 +68,10 @@
     private final Incarnation self;
     private final long createdAtMicros;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
+    /** The last report of each member, this one among them, by the id of the reporter. */
     private final Map<String, ReachReport> reachReports = new HashMap<>();
 
-    /** Creates a table of this member alone, from {@code now} on. */
+    /** Creates a table of this member alone. */
     public MemberTable(Incarnation self, long nowMicros) {
         this.self = self;
         this.createdAtMicros = nowMicros;
@@ -80,19 +83,22 @@
         return self;
     }
 
-    /** The library has this life for a member. */
+    /** The library has added this incarnation to its members, for the first time or after a partition. */
     public void memberAdded(Incarnation incarnation, long nowMicros) {
         Entry entry = entries.get(incarnation.id());
         if (entry == null) {
             entries.put(incarnation.id(), new Entry(incarnation, nowMicros));
         } else if (!entry.left && !entry.listedByLibrary) {
-            // behind a cut it lived on: the same life, not a new one
             entry.listedByLibrary = true;
             entry.sinceMicros = nowMicros;
         }
     }
 
-    /** Others know this life; returns whether it is new here. It is present as far as somebody says that they reach it. */
+    /**
+     * Gossip names this incarnation. It counts as a member while some member reports that it reaches it.
+     *
+     * @return whether it was not known before
+     */
     public boolean memberDiscovered(Incarnation incarnation, long nowMicros) {
         if (entries.containsKey(incarnation.id())) {
             return false;
@@ -105,14 +111,15 @@
         return true;
     }
 
-    /** The life said that it goes. */
+    /** The incarnation has announced that it leaves. */
     public void memberLeft(String id, long nowMicros) {
         memberDeparted(id, true, nowMicros);
     }
 
     /**
-     * The library gave it up; one that had said that it goes has left. The library asks through one other member and
-     * takes back what it gave up only by a word with the member itself: one that others reach stays, by their word.
+     * The library has removed the incarnation, unless it had left before. The library probes through few other members
+     * and withdraws a suspicion only after contact with the member itself, so a member that others reach stays in this
+     * table by their reports.
      */
     public void memberRemoved(String id, long nowMicros) {
         memberDeparted(id, false, nowMicros);
@@ -131,21 +138,22 @@
     }
 
     private void evictOldestDeparted() {
-        List<Entry> gone = new ArrayList<>(entries.values().stream()
+        List<Entry> departed = entries.values().stream()
                 .filter(entry -> !isMember(entry))
                 .sorted(Comparator.comparingLong(entry -> entry.sinceMicros))
-                .toList());
-        for (int i = 0; i < gone.size() - MAX_DEPARTED; i++) {
-            entries.remove(gone.get(i).incarnation.id());
+                .toList();
+        for (int i = 0; i < departed.size() - MAX_DEPARTED; i++) {
+            entries.remove(departed.get(i).incarnation.id());
         }
     }
 
     /**
-     * What a member says of its reach. The word of one that neither the library holds nor this one reaches does not count:
-     * it may be old.
+     * A member reports its reachability. Ignored if the library does not list the reporter and this member does not reach
+     * it, as the report may be stale.
      *
-     * @param reachable whom it reaches itself
-     * @param unreachable whom it asks in vain
+     * @param id incarnation id of the reporter
+     * @param reachable ids that it reaches directly
+     * @param unreachable ids whose probes time out
      */
     public void reachReported(String id, Set<String> reachable, Set<String> unreachable) {
         Entry entry = entries.get(id);
@@ -154,13 +162,12 @@
         }
     }
 
-    /** Whether this member reaches it itself. */
     private boolean reachableFromSelf(String id) {
         ReachReport own = reachReports.get(self.id());
         return own != null && own.reachable().contains(id);
     }
 
-    /** Whether it is a member now. */
+    /** Whether the incarnation with this id is a member now. */
     boolean isMember(String id) {
         Entry entry = entries.get(id);
         return entry != null && isMember(entry);
@@ -170,10 +177,10 @@
         return !entry.left
                 && (entry.listedByLibrary
                         || reachReports.values().stream()
-                                .anyMatch(say -> say.reachable().contains(entry.incarnation.id())));
+                                .anyMatch(report -> report.reachable().contains(entry.incarnation.id())));
     }
 
-    /** Ids of all members but this one. */
+    /** Incarnation ids of all members but this one. */
     public List<String> otherMemberIds() {
         return entries.values().stream()
                 .filter(entry -> isMember(entry) && entry.incarnation != self)
@@ -181,54 +188,65 @@
                 .toList();
     }
 
-    /** The life with this id, gone or not; null where there is none. */
+    /** The incarnation with this id, departed or not; null if it is not known. */
     public Incarnation incarnation(String id) {
         Entry entry = entries.get(id);
         return entry == null ? null : entry.incarnation;
     }
 
-    /** How all stand, by name and then by age. */
+    /** All incarnations and their status, by name and then by the age of the status. */
     public List<Row> rows(long nowMicros) {
         List<Row> rows = new ArrayList<>();
         for (Entry entry : entries.values()) {
-            String id = entry.incarnation.id();
             entry.unconfirmed &= !isMember(entry) && !entry.left;
-            if (entry.unconfirmed) {
-                continue;
-            }
-            List<String> against = new ArrayList<>();
-            int voices = 0;
-            for (Map.Entry<String, ReachReport> say : reachReports.entrySet()) {
-                // whoever is not reached itself by us has its word all the same: it came by others
-                boolean not = say.getValue().unreachable().contains(id);
-                if (!say.getKey().equals(id)
-                        && (not || say.getValue().reachable().contains(id))) {
-                    voices++;
-                    if (not) {
-                        against.add(entries.get(say.getKey()).incarnation.name());
-                    }
-                }
-            }
-            against.sort(null);
-            boolean some = against.size() < voices;
-            boolean met = entry.listedByLibrary || reachableFromSelf(id) && against.isEmpty();
-            MemberStatus is = entry.left
-                    ? MemberStatus.LEFT
-                    : !met
-                            ? some ? MemberStatus.PARTIALLY_REACHABLE : MemberStatus.LOST
-                            : against.isEmpty()
-                                    ? MemberStatus.ALIVE
-                                    : some ? MemberStatus.PARTIALLY_REACHABLE : MemberStatus.SUSPECT;
-            if (entry.lastStatus != is) {
-                entry.lastStatus = is;
-                entry.lastStatusSinceMicros = entry.incarnation == self ? createdAtMicros : nowMicros;
+            if (!entry.unconfirmed) {
+                rows.add(row(entry, nowMicros));
             }
-            rows.add(new Row(
-                    entry.incarnation, is, entry.lastStatusSinceMicros, voices - against.size(), voices, against));
         }
-        rows.sort(Comparator.comparing((Row l) -> l.incarnation().name())
+        rows.sort(Comparator.comparing((Row row) -> row.incarnation().name())
                 .thenComparingLong(Row::sinceMicros)
-                .thenComparing(l -> l.incarnation().id()));
+                .thenComparing(row -> row.incarnation().id()));
         return rows;
     }
+
+    private Row row(Entry entry, long nowMicros) {
+        String id = entry.incarnation.id();
+        List<String> unreachableFrom = new ArrayList<>();
+        int reporterCount = 0;
+        // the reporter need not be reachable from here: its report may have come by gossip
+        for (Map.Entry<String, ReachReport> report : reachReports.entrySet()) {
+            boolean unreachable = report.getValue().unreachable().contains(id);
+            boolean reported = unreachable || report.getValue().reachable().contains(id);
+            if (!reported || report.getKey().equals(id)) {
+                continue;
+            }
+            reporterCount++;
+            if (unreachable) {
+                unreachableFrom.add(entries.get(report.getKey()).incarnation.name());
+            }
+        }
+        unreachableFrom.sort(null);
+        int reachableCount = reporterCount - unreachableFrom.size();
+        MemberStatus status = status(entry, reachableCount, unreachableFrom.isEmpty());
+        if (entry.lastStatus != status) {
+            entry.lastStatus = status;
+            entry.lastStatusSinceMicros = entry.incarnation == self ? createdAtMicros : nowMicros;
+        }
+        return new Row(
+                entry.incarnation, status, entry.lastStatusSinceMicros, reachableCount, reporterCount, unreachableFrom);
+    }
+
+    private MemberStatus status(Entry entry, int reachableCount, boolean reachableFromAll) {
+        if (entry.left) {
+            return MemberStatus.LEFT;
+        }
+        boolean present = entry.listedByLibrary || reachableFromSelf(entry.incarnation.id()) && reachableFromAll;
+        if (present && reachableFromAll) {
+            return MemberStatus.ALIVE;
+        }
+        if (reachableCount > 0) {
+            return MemberStatus.PARTIALLY_REACHABLE;
+        }
+        return present ? MemberStatus.SUSPECT : MemberStatus.LOST;
+    }
 }
--- a/src/main/java/sandstack/fleet/MemberValues.java
+++ b/src/main/java/sandstack/fleet/MemberValues.java
@@ -6,27 +6,31 @@
 import java.util.TreeMap;
 
 /**
- * Small values that each member tells all. Only a member itself changes its own, and each change raises its number, so
- * of two states of one life the one with the higher number is the later, whatever way it came. Nothing of it outlasts
- * the life that told it: what must not be lost does not belong here.
+ * Small values that each member publishes to all others. Only a member itself changes its values, and each change
+ * increments their version. Of two versions from the same incarnation the higher one is the later, whatever way it came.
+ * Values do not outlive the incarnation that published them.
  *
- * <p>One thread; O(1) a call but for the copy of a member's few values.
+ * <p>Not thread-safe. A call costs O(1), besides copying the values of one member.
  */
 public final class MemberValues {
-    /** Values that one incarnation may tell at the same time. */
+    /** Values that one incarnation may publish at the same time. */
     public static final int MAX_VALUES = 16;
-    /** Characters of a key and of a value. */
+    /** Maximum length of a key and of a value, in characters. */
     public static final int MAX_LENGTH = 512;
 
     /**
-     * What one life tells.
+     * The values of one incarnation.
      *
-     * @param version of its last change
+     * @param version number of the last change
      */
     public record VersionedValues(long version, Map<String, String> entries) {
         static final VersionedValues EMPTY = new VersionedValues(0, Map.of());
 
-        /** Copies the values; an {@link IllegalArgumentException} where they are too many or too long. */
+        /**
+         * Copies the entries.
+         *
+         * @throws IllegalArgumentException if there are too many, or one is too long
+         */
         public VersionedValues {
             if (entries.size() > MAX_VALUES) {
                 throw new IllegalArgumentException(entries.size() + " values, " + MAX_VALUES + " at most");
@@ -41,43 +45,54 @@
     }
 
     /**
-     * A value as it was last told.
+     * The latest values of one incarnation that have arrived here.
      *
-     * @param receivedAtMicros when it came here, of the caller's clock; a later one is fresher news, not a later change
+     * @param receivedAtMicros by the caller's clock
      */
     public record ReceivedValues(VersionedValues values, long receivedAtMicros) {}
 
     private final String selfId;
     private final Map<String, ReceivedValues> received = new HashMap<>();
 
-    /** Creates an empty table; its own values are those of the incarnation with this id. */
+    /** Creates an empty table; {@code selfId} is the incarnation id of this member. */
     public MemberValues(String selfId) {
         this.selfId = selfId;
     }
 
-    /** Changes one of this member's own values; null takes it away. Returns false where nothing changes. */
+    /**
+     * Changes one of this member's own values.
+     *
+     * @param value the new value; null removes it
+     * @return whether anything changed
+     * @throws IllegalArgumentException if there would be too many values, or the value is too long
+     */
     public boolean publish(String key, String value, long nowMicros) {
         VersionedValues own = values(selfId);
         Map<String, String> entries = new TreeMap<>(own.entries());
-        if (value == null ? entries.remove(key) == null : value.equals(entries.put(key, value))) {
+        boolean unchanged = value == null ? entries.remove(key) == null : value.equals(entries.put(key, value));
+        if (unchanged) {
             return false;
         }
         received.put(selfId, new ReceivedValues(new VersionedValues(own.version() + 1, entries), nowMicros));
         return true;
     }
 
-    /** What a life tells; nothing where it has told nothing. */
+    /** The latest values of an incarnation; empty if none have arrived. */
     public VersionedValues values(String id) {
         ReceivedValues latest = received.get(id);
         return latest == null ? VersionedValues.EMPTY : latest.values();
     }
 
-    /** The same with the moment at which it came; null where nothing has come. */
+    /** The same with the time of their arrival; null if none have arrived. */
     public ReceivedValues received(String id) {
         return received.get(id);
     }
 
-    /** A state came in; returns whether it is later than what was known. Nobody else changes this one's own. */
+    /**
+     * Takes values that another member has published.
+     *
+     * @return whether they are later than the ones known so far
+     */
     public boolean accept(String id, VersionedValues update, long nowMicros) {
         if (id.equals(selfId) || update.version() <= values(id).version()) {
             return false;
@@ -86,7 +101,7 @@
         return true;
     }
 
-    /** Forgets all but these, and this one. */
+    /** Removes the values of all incarnations but these and this one. */
     public void retainOnly(Collection<String> ids) {
         received.keySet().removeIf(id -> !id.equals(selfId) && !ids.contains(id));
     }
--- a/src/main/java/sandstack/fleet/Membership.java
+++ b/src/main/java/sandstack/fleet/Membership.java
@@ -2,41 +2,55 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
-import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 import sandstack.fleet.FleetMessages.MemberState;
 import sandstack.fleet.FleetMessages.ProbeRequest;
 import sandstack.fleet.FleetMessages.ProbeResponse;
 
 /**
- * One member's part in knowing the others: puts the library's word, own questions and the words of others together, and
- * says whom to ask next. Decides nothing about requests of clients.
+ * One member's part in the membership protocol: combines the events of the SWIM library, its own probes and the reports
+ * of other members, and decides whom to probe next. Decides nothing about client requests.
  *
- * <p><b>Failure model.</b> Members crash and restart with or without their disk, stop for any time and go on, are slow;
- * links lose, delay, cut one way or both. Members do not lie; what is no word of ours is refused before it comes here.
- * <b>Promised:</b> the values of a member that others hold are values that it told, the later never before the earlier;
- * a member is called {@link MemberStatus#PARTIALLY_REACHABLE} and not lost while anyone reaches it and says so; of two processes that
- * start with one name at most one is told that the name is its own, as long as they reach each other when they start.
- * <b>Not promised:</b> that all hold the same view at one moment, or that a name has one holder across a cut: what
- * needs that needs one order, and this has none.
+ * <p><b>Failure model.</b> Members crash and restart with or without their disk, stall for any time, and are slow. Links
+ * lose and delay messages and fail in one direction or both. Members do not lie; malformed messages are rejected before
+ * they arrive here.
  *
- * <p>One thread; a turn costs O(members), {@link #view} O(members squared).
+ * <p><b>Guaranteed.</b> Received values were published by their member, and a later version never gives way to an earlier
+ * one. A member is {@link MemberStatus#PARTIALLY_REACHABLE} and not lost while any member reports that it reaches it. Of
+ * two processes that start with one name, at most one owns it, provided that they reach each other at the start.
+ *
+ * <p><b>Not guaranteed.</b> That all members have one view at one moment, or that a name has one owner across a partition.
+ * Both need consensus, which this protocol does not provide.
+ *
+ * <p>Not thread-safe. A tick costs O(members), {@link #view} O(members squared).
  */
 public final class Membership {
-    /** Turns come this often; one that comes much later was slept through. */
+    /** Interval of {@link #tick}. */
     public static final long TICK_MICROS = 100_000;
 
+    /** A tick that is later than this means that the process has stalled. */
     static final long STALL_THRESHOLD_MICROS = 10 * TICK_MICROS;
-    /** So long after its first turn a life that heard of no namesake holds its name. */
-    public static final long NAME_CLAIM_MICROS = 1_500_000;
+    /** An incarnation owns its name if no conflict is known so long after its first tick. */
+    public static final long NAME_CLAIM_MICROS = NameClaim.CLAIM_MICROS;
 
+    /** Minimum interval between two gossips of the own state. */
     static final long GOSSIP_INTERVAL_MICROS = 500_000;
 
-    /** How all stand, and what they tell, at one moment. */
+    /** Key of the published digest of the configured relays. */
+    static final String CONFIGURATION_DIGEST_KEY = "relays";
+
+    /**
+     * The membership at one moment. Immutable.
+     *
+     * @param published the latest values of each member, by incarnation id
+     * @param ownsName whether this member's claim to its name is settled
+     * @param unreachable ids of the members that this one does not reach directly
+     * @param takenAtMicros by the caller's clock
+     */
     public record View(
             Incarnation self,
             List<MemberTable.Row> rows,
@@ -45,46 +59,41 @@
             Set<String> unreachable,
             QuorumAssessment quorum,
             long takenAtMicros) {
-        /** The same, with what may be acted on at this moment. */
+        /** The same with the quorum state as it counts at this moment. */
         public View asOf(long nowMicros) {
             return new View(self, rows, published, ownsName, unreachable, quorum.asOf(nowMicros), takenAtMicros);
         }
     }
 
-    /** What a member tells of the relays that staff state, and of those that staff took out. */
-    static final String CONFIGURATION_DIGEST_KEY = "relays";
-
-    static final String DECOMMISSIONED_KEY = "out";
-
     private final MemberTable memberTable;
     private final ReachabilityProbe reachability;
     private final MemberValues memberValues;
     private final QuorumTracker quorumTracker;
-    /** Of the first turn; -1 before it. */
-    private long firstTickMicros = -1;
-
+    private final DecommissionedRelays decommissionedRelays;
+    private final NameClaim nameClaim;
     private MemberState ownState;
     private long lastTickMicros;
     private long gossipedVersion;
     private long lastGossipMicros = Long.MIN_VALUE / 2;
-    private boolean ownsName;
-    private String nameOwnerId;
 
-    /** Where staff have not said which relays there are. */
+    /** Creates a membership without configured relays; its quorum state is always unknown. */
     public Membership(Incarnation self, long nowMicros, RandomGenerator random) {
         this(self, Set.of(), nowMicros, random);
     }
 
     /**
-     * Creates a membership that has met no other member yet.
+     * Creates a membership that knows no other member yet.
      *
-     * @param configuredRelays names of all relays that there are, as staff state them
+     * @param configuredRelays names of all relays of the fleet; empty if they are not configured
+     * @param random shuffles the order of probes
      */
     public Membership(Incarnation self, Set<String> configuredRelays, long nowMicros, RandomGenerator random) {
         quorumTracker = new QuorumTracker(configuredRelays, self.name(), nowMicros);
         memberTable = new MemberTable(self, nowMicros);
         reachability = new ReachabilityProbe(random);
         memberValues = new MemberValues(self.id());
+        decommissionedRelays = new DecommissionedRelays(self.id(), memberValues, quorumTracker);
+        nameClaim = new NameClaim(self);
         lastTickMicros = nowMicros;
         ownState = new MemberState(0, Map.of(), Set.of(), Set.of());
         if (!configuredRelays.isEmpty()) {
@@ -92,15 +101,18 @@
         }
     }
 
-    /** The library has this life for a member. */
+    /** The library has added a member. */
     public void memberAdded(Incarnation incarnation, long nowMicros) {
         memberTable.memberAdded(incarnation, nowMicros);
         membersChanged();
     }
 
     /**
-     * A life tells of itself through others: the library meets it only by a word with it, drawn once in a while, and two
-     * that started behind a cut met late. Whoever is reached by others is asked.
+     * Gossip from an incarnation names itself. The library discovers members at random, which takes long for two that
+     * started on both sides of a partition, so members that others reach are probed as well.
+     *
+     * @param id incarnation id of the sender
+     * @param incarnation the sender; null if the message does not include it
      */
     public void memberDiscovered(String id, Incarnation incarnation, long nowMicros) {
         if (incarnation != null
@@ -110,13 +122,13 @@
         }
     }
 
-    /** It said that it goes. */
+    /** A member has announced that it leaves. */
     public void memberLeft(String id, long nowMicros) {
         memberTable.memberLeft(id, nowMicros);
         membersChanged();
     }
 
-    /** The library gave it up. */
+    /** The library has removed a member. */
     public void memberRemoved(String id, long nowMicros) {
         memberTable.memberRemoved(id, nowMicros);
         membersChanged();
@@ -124,7 +136,7 @@
 
     private void membersChanged() {
         reachability.setMembers(memberTable.otherMemberIds());
-        // one that comes back from behind a cut is asked for all that it tells
+        // a member that returns after a partition sends its complete state again
         memberValues.retainOnly(memberTable.otherMemberIds());
         reachabilityChanged();
     }
@@ -143,63 +155,62 @@
     }
 
     /**
-     * Changes a value that this member tells all; null takes it away.
+     * Changes a value that this member publishes.
      *
-     * @throws IllegalArgumentException where it is too long, or there are too many
+     * @param value the new value; null removes it
+     * @throws IllegalArgumentException if it is too long, or there are too many
      */
     public void publish(String key, String value, long nowMicros) {
         if (memberValues.publish(key, value, nowMicros)) {
-            updateOwnState(
-                    memberValues.values(memberTable.self().id()).entries(),
-                    ownState.reachable(),
-                    ownState.unreachable());
+            Map<String, String> values =
+                    memberValues.values(memberTable.self().id()).entries();
+            updateOwnState(values, ownState.reachable(), ownState.unreachable());
         }
     }
 
-    /** Whom to ask now. */
+    /** Advances the time; returns the members to probe now. To be called every {@link #TICK_MICROS}. */
     public List<Incarnation> tick(long nowMicros) {
-        if (nowMicros - lastTickMicros > STALL_THRESHOLD_MICROS) {
-            // others may have waited for this process in vain; nothing follows about them
+        long sinceLastTickMicros = nowMicros - lastTickMicros;
+        if (sinceLastTickMicros > STALL_THRESHOLD_MICROS) {
             reachability.processStalled();
-            quorumTracker.processStalled(nowMicros - lastTickMicros, nowMicros);
+            quorumTracker.processStalled(sinceLastTickMicros, nowMicros);
         }
         lastTickMicros = nowMicros;
-        firstTickMicros = firstTickMicros < 0 ? nowMicros : firstTickMicros;
-        ownsName |= nameOwnerId == null && nowMicros - firstTickMicros >= NAME_CLAIM_MICROS;
+        nameClaim.tick(nowMicros);
         List<Incarnation> targets = new ArrayList<>();
         reachability.takeDue(nowMicros).forEach(id -> targets.add(memberTable.incarnation(id)));
         return targets;
     }
 
-    /** What to ask this member. */
+    /** The probe to send to this member. */
     public ProbeRequest probeRequest(Incarnation target) {
         return new ProbeRequest(
                 FleetMessages.PROTOCOL_VERSION,
                 memberTable.self().id(),
                 memberTable.self().name(),
                 memberValues.values(target.id()).version(),
-                ownsName);
+                nameClaim.owned());
     }
 
-    /** What to answer. */
+    /** Handles a probe; returns the response to send. */
     public ProbeResponse handleProbe(ProbeRequest request, long nowMicros) {
-        resolveNameConflict(request.senderId(), request.senderName(), request.ownsName());
+        nameClaim.messageReceived(request.senderId(), request.senderName(), request.ownsName());
         return new ProbeResponse(
                 FleetMessages.PROTOCOL_VERSION,
                 memberTable.self().id(),
                 memberTable.self().name(),
                 request.knownVersion() < ownState.version() ? ownState : null,
-                ownsName);
+                nameClaim.owned());
     }
 
-    /** A member answered. */
+    /** A member has answered a probe. */
     public void probeAnswered(Incarnation target, ProbeResponse response, long nowMicros) {
         if (!response.id().equals(target.id())) {
-            // another life answers at its address: this one is gone, whatever the library still waits for
+            // another incarnation has taken the address, so the probed one is gone
             probeTimedOut(target);
             return;
         }
-        resolveNameConflict(response.id(), response.name(), response.ownsName());
+        nameClaim.messageReceived(response.id(), response.name(), response.ownsName());
         boolean changed = reachability.probeAnswered(target.id());
         quorumTracker.probeAnswered(target.id());
         stateReceived(target.id(), response.state(), nowMicros);
@@ -208,19 +219,30 @@
         }
     }
 
-    /** What a member tells, by whatever way: one that this one does not reach is heard of through others. */
+    /** A probe of this member has timed out. */
+    public void probeTimedOut(Incarnation target) {
+        if (reachability.probeTimedOut(target.id())) {
+            reachabilityChanged();
+        }
+    }
+
+    /**
+     * A member's state has arrived, in the response to a probe or by gossip.
+     *
+     * @param state null if nothing has changed
+     */
     public void stateReceived(String id, MemberState state, long nowMicros) {
-        if (state != null
-                && memberTable.isMember(id)
-                && memberValues.accept(
-                        id, new MemberValues.VersionedValues(state.version(), state.values()), nowMicros)) {
+        if (state == null || !memberTable.isMember(id)) {
+            return;
+        }
+        if (memberValues.accept(id, new MemberValues.VersionedValues(state.version(), state.values()), nowMicros)) {
             memberTable.reachReported(id, state.reachable(), state.unreachable());
-            // whom the library gave up comes back by the word of one who reaches it, and goes with that
+            // the report may bring back a member that the library has removed, or take it away again
             reachability.setMembers(memberTable.otherMemberIds());
         }
     }
 
-    /** What is new here and has to be spread now; null where nothing is. What changes often is spread once a while. */
+    /** The own state, if it has changed and is due to be gossiped; otherwise null. */
     public MemberState stateToGossip(long nowMicros) {
         if (gossipedVersion == ownState.version() || nowMicros - lastGossipMicros < GOSSIP_INTERVAL_MICROS) {
             return null;
@@ -230,104 +252,66 @@
         return ownState;
     }
 
-    /** A question to this member had no answer in time. */
-    public void probeTimedOut(Incarnation target) {
-        if (reachability.probeTimedOut(target.id())) {
-            reachabilityChanged();
-        }
-    }
-
-    /** Of two lives of one name that live, the one that holds it keeps it; of two that start, the lower id. */
-    private void resolveNameConflict(String id, String name, boolean otherOwnsName) {
-        if (!ownsName
-                && nameOwnerId == null
-                && name.equals(memberTable.self().name())
-                && !id.equals(memberTable.self().id())
-                && (otherOwnsName || id.compareTo(memberTable.self().id()) < 0)) {
-            nameOwnerId = id;
-        }
-    }
-
-    /** The id of the life that holds this one's name; null where it is its own, or nobody has said so. */
-    public String nameOwnerId() {
-        return nameOwnerId;
+    /** The id of another incarnation that owns this member's name, once a conflict is known. */
+    public Optional<String> nameOwnerId() {
+        return nameClaim.ownerId();
     }
 
-    /** Whether this life holds its name. */
+    /** Whether this incarnation owns its name. */
     public boolean ownsName() {
-        return ownsName;
+        return nameClaim.owned();
     }
 
-    /** How all stand now. */
+    /** The membership now. Also publishes the merged set of decommissioned relays, if that has changed. */
     public View view(long nowMicros) {
-        Map<String, MemberValues.ReceivedValues> published = new HashMap<>();
         List<MemberTable.Row> rows = memberTable.rows(nowMicros);
-        for (MemberTable.Row row : rows) {
-            MemberValues.ReceivedValues received =
-                    memberValues.received(row.incarnation().id());
-            if (received != null && row.status().isMember()) {
-                published.put(row.incarnation().id(), received);
-            }
-        }
+        Map<String, MemberValues.ReceivedValues> published = publishedByMembers(rows);
         Map<String, String> digests = new HashMap<>();
         published.forEach((id, received) ->
                 digests.put(id, received.values().entries().getOrDefault(CONFIGURATION_DIGEST_KEY, "")));
         QuorumAssessment quorum = quorumTracker.assess(
-                rows, reachability.reachable(), digests, decommissioned(rows, nowMicros), nowMicros);
+                rows, reachability.reachable(), digests, mergeDecommissioned(rows, nowMicros), nowMicros);
         return new View(
                 memberTable.self(),
                 rows,
                 Map.copyOf(published),
-                ownsName,
+                nameClaim.owned(),
                 reachability.unreachable(),
                 quorum,
                 nowMicros);
     }
 
-    /** Whom staff have taken out, at any relay that is heard of. One that lives counts again, and is told no longer. */
-    private Set<String> decommissioned(List<MemberTable.Row> rows, long nowMicros) {
-        Set<String> memberNames = new HashSet<>();
-        Set<String> decommissioned =
-                new TreeSet<>(decommissionedBy(memberTable.self().id()));
+    private Map<String, MemberValues.ReceivedValues> publishedByMembers(List<MemberTable.Row> rows) {
+        Map<String, MemberValues.ReceivedValues> published = new HashMap<>();
         for (MemberTable.Row row : rows) {
-            if (row.status().isMember()) {
-                memberNames.add(row.incarnation().name());
-                decommissioned.addAll(decommissionedBy(row.incarnation().id()));
+            String id = row.incarnation().id();
+            MemberValues.ReceivedValues received = memberValues.received(id);
+            if (received != null && row.status().isMember()) {
+                published.put(id, received);
             }
         }
-        decommissioned.removeIf(name -> memberNames.contains(name) || !quorumTracker.isConfigured(name));
-        String text = String.join(",", decommissioned);
+        return published;
+    }
+
+    private Set<String> mergeDecommissioned(List<MemberTable.Row> rows, long nowMicros) {
+        Set<String> decommissioned = decommissionedRelays.merge(rows);
+        String text = DecommissionedRelays.format(decommissioned);
         if (text.length() <= MemberValues.MAX_LENGTH) {
-            // whoever hears of it tells it too: it outlasts the relay at which staff said it
-            publish(DECOMMISSIONED_KEY, text.isEmpty() ? null : text, nowMicros);
+            publish(DecommissionedRelays.KEY, text.isEmpty() ? null : text, nowMicros);
         }
         return decommissioned;
     }
 
-    private Set<String> decommissionedBy(String id) {
-        String text = memberValues.values(id).entries().getOrDefault(DECOMMISSIONED_KEY, "");
-        return text.isEmpty() ? Set.of() : Set.of(text.split(","));
-    }
-
-    /** Staff say that this relay is gone for good; returns why that cannot be, or null where it is done. */
-    public String decommission(String name, long nowMicros) {
-        View view = view(nowMicros);
-        boolean isMember = view.rows().stream()
-                .anyMatch(row ->
-                        row.incarnation().name().equals(name) && row.status().isMember());
-        String before = memberValues.values(memberTable.self().id()).entries().getOrDefault(DECOMMISSIONED_KEY, "");
-        String after = before.isEmpty() ? name : before + "," + name;
-        if (!quorumTracker.isConfigured(name)) {
-            return name + " is not among the relays that staff state";
-        } else if (isMember) {
-            return name + " is not lost: stop it first";
-        } else if (!view.quorum().allows(GuardedOperation.OperatorOperation.DECOMMISSION_RELAY)) {
-            return "this relay is " + view.quorum().state() + " ("
-                    + view.quorum().reason() + "); ask one that is not";
-        } else if (after.length() > MemberValues.MAX_LENGTH) {
-            return "too many are out; correct the file of each relay";
+    /**
+     * Decommissions a lost relay, at the request of an operator: it is no longer counted until it is a member again.
+     *
+     * @return why this is refused; empty if it is done
+     */
+    public Optional<String> decommission(String name, long nowMicros) {
+        Optional<String> refusal = decommissionedRelays.refusal(name, view(nowMicros));
+        if (refusal.isEmpty()) {
+            publish(DecommissionedRelays.KEY, decommissionedRelays.publishedWith(name), nowMicros);
         }
-        publish(DECOMMISSIONED_KEY, after, nowMicros);
-        return null;
+        return refusal;
     }
 }
--- a/src/main/java/sandstack/fleet/QuorumAssessment.java
+++ b/src/main/java/sandstack/fleet/QuorumAssessment.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * On what ground a member stands, and how it knows. It says what may be begun; it is no promise that others find the same,
- * and nothing that must hold across a cut may rest on it alone.
+ * A member's quorum state at one moment, with the evidence. It says what may begin here. Other members may assess
+ * differently, so nothing that must hold across a partition may rest on it alone.
  *
- * @param sinceMicros when it began, of the caller's clock
- * @param assessedAtMicros when it was last looked at
- * @param reachable names of the stated relays that are reached, this one among them
+ * @param sinceMicros since when the state has lasted, by the caller's clock
+ * @param assessedAtMicros when it was last assessed
+ * @param reachable names of the configured relays that are reachable, this one among them
  * @param unreachable names of those that are not
- * @param reason one sentence
+ * @param reason one sentence for operators
  */
 public record QuorumAssessment(
         QuorumState state,
@@ -19,31 +19,34 @@
         List<String> reachable,
         List<String> unreachable,
         String reason) {
-    /** Older than this, the member stood still meanwhile. */
+    /** An older assessment means that this process has stalled since. */
     static final long MAX_AGE_MICROS = Membership.STALL_THRESHOLD_MICROS;
 
+    private static final long MICROS_PER_SECOND = 1_000_000;
+
     /** Copies the lists. */
     public QuorumAssessment {
         reachable = List.copyOf(reachable);
         unreachable = List.copyOf(unreachable);
     }
 
-    /** Whether this act may begin. */
+    /** Whether this operation may begin. */
     public boolean allows(GuardedOperation operation) {
         return operation.allowedStates().contains(state);
     }
 
-    /** The same as it counts at this moment: what was found before a standstill is not acted on. */
+    /** The assessment as it counts at this moment: {@link QuorumState#UNKNOWN} if it is out of date. */
     public QuorumAssessment asOf(long nowMicros) {
-        return nowMicros - assessedAtMicros <= MAX_AGE_MICROS
-                ? this
-                : new QuorumAssessment(
-                        QuorumState.UNKNOWN,
-                        assessedAtMicros,
-                        nowMicros,
-                        reachable,
-                        unreachable,
-                        "this process stood still for " + (nowMicros - assessedAtMicros) / 1_000_000
-                                + " s and has not looked since");
+        long ageMicros = nowMicros - assessedAtMicros;
+        if (ageMicros <= MAX_AGE_MICROS) {
+            return this;
+        }
+        return new QuorumAssessment(
+                QuorumState.UNKNOWN,
+                assessedAtMicros,
+                nowMicros,
+                reachable,
+                unreachable,
+                "this process stood still for " + ageMicros / MICROS_PER_SECOND + " s and has not looked since");
     }
 }
--- a/src/main/java/sandstack/fleet/QuorumTracker.java
+++ b/src/main/java/sandstack/fleet/QuorumTracker.java
@@ -5,28 +5,32 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 
 /**
- * Finds on what ground this member stands. How many relays there are is what staff state, never what is seen: a half does
- * not shrink into a whole by losing the other. A relay that others reach and this one does not is neither taken away from
- * what there is nor counted as reached. Any doubt shows at once as {@link QuorumState#UNKNOWN}; better news has to last.
+ * Derives the {@link QuorumState} of this member. The size of the fleet is the number of relays that are configured, never
+ * the number that is seen, so a partition cannot declare itself complete by losing the others. A relay that others reach
+ * and this one does not stays in that number but does not count as reachable. Any doubt shows at once as
+ * {@link QuorumState#UNKNOWN}; any other change only after it has lasted for {@link #STABILITY_WINDOW_MICROS}.
  *
- * <p>One thread; a look costs O(members squared). No clock, I/O or thread of its own.
+ * <p>Not thread-safe. An assessment costs O(members squared). Has no clock, I/O or thread of its own.
  */
 public final class QuorumTracker {
-    /** A new finding counts once it has lasted so long. */
+    /** A new state is shown once it has lasted for so long. */
     public static final long STABILITY_WINDOW_MICROS = 1_500_000;
-    /** After a standstill all have been asked anew by then: two rounds and their answers. */
+    /** So long after a stall all members have been probed again: two rounds and their responses. */
     public static final long RECHECK_MICROS = 2 * ReachabilityProbe.MIN_ROUND_MICROS + 500_000;
 
+    private static final long MICROS_PER_SECOND = 1_000_000;
+
     private final Set<String> configuredRelays = new TreeSet<>();
     private final String selfName;
     private final long createdAtMicros;
     private long resumedAtMicros = Long.MIN_VALUE / 2;
     private long stallMicros;
-    /** Lives that answered since the last standstill; null where there was none. */
+    /** Incarnation ids that have answered since the last stall; null before the first one. */
     private Set<String> answeredSinceStall;
 
     private QuorumState candidate;
@@ -34,9 +38,10 @@
     private QuorumAssessment lastAssessment;
 
     /**
-     * Creates a tracker that is unsure at {@code now}.
+     * Creates a tracker whose state is unknown at {@code nowMicros}.
      *
-     * @param configuredRelays names of all relays that staff say there are; none: they have not said
+     * @param configuredRelays names of all relays of the fleet; empty if they are not configured
+     * @param selfName name of this relay
      */
     public QuorumTracker(Collection<String> configuredRelays, String selfName, long nowMicros) {
         this.configuredRelays.addAll(configuredRelays);
@@ -46,7 +51,7 @@
                 QuorumState.UNKNOWN, nowMicros, nowMicros, List.of(selfName), List.of(), "has just started");
     }
 
-    /** What two members compare, to see whether staff told them of the same relays. */
+    /** A digest by which two members compare their configured relays; empty if there are none. */
     public String configurationDigest() {
         return configuredRelays.isEmpty()
                 ? ""
@@ -54,19 +59,19 @@
                         + Integer.toHexString(String.join(",", configuredRelays).hashCode());
     }
 
-    /** Whether staff say that there is such a relay. */
+    /** Whether a relay with this name is configured. */
     public boolean isConfigured(String name) {
         return configuredRelays.contains(name);
     }
 
-    /** This process did not run for a while. */
+    /** Reports that this process did not run for {@code stallMicros}. */
     public void processStalled(long stallMicros, long nowMicros) {
         resumedAtMicros = nowMicros;
         this.stallMicros = stallMicros;
         answeredSinceStall = new HashSet<>();
     }
 
-    /** A life answered this member itself. */
+    /** Reports that the incarnation with this id has answered a probe of this member. */
     public void probeAnswered(String id) {
         if (answeredSinceStall != null) {
             answeredSinceStall.add(id);
@@ -74,12 +79,12 @@
     }
 
     /**
-     * Looks.
+     * Assesses the quorum.
      *
-     * @param rows how all stand
-     * @param reachableIds ids of the lives that this member reaches itself
-     * @param digests what each life says it was told of relays, see {@link #configurationDigest}
-     * @param decommissioned names that staff have taken out
+     * @param rows the membership table
+     * @param reachableIds ids of the incarnations that this member reaches directly
+     * @param digests the {@link #configurationDigest} that each incarnation publishes, by id
+     * @param decommissioned names of the relays that operators have decommissioned
      */
     public QuorumAssessment assess(
             List<MemberTable.Row> rows,
@@ -87,84 +92,144 @@
             Map<String, String> digests,
             Set<String> decommissioned,
             long nowMicros) {
-        Set<String> expected = new TreeSet<>(configuredRelays);
-        Map<String, MemberTable.Row> reachable = new HashMap<>();
-        String differs = null;
+        Set<String> expected = expectedRelays(rows, decommissioned);
+        Map<String, MemberTable.Row> reachable = reachableRelays(rows, reachableIds);
+        Connectivity connectivity = connectivity(reachable);
+        int reachableCount = reachable.size();
+        Optional<String> doubt = doubtAboutSelf(reachableCount - 1, nowMicros)
+                .or(() -> doubtAboutViews(connectivity, reachableCount, expected.size()))
+                .or(() -> doubtAboutConfiguration(rows, reachableIds, digests));
+        QuorumState state = doubt.isPresent()
+                ? QuorumState.UNKNOWN
+                : stateByCount(connectivity.connectedCount(), reachableCount, expected.size());
+        String reason = doubt.orElseGet(() -> reachableCount + " of " + expected.size() + " stated relays are reached");
+        boolean stable = isStable(state, nowMicros);
+        QuorumState shown = stable ? state : QuorumState.UNKNOWN;
+        lastAssessment = new QuorumAssessment(
+                shown,
+                shown == lastAssessment.state() ? lastAssessment.sinceMicros() : nowMicros,
+                nowMicros,
+                List.copyOf(new TreeSet<>(reachable.keySet())),
+                expected.stream().filter(name -> !reachable.containsKey(name)).toList(),
+                stable ? reason : "has just changed: " + reason);
+        return lastAssessment;
+    }
+
+    /** The configured relays, without decommissioned ones that are not back. */
+    private Set<String> expectedRelays(List<MemberTable.Row> rows, Set<String> decommissioned) {
         Set<String> memberNames = new HashSet<>();
         for (MemberTable.Row row : rows) {
-            String name = row.incarnation().name();
             if (row.status().isMember()) {
-                memberNames.add(name);
-            }
-            boolean here = name.equals(selfName)
-                    ? row.status().isMember()
-                    : reachableIds.contains(row.incarnation().id())
-                            && row.status().isMember()
-                            && (answeredSinceStall == null
-                                    || answeredSinceStall.contains(
-                                            row.incarnation().id()));
-            if (here && configuredRelays.contains(name)) {
-                reachable.put(name, row);
-                String theirs = digests.getOrDefault(row.incarnation().id(), "");
-                differs =
-                        differs == null && !theirs.isEmpty() && !theirs.equals(configurationDigest()) ? name : differs;
+                memberNames.add(row.incarnation().name());
             }
         }
+        Set<String> expected = new TreeSet<>(configuredRelays);
         expected.removeIf(name -> decommissioned.contains(name) && !memberNames.contains(name));
-        List<String> unreachable =
-                expected.stream().filter(name -> !reachable.containsKey(name)).toList();
-        String apart = null;
-        int core = 0;
-        for (Map.Entry<String, MemberTable.Row> one : reachable.entrySet()) {
-            List<String> against = one.getValue().unreachableFrom().stream()
+        return expected;
+    }
+
+    private Map<String, MemberTable.Row> reachableRelays(List<MemberTable.Row> rows, Set<String> reachableIds) {
+        Map<String, MemberTable.Row> reachable = new HashMap<>();
+        for (MemberTable.Row row : rows) {
+            if (isReachableRelay(row, reachableIds)) {
+                reachable.put(row.incarnation().name(), row);
+            }
+        }
+        return reachable;
+    }
+
+    private boolean isReachableRelay(MemberTable.Row row, Set<String> reachableIds) {
+        String id = row.incarnation().id();
+        String name = row.incarnation().name();
+        if (!row.status().isMember() || !configuredRelays.contains(name)) {
+            return false;
+        }
+        return name.equals(selfName)
+                || reachableIds.contains(id) && (answeredSinceStall == null || answeredSinceStall.contains(id));
+    }
+
+    /**
+     * How well the reachable relays reach each other.
+     *
+     * @param connectedCount how many are reached by all others that report on them
+     * @param example a pair that is not connected; null if there is none
+     */
+    private record Connectivity(int connectedCount, String example) {}
+
+    private static Connectivity connectivity(Map<String, MemberTable.Row> reachable) {
+        String example = null;
+        int connectedCount = 0;
+        for (Map.Entry<String, MemberTable.Row> relay : reachable.entrySet()) {
+            List<String> unreachableFrom = relay.getValue().unreachableFrom().stream()
                     .filter(reachable::containsKey)
                     .toList();
-            core += against.isEmpty() ? 1 : 0;
-            apart = against.isEmpty() ? apart : against.get(0) + " does not reach " + one.getKey();
+            if (unreachableFrom.isEmpty()) {
+                connectedCount++;
+            } else {
+                example = unreachableFrom.get(0) + " does not reach " + relay.getKey();
+            }
         }
-        boolean most = 2 * reachable.size() > expected.size();
-        String doubt = most && 2 * core <= expected.size()
-                ? "views differ: " + apart
-                : differs != null ? differs + " was told of other relays than this one" : null;
-        String doubtOfSelf = reasonToDistrustSelf(reachable.size() - 1, nowMicros);
-        doubt = doubtOfSelf != null ? doubtOfSelf : doubt;
-        String why = doubt != null ? doubt : reachable.size() + " of " + expected.size() + " stated relays are reached";
-        QuorumState state = doubt != null
-                ? QuorumState.UNKNOWN
-                : core == expected.size()
-                        ? QuorumState.COMPLETE
-                        : most
-                                ? QuorumState.MAJORITY
-                                : reachable.size() == 1 ? QuorumState.ISOLATED : QuorumState.MINORITY;
+        return new Connectivity(connectedCount, example);
+    }
+
+    /** Why nothing follows from what this member sees, whatever that is. */
+    private Optional<String> doubtAboutSelf(int answeredCount, long nowMicros) {
+        if (configuredRelays.isEmpty()) {
+            return Optional.of("staff have not said which relays there are");
+        }
+        if (!configuredRelays.contains(selfName)) {
+            return Optional.of("this relay is not among those that staff state");
+        }
+        if (nowMicros - createdAtMicros < Membership.NAME_CLAIM_MICROS) {
+            return Optional.of("has just started");
+        }
+        if (nowMicros - resumedAtMicros < RECHECK_MICROS) {
+            return Optional.of("this process stood still for " + stallMicros / MICROS_PER_SECOND + " s; "
+                    + answeredCount + " have answered since");
+        }
+        return Optional.empty();
+    }
+
+    /** A majority counts only if a majority of the fleet is connected with each other. */
+    private static Optional<String> doubtAboutViews(Connectivity connectivity, int reachableCount, int expectedCount) {
+        return isMajority(reachableCount, expectedCount) && !isMajority(connectivity.connectedCount(), expectedCount)
+                ? Optional.of("views differ: " + connectivity.example())
+                : Optional.empty();
+    }
+
+    private Optional<String> doubtAboutConfiguration(
+            List<MemberTable.Row> rows, Set<String> reachableIds, Map<String, String> digests) {
+        for (MemberTable.Row row : rows) {
+            String digest = digests.getOrDefault(row.incarnation().id(), "");
+            if (!digest.isEmpty() && isReachableRelay(row, reachableIds) && !digest.equals(configurationDigest())) {
+                return Optional.of(row.incarnation().name() + " was told of other relays than this one");
+            }
+        }
+        return Optional.empty();
+    }
+
+    private static QuorumState stateByCount(int connectedCount, int reachableCount, int expectedCount) {
+        if (connectedCount == expectedCount) {
+            return QuorumState.COMPLETE;
+        }
+        if (isMajority(reachableCount, expectedCount)) {
+            return QuorumState.MAJORITY;
+        }
+        return reachableCount == 1 ? QuorumState.ISOLATED : QuorumState.MINORITY;
+    }
+
+    private static boolean isMajority(int count, int expectedCount) {
+        return 2 * count > expectedCount;
+    }
+
+    /** Whether a state may be shown: doubt at once, the last one again, any other after the stability window. */
+    private boolean isStable(QuorumState state, long nowMicros) {
         if (state != candidate) {
             candidate = state;
             candidateSinceMicros = nowMicros;
         }
-        boolean steady = state == QuorumState.UNKNOWN
+        return state == QuorumState.UNKNOWN
                 || state == lastAssessment.state()
                 || nowMicros - candidateSinceMicros >= STABILITY_WINDOW_MICROS;
-        QuorumState shown = steady ? state : QuorumState.UNKNOWN;
-        lastAssessment = new QuorumAssessment(
-                shown,
-                shown == lastAssessment.state() ? lastAssessment.sinceMicros() : nowMicros,
-                nowMicros,
-                List.copyOf(new TreeSet<>(reachable.keySet())),
-                unreachable,
-                steady ? why : "has just changed: " + why);
-        return lastAssessment;
-    }
-
-    /** Why nothing follows from what this member sees, whatever that is; null where something does. */
-    private String reasonToDistrustSelf(int others, long nowMicros) {
-        if (configuredRelays.isEmpty()) {
-            return "staff have not said which relays there are";
-        } else if (!configuredRelays.contains(selfName)) {
-            return "this relay is not among those that staff state";
-        } else if (nowMicros - createdAtMicros < Membership.NAME_CLAIM_MICROS) {
-            return "has just started";
-        }
-        return nowMicros - resumedAtMicros >= RECHECK_MICROS
-                ? null
-                : "this process stood still for " + stallMicros / 1_000_000 + " s; " + others + " have answered since";
     }
 }
--- a/src/main/java/sandstack/fleet/ReachabilityProbe.java
+++ b/src/main/java/sandstack/fleet/ReachabilityProbe.java
@@ -7,29 +7,32 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Random;
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
 /**
- * Which members this one reaches itself. The library asks others where its own question stays unanswered, and so keeps
- * a member that some reach; who they are has to be known too. Each member is asked in turn, all of them within one
- * round, in an order drawn anew each round. One lost question is no cut link, and one answer no mended one.
+ * Tracks which members this one reaches directly. The library probes indirectly where its own probe fails, and so keeps a
+ * member that some reach; the table also needs to know which ones do. Each member is probed once a round, in an order
+ * that is shuffled for each round. It takes {@link #CONSECUTIVE_RESULTS} results in a row to change what is known, so one
+ * lost packet is no failed link and one response no recovery.
  *
- * <p>One thread; a turn costs O(members). Keeps a few numbers a member.
+ * <p>Not thread-safe. A tick costs O(members).
  */
 public final class ReachabilityProbe {
-    /** Microseconds of a round, at least, and for each member. */
+    /** Minimum duration of a round. */
     public static final long MIN_ROUND_MICROS = 1_000_000;
 
     static final long ROUND_MICROS_PER_MEMBER = 50_000;
-    /** Questions in a row that decide. */
+    /** Results in a row that change the reachability of a member. */
     static final int CONSECUTIVE_RESULTS = 2;
 
-    /** What the last questions to one member came to. */
+    /** The latest results of one member. */
     private static final class ProbeHistory {
         int consecutiveTimeouts;
         int consecutiveAnswers;
         boolean reachable = true;
+        /** Whether any result counts yet; before that the member is neither reachable nor unreachable. */
         boolean decided;
     }
 
@@ -38,29 +41,29 @@
     private final List<String> pending = new ArrayList<>();
     private long roundStartMicros = Long.MIN_VALUE / 2;
 
-    /** Creates a probe without members; {@code chance} draws the order of each round. */
+    /** Creates a probe without members; {@code random} shuffles each round. */
     public ReachabilityProbe(RandomGenerator random) {
         this.random = random;
     }
 
-    /** The members there are now, without this one. */
+    /** Sets the members to probe, without this one; those that stay keep their history. */
     public void setMembers(Collection<String> ids) {
         histories.keySet().retainAll(ids);
         pending.retainAll(histories.keySet());
         ids.forEach(id -> histories.computeIfAbsent(id, ignored -> new ProbeHistory()));
     }
 
-    /** Who is to be asked now: of the present round, as many as are due by now. */
+    /** Removes and returns the members that are due in the current round by now. */
     public List<String> takeDue(long nowMicros) {
         long roundMicros = Math.max(MIN_ROUND_MICROS, ROUND_MICROS_PER_MEMBER * histories.size());
         List<String> due = new ArrayList<>();
         if (nowMicros - roundStartMicros >= roundMicros) {
-            // turns that come late leave some over: they are asked before the next round begins
+            // after a late tick some of the previous round are left
             due.addAll(pending);
             roundStartMicros = nowMicros;
             pending.clear();
             pending.addAll(histories.keySet());
-            Collections.shuffle(pending, new java.util.Random(random.nextLong()));
+            Collections.shuffle(pending, new Random(random.nextLong()));
         }
         int remaining = (int) (histories.size() * (roundMicros - (nowMicros - roundStartMicros)) / roundMicros);
         while (pending.size() > remaining) {
@@ -69,7 +72,7 @@
         return due;
     }
 
-    /** The member answered; returns whether that changes what is known. */
+    /** A member has answered a probe; returns whether its reachability has changed. */
     public boolean probeAnswered(String id) {
         ProbeHistory history = histories.get(id);
         if (history == null) {
@@ -86,7 +89,7 @@
         return true;
     }
 
-    /** A question had no answer in time; returns whether that changes what is known. */
+    /** A probe has timed out; returns whether the reachability of its member has changed. */
     public boolean probeTimedOut(String id) {
         ProbeHistory history = histories.get(id);
         if (history == null) {
@@ -102,12 +105,12 @@
         return true;
     }
 
-    /** This process did not run for a while: what stayed unanswered meanwhile says nothing of others. */
+    /** This process has stalled: the timeouts so far say nothing about the other members. */
     public void processStalled() {
         histories.values().forEach(history -> history.consecutiveTimeouts = 0);
     }
 
-    /** Members that this one does not reach. */
+    /** Ids of the members that this one does not reach. */
     public Set<String> unreachable() {
         Set<String> ids = new HashSet<>();
         histories.forEach((id, history) -> {
@@ -118,7 +121,7 @@
         return ids;
     }
 
-    /** Members that have answered, and have not been asked in vain since. */
+    /** Ids of the members that this one reaches; members without any result yet are not among them. */
     public Set<String> reachable() {
         Set<String> ids = new HashSet<>();
         histories.forEach((id, history) -> {
--- a/src/main/java/sandstack/fleet/link/FleetMember.java
+++ b/src/main/java/sandstack/fleet/link/FleetMember.java
@@ -15,6 +15,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.UUID;
 import java.util.concurrent.CompletableFuture;
@@ -335,7 +336,7 @@
                                 .build())
                         .subscribe(done -> {}, lost -> {});
             }
-            if (membership.nameOwnerId() != null) {
+            if (membership.nameOwnerId().isPresent()) {
                 nameConflict.complete(null);
             }
             if (nowMicros() - viewUpdatedAtMicros >= VIEW_INTERVAL_MICROS) {
@@ -476,8 +477,8 @@
      * Staff say that a lost relay is gone for good. Completes on the fleet's thread, with why that cannot be, or null. Any
      * thread.
      */
-    public CompletableFuture<String> decommission(String name) {
-        CompletableFuture<String> done = new CompletableFuture<>();
+    public CompletableFuture<Optional<String>> decommission(String name) {
+        CompletableFuture<Optional<String>> done = new CompletableFuture<>();
         execute(() -> {
             done.complete(membership.decommission(name, nowMicros()));
             updateView();
--- a/src/main/java/sandstack/fleet/link/FleetViewFormatter.java
+++ b/src/main/java/sandstack/fleet/link/FleetViewFormatter.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import sandstack.fleet.Incarnation;
 import sandstack.fleet.MemberTable;
 import sandstack.fleet.MemberValues;
@@ -46,13 +47,11 @@
     }
 
     /** What staff hear when they take a relay out. */
-    public static List<String> decommissionOutcome(String name, String refusal) {
-        return List.of(
-                refusal != null
-                        ? "not done: " + refusal
-                        : name + " is no longer counted. If it lives behind a cut,"
-                                + " it and those with it may act for the fleet as well. It counts again when it is reached; take it out"
-                                + " of relays in each fleet.toml too");
+    public static List<String> decommissionOutcome(String name, Optional<String> refusal) {
+        return List.of(refusal.map(reason -> "not done: " + reason)
+                .orElseGet(() -> name + " is no longer counted. If it lives behind a cut,"
+                        + " it and those with it may act for the fleet as well. It counts again when it is reached; take it out"
+                        + " of relays in each fleet.toml too"));
     }
 
     /** All as one JSON object. */
--- a/src/main/java/sandstack/fleet/package-info.java
+++ b/src/main/java/sandstack/fleet/package-info.java
@@ -1,6 +1,9 @@
 /**
- * Relays that know of each other: who is a member, how sure that is and who says so, and small values that members tell
- * all. What is decided is here, without I/O, clock or thread: moments are handed in, in microseconds of the caller's
- * clock, which only has to rise. Uses {@code chance} alone; {@code fleet.link} owns sockets, threads and the library.
+ * Membership of a fleet of relays: who is a member and with which status, which part of the fleet this member reaches
+ * ({@link sandstack.fleet.QuorumTracker}), and small values that members publish to each other.
+ *
+ * <p>Pure decisions without I/O, clock or thread: the caller passes in the time, as microseconds of a monotonic clock.
+ * Nothing here is thread-safe unless it is immutable. {@code sandstack.fleet.link} adds sockets, threads and the SWIM
+ * library, which is called the library throughout.
  */
 package sandstack.fleet;
--- a/src/test/java/sandstack/fleet/MembershipTest.java
+++ b/src/test/java/sandstack/fleet/MembershipTest.java
@@ -291,7 +291,7 @@
         sim.start("same");
         sim.run(3_000_000);
         List<String> owners = sim.incarnations.stream()
-                .map(l -> sim.memberships.get(l.id()).nameOwnerId())
+                .map(l -> sim.memberships.get(l.id()).nameOwnerId().orElse(null))
                 .toList();
         assertThat(owners).containsExactly(null, "same-0");
         assertThat(sim.memberships.get("same-0").ownsName()).isTrue();
@@ -307,8 +307,8 @@
         sim.incarnations.add(later);
         sim.memberships.put(later.id(), new Membership(later, sim.nowMicros, new SplittableRandom(1)));
         sim.run(3_000_000);
-        assertThat(sim.memberships.get("a-0").nameOwnerId()).isEqualTo("b-0");
-        assertThat(sim.memberships.get("b-0").nameOwnerId()).isNull();
+        assertThat(sim.memberships.get("a-0").nameOwnerId()).hasValue("b-0");
+        assertThat(sim.memberships.get("b-0").nameOwnerId()).isEmpty();
     }
 
     @Test
--- a/src/test/java/sandstack/fleet/link/CompatibilityTest.java
+++ b/src/test/java/sandstack/fleet/link/CompatibilityTest.java
@@ -12,6 +12,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -124,7 +125,7 @@
         }
         List<String> lines = new ArrayList<>();
         for (String name : List.of("edge-9", "edge-2", "edge-3", "edge-4")) {
-            lines.add(String.valueOf(membership.decommission(name, 6_000_000)));
+            lines.add(membership.decommission(name, 6_000_000).orElse("null"));
         }
         MemberValues.VersionedValues own =
                 membership.view(6_000_000).published().get(SELF.id()).values();
@@ -172,8 +173,9 @@
         }
         assertThat(String.join("\n", json)).isEqualTo(fixture("fleet-command.json"));
         assertThat(String.join("\n", text)).isEqualTo(fixture("fleet-command.txt"));
-        List<String> takenOut = new ArrayList<>(FleetViewFormatter.decommissionOutcome("edge-3", null));
-        takenOut.addAll(FleetViewFormatter.decommissionOutcome("edge-3", "edge-3 is not lost: stop it first"));
+        List<String> takenOut = new ArrayList<>(FleetViewFormatter.decommissionOutcome("edge-3", Optional.empty()));
+        takenOut.addAll(
+                FleetViewFormatter.decommissionOutcome("edge-3", Optional.of("edge-3 is not lost: stop it first")));
         assertThat(String.join("\n", takenOut)).isEqualTo(fixture("take-out-command.txt"));
     }
 }
