--- /dev/null
+++ b/src/main/java/sandstack/fleet/link/ClusterClient.java
@@ -0,0 +1,167 @@
+package sandstack.fleet.link;
+
+import io.scalecube.cluster.Cluster;
+import io.scalecube.cluster.ClusterConfig;
+import io.scalecube.cluster.ClusterImpl;
+import io.scalecube.cluster.ClusterMessageHandler;
+import io.scalecube.cluster.transport.api.Message;
+import java.time.Duration;
+import java.util.UUID;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import java.util.logging.Logger;
+import reactor.core.scheduler.Scheduler;
+import sandstack.config.BadSettings;
+import sandstack.config.FleetFile;
+import sandstack.fleet.FleetMessages;
+import sandstack.fleet.Incarnation;
+
+/**
+ * The SWIM library: its configuration, its start and shutdown, and the messages that go out through it. Messages can be
+ * sent as soon as the library asks for its handler. Threads are the library's; responses arrive on the scheduler.
+ */
+final class ClusterClient {
+    private static final Logger LOG = Logger.getLogger(FleetMember.LOGGER_NAME);
+
+    /** Holds the library's table of a thousand members. */
+    private static final int MAX_FRAME_BYTES = 256 * 1024;
+
+    private static final int MAX_PEERS = 2_048;
+    private static final long START_TIMEOUT_SECONDS = 5;
+    private static final long SHUTDOWN_TIMEOUT_SECONDS = 2;
+    /** Metadata is requested again at the next sync, which a request into a partition must not hold up. */
+    private static final int METADATA_TIMEOUT_MILLIS = 500;
+
+    private static final int PING_INTERVAL_MILLIS = 500;
+    private static final int PING_TIMEOUT_MILLIS = 300;
+    private static final int CONNECT_TIMEOUT_MILLIS = PING_TIMEOUT_MILLIS;
+    private static final int INDIRECT_PINGS = 3;
+    /** A suspicion lasts this many ping intervals times the logarithm of the number of members. */
+    private static final int SUSPICION_MULTIPLIER = 3;
+
+    private static final int SYNC_INTERVAL_MILLIS = 2_000;
+    private static final int SYNC_TIMEOUT_MILLIS = PING_INTERVAL_MILLIS;
+
+    private final FleetFile fleetFile;
+    private final Incarnation self;
+    private final Scheduler scheduler;
+    private final FilteredMessageCodec codec = new FilteredMessageCodec();
+    /** Null until the library starts. */
+    private volatile Cluster cluster;
+
+    ClusterClient(FleetFile fleetFile, Incarnation self, Scheduler scheduler) {
+        this.fleetFile = fleetFile;
+        this.self = self;
+        this.scheduler = scheduler;
+    }
+
+    /**
+     * Starts the library and waits until it listens.
+     *
+     * @throws BadSettings if it cannot listen at the configured address
+     */
+    void start(ClusterMessageHandler handler) throws BadSettings {
+        ClusterConfig config = config();
+        try {
+            new ClusterImpl(config)
+                    .transportFactory(config.transportConfig()::transportFactory)
+                    .handler(starting -> {
+                        // other members send messages before the library reports its start
+                        cluster = starting;
+                        return handler;
+                    })
+                    .start()
+                    .toFuture()
+                    .get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        } catch (ExecutionException e) {
+            throw new BadSettings(FleetFile.FILE + ": listen: cannot listen at " + fleetFile.listen() + ": "
+                    + e.getCause().getMessage());
+        } catch (TimeoutException e) {
+            throw new BadSettings(FleetFile.FILE + ": listen: no start at " + fleetFile.listen() + " within "
+                    + START_TIMEOUT_SECONDS + " s");
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private ClusterConfig config() {
+        MemberMetadata metadata =
+                new MemberMetadata(FleetMessages.PROTOCOL_VERSION, self.name(), self.zone(), self.machine());
+        return ClusterConfig.defaultLanConfig()
+                .memberId(self.id())
+                .memberAlias(self.name())
+                .externalHost(fleetFile.listen().host())
+                .externalPort(fleetFile.listen().port())
+                .metadata(MessageJson.write(metadata))
+                .metadataCodec(MemberMetadata.CODEC)
+                .metadataTimeout(METADATA_TIMEOUT_MILLIS)
+                .transport(transport -> transport
+                        .port(fleetFile.listen().port())
+                        .connectTimeout(CONNECT_TIMEOUT_MILLIS)
+                        .messageCodec(codec)
+                        .maxFrameLength(MAX_FRAME_BYTES)
+                        .addressMapper(address -> fleetFile.via().getOrDefault(address, address))
+                        .transportFactory(new SingleAddressTransportFactory(
+                                fleetFile.listen().host(), codec, MAX_PEERS)))
+                .failureDetector(detector -> detector.pingInterval(PING_INTERVAL_MILLIS)
+                        .pingTimeout(PING_TIMEOUT_MILLIS)
+                        .pingReqMembers(INDIRECT_PINGS))
+                .membership(membership -> membership
+                        .namespace(fleetFile.installation())
+                        .seedMembers(fleetFile.members())
+                        .syncInterval(SYNC_INTERVAL_MILLIS)
+                        .syncTimeout(SYNC_TIMEOUT_MILLIS)
+                        .suspicionMult(SUSPICION_MULTIPLIER));
+    }
+
+    /** Sends a request and completes with the body of its response, or with a timeout, on the scheduler. */
+    CompletableFuture<String> request(Incarnation target, String qualifier, String body, Duration timeout) {
+        Message message = Message.builder()
+                .qualifier(qualifier)
+                .correlationId(UUID.randomUUID().toString())
+                .data(body)
+                .build();
+        return cluster.transport()
+                .requestResponse(target.address(), message)
+                .timeout(timeout, scheduler)
+                .publishOn(scheduler)
+                .map(response -> String.valueOf((Object) response.data()))
+                .toFuture();
+    }
+
+    /** Responds to a request, if its sender has asked for a response. */
+    void respond(Message request, String body) {
+        if (request.sender() == null || request.correlationId() == null) {
+            return;
+        }
+        Message response = Message.builder()
+                .qualifier(Qualifiers.RESPONSE)
+                .correlationId(request.correlationId())
+                .data(body)
+                .build();
+        cluster.transport().send(request.sender(), response).subscribe(done -> {}, lost -> {});
+    }
+
+    /** Disseminates a message to all members, without a promise that it reaches each. */
+    void gossip(String qualifier, String body) {
+        Message message = Message.builder().qualifier(qualifier).data(body).build();
+        cluster.spreadGossip(message).subscribe(done -> {}, lost -> {});
+    }
+
+    /** Announces that this member leaves, and shuts the library down; waits for a short time at most. */
+    void shutdown() {
+        if (cluster == null) {
+            return;
+        }
+        cluster.shutdown();
+        try {
+            cluster.onShutdown().toFuture().get(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        } catch (ExecutionException | TimeoutException e) {
+            LOG.fine("the library did not end in time");
+        }
+    }
+}
--- a/src/main/java/sandstack/fleet/link/FilteredMessageCodec.java
+++ b/src/main/java/sandstack/fleet/link/FilteredMessageCodec.java
@@ -9,27 +9,42 @@
 import java.io.ObjectInputStream;
 import java.io.ObjectOutputStream;
 import java.io.OutputStream;
+import java.util.Set;
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The library's messages on the wire, as it writes them itself, but read under a filter: its own types, collections and
- * plain values, none deep, many or large. Whatever else comes is refused before an object of it is made. Any thread;
- * O(bytes) a message.
+ * The library's default serialisation, read through a filter: only its own types, collections and plain values, with
+ * bounds on depth, number and size. Anything else is rejected before an object of it is created. Thread-safe; O(bytes) a
+ * message.
  */
 final class FilteredMessageCodec implements MessageCodec {
     private static final int MAX_DEPTH = 12;
     private static final int MAX_OBJECTS = 20_000;
     private static final int MAX_ARRAY_LENGTH = 20_000;
+    private static final Set<String> ALLOWED_JDK_TYPES = Set.of(
+            "java.lang.Boolean",
+            "java.lang.Enum",
+            "java.lang.Integer",
+            "java.lang.Long",
+            "java.lang.Number",
+            "java.lang.Object",
+            "java.lang.String",
+            "java.util.ArrayList",
+            "java.util.CollSer",
+            "java.util.HashMap",
+            "java.util.HashSet",
+            "java.util.LinkedHashMap",
+            "java.util.Map$Entry");
 
     private final AtomicLong rejectedCount = new AtomicLong();
     private final ThreadLocal<Boolean> lastRejected = ThreadLocal.withInitial(() -> false);
 
-    /** Messages refused so far. */
+    /** How many messages have been rejected. */
     long rejectedCount() {
         return rejectedCount.get();
     }
 
-    /** Whether the last message that this thread read was refused; asked once, and forgotten. */
+    /** Whether the last message that this thread read was rejected; clears that state. */
     boolean pollLastRejected() {
         boolean rejected = lastRejected.get();
         lastRejected.set(false);
@@ -47,30 +62,13 @@
         if (type == null || type.isPrimitive()) {
             return ObjectInputFilter.Status.UNDECIDED;
         }
-        String name = type.getName();
-        boolean allowed = name.startsWith("io.scalecube.cluster.")
-                || name.startsWith("java.lang.") && isPlainValue(name)
-                || name.equals("java.util.ArrayList")
-                || name.equals("java.util.HashMap")
-                || name.equals("java.util.LinkedHashMap")
-                || name.equals("java.util.Map$Entry")
-                || name.equals("java.util.HashSet")
-                || name.equals("java.util.CollSer")
-                || name.startsWith("java.util.Collections$Unmodifiable");
-        return allowed ? ObjectInputFilter.Status.ALLOWED : ObjectInputFilter.Status.REJECTED;
+        return isAllowed(type.getName()) ? ObjectInputFilter.Status.ALLOWED : ObjectInputFilter.Status.REJECTED;
     }
 
-    private static boolean isPlainValue(String name) {
-        return switch (name) {
-            case "java.lang.String",
-                    "java.lang.Number",
-                    "java.lang.Integer",
-                    "java.lang.Long",
-                    "java.lang.Boolean",
-                    "java.lang.Enum",
-                    "java.lang.Object" -> true;
-            default -> false;
-        };
+    private static boolean isAllowed(String typeName) {
+        return typeName.startsWith("io.scalecube.cluster.")
+                || typeName.startsWith("java.util.Collections$Unmodifiable")
+                || ALLOWED_JDK_TYPES.contains(typeName);
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/sandstack/fleet/link/FleetExecutor.java
@@ -0,0 +1,70 @@
+package sandstack.fleet.link;
+
+import java.util.concurrent.RejectedExecutionException;
+import java.util.concurrent.ScheduledThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+import reactor.core.scheduler.Scheduler;
+import reactor.core.scheduler.Schedulers;
+
+/**
+ * The fleet's thread: the one thread on which the membership runs. Tasks must not block. A task that throws is logged and
+ * does not end the thread. All methods may be called on any thread.
+ */
+final class FleetExecutor {
+    private static final String NAME = "fleet";
+
+    private final ScheduledThreadPoolExecutor executor;
+    private final Scheduler scheduler;
+    private final RateLimitedLog warnings;
+
+    FleetExecutor(RateLimitedLog warnings) {
+        this.warnings = warnings;
+        this.executor = new ScheduledThreadPoolExecutor(1, task -> {
+            Thread thread = new Thread(task, NAME);
+            thread.setDaemon(true);
+            return thread;
+        });
+        executor.setRemoveOnCancelPolicy(true);
+        executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        this.scheduler = Schedulers.fromExecutorService(executor, NAME);
+    }
+
+    /** The clock of the membership. */
+    static long nowMicros() {
+        return System.nanoTime() / 1_000;
+    }
+
+    /** The same thread as the library's reactive streams use it. */
+    Scheduler scheduler() {
+        return scheduler;
+    }
+
+    /** Runs a task soon; drops it after a shutdown. */
+    void execute(Runnable task) {
+        try {
+            executor.execute(() -> runGuarded(task));
+        } catch (RejectedExecutionException e) {
+            // this member has left
+        }
+    }
+
+    void scheduleAtFixedRate(Runnable task, long intervalMicros) {
+        executor.scheduleAtFixedRate(() -> runGuarded(task), 0, intervalMicros, TimeUnit.MICROSECONDS);
+    }
+
+    private void runGuarded(Runnable task) {
+        try {
+            task.run();
+        } catch (RuntimeException e) {
+            warnings.warning("a turn failed: " + e);
+        }
+    }
+
+    boolean isShutdown() {
+        return executor.isShutdown();
+    }
+
+    void shutdownNow() {
+        executor.shutdownNow();
+    }
+}
--- a/src/main/java/sandstack/fleet/link/MessageJson.java
+++ b/src/main/java/sandstack/fleet/link/MessageJson.java
@@ -7,49 +7,51 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import sandstack.fleet.FleetMessages;
 
-/** The members' words as JSON, each with its version. Pure; O(characters) a body. */
+/** Messages between members as JSON text. Thread-safe; O(characters) a message. */
 final class MessageJson {
+    private static final int MAX_NESTING_DEPTH = 8;
+    private static final String VERSION_KEY = "v";
     private static final ObjectMapper JSON = new ObjectMapper(JsonFactory.builder()
-            .streamReadConstraints(
-                    StreamReadConstraints.builder().maxNestingDepth(8).build())
+            .streamReadConstraints(StreamReadConstraints.builder()
+                    .maxNestingDepth(MAX_NESTING_DEPTH)
+                    .build())
             .build());
 
-    /** A body that is none of ours. */
-    static final class MalformedMessageException extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        MalformedMessageException(String why) {
-            super(why);
-        }
-    }
-
     private MessageJson() {}
 
     static String write(Object message) {
         try {
             return JSON.writeValueAsString(message);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("words of ours that are no JSON", e);
+            throw new IllegalStateException(
+                    "cannot write a " + message.getClass().getSimpleName() + " as JSON", e);
         }
     }
 
-    /** Reads a body; the version is looked at before anything else, as a later one may have other fields. */
+    /**
+     * Reads a message. The protocol version is checked before anything else, as a later one may have other fields.
+     *
+     * @param data the message as the library delivers it
+     */
     static <T> T read(Object data, Class<T> type) throws MalformedMessageException {
         if (!(data instanceof String text)) {
             throw new MalformedMessageException("a body that is no text");
         }
         try {
             JsonNode body = JSON.readTree(text);
-            if (!body.path("v").isInt() || body.path("v").asInt() < 1) {
-                throw new MalformedMessageException("a body without a version");
-            }
-            if (body.path("v").asInt() > FleetMessages.PROTOCOL_VERSION) {
-                throw new MalformedMessageException("version " + body.path("v").asInt()
-                        + " of the words, known are up to " + FleetMessages.PROTOCOL_VERSION);
-            }
+            checkVersion(body.path(VERSION_KEY));
             return JSON.treeToValue(body, type);
         } catch (JsonProcessingException | IllegalArgumentException e) {
             throw new MalformedMessageException("a body that is no " + type.getSimpleName());
         }
     }
+
+    private static void checkVersion(JsonNode version) throws MalformedMessageException {
+        if (!version.isInt() || version.asInt() < 1) {
+            throw new MalformedMessageException("a body without a version");
+        }
+        if (version.asInt() > FleetMessages.PROTOCOL_VERSION) {
+            throw new UnsupportedVersionException(version.asInt());
+        }
+    }
 }
--- a/src/main/java/sandstack/fleet/link/SingleAddressTransportFactory.java
+++ b/src/main/java/sandstack/fleet/link/SingleAddressTransportFactory.java
@@ -25,12 +25,12 @@
 import reactor.netty.tcp.TcpServer;
 
 /**
- * The library's TCP, at one address of the machine instead of all, with bounds of our own: so many peers, frames so
- * long, and a peer that sends nothing for a while is hung up on. Threads are the library's.
+ * A TCP transport that listens at one address of the machine, where the library's own listens at all. It bounds the number
+ * of peers and the length of frames, and closes connections that are idle. Runs on the library's threads.
  */
 final class SingleAddressTransportFactory implements TransportFactory {
     private static final int LENGTH_BYTES = 4;
-    /** Members talk each second; whoever says nothing for so long is none, or behind a cut. */
+    /** Members send messages every second; a peer that is silent for longer is none, or behind a partition. */
     private static final long READ_TIMEOUT_SECONDS = 30;
 
     private final String host;
@@ -50,7 +50,7 @@
                 config.messageCodec(), new InboundServer(config), new OutboundClient(config), config.addressMapper());
     }
 
-    /** Frames belong to the channel, not to what the library does with it: they stay as long as it does. */
+    /** Adds the framing to the channel itself, ahead of the bridge to the reactive streams. */
     private static void addFrameCodec(Channel channel, int maxFrameBytes) {
         ChannelPipeline pipeline = channel.pipeline();
         pipeline.addBefore(NettyPipeline.ReactiveBridge, "length", new LengthFieldPrepender(LENGTH_BYTES));
@@ -60,7 +60,7 @@
                 new LengthFieldBasedFrameDecoder(maxFrameBytes, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
     }
 
-    /** What comes in. */
+    /** Accepts connections and receives messages. */
     private final class InboundServer implements Receiver {
         private final TransportConfig config;
 
@@ -90,7 +90,7 @@
                             .doOnNext(frame -> {
                                 context.onMessage(frame);
                                 if (codec.pollLastRejected()) {
-                                    // whoever sends one message that is none of ours is no member
+                                    // a peer that sends one foreign message is no member
                                     in.withConnection(Connection::dispose);
                                 }
                             })
@@ -109,7 +109,7 @@
         }
     }
 
-    /** What goes out. */
+    /** Opens connections and sends messages. */
     private static final class OutboundClient implements Sender {
         private final TransportConfig config;
 
--- a/src/test/java/sandstack/fleet/link/CompatibilityTest.java
+++ b/src/test/java/sandstack/fleet/link/CompatibilityTest.java
@@ -99,10 +99,10 @@
     void qualifiersAreAsBefore() throws Exception {
         assertThat(String.join(
                         "\n",
-                        FleetMember.PROBE_REQUEST,
-                        FleetMember.STATE_GOSSIP,
-                        FleetMember.CALL_REQUEST,
-                        FleetMember.RESPONSE))
+                        Qualifiers.PROBE_REQUEST,
+                        Qualifiers.STATE_GOSSIP,
+                        Qualifiers.CALL_REQUEST,
+                        Qualifiers.RESPONSE))
                 .isEqualTo(fixture("qualifiers.txt"));
     }
 
