--- a/src/main/java/sandstack/fleet/link/CallClient.java
+++ b/src/main/java/sandstack/fleet/link/CallClient.java
@@ -39,7 +39,7 @@
                 .map(MemberTable.Row::incarnation)
                 .findFirst();
         if (target.isEmpty()) {
-            return CompletableFuture.failedFuture(new CallException(id + " is no member now"));
+            return CompletableFuture.failedFuture(new CallException(id + " is not a member"));
         }
         if (body.length() > FleetMember.MAX_BODY_LENGTH) {
             return CompletableFuture.failedFuture(
@@ -47,7 +47,7 @@
         }
         AtomicInteger callsToMember = callsByMember.computeIfAbsent(id, ignored -> new AtomicInteger());
         if (!acquire(callsToMember)) {
-            return CompletableFuture.failedFuture(new CallException("too many calls are out"));
+            return CompletableFuture.failedFuture(new CallException("too many calls in flight"));
         }
         CallRequest request = new CallRequest(FleetMessages.PROTOCOL_VERSION, self.id(), kind, body);
         return clusterClient
@@ -86,7 +86,7 @@
             }
             return result.body();
         } catch (MalformedMessageException e) {
-            throw new CallException("answered with " + e.getMessage());
+            throw new CallException("response rejected: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/sandstack/fleet/link/ClusterClient.java
+++ b/src/main/java/sandstack/fleet/link/ClusterClient.java
@@ -161,7 +161,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            LOG.fine("the library did not end in time");
+            LOG.fine("cluster shutdown timed out timeout_s=" + SHUTDOWN_TIMEOUT_SECONDS);
         }
     }
 }
--- a/src/main/java/sandstack/fleet/link/ClusterEventHandler.java
+++ b/src/main/java/sandstack/fleet/link/ClusterEventHandler.java
@@ -76,7 +76,7 @@
                 callServer.handle(message, MessageJson.read(message.data(), CallRequest.class));
             }
         } catch (MalformedMessageException | IllegalArgumentException e) {
-            warnings.warning("from " + message.sender() + " came " + e.getMessage());
+            warnings.warning("message rejected address=" + message.sender() + " reason=\"" + e.getMessage() + "\"");
         }
     }
 
@@ -107,17 +107,17 @@
         try {
             membership.memberAdded(incarnation(member, metadata), FleetExecutor.nowMicros());
         } catch (MalformedMessageException | IllegalArgumentException e) {
-            LOG.warning("a member at " + member.address() + " is not counted: " + e.getMessage());
+            LOG.warning("member rejected address=" + member.address() + " reason=\"" + e.getMessage() + "\"");
         }
     }
 
     private static Incarnation incarnation(Member member, ByteBuffer bytes) throws MalformedMessageException {
         if (bytes == null) {
-            throw new MalformedMessageException("it does not say who it is");
+            throw new MalformedMessageException("incomplete member metadata");
         }
         MemberMetadata metadata = MessageJson.read(MemberMetadata.CODEC.deserialize(bytes), MemberMetadata.class);
         if (metadata.name() == null || metadata.zone() == null || metadata.machine() == null) {
-            throw new MalformedMessageException("it does not say who it is");
+            throw new MalformedMessageException("incomplete member metadata");
         }
         return new Incarnation(member.id(), metadata.name(), metadata.zone(), metadata.machine(), member.address());
     }
--- a/src/main/java/sandstack/fleet/link/FilteredMessageCodec.java
+++ b/src/main/java/sandstack/fleet/link/FilteredMessageCodec.java
@@ -81,7 +81,9 @@
         } catch (IOException | ClassNotFoundException | RuntimeException e) {
             rejectedCount.incrementAndGet();
             lastRejected.set(true);
-            throw e instanceof InvalidClassException ? new IOException("a message of unknown types") : e;
+            throw e instanceof InvalidClassException
+                    ? new IOException("message contains types that are not allowed")
+                    : e;
         }
     }
 
--- a/src/main/java/sandstack/fleet/link/FleetExecutor.java
+++ b/src/main/java/sandstack/fleet/link/FleetExecutor.java
@@ -56,7 +56,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            warnings.warning("a turn failed: " + e);
+            warnings.warning("task failed error=\"" + e + "\"");
         }
     }
 
--- a/src/main/java/sandstack/fleet/link/FleetMember.java
+++ b/src/main/java/sandstack/fleet/link/FleetMember.java
@@ -108,7 +108,7 @@
     private void join() throws BadSettings {
         clusterClient.start(eventHandler);
         executor.scheduleAtFixedRate(protocolTask, Membership.TICK_MICROS);
-        LOG.info(self.name() + " listens for members at " + fleetFile.listen() + ", as life " + self.id());
+        LOG.info("member started name=" + self.name() + " address=" + fleetFile.listen() + " incarnation=" + self.id());
         awaitNameClaim();
     }
 
@@ -147,7 +147,7 @@
             }
         } catch (BadSettings e) {
             // the relay already serves clients and continues to
-            LOG.severe("is no member: " + e.getMessage());
+            LOG.severe("join failed reason=\"" + e.getMessage() + "\"");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/sandstack/fleet/link/MembershipEventLog.java
+++ b/src/main/java/sandstack/fleet/link/MembershipEventLog.java
@@ -30,7 +30,8 @@
     void viewChanged(Membership.View before, Membership.View after) {
         QuorumState state = after.quorum().state();
         if (state != before.quorum().state() && quorumConfigured) {
-            LOG.info("the fleet is " + state + " here: " + after.quorum().reason());
+            LOG.info("quorum state changed state=" + state.label() + " reason=\""
+                    + after.quorum().reason() + "\"");
         }
         for (MemberTable.Row row : after.rows()) {
             statusSeen(row, after.self().id());
@@ -50,8 +51,8 @@
             return;
         }
         String unreachableFrom =
-                row.unreachableFrom().isEmpty() ? "" : ", not reached by " + String.join(", ", row.unreachableFrom());
-        LOG.info("member " + row.incarnation().name() + " (" + id.substring(0, ID_PREFIX_LENGTH) + ") is "
-                + row.status() + unreachableFrom);
+                row.unreachableFrom().isEmpty() ? "" : " unreachable_from=" + String.join(",", row.unreachableFrom());
+        LOG.info("member status changed name=" + row.incarnation().name() + " incarnation="
+                + id.substring(0, ID_PREFIX_LENGTH) + " status=" + row.status().label() + unreachableFrom);
     }
 }
--- a/src/main/java/sandstack/fleet/link/MessageJson.java
+++ b/src/main/java/sandstack/fleet/link/MessageJson.java
@@ -35,20 +35,20 @@
      */
     static <T> T read(Object data, Class<T> type) throws MalformedMessageException {
         if (!(data instanceof String text)) {
-            throw new MalformedMessageException("a body that is no text");
+            throw new MalformedMessageException("message body is not text");
         }
         try {
             JsonNode body = JSON.readTree(text);
             checkVersion(body.path(VERSION_KEY));
             return JSON.treeToValue(body, type);
         } catch (JsonProcessingException | IllegalArgumentException e) {
-            throw new MalformedMessageException("a body that is no " + type.getSimpleName());
+            throw new MalformedMessageException("message body is not a " + type.getSimpleName());
         }
     }
 
     private static void checkVersion(JsonNode version) throws MalformedMessageException {
         if (!version.isInt() || version.asInt() < 1) {
-            throw new MalformedMessageException("a body without a version");
+            throw new MalformedMessageException("message body has no protocol version");
         }
         if (version.asInt() > FleetMessages.PROTOCOL_VERSION) {
             throw new UnsupportedVersionException(version.asInt());
--- a/src/main/java/sandstack/fleet/link/ProtocolTask.java
+++ b/src/main/java/sandstack/fleet/link/ProtocolTask.java
@@ -73,7 +73,8 @@
                 return;
             }
         } catch (MalformedMessageException e) {
-            warnings.warning(target.name() + " at " + target.address() + " answers with " + e.getMessage());
+            warnings.warning("probe response rejected name=" + target.name() + " address=" + target.address()
+                    + " reason=\"" + e.getMessage() + "\"");
         }
         membership.probeTimedOut(target);
     }
--- a/src/main/java/sandstack/fleet/link/RateLimitedLog.java
+++ b/src/main/java/sandstack/fleet/link/RateLimitedLog.java
@@ -22,7 +22,7 @@
             suppressed++;
             return;
         }
-        log.warning(message + (suppressed == 0 ? "" : "; " + suppressed + " like it before"));
+        log.warning(message + " suppressed=" + suppressed);
         lastWarningMicros = FleetExecutor.nowMicros();
         suppressed = 0;
     }
--- a/src/main/java/sandstack/fleet/link/UnsupportedVersionException.java
+++ b/src/main/java/sandstack/fleet/link/UnsupportedVersionException.java
@@ -7,6 +7,6 @@
     private static final long serialVersionUID = 1L;
 
     UnsupportedVersionException(int version) {
-        super("version " + version + " of the words, known are up to " + FleetMessages.PROTOCOL_VERSION);
+        super("unsupported protocol version " + version + ", supported are up to " + FleetMessages.PROTOCOL_VERSION);
     }
 }
--- a/src/test/java/sandstack/fleet/link/FleetMemberTest.java
+++ b/src/test/java/sandstack/fleet/link/FleetMemberTest.java
@@ -127,7 +127,7 @@
                 .hasMessageContaining("nothing here takes calls of this kind");
         assertThatThrownBy(() -> two[0].call("nobody", "twice", "", Duration.ofSeconds(5))
                         .join())
-                .hasMessageContaining("is no member now");
+                .hasMessageContaining("is not a member");
         long began = System.nanoTime();
         List<CompletableFuture<String>> waiting = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
@@ -136,7 +136,7 @@
         // a member that does not answer holds up eight calls and no more, and those until their deadline
         assertThatThrownBy(() ->
                         two[0].call(to, "twice", "ab", Duration.ofSeconds(5)).join())
-                .hasMessageContaining("too many calls are out");
+                .hasMessageContaining("too many calls in flight");
         waiting.forEach(call -> assertThatThrownBy(call::join).isInstanceOf(CompletionException.class));
         assertThat(System.nanoTime() - began).isBetween(400_000_000L, 5_000_000_000L);
         assertThat(two[0].call(to, "twice", "cd", Duration.ofSeconds(5)).get(10, TimeUnit.SECONDS))
@@ -227,22 +227,22 @@
                         .build(),
                 bytes);
         assertThatThrownBy(() -> codec.deserialize(new ByteArrayInputStream(bytes.toByteArray())))
-                .hasMessage("a message of unknown types");
+                .hasMessage("message contains types that are not allowed");
         assertThat(codec.rejectedCount()).isEqualTo(1);
     }
 
     @Test
     void laterProtocolVersionIsDistinguishedFromMalformedMessages() {
         assertThatThrownBy(() -> MessageJson.read("{\"v\":2,\"new\":[]}", FleetMessages.ProbeRequest.class))
-                .hasMessage("version 2 of the words, known are up to 1");
+                .hasMessage("unsupported protocol version 2, supported are up to 1");
         assertThatThrownBy(() -> MessageJson.read("{\"name\":1}", FleetMessages.ProbeRequest.class))
-                .hasMessage("a body without a version");
+                .hasMessage("message body has no protocol version");
         assertThatThrownBy(() -> MessageJson.read("{\"v\":1,\"has\":\"x\"}", FleetMessages.ProbeRequest.class))
-                .hasMessage("a body that is no ProbeRequest");
+                .hasMessage("message body is not a ProbeRequest");
         assertThatThrownBy(() -> MessageJson.read("[[[[[[[[[[[[", FleetMessages.ProbeRequest.class))
-                .hasMessageContaining("no ProbeRequest");
+                .hasMessageContaining("not a ProbeRequest");
         assertThatThrownBy(() -> MessageJson.read(17, FleetMessages.ProbeRequest.class))
-                .hasMessage("a body that is no text");
+                .hasMessage("message body is not text");
     }
 
     /** At an upgrade the next process of a relay becomes the member once the one before has left. */
--- a/src/test/java/sandstack/rig/FleetProcessesTest.java
+++ b/src/test/java/sandstack/rig/FleetProcessesTest.java
@@ -55,7 +55,7 @@
         assertThat(rig.line(0, "m2").path("standing").asText()).isEqualTo("ALIVE");
         rig.heal(1, 3);
         eventually("all alive again", 15, rig::allAlive);
-        assertThat(rig.logs()).doesNotContain("is LOST");
+        assertThat(rig.logs()).doesNotContain("status=LOST");
     }
 
     @Test
@@ -98,7 +98,7 @@
         eventually("all alive again", 20, rig::allAlive);
         // it believes that no time has passed: nothing that it missed meanwhile counts against the others
         assertThat(rig.member(1).log().subList(said, rig.member(1).log().size()))
-                .noneMatch(line -> line.contains("not reached by m1"));
+                .noneMatch(line -> line.matches(".*unreachable_from=(\\S+,)?m1(,.*)?"));
     }
 
     @Test
@@ -129,7 +129,7 @@
             }
         }
         eventually("one fleet, all alive", 20, rig::allAlive);
-        assertThat(rig.logs()).doesNotContain("is LOST");
+        assertThat(rig.logs()).doesNotContain("status=LOST");
     }
 
     @Test
