--- a/src/main/java/sandstack/fleet/NameClaim.java
+++ b/src/main/java/sandstack/fleet/NameClaim.java
@@ -34,8 +34,11 @@
      * @param otherOwnsName whether it owns its name
      */
     void messageReceived(String id, String name, boolean otherOwnsName) {
+        if (owned || ownerId != null) {
+            return;
+        }
         boolean conflict = name.equals(self.name()) && !id.equals(self.id());
-        if (conflict && !owned && ownerId == null && (otherOwnsName || id.compareTo(self.id()) < 0)) {
+        if (conflict && (otherOwnsName || id.compareTo(self.id()) < 0)) {
             ownerId = id;
         }
     }
--- a/src/main/java/sandstack/fleet/link/CallClient.java
+++ b/src/main/java/sandstack/fleet/link/CallClient.java
@@ -39,7 +39,7 @@
                 .map(MemberTable.Row::incarnation)
                 .findFirst();
         if (target.isEmpty()) {
-            return CompletableFuture.failedFuture(new CallException(id + " is not a member"));
+            return CompletableFuture.failedFuture(new CallException(id, kind, "not a member"));
         }
         if (body.length() > FleetMember.MAX_BODY_LENGTH) {
             return CompletableFuture.failedFuture(
@@ -47,14 +47,14 @@
         }
         AtomicInteger callsToMember = callsByMember.computeIfAbsent(id, ignored -> new AtomicInteger());
         if (!acquire(callsToMember)) {
-            return CompletableFuture.failedFuture(new CallException("too many calls in flight"));
+            return CompletableFuture.failedFuture(new CallException(id, kind, "too many calls in flight"));
         }
         CallRequest request = new CallRequest(FleetMessages.PROTOCOL_VERSION, self.id(), kind, body);
         return clusterClient
                 .request(target.get(), Qualifiers.CALL_REQUEST, MessageJson.write(request), timeout)
                 .handle((response, failure) -> {
                     release(id, callsToMember);
-                    return result(response, failure);
+                    return result(id, kind, response, failure);
                 });
     }
 
@@ -75,18 +75,18 @@
         }
     }
 
-    private static String result(String response, Throwable failure) {
+    private static String result(String id, String kind, String response, Throwable failure) {
         if (failure != null) {
-            throw new CallException(String.valueOf(failure.getMessage()));
+            throw new CallException(id, kind, String.valueOf(failure.getMessage()));
         }
         try {
             CallResponse result = MessageJson.read(response, CallResponse.class);
             if (result.error() != null) {
-                throw new CallException(result.error());
+                throw new CallException(id, kind, result.error());
             }
             return result.body();
         } catch (MalformedMessageException e) {
-            throw new CallException("response rejected: " + e.getMessage());
+            throw new CallException(id, kind, "response rejected: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/sandstack/fleet/link/CallException.java
+++ b/src/main/java/sandstack/fleet/link/CallException.java
@@ -1,10 +1,10 @@
 package sandstack.fleet.link;
 
-/** A remote call that has failed, with the reason that the called member or this one gives. */
+/** A call to another member that has failed, with the reason that either of the two gives. */
 public final class CallException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    CallException(String reason) {
-        super(reason);
+    CallException(String memberId, String kind, String reason) {
+        super("call " + kind + " to " + memberId + " failed: " + reason);
     }
 }
--- a/src/main/java/sandstack/fleet/link/MalformedMessageException.java
+++ b/src/main/java/sandstack/fleet/link/MalformedMessageException.java
@@ -7,4 +7,8 @@
     MalformedMessageException(String reason) {
         super(reason);
     }
+
+    MalformedMessageException(String reason, Throwable cause) {
+        super(reason, cause);
+    }
 }
--- a/src/main/java/sandstack/fleet/link/MessageJson.java
+++ b/src/main/java/sandstack/fleet/link/MessageJson.java
@@ -42,7 +42,7 @@
             checkVersion(body.path(VERSION_KEY));
             return JSON.treeToValue(body, type);
         } catch (JsonProcessingException | IllegalArgumentException e) {
-            throw new MalformedMessageException("message body is not a " + type.getSimpleName());
+            throw new MalformedMessageException("message body is not a " + type.getSimpleName(), e);
         }
     }
 
--- a/src/main/java/sandstack/fleet/link/SingleAddressTransportFactory.java
+++ b/src/main/java/sandstack/fleet/link/SingleAddressTransportFactory.java
@@ -20,6 +20,7 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.Connection;
 import reactor.netty.DisposableServer;
+import reactor.netty.NettyInbound;
 import reactor.netty.NettyPipeline;
 import reactor.netty.tcp.TcpClient;
 import reactor.netty.tcp.TcpServer;
@@ -85,20 +86,24 @@
                         channel.pipeline()
                                 .addFirst("silent", new ReadTimeoutHandler(READ_TIMEOUT_SECONDS, TimeUnit.SECONDS));
                     })
-                    .handle((in, out) -> in.receive()
-                            .retain()
-                            .doOnNext(frame -> {
-                                context.onMessage(frame);
-                                if (codec.pollLastRejected()) {
-                                    // a peer that sends one foreign message is no member
-                                    in.withConnection(Connection::dispose);
-                                }
-                            })
-                            .then())
+                    .handle((in, out) -> receive(in, context))
                     .bind()
                     .cast(DisposableServer.class);
         }
 
+        private Mono<Void> receive(NettyInbound in, ReceiverContext context) {
+            return in.receive()
+                    .retain()
+                    .doOnNext(frame -> {
+                        context.onMessage(frame);
+                        if (codec.pollLastRejected()) {
+                            // a peer that sends one foreign message is no member
+                            in.withConnection(Connection::dispose);
+                        }
+                    })
+                    .then();
+        }
+
         private void accepted(Connection connection) {
             if (peerCount.incrementAndGet() > maxPeers) {
                 peerCount.decrementAndGet();
--- a/src/test/java/sandstack/fleet/MembershipTest.java
+++ b/src/test/java/sandstack/fleet/MembershipTest.java
@@ -21,16 +21,16 @@
 import sandstack.fleet.FleetMessages.MemberState;
 import sandstack.fleet.FleetMessages.ProbeResponse;
 
-/** Many memberships in one simulated clock, with a library that is as slow and as blind as the real one. */
+/** Several memberships on one simulated clock, with a library that detects changes as slowly as the real one. */
 class MembershipTest {
     private static final long TICK_MICROS = Membership.TICK_MICROS;
-    /** The library gives a member up so long after nobody reaches it. */
+    /** The library removes a member that has been unreachable for so long. */
     private static final long LIBRARY_TIMEOUT_MICROS = 6_000_000;
 
-    /** Something to do at a time; {@code order} settles equal times. */
+    /** An action at a time; {@code order} decides between equal times. */
     private record ScheduledAction(long atMicros, long order, Runnable action) {}
 
-    /** The world: who lives, what passes, what is on its way. */
+    /** The processes, the links between them and the messages in flight. */
     private static final class Simulation {
         final SplittableRandom random;
         final List<Incarnation> incarnations = new ArrayList<>();
@@ -41,7 +41,7 @@
         final Map<String, Long> unreachableSince = new HashMap<>();
         final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>(
                 Comparator.comparingLong(ScheduledAction::atMicros).thenComparingLong(ScheduledAction::order));
-        /** Every state that a life ever told, by its number. */
+        /** The values of every state that was gossiped, by incarnation id and version. */
         final Map<String, Map<Long, Map<String, String>>> publishedVersions = new HashMap<>();
 
         long nowMicros = 1_000_000;
@@ -73,7 +73,7 @@
             return 200 + random.nextLong(2_000);
         }
 
-        /** One direct question and its answer. */
+        /** One probe and its response. */
         void probe(Incarnation a, Incarnation b) {
             FleetMessages.ProbeRequest request = memberships.get(a.id()).probeRequest(b);
             boolean[] answered = {false};
@@ -96,7 +96,7 @@
             });
         }
 
-        /** Whom a member that is up reaches over others that are up, where each link is such a one. */
+        /** The running members that one reaches over a chain of running members, by links that satisfy the predicate. */
         Set<Incarnation> reachableByChain(Incarnation from, BiPredicate<Incarnation, Incarnation> link) {
             Set<Incarnation> reachable = new HashSet<>(Set.of(from));
             for (boolean grew = true; grew; ) {
@@ -112,7 +112,7 @@
             return reachable;
         }
 
-        /** What one member spreads reaches whoever some chain of members reaches. */
+        /** Gossip reaches all members that a chain of members reaches. */
         void gossip(Incarnation from, MemberState state) {
             for (Incarnation to : reachableByChain(from, this::passes)) {
                 if (to != from) {
@@ -153,7 +153,7 @@
             }
         }
 
-        /** Whom each can reach by any chain is added, whom nobody can is given up after a while. */
+        /** Adds the members that each one reaches by a chain, and removes the others after the timeout. */
         private void updateLibrary() {
             for (Incarnation a : incarnations) {
                 if (!running(a)) {
@@ -327,7 +327,7 @@
         assertThatThrownBy(() -> membership.publish("one more", "v", 0)).hasMessageContaining("at most");
     }
 
-    /** The library gives up whom it cannot ask itself where one other does not answer in time; others know better. */
+    /** The library removes a member that it cannot probe if one other does not respond in time, although others reach it. */
     @Test
     void memberRemovedByTheLibraryStaysWhileAnotherReachesIt() {
         MemberTable table = new MemberTable(new Incarnation("me", "me", "z", "m", "a"), 0);
@@ -343,7 +343,7 @@
         assertThat(table.otherMemberIds()).containsExactly("y");
         table.reachReported("y", Set.of("me", "x"), Set.of());
         table.memberRemoved("y", 3);
-        // a word of one who is gone itself is none
+        // reports of a departed member do not count
         assertThat(status(table, "x")).isEqualTo(MemberStatus.LOST);
         table.memberAdded(new Incarnation("x", "x", "z", "m", "a"), 4);
         assertThat(status(table, "x")).isEqualTo(MemberStatus.SUSPECT);
@@ -367,7 +367,7 @@
         assertThat(table.rows(10_000)).hasSize(1 + MemberTable.MAX_DEPARTED);
     }
 
-    /** Two that started behind a cut: the library of one had not met the other 6 s after the heal, though all others had. */
+    /** Two that started on both sides of a partition: the library may discover one of them late, when all others know it. */
     @Test
     void memberDiscoveredByGossipIsProbedAndCountsOnceItAnswers() {
         Incarnation self = new Incarnation("a-0", "a", "z", "m", "a");
--- a/src/test/java/sandstack/fleet/QuorumTrackerTest.java
+++ b/src/test/java/sandstack/fleet/QuorumTrackerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** On what ground a member stands, on a clock that the test moves. */
+/** Quorum states on a clock that the test advances. */
 class QuorumTrackerTest {
     private static final long LONG_AGO_MICROS = 0;
     private long nowMicros = 60_000_000;
@@ -43,7 +43,7 @@
         return tracker.assess(rows, reachable, Map.of(), Set.of(), nowMicros);
     }
 
-    /** Seen twice, so that it has lasted. */
+    /** Assesses twice, so that the state has lasted for the stability window. */
     private QuorumAssessment assessUntilStable(
             QuorumTracker tracker, List<MemberTable.Row> rows, Set<String> reachable) {
         assess(tracker, rows, reachable);
@@ -65,10 +65,10 @@
                 "a b c d e   | b c d e   |     | COMPLETE",
                 "a b c d e   | b c       |     | MAJORITY",
                 "a b c d e   | b         |     | MINORITY",
-                // who is partly reached is not taken from what there is, and not counted as reached either
+                // a partially reachable relay stays in the size of the fleet, and does not count as reachable
                 "a b c d e   | b         | c d | MINORITY",
                 "a b c       | b         | c   | MAJORITY",
-                // somebody of whom staff said nothing counts for nothing
+                // relays that are not configured do not count
                 "a b c d     | b x y     |     | MINORITY",
                 "            | b         |     | UNKNOWN",
                 "b c         | b c       |     | UNKNOWN",
@@ -137,7 +137,7 @@
         assertThat(majority.sinceMicros()).isEqualTo(nowMicros);
     }
 
-    /** Three of five, and each of them lacks another: no two of them could settle anything together. */
+    /** Three of five, of which two do not reach each other. */
     @Test
     void majorityWithoutMutualReachabilityIsUnknown() {
         QuorumTracker tracker = new QuorumTracker(List.of("a", "b", "c", "d", "e"), "a", LONG_AGO_MICROS);
@@ -161,7 +161,7 @@
         QuorumAssessment complete = assessUntilStable(tracker, rows, reachable);
         assertThat(complete.state()).isEqualTo(QuorumState.COMPLETE);
         nowMicros += 20_000_000;
-        // read before its own thread has run again
+        // read before the fleet's thread has run again
         assertThat(complete.asOf(nowMicros).state()).isEqualTo(QuorumState.UNKNOWN);
         assertThat(complete.asOf(nowMicros).allows(GuardedOperation.OperatorOperation.DECOMMISSION_RELAY))
                 .isFalse();
@@ -169,7 +169,7 @@
         assertThat(assess(tracker, rows, reachable).reason()).contains("stood still for 20 s");
         tracker.probeAnswered("id-b");
         nowMicros += QuorumTracker.RECHECK_MICROS;
-        // c has not answered since: it is believed no longer
+        // c has not answered since the stall, so it does not count as reachable
         assess(tracker, rows, reachable);
         nowMicros += QuorumTracker.STABILITY_WINDOW_MICROS;
         QuorumAssessment after = assess(tracker, rows, reachable);
@@ -193,7 +193,7 @@
         assertThat(assessment.reason()).isEqualTo("b was told of other relays than this one");
     }
 
-    /** However relays are parted, and whatever each believes of the others, two parts never both are most. */
+    /** However the relays are partitioned, two partitions never both have a majority. */
     @Property
     void twoPartitionsNeverBothHaveAMajority(@ForAll @IntRange(min = 1, max = 9) int relays, @ForAll int parts) {
         List<String> configured = new ArrayList<>();
--- a/src/test/java/sandstack/fleet/ReachabilityProbeTest.java
+++ b/src/test/java/sandstack/fleet/ReachabilityProbeTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Whom a member reaches itself. */
+/** Direct reachability, by probes that are answered or time out. */
 class ReachabilityProbeTest {
     private final ReachabilityProbe probe = new ReachabilityProbe(new SplittableRandom(1));
 
@@ -36,7 +36,7 @@
             due.forEach(id -> counts.merge(id, 1, Integer::sum));
         }
         assertThat(counts).hasSize(members);
-        // a round begins at a turn, so up to one turn longer than it is; of five the last may not be over
+        // a round begins at a tick, so it may last one tick longer; the last of the five may not be over
         assertThat(counts.values()).allMatch(n -> n >= 3 && n <= 5);
         assertThat(maxDue).isLessThanOrEqualTo(2 + 2 * (int) (members * (tickMillis * 1_000L) / roundMicros));
     }
--- a/src/test/java/sandstack/fleet/link/FleetMemberTest.java
+++ b/src/test/java/sandstack/fleet/link/FleetMemberTest.java
@@ -35,7 +35,7 @@
 import sandstack.fleet.MemberTable;
 import sandstack.fleet.MemberValues;
 
-/** Members over real sockets in one process: what they tell and ask each other, and peers that are none. */
+/** Members over real sockets in one process: published values, calls, and peers that are not members. */
 @Execution(ExecutionMode.CONCURRENT)
 @Timeout(60)
 class FleetMemberTest {
@@ -127,13 +127,13 @@
                 .hasMessageContaining("nothing here takes calls of this kind");
         assertThatThrownBy(() -> two[0].call("nobody", "twice", "", Duration.ofSeconds(5))
                         .join())
-                .hasMessageContaining("is not a member");
+                .hasMessageContaining("call twice to nobody failed: not a member");
         long began = System.nanoTime();
         List<CompletableFuture<String>> waiting = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             waiting.add(two[0].call(to, "never", "", Duration.ofMillis(500)));
         }
-        // a member that does not answer holds up eight calls and no more, and those until their deadline
+        // a member that does not respond holds up eight calls at most, until their timeout
         assertThatThrownBy(() ->
                         two[0].call(to, "twice", "ab", Duration.ofSeconds(5)).join())
                 .hasMessageContaining("too many calls in flight");
@@ -162,11 +162,11 @@
         List<Socket> stalledPeers = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             assertThat(closesAfter(at, huge)).as("60 MB").isTrue();
-            assertThat(closesAfter(at, garbage)).as("rubbish").isTrue();
+            assertThat(closesAfter(at, garbage)).as("garbage").isTrue();
             assertThat(closesAfter(at, framed(unknownType())))
                     .as("unknown types")
                     .isTrue();
-            // one that says a little and waits
+            // a peer that sends an incomplete frame and stalls
             Socket one = new Socket(at.host(), at.port());
             one.getOutputStream().write(0);
             stalledPeers.add(one);
@@ -180,7 +180,7 @@
         }
     }
 
-    /** Whether the other end hangs up on whoever sends this. */
+    /** Whether the other end closes the connection after these bytes. */
     private static boolean closesAfter(Address at, byte[] bytes) throws IOException {
         try (Socket socket = new Socket(at.host(), at.port())) {
             socket.setSoTimeout(2_000);
@@ -245,7 +245,7 @@
                 .hasMessage("message body is not text");
     }
 
-    /** At an upgrade the next process of a relay becomes the member once the one before has left. */
+    /** During an upgrade the next process of a relay becomes the member once the previous one has left. */
     @Test
     void nextProcessOfARelayJoinsOnceThePreviousOneHasLeft() throws Exception {
         FleetMember[] two = startTwo();
--- a/src/test/java/sandstack/fleet/link/MembershipEventLogTest.java
+++ b/src/test/java/sandstack/fleet/link/MembershipEventLogTest.java
@@ -26,7 +26,7 @@
     private final Handler handler = new Handler() {
         @Override
         public void publish(LogRecord record) {
-            // other tests of this class path log under the same name in parallel
+            // other tests log under the same name in parallel
             if (Thread.currentThread() == testThread) {
                 lines.add(record.getMessage());
             }
--- a/src/test/java/sandstack/fleet/link/WireSizesTest.java
+++ b/src/test/java/sandstack/fleet/link/WireSizesTest.java
@@ -24,7 +24,7 @@
 import sandstack.fleet.Incarnation;
 import sandstack.measure.scale.hollow.WireSizes;
 
-/** The sizes that hollow relays count with are those of messages that the program's codec writes. */
+/** The sizes that simulated relays assume are those of messages that the program's codec writes. */
 class WireSizesTest {
     private static final int LENGTH_BYTES = 4;
     private static final String LIBRARY = "io.scalecube.cluster.";
@@ -45,11 +45,11 @@
 
     private Member member(int i) {
         String own = (id + i).substring((id + i).length() - id.length());
-        // as read from the wire: no two members share a text
+        // as read from the wire: no two members share a string
         return new Member(own, new String(name), new String(address), new String(namespace));
     }
 
-    /** The library keeps the constructors of its messages to itself. */
+    /** The constructors of the library's messages are not public. */
     private static Object make(String type, Object... arguments) throws Exception {
         for (Constructor<?> constructor : Class.forName(LIBRARY + type).getDeclaredConstructors()) {
             Class<?>[] types = constructor.getParameterTypes();
