--- a/src/main/java/sandstack/fleet/MemberTable.java
+++ b/src/main/java/sandstack/fleet/MemberTable.java
@@ -9,65 +9,73 @@
 import java.util.Set;
 
 /**
- * All lives that this member has heard of, and how each stands. Three things are put together: whom the library holds
- * for a member, whom this one reaches itself, and whom the others say that they reach. Who is told of by others counts
- * as soon as this one has had its answer, however late the library meets it.
+ * The membership table: all incarnations that this member knows, and the status of each. A status combines three sources:
+ * the members that the library lists, those that this member reaches directly, and those that other members report as
+ * reachable. A member that is only known by gossip counts as soon as this one has had its response, however late the
+ * library discovers it.
  *
- * <p>What it promises: a life that is gone never comes back (a restart has another id); where all members tell each
- * other the same, all derive the same standing; nothing follows from comparing clocks of two machines. It does not
- * promise that two members agree at one moment: while a cut lasts, both sides call the other lost.
+ * <p>Guarantees: an incarnation that has left never returns, as a restart has another id; members that have received the
+ * same reports derive the same status; clocks of different machines are never compared. Not guaranteed: that two members
+ * agree at one moment. During a partition both sides call each other lost.
  *
- * <p>One thread; O(members squared) a look at all, O(1) an event. Of the gone the last {@link #GONE_KEPT} are kept.
+ * <p>Not thread-safe. {@link #rows} costs O(members squared), an event O(1) unless it removes members. Of departed
+ * members the latest {@link #MAX_DEPARTED} are retained.
  */
 public final class MemberTable {
-    static final int GONE_KEPT = 64;
+    static final int MAX_DEPARTED = 64;
 
-    /** What is held of one incarnation. */
+    /** What is known of one incarnation. */
     private static final class Entry {
-        final Incarnation life;
-        /** Whether the library holds it. */
-        boolean held = true;
-
+        final Incarnation incarnation;
+        boolean listedByLibrary = true;
         boolean left;
-        /** Told of by others, and nobody has said yet that they reach it. */
-        boolean unmet;
+        /** Known by gossip alone, and no member has reported that it reaches it. */
+        boolean unconfirmed;
+
+        /** When the library last added or removed it. */
+        long sinceMicros;
 
-        long since;
-        /** As it was last shown, and since when it is shown so. */
-        MemberStatus shown;
+        /** The status in the last {@link #rows}; null before the first. */
+        MemberStatus lastStatus;
 
-        long shownSince;
+        long lastStatusSinceMicros;
 
-        Entry(Incarnation life, long since) {
-            this.life = life;
-            this.since = since;
+        Entry(Incarnation incarnation, long sinceMicros) {
+            this.incarnation = incarnation;
+            this.sinceMicros = sinceMicros;
         }
     }
 
-    /** What a member says of its own reach. */
-    private record ReachReport(Set<String> reached, Set<String> unreached) {}
+    /** Which members one member reports as reachable and unreachable. */
+    private record ReachReport(Set<String> reachable, Set<String> unreachable) {}
 
     /**
-     * How one life stands.
+     * One incarnation and its status.
      *
-     * @param since when that began here, of the caller's clock
-     * @param reached how many members with a say reach it
-     * @param voices how many members have a say about it
-     * @param against names of those who do not reach it
+     * @param sinceMicros since when it has this status here, by the caller's clock
+     * @param reachableCount how many of the reporters reach it
+     * @param reporterCount how many members report on it
+     * @param unreachableFrom names of the reporters that do not reach it
      */
     public record Row(
-            Incarnation life, MemberStatus standing, long since, int reached, int voices, List<String> against) {}
+            Incarnation incarnation,
+            MemberStatus status,
+            long sinceMicros,
+            int reachableCount,
+            int reporterCount,
+            List<String> unreachableFrom) {}
 
     private final Incarnation self;
-    private final long began;
+    private final long createdAtMicros;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final Map<String, ReachReport> says = new HashMap<>();
+    /** The last report of each member, this one among them, by the id of the reporter. */
+    private final Map<String, ReachReport> reachReports = new HashMap<>();
 
-    /** Creates a table of this member alone, from {@code now} on. */
-    public MemberTable(Incarnation self, long now) {
+    /** Creates a table of this member alone. */
+    public MemberTable(Incarnation self, long nowMicros) {
         this.self = self;
-        this.began = now;
-        added(self, now);
+        this.createdAtMicros = nowMicros;
+        memberAdded(self, nowMicros);
     }
 
     /** This member's own incarnation. */
@@ -75,152 +83,170 @@
         return self;
     }
 
-    /** The library has this life for a member. */
-    public void added(Incarnation life, long now) {
-        Entry entry = entries.get(life.id());
+    /** The library has added this incarnation to its members, for the first time or after a partition. */
+    public void memberAdded(Incarnation incarnation, long nowMicros) {
+        Entry entry = entries.get(incarnation.id());
         if (entry == null) {
-            entries.put(life.id(), new Entry(life, now));
-        } else if (!entry.left && !entry.held) {
-            // behind a cut it lived on: the same life, not a new one
-            entry.held = true;
-            entry.since = now;
+            entries.put(incarnation.id(), new Entry(incarnation, nowMicros));
+        } else if (!entry.left && !entry.listedByLibrary) {
+            entry.listedByLibrary = true;
+            entry.sinceMicros = nowMicros;
         }
     }
 
-    /** Others know this life; returns whether it is new here. It is present as far as somebody says that they reach it. */
-    public boolean toldOf(Incarnation life, long now) {
-        if (entries.containsKey(life.id())) {
+    /**
+     * Gossip names this incarnation. It counts as a member while some member reports that it reaches it.
+     *
+     * @return whether it was not known before
+     */
+    public boolean memberDiscovered(Incarnation incarnation, long nowMicros) {
+        if (entries.containsKey(incarnation.id())) {
             return false;
         }
-        Entry entry = new Entry(life, now);
-        entry.held = false;
-        entry.unmet = true;
-        entries.put(life.id(), entry);
-        forgetOldest();
+        Entry entry = new Entry(incarnation, nowMicros);
+        entry.listedByLibrary = false;
+        entry.unconfirmed = true;
+        entries.put(incarnation.id(), entry);
+        evictOldestDeparted();
         return true;
     }
 
-    /** The life said that it goes. */
-    public void left(String id, long now) {
-        gone(id, true, now);
+    /** The incarnation has announced that it leaves. */
+    public void memberLeft(String id, long nowMicros) {
+        memberDeparted(id, true, nowMicros);
     }
 
     /**
-     * The library gave it up; one that had said that it goes has left. The library asks through one other member and
-     * takes back what it gave up only by a word with the member itself: one that others reach stays, by their word.
+     * The library has removed the incarnation, unless it had left before. The library probes through few other members
+     * and withdraws a suspicion only after contact with the member itself, so a member that others reach stays in this
+     * table by their reports.
      */
-    public void removed(String id, long now) {
-        gone(id, false, now);
+    public void memberRemoved(String id, long nowMicros) {
+        memberDeparted(id, false, nowMicros);
     }
 
-    private void gone(String id, boolean left, long now) {
+    private void memberDeparted(String id, boolean left, long nowMicros) {
         Entry entry = entries.get(id);
         if (entry == null || entry.left || id.equals(self.id())) {
             return;
         }
         entry.left = left;
-        entry.held = false;
-        entry.since = now;
-        says.remove(id);
-        forgetOldest();
-    }
-
-    private void forgetOldest() {
-        List<Entry> gone = new ArrayList<>(entries.values().stream()
-                .filter(e -> !present(e))
-                .sorted(Comparator.comparingLong(e -> e.since))
-                .toList());
-        for (int i = 0; i < gone.size() - GONE_KEPT; i++) {
-            entries.remove(gone.get(i).life.id());
+        entry.listedByLibrary = false;
+        entry.sinceMicros = nowMicros;
+        reachReports.remove(id);
+        evictOldestDeparted();
+    }
+
+    private void evictOldestDeparted() {
+        List<Entry> departed = entries.values().stream()
+                .filter(entry -> !isMember(entry))
+                .sorted(Comparator.comparingLong(entry -> entry.sinceMicros))
+                .toList();
+        for (int i = 0; i < departed.size() - MAX_DEPARTED; i++) {
+            entries.remove(departed.get(i).incarnation.id());
         }
     }
 
     /**
-     * What a member says of its reach. The word of one that neither the library holds nor this one reaches does not count:
-     * it may be old.
+     * A member reports its reachability. Ignored if the library does not list the reporter and this member does not reach
+     * it, as the report may be stale.
      *
-     * @param reached whom it reaches itself
-     * @param unreached whom it asks in vain
+     * @param id incarnation id of the reporter
+     * @param reachable ids that it reaches directly
+     * @param unreachable ids whose probes time out
      */
-    public void says(String id, Set<String> reached, Set<String> unreached) {
+    public void reachReported(String id, Set<String> reachable, Set<String> unreachable) {
         Entry entry = entries.get(id);
-        if (entry != null && (entry.held || reachedHere(id))) {
-            says.put(id, new ReachReport(Set.copyOf(reached), Set.copyOf(unreached)));
+        if (entry != null && (entry.listedByLibrary || reachableFromSelf(id))) {
+            reachReports.put(id, new ReachReport(Set.copyOf(reachable), Set.copyOf(unreachable)));
         }
     }
 
-    /** Whether this member reaches it itself. */
-    private boolean reachedHere(String id) {
-        ReachReport own = says.get(self.id());
-        return own != null && own.reached().contains(id);
+    private boolean reachableFromSelf(String id) {
+        ReachReport own = reachReports.get(self.id());
+        return own != null && own.reachable().contains(id);
     }
 
-    /** Whether it is a member now. */
-    boolean present(String id) {
+    /** Whether the incarnation with this id is a member now. */
+    boolean isMember(String id) {
         Entry entry = entries.get(id);
-        return entry != null && present(entry);
+        return entry != null && isMember(entry);
     }
 
-    private boolean present(Entry e) {
-        return !e.left
-                && (e.held
-                        || says.values().stream().anyMatch(say -> say.reached().contains(e.life.id())));
+    private boolean isMember(Entry entry) {
+        return !entry.left
+                && (entry.listedByLibrary
+                        || reachReports.values().stream()
+                                .anyMatch(report -> report.reachable().contains(entry.incarnation.id())));
     }
 
-    /** Ids of all members but this one. */
-    public List<String> others() {
+    /** Incarnation ids of all members but this one. */
+    public List<String> otherMemberIds() {
         return entries.values().stream()
-                .filter(e -> present(e) && e.life != self)
-                .map(e -> e.life.id())
+                .filter(entry -> isMember(entry) && entry.incarnation != self)
+                .map(entry -> entry.incarnation.id())
                 .toList();
     }
 
-    /** The life with this id, gone or not; null where there is none. */
-    public Incarnation life(String id) {
+    /** The incarnation with this id, departed or not; null if it is not known. */
+    public Incarnation incarnation(String id) {
         Entry entry = entries.get(id);
-        return entry == null ? null : entry.life;
+        return entry == null ? null : entry.incarnation;
     }
 
-    /** How all stand, by name and then by age. */
-    public List<Row> lines(long now) {
-        List<Row> lines = new ArrayList<>();
-        for (Entry e : entries.values()) {
-            String id = e.life.id();
-            e.unmet &= !present(e) && !e.left;
-            if (e.unmet) {
-                continue;
+    /** All incarnations and their status, by name and then by the age of the status. */
+    public List<Row> rows(long nowMicros) {
+        List<Row> rows = new ArrayList<>();
+        for (Entry entry : entries.values()) {
+            entry.unconfirmed &= !isMember(entry) && !entry.left;
+            if (!entry.unconfirmed) {
+                rows.add(row(entry, nowMicros));
             }
-            List<String> against = new ArrayList<>();
-            int voices = 0;
-            for (Map.Entry<String, ReachReport> say : says.entrySet()) {
-                // whoever is not reached itself by us has its word all the same: it came by others
-                boolean not = say.getValue().unreached().contains(id);
-                if (!say.getKey().equals(id) && (not || say.getValue().reached().contains(id))) {
-                    voices++;
-                    if (not) {
-                        against.add(entries.get(say.getKey()).life.name());
-                    }
-                }
+        }
+        rows.sort(Comparator.comparing((Row row) -> row.incarnation().name())
+                .thenComparingLong(Row::sinceMicros)
+                .thenComparing(row -> row.incarnation().id()));
+        return rows;
+    }
+
+    private Row row(Entry entry, long nowMicros) {
+        String id = entry.incarnation.id();
+        List<String> unreachableFrom = new ArrayList<>();
+        int reporterCount = 0;
+        // the reporter need not be reachable from here: its report may have come by gossip
+        for (Map.Entry<String, ReachReport> report : reachReports.entrySet()) {
+            boolean unreachable = report.getValue().unreachable().contains(id);
+            boolean reported = unreachable || report.getValue().reachable().contains(id);
+            if (!reported || report.getKey().equals(id)) {
+                continue;
             }
-            against.sort(null);
-            boolean some = against.size() < voices;
-            boolean met = e.held || reachedHere(id) && against.isEmpty();
-            MemberStatus is = e.left
-                    ? MemberStatus.LEFT
-                    : !met
-                            ? some ? MemberStatus.PARTLY : MemberStatus.LOST
-                            : against.isEmpty()
-                                    ? MemberStatus.ALIVE
-                                    : some ? MemberStatus.PARTLY : MemberStatus.SUSPECT;
-            if (e.shown != is) {
-                e.shown = is;
-                e.shownSince = e.life == self ? began : now;
+            reporterCount++;
+            if (unreachable) {
+                unreachableFrom.add(entries.get(report.getKey()).incarnation.name());
             }
-            lines.add(new Row(e.life, is, e.shownSince, voices - against.size(), voices, against));
         }
-        lines.sort(Comparator.comparing((Row l) -> l.life().name())
-                .thenComparingLong(Row::since)
-                .thenComparing(l -> l.life().id()));
-        return lines;
+        unreachableFrom.sort(null);
+        int reachableCount = reporterCount - unreachableFrom.size();
+        MemberStatus status = status(entry, reachableCount, unreachableFrom.isEmpty());
+        if (entry.lastStatus != status) {
+            entry.lastStatus = status;
+            entry.lastStatusSinceMicros = entry.incarnation == self ? createdAtMicros : nowMicros;
+        }
+        return new Row(
+                entry.incarnation, status, entry.lastStatusSinceMicros, reachableCount, reporterCount, unreachableFrom);
+    }
+
+    private MemberStatus status(Entry entry, int reachableCount, boolean reachableFromAll) {
+        if (entry.left) {
+            return MemberStatus.LEFT;
+        }
+        boolean present = entry.listedByLibrary || reachableFromSelf(entry.incarnation.id()) && reachableFromAll;
+        if (present && reachableFromAll) {
+            return MemberStatus.ALIVE;
+        }
+        if (reachableCount > 0) {
+            return MemberStatus.PARTIALLY_REACHABLE;
+        }
+        return present ? MemberStatus.SUSPECT : MemberStatus.LOST;
     }
 }
--- a/src/main/java/sandstack/fleet/MemberValues.java
+++ b/src/main/java/sandstack/fleet/MemberValues.java
@@ -1,92 +1,108 @@
 package sandstack.fleet;
 
+import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * Small values that each member tells all. Only a member itself changes its own, and each change raises its number, so
- * of two states of one life the one with the higher number is the later, whatever way it came. Nothing of it outlasts
- * the life that told it: what must not be lost does not belong here.
+ * Small values that each member publishes to all others. Only a member itself changes its values, and each change
+ * increments their version. Of two versions from the same incarnation the higher one is the later, whatever way it came.
+ * Values do not outlive the incarnation that published them.
  *
- * <p>One thread; O(1) a call but for the copy of a member's few values.
+ * <p>Not thread-safe. A call costs O(1), besides copying the values of one member.
  */
 public final class MemberValues {
-    /** Values that one incarnation may tell at the same time. */
-    public static final int MOST_KEYS = 16;
-    /** Characters of a key and of a value. */
-    public static final int LONGEST = 512;
+    /** Values that one incarnation may publish at the same time. */
+    public static final int MAX_VALUES = 16;
+    /** Maximum length of a key and of a value, in characters. */
+    public static final int MAX_LENGTH = 512;
 
     /**
-     * What one life tells.
+     * The values of one incarnation.
      *
-     * @param number of its last change
+     * @param version number of the last change
      */
-    public record State(long number, Map<String, String> values) {
-        static final State NONE = new State(0, Map.of());
+    public record VersionedValues(long version, Map<String, String> entries) {
+        static final VersionedValues EMPTY = new VersionedValues(0, Map.of());
 
-        /** Copies the values; an {@link IllegalArgumentException} where they are too many or too long. */
-        public State {
-            if (values.size() > MOST_KEYS) {
-                throw new IllegalArgumentException(values.size() + " values, " + MOST_KEYS + " at most");
+        /**
+         * Copies the entries.
+         *
+         * @throws IllegalArgumentException if there are too many, or one is too long
+         */
+        public VersionedValues {
+            if (entries.size() > MAX_VALUES) {
+                throw new IllegalArgumentException(entries.size() + " values, " + MAX_VALUES + " at most");
             }
-            values.forEach((key, value) -> {
-                if (key.length() > LONGEST || value.length() > LONGEST) {
-                    throw new IllegalArgumentException("a value longer than " + LONGEST + " characters");
+            entries.forEach((key, value) -> {
+                if (key.length() > MAX_LENGTH || value.length() > MAX_LENGTH) {
+                    throw new IllegalArgumentException("a value longer than " + MAX_LENGTH + " characters");
                 }
             });
-            values = Map.copyOf(values);
+            entries = Map.copyOf(entries);
         }
     }
 
     /**
-     * A value as it was last told.
+     * The latest values of one incarnation that have arrived here.
      *
-     * @param at when it came here, of the caller's clock; a later one is fresher news, not a later change
+     * @param receivedAtMicros by the caller's clock
      */
-    public record Held(State state, long at) {}
+    public record ReceivedValues(VersionedValues values, long receivedAtMicros) {}
 
-    private final String self;
-    private final Map<String, Held> held = new HashMap<>();
+    private final String selfId;
+    private final Map<String, ReceivedValues> received = new HashMap<>();
 
-    /** Creates an empty table; its own values are those of the incarnation with this id. */
-    public MemberValues(String self) {
-        this.self = self;
+    /** Creates an empty table; {@code selfId} is the incarnation id of this member. */
+    public MemberValues(String selfId) {
+        this.selfId = selfId;
     }
 
-    /** Changes one of this member's own values; null takes it away. Returns false where nothing changes. */
-    public boolean tell(String key, String value, long now) {
-        State mine = state(self);
-        Map<String, String> values = new TreeMap<>(mine.values());
-        if (value == null ? values.remove(key) == null : value.equals(values.put(key, value))) {
+    /**
+     * Changes one of this member's own values.
+     *
+     * @param value the new value; null removes it
+     * @return whether anything changed
+     * @throws IllegalArgumentException if there would be too many values, or the value is too long
+     */
+    public boolean publish(String key, String value, long nowMicros) {
+        VersionedValues own = values(selfId);
+        Map<String, String> entries = new TreeMap<>(own.entries());
+        boolean unchanged = value == null ? entries.remove(key) == null : value.equals(entries.put(key, value));
+        if (unchanged) {
             return false;
         }
-        held.put(self, new Held(new State(mine.number() + 1, values), now));
+        received.put(selfId, new ReceivedValues(new VersionedValues(own.version() + 1, entries), nowMicros));
         return true;
     }
 
-    /** What a life tells; nothing where it has told nothing. */
-    public State state(String id) {
-        Held h = held.get(id);
-        return h == null ? State.NONE : h.state();
+    /** The latest values of an incarnation; empty if none have arrived. */
+    public VersionedValues values(String id) {
+        ReceivedValues latest = received.get(id);
+        return latest == null ? VersionedValues.EMPTY : latest.values();
     }
 
-    /** The same with the moment at which it came; null where nothing has come. */
-    public Held held(String id) {
-        return held.get(id);
+    /** The same with the time of their arrival; null if none have arrived. */
+    public ReceivedValues received(String id) {
+        return received.get(id);
     }
 
-    /** A state came in; returns whether it is later than what was known. Nobody else changes this one's own. */
-    public boolean heard(String id, State state, long now) {
-        if (id.equals(self) || state.number() <= state(id).number()) {
+    /**
+     * Takes values that another member has published.
+     *
+     * @return whether they are later than the ones known so far
+     */
+    public boolean accept(String id, VersionedValues update, long nowMicros) {
+        if (id.equals(selfId) || update.version() <= values(id).version()) {
             return false;
         }
-        held.put(id, new Held(state, now));
+        received.put(id, new ReceivedValues(update, nowMicros));
         return true;
     }
 
-    /** Forgets all but these, and this one. */
-    public void keep(java.util.Collection<String> ids) {
-        held.keySet().removeIf(id -> !id.equals(self) && !ids.contains(id));
+    /** Removes the values of all incarnations but these and this one. */
+    public void retainOnly(Collection<String> ids) {
+        received.keySet().removeIf(id -> !id.equals(selfId) && !ids.contains(id));
     }
 }
--- /dev/null
+++ b/src/main/java/sandstack/fleet/link/FilteredMessageCodec.java
@@ -0,0 +1,96 @@
+package sandstack.fleet.link;
+
+import io.scalecube.cluster.transport.api.Message;
+import io.scalecube.cluster.transport.api.MessageCodec;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.InvalidClassException;
+import java.io.ObjectInputFilter;
+import java.io.ObjectInputStream;
+import java.io.ObjectOutputStream;
+import java.io.OutputStream;
+import java.util.Set;
+import java.util.concurrent.atomic.AtomicLong;
+
+/**
+ * The library's default serialisation, read through a filter: only its own types, collections and plain values, with
+ * bounds on depth, number and size. Anything else is rejected before an object of it is created. Thread-safe; O(bytes) a
+ * message.
+ */
+final class FilteredMessageCodec implements MessageCodec {
+    private static final int MAX_DEPTH = 12;
+    private static final int MAX_OBJECTS = 20_000;
+    private static final int MAX_ARRAY_LENGTH = 20_000;
+    private static final Set<String> ALLOWED_JDK_TYPES = Set.of(
+            "java.lang.Boolean",
+            "java.lang.Enum",
+            "java.lang.Integer",
+            "java.lang.Long",
+            "java.lang.Number",
+            "java.lang.Object",
+            "java.lang.String",
+            "java.util.ArrayList",
+            "java.util.CollSer",
+            "java.util.HashMap",
+            "java.util.HashSet",
+            "java.util.LinkedHashMap",
+            "java.util.Map$Entry");
+
+    private final AtomicLong rejectedCount = new AtomicLong();
+    private final ThreadLocal<Boolean> lastRejected = ThreadLocal.withInitial(() -> false);
+
+    /** How many messages have been rejected. */
+    long rejectedCount() {
+        return rejectedCount.get();
+    }
+
+    /** Whether the last message that this thread read was rejected; clears that state. */
+    boolean pollLastRejected() {
+        boolean rejected = lastRejected.get();
+        lastRejected.set(false);
+        return rejected;
+    }
+
+    private static ObjectInputFilter.Status filter(ObjectInputFilter.FilterInfo info) {
+        if (info.depth() > MAX_DEPTH || info.references() > MAX_OBJECTS || info.arrayLength() > MAX_ARRAY_LENGTH) {
+            return ObjectInputFilter.Status.REJECTED;
+        }
+        Class<?> type = info.serialClass();
+        while (type != null && type.isArray()) {
+            type = type.getComponentType();
+        }
+        if (type == null || type.isPrimitive()) {
+            return ObjectInputFilter.Status.UNDECIDED;
+        }
+        return isAllowed(type.getName()) ? ObjectInputFilter.Status.ALLOWED : ObjectInputFilter.Status.REJECTED;
+    }
+
+    private static boolean isAllowed(String typeName) {
+        return typeName.startsWith("io.scalecube.cluster.")
+                || typeName.startsWith("java.util.Collections$Unmodifiable")
+                || ALLOWED_JDK_TYPES.contains(typeName);
+    }
+
+    @Override
+    public Message deserialize(InputStream in) throws Exception {
+        try (ObjectInputStream objects = new ObjectInputStream(in)) {
+            objects.setObjectInputFilter(FilteredMessageCodec::filter);
+            Message message = new Message();
+            message.readExternal(objects);
+            return message;
+        } catch (IOException | ClassNotFoundException | RuntimeException e) {
+            rejectedCount.incrementAndGet();
+            lastRejected.set(true);
+            throw e instanceof InvalidClassException
+                    ? new IOException("message contains types that are not allowed")
+                    : e;
+        }
+    }
+
+    @Override
+    public void serialize(Message message, OutputStream out) throws Exception {
+        try (ObjectOutputStream objects = new ObjectOutputStream(out)) {
+            message.writeExternal(objects);
+        }
+    }
+}
