--- a/src/main/java/sandstack/CommandLineOfAll.java
+++ b/src/main/java/sandstack/CommandLineOfAll.java
@@ -18,9 +18,9 @@
 import picocli.CommandLine.Option;
 import sandstack.benchlink.Link;
 import sandstack.benchlink.WireException;
-import sandstack.config.BadSettings;
 import sandstack.config.CapacityFile;
 import sandstack.config.FleetFile;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.fleet.link.FleetMember;
 import sandstack.fleet.link.FleetViewFormatter;
 import sandstack.measure.MeasureCommand;
@@ -89,7 +89,7 @@
                     line.getErr()
                             .println(line.getCommandSpec().name() + ": "
                                     + (e instanceof IOException ? "input or output failed: " : "") + e.getMessage());
-                    return e instanceof BadSettings ? WRONG : 1;
+                    return e instanceof InvalidConfigurationException ? WRONG : 1;
                 });
     }
 
@@ -100,7 +100,7 @@
 
     @Command(description = "A relay, as PROXY_CONFIG says.", mixinStandardHelpOptions = true)
     int serve(@Mixin Known known, @Option(names = "--fleet", description = FLEET) boolean fleet)
-            throws BadSettings, IOException {
+            throws InvalidConfigurationException, IOException {
         Service service = Main.service(known.file, fleet);
         member(service, fleet);
         service.serve();
@@ -109,7 +109,7 @@
 
     @Command(description = "A relay with a console on this terminal.", mixinStandardHelpOptions = true)
     int console(@Mixin Known known, @Option(names = "--fleet", description = FLEET) boolean fleet)
-            throws BadSettings, IOException {
+            throws InvalidConfigurationException, IOException {
         Service service = Main.service(known.file, fleet);
         FleetMember link = member(service, fleet);
         service.console(
@@ -137,7 +137,7 @@
     }
 
     /** Joins the fleet before the relay serves, so that a second process of its name never does; null where it is off. */
-    private static FleetMember member(Service service, boolean fleet) throws BadSettings {
+    private static FleetMember member(Service service, boolean fleet) throws InvalidConfigurationException {
         if (!fleet) {
             return null;
         }
@@ -152,7 +152,7 @@
     }
 
     @Command(description = "Starts, asks itself once and ends; for the build.", mixinStandardHelpOptions = true)
-    int rehearse(@Mixin Known known) throws BadSettings, IOException {
+    int rehearse(@Mixin Known known) throws InvalidConfigurationException, IOException {
         Main.service(known.file, false).rehearse();
         return 0;
     }
@@ -160,7 +160,7 @@
     @Command(
             description = "The decisions on the simulator's wire, on standard input and output.",
             mixinStandardHelpOptions = true)
-    int simhost(@Mixin Known known) throws BadSettings, IOException, WireException {
+    int simhost(@Mixin Known known) throws InvalidConfigurationException, IOException, WireException {
         new Link(CapacityFile.read(Main.files(), known.file))
                 .run(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out));
         return 0;
--- a/src/main/java/sandstack/Main.java
+++ b/src/main/java/sandstack/Main.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Map;
-import sandstack.config.BadSettings;
 import sandstack.config.CapacityFile;
+import sandstack.config.DeployFiles;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.config.MachineKinds;
-import sandstack.config.OwnFiles;
 import sandstack.config.PlatformConfig;
 
 /**
@@ -18,8 +18,8 @@
     private Main() {}
 
     /** Where our own files are. */
-    static OwnFiles files() {
-        return new OwnFiles(Path.of(System.getProperty("sandstack.deploy", "deploy")));
+    static DeployFiles files() {
+        return new DeployFiles(Path.of(System.getProperty("sandstack.deploy", "deploy")));
     }
 
     /**
@@ -29,11 +29,11 @@
      * @param fleet whether the command asks for a member of the fleet; the file has to agree, so that neither of the
      *     two turns it on, or leaves it off, by accident
      */
-    static Service service(Path named, boolean fleet) throws BadSettings {
+    static Service service(Path named, boolean fleet) throws InvalidConfigurationException {
         Logs.start();
         boolean enabled = files().enabled("fleet.toml") != null;
         if (enabled != fleet) {
-            throw new BadSettings("fleet.toml: enabled is " + enabled + ", but the command "
+            throw new InvalidConfigurationException("fleet.toml: enabled is " + enabled + ", but the command "
                     + (fleet ? "says --fleet" : "does not say --fleet") + "; it takes both");
         }
         Map<String, String> env = System.getenv();
@@ -55,7 +55,7 @@
             } else {
                 service.rehearse();
             }
-        } catch (BadSettings e) {
+        } catch (InvalidConfigurationException e) {
             System.err.println(args[0] + ": " + e.getMessage());
             System.exit(2);
         } catch (IOException e) {
--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -16,15 +16,15 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import java.util.logging.Logger;
-import sandstack.config.BadSettings;
 import sandstack.config.CapacityFile;
+import sandstack.config.DeployFiles;
 import sandstack.config.EndpointListJson;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.config.MachineKinds;
-import sandstack.config.OwnFiles;
 import sandstack.config.PlatformConfig;
 import sandstack.config.PlatformConfig.Address;
-import sandstack.console.Commands;
 import sandstack.console.Console;
+import sandstack.console.ConsoleCommands;
 import sandstack.core.EffectiveSettings;
 import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
@@ -38,7 +38,7 @@
 import sandstack.handover.SiblingProcesses;
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.DescriptorBudget;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sun.misc.Signal;
 
 /** One running relay: puts the parts together, and takes them down at the end. */
@@ -55,8 +55,8 @@
 
     private final PlatformConfig config;
     private final Map<String, String> env;
-    private final OwnFiles files;
-    private final Loop loop = new Loop();
+    private final DeployFiles files;
+    private final EventLoop loop = new EventLoop();
     private final Relay relay;
     private final DiscoveryWatch watch;
     private final List<String> listeners = new ArrayList<>();
@@ -103,16 +103,26 @@
      * @param kinds has learned the machine kinds of the configuration
      */
     public Service(
-            PlatformConfig config, Map<String, String> env, OwnFiles files, CapacityFile capacity, MachineKinds kinds) {
+            PlatformConfig config,
+            Map<String, String> env,
+            DeployFiles files,
+            CapacityFile capacity,
+            MachineKinds kinds) {
         this.config = config;
         this.env = env;
         this.files = files;
-        this.terms = config.terms();
-        this.relay = new Relay(terms, capacity.book(), capacity.limits(), config.seed(), loop::now, this::askDiscovery);
+        this.terms = config.effectiveSettings();
+        this.relay = new Relay(
+                terms,
+                capacity.statedCapacities(),
+                capacity.limits(),
+                config.seed(),
+                loop::nowMicros,
+                this::askDiscovery);
         this.form = new EndpointListJson(config.zones(), kinds);
         this.watch = new DiscoveryWatch(loop, relay, config.discovery(), form);
         this.kept = OTHER_DESCRIPTORS + (config.operator() == null ? 0 : OperatorDoor.MOST);
-        this.descriptors = descriptorsWithin(config.sockets() - kept);
+        this.descriptors = descriptorsWithin(config.maxDescriptors() - kept);
         this.lobby = new ConnectionAdmission(loop, relay.deadlines(), descriptors);
         this.platform = new PlatformFront(loop, relay, lobby);
     }
@@ -134,7 +144,7 @@
 
     /** Whether another process of this relay may serve beside it. */
     boolean inherits() {
-        return config.inherits();
+        return config.socketInherited();
     }
 
     /** Name of the zone in which it runs. */
@@ -148,7 +158,7 @@
     }
 
     /** Serves until the process is told to stop. */
-    public void serve() throws BadSettings, IOException {
+    public void serve() throws InvalidConfigurationException, IOException {
         start();
         // the loop's thread is the library's daemon: if this one ended, the process would begin to stop
         awaitEndOfProcess();
@@ -161,9 +171,9 @@
      * @param withWord the same for commands that are followed by one more word
      */
     public void console(Map<String, Supplier<List<String>>> more, Map<String, Function<String, List<String>>> withWord)
-            throws BadSettings, IOException {
+            throws InvalidConfigurationException, IOException {
         start();
-        new Console(new Commands(
+        new Console(new ConsoleCommands(
                         relay, loop, () -> listeners, () -> new Thread(() -> System.exit(0)).start(), more, withWord))
                 .run();
         System.exit(0);
@@ -173,10 +183,11 @@
      * Starts, asks itself once, and ends: the build archives the classes that this has loaded. Whether the
      * feed servers of the configuration are there does not matter.
      */
-    public void rehearse() throws BadSettings, IOException {
+    public void rehearse() throws InvalidConfigurationException, IOException {
         int port = start();
         try (Socket client = new Socket(config.listen().host(), port)) {
-            String line = "OPEN rehearsal key c=" + config.terms().classNames().get(0) + ",d=300\r\n";
+            String line = "OPEN rehearsal key c="
+                    + config.effectiveSettings().classNames().get(0) + ",d=300\r\n";
             client.getOutputStream().write(line.getBytes(StandardCharsets.US_ASCII));
             client.getInputStream().readAllBytes();
         }
@@ -191,23 +202,24 @@
     }
 
     /** Returns the port at which clients of the platform are served. */
-    private int start() throws BadSettings, IOException {
+    private int start() throws InvalidConfigurationException, IOException {
         // the library's own way with SIGHUP is to end the process
         Signal.handle(new Signal("HUP"), signal -> reload());
         stopAtShutdown();
         JsonNode amqp = files.enabled("amqp.toml");
         JsonNode directory = files.enabled("directory.toml");
-        TenantDirectory.Where where = directory == null ? null : TenantDirectory.Where.read(directory);
+        TenantDirectory.DirectoryLocation where =
+                directory == null ? null : TenantDirectory.DirectoryLocation.read(directory);
         Address amqpListen =
-                amqp == null ? null : Address.parse(OwnFiles.text(amqp, "listen", "amqp.toml"), "amqp.toml: listen");
-        if (config.inherits() && !(System.inheritedChannel() instanceof ServerSocketChannel)) {
-            throw new BadSettings("PROXY_SOCKET_FD is 0, but descriptor 0 is no listening socket");
+                amqp == null ? null : Address.parse(DeployFiles.text(amqp, "listen", "amqp.toml"), "amqp.toml: listen");
+        if (config.socketInherited() && !(System.inheritedChannel() instanceof ServerSocketChannel)) {
+            throw new InvalidConfigurationException("PROXY_SOCKET_FD is 0, but descriptor 0 is no listening socket");
         }
-        startedAt = loop.now();
-        EndpointRegistry.Update known = config.inherits() ? joinKin() : null;
+        startedAt = loop.nowMicros();
+        EndpointRegistry.Update known = config.socketInherited() ? joinKin() : null;
         if (known == null) {
-            known = config.known() != null
-                    ? config.known()
+            known = config.cachedEndpoints() != null
+                    ? config.cachedEndpoints()
                     : new EndpointRegistry.Update(EndpointListKind.CACHED, -1, List.of());
         }
         relay.onEndpointList(known);
@@ -226,7 +238,7 @@
         if (kin != null) {
             kin.start(new KinOfRelay());
         }
-        if (config.inherits()) {
+        if (config.socketInherited()) {
             loop.execute(this::acceptOnceItCanServe);
         } else {
             awaitFirstList();
@@ -262,28 +274,28 @@
 
     private void untilTold(CountDownLatch told) {
         if (relay.endpoints().hasDiscoveryList()
-                || loop.now() - startedAt
+                || loop.nowMicros() - startedAt
                         >= terms.settings().endpointListStaleness().firstListTimeoutMicros()) {
             told.countDown();
         } else {
-            relay.deadlines().schedule(loop.now() + LOOK_AGAIN, () -> untilTold(told));
+            relay.deadlines().schedule(loop.nowMicros() + LOOK_AGAIN, () -> untilTold(told));
         }
     }
 
     /** Another process serves at the inherited socket meanwhile: a client taken too early waits longer here. */
     private void acceptOnceItCanServe() {
-        long since = loop.now() - startedAt;
+        long since = loop.nowMicros() - startedAt;
         boolean listed = relay.endpoints().hasDiscoveryList() || listFromKin || since >= LIST_WITHIN;
         // the process that serves has to hear of this one first, and make room for it
         if (!relay.endpoints().hasReadyServer() || !listed || processes > 1 && since < 2 * SiblingProcesses.BEAT) {
-            relay.deadlines().schedule(loop.now() + LOOK_AGAIN, this::acceptOnceItCanServe);
+            relay.deadlines().schedule(loop.nowMicros() + LOOK_AGAIN, this::acceptOnceItCanServe);
             return;
         }
         if (!mayServe()) {
             return;
         }
         try {
-            int port = platform.inherit();
+            int port = platform.listenOnInheritedSocket();
             accepting = true;
             listeners.add("lines at the inherited socket, port " + port);
             LOG.info(config.name() + " listens for lines at the inherited socket, port " + port);
@@ -295,7 +307,9 @@
     /** Reckons with other processes of this relay; returns the list of one that serves, or null. */
     private EndpointRegistry.Update joinKin() {
         kin = new SiblingProcesses(
-                Path.of(env.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))), config.name(), loop::now);
+                Path.of(env.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))),
+                config.name(),
+                loop::nowMicros);
         SiblingProcesses.Found found = kin.find();
         processesAre(found.count() + 1);
         if (found.list() == null) {
@@ -307,7 +321,7 @@
             LOG.info("takes over from another process, whose list has "
                     + news.endpoints().size() + " feed servers");
             return news;
-        } catch (BadSettings e) {
+        } catch (InvalidConfigurationException e) {
             LOG.warning("the list of another process cannot be used: " + e.getMessage());
             return null;
         }
@@ -329,7 +343,7 @@
             loop.execute(() -> {
                 long number = relay.endpoints().changeCount();
                 own.complete(new SiblingProcesses.Own(
-                        lobby.taken(), number, number == writtenList ? null : form.text(relay.endpoints())));
+                        lobby.descriptorsInUse(), number, number == writtenList ? null : form.text(relay.endpoints())));
             });
             try {
                 return own.get();
@@ -345,12 +359,13 @@
                     return;
                 }
                 processesAre(used.size() + 1);
-                lobby.mayTake(ResourceShares.descriptors(descriptors - kept * used.size(), lobby.taken(), used));
+                lobby.setDescriptorLimit(
+                        ResourceShares.descriptors(descriptors - kept * used.size(), lobby.descriptorsInUse(), used));
             });
         }
     }
 
-    private int listen(String what, Address at, Listening front) throws BadSettings, IOException {
+    private int listen(String what, Address at, Listening front) throws InvalidConfigurationException, IOException {
         int port;
         if (!mayServe()) {
             awaitEndOfProcess();
@@ -362,7 +377,7 @@
             if (phase.getAndSet(Phase.STOPPING) != Phase.STOPPING) {
                 loop.stop();
             }
-            throw new BadSettings("cannot listen at " + at + ": " + e.getMessage());
+            throw new InvalidConfigurationException("cannot listen at " + at + ": " + e.getMessage());
         }
         LOG.info(config.name() + " listens for " + what + " at " + at.host() + ":" + port);
         return port;
@@ -374,19 +389,19 @@
      */
     private synchronized void reload() {
         try {
-            PlatformConfig next = config.next(env);
-            EffectiveSettings after = terms.mergedWith(next.terms());
+            PlatformConfig next = config.reload(env);
+            EffectiveSettings after = terms.mergedWith(next.effectiveSettings());
             terms = after;
             loop.execute(() -> {
                 relay.applySettings(after);
                 watch.moveTo(next.discovery());
             });
             LOG.info("configuration read again, discovery is " + next.discovery() + ", classes are "
-                    + String.join(", ", next.terms().classNames()));
-            for (String stays : config.fromNextStart(next)) {
+                    + String.join(", ", next.effectiveSettings().classNames()));
+            for (String stays : config.changesThatNeedRestart(next)) {
                 LOG.info("counts from the next start: " + stays);
             }
-        } catch (BadSettings | IllegalArgumentException e) {
+        } catch (InvalidConfigurationException | IllegalArgumentException e) {
             loop.execute(relay::onSettingsRejected);
             LOG.warning("new configuration not taken, all stays as it is: " + e.getMessage());
         }
@@ -417,17 +432,17 @@
             return;
         }
         loop.execute(() -> {
-            if (config.inherits() && accepting) {
+            if (config.socketInherited() && accepting) {
                 pauseAccepting();
             }
-            relay.drain(lobby::unheard, () -> {
-                lobby.askNoLonger();
+            relay.drain(lobby::peersWithoutRequest, () -> {
+                lobby.stopWaitingForRequests();
                 drained.countDown();
             });
         });
         await(drained);
         CountDownLatch lastWords = new CountDownLatch(1);
-        loop.execute(() -> relay.deadlines().schedule(loop.now() + LAST_WORDS, lastWords::countDown));
+        loop.execute(() -> relay.deadlines().schedule(loop.nowMicros() + LAST_WORDS, lastWords::countDown));
         await(lastWords);
         if (kin != null) {
             kin.close();
@@ -438,7 +453,7 @@
     /** Whoever waits at a socket that other processes have too is theirs. */
     private void pauseAccepting() {
         try {
-            platform.pause();
+            platform.pauseAccepting();
         } catch (IOException e) {
             LOG.warning("accepting cannot be stopped: " + e.getMessage());
         }
--- a/src/main/java/sandstack/benchlink/Link.java
+++ b/src/main/java/sandstack/benchlink/Link.java
@@ -14,8 +14,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sandstack.config.BadSettings;
 import sandstack.config.CapacityFile;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.config.SettingsReader;
 import sandstack.decisions.BalancerAction;
 import sandstack.decisions.BalancerEvent;
@@ -124,11 +124,11 @@
                             who,
                             new LoadBalancer(
                                     profile.settings(),
-                                    capacity.book(),
+                                    capacity.statedCapacities(),
                                     capacity.limits(),
                                     raw.number("entropy"),
                                     reader.time));
-                } catch (BadSettings | IllegalArgumentException e) {
+                } catch (InvalidConfigurationException | IllegalArgumentException e) {
                     throw reader.trouble("profile_data: " + e.getMessage());
                 }
                 profiles.put(who, profile);
--- a/src/main/java/sandstack/config/CapacityFile.java
+++ b/src/main/java/sandstack/config/CapacityFile.java
@@ -18,7 +18,7 @@
  *
  * @param kinds names of the machine kinds, in the order of the book
  */
-public record CapacityFile(StatedCapacities book, List<String> kinds, InstallationLimits limits) {
+public record CapacityFile(StatedCapacities statedCapacities, List<String> kinds, InstallationLimits limits) {
     /** Nothing stated, no limits. */
     public static final CapacityFile NONE = new CapacityFile(StatedCapacities.NONE, List.of(), InstallationLimits.NONE);
 
@@ -33,14 +33,14 @@
      *
      * @param named by the command; null where it names none
      */
-    public static CapacityFile read(OwnFiles files, Path named) throws BadSettings {
-        JsonNode root = named == null ? files.enabled(FILE) : OwnFiles.enabled(named);
+    public static CapacityFile read(DeployFiles files, Path named) throws InvalidConfigurationException {
+        JsonNode root = named == null ? files.enabled(FILE) : DeployFiles.enabled(named);
         return root == null ? NONE : new Reader(named == null ? FILE : named.toString()).read(root);
     }
 
     /** Reads one file; errors name it. */
     private record Reader(String file) {
-        CapacityFile read(JsonNode root) throws BadSettings {
+        CapacityFile read(JsonNode root) throws InvalidConfigurationException {
             known(root, "", TABLES);
             StatedCapacity other = stated(root.path("servers"), "servers", StatedCapacity.NOTHING);
             List<String> names = new ArrayList<>();
@@ -52,7 +52,8 @@
                 kinds.add(stated(kind.getValue(), "kinds." + kind.getKey(), other));
             }
             if (names.size() > MOST_KINDS) {
-                throw new BadSettings(file + ": kinds has " + names.size() + " tables, " + MOST_KINDS + " at most");
+                throw new InvalidConfigurationException(
+                        file + ": kinds has " + names.size() + " tables, " + MOST_KINDS + " at most");
             }
             JsonNode l = root.path("limits");
             known(l, "limits", LIMITS);
@@ -62,10 +63,12 @@
         }
 
         /** What a kind's table leaves out is as for all servers. */
-        private StatedCapacity stated(JsonNode of, String where, StatedCapacity other) throws BadSettings {
+        private StatedCapacity stated(JsonNode of, String where, StatedCapacity other)
+                throws InvalidConfigurationException {
             known(of, where, STATED);
             if (of.has("firm") && !of.path("firm").isBoolean()) {
-                throw new BadSettings(file + ": " + where + ".firm is neither true nor false: " + of.path("firm"));
+                throw new InvalidConfigurationException(
+                        file + ": " + where + ".firm is neither true nor false: " + of.path("firm"));
             }
             return new StatedCapacity(
                     number(of, where, "work", other.workPerRating(), 1e15),
@@ -75,38 +78,40 @@
                     number(of, where, "group", other.groupOverheadConnections(), 1e6));
         }
 
-        private int count(JsonNode of, String name) throws BadSettings {
+        private int count(JsonNode of, String name) throws InvalidConfigurationException {
             double value = number(of, "limits", name, 0, 1e9);
             if (value != Math.rint(value)) {
-                throw new BadSettings(FILE + ": limits." + name + " is not a whole number: " + of.path(name));
+                throw new InvalidConfigurationException(
+                        FILE + ": limits." + name + " is not a whole number: " + of.path(name));
             }
             return (int) value;
         }
 
-        private double number(JsonNode of, String where, String name, double missing, double most) throws BadSettings {
+        private double number(JsonNode of, String where, String name, double missing, double most)
+                throws InvalidConfigurationException {
             JsonNode value = of.path(name);
             if (value.isMissingNode()) {
                 return missing;
             }
             if (!value.isNumber() || !(value.asDouble() >= 0 && value.asDouble() <= most)) {
-                throw new BadSettings(
+                throw new InvalidConfigurationException(
                         file + ": " + where + "." + name + " must be a number from 0 to " + (long) most + ": " + value);
             }
             return value.asDouble();
         }
 
-        private void table(JsonNode of, String where) throws BadSettings {
+        private void table(JsonNode of, String where) throws InvalidConfigurationException {
             if (!of.isMissingNode() && !of.isObject()) {
-                throw new BadSettings(file + ": " + where + " is not a table: " + of);
+                throw new InvalidConfigurationException(file + ": " + where + " is not a table: " + of);
             }
         }
 
-        private void known(JsonNode of, String where, Set<String> names) throws BadSettings {
+        private void known(JsonNode of, String where, Set<String> names) throws InvalidConfigurationException {
             table(of, where);
             for (Iterator<String> i = of.fieldNames(); i.hasNext(); ) {
                 String name = i.next();
                 if (!names.contains(name)) {
-                    throw new BadSettings(
+                    throw new InvalidConfigurationException(
                             file + ": " + (where.isEmpty() ? "" : where + ".") + name + " is not known here; known are "
                                     + String.join(", ", names.stream().sorted().toList()));
                 }
--- a/src/main/java/sandstack/config/Keys.java
+++ b/src/main/java/sandstack/config/ConfigurationKeys.java
@@ -10,10 +10,10 @@
  * The keys of a configuration, as dotted paths. Of an array's objects only the keys count that all of them have, as
  * {@code classes[].name}; the list of feed servers counts as one value, for what it holds changes by itself.
  */
-record Keys(Set<String> paths) {
+record ConfigurationKeys(Set<String> paths) {
     private static final String LIST = "known";
 
-    static Keys of(JsonNode root) {
+    static ConfigurationKeys of(JsonNode root) {
         Set<String> paths = new TreeSet<>();
         root.fields().forEachRemaining(field -> {
             if (field.getKey().equals(LIST)) {
@@ -22,7 +22,7 @@
                 collect(field.getKey(), field.getValue(), paths);
             }
         });
-        return new Keys(paths);
+        return new ConfigurationKeys(paths);
     }
 
     private static void collect(String path, JsonNode value, Set<String> paths) {
@@ -48,10 +48,10 @@
     }
 
     /** Refuses a file that lacks a key which these have. */
-    void requireAllIn(Keys later) throws BadSettings {
+    void requireAllIn(ConfigurationKeys later) throws InvalidConfigurationException {
         for (String path : paths) {
             if (!later.paths.contains(path)) {
-                throw new BadSettings(path + " is missing");
+                throw new InvalidConfigurationException(path + " is missing");
             }
         }
     }
--- a/src/main/java/sandstack/config/EndpointListJson.java
+++ b/src/main/java/sandstack/config/EndpointListJson.java
@@ -34,13 +34,13 @@
      *
      * @param saved the list is one that was kept, and may be old
      */
-    public EndpointRegistry.Update news(JsonNode object, boolean saved) throws BadSettings {
+    public EndpointRegistry.Update news(JsonNode object, boolean saved) throws InvalidConfigurationException {
         List<EndpointRegistry.Endpoint> lines = new ArrayList<>();
         for (JsonNode target : object.path("targets")) {
             lines.add(line(target));
         }
         if (!object.path("rev").isNumber()) {
-            throw new BadSettings("the list of feed servers has no rev");
+            throw new InvalidConfigurationException("the list of feed servers has no rev");
         }
         EndpointListKind kind = saved
                 ? EndpointListKind.CACHED
@@ -48,17 +48,17 @@
         return new EndpointRegistry.Update(kind, object.path("rev").asLong(), lines);
     }
 
-    private EndpointRegistry.Endpoint line(JsonNode target) throws BadSettings {
+    private EndpointRegistry.Endpoint line(JsonNode target) throws InvalidConfigurationException {
         String uid = target.path("uid").asText("");
         EndpointState phase =
                 switch (target.path("state").asText()) {
                     case "ready" -> EndpointState.READY;
                     case "draining" -> EndpointState.DRAINING;
                     case "gone" -> EndpointState.GONE;
-                    default -> throw new BadSettings("feed server " + uid + " has no known state");
+                    default -> throw new InvalidConfigurationException("feed server " + uid + " has no known state");
                 };
         if (uid.isEmpty()) {
-            throw new BadSettings("a feed server has no uid");
+            throw new InvalidConfigurationException("a feed server has no uid");
         }
         String endpoint = target.path("endpoint").asText("");
         PlatformConfig.Address address = phase == EndpointState.GONE && endpoint.isEmpty()
@@ -97,11 +97,11 @@
     }
 
     /** Reads what {@link #text} gave, as a list that was kept. */
-    public EndpointRegistry.Update kept(String text) throws BadSettings {
+    public EndpointRegistry.Update kept(String text) throws InvalidConfigurationException {
         try {
             return news(JSON.readTree(text), true);
         } catch (JsonProcessingException e) {
-            throw new BadSettings("a kept list of feed servers is not JSON");
+            throw new InvalidConfigurationException("a kept list of feed servers is not JSON");
         }
     }
 
--- a/src/main/java/sandstack/config/FleetFile.java
+++ b/src/main/java/sandstack/config/FleetFile.java
@@ -37,18 +37,19 @@
     private static final int LONGEST = 100;
 
     /** Reads the file; null where it is missing or off. */
-    public static FleetFile read(OwnFiles files) throws BadSettings {
+    public static FleetFile read(DeployFiles files) throws InvalidConfigurationException {
         JsonNode root = files.enabled(FILE);
         return root == null ? null : read(root);
     }
 
-    static FleetFile read(JsonNode root) throws BadSettings {
-        OwnFiles.onlyKnown(root, KEYS, FILE + ": ");
-        Address listen = Address.parse(OwnFiles.text(root, "listen", FILE), FILE + ": listen");
+    static FleetFile read(JsonNode root) throws InvalidConfigurationException {
+        DeployFiles.onlyKnown(root, KEYS, FILE + ": ");
+        Address listen = Address.parse(DeployFiles.text(root, "listen", FILE), FILE + ": listen");
         List<String> members = new ArrayList<>();
         JsonNode listed = root.path("members");
         if (!listed.isArray() || listed.isEmpty() || listed.size() > MOST_MEMBERS) {
-            throw new BadSettings(FILE + ": members must be a list of 1 to " + MOST_MEMBERS + " addresses: "
+            throw new InvalidConfigurationException(FILE + ": members must be a list of 1 to " + MOST_MEMBERS
+                    + " addresses: "
                     + (listed.isArray() ? listed.size() + " of them" : listed.isMissingNode() ? "missing" : listed));
         }
         for (JsonNode member : listed) {
@@ -57,18 +58,18 @@
         Set<String> relays = new TreeSet<>();
         JsonNode named = root.path("relays");
         if (!named.isMissingNode() && (!named.isArray() || named.isEmpty() || named.size() > MOST_MEMBERS)) {
-            throw new BadSettings(FILE + ": relays must be a list of 1 to " + MOST_MEMBERS + " names: "
-                    + (named.isArray() ? named.size() + " of them" : named));
+            throw new InvalidConfigurationException(FILE + ": relays must be a list of 1 to " + MOST_MEMBERS
+                    + " names: " + (named.isArray() ? named.size() + " of them" : named));
         }
         for (JsonNode relay : named) {
             if (!relay.isTextual() || !relays.add(word(relay.asText(), "relays"))) {
-                throw new BadSettings(
+                throw new InvalidConfigurationException(
                         FILE + ": relays: " + relay + (relay.isTextual() ? " is there twice" : " is no name"));
             }
         }
         Map<String, String> via = new HashMap<>();
         if (root.has("via") && !root.path("via").isObject()) {
-            throw new BadSettings(FILE + ": via is not a table: " + root.path("via"));
+            throw new InvalidConfigurationException(FILE + ": via is not a table: " + root.path("via"));
         }
         for (Iterator<Map.Entry<String, JsonNode>> i = root.path("via").fields(); i.hasNext(); ) {
             Map.Entry<String, JsonNode> way = i.next();
@@ -80,21 +81,21 @@
                 word(root, "installation"), listen, machine, List.copyOf(members), Set.copyOf(relays), Map.copyOf(via));
     }
 
-    private static String address(JsonNode of, String where) throws BadSettings {
+    private static String address(JsonNode of, String where) throws InvalidConfigurationException {
         if (!of.isTextual()) {
-            throw new BadSettings(FILE + ": " + where + " is no address HOST:PORT: " + of);
+            throw new InvalidConfigurationException(FILE + ": " + where + " is no address HOST:PORT: " + of);
         }
         return Address.parse(of.asText(), FILE + ": " + where).toString();
     }
 
     /** Names go into log lines and onto the wire as they are; the library takes none of one letter. */
-    private static String word(JsonNode root, String key) throws BadSettings {
-        return word(OwnFiles.text(root, key, FILE), key);
+    private static String word(JsonNode root, String key) throws InvalidConfigurationException {
+        return word(DeployFiles.text(root, key, FILE), key);
     }
 
-    private static String word(String value, String key) throws BadSettings {
+    private static String word(String value, String key) throws InvalidConfigurationException {
         if (value.length() > LONGEST || !value.matches("[A-Za-z0-9][A-Za-z0-9._-]*[A-Za-z0-9]")) {
-            throw new BadSettings(FILE + ": " + key + " must be 2 to " + LONGEST
+            throw new InvalidConfigurationException(FILE + ": " + key + " must be 2 to " + LONGEST
                     + " letters and digits, with dots, hyphens and underscores between: " + value);
         }
         return value;
--- a/src/main/java/sandstack/config/PlatformConfig.java
+++ b/src/main/java/sandstack/config/PlatformConfig.java
@@ -22,30 +22,30 @@
  * before the file.
  *
  * @param operator where operators are answered; null where they are not
- * @param inherits clients come at a listening socket that the process has inherited as descriptor 0
- * @param known the name table as this relay last had it; null where there is none
+ * @param socketInherited clients come at a listening socket that the process has inherited as descriptor 0
+ * @param cachedEndpoints the name table as this relay last had it; null where there is none
  * @param keys that the file has
- * @param sockets file descriptors that the process may hold
+ * @param maxDescriptors file descriptors that the process may hold
  */
 public record PlatformConfig(
         String name,
         Address listen,
         Address discovery,
         Address operator,
-        boolean inherits,
+        boolean socketInherited,
         long seed,
-        int sockets,
-        EffectiveSettings terms,
+        int maxDescriptors,
+        EffectiveSettings effectiveSettings,
         List<String> zones,
-        EndpointRegistry.Update known,
-        Keys keys) {
+        EndpointRegistry.Update cachedEndpoints,
+        ConfigurationKeys keys) {
 
     private static final ObjectMapper JSON = new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
     /** A host and a port. */
     public record Address(String host, int port) {
         /** Reads {@code HOST:PORT}. */
-        public static Address parse(String text, String what) throws BadSettings {
+        public static Address parse(String text, String what) throws InvalidConfigurationException {
             int colon = text.lastIndexOf(':');
             try {
                 int port = Integer.parseInt(text.substring(colon + 1));
@@ -55,7 +55,7 @@
             } catch (NumberFormatException e) {
                 // told below
             }
-            throw new BadSettings(what + " is not HOST:PORT: " + text);
+            throw new InvalidConfigurationException(what + " is not HOST:PORT: " + text);
         }
 
         @Override
@@ -69,20 +69,22 @@
      *
      * @param kinds learns the machine kinds that it tells of
      */
-    public static PlatformConfig load(Map<String, String> env, MachineKinds kinds) throws BadSettings {
+    public static PlatformConfig load(Map<String, String> env, MachineKinds kinds)
+            throws InvalidConfigurationException {
         String file = env.get("PROXY_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new BadSettings("PROXY_CONFIG is not set");
+            throw new InvalidConfigurationException("PROXY_CONFIG is not set");
         }
         try {
             return read(JSON.readTree(Files.readAllBytes(Path.of(file))), env, kinds);
         } catch (JsonProcessingException e) {
-            throw new BadSettings(file + " is not JSON: "
+            throw new InvalidConfigurationException(file + " is not JSON: "
                     + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException | java.nio.file.InvalidPathException e) {
-            throw new BadSettings("cannot read " + file + ": " + e.getClass().getSimpleName());
+            throw new InvalidConfigurationException(
+                    "cannot read " + file + ": " + e.getClass().getSimpleName());
         } catch (IllegalArgumentException e) {
-            throw new BadSettings(file + ": " + e.getMessage());
+            throw new InvalidConfigurationException(file + ": " + e.getMessage());
         }
     }
 
@@ -91,7 +93,7 @@
      * is, as the variable still has the address of the start. A file that lacks a key of the one before is refused:
      * it was cut, or written by somebody who did not know all of it.
      */
-    public PlatformConfig next(Map<String, String> env) throws BadSettings {
+    public PlatformConfig reload(Map<String, String> env) throws InvalidConfigurationException {
         Map<String, String> rest = new HashMap<>(env);
         rest.remove("PROXY_DISCOVERY");
         PlatformConfig next = load(rest, new MachineKinds(List.of()));
@@ -100,13 +102,13 @@
     }
 
     /** What this and the next differ in that counts only from the next start; empty where nothing. */
-    public List<String> fromNextStart(PlatformConfig next) {
+    public List<String> changesThatNeedRestart(PlatformConfig next) {
         List<String> differing = new ArrayList<>();
         for (Function<PlatformConfig, Object> part : List.<Function<PlatformConfig, Object>>of(
                 PlatformConfig::name,
                 PlatformConfig::listen,
                 PlatformConfig::operator,
-                PlatformConfig::sockets,
+                PlatformConfig::maxDescriptors,
                 PlatformConfig::zones)) {
             if (!Objects.equals(part.apply(this), part.apply(next))) {
                 differing.add(part.apply(this) + " stays, not " + part.apply(next));
@@ -116,10 +118,10 @@
     }
 
     private static PlatformConfig read(JsonNode root, Map<String, String> env, MachineKinds kinds)
-            throws BadSettings, IOException {
+            throws InvalidConfigurationException, IOException {
         JsonNode settings = root.path("settings");
         if (!settings.isObject()) {
-            throw new BadSettings("settings is missing");
+            throw new InvalidConfigurationException("settings is missing");
         }
         SettingsReader reader = new SettingsReader();
         try (JsonParser in = settings.traverse(JSON)) {
@@ -130,7 +132,7 @@
         for (JsonNode c : settings.path("classes")) {
             String name = c.path("name").asText("");
             if (name.isEmpty() || classes.contains(name)) {
-                throw new BadSettings("settings.classes." + classes.size() + ".name "
+                throw new InvalidConfigurationException("settings.classes." + classes.size() + ".name "
                         + (name.isEmpty() ? "is missing" : "is there twice"));
             }
             classes.add(name);
@@ -145,7 +147,7 @@
                 Address.parse(value(root, env, "listen", "PROXY_LISTEN"), "listen"),
                 Address.parse(value(root, env, "discovery", "PROXY_DISCOVERY"), "discovery"),
                 operator.isEmpty() ? null : Address.parse(operator, "operator"),
-                inherits(env.get("PROXY_SOCKET_FD")),
+                socketInherited(env.get("PROXY_SOCKET_FD")),
                 seed(root.path("seed")),
                 root.path("limits").path("sockets").asInt(4096),
                 new EffectiveSettings(
@@ -154,34 +156,35 @@
                         settings.path("family_info").path("tells_delay").asBoolean(false)),
                 List.copyOf(zones),
                 known.isObject() ? new EndpointListJson(zones, kinds).news(known, true) : null,
-                Keys.of(root));
+                ConfigurationKeys.of(root));
     }
 
     /** The virtual machine can take descriptor 0 and no other. */
-    private static boolean inherits(String descriptor) throws BadSettings {
+    private static boolean socketInherited(String descriptor) throws InvalidConfigurationException {
         if (descriptor == null || descriptor.isEmpty()) {
             return false;
         }
         if (!descriptor.equals("0")) {
-            throw new BadSettings("PROXY_SOCKET_FD is " + descriptor + "; only descriptor 0 can be taken");
+            throw new InvalidConfigurationException(
+                    "PROXY_SOCKET_FD is " + descriptor + "; only descriptor 0 can be taken");
         }
         return true;
     }
 
     private static String value(JsonNode root, Map<String, String> env, String field, String variable)
-            throws BadSettings {
+            throws InvalidConfigurationException {
         String text = env.getOrDefault(variable, root.path(field).asText(""));
         if (text.isEmpty()) {
-            throw new BadSettings(field + " is missing");
+            throw new InvalidConfigurationException(field + " is missing");
         }
         return text;
     }
 
-    private static long seed(JsonNode seed) throws BadSettings {
+    private static long seed(JsonNode seed) throws InvalidConfigurationException {
         try {
             return seed.isNumber() ? seed.longValue() : Long.parseUnsignedLong(seed.asText(""), 16);
         } catch (NumberFormatException e) {
-            throw new BadSettings("seed is not a hexadecimal number of 64 bits");
+            throw new InvalidConfigurationException("seed is not a hexadecimal number of 64 bits");
         }
     }
 }
--- a/src/main/java/sandstack/config/SettingsReader.java
+++ b/src/main/java/sandstack/config/SettingsReader.java
@@ -57,7 +57,7 @@
         }
     }
 
-    private double number(String name, double absent) throws BadSettings {
+    private double number(String name, double absent) throws InvalidConfigurationException {
         Object v = values.get(name);
         if (v == null && !Double.isNaN(absent)) {
             return absent;
@@ -65,52 +65,53 @@
         if (v instanceof Double d && Double.isFinite(d)) {
             return d;
         }
-        throw new BadSettings(name + (v == null ? " is missing" : " is not a number"));
+        throw new InvalidConfigurationException(name + (v == null ? " is missing" : " is not a number"));
     }
 
     /** A number above 0; a part of one counts as none. */
-    private long above0(String name) throws BadSettings {
+    private long above0(String name) throws InvalidConfigurationException {
         double v = number(name, Double.NaN);
         if (v < 1) {
-            throw new BadSettings(name + " is not a number above 0");
+            throw new InvalidConfigurationException(name + " is not a number above 0");
         }
         return (long) v;
     }
 
-    private long time(String name) throws BadSettings {
+    private long time(String name) throws InvalidConfigurationException {
         return (long) number(name, 0);
     }
 
-    private int count(String name) throws BadSettings {
+    private int count(String name) throws InvalidConfigurationException {
         return (int) number(name, Double.NaN);
     }
 
-    private boolean flag(String name) throws BadSettings {
+    private boolean flag(String name) throws InvalidConfigurationException {
         Object v = values.getOrDefault(name, false);
         if (v instanceof Boolean b) {
             return b;
         }
-        throw new BadSettings(name + " is not a bool");
+        throw new InvalidConfigurationException(name + " is not a bool");
     }
 
-    private String text(String name) throws BadSettings {
+    private String text(String name) throws InvalidConfigurationException {
         Object v = values.getOrDefault(name, "");
         if (v instanceof String s) {
             return s;
         }
-        throw new BadSettings(name + " is not a string");
+        throw new InvalidConfigurationException(name + " is not a string");
     }
 
-    private int size(String name) throws BadSettings {
+    private int size(String name) throws InvalidConfigurationException {
         Integer n = sizes.get(name);
         if (n == null) {
-            throw new BadSettings(name + (values.containsKey(name) ? " is not an array" : " is missing"));
+            throw new InvalidConfigurationException(
+                    name + (values.containsKey(name) ? " is not an array" : " is missing"));
         }
         return n;
     }
 
     /** The settings in the module's terms. */
-    public BalancerSettings settings() throws BadSettings {
+    public BalancerSettings settings() throws InvalidConfigurationException {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < size("classes"); i++) {
             String c = "classes." + i + ".";
@@ -119,7 +120,7 @@
                         case "safe" -> Idempotency.IDEMPOTENT;
                         case "keyed" -> Idempotency.WITH_KEY;
                         case "unsafe" -> Idempotency.NOT_IDEMPOTENT;
-                        default -> throw new BadSettings(c + "idempotency has no known value");
+                        default -> throw new InvalidConfigurationException(c + "idempotency has no known value");
                     };
             DeduplicationScope scope =
                     switch (text(c + "group")) {
--- a/src/main/java/sandstack/console/Console.java
+++ b/src/main/java/sandstack/console/Console.java
@@ -16,10 +16,10 @@
 
 /** The console of a running relay: a line editor on a terminal, plain lines of text anywhere else. */
 public final class Console {
-    private final Commands commands;
+    private final ConsoleCommands commands;
 
     /** Creates a console that answers with these commands; {@link #run} starts it. */
-    public Console(Commands commands) {
+    public Console(ConsoleCommands commands) {
         this.commands = commands;
     }
 
--- a/src/main/java/sandstack/console/Commands.java
+++ b/src/main/java/sandstack/console/ConsoleCommands.java
@@ -21,7 +21,7 @@
 import sandstack.core.TenantRegistry;
 
 /** What the console can show and do. Each answer is read off on the relay's own thread. */
-public final class Commands {
+public final class ConsoleCommands {
     private final Relay relay;
     private final Executor loop;
     private final Supplier<List<String>> listeners;
@@ -39,7 +39,7 @@
      * @param more commands of parts that are on
      * @param moreWithWord the same for commands that are followed by one more word; on the caller's thread, and bounded
      */
-    public Commands(
+    public ConsoleCommands(
             Relay relay,
             Executor loop,
             Supplier<List<String>> listeners,
--- a/src/main/java/sandstack/directory/TenantDirectory.java
+++ b/src/main/java/sandstack/directory/TenantDirectory.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
-import sandstack.config.BadSettings;
-import sandstack.config.OwnFiles;
+import sandstack.config.DeployFiles;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.config.PlatformConfig.Address;
 import sandstack.core.TenantRegistry;
 
@@ -32,7 +32,7 @@
      *
      * @param user distinguished name to bind as; empty for none
      */
-    public record Where(
+    public record DirectoryLocation(
             Address server,
             String user,
             String password,
@@ -44,17 +44,17 @@
             long refreshMillis) {
 
         /** Reads the file of ours. */
-        public static Where read(JsonNode values) throws BadSettings {
+        public static DirectoryLocation read(JsonNode values) throws InvalidConfigurationException {
             long refresh = values.path("refresh_s").asLong(60);
             if (refresh < 1) {
-                throw new BadSettings(FILE + ": refresh_s must be at least 1");
+                throw new InvalidConfigurationException(FILE + ": refresh_s must be at least 1");
             }
-            return new Where(
-                    Address.parse(OwnFiles.text(values, "server", FILE), FILE + ": server"),
+            return new DirectoryLocation(
+                    Address.parse(DeployFiles.text(values, "server", FILE), FILE + ": server"),
                     values.path("user").asText(""),
                     values.path("password").asText(""),
-                    OwnFiles.text(values, "base", FILE),
-                    OwnFiles.text(values, "filter", FILE),
+                    DeployFiles.text(values, "base", FILE),
+                    DeployFiles.text(values, "filter", FILE),
                     values.path("name").asText("cn"),
                     values.path("share").asText("sandstackShare"),
                     values.path("connections").asText("sandstackConnections"),
@@ -62,7 +62,7 @@
         }
     }
 
-    private final Where where;
+    private final DirectoryLocation where;
     private final Consumer<List<TenantRegistry.Entry>> told;
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread made = new Thread(task, "directory");
@@ -76,7 +76,7 @@
      *
      * @param told takes each list that was read, on the directory's thread
      */
-    public TenantDirectory(Where where, Consumer<List<TenantRegistry.Entry>> told) {
+    public TenantDirectory(DirectoryLocation where, Consumer<List<TenantRegistry.Entry>> told) {
         this.where = where;
         this.told = told;
     }
--- a/src/main/java/sandstack/discovery/DiscoveryWatch.java
+++ b/src/main/java/sandstack/discovery/DiscoveryWatch.java
@@ -17,13 +17,13 @@
 import org.glassfish.grizzly.http.HttpResponsePacket;
 import org.glassfish.grizzly.http.Method;
 import org.glassfish.grizzly.http.Protocol;
-import sandstack.config.BadSettings;
 import sandstack.config.EndpointListJson;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.config.PlatformConfig.Address;
 import sandstack.core.DeadlineScheduler;
 import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.staleness.EndpointListStaleness;
 
 /**
@@ -37,7 +37,7 @@
     private static final String ENDLESS =
             "a list has not ended for " + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 1e6 + " s";
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Relay relay;
     private final EndpointListJson form;
     private Address discovery;
@@ -48,7 +48,7 @@
     private boolean versionKnownHere = true;
 
     /** Creates a watch on this address, which is not asked before {@link #ask}. */
-    public DiscoveryWatch(Loop loop, Relay relay, Address discovery, EndpointListJson form) {
+    public DiscoveryWatch(EventLoop loop, Relay relay, Address discovery, EndpointListJson form) {
         this.loop = loop;
         this.relay = relay;
         this.discovery = discovery;
@@ -91,9 +91,9 @@
     }
 
     /** One call and what it brings. */
-    private final class Watch extends BaseFilter implements Loop.Dialled {
+    private final class Watch extends BaseFilter implements EventLoop.DialListener {
         private final JsonObjectStream stream = new JsonObjectStream();
-        private Loop.Attempted connecting;
+        private EventLoop.PendingConnect connecting;
         private Connection<?> connection;
         private DeadlineScheduler.Deadline silence;
         /** When a list that has begun must have ended; null where none has. */
@@ -103,7 +103,8 @@
 
         void start() {
             silence = relay.deadlines()
-                    .schedule(loop.now() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(SILENT));
+                    .schedule(
+                            loop.nowMicros() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(SILENT));
             FilterChain chain = FilterChainBuilder.stateless()
                     .add(new TransportFilter())
                     .add(new HttpClientFilter())
@@ -144,7 +145,8 @@
             }
             silence.cancel();
             silence = relay.deadlines()
-                    .schedule(loop.now() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(SILENT));
+                    .schedule(
+                            loop.nowMicros() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(SILENT));
             Buffer bytes = content.getContent();
             byte[] heard = new byte[bytes.remaining()];
             bytes.get(heard);
@@ -177,7 +179,7 @@
                     relay.onEndpointList(news);
                 }
                 expectEnd();
-            } catch (IOException | BadSettings e) {
+            } catch (IOException | InvalidConfigurationException e) {
                 String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
                 LOG.warning("discovery told what cannot be read: " + why.substring(0, Math.min(80, why.length())));
                 fail("unreadable");
@@ -191,7 +193,9 @@
             }
             if (ending == null) {
                 ending = relay.deadlines()
-                        .schedule(loop.now() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(ENDLESS));
+                        .schedule(
+                                loop.nowMicros() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS,
+                                () -> fail(ENDLESS));
             } else {
                 ending.cancel();
                 ending = null;
--- a/src/main/java/sandstack/fleet/link/ClusterClient.java
+++ b/src/main/java/sandstack/fleet/link/ClusterClient.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeoutException;
 import java.util.logging.Logger;
 import reactor.core.scheduler.Scheduler;
-import sandstack.config.BadSettings;
 import sandstack.config.FleetFile;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.fleet.FleetMessages;
 import sandstack.fleet.Incarnation;
 
@@ -60,9 +60,9 @@
     /**
      * Starts the library and waits until it listens.
      *
-     * @throws BadSettings if it cannot listen at the configured address
+     * @throws InvalidConfigurationException if it cannot listen at the configured address
      */
-    void start(ClusterMessageHandler handler) throws BadSettings {
+    void start(ClusterMessageHandler handler) throws InvalidConfigurationException {
         ClusterConfig config = config();
         try {
             new ClusterImpl(config)
@@ -76,11 +76,11 @@
                     .toFuture()
                     .get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
-            throw new BadSettings(FleetFile.FILE + ": listen: cannot listen at " + fleetFile.listen() + ": "
-                    + e.getCause().getMessage());
+            throw new InvalidConfigurationException(FleetFile.FILE + ": listen: cannot listen at " + fleetFile.listen()
+                    + ": " + e.getCause().getMessage());
         } catch (TimeoutException e) {
-            throw new BadSettings(FleetFile.FILE + ": listen: no start at " + fleetFile.listen() + " within "
-                    + START_TIMEOUT_SECONDS + " s");
+            throw new InvalidConfigurationException(FleetFile.FILE + ": listen: no start at " + fleetFile.listen()
+                    + " within " + START_TIMEOUT_SECONDS + " s");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/sandstack/fleet/link/FleetMember.java
+++ b/src/main/java/sandstack/fleet/link/FleetMember.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeoutException;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sandstack.config.BadSettings;
 import sandstack.config.FleetFile;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.fleet.Incarnation;
 import sandstack.fleet.Membership;
 
@@ -94,28 +94,28 @@
     /**
      * Joins the fleet. Waits for a few seconds at most, and for no member: without any it is alone until one answers.
      *
-     * @throws BadSettings if it cannot listen at its address, or a running member owns its name; it is closed then
+     * @throws InvalidConfigurationException if it cannot listen at its address, or a running member owns its name; it is closed then
      */
-    public void start() throws BadSettings {
+    public void start() throws InvalidConfigurationException {
         try {
             join();
-        } catch (BadSettings e) {
+        } catch (InvalidConfigurationException e) {
             close();
             throw e;
         }
     }
 
-    private void join() throws BadSettings {
+    private void join() throws InvalidConfigurationException {
         clusterClient.start(eventHandler);
         executor.scheduleAtFixedRate(protocolTask, Membership.TICK_MICROS);
         LOG.info("member started name=" + self.name() + " address=" + fleetFile.listen() + " incarnation=" + self.id());
         awaitNameClaim();
     }
 
-    private void awaitNameClaim() throws BadSettings {
+    private void awaitNameClaim() throws InvalidConfigurationException {
         try {
             protocolTask.nameConflict().get(NAME_CONFLICT_TIMEOUT_MICROS, TimeUnit.MICROSECONDS);
-            throw new BadSettings(FleetFile.FILE + ": the name " + self.name()
+            throw new InvalidConfigurationException(FleetFile.FILE + ": the name " + self.name()
                     + " is held by a member that lives; stop that one, or give this one a name of its own");
         } catch (TimeoutException e) {
             // no conflict
@@ -145,7 +145,7 @@
             if (!executor.isShutdown()) {
                 start();
             }
-        } catch (BadSettings e) {
+        } catch (InvalidConfigurationException e) {
             // the relay already serves clients and continues to
             LOG.severe("join failed reason=\"" + e.getMessage() + "\"");
         } catch (InterruptedException e) {
--- a/src/main/java/sandstack/front/amqp/AmqpClient.java
+++ b/src/main/java/sandstack/front/amqp/AmqpClient.java
@@ -28,7 +28,7 @@
 import sandstack.net.Peer;
 
 /** A client's side of AMQP: one connection with its one link is one request. */
-final class AmqpClient extends ClientSession implements AmqpSocket.Owner, ConnectionAdmission.Guest {
+final class AmqpClient extends ClientSession implements AmqpSocket.Owner, ConnectionAdmission.AcceptedPeer {
     private final AmqpFront front;
     private final AmqpSocket socket;
     private Connection connection;
--- a/src/main/java/sandstack/front/amqp/AmqpFront.java
+++ b/src/main/java/sandstack/front/amqp/AmqpFront.java
@@ -11,7 +11,7 @@
 import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
 import sandstack.net.ConnectionAdmission;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.random.BoundedMap;
 
 /** AMQP 1.0: listens for clients, connects to feed servers and knows which link is whose. */
@@ -24,7 +24,7 @@
     /** So many broken links are remembered for clients that come again. */
     private static final int MOST_REMEMBERED = 1024;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Relay relay;
     private final String container;
     private final ConnectionAdmission lobby;
@@ -36,7 +36,7 @@
      *
      * @param container what the relay calls itself to clients
      */
-    public AmqpFront(Loop loop, Relay relay, ConnectionAdmission lobby, String container) {
+    public AmqpFront(EventLoop loop, Relay relay, ConnectionAdmission lobby, String container) {
         this.loop = loop;
         this.relay = relay;
         this.container = container;
@@ -48,14 +48,14 @@
         return loop.listen(host, port, loop.chain(new BaseFilter() {
                     @Override
                     public NextAction handleAccept(FilterChainContext context) {
-                        new AmqpClient(AmqpFront.this, Loop.peer(context));
+                        new AmqpClient(AmqpFront.this, EventLoop.peer(context));
                         return context.getStopAction();
                     }
                 }))
                 .port();
     }
 
-    Loop.Attempted connect(EndpointRegistry.Endpoint server, Loop.Connecting told) {
+    EventLoop.PendingConnect connect(EndpointRegistry.Endpoint server, EventLoop.ConnectListener told) {
         return loop.connect(server.host(), server.port(), told);
     }
 
@@ -105,6 +105,6 @@
     }
 
     long now() {
-        return loop.now();
+        return loop.nowMicros();
     }
 }
--- a/src/main/java/sandstack/front/amqp/AmqpServer.java
+++ b/src/main/java/sandstack/front/amqp/AmqpServer.java
@@ -10,18 +10,18 @@
 import sandstack.core.ConnectionAttempt;
 import sandstack.core.ConnectionOutcome;
 import sandstack.core.DeadlineScheduler;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.net.Peer;
 
 /** The way to the feed server of one execution: its connection and the link that answers the client's. */
-final class AmqpServer implements ConnectionAttempt.Upstream, AmqpSocket.Owner, Loop.Connecting {
+final class AmqpServer implements ConnectionAttempt.Upstream, AmqpSocket.Owner, EventLoop.ConnectListener {
     /** An execution that gives way to the same client's next one waits so long for the feed server's close. */
     private static final long OVER_WITHIN = 500_000;
 
     private final AmqpFront front;
     private final AmqpClient client;
     private final ConnectionAttempt execution;
-    private Loop.Attempted connecting;
+    private EventLoop.PendingConnect connecting;
     private AmqpSocket socket;
     private Link<?> link;
     private Pipe pipe;
--- a/src/main/java/sandstack/front/operators/OperatorDoor.java
+++ b/src/main/java/sandstack/front/operators/OperatorDoor.java
@@ -9,7 +9,7 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 import sandstack.core.DeadlineScheduler;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.net.Peer;
 
 /**
@@ -27,7 +27,7 @@
     /** How long a caller that has been answered may keep its end open. */
     private static final long LINGER = 1_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final DeadlineScheduler deadlines;
     private final Supplier<String> hindrance;
     private final Supplier<List<String>> figures;
@@ -40,7 +40,7 @@
      * @param figures the figures, a line each
      */
     public OperatorDoor(
-            Loop loop, DeadlineScheduler deadlines, Supplier<String> hindrance, Supplier<List<String>> figures) {
+            EventLoop loop, DeadlineScheduler deadlines, Supplier<String> hindrance, Supplier<List<String>> figures) {
         this.loop = loop;
         this.deadlines = deadlines;
         this.hindrance = hindrance;
@@ -52,7 +52,7 @@
         return loop.listen(host, port, loop.chain(new BaseFilter() {
                     @Override
                     public NextAction handleAccept(FilterChainContext context) {
-                        entered(new Caller(Loop.peer(context)));
+                        entered(new Caller(EventLoop.peer(context)));
                         return context.getStopAction();
                     }
                 }))
@@ -87,7 +87,7 @@
         Caller(Peer peer) {
             this.peer = peer;
             peer.ownedBy(this);
-            until = deadlines.schedule(loop.now() + ASK_WITHIN, () -> say("NAK no call came\r\n"));
+            until = deadlines.schedule(loop.nowMicros() + ASK_WITHIN, () -> say("NAK no call came\r\n"));
         }
 
         @Override
@@ -110,7 +110,7 @@
             }
             answered = true;
             until.cancel();
-            until = deadlines.schedule(loop.now() + LINGER, this::over);
+            until = deadlines.schedule(loop.nowMicros() + LINGER, this::over);
             // what else comes is thrown away: closed with words unread, the kernel would send a reset after the answer
             peer.discard();
             peer.send(words);
--- a/src/main/java/sandstack/front/platform/PlatformClient.java
+++ b/src/main/java/sandstack/front/platform/PlatformClient.java
@@ -9,7 +9,7 @@
 import sandstack.net.Peer;
 
 /** A client's side of the line protocol: its first line, its answer, and the passing of lines after UP. */
-final class PlatformClient extends ClientSession implements Peer.Owner, ConnectionAdmission.Guest {
+final class PlatformClient extends ClientSession implements Peer.Owner, ConnectionAdmission.AcceptedPeer {
     private static final int LONGEST_LINE = 4096;
 
     /** How far the client has come. */
--- a/src/main/java/sandstack/front/platform/PlatformFront.java
+++ b/src/main/java/sandstack/front/platform/PlatformFront.java
@@ -11,19 +11,19 @@
 import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
 import sandstack.net.ConnectionAdmission;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 
 /** The platform's line protocol: listens for clients and connects to feed servers. */
 public final class PlatformFront {
-    private final Loop loop;
+    private final EventLoop loop;
     private final Relay relay;
     private final ConnectionAdmission lobby;
     private final Set<String> ids = new HashSet<>();
     private final LoadLines loadLines;
-    private Loop.Listener listener;
+    private EventLoop.ListeningSocket listener;
 
     /** Creates a front that does not listen yet. */
-    public PlatformFront(Loop loop, Relay relay, ConnectionAdmission lobby) {
+    public PlatformFront(EventLoop loop, Relay relay, ConnectionAdmission lobby) {
         this.loop = loop;
         this.relay = relay;
         this.lobby = lobby;
@@ -37,13 +37,13 @@
     }
 
     /** Accepts clients at the listening socket that this process has inherited; returns its port. */
-    public int inherit() throws IOException {
-        listener = loop.inherit(chain());
+    public int listenOnInheritedSocket() throws IOException {
+        listener = loop.listenOnInheritedSocket(chain());
         return listener.port();
     }
 
     /** Accepts nobody any more; a socket that others have too stays as it is. */
-    public void pause() throws IOException {
+    public void pauseAccepting() throws IOException {
         listener.pause();
     }
 
@@ -51,7 +51,7 @@
         return loop.chain(new BaseFilter() {
             @Override
             public NextAction handleAccept(FilterChainContext context) {
-                new PlatformClient(PlatformFront.this, Loop.peer(context));
+                new PlatformClient(PlatformFront.this, EventLoop.peer(context));
                 return context.getStopAction();
             }
         });
@@ -75,7 +75,7 @@
         }
     }
 
-    Loop.Attempted connect(EndpointRegistry.Endpoint server, Loop.Connecting told) {
+    EventLoop.PendingConnect connect(EndpointRegistry.Endpoint server, EventLoop.ConnectListener told) {
         return loop.connect(server.host(), server.port(), told);
     }
 
@@ -88,6 +88,6 @@
     }
 
     long now() {
-        return loop.now();
+        return loop.nowMicros();
     }
 }
--- a/src/main/java/sandstack/front/platform/ServerWire.java
+++ b/src/main/java/sandstack/front/platform/ServerWire.java
@@ -3,11 +3,11 @@
 import java.util.logging.Logger;
 import sandstack.core.ConnectionAttempt;
 import sandstack.core.ConnectionOutcome;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.net.Peer;
 
 /** The way to the feed server of one execution: its connection, the request's line, its answer and its lines. */
-final class ServerWire implements ConnectionAttempt.Upstream, Peer.Owner, Loop.Connecting {
+final class ServerWire implements ConnectionAttempt.Upstream, Peer.Owner, EventLoop.ConnectListener {
     private static final Logger LOG = Logger.getLogger("sandstack.platform");
     private static final int LONGEST_LINE = 4096;
     /** A move waits so long for the end of a line that the feed server has half sent. */
@@ -20,7 +20,7 @@
     private final ConnectionAttempt execution;
     private final FirstLine firstLine;
     private final LineTap tap = new LineTap(this::line);
-    private Loop.Attempted connecting;
+    private EventLoop.PendingConnect connecting;
     private Peer peer;
     private boolean standing;
     private boolean moving;
--- a/src/main/java/sandstack/measure/OpenCommand.java
+++ b/src/main/java/sandstack/measure/OpenCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.config.PlatformConfig.Address;
 
 /**
@@ -71,7 +71,7 @@
     private int within;
 
     @Override
-    public Integer call() throws BadSettings, IOException {
+    public Integer call() throws InvalidConfigurationException, IOException {
         if (within <= 0) {
             throw new ParameterException(spec.commandLine(), "--within must be above 0: " + within);
         }
--- a/src/main/java/sandstack/measure/ScaleCommand.java
+++ b/src/main/java/sandstack/measure/ScaleCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.page.CapacityFiles;
 import sandstack.measure.page.Plan;
 import sandstack.measure.scale.ScaleMeasurement;
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public Integer call() throws BadSettings, IOException, InterruptedException {
+    public Integer call() throws InvalidConfigurationException, IOException, InterruptedException {
         List<ScaleMeasurement> chosen = chosen();
         Plan sizes = CapacityFiles.readPlan(plan);
         long began = System.nanoTime();
--- a/src/main/java/sandstack/measure/page/BreakingPoint.java
+++ b/src/main/java/sandstack/measure/page/BreakingPoint.java
@@ -1,7 +1,7 @@
 package sandstack.measure.page;
 
 import java.util.OptionalDouble;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 
 /** The smallest size at which a cost exceeds its budget at some occasion, all other numbers as planned. */
 final class BreakingPoint {
@@ -16,7 +16,7 @@
     }
 
     /** Empty where the planned size is within the budget, or a size of one exceeds it already. */
-    OptionalDouble of(Slope slope) throws BadSettings {
+    OptionalDouble of(Slope slope) throws InvalidConfigurationException {
         double within = 1;
         double beyond = slope.size();
         if (exceeds(slope, within) || !exceeds(slope, beyond)) {
@@ -33,7 +33,7 @@
         return OptionalDouble.of(within);
     }
 
-    private boolean exceeds(Slope slope, double size) throws BadSettings {
+    private boolean exceeds(Slope slope, double size) throws InvalidConfigurationException {
         Plan other = plan.withSize(slope.per(), size);
         Slopes reckoned = Reckoning.of("at another size", other, slopes);
         return reckoned.find(slope.id()).orElseThrow().worstNeedOverHave() > 1;
--- a/src/main/java/sandstack/measure/page/CapacityFiles.java
+++ b/src/main/java/sandstack/measure/page/CapacityFiles.java
@@ -13,7 +13,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.scale.ScaleReport;
 
 /** Reads and writes the JSON files behind the page; what is wrong is told in one line: file, key, value. */
@@ -43,19 +43,19 @@
     private CapacityFiles() {}
 
     /** Reads planning numbers and checks them. */
-    public static Plan readPlan(Path file) throws BadSettings {
+    public static Plan readPlan(Path file) throws InvalidConfigurationException {
         Plan plan = read(KEYS_MAY_MISS, file, Plan.class);
         PlanCheck.check(file.toString(), plan);
         return plan;
     }
 
     /** Reads slopes; that they agree with themselves is {@link SlopeCheck}'s. */
-    static Slopes readSlopes(Path file) throws BadSettings {
+    static Slopes readSlopes(Path file) throws InvalidConfigurationException {
         return read(KEYS_MAY_MISS, file, Slopes.class);
     }
 
     /** Reads what a run of {@code measure scale} wrote. */
-    static ScaleReport readReport(Path file) throws BadSettings {
+    static ScaleReport readReport(Path file) throws InvalidConfigurationException {
         return read(JSON, file, ScaleReport.class);
     }
 
@@ -65,49 +65,50 @@
         Files.writeString(file, JSON.writer(printer).writeValueAsString(slopes) + "\n");
     }
 
-    private static <T> T read(ObjectMapper mapper, Path file, Class<T> type) throws BadSettings {
+    private static <T> T read(ObjectMapper mapper, Path file, Class<T> type) throws InvalidConfigurationException {
         JsonNode tree = tree(file);
         try {
             T read = mapper.treeToValue(tree, type);
             if (read == null) {
-                throw new BadSettings(file + ": is null");
+                throw new InvalidConfigurationException(file + ": is null");
             }
             return read;
         } catch (JsonMappingException e) {
-            throw new BadSettings(
+            throw new InvalidConfigurationException(
                     file + ": " + key(e) + ": " + shortened(value(tree, e)) + ": " + firstLine(e.getOriginalMessage()));
         } catch (JsonProcessingException e) {
-            throw new BadSettings(file + ": " + firstLine(e.getOriginalMessage()));
+            throw new InvalidConfigurationException(file + ": " + firstLine(e.getOriginalMessage()));
         }
     }
 
     /** Reads the page as it is. */
-    static String readPage(Path file) throws BadSettings {
+    static String readPage(Path file) throws InvalidConfigurationException {
         return new String(bytes(file), StandardCharsets.UTF_8);
     }
 
-    private static JsonNode tree(Path file) throws BadSettings {
+    private static JsonNode tree(Path file) throws InvalidConfigurationException {
         try {
             return JSON.readTree(bytes(file));
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
-            throw new BadSettings(file + ": line " + line + ": " + firstLine(e.getOriginalMessage()));
+            throw new InvalidConfigurationException(file + ": line " + line + ": " + firstLine(e.getOriginalMessage()));
         } catch (IOException e) {
-            throw new BadSettings(file + ": cannot be read: " + firstLine(e.getMessage()));
+            throw new InvalidConfigurationException(file + ": cannot be read: " + firstLine(e.getMessage()));
         }
     }
 
-    private static byte[] bytes(Path file) throws BadSettings {
+    private static byte[] bytes(Path file) throws InvalidConfigurationException {
         try {
             if (!Files.isRegularFile(file)) {
-                throw new BadSettings(file + ": there is no such file");
+                throw new InvalidConfigurationException(file + ": there is no such file");
             }
             if (Files.size(file) > LARGEST) {
-                throw new BadSettings(file + ": has " + Files.size(file) + " bytes, " + LARGEST + " at most");
+                throw new InvalidConfigurationException(
+                        file + ": has " + Files.size(file) + " bytes, " + LARGEST + " at most");
             }
             return Files.readAllBytes(file);
         } catch (IOException e) {
-            throw new BadSettings(file + ": cannot be read: " + firstLine(e.getMessage()));
+            throw new InvalidConfigurationException(file + ": cannot be read: " + firstLine(e.getMessage()));
         }
     }
 
--- a/src/main/java/sandstack/measure/page/CapacityPageCommand.java
+++ b/src/main/java/sandstack/measure/page/CapacityPageCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 
 /** {@code measure capacity-page}: writes the tables of the page, or checks them; exits 1 where they differ. */
 @Command(
@@ -42,7 +42,7 @@
     private Path root;
 
     @Override
-    public Integer call() throws BadSettings, IOException {
+    public Integer call() throws InvalidConfigurationException, IOException {
         if (check && (reckon || !taken.isEmpty())) {
             throw new ParameterException(spec.commandLine(), "--check writes nothing; --take and --reckon do");
         }
@@ -56,7 +56,7 @@
         return page(plan, slopes);
     }
 
-    private Slopes renewed(Path file, Plan plan, Slopes before) throws BadSettings, IOException {
+    private Slopes renewed(Path file, Plan plan, Slopes before) throws InvalidConfigurationException, IOException {
         Slopes slopes = before;
         for (Path report : taken) {
             TakenReport put = TakenReport.of(plan, slopes, CapacityFiles.readReport(report));
@@ -68,7 +68,7 @@
         return slopes;
     }
 
-    private int page(Plan plan, Slopes slopes) throws BadSettings, IOException {
+    private int page(Plan plan, Slopes slopes) throws InvalidConfigurationException, IOException {
         Path file = root.resolve(CapacityFiles.PAGE);
         String before = CapacityFiles.readPage(file);
         String after = new MarkedPage(file.toString(), before).with(new CapacityTables(plan, slopes).all());
--- a/src/main/java/sandstack/measure/page/CapacityTables.java
+++ b/src/main/java/sandstack/measure/page/CapacityTables.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 import java.util.Set;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.scale.Resource;
 import sandstack.measure.scale.Role;
 
@@ -33,7 +33,7 @@
     }
 
     /** All tables; each role has two, one of its slopes and one of its needs at each occasion. */
-    Map<String, String> all() throws BadSettings {
+    Map<String, String> all() throws InvalidConfigurationException {
         Map<String, String> tables = new LinkedHashMap<>();
         tables.put("plan", planningNumbers());
         for (Role role : Role.values()) {
@@ -190,7 +190,7 @@
     }
 
     /** Costs that exceed their budget at some occasion; first those that do at the smallest part of the planned size. */
-    private String order() throws BadSettings {
+    private String order() throws InvalidConfigurationException {
         BreakingPoint point = new BreakingPoint(plan, slopes);
         List<Breaking> breaking = new ArrayList<>();
         for (Slope slope : slopes.slopes()) {
--- a/src/main/java/sandstack/measure/page/MarkedPage.java
+++ b/src/main/java/sandstack/measure/page/MarkedPage.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 
 /** A page whose tables stand between {@code <!-- table: NAME -->} and {@code <!-- end: NAME -->}. */
 final class MarkedPage {
@@ -20,7 +20,7 @@
     }
 
     /** The page with these tables; each has to have its place, once, and each place its table. */
-    String with(Map<String, String> tables) throws BadSettings {
+    String with(Map<String, String> tables) throws InvalidConfigurationException {
         StringBuilder page = new StringBuilder();
         Set<String> placed = new LinkedHashSet<>();
         Matcher begin = BEGIN.matcher(text);
@@ -29,13 +29,13 @@
             String name = begin.group(1);
             String table = tables.get(name);
             if (table == null || !placed.add(name)) {
-                throw new BadSettings(
+                throw new InvalidConfigurationException(
                         file + ": table: " + name + ": " + (table == null ? "not known" : "stands twice"));
             }
             String end = "<!-- end: " + name + " -->";
             int ends = text.indexOf(end, begin.end());
             if (ends < 0) {
-                throw new BadSettings(file + ": table: " + name + ": its end is missing: " + end);
+                throw new InvalidConfigurationException(file + ": table: " + name + ": its end is missing: " + end);
             }
             page.append(text, copied, begin.end())
                     .append("\n\n")
@@ -46,7 +46,7 @@
         }
         for (String name : tables.keySet()) {
             if (!placed.contains(name)) {
-                throw new BadSettings(file + ": table: " + name + ": missing");
+                throw new InvalidConfigurationException(file + ": table: " + name + ": missing");
             }
         }
         return page.append(text.substring(copied)).toString();
--- a/src/main/java/sandstack/measure/page/Plan.java
+++ b/src/main/java/sandstack/measure/page/Plan.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.OptionalDouble;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.page.PlanNumber.Source;
 
 /** The numbers to plan with. */
@@ -27,7 +27,7 @@
      *
      * @param per what a series counts
      */
-    Plan withSize(String per, double size) throws BadSettings {
+    Plan withSize(String per, double size) throws InvalidConfigurationException {
         List<PlanNumber> changed = new ArrayList<>();
         for (PlanNumber number : numbers) {
             double value = number.value();
@@ -41,11 +41,12 @@
         return new Plan(changed);
     }
 
-    private static double derived(PlanNumber number, Plan before) throws BadSettings {
+    private static double derived(PlanNumber number, Plan before) throws InvalidConfigurationException {
         try {
             return Arithmetic.evaluate(number.arithmetic(), before::valueOf);
         } catch (Arithmetic.Malformed e) {
-            throw new BadSettings(number.name() + ".arithmetic: " + number.arithmetic() + ": " + e.getMessage());
+            throw new InvalidConfigurationException(
+                    number.name() + ".arithmetic: " + number.arithmetic() + ": " + e.getMessage());
         }
     }
 
--- a/src/main/java/sandstack/measure/page/PlanCheck.java
+++ b/src/main/java/sandstack/measure/page/PlanCheck.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.page.PlanNumber.Source;
 
 /** Whether planning numbers can be used: named once, above zero, and derived ones as their arithmetic says. */
@@ -13,7 +13,7 @@
 
     private PlanCheck() {}
 
-    static void check(String file, Plan plan) throws BadSettings {
+    static void check(String file, Plan plan) throws InvalidConfigurationException {
         Map<String, Double> before = new HashMap<>();
         Set<String> sizes = new HashSet<>();
         for (int i = 0; i < plan.numbers().size(); i++) {
@@ -24,24 +24,26 @@
             present(key + ".meaning", number.meaning());
             present(key + ".source", number.source());
             if (!(number.value() > 0) || Double.isInfinite(number.value())) {
-                throw new BadSettings(key + ".value: " + number.value() + ": must be a number above 0");
+                throw new InvalidConfigurationException(
+                        key + ".value: " + number.value() + ": must be a number above 0");
             }
             for (String size : number.sizeOf()) {
                 if (!sizes.add(size)) {
-                    throw new BadSettings(key + ".sizeOf: " + size + ": is another number's too");
+                    throw new InvalidConfigurationException(key + ".sizeOf: " + size + ": is another number's too");
                 }
             }
             derived(key, number, before);
             if (before.put(number.name(), number.value()) != null) {
-                throw new BadSettings(key + ".name: " + number.name() + ": stands twice");
+                throw new InvalidConfigurationException(key + ".name: " + number.name() + ": stands twice");
             }
         }
     }
 
-    private static void derived(String key, PlanNumber number, Map<String, Double> before) throws BadSettings {
+    private static void derived(String key, PlanNumber number, Map<String, Double> before)
+            throws InvalidConfigurationException {
         if (number.source() != Source.DERIVED) {
             if (number.arithmetic() != null) {
-                throw new BadSettings(
+                throw new InvalidConfigurationException(
                         key + ".arithmetic: " + number.arithmetic() + ": only a DERIVED number has arithmetic");
             }
             return;
@@ -50,16 +52,18 @@
         try {
             double value = Arithmetic.evaluate(number.arithmetic(), before::get);
             if (Math.abs(value - number.value()) > EXACT * Math.abs(value)) {
-                throw new BadSettings(key + ".value: " + number.value() + ": its arithmetic comes to " + value);
+                throw new InvalidConfigurationException(
+                        key + ".value: " + number.value() + ": its arithmetic comes to " + value);
             }
         } catch (Arithmetic.Malformed e) {
-            throw new BadSettings(key + ".arithmetic: " + number.arithmetic() + ": " + e.getMessage());
+            throw new InvalidConfigurationException(
+                    key + ".arithmetic: " + number.arithmetic() + ": " + e.getMessage());
         }
     }
 
-    private static void present(String key, Object value) throws BadSettings {
+    private static void present(String key, Object value) throws InvalidConfigurationException {
         if (value == null || value.equals("")) {
-            throw new BadSettings(key + ": missing");
+            throw new InvalidConfigurationException(key + ": missing");
         }
     }
 }
--- a/src/main/java/sandstack/measure/page/Reckoning.java
+++ b/src/main/java/sandstack/measure/page/Reckoning.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.scale.Fit;
 
 /**
@@ -24,7 +24,7 @@
     }
 
     /** The same slopes with all figures worked out. */
-    static Slopes of(String file, Plan plan, Slopes slopes) throws BadSettings {
+    static Slopes of(String file, Plan plan, Slopes slopes) throws InvalidConfigurationException {
         Reckoning reckoning = new Reckoning(file, plan);
         List<Slope> reckoned = new ArrayList<>();
         for (Slope slope : slopes.slopes()) {
@@ -33,7 +33,7 @@
         return new Slopes(reckoned);
     }
 
-    private Slope reckon(Slope before) throws BadSettings {
+    private Slope reckon(Slope before) throws InvalidConfigurationException {
         Slope slope = before.withSize(plan.sizeOf(before.per()).orElse(before.size()));
         String key = file + ": " + slope.id();
         Map<String, Double> own = new HashMap<>();
@@ -44,7 +44,7 @@
         if (budget != null) {
             budget = budget.withValue(value(key + ".budget", budget.arithmetic(), own));
             if (!(budget.value() > 0)) {
-                throw new BadSettings(key + ".budget: " + budget.value() + ": must be above 0");
+                throw new InvalidConfigurationException(key + ".budget: " + budget.value() + ": must be above 0");
             }
         }
         Map<Occasion, Reckoned> needs = new EnumMap<>(Occasion.class);
@@ -57,9 +57,10 @@
         return slope.withFigures(figure, budget, needs);
     }
 
-    private static double extrapolated(String key, Slope slope, Map<String, Double> own) throws BadSettings {
+    private static double extrapolated(String key, Slope slope, Map<String, Double> own)
+            throws InvalidConfigurationException {
         if (slope.coefficients().size() != 2 || slope.shape() == null) {
-            throw new BadSettings(
+            throw new InvalidConfigurationException(
                     key + ".coefficients: " + slope.coefficients() + ": must be base and slope of a shape");
         }
         own.put("base", slope.coefficients().get(0));
@@ -67,9 +68,9 @@
         return new Fit(slope.shape(), own.get("base"), own.get("slope"), 0).at(slope.size());
     }
 
-    private double value(String key, String arithmetic, Map<String, Double> own) throws BadSettings {
+    private double value(String key, String arithmetic, Map<String, Double> own) throws InvalidConfigurationException {
         if (arithmetic == null) {
-            throw new BadSettings(key + ".arithmetic: missing");
+            throw new InvalidConfigurationException(key + ".arithmetic: missing");
         }
         try {
             return Arithmetic.evaluate(arithmetic, name -> {
@@ -77,7 +78,7 @@
                 return value == null ? plan.valueOf(name) : value;
             });
         } catch (Arithmetic.Malformed e) {
-            throw new BadSettings(key + ".arithmetic: " + arithmetic + ": " + e.getMessage());
+            throw new InvalidConfigurationException(key + ".arithmetic: " + arithmetic + ": " + e.getMessage());
         }
     }
 }
--- a/src/main/java/sandstack/measure/page/SlopeCheck.java
+++ b/src/main/java/sandstack/measure/page/SlopeCheck.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 import java.util.OptionalDouble;
 import java.util.Set;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.scale.Fit;
 
 /** Whether slopes agree with the plan and with themselves, so that no figure can be changed alone. */
@@ -23,7 +23,7 @@
     }
 
     /** Fails at the first slope that does not agree. */
-    static void check(String file, Plan plan, Slopes slopes) throws BadSettings {
+    static void check(String file, Plan plan, Slopes slopes) throws InvalidConfigurationException {
         SlopeCheck check = new SlopeCheck(file, plan);
         Set<String> ids = new HashSet<>();
         for (Slope slope : slopes.slopes()) {
@@ -38,7 +38,7 @@
         }
     }
 
-    private void fields(Slope slope) throws BadSettings {
+    private void fields(Slope slope) throws InvalidConfigurationException {
         present(slope, "id", slope.id());
         present(slope, "role", slope.role());
         present(slope, "resource", slope.resource());
@@ -56,7 +56,7 @@
         }
     }
 
-    private void size(Slope slope) throws BadSettings {
+    private void size(Slope slope) throws InvalidConfigurationException {
         OptionalDouble planned = plan.sizeOf(String.valueOf(slope.per()));
         if (planned.isEmpty()) {
             throw wrong(slope, "per", slope.per(), "the plan has no size of it");
@@ -66,7 +66,7 @@
         }
     }
 
-    private void withRun(Slope slope) throws BadSettings {
+    private void withRun(Slope slope) throws InvalidConfigurationException {
         present(slope, "command", slope.command());
         present(slope, "date", slope.date());
         present(slope, "commit", slope.commit());
@@ -86,7 +86,7 @@
         same(slope, "residual", slope.residual(), fit.residual());
     }
 
-    private void reckoned(Slope slope) throws BadSettings {
+    private void reckoned(Slope slope) throws InvalidConfigurationException {
         present(slope, "arithmetic", slope.arithmetic());
         for (Map.Entry<String, Object> run : Map.<String, Object>of(
                         "sizes", slope.sizes(),
@@ -102,7 +102,7 @@
         }
     }
 
-    private void figures(Slope slope, Slope reckoned) throws BadSettings {
+    private void figures(Slope slope, Slope reckoned) throws InvalidConfigurationException {
         same(slope, "figure", slope.figure(), reckoned.figure());
         if (slope.budget() != null) {
             same(
@@ -118,7 +118,7 @@
         }
     }
 
-    private void same(Slope slope, String key, Double found, Double expected) throws BadSettings {
+    private void same(Slope slope, String key, Double found, Double expected) throws InvalidConfigurationException {
         boolean alike = found == null || expected == null
                 ? Objects.equals(found, expected)
                 : Math.abs(found - expected) <= EXACT * Math.max(Math.abs(expected), EXACT);
@@ -127,13 +127,13 @@
         }
     }
 
-    private void present(Slope slope, String key, Object value) throws BadSettings {
+    private void present(Slope slope, String key, Object value) throws InvalidConfigurationException {
         if (value == null || value.equals("")) {
             throw wrong(slope, key, value, "missing");
         }
     }
 
-    private BadSettings wrong(Slope slope, String key, Object value, String why) {
-        return new BadSettings(file + ": " + slope.id() + "." + key + ": " + value + ": " + why);
+    private InvalidConfigurationException wrong(Slope slope, String key, Object value, String why) {
+        return new InvalidConfigurationException(file + ": " + slope.id() + "." + key + ": " + value + ": " + why);
     }
 }
--- a/src/main/java/sandstack/measure/page/TakenReport.java
+++ b/src/main/java/sandstack/measure/page/TakenReport.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalDouble;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.scale.Fit;
 import sandstack.measure.scale.ScaleReport;
 import sandstack.measure.scale.ScaleReport.Result;
@@ -19,7 +19,7 @@
  * @param passedOver series that no slope stands for, or that have fewer than three sizes
  */
 record TakenReport(Slopes slopes, List<String> passedOver) {
-    static TakenReport of(Plan plan, Slopes slopes, ScaleReport report) throws BadSettings {
+    static TakenReport of(Plan plan, Slopes slopes, ScaleReport report) throws InvalidConfigurationException {
         Map<String, Series> series = new LinkedHashMap<>();
         for (Result result : report.results()) {
             series.put(result.series().id(), result.series());
@@ -39,10 +39,11 @@
         return new TakenReport(new Slopes(taken), List.copyOf(series.keySet()));
     }
 
-    private static double planned(Plan plan, Series series) throws BadSettings {
+    private static double planned(Plan plan, Series series) throws InvalidConfigurationException {
         OptionalDouble size = plan.sizeOf(series.per());
         if (size.isEmpty()) {
-            throw new BadSettings(series.id() + ".per: " + series.per() + ": the plan has no size of it");
+            throw new InvalidConfigurationException(
+                    series.id() + ".per: " + series.per() + ": the plan has no size of it");
         }
         return size.getAsDouble();
     }
--- a/src/main/java/sandstack/measure/scale/ListProbe.java
+++ b/src/main/java/sandstack/measure/scale/ListProbe.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sandstack.config.BadSettings;
 import sandstack.config.EndpointListJson;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.config.MachineKinds;
 import sandstack.core.Relay;
 import sandstack.discovery.JsonObjectStream;
@@ -77,13 +77,13 @@
         return ((ThreadMXBean) ManagementFactory.getThreadMXBean()).getCurrentThreadAllocatedBytes();
     }
 
-    private void heardBoth(byte[] first, byte[] second) throws IOException, BadSettings {
+    private void heardBoth(byte[] first, byte[] second) throws IOException, InvalidConfigurationException {
         heard(first);
         heard(second);
     }
 
     /** Takes bytes as they come from the watch, in pieces, and lets the relay take its turn. */
-    private void heard(byte[] bytes) throws IOException, BadSettings {
+    private void heard(byte[] bytes) throws IOException, InvalidConfigurationException {
         for (int from = 0; from < bytes.length; from += PIECE) {
             byte[] piece = Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + PIECE));
             for (JsonNode object : stream.heard(piece)) {
--- a/src/main/java/sandstack/net/ConnectionAdmission.java
+++ b/src/main/java/sandstack/net/ConnectionAdmission.java
@@ -28,7 +28,7 @@
     private static final int ADMITTED_DESCRIPTORS = 2;
 
     /** What a front knows of one accepted peer. */
-    public interface Guest {
+    public interface AcceptedPeer {
         /** There is no room: told in a word if there is one, and closed at once. */
         void turnAway();
 
@@ -45,13 +45,13 @@
     }
 
     /** A peer's guest and when its time runs out. */
-    private record Stay(Guest guest, Deadline until) {}
+    private record Stay(AcceptedPeer guest, Deadline until) {}
 
     private final DeadlineScheduler deadlines;
-    private final Loop loop;
+    private final EventLoop loop;
     private int most;
     private final Map<Peer, Stay> guests = new LinkedHashMap<>();
-    private final Map<Peer, Guest> admitted = new LinkedHashMap<>();
+    private final Map<Peer, AcceptedPeer> admitted = new LinkedHashMap<>();
     private final Map<Peer, Stay> leaving = new LinkedHashMap<>();
     private boolean makingRoom;
 
@@ -60,22 +60,22 @@
      *
      * @param most descriptors that sockets of clients and feed servers may take together
      */
-    public ConnectionAdmission(Loop loop, DeadlineScheduler deadlines, int most) {
+    public ConnectionAdmission(EventLoop loop, DeadlineScheduler deadlines, int most) {
         this.loop = loop;
         this.deadlines = deadlines;
         this.most = most;
     }
 
     /** From now on they may take so many together; who is admitted stays. */
-    public void mayTake(int descriptors) {
+    public void setDescriptorLimit(int descriptors) {
         most = descriptors;
         makeRoom();
     }
 
     /** A peer has been accepted. It may be turned away before this returns. */
-    public void enter(Peer peer, Guest guest) {
+    public void enter(Peer peer, AcceptedPeer guest) {
         peer.watchedBy(this);
-        guests.put(peer, new Stay(guest, deadlines.schedule(loop.now() + ASK_WITHIN, () -> late(peer))));
+        guests.put(peer, new Stay(guest, deadlines.schedule(loop.nowMicros() + ASK_WITHIN, () -> late(peer))));
         makeRoom();
     }
 
@@ -91,12 +91,12 @@
         }
     }
 
-    private void linger(Peer peer, Guest guest, long length) {
-        leaving.put(peer, new Stay(guest, deadlines.schedule(loop.now() + length, peer::close)));
+    private void linger(Peer peer, AcceptedPeer guest, long length) {
+        leaving.put(peer, new Stay(guest, deadlines.schedule(loop.nowMicros() + length, peer::close)));
     }
 
     /** Nobody is waited for any more: whoever has not asked by now is told so. */
-    public void askNoLonger() {
+    public void stopWaitingForRequests() {
         List.copyOf(guests.keySet()).forEach(this::late);
     }
 
@@ -123,14 +123,14 @@
 
     /** Called once for each socket that was here. */
     void closed(Peer peer) {
-        Guest guest = takeOut(peer);
+        AcceptedPeer guest = takeOut(peer);
         if (guest != null) {
             guest.gone();
         }
     }
 
     /** Takes the peer from wherever it is; null for one that is no front's guest. */
-    private Guest takeOut(Peer peer) {
+    private AcceptedPeer takeOut(Peer peer) {
         Stay stay = guests.containsKey(peer) ? guests.remove(peer) : leaving.remove(peer);
         if (stay == null) {
             return admitted.remove(peer);
@@ -140,12 +140,12 @@
     }
 
     /** Peers that have been accepted and not yet asked for anything. */
-    public int unheard() {
+    public int peersWithoutRequest() {
         return guests.size();
     }
 
     /** Descriptors that sockets of clients and feed servers take now. */
-    public int taken() {
+    public int descriptorsInUse() {
         return guests.size() + leaving.size() + ADMITTED_DESCRIPTORS * admitted.size();
     }
 
@@ -154,10 +154,10 @@
             return;
         }
         makingRoom = true;
-        while (taken() > most && !leaving.isEmpty()) {
+        while (descriptorsInUse() > most && !leaving.isEmpty()) {
             oldest(leaving).close();
         }
-        while (taken() > most && !guests.isEmpty()) {
+        while (descriptorsInUse() > most && !guests.isEmpty()) {
             Peer peer = oldest(guests);
             // in a crowd that comes at once, the oldest may be a client whose line has not been looked at yet
             peer.look();
--- a/src/main/java/sandstack/net/Loop.java
+++ b/src/main/java/sandstack/net/EventLoop.java
@@ -38,11 +38,11 @@
  * The one thread: Grizzly's selector, with a turn of the relay before each wait. Everything that belongs to
  * the relay runs on it.
  */
-public final class Loop implements Executor {
+public final class EventLoop implements Executor {
     private static final Logger LOG = Logger.getLogger("sandstack.net");
 
     /** Told of a connection with rings that was being made. */
-    public interface Connecting {
+    public interface ConnectListener {
         /** The connection is made. */
         void connected(Peer peer);
 
@@ -51,7 +51,7 @@
     }
 
     /** Told of a connection with a chain of its own that was being made. */
-    public interface Dialled {
+    public interface DialListener {
         /** The connection is made. */
         void connected(Connection<?> connection);
 
@@ -60,7 +60,7 @@
     }
 
     /** A connection that is being made; it may be called off. */
-    public interface Attempted {
+    public interface PendingConnect {
         /** Calls it off: nobody is told of its end, and a connection that comes all the same is closed. */
         void cancel();
     }
@@ -90,7 +90,7 @@
     private LongSupplier nextTurn;
 
     /** Creates a loop whose thread has not started; see {@link #start}. */
-    public Loop() {
+    public EventLoop() {
         this(socket -> socket);
     }
 
@@ -99,7 +99,7 @@
      *
      * @param output sockets are written through these channels, which may take less than the sockets would
      */
-    Loop(Output output) {
+    EventLoop(Output output) {
         this.output = output;
         transport = TCPNIOTransportBuilder.newInstance()
                 .setName("loop")
@@ -119,7 +119,7 @@
     }
 
     /** Microseconds, near Unix time and never going back. */
-    public long now() {
+    public long nowMicros() {
         return wallStart + (System.nanoTime() - nanoStart) / 1000;
     }
 
@@ -127,7 +127,7 @@
      * Starts the thread.
      *
      * @param turn what is done before each wait
-     * @param nextTurn when it wants to be done again, on the clock of {@link #now}; the least value for at once
+     * @param nextTurn when it wants to be done again, on the clock of {@link #nowMicros}; the least value for at once
      */
     public void start(Runnable turn, LongSupplier nextTurn) throws IOException {
         this.turn = turn;
@@ -156,10 +156,10 @@
     }
 
     /** A socket at which peers are accepted. */
-    public static final class Listener {
+    public static final class ListeningSocket {
         private final TCPNIOServerConnection server;
 
-        private Listener(TCPNIOServerConnection server) {
+        private ListeningSocket(TCPNIOServerConnection server) {
             this.server = server;
         }
 
@@ -178,13 +178,13 @@
     }
 
     /** Listens at this address. */
-    public Listener listen(String host, int port, FilterChain chain) throws IOException {
-        return new Listener(binding(chain).bind(new InetSocketAddress(host, port)));
+    public ListeningSocket listen(String host, int port, FilterChain chain) throws IOException {
+        return new ListeningSocket(binding(chain).bind(new InetSocketAddress(host, port)));
     }
 
     /** Accepts at the listening socket that this process has inherited as descriptor 0. */
-    public Listener inherit(FilterChain chain) throws IOException {
-        return new Listener(binding(chain).bindToInherited());
+    public ListeningSocket listenOnInheritedSocket(FilterChain chain) throws IOException {
+        return new ListeningSocket(binding(chain).bindToInherited());
     }
 
     private TCPNIOBindingHandler binding(FilterChain chain) {
@@ -194,11 +194,11 @@
     }
 
     /** Connects from the loop's thread; the callback comes on it too, perhaps before this returns. */
-    public Attempted connect(String host, int port, Connecting told) {
-        return dial(host, port, outgoing, new Dialled() {
+    public PendingConnect connect(String host, int port, ConnectListener told) {
+        return dial(host, port, outgoing, new DialListener() {
             @Override
             public void connected(Connection<?> connection) {
-                told.connected(new Peer(connection, Loop.this));
+                told.connected(new Peer(connection, EventLoop.this));
             }
 
             @Override
@@ -209,7 +209,7 @@
     }
 
     /** Connects with a filter chain that brings its own transport filter. */
-    public Attempted dial(String host, int port, FilterChain chain, Dialled told) {
+    public PendingConnect dial(String host, int port, FilterChain chain, DialListener told) {
         Connector connector = new Connector(chain, told);
         connector.connect(new InetSocketAddress(host, port), null, connector.handler);
         return connector;
@@ -235,7 +235,7 @@
     private final class RingFilter extends BaseFilter {
         @Override
         public NextAction handleAccept(FilterChainContext context) {
-            new Peer(context.getConnection(), Loop.this);
+            new Peer(context.getConnection(), EventLoop.this);
             return context.getInvokeAction();
         }
 
@@ -305,7 +305,7 @@
                 }
                 // held up, the relay would act on deadlines before it hears what came meanwhile: a request whose
                 // client had left was sent on
-                lookFirst = !lookFirst && now() - lookedAt > STALE;
+                lookFirst = !lookFirst && nowMicros() - lookedAt > STALE;
                 if (!lookFirst) {
                     turn.run();
                 }
@@ -318,7 +318,7 @@
         @Override
         public Set<SelectionKey> select(SelectorRunner selectorRunner) throws IOException {
             long next = nextTurn.getAsLong();
-            long millis = next == Long.MAX_VALUE ? 1000 : Math.min(1000, (next - now() + 999) / 1000);
+            long millis = next == Long.MAX_VALUE ? 1000 : Math.min(1000, (next - nowMicros() + 999) / 1000);
             if (lookFirst
                     || next == Long.MIN_VALUE
                     || millis <= 0
@@ -328,19 +328,19 @@
             } else {
                 selectorRunner.getSelector().select(millis);
             }
-            lookedAt = now();
+            lookedAt = nowMicros();
             return selectorRunner.getSelector().selectedKeys();
         }
     }
 
     /** A connection that is being made, and who is told of it unless it is called off. */
-    private final class Connector extends TCPNIOConnectorHandler implements Attempted {
+    private final class Connector extends TCPNIOConnectorHandler implements PendingConnect {
         private Connection<?> connection;
         private boolean over;
         private final EmptyCompletionHandler<Connection> handler;
 
-        Connector(FilterChain chain, Dialled told) {
-            super(Loop.this.transport);
+        Connector(FilterChain chain, DialListener told) {
+            super(EventLoop.this.transport);
             setProcessor(chain);
             handler = new EmptyCompletionHandler<>() {
                 @Override
--- a/src/main/java/sandstack/net/Peer.java
+++ b/src/main/java/sandstack/net/Peer.java
@@ -38,7 +38,7 @@
     private final NIOConnection connection;
     private final SocketChannel channel;
     private final WritableByteChannel output;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Ring in = new Ring(RING_LIMIT);
     private Ring out = new Ring(RING_LIMIT);
     private Owner owner;
@@ -52,7 +52,7 @@
     private boolean outBroken;
     private boolean closed;
 
-    Peer(Connection<?> connection, Loop loop) {
+    Peer(Connection<?> connection, EventLoop loop) {
         this.connection = (NIOConnection) connection;
         this.channel = (SocketChannel) this.connection.getChannel();
         this.output = loop.output(channel);
@@ -132,7 +132,7 @@
 
     /** Takes what has come by now: whoever is about to act on this peer's being there looks first. */
     public void look() {
-        Loop.guarded(this, this::readable);
+        EventLoop.guarded(this, this::readable);
     }
 
     void writable() {
--- a/src/main/java/sandstack/rig/FaultsCommand.java
+++ b/src/main/java/sandstack/rig/FaultsCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 
 /** {@code faults}: plays schedules of faults between real members and checks the rules; exits 0 where none is broken. */
 @Command(
@@ -35,9 +35,9 @@
         return spec.commandLine().getOut();
     }
 
-    private static List<String> program(Path jar) throws BadSettings {
+    private static List<String> program(Path jar) throws InvalidConfigurationException {
         if (!Files.isRegularFile(jar)) {
-            throw new BadSettings("--jar: there is no file " + jar);
+            throw new InvalidConfigurationException("--jar: there is no file " + jar);
         }
         return List.of("-jar", jar.toString());
     }
@@ -52,7 +52,7 @@
                             defaultValue = "target/sandstack.jar",
                             description = "The program (default: ${DEFAULT-VALUE}).")
                     Path jar)
-            throws BadSettings, IOException, InterruptedException {
+            throws InvalidConfigurationException, IOException, InterruptedException {
         if ((file == null) == (seed == null)) {
             throw new ParameterException(spec.commandLine(), "say either a FILE or --seed N");
         }
@@ -102,7 +102,7 @@
                             defaultValue = "target/sandstack.jar",
                             description = "The program (default: ${DEFAULT-VALUE}).")
                     Path jar)
-            throws BadSettings, IOException, InterruptedException {
+            throws InvalidConfigurationException, IOException, InterruptedException {
         long until = System.nanoTime() + (long) (minutes * 60e9);
         int broken = 0;
         int played = 0;
@@ -140,7 +140,7 @@
                             defaultValue = "target/sandstack.jar",
                             description = "The program (default: ${DEFAULT-VALUE}).")
                     Path jar)
-            throws BadSettings, IOException, InterruptedException {
+            throws InvalidConfigurationException, IOException, InterruptedException {
         Schedule least = Schedule.read(file);
         if (!breaks(program(jar), least, tries)) {
             out().println(file + ": no rule is broken in each of " + tries + " plays");
--- a/src/main/java/sandstack/rig/PairLink.java
+++ b/src/main/java/sandstack/rig/PairLink.java
@@ -9,7 +9,7 @@
 import org.glassfish.grizzly.filterchain.BaseFilter;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.net.Peer;
 import sandstack.standin.StandInLoop;
 
@@ -46,7 +46,7 @@
         this.port = yard.listen(new BaseFilter() {
             @Override
             public NextAction handleAccept(FilterChainContext context) {
-                accepted(Loop.peer(context));
+                accepted(EventLoop.peer(context));
                 return context.getStopAction();
             }
         });
@@ -84,7 +84,7 @@
 
     private void accepted(Peer near) {
         Half here = new Half(near, true);
-        yard.connect(host, to, new Loop.Connecting() {
+        yard.connect(host, to, new EventLoop.ConnectListener() {
             @Override
             public void connected(Peer far) {
                 Half there = new Half(far, false);
--- a/src/main/java/sandstack/rig/Schedule.java
+++ b/src/main/java/sandstack/rig/Schedule.java
@@ -11,8 +11,8 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.SplittableRandom;
-import sandstack.config.BadSettings;
-import sandstack.config.OwnFiles;
+import sandstack.config.DeployFiles;
+import sandstack.config.InvalidConfigurationException;
 
 /**
  * What is done to a fleet, and when. Drawn from a seed or read from a file; what a run found wrong is kept as such a
@@ -129,34 +129,35 @@
     }
 
     /** Reads a file. */
-    public static Schedule read(Path file) throws BadSettings, IOException {
+    public static Schedule read(Path file) throws InvalidConfigurationException, IOException {
         JsonNode root;
         try {
             root = new TomlMapper().readTree(Files.readString(file));
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-            throw new BadSettings(
+            throw new InvalidConfigurationException(
                     file + ": " + e.getOriginalMessage().lines().findFirst().orElse("not TOML"));
         }
-        OwnFiles.onlyKnown(root, KEYS, file + ": ");
+        DeployFiles.onlyKnown(root, KEYS, file + ": ");
         int members = whole(root, "members", 1, MOST_MEMBERS, file + ": ");
         List<Step> steps = new ArrayList<>();
         if (!root.path("step").isArray() || root.path("step").size() > MOST_STEPS) {
-            throw new BadSettings(file + ": step must be up to " + MOST_STEPS + " tables");
+            throw new InvalidConfigurationException(file + ": step must be up to " + MOST_STEPS + " tables");
         }
         for (JsonNode step : root.path("step")) {
             String where = file + ": step " + (steps.size() + 1) + ": ";
-            OwnFiles.onlyKnown(step, STEP_KEYS, where);
+            DeployFiles.onlyKnown(step, STEP_KEYS, where);
             if (!step.path("at").isNumber()
                     || !(step.path("at").asDouble() >= 0)
                     || step.path("at").asDouble() > LONGEST) {
-                throw new BadSettings(where + "at must be a number from 0 to " + LONGEST + ": " + step.path("at"));
+                throw new InvalidConfigurationException(
+                        where + "at must be a number from 0 to " + LONGEST + ": " + step.path("at"));
             }
             Kind kind = null;
             for (Kind k : Kind.values()) {
                 kind = k.word().equals(step.path("do").asText()) ? k : kind;
             }
             if (kind == null) {
-                throw new BadSettings(where + "do is none of "
+                throw new InvalidConfigurationException(where + "do is none of "
                         + String.join(
                                 ", ",
                                 java.util.Arrays.stream(Kind.values())
@@ -166,18 +167,19 @@
             int a = whole(step, "a", 0, members - 1, where);
             int b = kind.two ? whole(step, "b", 0, members - 1, where) : -1;
             if (a == b) {
-                throw new BadSettings(where + "a and b are the same member: " + a);
+                throw new InvalidConfigurationException(where + "a and b are the same member: " + a);
             }
             steps.add(new Step(step.path("at").asDouble(), kind, a, b));
         }
         return new Schedule(members, steps);
     }
 
-    private static int whole(JsonNode of, String key, int least, int most, String where) throws BadSettings {
+    private static int whole(JsonNode of, String key, int least, int most, String where)
+            throws InvalidConfigurationException {
         if (!of.path(key).isInt()
                 || of.path(key).asInt() < least
                 || of.path(key).asInt() > most) {
-            throw new BadSettings(
+            throw new InvalidConfigurationException(
                     where + key + " must be a whole number from " + least + " to " + most + ": " + of.path(key));
         }
         return of.path(key).asInt();
--- a/src/main/java/sandstack/standin/Discovery.java
+++ b/src/main/java/sandstack/standin/Discovery.java
@@ -9,7 +9,7 @@
 import org.glassfish.grizzly.filterchain.BaseFilter;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.net.Peer;
 
 /**
@@ -40,7 +40,7 @@
                 .listen(StandInLoop.LOOPBACK, at, yard.loop().chain(new BaseFilter() {
                     @Override
                     public NextAction handleAccept(FilterChainContext context) {
-                        new Call(Loop.peer(context));
+                        new Call(EventLoop.peer(context));
                         return context.getStopAction();
                     }
                 }))
--- a/src/main/java/sandstack/standin/FeedServer.java
+++ b/src/main/java/sandstack/standin/FeedServer.java
@@ -12,7 +12,7 @@
 import org.glassfish.grizzly.filterchain.BaseFilter;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.net.Peer;
 
 /**
@@ -81,7 +81,7 @@
                 .listen(StandInLoop.LOOPBACK, at, yard.loop().chain(new BaseFilter() {
                     @Override
                     public NextAction handleAccept(FilterChainContext context) {
-                        new Session(Loop.peer(context));
+                        new Session(EventLoop.peer(context));
                         return context.getStopAction();
                     }
                 }))
--- a/src/main/java/sandstack/standin/ShopClient.java
+++ b/src/main/java/sandstack/standin/ShopClient.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import sandstack.core.DeadlineScheduler.Deadline;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.net.Peer;
 
 /**
@@ -41,7 +41,7 @@
     private final Consumer<Told> tells;
     private final Tap tap = new Tap();
     private Peer peer;
-    private Loop.Attempted connecting;
+    private EventLoop.PendingConnect connecting;
     private long began;
     private boolean up;
     private boolean over;
@@ -71,7 +71,7 @@
         this.tells = tells;
         this.began = yard.now();
         this.silence = yard.after(patience, () -> ended(Happened.SILENT, 0));
-        connecting = yard.loop().connect(StandInLoop.LOOPBACK, port, new Loop.Connecting() {
+        connecting = yard.loop().connect(StandInLoop.LOOPBACK, port, new EventLoop.ConnectListener() {
             @Override
             public void connected(Peer made) {
                 peer = made;
--- a/src/main/java/sandstack/standin/StandInLoop.java
+++ b/src/main/java/sandstack/standin/StandInLoop.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 import org.glassfish.grizzly.filterchain.BaseFilter;
 import sandstack.core.DeadlineScheduler;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 
 /**
  * The one thread on which stand-ins live, with their deadlines. Stand-ins are created and spoken to on that thread;
@@ -20,13 +20,13 @@
     static final String LOOPBACK = "127.0.0.1";
     private static final long PATIENCE_SECONDS = 30;
 
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final DeadlineScheduler deadlines = new DeadlineScheduler();
     private final List<Runnable> closing = new ArrayList<>();
 
     /** Starts the thread. */
     public StandInLoop() throws IOException {
-        loop.start(() -> deadlines.runExpired(loop.now()), deadlines::nextMicros);
+        loop.start(() -> deadlines.runExpired(loop.nowMicros()), deadlines::nextMicros);
     }
 
     /** Runs this on the loop's thread and waits for what it gives. */
@@ -76,10 +76,10 @@
 
     /** Microseconds that never go back, near Unix time. */
     public long now() {
-        return loop.now();
+        return loop.nowMicros();
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 
@@ -89,13 +89,13 @@
     }
 
     /** Dials. */
-    public void connect(String host, int port, Loop.Connecting told) {
+    public void connect(String host, int port, EventLoop.ConnectListener told) {
         loop.connect(host, port, told);
     }
 
     /** Does this so many microseconds from now, unless it is called off. */
     public DeadlineScheduler.Deadline after(long micros, Runnable task) {
-        return deadlines.schedule(loop.now() + micros, task);
+        return deadlines.schedule(loop.nowMicros() + micros, task);
     }
 
     /** What is done before the thread ends. */
--- a/src/main/java/sandstack/standin/ZoneLink.java
+++ b/src/main/java/sandstack/standin/ZoneLink.java
@@ -5,7 +5,7 @@
 import org.glassfish.grizzly.filterchain.BaseFilter;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.net.Peer;
 
 /**
@@ -38,7 +38,7 @@
                 .listen(StandInLoop.LOOPBACK, 0, yard.loop().chain(new BaseFilter() {
                     @Override
                     public NextAction handleAccept(FilterChainContext context) {
-                        accepted(Loop.peer(context));
+                        accepted(EventLoop.peer(context));
                         return context.getStopAction();
                     }
                 }))
@@ -57,7 +57,7 @@
 
     private void accepted(Peer near) {
         End here = new End(near);
-        yard.loop().connect(StandInLoop.LOOPBACK, to, new Loop.Connecting() {
+        yard.loop().connect(StandInLoop.LOOPBACK, to, new EventLoop.ConnectListener() {
             @Override
             public void connected(Peer far) {
                 End there = new End(far);
--- a/src/test/java/sandstack/config/CapacityFileTest.java
+++ b/src/test/java/sandstack/config/CapacityFileTest.java
@@ -17,19 +17,19 @@
 
     private CapacityFile read(String text) throws Exception {
         Files.writeString(folder.resolve("capacity.toml"), text);
-        return CapacityFile.read(new OwnFiles(folder), null);
+        return CapacityFile.read(new DeployFiles(folder), null);
     }
 
     @Test
     void readsOurOwnAndTheOneThatACommandNames() throws Exception {
-        assertThat(CapacityFile.read(new OwnFiles(Path.of("deploy")), null))
+        assertThat(CapacityFile.read(new DeployFiles(Path.of("deploy")), null))
                 .as("as shipped")
                 .isSameAs(CapacityFile.NONE);
         Path named = Files.writeString(
                 folder.resolve("site.toml"), "enabled = true\n[servers]\nwork = 1_000_000\nfirm = true\n");
-        CapacityFile theirs = CapacityFile.read(new OwnFiles(folder), named);
-        assertThat(theirs.book().forKind(0).workPerRating()).isEqualTo(1e6);
-        assertThat(theirs.book().forKind(0).upperBound()).isTrue();
+        CapacityFile theirs = CapacityFile.read(new DeployFiles(folder), named);
+        assertThat(theirs.statedCapacities().forKind(0).workPerRating()).isEqualTo(1e6);
+        assertThat(theirs.statedCapacities().forKind(0).upperBound()).isTrue();
     }
 
     /** What is judged on other deployments is the very command that the platform starts: it names no file of one. */
@@ -42,26 +42,26 @@
     void aKindTakesWhatItLeavesOutFromAllServers() throws Exception {
         CapacityFile file = read("enabled = true\n[servers]\nload = 5\ngroup = 2\n[kinds.big]\nconnections = 900\n");
         assertThat(file.kinds()).containsExactly("big");
-        assertThat(file.book().forKind(0).connectionsPerRating()).isEqualTo(900);
-        assertThat(file.book().forKind(0).defaultConnectionLoad()).isEqualTo(5);
-        assertThat(file.book().forKind(7).connectionsPerRating()).isZero();
+        assertThat(file.statedCapacities().forKind(0).connectionsPerRating()).isEqualTo(900);
+        assertThat(file.statedCapacities().forKind(0).defaultConnectionLoad()).isEqualTo(5);
+        assertThat(file.statedCapacities().forKind(7).connectionsPerRating()).isZero();
     }
 
     @Test
     void missingOrOffStatesNothing() throws Exception {
-        assertThat(CapacityFile.read(new OwnFiles(folder), null)).isSameAs(CapacityFile.NONE);
+        assertThat(CapacityFile.read(new DeployFiles(folder), null)).isSameAs(CapacityFile.NONE);
         assertThat(read("enabled = false\n")).isSameAs(CapacityFile.NONE);
     }
 
     @Test
     void aNamedFileThatIsNotThereOrWrongIsNamed() throws Exception {
         Path none = folder.resolve("none.toml");
-        assertThatThrownBy(() -> CapacityFile.read(new OwnFiles(folder), none))
-                .isInstanceOf(BadSettings.class)
+        assertThatThrownBy(() -> CapacityFile.read(new DeployFiles(folder), none))
+                .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessage("cannot read " + none);
         Path wrong = Files.writeString(folder.resolve("site.toml"), "enabled = true\n[servers]\nwork = -1\n");
-        assertThatThrownBy(() -> CapacityFile.read(new OwnFiles(folder), wrong))
-                .isInstanceOf(BadSettings.class)
+        assertThatThrownBy(() -> CapacityFile.read(new DeployFiles(folder), wrong))
+                .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessageStartingWith(wrong + ": servers.work must be");
     }
 
@@ -82,7 +82,7 @@
             })
     void whatCannotBeUsedIsToldInOneLine(String text, String message) {
         assertThatThrownBy(() -> read("enabled = true\n" + text.replace('§', '\n')))
-                .isInstanceOf(BadSettings.class)
+                .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessageContaining("capacity.toml: " + message);
     }
 }
--- a/src/test/java/sandstack/config/FleetFileTest.java
+++ b/src/test/java/sandstack/config/FleetFileTest.java
@@ -20,8 +20,8 @@
 
     @Test
     void isOffAsShippedAndWholeWhereItIsOn() throws Exception {
-        assertThat(FleetFile.read(new OwnFiles(Path.of("deploy")))).isNull();
-        assertThat(FleetFile.read(new OwnFiles(Path.of("examples")))).isNull();
+        assertThat(FleetFile.read(new DeployFiles(Path.of("deploy")))).isNull();
+        assertThat(FleetFile.read(new DeployFiles(Path.of("examples")))).isNull();
         FleetFile file = read(GOOD + "[via]\n\"10.0.0.8:4600\" = \"127.0.0.1:99\"\n");
         assertThat(file.machine()).isEqualTo("10.0.0.7");
         assertThat(file.via()).containsEntry("10.0.0.8:4600", "127.0.0.1:99");
@@ -52,7 +52,7 @@
                 good.replace("\\n", "\n").strip(), bad.replace("\\n", "\n").strip());
         assertThat(toml).isNotEqualTo(GOOD);
         assertThatThrownBy(() -> read(toml))
-                .isInstanceOf(BadSettings.class)
+                .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessageStartingWith(line)
                 .hasMessageNotContaining("\n");
     }
--- a/src/test/java/sandstack/config/PlatformConfigTest.java
+++ b/src/test/java/sandstack/config/PlatformConfigTest.java
@@ -19,7 +19,7 @@
     @TempDir
     Path folder;
 
-    private static PlatformConfig read(Map<String, String> env) throws BadSettings {
+    private static PlatformConfig read(Map<String, String> env) throws InvalidConfigurationException {
         return PlatformConfig.load(env, new MachineKinds(List.of()));
     }
 
@@ -31,10 +31,11 @@
     @Test
     void readsTheExample() throws Exception {
         PlatformConfig config = load(Files.readString(EXAMPLE));
-        assertThat(config.terms().classNames()).containsExactly("order-status", "catalogue-feed", "stock-check");
-        assertThat(config.terms().settings().maxAttempts()).isEqualTo(6);
-        assertThat(config.known().kind()).isEqualTo(EndpointListKind.CACHED);
-        assertThat(config.known().endpoints())
+        assertThat(config.effectiveSettings().classNames())
+                .containsExactly("order-status", "catalogue-feed", "stock-check");
+        assertThat(config.effectiveSettings().settings().maxAttempts()).isEqualTo(6);
+        assertThat(config.cachedEndpoints().kind()).isEqualTo(EndpointListKind.CACHED);
+        assertThat(config.cachedEndpoints().endpoints())
                 .hasSize(2)
                 .allMatch(line -> line.entry().state() == EndpointState.READY
                         && line.entry().zone() == 0);
@@ -69,8 +70,8 @@
         Path file = Files.writeString(folder.resolve("config.json"), good);
         Map<String, String> env = Map.of("PROXY_CONFIG", file.toString(), "PROXY_DISCOVERY", "127.0.0.9:9");
         PlatformConfig first = read(env);
-        assertThat(first.next(env).terms()).isEqualTo(first.terms());
-        assertThat(first.next(env).discovery())
+        assertThat(first.reload(env).effectiveSettings()).isEqualTo(first.effectiveSettings());
+        assertThat(first.reload(env).discovery())
                 .as("the file's, not the variable's")
                 .hasToString("127.0.0.1:8500");
         for (String[] wrong : new String[][] {
@@ -92,19 +93,20 @@
             {"\"name\": \"stock-check\"", "\"name\": \"order-status\"", "classes.2.name is there twice"}
         }) {
             Files.writeString(file, good.replace(wrong[0], wrong[1]));
-            assertThatThrownBy(() -> first.next(env))
+            assertThatThrownBy(() -> first.reload(env))
                     .as(wrong[1])
-                    .isInstanceOf(BadSettings.class)
+                    .isInstanceOf(InvalidConfigurationException.class)
                     .hasMessageContaining(wrong[2])
                     .satisfies(e -> assertThat(e.getMessage().lines()).hasSize(1));
         }
         Files.writeString(file, good.replace("127.0.0.1:3000", "127.0.0.1:3001").replace("\"rev\": 1,", "\"rev\": 2,"));
-        assertThat(first.fromNextStart(first.next(env))).containsExactly("127.0.0.1:3000 stays, not 127.0.0.1:3001");
+        assertThat(first.changesThatNeedRestart(first.reload(env)))
+                .containsExactly("127.0.0.1:3000 stays, not 127.0.0.1:3001");
     }
 
     private void refused(String text, String message) {
         assertThatThrownBy(() -> load(text))
-                .isInstanceOf(BadSettings.class)
+                .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessageContaining(message)
                 .satisfies(e -> assertThat(e.getMessage().lines()).hasSize(1));
     }
--- a/src/test/java/sandstack/console/ConsoleTest.java
+++ b/src/test/java/sandstack/console/ConsoleTest.java
@@ -60,7 +60,7 @@
 
     private String say(String input) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Console(new Commands(
+        new Console(new ConsoleCommands(
                         relay,
                         Runnable::run,
                         () -> List.of("lines at 127.0.0.1:9"),
--- a/src/test/java/sandstack/directory/TenantDirectoryTest.java
+++ b/src/test/java/sandstack/directory/TenantDirectoryTest.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.core.TenantRegistry;
-import sandstack.directory.TenantDirectory.Where;
+import sandstack.directory.TenantDirectory.DirectoryLocation;
 
 /** Tenants read from a stand-in LDAP directory, also while it is away. */
 class TenantDirectoryTest {
-    private static Where where(int port, String more) throws Exception {
-        return Where.read(new TomlMapper()
+    private static DirectoryLocation where(int port, String more) throws Exception {
+        return DirectoryLocation.read(new TomlMapper()
                 .readTree("server = \"127.0.0.1:" + port + "\"\nuser = \""
                         + StandInDirectory.USER + "\"\npassword = \"" + StandInDirectory.PASSWORD
                         + "\"\nbase = \"ou=tenants,dc=example\"\nfilter = \"(objectClass=sandstackTenant)\"\n" + more));
@@ -41,7 +41,7 @@
         BlockingQueue<List<TenantRegistry.Entry>> told = new LinkedBlockingQueue<>();
         StandInDirectory directory = new StandInDirectory();
         directory.entries = List.of(StandInDirectory.tenant("gobi", "1", "10"));
-        Where where = where(directory.port(), "refresh_s = 1");
+        DirectoryLocation where = where(directory.port(), "refresh_s = 1");
         try (TenantDirectory reading = new TenantDirectory(where, told::add)) {
             reading.start();
             assertThat(told.poll(10, TimeUnit.SECONDS)).hasSize(1);
@@ -57,9 +57,9 @@
     @Test
     void aFileThatCannotBeUsedIsToldInOneLine() {
         assertThatThrownBy(() -> where(1, "refresh_s = 0"))
-                .isInstanceOf(BadSettings.class)
+                .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessage("directory.toml: refresh_s must be at least 1");
-        assertThatThrownBy(() -> Where.read(new TomlMapper().readTree("server = \"nowhere\"")))
+        assertThatThrownBy(() -> DirectoryLocation.read(new TomlMapper().readTree("server = \"nowhere\"")))
                 .hasMessageContaining("HOST:PORT");
     }
 }
--- a/src/test/java/sandstack/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/sandstack/discovery/DiscoveryWatchTest.java
@@ -30,7 +30,7 @@
 import sandstack.decisions.EndpointState;
 import sandstack.decisions.Idempotency;
 import sandstack.decisions.RequestClass;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.settings.BalancerSettingsBuilder;
 import sandstack.staleness.EndpointListStaleness;
 
@@ -38,7 +38,7 @@
 class DiscoveryWatchTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private ServerSocket listening;
     private ServerSocket elsewhere;
     private Relay relay;
@@ -59,7 +59,7 @@
                 .slowStartInitialFraction(0.13)
                 .overloadMultiple(3)
                 .build();
-        relay = new Relay(settings, 3, loop::now, () -> watch.ask());
+        relay = new Relay(settings, 3, loop::nowMicros, () -> watch.ask());
         watch = new DiscoveryWatch(
                 loop,
                 relay,
--- a/src/test/java/sandstack/fleet/link/FleetMemberTest.java
+++ b/src/test/java/sandstack/fleet/link/FleetMemberTest.java
@@ -27,8 +27,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
-import sandstack.config.BadSettings;
 import sandstack.config.FleetFile;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.config.PlatformConfig.Address;
 import sandstack.fleet.FleetMessages;
 import sandstack.fleet.MemberStatus;
@@ -281,7 +281,7 @@
                 "b",
                 "z");
         assertThatThrownBy(second::start)
-                .isInstanceOf(BadSettings.class)
+                .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessageContaining("fleet.toml: listen: cannot listen at " + addresses.get(0));
     }
 }
--- a/src/test/java/sandstack/front/operators/OperatorDoorTest.java
+++ b/src/test/java/sandstack/front/operators/OperatorDoorTest.java
@@ -12,19 +12,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import sandstack.core.DeadlineScheduler;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 
 /** The operators' door: its answers, bad input and callers that say nothing. */
 @Timeout(20)
 class OperatorDoorTest {
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final DeadlineScheduler deadlines = new DeadlineScheduler();
     private volatile String hindrance;
     private int port;
 
     @BeforeEach
     void listen() throws IOException {
-        loop.start(() -> deadlines.runExpired(loop.now()), deadlines::nextMicros);
+        loop.start(() -> deadlines.runExpired(loop.nowMicros()), deadlines::nextMicros);
         port = new OperatorDoor(loop, deadlines, () -> hindrance, () -> List.of("a.b=1", "a.c=2"))
                 .listen("127.0.0.1", 0);
     }
--- a/src/test/java/sandstack/front/platform/CrossingsTest.java
+++ b/src/test/java/sandstack/front/platform/CrossingsTest.java
@@ -132,7 +132,7 @@
         End server = held.ask();
         held.hold();
         CompletableFuture<Void> drained = new CompletableFuture<>();
-        held.loop.execute(() -> held.relay.drain(held.lobby::unheard, () -> drained.complete(null)));
+        held.loop.execute(() -> held.relay.drain(held.lobby::peersWithoutRequest, () -> drained.complete(null)));
         server.say("UP receipt\r\n");
         held.release();
         assertThat(client.hear()).isEqualTo("UP receipt");
@@ -229,7 +229,7 @@
     @Test
     void aRequestThatCameWhileTheTimeToAskRanOutIsServed() throws Exception {
         End client = held.client();
-        held.holdWhen(() -> held.lobby.unheard() == 1);
+        held.holdWhen(() -> held.lobby.peersWithoutRequest() == 1);
         held.loop.execute(() -> {});
         held.awaitHeld();
         client.say(held.open("k", "safe", 2_000));
@@ -257,8 +257,8 @@
         End second = held.client();
         held.onLoop(() -> {});
         CompletableFuture<Void> drained = new CompletableFuture<>();
-        held.loop.execute(() -> held.relay.drain(held.lobby::unheard, () -> {
-            held.lobby.askNoLonger();
+        held.loop.execute(() -> held.relay.drain(held.lobby::peersWithoutRequest, () -> {
+            held.lobby.stopWaitingForRequests();
             drained.complete(null);
         }));
         drained.get(20, TimeUnit.SECONDS);
--- a/src/test/java/sandstack/front/platform/CutRequestTest.java
+++ b/src/test/java/sandstack/front/platform/CutRequestTest.java
@@ -82,7 +82,8 @@
     }
 
     private void nothingIsLeft() throws Exception {
-        held.untilOnLoop(() -> held.lobby.taken() == 0 && held.relay.clients().isEmpty());
+        held.untilOnLoop(
+                () -> held.lobby.descriptorsInUse() == 0 && held.relay.clients().isEmpty());
         assertThat(held.noAsk()).as("requests sent on").isTrue();
         assertThat(logged).isEmpty();
     }
@@ -91,7 +92,7 @@
     private End saying(int bytes) throws Exception {
         End client = held.client();
         client.say(REQUEST.substring(0, bytes));
-        held.untilOnLoop(() -> held.lobby.unheard() == 1);
+        held.untilOnLoop(() -> held.lobby.peersWithoutRequest() == 1);
         // what was written before this turn is read in this turn or the one before
         held.onLoop(() -> {});
         return client;
@@ -139,7 +140,7 @@
                 client.say(REQUEST.substring(bytes));
                 isServed(client);
             }
-            held.untilOnLoop(() -> held.lobby.taken() == 0);
+            held.untilOnLoop(() -> held.lobby.descriptorsInUse() == 0);
         });
     }
 
--- a/src/test/java/sandstack/front/platform/FiguresTest.java
+++ b/src/test/java/sandstack/front/platform/FiguresTest.java
@@ -27,7 +27,7 @@
 import sandstack.decisions.EndpointState;
 import sandstack.front.operators.OperatorDoor;
 import sandstack.net.ConnectionAdmission;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.settings.TestSettings;
 import sandstack.standin.FeedServer;
 import sandstack.standin.Machine;
@@ -43,7 +43,7 @@
     private static final int CLIENTS = 60;
 
     private final StandInLoop yard = new StandInLoop();
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
     private final Relay relay;
     private final int port;
@@ -54,7 +54,7 @@
                 StatedCapacities.NONE,
                 InstallationLimits.NONE,
                 5,
-                loop::now,
+                loop::nowMicros,
                 () -> {});
         loop.start(relay::runTurn, relay::nextTurnMicros);
         port = new PlatformFront(loop, relay, new ConnectionAdmission(loop, relay.deadlines(), 400))
--- a/src/test/java/sandstack/front/platform/HeldRelay.java
+++ b/src/test/java/sandstack/front/platform/HeldRelay.java
@@ -32,7 +32,7 @@
 import sandstack.decisions.Idempotency;
 import sandstack.decisions.RequestClass;
 import sandstack.net.ConnectionAdmission;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.net.ShortWrites;
 import sandstack.settings.BalancerSettingsBuilder;
 
@@ -84,7 +84,7 @@
     /** What the relay's sockets take. */
     final ShortWrites writes = new ShortWrites();
 
-    final Loop loop = writes.loop();
+    final EventLoop loop = writes.loop();
     final Relay relay;
     final ConnectionAdmission lobby;
     private final int port;
@@ -113,7 +113,7 @@
                 StatedCapacities.NONE,
                 InstallationLimits.NONE,
                 5,
-                loop::now,
+                loop::nowMicros,
                 () -> {});
         lobby = new ConnectionAdmission(loop, relay.deadlines(), 40);
         loop.start(this::turn, relay::nextTurnMicros);
@@ -232,7 +232,7 @@
     /** Lets it go on once its next deadline has passed. */
     void releaseWhenDue() {
         // its thread stands: nobody else touches the deadlines
-        while (loop.now() <= relay.deadlines().nextMicros()) {
+        while (loop.nowMicros() <= relay.deadlines().nextMicros()) {
             LockSupport.parkNanos(100_000);
         }
         release();
--- a/src/test/java/sandstack/measure/page/CapacityFilesTest.java
+++ b/src/test/java/sandstack/measure/page/CapacityFilesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 
 /** Bad input is told in one line with file, key and value. */
 class CapacityFilesTest {
@@ -33,17 +33,17 @@
         return Files.writeString(folder.resolve("f.json"), text);
     }
 
-    private Plan plan(String text) throws IOException, BadSettings {
+    private Plan plan(String text) throws IOException, InvalidConfigurationException {
         return CapacityFiles.readPlan(file(text));
     }
 
-    private void check(String text) throws IOException, BadSettings {
+    private void check(String text) throws IOException, InvalidConfigurationException {
         Plan plan = plan(NUMBER);
         SlopeCheck.check("f.json", plan, CapacityFiles.readSlopes(file(text)));
     }
 
     @Test
-    void whatIsRightIsTaken() throws IOException, BadSettings {
+    void whatIsRightIsTaken() throws IOException, InvalidConfigurationException {
         assertThat(plan(NUMBER).sizeOf("relays")).hasValue(5_600);
         check(SLOPE);
     }
@@ -110,8 +110,13 @@
     }
 
     private static void wrong(Reading reading, String told) {
-        assertThatThrownBy(reading::run).isInstanceOf(BadSettings.class).satisfies(e -> {
-            assertThat(e.getMessage()).contains(".json").doesNotContain("\n").contains(told == null ? "" : told);
-        });
+        assertThatThrownBy(reading::run)
+                .isInstanceOf(InvalidConfigurationException.class)
+                .satisfies(e -> {
+                    assertThat(e.getMessage())
+                            .contains(".json")
+                            .doesNotContain("\n")
+                            .contains(told == null ? "" : told);
+                });
     }
 }
--- a/src/test/java/sandstack/measure/page/CapacityPageTest.java
+++ b/src/test/java/sandstack/measure/page/CapacityPageTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.scale.Resource;
 import sandstack.measure.scale.Role;
 import sandstack.measure.scale.ScaleMeasurement.Effort;
@@ -55,7 +55,7 @@
                 .setErr(new PrintWriter(said))
                 .setExecutionExceptionHandler((e, line, parsed) -> {
                     said.append(e.getMessage()).append('\n');
-                    return e instanceof BadSettings ? 2 : 1;
+                    return e instanceof InvalidConfigurationException ? 2 : 1;
                 })
                 .execute(all.toArray(String[]::new));
     }
--- a/src/test/java/sandstack/measure/page/MarkedPageTest.java
+++ b/src/test/java/sandstack/measure/page/MarkedPageTest.java
@@ -5,14 +5,14 @@
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 
 /** Tables are put between markers, and nothing else of a page changes. */
 class MarkedPageTest {
     private static final String PAGE = "# Page\n\n<!-- table: one -->\nold\n<!-- end: one -->\n\ntext\n";
 
     @Test
-    void whatStandsBetweenMarkersIsReplacedAndTheRestStays() throws BadSettings {
+    void whatStandsBetweenMarkersIsReplacedAndTheRestStays() throws InvalidConfigurationException {
         String once = new MarkedPage("p.md", PAGE).with(Map.of("one", "| new |"));
 
         assertThat(once).isEqualTo("# Page\n\n<!-- table: one -->\n\n| new |\n\n<!-- end: one -->\n\ntext\n");
@@ -29,7 +29,7 @@
 
     private static void wrong(String page, Map<String, String> tables, String message) {
         assertThatThrownBy(() -> new MarkedPage("p.md", page).with(tables))
-                .isInstanceOf(BadSettings.class)
+                .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessage(message);
     }
 
--- a/src/test/java/sandstack/net/ShortWrites.java
+++ b/src/test/java/sandstack/net/ShortWrites.java
@@ -15,8 +15,8 @@
     private volatile String failsOn;
 
     /** A loop whose sockets are written through this. */
-    public Loop loop() {
-        return new Loop(Limited::new);
+    public EventLoop loop() {
+        return new EventLoop(Limited::new);
     }
 
     /** From now on each socket takes so many bytes in all, counted from its beginning. */
--- a/src/test/java/sandstack/rig/ScheduleTest.java
+++ b/src/test/java/sandstack/rig/ScheduleTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sandstack.config.BadSettings;
+import sandstack.config.InvalidConfigurationException;
 
 /** Fault schedules: written, read back, and rejected with one line. */
 class ScheduleTest {
@@ -58,7 +58,7 @@
         Path file = folder.resolve("s.toml");
         Files.writeString(file, toml.strip().replace("\\n", "\n"));
         assertThatThrownBy(() -> Schedule.read(file))
-                .isInstanceOf(BadSettings.class)
+                .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessageStartingWith(file + ": " + (line == null ? "" : line))
                 .hasMessageNotContaining("\n");
     }
--- a/src/test/java/sandstack/scenario/Stage.java
+++ b/src/test/java/sandstack/scenario/Stage.java
@@ -22,7 +22,7 @@
 import sandstack.front.amqp.AmqpFront;
 import sandstack.front.platform.PlatformFront;
 import sandstack.net.ConnectionAdmission;
-import sandstack.net.Loop;
+import sandstack.net.EventLoop;
 import sandstack.settings.TestSettings;
 
 /** A relay on loopback with stand-in feed servers of ours, for one scenario. All ports are the system's choice. */
@@ -34,7 +34,7 @@
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     private final boolean amqp;
-    private final Loop loop = new Loop();
+    private final EventLoop loop = new EventLoop();
     private final Relay relay;
     private final int port;
     private final List<Socket> crowd = new ArrayList<>();
@@ -50,7 +50,7 @@
                 StatedCapacities.NONE,
                 InstallationLimits.NONE,
                 11,
-                loop::now,
+                loop::nowMicros,
                 () -> {});
         loop.start(relay::runTurn, relay::nextTurnMicros);
         ConnectionAdmission lobby = new ConnectionAdmission(loop, relay.deadlines(), SOCKETS);
