--- /dev/null
+++ b/src/test/java/sandstack/configuration/ConfigurationSamples.java
@@ -0,0 +1,100 @@
+package sandstack.configuration;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import sandstack.configuration.ConfigurationEdit.Put;
+import sandstack.configuration.ConfigurationEdit.Remove;
+import sandstack.configuration.ConfigurationMessage.ChunkRequest;
+import sandstack.configuration.ConfigurationMessage.Deltas;
+import sandstack.configuration.ConfigurationMessage.Goodbye;
+import sandstack.configuration.ConfigurationMessage.Heartbeat;
+import sandstack.configuration.ConfigurationMessage.Hello;
+import sandstack.configuration.ConfigurationMessage.Rejected;
+import sandstack.configuration.ConfigurationMessage.RejectionReason;
+import sandstack.configuration.ConfigurationMessage.RepairRequest;
+import sandstack.configuration.ConfigurationMessage.Report;
+import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
+import sandstack.configuration.ConfigurationMessage.SnapshotOffer;
+import sandstack.configuration.ConfigurationMessage.SnapshotRequest;
+import sandstack.configuration.ConfigurationMessage.Welcome;
+
+/**
+ * One value of each form that is stored or sent, with every constant that a form holds. {@code main} writes their bytes
+ * and the distribution traces with the build on the class path; that is how the fixtures were made.
+ */
+final class ConfigurationSamples {
+    static final String FORMS = "forms.txt";
+    static final String TRACES = "distribution-traces.txt";
+    static final int TRACED_SEEDS = 12;
+
+    private static final ConfigurationVersion BASE = new ConfigurationVersion(3, 41);
+    private static final ConfigurationDigest DIGEST = ConfigurationDigest.of(Map.of("a", "1", "b", "é"));
+    private static final long SESSION = 0x0102030405060708L;
+
+    private ConfigurationSamples() {}
+
+    static ConfigurationChange change() {
+        return ConfigurationChange.of(
+                BASE, "ann é", "why\n", List.of(new Put("a", "1"), new Remove("b"), new Put("c", "")));
+    }
+
+    static AgreedChange agreedChange() {
+        return new AgreedChange(BASE.next(4), change(), DIGEST);
+    }
+
+    static ConfigurationSnapshot snapshot() {
+        return ConfigurationSnapshot.of(BASE, 1, Map.of("a", "1", "b", "é", "key-10", "value", "key-2", ""));
+    }
+
+    /** Each message, and those with constants once for each constant. */
+    static Map<String, ConfigurationMessage> messages() {
+        Map<String, ConfigurationMessage> messages = new LinkedHashMap<>();
+        ConfigurationVersion version = BASE;
+        messages.put("message.hello", new Hello(SESSION, "relay-é", 1, version));
+        messages.put("message.report", new Report(SESSION, version, DIGEST, Optional.empty()));
+        messages.put("message.repair-request", new RepairRequest(SESSION, version));
+        messages.put("message.snapshot-request", new SnapshotRequest(SESSION, 7));
+        messages.put("message.chunk-request", new ChunkRequest(SESSION, version, 9));
+        messages.put("message.goodbye", new Goodbye(SESSION));
+        messages.put("message.welcome", new Welcome(SESSION, new ConfigurationHead(version, DIGEST, true)));
+        messages.put("message.heartbeat", new Heartbeat(SESSION, new ConfigurationHead(version, DIGEST, false)));
+        messages.put("message.deltas", new Deltas(SESSION, List.of(agreedChange(), agreedChange())));
+        messages.put("message.snapshot-offer", new SnapshotOffer(SESSION, version, 3));
+        messages.put("message.snapshot-chunk", new SnapshotChunk(SESSION, version, 1, 100, 50, new byte[] {1, 2, 3}));
+        for (ChangeRefusal.Reason reason : ChangeRefusal.Reason.values()) {
+            messages.put("message.report." + reason.name(), new Report(SESSION, version, DIGEST, Optional.of(reason)));
+        }
+        for (RejectionReason reason : RejectionReason.values()) {
+            messages.put("message.rejected." + reason.name(), new Rejected(SESSION, reason));
+        }
+        return messages;
+    }
+
+    /** The bytes of every sample. */
+    static Map<String, byte[]> encoded() {
+        ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
+        MessageCodec messages = new MessageCodec(codec);
+        Map<String, byte[]> encoded = new LinkedHashMap<>();
+        encoded.put("change", codec.encode(change()));
+        encoded.put("agreed-change", codec.encode(agreedChange()));
+        encoded.put("snapshot", codec.encode(snapshot()));
+        encoded.put("snapshot.empty", codec.encode(ConfigurationSnapshot.EMPTY));
+        messages().forEach((name, message) -> encoded.put(name, messages.encode(message)));
+        return encoded;
+    }
+
+    /** Writes the fixtures into the folder that is named first, with the command and commit that is named second. */
+    public static void main(String[] arguments) throws IOException {
+        Path folder = Path.of(arguments[0]);
+        FixtureFile.write(folder.resolve(FORMS), arguments[1], FixtureFile.toHex(encoded()));
+        Map<String, String> traces = new LinkedHashMap<>();
+        for (long seed = 1; seed <= TRACED_SEEDS; seed++) {
+            traces.put("seed-" + seed, new DistributionTrace(seed).play());
+        }
+        FixtureFile.write(folder.resolve(TRACES), arguments[1], traces);
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/configuration/DistributionTrace.java
@@ -0,0 +1,423 @@
+package sandstack.configuration;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import sandstack.configuration.ConfigurationEdit.Put;
+import sandstack.configuration.ConfigurationEdit.Remove;
+
+/**
+ * Eight relays and three control machines under drawn faults, on one thread in simulated time. Everything that they send,
+ * close, put in force and log is written to a digest, with its moment and its bytes, the text of log lines excepted: two
+ * builds that do the same in the same order give the same digest.
+ */
+final class DistributionTrace {
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long TURN_MICROS = 100_000;
+    private static final long PLAYED_MICROS = 240 * SECOND_MICROS;
+    private static final int RELAYS = 8;
+    private static final int MOST_DELAY_MICROS = 40_000;
+    private static final PublisherSettings PUBLISHER_SETTINGS = new PublisherSettings(
+            6, 2 * SECOND_MICROS, 8 * SECOND_MICROS, 4, 400, 12, 1 << 20, 96, 5, 4_000, 20, 10, 40);
+    private static final FollowerSettings FOLLOWER_SETTINGS = new FollowerSettings(
+            6 * SECOND_MICROS,
+            SECOND_MICROS,
+            SECOND_MICROS / 4,
+            4,
+            3 * SECOND_MICROS,
+            10 * SECOND_MICROS,
+            60 * SECOND_MICROS,
+            SECOND_MICROS,
+            2 * SECOND_MICROS);
+    private static final List<ControlMachine> MACHINES = List.of(
+            new ControlMachine("north-1", "north"),
+            new ControlMachine("north-2", "north"),
+            new ControlMachine("south-1", "south"));
+
+    /** Something that arrives; what arrives at one moment does so in the order of sending. */
+    private record Delivery(long atMicros, long order, Runnable action) {}
+
+    private final SplittableRandom random;
+    private final MessageDigest digest;
+    private final Map<String, Integer> counts = new TreeMap<>();
+    private final PriorityQueue<Delivery> network =
+            new PriorityQueue<>(Comparator.comparingLong(Delivery::atMicros).thenComparingLong(Delivery::order));
+    private final ChangeValidator validator = new ChangeValidator(ConfigurationLimits.DEFAULT, ConfigurationCheck.NONE);
+    private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
+    private final MessageCodec messages = new MessageCodec(codec);
+    private final Map<String, Publisher> publishers = new LinkedHashMap<>();
+    private final List<Relay> relays = new ArrayList<>();
+    private final ConfigurationHistory history;
+    private long order;
+    private long now = SECOND_MICROS;
+    private boolean apart;
+    private double lossShare;
+
+    DistributionTrace(long seed) {
+        random = new SplittableRandom(seed);
+        try {
+            digest = MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
+        }
+        MACHINES.forEach(machine -> publishers.put(machine.name(), new Publisher(machine)));
+        for (int i = 0; i < RELAYS; i++) {
+            relays.add(new Relay(new RelayIdentity("relay-" + i, i % 2 == 0 ? "north" : "south")));
+        }
+        history = new ConfigurationHistory(validator, new AgreedChangeListener() {
+            @Override
+            public void agreed(AgreedChange change) {
+                publishers.values().forEach(publisher -> publisher.agreed(change));
+            }
+
+            @Override
+            public void restored(ConfigurationSnapshot snapshot) {
+                throw new AssertionError("nothing is restored here");
+            }
+        });
+    }
+
+    /** Plays the seed; the number of events by kind, and the digest of all. */
+    String play() {
+        while (now < PLAYED_MICROS) {
+            now += TURN_MICROS;
+            drawFault();
+            deliver();
+            publishers.values().forEach(Publisher::turn);
+            relays.forEach(Relay::turn);
+        }
+        publishers.values().forEach(Publisher::recordOverview);
+        relays.forEach(Relay::recordStatus);
+        return counts.toString().replace(" ", "") + " " + HexFormat.of().formatHex(digest.digest());
+    }
+
+    private void deliver() {
+        while (!network.isEmpty() && network.peek().atMicros() <= now) {
+            network.poll().action().run();
+        }
+    }
+
+    private void drawFault() {
+        if (random.nextInt(20) == 0) {
+            propose();
+        }
+        Publisher publisher =
+                publishers.get(MACHINES.get(random.nextInt(MACHINES.size())).name());
+        Relay relay = relays.get(random.nextInt(RELAYS));
+        switch (random.nextInt(400)) {
+            case 0 -> apart = true;
+            case 1, 2, 3 -> apart = false;
+            case 4 -> lossShare = 0.2;
+            case 5, 6 -> lossShare = 0;
+            case 7 -> publisher.start();
+            case 8 -> publisher.lag();
+            case 9, 10 -> publisher.catchUp();
+            case 11 -> relay.start();
+            case 12 -> relay.store.wipe();
+            case 13 -> relay.store.fails = !relay.store.fails;
+            case 14 -> relay.pausedUntil = now + 3 * SECOND_MICROS;
+            case 15 -> relay.selective = !relay.selective;
+            case 16 -> publisher.setQuorum(false);
+            case 17, 18 -> publisher.setQuorum(true);
+            case 19 -> publisher.full = !publisher.full;
+            case 20 -> relay.flood();
+            case 21 -> relay.store.damage();
+            default -> {}
+        }
+    }
+
+    private void propose() {
+        String key = random.nextInt(8) == 0 ? "unusable" : "key-" + random.nextInt(20);
+        ConfigurationEdit edit = random.nextInt(3) == 0 ? new Remove(key) : new Put(key, "v" + random.nextInt(1_000));
+        ConfigurationVersion base = history.current().version();
+        if (random.nextInt(15) == 0) {
+            forge(base, edit);
+        } else {
+            history.committed(term(), ConfigurationChange.of(base, "ann", "drawn", List.of(edit)));
+        }
+    }
+
+    private long term() {
+        return 1 + now / (60 * SECOND_MICROS);
+    }
+
+    /** Sends what was not agreed on: a change of a later format, or one that leads to another state than it says. */
+    private void forge(ConfigurationVersion base, ConfigurationEdit edit) {
+        int formatVersion = 1 + random.nextInt(2);
+        ConfigurationChange change = new ConfigurationChange(formatVersion, base, "ann", "forged", List.of(edit));
+        AgreedChange forged = new AgreedChange(base.next(term()), change, new ConfigurationDigest(1, 2));
+        Relay relay = relays.get(random.nextInt(RELAYS));
+        relay.follower.status().machine().ifPresent(machine -> {
+            long session = publishers.get(machine).sessions.getOrDefault(relay.identity.name(), 0L);
+            relay.follower.received(machine, new ConfigurationMessage.Deltas(session, List.of(forged)), now);
+        });
+    }
+
+    private boolean reachable(String oneRegion, String otherRegion) {
+        return !(apart && !oneRegion.equals(otherRegion)) && random.nextDouble() >= lossShare;
+    }
+
+    private void later(Runnable action) {
+        network.add(new Delivery(now + random.nextInt(MOST_DELAY_MICROS), order++, action));
+    }
+
+    private void record(String kind, String who, byte[] bytes) {
+        counts.merge(kind, 1, Integer::sum);
+        digest.update((now + " " + kind + " " + who + " ").getBytes(StandardCharsets.UTF_8));
+        digest.update(bytes);
+    }
+
+    private void record(String kind, String who, String text) {
+        record(kind, who, text.getBytes(StandardCharsets.UTF_8));
+    }
+
+    private static String textOf(ConfigurationHead head) {
+        return head.version() + " " + head.digest() + " " + head.quorum();
+    }
+
+    private ConfigurationMessage decode(byte[] frame) {
+        try {
+            return messages.decode(frame);
+        } catch (MalformedConfigurationException e) {
+            throw new AssertionError("a message does not survive its codec", e);
+        }
+    }
+
+    /** A control machine that can restart without sessions, and lag behind what was agreed. */
+    private final class Publisher implements PublisherOutput {
+        final ControlMachine machine;
+        private final List<AgreedChange> withheld = new ArrayList<>();
+        private boolean lagging;
+        private boolean quorum = true;
+        private ConfigurationPublisher publisher;
+        boolean full;
+        /** The session that each relay was last sent something in. */
+        final Map<String, Long> sessions = new HashMap<>();
+
+        Publisher(ControlMachine machine) {
+            this.machine = machine;
+            start();
+        }
+
+        void start() {
+            publisher = new ConfigurationPublisher(PUBLISHER_SETTINGS, codec, this, now);
+            publisher.quorum(quorum);
+            if (history != null) {
+                withheld.clear();
+                publisher.restored(history.current());
+            }
+        }
+
+        void lag() {
+            lagging = true;
+        }
+
+        /** Takes what it lacks, as changes or as a state. */
+        void catchUp() {
+            lagging = false;
+            if (withheld.size() > 3) {
+                publisher.restored(history.current());
+            } else {
+                withheld.stream()
+                        .filter(change -> change.version().index()
+                                > publisher.head().version().index())
+                        .forEach(publisher::agreed);
+            }
+            withheld.clear();
+        }
+
+        void setQuorum(boolean reached) {
+            quorum = reached;
+            publisher.quorum(reached);
+        }
+
+        void agreed(AgreedChange change) {
+            if (lagging) {
+                withheld.add(change);
+            } else {
+                publisher.agreed(change);
+            }
+        }
+
+        void turn() {
+            publisher.turn(now);
+        }
+
+        void recordOverview() {
+            ConfigurationPublisher.Overview overview = publisher.overview();
+            record(
+                    "overview",
+                    machine.name(),
+                    textOf(overview.head()) + " " + overview.relaysByVersion() + " " + overview.relaysRefusing() + " "
+                            + overview.relaysDiffering() + " " + publisher.sessions());
+        }
+
+        @Override
+        public boolean send(String peer, ConfigurationMessage.FromPublisher message) {
+            if (full && random.nextInt(3) == 0) {
+                return false;
+            }
+            sessions.put(peer, message.session());
+            byte[] frame = messages.encode(message);
+            record("from-publisher." + frame[0], machine.name() + ">" + peer, frame);
+            Relay relay = relays.get(Integer.parseInt(peer.substring("relay-".length())));
+            if (reachable(machine.region(), relay.identity.region())) {
+                later(() -> relay.received(machine.name(), frame));
+            }
+            return true;
+        }
+
+        @Override
+        public void close(String peer) {
+            record("publisher-closes", machine.name() + ">" + peer, "");
+            Relay relay = relays.get(Integer.parseInt(peer.substring("relay-".length())));
+            later(() -> relay.follower.disconnected(machine.name(), now));
+        }
+
+        @Override
+        public void line(String text) {
+            record("publisher-line", machine.name(), "");
+        }
+    }
+
+    /** A relay that can restart with its disk, and refuse what it cannot use. */
+    private final class Relay implements FollowerOutput {
+        final RelayIdentity identity;
+        final MemoryStore store = new MemoryStore();
+        ConfigurationFollower follower;
+        boolean selective;
+        long pausedUntil;
+
+        Relay(RelayIdentity identity) {
+            this.identity = identity;
+            start();
+        }
+
+        void start() {
+            ChangeValidator relayValidator = new ChangeValidator(
+                    ConfigurationLimits.DEFAULT,
+                    state -> selective && state.entries().containsKey("unusable")
+                            ? Optional.of("unusable is there")
+                            : Optional.empty());
+            follower = new ConfigurationFollower(
+                    FOLLOWER_SETTINGS,
+                    identity,
+                    MACHINES,
+                    relayValidator,
+                    store,
+                    this,
+                    new SplittableRandom(random.nextLong()),
+                    now);
+        }
+
+        void received(String machine, byte[] frame) {
+            if (now >= pausedUntil) {
+                follower.received(machine, (ConfigurationMessage.FromPublisher) decode(frame), now);
+            }
+        }
+
+        void turn() {
+            if (now >= pausedUntil) {
+                follower.turn(now);
+            }
+        }
+
+        /** Many copies of one message at once. */
+        void flood() {
+            follower.status().machine().ifPresent(machine -> {
+                Publisher publisher = publishers.get(machine);
+                long session = publisher.sessions.getOrDefault(identity.name(), 0L);
+                for (int i = 0; i < 60; i++) {
+                    publisher.publisher.received(
+                            identity.name(), new ConfigurationMessage.SnapshotRequest(session, 1), now);
+                }
+            });
+        }
+
+        void recordStatus() {
+            ConfigurationFollower.Status status = follower.status();
+            record(
+                    "status",
+                    identity.name(),
+                    status.inForce() + " " + status.digest() + " " + status.machine() + " "
+                            + status.head().map(DistributionTrace::textOf) + " "
+                            + status.refusal().map(ChangeRefusal::reason));
+        }
+
+        @Override
+        public void send(String machine, ConfigurationMessage.FromFollower message) {
+            byte[] frame = messages.encode(message);
+            record("from-follower." + frame[0], identity.name() + ">" + machine, frame);
+            Publisher publisher = publishers.get(machine);
+            if (reachable(identity.region(), publisher.machine.region())) {
+                later(() -> publisher.publisher.received(
+                        identity.name(), (ConfigurationMessage.FromFollower) decode(frame), now));
+            }
+        }
+
+        @Override
+        public void close(String machine) {
+            record("follower-closes", identity.name() + ">" + machine, "");
+            later(() -> publishers.get(machine).publisher.disconnected(identity.name()));
+        }
+
+        @Override
+        public void inForce(ConfigurationSnapshot snapshot) {
+            record("in-force", identity.name(), codec.encode(snapshot));
+        }
+
+        @Override
+        public void line(String text) {
+            record("follower-line", identity.name(), "");
+        }
+    }
+
+    /** A disk that can fail, be wiped and be damaged. */
+    private final class MemoryStore implements ConfigurationStore {
+        private Loaded stored = new Loaded.Nothing();
+        boolean fails;
+
+        void wipe() {
+            stored = new Loaded.Nothing();
+        }
+
+        void damage() {
+            if (stored instanceof Loaded.Found found) {
+                stored = random.nextBoolean()
+                        ? new Loaded.Unreadable("damaged")
+                        : new Loaded.Found(
+                                found.version(), found.formatVersion(), found.entries(), ConfigurationDigest.EMPTY);
+            }
+        }
+
+        @Override
+        public Loaded load() {
+            return stored;
+        }
+
+        @Override
+        public void apply(AgreedChange change, ConfigurationSnapshot after) throws ConfigurationStoreException {
+            replace(after);
+        }
+
+        @Override
+        public void replace(ConfigurationSnapshot snapshot) throws ConfigurationStoreException {
+            if (fails) {
+                throw new ConfigurationStoreException("no space", null);
+            }
+            stored = new Loaded.Found(
+                    snapshot.version(), snapshot.formatVersion(), snapshot.entries(), snapshot.digest());
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/sandstack/configuration/FixtureFile.java
@@ -0,0 +1,59 @@
+package sandstack.configuration;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** A text resource of named values, one line each: the name, a space, the value. Lines that begin with # are comments. */
+public final class FixtureFile {
+    private static final String FOLDER = "/configuration/";
+
+    private FixtureFile() {}
+
+    /** Reads a resource; the values in the order of the file. */
+    public static Map<String, String> read(String name) {
+        Map<String, String> values = new LinkedHashMap<>();
+        try (BufferedReader reader = new BufferedReader(
+                new InputStreamReader(FixtureFile.class.getResourceAsStream(FOLDER + name), StandardCharsets.UTF_8))) {
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
+                int space = line.indexOf(' ');
+                if (!line.startsWith("#") && space > 0) {
+                    values.put(line.substring(0, space), line.substring(space + 1));
+                }
+            }
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+        return values;
+    }
+
+    /** Reads a resource whose values are bytes in hexadecimal digits. */
+    public static Map<String, byte[]> readBytes(String name) {
+        Map<String, byte[]> values = new LinkedHashMap<>();
+        read(name).forEach((key, hex) -> values.put(key, HexFormat.of().parseHex(hex)));
+        return values;
+    }
+
+    /** Writes a file that {@link #read} reads, with a comment that says by which command it was written. */
+    public static void write(Path file, String comment, Map<String, String> values) throws IOException {
+        List<String> lines = new ArrayList<>(List.of("# " + comment));
+        values.forEach((name, value) -> lines.add(name + " " + value));
+        Files.write(file, lines);
+    }
+
+    /** Bytes as values of such a file. */
+    public static Map<String, String> toHex(Map<String, byte[]> values) {
+        Map<String, String> hex = new LinkedHashMap<>();
+        values.forEach((name, bytes) -> hex.put(name, HexFormat.of().formatHex(bytes)));
+        return hex;
+    }
+}
--- a/src/test/java/sandstack/configuration/consensus/SimulatedNetwork.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedNetwork.java
@@ -1,8 +1,12 @@
 package sandstack.configuration.consensus;
 
 import io.microraft.model.message.RaftMessage;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.HexFormat;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
@@ -39,9 +43,25 @@
 
     double lossShare;
 
+    private final MessageDigest trace;
+
     SimulatedNetwork(SimulatedTime time, SplittableRandom random) {
         this.time = time;
         this.random = random;
+        try {
+            trace = MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    /** A digest of all that was sent so far: moments, senders, receivers and bytes, in order. */
+    String traceDigest() {
+        try {
+            return HexFormat.of().formatHex(((MessageDigest) trace.clone()).digest());
+        } catch (CloneNotSupportedException e) {
+            throw new IllegalStateException(e);
+        }
     }
 
     void attach(ControlIdentity machine, int region, Consumer<RaftMessage> receiver) {
@@ -63,6 +83,8 @@
         Traffic traffic = sent.get(from);
         traffic.messages++;
         traffic.bytes += frame.length;
+        trace.update((time.nowMicros() + " " + from + ">" + to + " ").getBytes(StandardCharsets.UTF_8));
+        trace.update(frame);
         Direction direction = new Direction(from, to);
         boolean lost = random.nextDouble() < lossShare;
         long delay = regions.get(from).equals(regions.get(to)) ? WITHIN_REGION_MICROS : betweenRegionsMicros;
