--- a/src/main/java/sandstack/configuration/BoundedReader.java
+++ b/src/main/java/sandstack/configuration/BoundedReader.java
@@ -6,22 +6,22 @@
 
 /** Reads fields of a frame; allocates nothing before the length is checked against the bound and what is left. */
 public final class BoundedReader {
-    private final ByteBuffer bytes;
+    private final ByteBuffer buffer;
 
     /** Reads this frame from its start. */
     public BoundedReader(byte[] frame) {
-        bytes = ByteBuffer.wrap(frame);
+        buffer = ByteBuffer.wrap(frame);
     }
 
     /** Bytes not yet read. */
     public int remaining() {
-        return bytes.remaining();
+        return buffer.remaining();
     }
 
     /** One byte. */
     public byte readByte() throws MalformedConfigurationException {
         require(Byte.BYTES);
-        return bytes.get();
+        return buffer.get();
     }
 
     /** A byte that is 0 or 1. */
@@ -36,27 +36,27 @@
     /** Four bytes. */
     public int readInt() throws MalformedConfigurationException {
         require(Integer.BYTES);
-        return bytes.getInt();
+        return buffer.getInt();
     }
 
     /** Eight bytes. */
     public long readLong() throws MalformedConfigurationException {
         require(Long.BYTES);
-        return bytes.getLong();
+        return buffer.getLong();
     }
 
     /** A number of things that take at least so many bytes each. */
-    public int readCount(int most, int leastBytesEach) throws MalformedConfigurationException {
+    public int readCount(int maxCount, int minBytesEach) throws MalformedConfigurationException {
         int count = readInt();
-        if (count < 0 || count > most || (long) count * leastBytesEach > bytes.remaining()) {
-            throw new MalformedConfigurationException("a count of " + count + ", the most is " + most);
+        if (count < 0 || count > maxCount || (long) count * minBytesEach > buffer.remaining()) {
+            throw new MalformedConfigurationException("a count of " + count + ", the most is " + maxCount);
         }
         return count;
     }
 
     /** A text of UTF-8 after its length. */
-    public String readText(int mostBytes) throws MalformedConfigurationException {
-        byte[] text = readBytes(mostBytes);
+    public String readText(int maxBytes) throws MalformedConfigurationException {
+        byte[] text = readBytes(maxBytes);
         try {
             return StandardCharsets.UTF_8
                     .newDecoder()
@@ -68,21 +68,21 @@
     }
 
     /** Bytes after their number. */
-    public byte[] readBytes(int most) throws MalformedConfigurationException {
-        byte[] value = new byte[readCount(most, 1)];
-        bytes.get(value);
+    public byte[] readBytes(int maxBytes) throws MalformedConfigurationException {
+        byte[] value = new byte[readCount(maxBytes, 1)];
+        buffer.get(value);
         return value;
     }
 
     /** Refuses a frame that goes on. */
     public void requireEnd() throws MalformedConfigurationException {
-        if (bytes.hasRemaining()) {
-            throw new MalformedConfigurationException(bytes.remaining() + " bytes too many");
+        if (buffer.hasRemaining()) {
+            throw new MalformedConfigurationException(buffer.remaining() + " bytes too many");
         }
     }
 
     private void require(int count) throws MalformedConfigurationException {
-        if (bytes.remaining() < count) {
+        if (buffer.remaining() < count) {
             throw new MalformedConfigurationException("it ends too early");
         }
     }
--- a/src/main/java/sandstack/configuration/ChangeRefusal.java
+++ b/src/main/java/sandstack/configuration/ChangeRejection.java
@@ -7,7 +7,7 @@
  *
  * @param detail for people, one bounded line
  */
-public record ChangeRefusal(Reason reason, String detail) {
+public record ChangeRejection(Reason reason, String detail) {
     /** What is wrong. */
     public enum Reason {
         /** It edits nothing. */
@@ -41,9 +41,9 @@
     }
 
     /** Cuts the detail to one bounded line. */
-    public ChangeRefusal {
+    public ChangeRejection {
         Objects.requireNonNull(reason, "reason");
-        detail = OneLine.of(detail);
+        detail = LogText.singleLine(detail);
     }
 
     @Override
--- a/src/main/java/sandstack/configuration/ChangeValidator.java
+++ b/src/main/java/sandstack/configuration/ChangeValidator.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import sandstack.configuration.ChangeRefusal.Reason;
+import sandstack.configuration.ChangeRejection.Reason;
 
 /**
  * Decides whether a change may be agreed on and whether a state may be put in force. The same inputs give the same
@@ -31,132 +31,135 @@
     }
 
     /** Why the change cannot come next after the current state; empty where it can. */
-    public Optional<ChangeRefusal> refuse(ConfigurationSnapshot current, ConfigurationChange change) {
-        return refuseContent(change).or(() -> refuseBase(current, change)).or(() -> {
+    public Optional<ChangeRejection> validate(ConfigurationSnapshot current, ConfigurationChange change) {
+        return validateContent(change).or(() -> validateBase(current, change)).or(() -> {
             // the term does not matter to whether the result is valid
             ConfigurationVersion next = current.version().next(current.version().term());
-            return refuseState(current.apply(next, change));
+            return validateSnapshot(current.apply(next, change));
         });
     }
 
     /** Why a change is refused whatever the current state is. */
-    public Optional<ChangeRefusal> refuseContent(ConfigurationChange change) {
-        return refuseFormat(change.formatVersion())
-                .or(() -> refuseAuthor(change))
-                .or(() -> refuseEdits(change));
+    public Optional<ChangeRejection> validateContent(ConfigurationChange change) {
+        return validateFormat(change.formatVersion())
+                .or(() -> validateAuthor(change))
+                .or(() -> validateEdits(change));
     }
 
     /** Why a whole state is refused. */
-    public Optional<ChangeRefusal> refuseState(ConfigurationSnapshot state) {
-        return refuseFormat(state.formatVersion()).or(() -> refuseSize(state)).or(() -> check.problem(state)
-                .map(problem -> new ChangeRefusal(Reason.UNUSABLE, problem)));
+    public Optional<ChangeRejection> validateSnapshot(ConfigurationSnapshot snapshot) {
+        return validateFormat(snapshot.formatVersion())
+                .or(() -> validateSize(snapshot))
+                .or(() -> check.findProblem(snapshot).map(problem -> new ChangeRejection(Reason.UNUSABLE, problem)));
     }
 
     /** Why something in this format is refused. */
-    Optional<ChangeRefusal> refuseFormat(int formatVersion) {
+    Optional<ChangeRejection> validateFormat(int formatVersion) {
         if (formatVersion >= 1 && formatVersion <= ConfigurationChange.FORMAT_VERSION) {
             return Optional.empty();
         }
-        return refusal(
+        return rejection(
                 Reason.UNKNOWN_FORMAT,
                 "format " + formatVersion + ", this release knows up to " + ConfigurationChange.FORMAT_VERSION);
     }
 
-    private Optional<ChangeRefusal> refuseBase(ConfigurationSnapshot current, ConfigurationChange change) {
-        if (change.basedOn().equals(current.version())) {
+    private Optional<ChangeRejection> validateBase(ConfigurationSnapshot current, ConfigurationChange change) {
+        if (change.baseVersion().equals(current.version())) {
             return Optional.empty();
         }
-        return refusal(
+        return rejection(
                 Reason.CONFLICTING_BASE,
-                "the change is based on version " + change.basedOn() + ", current is " + current.version());
+                "the change is based on version " + change.baseVersion() + ", current is " + current.version());
     }
 
-    private Optional<ChangeRefusal> refuseAuthor(ConfigurationChange change) {
+    private Optional<ChangeRejection> validateAuthor(ConfigurationChange change) {
         if (change.author().isBlank()) {
-            return refusal(Reason.INVALID_AUTHOR, "the change names no author");
+            return rejection(Reason.INVALID_AUTHOR, "the change names no author");
         }
-        if (longer(change.author(), limits.authorBytes()) || longer(change.reason(), limits.reasonBytes())) {
-            return refusal(
+        if (exceeds(change.author(), limits.maxAuthorBytes()) || exceeds(change.reason(), limits.maxReasonBytes())) {
+            return rejection(
                     Reason.INVALID_AUTHOR,
-                    "author or reason is longer than " + limits.authorBytes() + " and " + limits.reasonBytes()
+                    "author or reason is longer than " + limits.maxAuthorBytes() + " and " + limits.maxReasonBytes()
                             + " bytes");
         }
         if (!isUnicode(change.author()) || !isUnicode(change.reason())) {
-            return refusal(Reason.MALFORMED, "author or reason is no valid Unicode");
+            return rejection(Reason.MALFORMED, "author or reason is no valid Unicode");
         }
         return Optional.empty();
     }
 
-    private Optional<ChangeRefusal> refuseEdits(ConfigurationChange change) {
+    private Optional<ChangeRejection> validateEdits(ConfigurationChange change) {
         if (change.edits().isEmpty()) {
-            return refusal(Reason.EMPTY_CHANGE, "the change edits nothing");
+            return rejection(Reason.EMPTY_CHANGE, "the change edits nothing");
         }
-        if (change.edits().size() > limits.editsPerChange()) {
-            return refusal(
-                    Reason.CHANGE_TOO_LARGE, change.edits().size() + " edits, the most is " + limits.editsPerChange());
+        if (change.edits().size() > limits.maxEditsPerChange()) {
+            return rejection(
+                    Reason.CHANGE_TOO_LARGE,
+                    change.edits().size() + " edits, the most is " + limits.maxEditsPerChange());
         }
         long bytes = 0;
         Set<String> keys = new HashSet<>();
         for (ConfigurationEdit edit : change.edits()) {
-            Optional<ChangeRefusal> refusal = refuseEdit(edit);
-            if (refusal.isPresent()) {
-                return refusal;
+            Optional<ChangeRejection> rejection = validateEdit(edit);
+            if (rejection.isPresent()) {
+                return rejection;
             }
             if (!keys.add(edit.key())) {
-                return refusal(Reason.DUPLICATE_KEY, "key " + edit.key() + " is edited twice");
+                return rejection(Reason.DUPLICATE_KEY, "key " + edit.key() + " is edited twice");
             }
             String value = edit instanceof ConfigurationEdit.Put put ? put.value() : "";
             bytes += ConfigurationSize.ofEntry(edit.key(), value, limits);
-            if (bytes > limits.changeBytes()) {
-                return refusal(Reason.CHANGE_TOO_LARGE, "more than " + limits.changeBytes() + " bytes in one change");
+            if (bytes > limits.maxChangeBytes()) {
+                return rejection(
+                        Reason.CHANGE_TOO_LARGE, "more than " + limits.maxChangeBytes() + " bytes in one change");
             }
         }
         return Optional.empty();
     }
 
-    private Optional<ChangeRefusal> refuseEdit(ConfigurationEdit edit) {
-        return refuseLength(edit).or(() -> {
+    private Optional<ChangeRejection> validateEdit(ConfigurationEdit edit) {
+        return validateLength(edit).or(() -> {
             boolean valid =
                     isUnicode(edit.key()) && (!(edit instanceof ConfigurationEdit.Put put) || isUnicode(put.value()));
             return valid
                     ? Optional.empty()
-                    : refusal(Reason.MALFORMED, "key or value of " + edit.key() + " is no valid Unicode");
+                    : rejection(Reason.MALFORMED, "key or value of " + edit.key() + " is no valid Unicode");
         });
     }
 
-    private Optional<ChangeRefusal> refuseLength(ConfigurationEdit edit) {
-        if (edit.key().isBlank() || longer(edit.key(), limits.keyBytes())) {
-            return refusal(Reason.INVALID_KEY, "a key has 1 to " + limits.keyBytes() + " bytes: " + edit.key());
+    private Optional<ChangeRejection> validateLength(ConfigurationEdit edit) {
+        if (edit.key().isBlank() || exceeds(edit.key(), limits.maxKeyBytes())) {
+            return rejection(Reason.INVALID_KEY, "a key has 1 to " + limits.maxKeyBytes() + " bytes: " + edit.key());
         }
-        if (edit instanceof ConfigurationEdit.Put put && longer(put.value(), limits.valueBytes())) {
-            return refusal(
+        if (edit instanceof ConfigurationEdit.Put put && exceeds(put.value(), limits.maxValueBytes())) {
+            return rejection(
                     Reason.VALUE_TOO_LARGE,
-                    "the value of " + put.key() + " has more than " + limits.valueBytes() + " bytes");
+                    "the value of " + put.key() + " has more than " + limits.maxValueBytes() + " bytes");
         }
         return Optional.empty();
     }
 
-    private Optional<ChangeRefusal> refuseSize(ConfigurationSnapshot state) {
-        if (state.entries().size() > limits.entries()) {
-            return refusal(
+    private Optional<ChangeRejection> validateSize(ConfigurationSnapshot snapshot) {
+        if (snapshot.entries().size() > limits.maxEntries()) {
+            return rejection(
                     Reason.CONFIGURATION_TOO_LARGE,
-                    state.entries().size() + " entries, the most is " + limits.entries());
+                    snapshot.entries().size() + " entries, the most is " + limits.maxEntries());
         }
         long bytes = 0;
-        for (Map.Entry<String, String> entry : state.entries().entrySet()) {
+        for (Map.Entry<String, String> entry : snapshot.entries().entrySet()) {
             bytes += ConfigurationSize.ofEntry(entry.getKey(), entry.getValue(), limits);
-            if (bytes > limits.configurationBytes()) {
-                return refusal(
+            if (bytes > limits.maxConfigurationBytes()) {
+                return rejection(
                         Reason.CONFIGURATION_TOO_LARGE,
-                        "more than " + limits.configurationBytes() + " bytes in the whole configuration");
+                        "more than " + limits.maxConfigurationBytes() + " bytes in the whole configuration");
             }
         }
         return Optional.empty();
     }
 
     /** Whether a text has more bytes; one with more characters than that is not read. */
-    private static boolean longer(String text, int bytes) {
-        return text.length() > bytes || ConfigurationSize.ofText(text) > bytes;
+    private static boolean exceeds(String text, int maxBytes) {
+        return text.length() > maxBytes || ConfigurationSize.ofText(text) > maxBytes;
     }
 
     /** Whether a text survives UTF-8: half a surrogate pair does not. */
@@ -164,7 +167,7 @@
         return StandardCharsets.UTF_8.newEncoder().canEncode(text);
     }
 
-    private static Optional<ChangeRefusal> refusal(Reason reason, String detail) {
-        return Optional.of(new ChangeRefusal(reason, detail));
+    private static Optional<ChangeRejection> rejection(Reason reason, String detail) {
+        return Optional.of(new ChangeRejection(reason, detail));
     }
 }
--- a/src/main/java/sandstack/configuration/AgreedChange.java
+++ b/src/main/java/sandstack/configuration/CommittedChange.java
@@ -9,12 +9,12 @@
  * @param change its content; {@code change.basedOn()} is the version directly before
  * @param digest of the whole configuration after it
  */
-public record AgreedChange(ConfigurationVersion version, ConfigurationChange change, ConfigurationDigest digest) {
+public record CommittedChange(ConfigurationVersion version, ConfigurationChange change, ConfigurationDigest digest) {
     /** Refuses nulls, and a version that does not follow the one that the change is based on. */
-    public AgreedChange {
+    public CommittedChange {
         Objects.requireNonNull(digest, "digest");
-        if (!version.follows(change.basedOn())) {
-            throw new IllegalArgumentException(version + " does not follow " + change.basedOn());
+        if (!version.follows(change.baseVersion())) {
+            throw new IllegalArgumentException(version + " does not follow " + change.baseVersion());
         }
     }
 }
--- a/src/main/java/sandstack/configuration/ConfigurationChange.java
+++ b/src/main/java/sandstack/configuration/ConfigurationChange.java
@@ -7,18 +7,22 @@
  * Edits that take effect together or not at all. A roll-back is a change like another: its edits restore what was.
  *
  * @param formatVersion which release of the format a reader has to know, {@link #FORMAT_VERSION} as written here
- * @param basedOn the version that the author saw; the change is refused where another was agreed since
+ * @param baseVersion the version that the author saw; the change is refused where another was agreed since
  * @param author who asks for the change
  * @param reason why, for the operators' log
  */
 public record ConfigurationChange(
-        int formatVersion, ConfigurationVersion basedOn, String author, String reason, List<ConfigurationEdit> edits) {
+        int formatVersion,
+        ConfigurationVersion baseVersion,
+        String author,
+        String reason,
+        List<ConfigurationEdit> edits) {
     /** The newest format that this release reads, and the one that it writes. */
     public static final int FORMAT_VERSION = 1;
 
     /** Keeps a copy of the edits; refuses nulls. */
     public ConfigurationChange {
-        Objects.requireNonNull(basedOn, "basedOn");
+        Objects.requireNonNull(baseVersion, "baseVersion");
         Objects.requireNonNull(author, "author");
         Objects.requireNonNull(reason, "reason");
         edits = List.copyOf(edits);
--- a/src/main/java/sandstack/configuration/ConfigurationCheck.java
+++ b/src/main/java/sandstack/configuration/ConfigurationCheck.java
@@ -9,5 +9,5 @@
     ConfigurationCheck NONE = snapshot -> Optional.empty();
 
     /** What makes this state unusable, as one line that names the key; empty where it can be used. */
-    Optional<String> problem(ConfigurationSnapshot snapshot);
+    Optional<String> findProblem(ConfigurationSnapshot snapshot);
 }
--- a/src/main/java/sandstack/configuration/ConfigurationCodec.java
+++ b/src/main/java/sandstack/configuration/ConfigurationCodec.java
@@ -16,10 +16,10 @@
     private static final int PUT = 1;
     private static final int REMOVE = 2;
     private static final int VERSION_BYTES = 2 * Long.BYTES;
-    private static final int LEAST_EDIT_BYTES = Byte.BYTES + Integer.BYTES;
-    private static final int LEAST_ENTRY_BYTES = 2 * Integer.BYTES;
+    private static final int MIN_EDIT_BYTES = Byte.BYTES + Integer.BYTES;
+    private static final int MIN_ENTRY_BYTES = 2 * Integer.BYTES;
     /** Lengths and numbers of a change or snapshot beside its texts. */
-    private static final int HEADER_BYTES = 256;
+    private static final int MAX_HEADER_BYTES = 256;
 
     private final ConfigurationLimits limits;
 
@@ -29,17 +29,17 @@
     }
 
     /** The longest encoded change that is read. */
-    public int mostChangeBytes() {
-        return limits.changeBytes()
-                + limits.editsPerChange() * (LEAST_EDIT_BYTES + Integer.BYTES)
-                + limits.authorBytes()
-                + limits.reasonBytes()
-                + HEADER_BYTES;
+    public int maxChangeBytes() {
+        return limits.maxChangeBytes()
+                + limits.maxEditsPerChange() * (MIN_EDIT_BYTES + Integer.BYTES)
+                + limits.maxAuthorBytes()
+                + limits.maxReasonBytes()
+                + MAX_HEADER_BYTES;
     }
 
     /** The longest encoded snapshot that is read. */
-    public int mostSnapshotBytes() {
-        return limits.configurationBytes() + limits.entries() * LEAST_ENTRY_BYTES + HEADER_BYTES;
+    public int maxSnapshotBytes() {
+        return limits.maxConfigurationBytes() + limits.maxEntries() * MIN_ENTRY_BYTES + MAX_HEADER_BYTES;
     }
 
     /** Encodes a proposal. */
@@ -51,7 +51,7 @@
 
     /** Decodes a proposal. */
     public ConfigurationChange decodeChange(byte[] bytes) throws MalformedConfigurationException {
-        requireAtMost(bytes, mostChangeBytes());
+        requireAtMost(bytes, maxChangeBytes());
         BoundedReader in = new BoundedReader(bytes);
         ConfigurationChange change = readChange(in);
         in.requireEnd();
@@ -59,19 +59,19 @@
     }
 
     /** Encodes an agreed change. */
-    public byte[] encode(AgreedChange agreed) {
+    public byte[] encode(CommittedChange committed) {
         FieldWriter out = new FieldWriter();
-        write(out, agreed);
+        write(out, committed);
         return out.toBytes();
     }
 
     /** Decodes an agreed change. */
-    public AgreedChange decodeAgreedChange(byte[] bytes) throws MalformedConfigurationException {
-        requireAtMost(bytes, mostChangeBytes());
+    public CommittedChange decodeCommittedChange(byte[] bytes) throws MalformedConfigurationException {
+        requireAtMost(bytes, maxChangeBytes());
         BoundedReader in = new BoundedReader(bytes);
-        AgreedChange agreed = readAgreed(in);
+        CommittedChange committed = readCommittedChange(in);
         in.requireEnd();
-        return agreed;
+        return committed;
     }
 
     /** Encodes a whole state; equal states give equal bytes. */
@@ -87,15 +87,15 @@
 
     /** Decodes a whole state; one whose entries do not match its digest is malformed. */
     public ConfigurationSnapshot decodeSnapshot(byte[] bytes) throws MalformedConfigurationException {
-        requireAtMost(bytes, mostSnapshotBytes());
+        requireAtMost(bytes, maxSnapshotBytes());
         BoundedReader in = new BoundedReader(bytes);
         int formatVersion = in.readInt();
         ConfigurationVersion version = readVersion(in);
         ConfigurationDigest digest = readDigest(in);
-        int count = in.readCount(limits.entries(), LEAST_ENTRY_BYTES);
+        int count = in.readCount(limits.maxEntries(), MIN_ENTRY_BYTES);
         Map<String, String> entries = new HashMap<>();
         for (int i = 0; i < count; i++) {
-            entries.put(in.readText(limits.keyBytes()), in.readText(limits.valueBytes()));
+            entries.put(in.readText(limits.maxKeyBytes()), in.readText(limits.maxValueBytes()));
         }
         in.requireEnd();
         ConfigurationSnapshot snapshot = ConfigurationSnapshot.of(version, formatVersion, entries);
@@ -126,30 +126,30 @@
         return new ConfigurationDigest(in.readLong(), in.readLong());
     }
 
-    void write(FieldWriter out, AgreedChange agreed) {
-        write(out, agreed.version());
-        write(out, agreed.digest());
-        write(out, agreed.change());
+    void write(FieldWriter out, CommittedChange committed) {
+        write(out, committed.version());
+        write(out, committed.digest());
+        write(out, committed.change());
     }
 
-    AgreedChange readAgreed(BoundedReader in) throws MalformedConfigurationException {
+    CommittedChange readCommittedChange(BoundedReader in) throws MalformedConfigurationException {
         ConfigurationVersion version = readVersion(in);
         ConfigurationDigest digest = readDigest(in);
         ConfigurationChange change = readChange(in);
-        if (!version.follows(change.basedOn())) {
-            throw new MalformedConfigurationException(version + " does not follow " + change.basedOn());
+        if (!version.follows(change.baseVersion())) {
+            throw new MalformedConfigurationException(version + " does not follow " + change.baseVersion());
         }
-        return new AgreedChange(version, change, digest);
+        return new CommittedChange(version, change, digest);
     }
 
     /** The fewest bytes of an agreed change, for bounds of counts. */
-    int leastAgreedBytes() {
+    int minCommittedChangeBytes() {
         return 2 * VERSION_BYTES + 2 * Long.BYTES + 4 * Integer.BYTES;
     }
 
     private void write(FieldWriter out, ConfigurationChange change) {
         out.writeInt(change.formatVersion());
-        write(out, change.basedOn());
+        write(out, change.baseVersion());
         out.writeText(change.author()).writeText(change.reason());
         out.writeInt(change.edits().size());
         for (ConfigurationEdit edit : change.edits()) {
@@ -163,30 +163,30 @@
 
     private ConfigurationChange readChange(BoundedReader in) throws MalformedConfigurationException {
         int formatVersion = in.readInt();
-        ConfigurationVersion basedOn = readVersion(in);
-        String author = in.readText(limits.authorBytes());
-        String reason = in.readText(limits.reasonBytes());
-        int count = in.readCount(limits.editsPerChange(), LEAST_EDIT_BYTES);
+        ConfigurationVersion baseVersion = readVersion(in);
+        String author = in.readText(limits.maxAuthorBytes());
+        String reason = in.readText(limits.maxReasonBytes());
+        int count = in.readCount(limits.maxEditsPerChange(), MIN_EDIT_BYTES);
         List<ConfigurationEdit> edits = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             edits.add(readEdit(in));
         }
-        return new ConfigurationChange(formatVersion, basedOn, author, reason, edits);
+        return new ConfigurationChange(formatVersion, baseVersion, author, reason, edits);
     }
 
     private ConfigurationEdit readEdit(BoundedReader in) throws MalformedConfigurationException {
         byte kind = in.readByte();
-        String key = in.readText(limits.keyBytes());
+        String key = in.readText(limits.maxKeyBytes());
         return switch (kind) {
-            case PUT -> new ConfigurationEdit.Put(key, in.readText(limits.valueBytes()));
+            case PUT -> new ConfigurationEdit.Put(key, in.readText(limits.maxValueBytes()));
             case REMOVE -> new ConfigurationEdit.Remove(key);
             default -> throw new MalformedConfigurationException("an edit of kind " + kind);
         };
     }
 
-    private static void requireAtMost(byte[] bytes, int most) throws MalformedConfigurationException {
-        if (bytes.length > most) {
-            throw new MalformedConfigurationException(bytes.length + " bytes, the most is " + most);
+    private static void requireAtMost(byte[] bytes, int maxBytes) throws MalformedConfigurationException {
+        if (bytes.length > maxBytes) {
+            throw new MalformedConfigurationException(bytes.length + " bytes, the most is " + maxBytes);
         }
     }
 }
--- a/src/main/java/sandstack/configuration/ConfigurationFollower.java
+++ b/src/main/java/sandstack/configuration/ConfigurationFollower.java
@@ -3,18 +3,18 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
+import sandstack.configuration.ActiveConfiguration.ActivationResult;
 import sandstack.configuration.ConfigurationMessage.ChunkRequest;
 import sandstack.configuration.ConfigurationMessage.Deltas;
-import sandstack.configuration.ConfigurationMessage.FromPublisher;
 import sandstack.configuration.ConfigurationMessage.Heartbeat;
-import sandstack.configuration.ConfigurationMessage.Rejected;
+import sandstack.configuration.ConfigurationMessage.PublisherMessage;
 import sandstack.configuration.ConfigurationMessage.RepairRequest;
-import sandstack.configuration.ConfigurationMessage.Report;
+import sandstack.configuration.ConfigurationMessage.SessionRejected;
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 import sandstack.configuration.ConfigurationMessage.SnapshotOffer;
 import sandstack.configuration.ConfigurationMessage.SnapshotRequest;
+import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
-import sandstack.configuration.InForceConfiguration.Result;
 
 /**
  * A relay's side of the distribution: follows one control machine and puts what it agreed on in force here.
@@ -29,39 +29,39 @@
  * <p>One thread that no client waits for. A message costs O(1) beside the states it carries, a turn O(1).
  */
 public final class ConfigurationFollower {
-    private static final long LINE_INTERVAL = 10_000_000;
+    private static final long LOG_INTERVAL_MICROS = 10_000_000;
     /** The wait after refusals doubles no more often than this. */
-    private static final int MOST_REFUSAL_DOUBLINGS = 7;
+    private static final int MAX_REJECTION_DOUBLINGS = 7;
 
     /**
      * What is in force at this relay.
      *
      * @param machine the control machine that is followed; empty where none is
      * @param head what that machine holds; empty where none is followed
-     * @param refusal why a later version is not in force here
+     * @param rejection why a later version is not in force here
      */
     public record Status(
-            ConfigurationVersion inForce,
+            ConfigurationVersion activeVersion,
             ConfigurationDigest digest,
             Optional<String> machine,
             Optional<ConfigurationHead> head,
-            Optional<ChangeRefusal> refusal) {}
+            Optional<ChangeRejection> rejection) {}
 
     private final FollowerSettings settings;
     private final ConfigurationCodec codec;
     private final FollowerOutput output;
-    private final InForceConfiguration inForce;
+    private final ActiveConfiguration active;
     private final ControlSession control;
-    private final LineLimiter divergenceLines;
+    private final RateLimitedLog divergenceLog;
     private SnapshotDownload download;
     /** No repair is asked for before this. */
-    private long repairAt;
+    private long nextRepairMicros;
     /** No snapshot is asked for before this. */
-    private long snapshotAt;
+    private long nextSnapshotRequestMicros;
 
-    private int refusals;
+    private int consecutiveRejections;
     /** The index in force when the machine last said that there is a later one; -1 where it did not. */
-    private long behindAt = -1;
+    private long laggingIndex = -1;
 
     /**
      * Loads what is stored and puts it in force.
@@ -76,266 +76,267 @@
             ConfigurationStore store,
             FollowerOutput output,
             RandomGenerator random,
-            long now) {
+            long nowMicros) {
         if (machines.isEmpty()) {
             throw new IllegalArgumentException("there is no control machine");
         }
         this.settings = settings;
         this.codec = new ConfigurationCodec(validator.limits());
         this.output = output;
-        this.inForce = new InForceConfiguration(validator, store, output);
-        this.divergenceLines = new LineLimiter(output::line, LINE_INTERVAL);
-        List<ControlMachine> order = ControlMachine.inOrderFor(relay, machines);
-        this.control = new ControlSession(settings, relay.name(), order, output, random, now);
-        this.repairAt = now;
-        this.snapshotAt = now;
-        inForce.load();
+        this.active = new ActiveConfiguration(validator, store, output);
+        this.divergenceLog = new RateLimitedLog(output::log, LOG_INTERVAL_MICROS);
+        List<ControlMachine> order = ControlMachine.inPreferenceOrder(relay, machines);
+        this.control = new ControlSession(settings, relay.name(), order, output, random, nowMicros);
+        this.nextRepairMicros = nowMicros;
+        this.nextSnapshotRequestMicros = nowMicros;
+        active.load();
     }
 
     /** The state in force. */
-    public ConfigurationSnapshot inForce() {
-        return inForce.current();
+    public ConfigurationSnapshot active() {
+        return active.current();
     }
 
     /** Which version is in force and whom this relay follows. */
     public Status status() {
         return new Status(
-                inForce.version(),
-                inForce.current().digest(),
+                active.version(),
+                active.current().digest(),
                 Optional.ofNullable(control.machine()),
                 Optional.ofNullable(control.head()),
-                inForce.refusal());
+                active.rejection());
     }
 
     /** A control machine said something. */
-    public void received(String machine, FromPublisher message, long now) {
-        if (control.isAttempt(machine, message.session())) {
-            answered(message, now);
-        } else if (control.isCurrent(machine, message.session())) {
-            control.heard(now);
-            handle(message, now);
+    public void received(String machine, PublisherMessage message, long nowMicros) {
+        if (control.isCurrentAttempt(machine, message.sessionId())) {
+            handleAttemptReply(message, nowMicros);
+        } else if (control.isCurrentSession(machine, message.sessionId())) {
+            control.heard(nowMicros);
+            handle(message, nowMicros);
         }
     }
 
     /** The connection with a control machine is gone, or could not be made. */
-    public void disconnected(String machine, long now) {
-        if (control.disconnected(machine, now)) {
-            sessionChanged();
+    public void disconnected(String machine, long nowMicros) {
+        if (control.disconnected(machine, nowMicros)) {
+            resetSessionState();
         }
     }
 
     /** Does what is due; a few times a second. */
-    public void turn(long now) {
-        if (control.slept(now) && control.isOpen()) {
-            report();
+    public void tick(long nowMicros) {
+        if (control.detectPause(nowMicros) && control.isOpen()) {
+            sendReport();
         }
-        if (control.turn(inForce.version(), now)) {
-            sessionChanged();
+        if (control.tick(active.version(), nowMicros)) {
+            resetSessionState();
         }
-        if (download != null && download.retries(now, settings.repairInterval())) {
+        if (download != null && download.retryIsDue(nowMicros, settings.repairIntervalMicros())) {
             continueDownload();
         }
     }
 
     /** The machine that was asked has answered. */
-    private void answered(FromPublisher message, long now) {
+    private void handleAttemptReply(PublisherMessage message, long nowMicros) {
         if (message instanceof Welcome welcome) {
-            if (welcome.head().version().contradicts(inForce.version())) {
-                reportDivergence(welcome.head().version(), now);
-                control.attemptFailed(now);
-            } else if (control.welcomed(welcome.head(), inForce.version(), now)) {
-                sessionChanged();
-                compare(welcome.head(), now);
+            if (welcome.head().version().divergesFrom(active.version())) {
+                logDivergence(welcome.head().version(), nowMicros);
+                control.attemptFailed(nowMicros);
+            } else if (control.welcomed(welcome.head(), active.version(), nowMicros)) {
+                resetSessionState();
+                compareWithHead(welcome.head(), nowMicros);
             }
-        } else if (message instanceof Rejected) {
-            control.attemptFailed(now);
+        } else if (message instanceof SessionRejected) {
+            control.attemptFailed(nowMicros);
         }
     }
 
-    private void handle(FromPublisher message, long now) {
+    private void handle(PublisherMessage message, long nowMicros) {
         if (message instanceof Heartbeat heartbeat) {
-            control.heard(heartbeat.head(), inForce.version(), now);
-            report();
-            compare(heartbeat.head(), now);
+            control.heard(heartbeat.head(), active.version(), nowMicros);
+            sendReport();
+            compareWithHead(heartbeat.head(), nowMicros);
         } else if (message instanceof Deltas deltas) {
-            apply(deltas.changes(), now);
+            apply(deltas.changes(), nowMicros);
         } else if (message instanceof SnapshotOffer offer) {
-            handleOffer(offer, now);
+            handleOffer(offer, nowMicros);
         } else if (message instanceof SnapshotChunk chunk) {
-            handleChunk(chunk, now);
-        } else if (message instanceof Rejected) {
-            control.lost(now);
-            sessionChanged();
+            handleChunk(chunk, nowMicros);
+        } else if (message instanceof SessionRejected) {
+            control.lost(nowMicros);
+            resetSessionState();
         }
     }
 
     /** Looks whether the machine's state is this one, a later one, or one of another history. */
-    private void compare(ConfigurationHead head, long now) {
-        ConfigurationVersion version = inForce.version();
+    private void compareWithHead(ConfigurationHead head, long nowMicros) {
+        ConfigurationVersion version = active.version();
         boolean sameVersion = head.version().equals(version);
-        if (head.version().contradicts(version)
-                || sameVersion && !head.digest().equals(inForce.current().digest())) {
-            leaveDivergent(head.version(), now);
-        } else if (head.version().index() <= inForce.notWanted()) {
-            behindAt = -1;
-        } else if (behindAt == version.index()) {
+        if (head.version().divergesFrom(version)
+                || sameVersion && !head.digest().equals(active.current().digest())) {
+            abandonDivergentMachine(head.version(), nowMicros);
+        } else if (head.version().index() <= active.highestHandledIndex()) {
+            laggingIndex = -1;
+        } else if (laggingIndex == version.index()) {
             // it was behind a heartbeat ago, and nothing has come since
-            repair(now);
+            requestMissing(nowMicros);
         } else {
-            behindAt = version.index();
+            laggingIndex = version.index();
         }
     }
 
-    private void apply(List<AgreedChange> changes, long now) {
-        long before = inForce.version().index();
-        for (AgreedChange change : changes) {
-            Result result = inForce.apply(change, now);
-            if (result != Result.IN_FORCE && result != Result.OLD) {
-                notApplied(result, change.version(), now);
+    private void apply(List<CommittedChange> changes, long nowMicros) {
+        long before = active.version().index();
+        for (CommittedChange change : changes) {
+            ActivationResult result = active.apply(change, nowMicros);
+            if (result != ActivationResult.ACTIVATED && result != ActivationResult.STALE) {
+                handleFailure(result, change.version(), nowMicros);
                 return;
             }
         }
-        if (inForce.version().index() > before) {
-            refusals = 0;
-            report();
+        if (active.version().index() > before) {
+            consecutiveRejections = 0;
+            sendReport();
         }
     }
 
-    private void notApplied(Result result, ConfigurationVersion version, long now) {
+    private void handleFailure(ActivationResult result, ConfigurationVersion version, long nowMicros) {
         switch (result) {
-            case GAP -> repair(now);
-            case MISMATCH -> {
-                divergenceLines.line("configuration " + version + " does not lead to its digest here", now);
-                requestSnapshot(version.index(), now);
+            case GAP -> requestMissing(nowMicros);
+            case DIGEST_MISMATCH -> {
+                divergenceLog.log("configuration " + version + " does not lead to its digest here", nowMicros);
+                requestSnapshot(version.index(), nowMicros);
             }
-            case DIVERGENT -> leaveDivergent(version, now);
-            case REFUSED -> refused(now);
+            case DIVERGENT -> abandonDivergentMachine(version, nowMicros);
+            case REJECTED -> handleRejection(nowMicros);
             default -> throw new IllegalStateException("nothing to do after " + result);
         }
     }
 
-    private void handleOffer(SnapshotOffer offer, long now) {
-        if (offer.version().contradicts(inForce.version())) {
-            leaveDivergent(offer.version(), now);
-        } else if (offer.version().index() > inForce.notWanted() && download == null) {
-            requestSnapshot(inForce.notWanted() + 1, now);
+    private void handleOffer(SnapshotOffer offer, long nowMicros) {
+        if (offer.version().divergesFrom(active.version())) {
+            abandonDivergentMachine(offer.version(), nowMicros);
+        } else if (offer.version().index() > active.highestHandledIndex() && download == null) {
+            requestSnapshot(active.highestHandledIndex() + 1, nowMicros);
         }
     }
 
-    private void handleChunk(SnapshotChunk chunk, long now) {
-        if (chunk.version().contradicts(inForce.version())) {
-            leaveDivergent(chunk.version(), now);
+    private void handleChunk(SnapshotChunk chunk, long nowMicros) {
+        if (chunk.version().divergesFrom(active.version())) {
+            abandonDivergentMachine(chunk.version(), nowMicros);
             return;
         }
-        if (chunk.version().index() <= inForce.notWanted()) {
+        if (chunk.version().index() <= active.highestHandledIndex()) {
             return;
         }
         if (chunk.offset() == 0 && (download == null || chunk.version().isAfter(download.version()))) {
-            beginDownload(chunk, now);
+            beginDownload(chunk, nowMicros);
         }
-        if (download != null && download.take(chunk, now)) {
+        if (download != null && download.accept(chunk, nowMicros)) {
             if (download.isComplete()) {
-                finishDownload(now);
+                finishDownload(nowMicros);
             } else {
                 continueDownload();
             }
         }
     }
 
-    private void beginDownload(SnapshotChunk first, long now) {
-        Optional<ChangeRefusal> refusal = inForce.refuseFormat(first.formatVersion())
-                .or(() -> inForce.refuseSize(first.totalBytes(), codec.mostSnapshotBytes()));
-        if (refusal.isPresent()) {
+    private void beginDownload(SnapshotChunk first, long nowMicros) {
+        Optional<ChangeRejection> rejection = active.validateFormat(first.formatVersion())
+                .or(() -> active.validateEncodedSize(first.totalBytes(), codec.maxSnapshotBytes()));
+        if (rejection.isPresent()) {
             download = null;
-            inForce.refuse(first.version(), refusal.get());
-            refused(now);
+            active.reject(first.version(), rejection.get());
+            handleRejection(nowMicros);
             return;
         }
-        download = new SnapshotDownload(first, now);
+        download = new SnapshotDownload(first, nowMicros);
     }
 
     private void continueDownload() {
-        if (download.isHopeless()) {
+        if (download.isExhausted()) {
             download = null;
             return;
         }
-        output.send(control.machine(), new ChunkRequest(control.id(), download.version(), download.offset()));
+        output.send(control.machine(), new ChunkRequest(control.sessionId(), download.version(), download.offset()));
     }
 
-    private void finishDownload(long now) {
+    private void finishDownload(long nowMicros) {
         ConfigurationVersion version = download.version();
         byte[] bytes = download.bytes();
         download = null;
-        Result result;
+        ActivationResult result;
         try {
             ConfigurationSnapshot snapshot = codec.decodeSnapshot(bytes);
             if (!snapshot.version().equals(version)) {
                 throw new MalformedConfigurationException("a snapshot of " + version + " says " + snapshot.version());
             }
-            result = inForce.replace(snapshot, now);
+            result = active.replace(snapshot, nowMicros);
         } catch (MalformedConfigurationException e) {
-            result = inForce.refuse(version, e.refusal());
+            result = active.reject(version, e.toRejection());
         }
         switch (result) {
-            case IN_FORCE -> {
-                refusals = 0;
-                report();
+            case ACTIVATED -> {
+                consecutiveRejections = 0;
+                sendReport();
             }
-            case REFUSED -> refused(now);
-            case DIVERGENT -> leaveDivergent(version, now);
-            default -> report();
+            case REJECTED -> handleRejection(nowMicros);
+            case DIVERGENT -> abandonDivergentMachine(version, nowMicros);
+            default -> sendReport();
         }
     }
 
-    private void refused(long now) {
-        refusals++;
-        snapshotAt = now + (settings.refusalWait() << Math.min(refusals - 1, MOST_REFUSAL_DOUBLINGS));
-        report();
+    private void handleRejection(long nowMicros) {
+        consecutiveRejections++;
+        nextSnapshotRequestMicros = nowMicros
+                + (settings.rejectionBackoffMicros() << Math.min(consecutiveRejections - 1, MAX_REJECTION_DOUBLINGS));
+        sendReport();
     }
 
     /** Asks for what is missing; past a refused state only a later snapshot leads on. */
-    private void repair(long now) {
-        if (inForce.isStuck()) {
-            requestSnapshot(inForce.notWanted() + 1, now);
-        } else if (download == null && now >= repairAt) {
-            repairAt = now + settings.repairInterval();
-            output.send(control.machine(), new RepairRequest(control.id(), inForce.version()));
+    private void requestMissing(long nowMicros) {
+        if (active.hasRejectedLaterVersion()) {
+            requestSnapshot(active.highestHandledIndex() + 1, nowMicros);
+        } else if (download == null && nowMicros >= nextRepairMicros) {
+            nextRepairMicros = nowMicros + settings.repairIntervalMicros();
+            output.send(control.machine(), new RepairRequest(control.sessionId(), active.version()));
         }
     }
 
-    private void requestSnapshot(long leastIndex, long now) {
-        if (now >= snapshotAt) {
-            snapshotAt = now + settings.repairInterval();
-            output.send(control.machine(), new SnapshotRequest(control.id(), leastIndex));
+    private void requestSnapshot(long minIndex, long nowMicros) {
+        if (nowMicros >= nextSnapshotRequestMicros) {
+            nextSnapshotRequestMicros = nowMicros + settings.repairIntervalMicros();
+            output.send(control.machine(), new SnapshotRequest(control.sessionId(), minIndex));
         }
     }
 
-    private void report() {
+    private void sendReport() {
         output.send(
                 control.machine(),
-                new Report(
-                        control.id(),
-                        inForce.version(),
-                        inForce.current().digest(),
-                        inForce.refusal().map(ChangeRefusal::reason)));
+                new StatusReport(
+                        control.sessionId(),
+                        active.version(),
+                        active.current().digest(),
+                        active.rejection().map(ChangeRejection::reason)));
     }
 
     /** The machine holds another history: what is in force stays, and another machine is asked. */
-    private void leaveDivergent(ConfigurationVersion theirs, long now) {
-        reportDivergence(theirs, now);
-        control.lost(now);
-        sessionChanged();
+    private void abandonDivergentMachine(ConfigurationVersion machineVersion, long nowMicros) {
+        logDivergence(machineVersion, nowMicros);
+        control.lost(nowMicros);
+        resetSessionState();
     }
 
-    private void reportDivergence(ConfigurationVersion theirs, long now) {
-        divergenceLines.line(
-                "a control machine holds " + theirs + " of another history than " + inForce.version()
+    private void logDivergence(ConfigurationVersion machineVersion, long nowMicros) {
+        divergenceLog.log(
+                "a control machine holds " + machineVersion + " of another history than " + active.version()
                         + ", which stays in force",
-                now);
+                nowMicros);
     }
 
-    private void sessionChanged() {
+    private void resetSessionState() {
         download = null;
-        behindAt = -1;
+        laggingIndex = -1;
     }
 }
--- a/src/main/java/sandstack/configuration/ConfigurationHistory.java
+++ b/src/main/java/sandstack/configuration/ConfigurationHistory.java
@@ -11,18 +11,18 @@
     /** What became of a committed proposal. */
     public sealed interface Outcome {
         /** It is the next change. */
-        record Accepted(AgreedChange change) implements Outcome {}
+        record Accepted(CommittedChange change) implements Outcome {}
 
         /** It changes nothing. */
-        record Refused(ChangeRefusal refusal) implements Outcome {}
+        record Rejected(ChangeRejection rejection) implements Outcome {}
     }
 
     private final ChangeValidator validator;
-    private final AgreedChangeListener listener;
+    private final CommittedChangeListener listener;
     private ConfigurationSnapshot current = ConfigurationSnapshot.EMPTY;
 
     /** Begins before the first change. */
-    public ConfigurationHistory(ChangeValidator validator, AgreedChangeListener listener) {
+    public ConfigurationHistory(ChangeValidator validator, CommittedChangeListener listener) {
         this.validator = validator;
         this.listener = listener;
     }
@@ -33,8 +33,8 @@
     }
 
     /** Why a proposal would be refused if it were committed now; asked before it is put to the others. */
-    public Optional<ChangeRefusal> refuse(ConfigurationChange change) {
-        return validator.refuse(current, change);
+    public Optional<ChangeRejection> validate(ConfigurationChange change) {
+        return validator.validate(current, change);
     }
 
     /**
@@ -42,16 +42,16 @@
      *
      * @param term of the leader that proposed it, as the proposal itself says, so that all machines see the same
      */
-    public Outcome committed(long term, ConfigurationChange change) {
-        Optional<ChangeRefusal> refusal = validator.refuse(current, change);
-        if (refusal.isPresent()) {
-            return new Outcome.Refused(refusal.get());
+    public Outcome applyCommitted(long term, ConfigurationChange change) {
+        Optional<ChangeRejection> rejection = validator.validate(current, change);
+        if (rejection.isPresent()) {
+            return new Outcome.Rejected(rejection.get());
         }
         ConfigurationVersion version = current.version().next(term);
         current = current.apply(version, change);
-        AgreedChange agreed = new AgreedChange(version, change, current.digest());
-        listener.agreed(agreed);
-        return new Outcome.Accepted(agreed);
+        CommittedChange committed = new CommittedChange(version, change, current.digest());
+        listener.committed(committed);
+        return new Outcome.Accepted(committed);
     }
 
     /** The consensus replaces the state by a later one; the same or an earlier one changes nothing. */
--- a/src/main/java/sandstack/configuration/ConfigurationMessage.java
+++ b/src/main/java/sandstack/configuration/ConfigurationMessage.java
@@ -8,51 +8,52 @@
 /** What a relay and a control machine say to each other. Every message names the session that it belongs to. */
 public sealed interface ConfigurationMessage {
     /** The session, drawn by the relay when it says hello. */
-    long session();
+    long sessionId();
 
     /** From a relay to a control machine. */
-    sealed interface FromFollower extends ConfigurationMessage {}
+    sealed interface FollowerMessage extends ConfigurationMessage {}
 
     /** From a control machine to a relay. */
-    sealed interface FromPublisher extends ConfigurationMessage {}
+    sealed interface PublisherMessage extends ConfigurationMessage {}
 
     /** Asks for a session, from the version in force on. */
-    record Hello(long session, String relay, int formatVersion, ConfigurationVersion inForce) implements FromFollower {
+    record Hello(long sessionId, String relay, int formatVersion, ConfigurationVersion activeVersion)
+            implements FollowerMessage {
         /** Refuses nulls. */
         public Hello {
             Objects.requireNonNull(relay, "relay");
-            Objects.requireNonNull(inForce, "inForce");
+            Objects.requireNonNull(activeVersion, "activeVersion");
         }
     }
 
     /** Says which version is in force, after each one and at each heartbeat, and why a later one was refused. */
-    record Report(
-            long session,
-            ConfigurationVersion inForce,
+    record StatusReport(
+            long sessionId,
+            ConfigurationVersion activeVersion,
             ConfigurationDigest digest,
-            Optional<ChangeRefusal.Reason> refused)
-            implements FromFollower {
+            Optional<ChangeRejection.Reason> rejectionReason)
+            implements FollowerMessage {
         /** Refuses nulls. */
-        public Report {
-            Objects.requireNonNull(inForce, "inForce");
+        public StatusReport {
+            Objects.requireNonNull(activeVersion, "activeVersion");
             Objects.requireNonNull(digest, "digest");
-            Objects.requireNonNull(refused, "refused");
+            Objects.requireNonNull(rejectionReason, "rejectionReason");
         }
     }
 
     /** Something was lost: asks for all changes after the version in force. */
-    record RepairRequest(long session, ConfigurationVersion inForce) implements FromFollower {
+    record RepairRequest(long sessionId, ConfigurationVersion activeVersion) implements FollowerMessage {
         /** Refuses nulls. */
         public RepairRequest {
-            Objects.requireNonNull(inForce, "inForce");
+            Objects.requireNonNull(activeVersion, "activeVersion");
         }
     }
 
     /** Changes do not help: asks for the beginning of a snapshot with this index or a later one. */
-    record SnapshotRequest(long session, long leastIndex) implements FromFollower {}
+    record SnapshotRequest(long sessionId, long minIndex) implements FollowerMessage {}
 
     /** Asks for the next part of a snapshot. */
-    record ChunkRequest(long session, ConfigurationVersion version, int offset) implements FromFollower {
+    record ChunkRequest(long sessionId, ConfigurationVersion version, int offset) implements FollowerMessage {
         /** Refuses nulls. */
         public ChunkRequest {
             Objects.requireNonNull(version, "version");
@@ -60,10 +61,10 @@
     }
 
     /** Ends the session. */
-    record Goodbye(long session) implements FromFollower {}
+    record Goodbye(long sessionId) implements FollowerMessage {}
 
     /** The session stands. */
-    record Welcome(long session, ConfigurationHead head) implements FromPublisher {
+    record Welcome(long sessionId, ConfigurationHead head) implements PublisherMessage {
         /** Refuses nulls. */
         public Welcome {
             Objects.requireNonNull(head, "head");
@@ -71,15 +72,15 @@
     }
 
     /** The session does not stand, or no longer. */
-    record Rejected(long session, RejectionReason reason) implements FromPublisher {
+    record SessionRejected(long sessionId, SessionRejectionReason reason) implements PublisherMessage {
         /** Refuses nulls. */
-        public Rejected {
+        public SessionRejected {
             Objects.requireNonNull(reason, "reason");
         }
     }
 
     /** The control machine lives, and what it holds. */
-    record Heartbeat(long session, ConfigurationHead head) implements FromPublisher {
+    record Heartbeat(long sessionId, ConfigurationHead head) implements PublisherMessage {
         /** Refuses nulls. */
         public Heartbeat {
             Objects.requireNonNull(head, "head");
@@ -87,7 +88,7 @@
     }
 
     /** Changes without gaps between them. */
-    record Deltas(long session, List<AgreedChange> changes) implements FromPublisher {
+    record Deltas(long sessionId, List<CommittedChange> changes) implements PublisherMessage {
         /** Keeps a copy. */
         public Deltas {
             changes = List.copyOf(changes);
@@ -95,7 +96,7 @@
     }
 
     /** The changes that the relay lacks are no longer kept; it may ask for a snapshot. */
-    record SnapshotOffer(long session, ConfigurationVersion version, int formatVersion) implements FromPublisher {
+    record SnapshotOffer(long sessionId, ConfigurationVersion version, int formatVersion) implements PublisherMessage {
         /** Refuses nulls. */
         public SnapshotOffer {
             Objects.requireNonNull(version, "version");
@@ -109,8 +110,8 @@
      * @param offset of this part in it
      */
     record SnapshotChunk(
-            long session, ConfigurationVersion version, int formatVersion, int totalBytes, int offset, byte[] bytes)
-            implements FromPublisher {
+            long sessionId, ConfigurationVersion version, int formatVersion, int totalBytes, int offset, byte[] bytes)
+            implements PublisherMessage {
         /** Refuses nulls; the bytes are not copied and must not be changed. */
         public SnapshotChunk {
             Objects.requireNonNull(version, "version");
@@ -120,7 +121,7 @@
         @Override
         public boolean equals(Object other) {
             return other instanceof SnapshotChunk that
-                    && session == that.session
+                    && sessionId == that.sessionId
                     && version.equals(that.version)
                     && formatVersion == that.formatVersion
                     && totalBytes == that.totalBytes
@@ -130,12 +131,12 @@
 
         @Override
         public int hashCode() {
-            return Objects.hash(session, version, offset, Arrays.hashCode(bytes));
+            return Objects.hash(sessionId, version, offset, Arrays.hashCode(bytes));
         }
     }
 
     /** Why there is no session. */
-    enum RejectionReason {
+    enum SessionRejectionReason {
         /** This machine has as many relays as it serves. */
         FULL,
         /** More say hello at once than are taken. */
--- a/src/main/java/sandstack/configuration/MessageCodec.java
+++ b/src/main/java/sandstack/configuration/ConfigurationMessageCodec.java
@@ -8,19 +8,19 @@
 import sandstack.configuration.ConfigurationMessage.Goodbye;
 import sandstack.configuration.ConfigurationMessage.Heartbeat;
 import sandstack.configuration.ConfigurationMessage.Hello;
-import sandstack.configuration.ConfigurationMessage.Rejected;
-import sandstack.configuration.ConfigurationMessage.RejectionReason;
 import sandstack.configuration.ConfigurationMessage.RepairRequest;
-import sandstack.configuration.ConfigurationMessage.Report;
+import sandstack.configuration.ConfigurationMessage.SessionRejected;
+import sandstack.configuration.ConfigurationMessage.SessionRejectionReason;
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 import sandstack.configuration.ConfigurationMessage.SnapshotOffer;
 import sandstack.configuration.ConfigurationMessage.SnapshotRequest;
+import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
 /** The binary form of messages: a kind, the session, and the fields. What is read is bounded; each frame is one message. */
-public final class MessageCodec {
+public final class ConfigurationMessageCodec {
     /** The longest name of a relay, in bytes. */
-    public static final int RELAY_BYTES = 128;
+    public static final int MAX_RELAY_NAME_BYTES = 128;
 
     private static final byte HELLO = 1;
     private static final byte REPORT = 2;
@@ -35,20 +35,20 @@
     private static final byte SNAPSHOT_CHUNK = 11;
     private static final byte SNAPSHOT_OFFER = 12;
     /** Numbers of a message beside changes and parts of snapshots. */
-    private static final int HEADER_BYTES = 64;
+    private static final int MAX_HEADER_BYTES = 64;
     /** In place of the ordinal of a refusal where there is none. */
-    private static final int NOT_REFUSED = -1;
+    private static final int NO_REJECTION = -1;
 
     private final ConfigurationCodec codec;
 
     /** Reads changes within the limits of this codec. */
-    public MessageCodec(ConfigurationCodec codec) {
+    public ConfigurationMessageCodec(ConfigurationCodec codec) {
         this.codec = codec;
     }
 
     /** The longest message that is read. */
-    public int mostBytes() {
-        return codec.mostChangeBytes() + HEADER_BYTES;
+    public int maxFrameBytes() {
+        return codec.maxChangeBytes() + MAX_HEADER_BYTES;
     }
 
     /** Encodes a message. */
@@ -56,22 +56,22 @@
         FieldWriter out = new FieldWriter();
         if (message instanceof Heartbeat heartbeat) {
             write(begin(out, HEARTBEAT, message), heartbeat.head());
-        } else if (message instanceof Report report) {
+        } else if (message instanceof StatusReport report) {
             write(begin(out, REPORT, message), report);
         } else if (message instanceof Deltas deltas) {
             begin(out, DELTAS, message).writeInt(deltas.changes().size());
             deltas.changes().forEach(change -> codec.write(out, change));
         } else if (message instanceof Hello hello) {
             begin(out, HELLO, message).writeInt(hello.formatVersion()).writeText(hello.relay());
-            codec.write(out, hello.inForce());
+            codec.write(out, hello.activeVersion());
         } else if (message instanceof Welcome welcome) {
             write(begin(out, WELCOME, message), welcome.head());
-        } else if (message instanceof Rejected rejected) {
+        } else if (message instanceof SessionRejected rejected) {
             begin(out, REJECTED, message).writeByte(rejected.reason().ordinal());
         } else if (message instanceof RepairRequest request) {
-            codec.write(begin(out, REPAIR_REQUEST, message), request.inForce());
+            codec.write(begin(out, REPAIR_REQUEST, message), request.activeVersion());
         } else if (message instanceof SnapshotRequest request) {
-            begin(out, SNAPSHOT_REQUEST, message).writeLong(request.leastIndex());
+            begin(out, SNAPSHOT_REQUEST, message).writeLong(request.minIndex());
         } else if (message instanceof ChunkRequest request) {
             codec.write(begin(out, CHUNK_REQUEST, message), request.version());
             out.writeInt(request.offset());
@@ -88,26 +88,27 @@
 
     /** Decodes one message. */
     public ConfigurationMessage decode(byte[] frame) throws MalformedConfigurationException {
-        if (frame.length > mostBytes()) {
-            throw new MalformedConfigurationException(frame.length + " bytes, the most is " + mostBytes());
+        if (frame.length > maxFrameBytes()) {
+            throw new MalformedConfigurationException(frame.length + " bytes, the most is " + maxFrameBytes());
         }
         BoundedReader in = new BoundedReader(frame);
         byte kind = in.readByte();
-        long session = in.readLong();
+        long sessionId = in.readLong();
         ConfigurationMessage message =
                 switch (kind) {
-                    case HELLO -> readHello(in, session);
-                    case REPORT -> readReport(in, session);
-                    case REPAIR_REQUEST -> new RepairRequest(session, codec.readVersion(in));
-                    case SNAPSHOT_REQUEST -> new SnapshotRequest(session, in.readLong());
-                    case CHUNK_REQUEST -> new ChunkRequest(session, codec.readVersion(in), in.readInt());
-                    case GOODBYE -> new Goodbye(session);
-                    case WELCOME -> new Welcome(session, readHead(in));
-                    case REJECTED -> new Rejected(session, constant(RejectionReason.values(), in.readByte()));
-                    case HEARTBEAT -> new Heartbeat(session, readHead(in));
-                    case DELTAS -> readDeltas(in, session);
-                    case SNAPSHOT_OFFER -> new SnapshotOffer(session, codec.readVersion(in), in.readInt());
-                    case SNAPSHOT_CHUNK -> readChunk(in, session);
+                    case HELLO -> readHello(in, sessionId);
+                    case REPORT -> readReport(in, sessionId);
+                    case REPAIR_REQUEST -> new RepairRequest(sessionId, codec.readVersion(in));
+                    case SNAPSHOT_REQUEST -> new SnapshotRequest(sessionId, in.readLong());
+                    case CHUNK_REQUEST -> new ChunkRequest(sessionId, codec.readVersion(in), in.readInt());
+                    case GOODBYE -> new Goodbye(sessionId);
+                    case WELCOME -> new Welcome(sessionId, readHead(in));
+                    case REJECTED -> new SessionRejected(
+                            sessionId, readConstant(SessionRejectionReason.values(), in.readByte()));
+                    case HEARTBEAT -> new Heartbeat(sessionId, readHead(in));
+                    case DELTAS -> readDeltas(in, sessionId);
+                    case SNAPSHOT_OFFER -> new SnapshotOffer(sessionId, codec.readVersion(in), in.readInt());
+                    case SNAPSHOT_CHUNK -> readChunk(in, sessionId);
                     default -> throw new MalformedConfigurationException("a message of kind " + kind);
                 };
         in.requireEnd();
@@ -115,51 +116,51 @@
     }
 
     private static FieldWriter begin(FieldWriter out, byte kind, ConfigurationMessage message) {
-        return out.writeByte(kind).writeLong(message.session());
+        return out.writeByte(kind).writeLong(message.sessionId());
     }
 
     private void write(FieldWriter out, ConfigurationHead head) {
         codec.write(out, head.version());
         codec.write(out, head.digest());
-        out.writeBoolean(head.quorum());
+        out.writeBoolean(head.hasQuorum());
     }
 
     private ConfigurationHead readHead(BoundedReader in) throws MalformedConfigurationException {
         return new ConfigurationHead(codec.readVersion(in), codec.readDigest(in), in.readBoolean());
     }
 
-    private void write(FieldWriter out, Report report) {
-        codec.write(out, report.inForce());
+    private void write(FieldWriter out, StatusReport report) {
+        codec.write(out, report.activeVersion());
         codec.write(out, report.digest());
-        out.writeByte(report.refused().map(Enum::ordinal).orElse(NOT_REFUSED));
+        out.writeByte(report.rejectionReason().map(Enum::ordinal).orElse(NO_REJECTION));
     }
 
-    private Report readReport(BoundedReader in, long session) throws MalformedConfigurationException {
-        ConfigurationVersion inForce = codec.readVersion(in);
+    private StatusReport readReport(BoundedReader in, long sessionId) throws MalformedConfigurationException {
+        ConfigurationVersion activeVersion = codec.readVersion(in);
         ConfigurationDigest digest = codec.readDigest(in);
-        byte refused = in.readByte();
-        return new Report(
-                session,
-                inForce,
+        byte rejectionOrdinal = in.readByte();
+        return new StatusReport(
+                sessionId,
+                activeVersion,
                 digest,
-                refused == NOT_REFUSED
+                rejectionOrdinal == NO_REJECTION
                         ? Optional.empty()
-                        : Optional.of(constant(ChangeRefusal.Reason.values(), refused)));
+                        : Optional.of(readConstant(ChangeRejection.Reason.values(), rejectionOrdinal)));
     }
 
-    private Hello readHello(BoundedReader in, long session) throws MalformedConfigurationException {
+    private Hello readHello(BoundedReader in, long sessionId) throws MalformedConfigurationException {
         int formatVersion = in.readInt();
-        String relay = in.readText(RELAY_BYTES);
-        return new Hello(session, relay, formatVersion, codec.readVersion(in));
+        String relay = in.readText(MAX_RELAY_NAME_BYTES);
+        return new Hello(sessionId, relay, formatVersion, codec.readVersion(in));
     }
 
-    private Deltas readDeltas(BoundedReader in, long session) throws MalformedConfigurationException {
-        int count = in.readCount(Integer.MAX_VALUE, codec.leastAgreedBytes());
-        List<AgreedChange> changes = new ArrayList<>();
+    private Deltas readDeltas(BoundedReader in, long sessionId) throws MalformedConfigurationException {
+        int count = in.readCount(Integer.MAX_VALUE, codec.minCommittedChangeBytes());
+        List<CommittedChange> changes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            changes.add(codec.readAgreed(in));
+            changes.add(codec.readCommittedChange(in));
         }
-        return new Deltas(session, changes);
+        return new Deltas(sessionId, changes);
     }
 
     private void write(FieldWriter out, SnapshotChunk chunk) {
@@ -170,15 +171,15 @@
                 .writeBytes(chunk.bytes());
     }
 
-    private SnapshotChunk readChunk(BoundedReader in, long session) throws MalformedConfigurationException {
+    private SnapshotChunk readChunk(BoundedReader in, long sessionId) throws MalformedConfigurationException {
         ConfigurationVersion version = codec.readVersion(in);
         int formatVersion = in.readInt();
         int totalBytes = in.readInt();
         int offset = in.readInt();
-        return new SnapshotChunk(session, version, formatVersion, totalBytes, offset, in.readBytes(mostBytes()));
+        return new SnapshotChunk(sessionId, version, formatVersion, totalBytes, offset, in.readBytes(maxFrameBytes()));
     }
 
-    private static <T> T constant(T[] constants, byte ordinal) throws MalformedConfigurationException {
+    private static <T> T readConstant(T[] constants, byte ordinal) throws MalformedConfigurationException {
         if (ordinal < 0 || ordinal >= constants.length) {
             throw new MalformedConfigurationException("a constant " + ordinal);
         }
--- a/src/main/java/sandstack/configuration/ConfigurationPublisher.java
+++ b/src/main/java/sandstack/configuration/ConfigurationPublisher.java
@@ -9,17 +9,17 @@
 import java.util.TreeMap;
 import sandstack.configuration.ConfigurationMessage.ChunkRequest;
 import sandstack.configuration.ConfigurationMessage.Deltas;
-import sandstack.configuration.ConfigurationMessage.FromFollower;
+import sandstack.configuration.ConfigurationMessage.FollowerMessage;
 import sandstack.configuration.ConfigurationMessage.Goodbye;
 import sandstack.configuration.ConfigurationMessage.Heartbeat;
 import sandstack.configuration.ConfigurationMessage.Hello;
-import sandstack.configuration.ConfigurationMessage.Rejected;
-import sandstack.configuration.ConfigurationMessage.RejectionReason;
 import sandstack.configuration.ConfigurationMessage.RepairRequest;
-import sandstack.configuration.ConfigurationMessage.Report;
+import sandstack.configuration.ConfigurationMessage.SessionRejected;
+import sandstack.configuration.ConfigurationMessage.SessionRejectionReason;
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 import sandstack.configuration.ConfigurationMessage.SnapshotOffer;
 import sandstack.configuration.ConfigurationMessage.SnapshotRequest;
+import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
 /**
@@ -32,38 +32,38 @@
  *
  * <p>One thread. An agreed change and a turn cost O(sessions), a message O(1) beside what it sends.
  */
-public final class ConfigurationPublisher implements AgreedChangeListener {
-    private static final long LINE_INTERVAL = 10_000_000;
+public final class ConfigurationPublisher implements CommittedChangeListener {
+    private static final long LOG_INTERVAL_MICROS = 10_000_000;
     /** A snapshot is encoded no more often than this, in microseconds. */
-    private static final long ENCODE_INTERVAL = 500_000;
+    private static final long MIN_ENCODE_INTERVAL_MICROS = 500_000;
     /** What a relay lacks is sent again no more often than this, in microseconds. */
-    private static final long REPAIR_INTERVAL = 500_000;
+    private static final long MIN_REPAIR_INTERVAL_MICROS = 500_000;
 
     /** One relay that is served. */
     private static final class Session {
         final long id;
         final String relay;
-        final TokenBucket messages;
+        final TokenBucket messageRate;
         /** The last change that was sent, or what the relay said that it has. */
-        ConfigurationVersion sent;
+        ConfigurationVersion sentVersion;
 
-        ConfigurationVersion reported;
-        boolean differs;
-        Optional<ChangeRefusal.Reason> refused = Optional.empty();
-        long heardAt;
-        long repairedAt;
-        long heartbeatAt;
+        ConfigurationVersion reportedVersion;
+        boolean hasDigestMismatch;
+        Optional<ChangeRejection.Reason> rejectionReason = Optional.empty();
+        long lastHeardMicros;
+        long lastRepairMicros;
+        long nextHeartbeatMicros;
         /** The relay has been offered a snapshot and has not said what became of it. */
-        boolean offered;
+        boolean snapshotOffered;
 
-        Session(Hello hello, TokenBucket messages, long now) {
-            this.id = hello.session();
-            this.relay = OneLine.of(hello.relay());
-            this.messages = messages;
-            this.sent = hello.inForce();
-            this.reported = hello.inForce();
-            this.heardAt = now;
-            this.repairedAt = now - REPAIR_INTERVAL;
+        Session(Hello hello, TokenBucket messageRate, long nowMicros) {
+            this.id = hello.sessionId();
+            this.relay = LogText.singleLine(hello.relay());
+            this.messageRate = messageRate;
+            this.sentVersion = hello.activeVersion();
+            this.reportedVersion = hello.activeVersion();
+            this.lastHeardMicros = nowMicros;
+            this.lastRepairMicros = nowMicros - MIN_REPAIR_INTERVAL_MICROS;
         }
     }
 
@@ -74,50 +74,51 @@
      * What is in force at the relays that this machine serves.
      *
      * @param relaysByVersion number of relays for each version
-     * @param relaysRefusing names of relays that refused a later version, with the reason
-     * @param relaysDiffering names of relays that hold another state at the version that is current here
+     * @param relaysRejecting names of relays that refused a later version, with the reason
+     * @param relaysWithDigestMismatch names of relays that hold another state at the version that is current here
      */
     public record Overview(
             ConfigurationHead head,
             Map<ConfigurationVersion, Integer> relaysByVersion,
-            Map<String, ChangeRefusal.Reason> relaysRefusing,
-            List<String> relaysDiffering) {}
+            Map<String, ChangeRejection.Reason> relaysRejecting,
+            List<String> relaysWithDigestMismatch) {}
 
     private final PublisherSettings settings;
     private final ConfigurationCodec codec;
     private final PublisherOutput output;
     private final Map<String, Session> sessions = new LinkedHashMap<>();
-    private final RecentChanges recent;
-    private final TokenBucket hellos;
-    private final TokenBucket snapshotBytes;
-    private final LineLimiter refusalLines;
+    private final RecentChanges recentChanges;
+    private final TokenBucket helloRate;
+    private final TokenBucket snapshotByteRate;
+    private final RateLimitedLog rejectionLog;
     private ConfigurationSnapshot current = ConfigurationSnapshot.EMPTY;
-    private boolean quorum;
-    private EncodedSnapshot encoded;
-    private long encodedAt;
+    private boolean quorumReached;
+    private EncodedSnapshot encodedSnapshot;
+    private long encodedAtMicros;
 
     /** Begins before the first change, without a quorum. */
     public ConfigurationPublisher(
-            PublisherSettings settings, ConfigurationCodec codec, PublisherOutput output, long now) {
+            PublisherSettings settings, ConfigurationCodec codec, PublisherOutput output, long nowMicros) {
         this.settings = settings;
         this.codec = codec;
         this.output = output;
-        this.recent = new RecentChanges(codec, settings.historyChanges(), settings.historyBytes());
-        this.hellos = new TokenBucket(settings.hellosPerSecond(), settings.hellosPerSecond(), now);
-        this.snapshotBytes = new TokenBucket(settings.snapshotBytesPerSecond(), settings.snapshotBytesPerSecond(), now);
-        this.refusalLines = new LineLimiter(output::line, LINE_INTERVAL);
+        this.recentChanges = new RecentChanges(codec, settings.maxHistoryChanges(), settings.maxHistoryBytes());
+        this.helloRate = new TokenBucket(settings.hellosPerSecond(), settings.hellosPerSecond(), nowMicros);
+        this.snapshotByteRate =
+                new TokenBucket(settings.snapshotBytesPerSecond(), settings.snapshotBytesPerSecond(), nowMicros);
+        this.rejectionLog = new RateLimitedLog(output::log, LOG_INTERVAL_MICROS);
     }
 
     /** Whether this machine is in touch with a quorum, as the consensus says. */
-    public void quorum(boolean reached) {
-        quorum = reached;
+    public void setQuorumReached(boolean reached) {
+        quorumReached = reached;
     }
 
     @Override
-    public void agreed(AgreedChange change) {
+    public void committed(CommittedChange change) {
         current = current.apply(change.version(), change.change());
-        recent.add(change);
-        sessions.forEach(this::push);
+        recentChanges.add(change);
+        sessions.forEach(this::sendChanges);
     }
 
     @Override
@@ -126,25 +127,25 @@
             return;
         }
         current = snapshot;
-        recent.clear();
-        encoded = null;
-        sessions.forEach(this::push);
+        recentChanges.clear();
+        encodedSnapshot = null;
+        sessions.forEach(this::sendChanges);
     }
 
     /** A peer said something. */
-    public void received(String peer, FromFollower message, long now) {
+    public void received(String peer, FollowerMessage message, long nowMicros) {
         if (message instanceof Hello hello) {
-            welcome(peer, hello, now);
+            openSession(peer, hello, nowMicros);
             return;
         }
         Session session = sessions.get(peer);
-        if (session == null || session.id != message.session()) {
-            rejectUnknown(peer, message, now);
-        } else if (!session.messages.take(1, now)) {
-            reject(peer, session.id, RejectionReason.FLOOD, session.relay + " sends too much", now);
+        if (session == null || session.id != message.sessionId()) {
+            rejectUnknown(peer, message, nowMicros);
+        } else if (!session.messageRate.tryTake(1, nowMicros)) {
+            reject(peer, session.id, SessionRejectionReason.FLOOD, session.relay + " sends too much", nowMicros);
         } else {
-            session.heardAt = now;
-            handle(peer, session, message, now);
+            session.lastHeardMicros = nowMicros;
+            handle(peer, session, message, nowMicros);
         }
     }
 
@@ -154,186 +155,199 @@
     }
 
     /** Sends the heartbeats that are due and gives up relays that say nothing; a few times a heartbeat. */
-    public void turn(long now) {
+    public void tick(long nowMicros) {
         List<String> silent = new ArrayList<>();
         sessions.forEach((peer, session) -> {
-            if (now - session.heardAt > settings.silence()) {
+            if (nowMicros - session.lastHeardMicros > settings.silenceTimeoutMicros()) {
                 silent.add(peer);
-            } else if (now >= session.heartbeatAt) {
-                session.heartbeatAt = now + settings.heartbeat();
+            } else if (nowMicros >= session.nextHeartbeatMicros) {
+                session.nextHeartbeatMicros = nowMicros + settings.heartbeatIntervalMicros();
                 output.send(peer, new Heartbeat(session.id, head()));
             }
         });
-        silent.forEach(this::end);
+        silent.forEach(this::closeSession);
     }
 
     /** What this machine holds as the latest agreed state. */
     public ConfigurationHead head() {
-        return new ConfigurationHead(current.version(), current.digest(), quorum);
+        return new ConfigurationHead(current.version(), current.digest(), quorumReached);
     }
 
     /** Relays that are served now. */
-    public int sessions() {
+    public int sessionCount() {
         return sessions.size();
     }
 
     /** What is in force at the relays that are served; O(sessions). */
     public Overview overview() {
         Map<ConfigurationVersion, Integer> byVersion = new TreeMap<>();
-        Map<String, ChangeRefusal.Reason> refusing = new TreeMap<>();
-        List<String> differing = new ArrayList<>();
+        Map<String, ChangeRejection.Reason> rejecting = new TreeMap<>();
+        List<String> withDigestMismatch = new ArrayList<>();
         for (Session session : sessions.values()) {
-            byVersion.merge(session.reported, 1, Integer::sum);
-            session.refused.ifPresent(reason -> refusing.put(session.relay, reason));
-            if (session.differs) {
-                differing.add(session.relay);
+            byVersion.merge(session.reportedVersion, 1, Integer::sum);
+            session.rejectionReason.ifPresent(reason -> rejecting.put(session.relay, reason));
+            if (session.hasDigestMismatch) {
+                withDigestMismatch.add(session.relay);
             }
         }
-        return new Overview(head(), byVersion, refusing, differing);
+        return new Overview(head(), byVersion, rejecting, withDigestMismatch);
     }
 
-    private void welcome(String peer, Hello hello, long now) {
+    private void openSession(String peer, Hello hello, long nowMicros) {
         Session before = sessions.remove(peer);
         TokenBucket messages = before != null
-                ? before.messages
-                : new TokenBucket(settings.messagesPerSecond(), settings.messageBurst(), now);
-        if (!messages.take(1, now)) {
-            reject(peer, hello.session(), RejectionReason.FLOOD, "one says hello too often", now);
-        } else if (!hellos.take(1, now)) {
-            reject(peer, hello.session(), RejectionReason.BUSY, "more come at once than are taken", now);
-        } else if (sessions.size() >= settings.mostSessions()) {
-            reject(peer, hello.session(), RejectionReason.FULL, sessions.size() + " are served, the most", now);
+                ? before.messageRate
+                : new TokenBucket(settings.messagesPerSecond(), settings.messageBurst(), nowMicros);
+        if (!messages.tryTake(1, nowMicros)) {
+            reject(peer, hello.sessionId(), SessionRejectionReason.FLOOD, "one says hello too often", nowMicros);
+        } else if (!helloRate.tryTake(1, nowMicros)) {
+            reject(peer, hello.sessionId(), SessionRejectionReason.BUSY, "more come at once than are taken", nowMicros);
+        } else if (sessions.size() >= settings.maxSessions()) {
+            reject(
+                    peer,
+                    hello.sessionId(),
+                    SessionRejectionReason.FULL,
+                    sessions.size() + " are served, the most",
+                    nowMicros);
         } else {
-            Session session = new Session(hello, messages, now);
-            session.heartbeatAt = now + settings.heartbeat();
+            Session session = new Session(hello, messages, nowMicros);
+            session.nextHeartbeatMicros = nowMicros + settings.heartbeatIntervalMicros();
             sessions.put(peer, session);
             output.send(peer, new Welcome(session.id, head()));
-            push(peer, session);
+            sendChanges(peer, session);
         }
     }
 
-    private void handle(String peer, Session session, FromFollower message, long now) {
-        if (message instanceof Report report) {
+    private void handle(String peer, Session session, FollowerMessage message, long nowMicros) {
+        if (message instanceof StatusReport report) {
             handleReport(peer, session, report);
         } else if (message instanceof RepairRequest request) {
-            repair(peer, session, request, now);
+            handleRepairRequest(peer, session, request, nowMicros);
         } else if (message instanceof SnapshotRequest request) {
-            sendSnapshot(peer, session, request.leastIndex(), now);
+            handleSnapshotRequest(peer, session, request.minIndex(), nowMicros);
         } else if (message instanceof ChunkRequest request) {
-            sendChunk(peer, session, request, now);
+            handleChunkRequest(peer, session, request, nowMicros);
         } else if (message instanceof Goodbye) {
-            end(peer);
+            closeSession(peer);
         }
     }
 
-    private void repair(String peer, Session session, RepairRequest request, long now) {
-        if (now - session.repairedAt < REPAIR_INTERVAL) {
+    private void handleRepairRequest(String peer, Session session, RepairRequest request, long nowMicros) {
+        if (nowMicros - session.lastRepairMicros < MIN_REPAIR_INTERVAL_MICROS) {
             return;
         }
-        session.repairedAt = now;
-        session.sent = request.inForce();
-        session.reported = request.inForce();
-        session.offered = false;
-        push(peer, session);
+        session.lastRepairMicros = nowMicros;
+        session.sentVersion = request.activeVersion();
+        session.reportedVersion = request.activeVersion();
+        session.snapshotOffered = false;
+        sendChanges(peer, session);
     }
 
-    private void handleReport(String peer, Session session, Report report) {
-        session.reported = report.inForce();
-        session.differs =
-                report.inForce().equals(current.version()) && !report.digest().equals(current.digest());
-        session.refused = report.refused();
-        if (report.inForce().index() > session.sent.index()) {
-            session.sent = report.inForce();
-            session.offered = false;
+    private void handleReport(String peer, Session session, StatusReport report) {
+        session.reportedVersion = report.activeVersion();
+        session.hasDigestMismatch = report.activeVersion().equals(current.version())
+                && !report.digest().equals(current.digest());
+        session.rejectionReason = report.rejectionReason();
+        if (report.activeVersion().index() > session.sentVersion.index()) {
+            session.sentVersion = report.activeVersion();
+            session.snapshotOffered = false;
         }
-        if (report.refused().isEmpty()) {
-            push(peer, session);
+        if (report.rejectionReason().isEmpty()) {
+            sendChanges(peer, session);
         }
     }
 
     /** Sends the next batch of what the relay lacks, as far as it has taken what was sent before. */
-    private void push(String peer, Session session) {
-        long underWay = session.sent.index() - session.reported.index();
-        if (session.sent.index() >= current.version().index() || underWay >= settings.window()) {
+    private void sendChanges(String peer, Session session) {
+        long inFlight = session.sentVersion.index() - session.reportedVersion.index();
+        if (session.sentVersion.index() >= current.version().index() || inFlight >= settings.windowChanges()) {
             return;
         }
-        int room = (int) (settings.window() - underWay);
-        Optional<List<AgreedChange>> changes = recent.after(session.sent, room, settings.batchBytes());
+        int headroom = (int) (settings.windowChanges() - inFlight);
+        Optional<List<CommittedChange>> changes =
+                recentChanges.changesAfter(session.sentVersion, headroom, settings.maxBatchBytes());
         if (changes.isEmpty()) {
             offerSnapshot(peer, session);
         } else if (output.send(peer, new Deltas(session.id, changes.get()))) {
-            session.sent = changes.get().get(changes.get().size() - 1).version();
+            session.sentVersion = changes.get().get(changes.get().size() - 1).version();
         }
     }
 
     private void offerSnapshot(String peer, Session session) {
-        if (!session.offered) {
-            session.offered =
+        if (!session.snapshotOffered) {
+            session.snapshotOffered =
                     output.send(peer, new SnapshotOffer(session.id, current.version(), current.formatVersion()));
         }
     }
 
-    private void sendSnapshot(String peer, Session session, long leastIndex, long now) {
-        if (current.version().index() < leastIndex) {
+    private void handleSnapshotRequest(String peer, Session session, long minIndex, long nowMicros) {
+        if (current.version().index() < minIndex) {
             return;
         }
-        refreshEncoded(leastIndex, now);
-        if (encoded != null && encoded.version().index() >= leastIndex) {
-            sendPart(peer, session, 0, now);
+        refreshEncoded(minIndex, nowMicros);
+        if (encodedSnapshot != null && encodedSnapshot.version().index() >= minIndex) {
+            sendChunkAt(peer, session, 0, nowMicros);
         }
     }
 
-    private void sendChunk(String peer, Session session, ChunkRequest request, long now) {
-        if (encoded == null || !encoded.version().equals(request.version())) {
-            sendSnapshot(peer, session, request.version().index(), now);
-        } else if (request.offset() >= 0 && request.offset() < encoded.bytes().length) {
-            sendPart(peer, session, request.offset(), now);
+    private void handleChunkRequest(String peer, Session session, ChunkRequest request, long nowMicros) {
+        if (encodedSnapshot == null || !encodedSnapshot.version().equals(request.version())) {
+            handleSnapshotRequest(peer, session, request.version().index(), nowMicros);
+        } else if (request.offset() >= 0 && request.offset() < encodedSnapshot.bytes().length) {
+            sendChunkAt(peer, session, request.offset(), nowMicros);
         }
     }
 
     /** Keeps one encoded snapshot as long as the history goes on from it, so that a slow relay finds the next part. */
-    private void refreshEncoded(long leastIndex, long now) {
-        if (encoded != null) {
-            boolean current = encoded.version().equals(this.current.version());
-            boolean young = this.current.version().index() - encoded.version().index() < settings.snapshotAge()
-                    && recent.goesOnFrom(encoded.version());
-            boolean late = encoded.version().index() >= leastIndex;
-            if (current || young && late || now - encodedAt < ENCODE_INTERVAL) {
+    private void refreshEncoded(long minIndex, long nowMicros) {
+        if (encodedSnapshot != null) {
+            boolean current = encodedSnapshot.version().equals(this.current.version());
+            boolean young =
+                    this.current.version().index() - encodedSnapshot.version().index()
+                                    < settings.maxSnapshotLagChanges()
+                            && recentChanges.continuesFrom(encodedSnapshot.version());
+            boolean late = encodedSnapshot.version().index() >= minIndex;
+            if (current || young && late || nowMicros - encodedAtMicros < MIN_ENCODE_INTERVAL_MICROS) {
                 return;
             }
         }
-        encoded = new EncodedSnapshot(current.version(), current.formatVersion(), codec.encode(current));
-        encodedAt = now;
+        encodedSnapshot = new EncodedSnapshot(current.version(), current.formatVersion(), codec.encode(current));
+        encodedAtMicros = nowMicros;
     }
 
-    private void sendPart(String peer, Session session, int offset, long now) {
-        int length = Math.min(settings.chunkBytes(), encoded.bytes().length - offset);
-        if (!snapshotBytes.take(length, now)) {
+    private void sendChunkAt(String peer, Session session, int offset, long nowMicros) {
+        int length = Math.min(settings.maxChunkBytes(), encodedSnapshot.bytes().length - offset);
+        if (!snapshotByteRate.tryTake(length, nowMicros)) {
             return;
         }
-        byte[] part = Arrays.copyOfRange(encoded.bytes(), offset, offset + length);
+        byte[] part = Arrays.copyOfRange(encodedSnapshot.bytes(), offset, offset + length);
         output.send(
                 peer,
                 new SnapshotChunk(
-                        session.id, encoded.version(), encoded.formatVersion(), encoded.bytes().length, offset, part));
+                        session.id,
+                        encodedSnapshot.version(),
+                        encodedSnapshot.formatVersion(),
+                        encodedSnapshot.bytes().length,
+                        offset,
+                        part));
     }
 
-    private void rejectUnknown(String peer, FromFollower message, long now) {
-        if (!(message instanceof Goodbye) && hellos.take(1, now)) {
-            output.send(peer, new Rejected(message.session(), RejectionReason.UNKNOWN_SESSION));
+    private void rejectUnknown(String peer, FollowerMessage message, long nowMicros) {
+        if (!(message instanceof Goodbye) && helloRate.tryTake(1, nowMicros)) {
+            output.send(peer, new SessionRejected(message.sessionId(), SessionRejectionReason.UNKNOWN_SESSION));
         }
         if (!sessions.containsKey(peer)) {
             output.close(peer);
         }
     }
 
-    private void reject(String peer, long session, RejectionReason reason, String why, long now) {
-        output.send(peer, new Rejected(session, reason));
-        end(peer);
-        refusalLines.line("a relay is turned away: " + why, now);
+    private void reject(String peer, long session, SessionRejectionReason reason, String detail, long nowMicros) {
+        output.send(peer, new SessionRejected(session, reason));
+        closeSession(peer);
+        rejectionLog.log("a relay is turned away: " + detail, nowMicros);
     }
 
-    private void end(String peer) {
+    private void closeSession(String peer) {
         sessions.remove(peer);
         output.close(peer);
     }
--- a/src/main/java/sandstack/configuration/ConfigurationSize.java
+++ b/src/main/java/sandstack/configuration/ConfigurationSize.java
@@ -24,6 +24,6 @@
 
     /** Bytes of an entry with what is counted for each. */
     static long ofEntry(String key, String value, ConfigurationLimits limits) {
-        return ofText(key) + ofText(value) + limits.entryBytes();
+        return ofText(key) + ofText(value) + limits.entryOverheadBytes();
     }
 }
--- a/src/main/java/sandstack/configuration/ConfigurationSnapshot.java
+++ b/src/main/java/sandstack/configuration/ConfigurationSnapshot.java
@@ -54,7 +54,7 @@
     }
 
     /** Whether the entries still are what the digest was made of; reads them all. */
-    public boolean matchesItsDigest() {
+    public boolean matchesDigest() {
         return ConfigurationDigest.of(entries).equals(digest);
     }
 
@@ -65,9 +65,9 @@
      * @throws IllegalArgumentException where the change is based on another version, or the next version does not follow
      */
     public ConfigurationSnapshot apply(ConfigurationVersion next, ConfigurationChange change) {
-        if (!change.basedOn().equals(version) || !next.follows(version)) {
+        if (!change.baseVersion().equals(version) || !next.follows(version)) {
             throw new IllegalArgumentException(
-                    "a change " + next + " based on " + change.basedOn() + " cannot be applied to " + version);
+                    "a change " + next + " based on " + change.baseVersion() + " cannot be applied to " + version);
         }
         Map<String, String> changed = new HashMap<>(entries);
         ConfigurationDigest changedDigest = digest;
--- a/src/main/java/sandstack/configuration/ConfigurationStore.java
+++ b/src/main/java/sandstack/configuration/ConfigurationStore.java
@@ -7,7 +7,7 @@
     /** What a store holds, not yet verified. */
     sealed interface Loaded {
         /** Nothing was ever stored. */
-        record Nothing() implements Loaded {}
+        record Absent() implements Loaded {}
 
         /** Something is there and cannot be read. */
         record Unreadable(String problem) implements Loaded {}
@@ -29,7 +29,7 @@
      *
      * @throws ConfigurationStoreException where it may not be kept
      */
-    void apply(AgreedChange change, ConfigurationSnapshot after) throws ConfigurationStoreException;
+    void apply(CommittedChange change, ConfigurationSnapshot after) throws ConfigurationStoreException;
 
     /**
      * Keeps a whole state in place of what was there.
--- a/src/main/java/sandstack/configuration/ConfigurationVersion.java
+++ b/src/main/java/sandstack/configuration/ConfigurationVersion.java
@@ -20,8 +20,8 @@
     }
 
     /** The version of the change that is agreed next, in this term or a later one. */
-    public ConfigurationVersion next(long agreedIn) {
-        return new ConfigurationVersion(Math.max(term, agreedIn), index + 1);
+    public ConfigurationVersion next(long commitTerm) {
+        return new ConfigurationVersion(Math.max(term, commitTerm), index + 1);
     }
 
     /** Whether a change with this version can come directly after the other. */
@@ -35,7 +35,7 @@
     }
 
     /** Whether no single history holds both this and the other. */
-    public boolean contradicts(ConfigurationVersion other) {
+    public boolean divergesFrom(ConfigurationVersion other) {
         return index == other.index ? term != other.term : index > other.index ? term < other.term : term > other.term;
     }
 
--- a/src/main/java/sandstack/configuration/ControlMachine.java
+++ b/src/main/java/sandstack/configuration/ControlMachine.java
@@ -21,7 +21,7 @@
      * The order in which a relay asks machines: those of its region first, and in each part by rendezvous hashing
      * (highest random weight), so that relays spread evenly and those of a machine that dies spread over all others.
      */
-    static List<ControlMachine> inOrderFor(RelayIdentity relay, List<ControlMachine> machines) {
+    static List<ControlMachine> inPreferenceOrder(RelayIdentity relay, List<ControlMachine> machines) {
         return machines.stream()
                 .sorted(Comparator.comparing((ControlMachine machine) -> !machine.region.equals(relay.region()))
                         .thenComparing(machine ->
--- a/src/main/java/sandstack/configuration/ControlSession.java
+++ b/src/main/java/sandstack/configuration/ControlSession.java
@@ -11,64 +11,65 @@
  */
 final class ControlSession {
     /** A turn that comes this much later than the one before was slept through, in microseconds. */
-    private static final long SLEPT = 2_000_000;
+    private static final long MIN_PAUSE_MICROS = 2_000_000;
 
     /** A connection with one machine. */
     private static final class Link {
         final String machine;
         final long id;
         ConfigurationHead head;
-        long heardAt;
-        long since;
+        long lastHeardMicros;
+        long openedMicros;
 
-        Link(String machine, long id, long now) {
+        Link(String machine, long id, long nowMicros) {
             this.machine = machine;
             this.id = id;
-            this.heardAt = now;
-            this.since = now;
+            this.lastHeardMicros = nowMicros;
+            this.openedMicros = nowMicros;
         }
     }
 
     private final FollowerSettings settings;
     private final String relay;
-    private final List<ControlMachine> order;
+    private final List<ControlMachine> machines;
     private final FollowerOutput output;
     private final RandomGenerator random;
-    private final ReconnectBackOff backOff;
+    private final ReconnectBackoff backoff;
     private Link session;
     private Link attempt;
-    private int nextCandidate;
-    private long attemptAt;
-    private long returnAt;
+    private int nextCandidateIndex;
+    private long nextAttemptMicros;
+    private long failbackMicros;
     /** Since when the session's machine lacks a quorum or is behind; only while it does. */
-    private long unsatisfiedSince;
+    private long unsatisfiedSinceMicros;
 
     private boolean satisfied;
-    private long lastTurn;
+    private long lastTickMicros;
 
     ControlSession(
             FollowerSettings settings,
             String relay,
-            List<ControlMachine> order,
+            List<ControlMachine> machines,
             FollowerOutput output,
             RandomGenerator random,
-            long now) {
+            long nowMicros) {
         this.settings = settings;
         this.relay = relay;
-        this.order = List.copyOf(order);
+        this.machines = List.copyOf(machines);
         this.output = output;
         this.random = random;
-        this.backOff = new ReconnectBackOff(settings.slot(), settings.mostDoublings(), random, now);
-        this.attemptAt = backOff.first(now);
-        this.lastTurn = now;
+        this.backoff =
+                new ReconnectBackoff(settings.backoffSlotMicros(), settings.maxBackoffDoublings(), random, nowMicros);
+        this.nextAttemptMicros = backoff.firstAttemptMicros(nowMicros);
+        this.lastTickMicros = nowMicros;
     }
 
     /** Whether a message of this session comes from the machine that is followed. */
-    boolean isCurrent(String machine, long id) {
+    boolean isCurrentSession(String machine, long id) {
         return session != null && session.id == id && session.machine.equals(machine);
     }
 
-    boolean isAttempt(String machine, long id) {
+    boolean isCurrentAttempt(String machine, long id) {
         return attempt != null && attempt.id == id && attempt.machine.equals(machine);
     }
 
@@ -86,33 +87,33 @@
         return session == null ? null : session.head;
     }
 
-    long id() {
+    long sessionId() {
         return session.id;
     }
 
     /** The machine that is followed said something. */
-    void heard(long now) {
-        session.heardAt = now;
+    void heard(long nowMicros) {
+        session.lastHeardMicros = nowMicros;
     }
 
     /** The machine that is followed said what it holds. */
-    void heard(ConfigurationHead head, ConfigurationVersion inForce, long now) {
-        session.heardAt = now;
+    void heard(ConfigurationHead head, ConfigurationVersion activeVersion, long nowMicros) {
+        session.lastHeardMicros = nowMicros;
         session.head = head;
-        boolean satisfies = satisfies(head, inForce);
+        boolean satisfies = satisfies(head, activeVersion);
         if (satisfied && !satisfies) {
-            unsatisfiedSince = now;
+            unsatisfiedSinceMicros = nowMicros;
             // all relays of a machine hear of it at once; they are not to ask the others at once
-            attemptAt = now + settings.grace() + backOff.drawWidest();
+            nextAttemptMicros = nowMicros + settings.unsatisfiedGraceMicros() + backoff.randomMaxDelayMicros();
         }
         satisfied = satisfies;
     }
 
     /** The machine that was asked takes this relay; returns whether it is followed now. */
-    boolean welcomed(ConfigurationHead head, ConfigurationVersion inForce, long now) {
-        if (session != null && !isBetter(head, inForce)) {
+    boolean welcomed(ConfigurationHead head, ConfigurationVersion activeVersion, long nowMicros) {
+        if (session != null && !isBetter(head, activeVersion)) {
             output.send(attempt.machine, new Goodbye(attempt.id));
-            attemptFailed(now);
+            attemptFailed(nowMicros);
             return false;
         }
         if (session != null) {
@@ -121,128 +122,130 @@
         }
         session = attempt;
         attempt = null;
-        session.since = now;
+        session.openedMicros = nowMicros;
         satisfied = true;
-        attemptAt = now;
-        heard(head, inForce, now);
-        drawReturn(now);
+        nextAttemptMicros = nowMicros;
+        heard(head, activeVersion, nowMicros);
+        scheduleFailback(nowMicros);
         return true;
     }
 
     /** The machine that was asked does not take this relay, or is not reached. */
-    void attemptFailed(long now) {
+    void attemptFailed(long nowMicros) {
         output.close(attempt.machine);
         attempt = null;
-        attemptAt = backOff.next(now);
-        drawReturn(now);
+        nextAttemptMicros = backoff.nextAttemptMicros(nowMicros);
+        scheduleFailback(nowMicros);
     }
 
     /** The session is over: another machine is asked at a drawn moment. */
-    void lost(long now) {
+    void lost(long nowMicros) {
         output.close(session.machine);
-        nextCandidate = position(session.machine) + 1;
+        nextCandidateIndex = preferenceOf(session.machine) + 1;
         session = null;
         if (attempt == null) {
-            attemptAt = backOff.next(now);
+            nextAttemptMicros = backoff.nextAttemptMicros(nowMicros);
         }
     }
 
     /** The connection with a machine is gone; returns whether it was the session's. */
-    boolean disconnected(String machine, long now) {
+    boolean disconnected(String machine, long nowMicros) {
         if (attempt != null && attempt.machine.equals(machine)) {
-            attemptFailed(now);
+            attemptFailed(nowMicros);
         }
         boolean current = session != null && session.machine.equals(machine);
         if (current) {
-            lost(now);
+            lost(nowMicros);
         }
         return current;
     }
 
     /** Whether this process stood still since the last turn; nobody is blamed for what it missed then. */
-    boolean slept(long now) {
-        boolean slept = now - lastTurn >= SLEPT;
-        lastTurn = now;
-        if (slept && session != null) {
-            session.heardAt = now;
+    boolean detectPause(long nowMicros) {
+        boolean paused = nowMicros - lastTickMicros >= MIN_PAUSE_MICROS;
+        lastTickMicros = nowMicros;
+        if (paused && session != null) {
+            session.lastHeardMicros = nowMicros;
         }
-        if (slept && attempt != null) {
-            attempt.heardAt = now;
+        if (paused && attempt != null) {
+            attempt.lastHeardMicros = nowMicros;
         }
-        return slept;
+        return paused;
     }
 
     /** Gives up who is silent and asks where it is time to; returns whether the session was given up. */
-    boolean turn(ConfigurationVersion inForce, long now) {
-        if (attempt != null && now - attempt.heardAt >= settings.attemptTimeout()) {
-            attemptFailed(now);
+    boolean tick(ConfigurationVersion activeVersion, long nowMicros) {
+        if (attempt != null && nowMicros - attempt.lastHeardMicros >= settings.attemptTimeoutMicros()) {
+            attemptFailed(nowMicros);
         }
-        boolean silent = session != null && now - session.heardAt >= settings.silence();
+        boolean silent = session != null && nowMicros - session.lastHeardMicros >= settings.silenceTimeoutMicros();
         if (silent) {
-            lost(now);
+            lost(nowMicros);
         }
-        if (session != null && satisfied && now - session.since >= settings.stable()) {
-            backOff.clear();
+        if (session != null && satisfied && nowMicros - session.openedMicros >= settings.stableSessionMicros()) {
+            backoff.reset();
         }
-        if (attempt == null && now >= attemptAt && wantsAnother(now)) {
-            ask(inForce, now);
+        if (attempt == null && nowMicros >= nextAttemptMicros && wantsAnother(nowMicros)) {
+            sendHello(activeVersion, nowMicros);
         }
         return silent;
     }
 
-    private boolean wantsAnother(long now) {
-        return session == null || !satisfied && now - unsatisfiedSince >= settings.grace() || wantsReturn(now);
+    private boolean wantsAnother(long nowMicros) {
+        return session == null
+                || !satisfied && nowMicros - unsatisfiedSinceMicros >= settings.unsatisfiedGraceMicros()
+                || wantsFailback(nowMicros);
     }
 
-    private boolean wantsReturn(long now) {
-        return session != null && satisfied && now >= returnAt && position(session.machine) > 0;
+    private boolean wantsFailback(long nowMicros) {
+        return session != null && satisfied && nowMicros >= failbackMicros && preferenceOf(session.machine) > 0;
     }
 
-    private void ask(ConfigurationVersion inForce, long now) {
-        if (wantsReturn(now)) {
-            nextCandidate = 0;
+    private void sendHello(ConfigurationVersion activeVersion, long nowMicros) {
+        if (wantsFailback(nowMicros)) {
+            nextCandidateIndex = 0;
         }
-        ControlMachine candidate = candidate();
+        ControlMachine candidate = nextCandidate();
         if (session != null && candidate.name().equals(session.machine)) {
-            candidate = candidate();
+            candidate = nextCandidate();
         }
         if (session != null && candidate.name().equals(session.machine)) {
             // there is no other machine
-            attemptAt = backOff.next(now);
+            nextAttemptMicros = backoff.nextAttemptMicros(nowMicros);
             return;
         }
-        attempt = new Link(candidate.name(), random.nextLong(), now);
-        output.send(candidate.name(), new Hello(attempt.id, relay, ConfigurationChange.FORMAT_VERSION, inForce));
+        attempt = new Link(candidate.name(), random.nextLong(), nowMicros);
+        output.send(candidate.name(), new Hello(attempt.id, relay, ConfigurationChange.FORMAT_VERSION, activeVersion));
     }
 
-    private ControlMachine candidate() {
-        ControlMachine candidate = order.get(nextCandidate % order.size());
-        nextCandidate = (nextCandidate + 1) % order.size();
+    private ControlMachine nextCandidate() {
+        ControlMachine candidate = machines.get(nextCandidateIndex % machines.size());
+        nextCandidateIndex = (nextCandidateIndex + 1) % machines.size();
         return candidate;
     }
 
-    private boolean isBetter(ConfigurationHead head, ConfigurationVersion inForce) {
+    private boolean isBetter(ConfigurationHead head, ConfigurationVersion activeVersion) {
         if (satisfied) {
-            return satisfies(head, inForce) && position(attempt.machine) < position(session.machine);
+            return satisfies(head, activeVersion) && preferenceOf(attempt.machine) < preferenceOf(session.machine);
         }
-        return satisfies(head, inForce)
-                || !session.head.quorum() && head.version().isAfter(session.head.version());
+        return satisfies(head, activeVersion)
+                || !session.head.hasQuorum() && head.version().isAfter(session.head.version());
     }
 
-    private static boolean satisfies(ConfigurationHead head, ConfigurationVersion inForce) {
-        return head.quorum() && head.version().index() >= inForce.index();
+    private static boolean satisfies(ConfigurationHead head, ConfigurationVersion activeVersion) {
+        return head.hasQuorum() && head.version().index() >= activeVersion.index();
     }
 
-    private int position(String machine) {
-        for (int i = 0; i < order.size(); i++) {
-            if (order.get(i).name().equals(machine)) {
+    private int preferenceOf(String machine) {
+        for (int i = 0; i < machines.size(); i++) {
+            if (machines.get(i).name().equals(machine)) {
                 return i;
             }
         }
         return 0;
     }
 
-    private void drawReturn(long now) {
-        returnAt = now + settings.returnSpan() / 4 + random.nextLong(settings.returnSpan());
+    private void scheduleFailback(long nowMicros) {
+        failbackMicros = nowMicros + settings.failbackSpanMicros() / 4 + random.nextLong(settings.failbackSpanMicros());
     }
 }
--- /dev/null
+++ b/src/main/java/sandstack/configuration/LogText.java
@@ -0,0 +1,13 @@
+package sandstack.configuration;
+
+/** Makes what came from elsewhere fit for one bounded line of a log. */
+final class LogText {
+    private static final int MAX_CHARACTERS = 200;
+
+    private LogText() {}
+
+    static String singleLine(String text) {
+        String bounded = text.length() <= MAX_CHARACTERS ? text : text.substring(0, MAX_CHARACTERS) + "...";
+        return bounded.replaceAll("[\\p{Cntrl}\\u0085\\u2028\\u2029]", " ");
+    }
+}
--- a/src/main/java/sandstack/configuration/MalformedConfigurationException.java
+++ b/src/main/java/sandstack/configuration/MalformedConfigurationException.java
@@ -14,7 +14,7 @@
     }
 
     /** As a refusal. */
-    public ChangeRefusal refusal() {
-        return new ChangeRefusal(ChangeRefusal.Reason.MALFORMED, getMessage());
+    public ChangeRejection toRejection() {
+        return new ChangeRejection(ChangeRejection.Reason.MALFORMED, getMessage());
     }
 }
--- a/src/main/java/sandstack/configuration/RecentChanges.java
+++ b/src/main/java/sandstack/configuration/RecentChanges.java
@@ -8,32 +8,32 @@
 /** The latest agreed changes, bounded by number and bytes, without a gap. One thread. */
 final class RecentChanges {
     /** A change with the size of its encoded form. */
-    private record Kept(AgreedChange change, int bytes) {}
+    private record Entry(CommittedChange change, int bytes) {}
 
     private final ConfigurationCodec codec;
-    private final int mostChanges;
-    private final long mostBytes;
-    private final TreeMap<Long, Kept> byIndex = new TreeMap<>();
+    private final int maxChanges;
+    private final long maxBytes;
+    private final TreeMap<Long, Entry> byIndex = new TreeMap<>();
     private long bytes;
 
-    RecentChanges(ConfigurationCodec codec, int mostChanges, long mostBytes) {
+    RecentChanges(ConfigurationCodec codec, int maxChanges, long maxBytes) {
         this.codec = codec;
-        this.mostChanges = mostChanges;
-        this.mostBytes = mostBytes;
+        this.maxChanges = maxChanges;
+        this.maxBytes = maxBytes;
     }
 
     /** The next change; forgets the oldest where there are too many. */
-    void add(AgreedChange change) {
+    void add(CommittedChange change) {
         if (!byIndex.isEmpty()
                 && !change.change()
-                        .basedOn()
+                        .baseVersion()
                         .equals(byIndex.lastEntry().getValue().change().version())) {
             clear();
         }
-        Kept kept = new Kept(change, codec.encode(change).length);
-        byIndex.put(change.version().index(), kept);
-        bytes += kept.bytes;
-        while (byIndex.size() > mostChanges || bytes > mostBytes) {
+        Entry entry = new Entry(change, codec.encode(change).length);
+        byIndex.put(change.version().index(), entry);
+        bytes += entry.bytes;
+        while (byIndex.size() > maxChanges || bytes > maxBytes) {
             bytes -= byIndex.pollFirstEntry().getValue().bytes;
         }
     }
@@ -44,24 +44,24 @@
     }
 
     /** Whether all changes after a version are here. */
-    boolean goesOnFrom(ConfigurationVersion version) {
-        Kept next = byIndex.get(version.index() + 1);
-        return next != null && next.change().change().basedOn().equals(version);
+    boolean continuesFrom(ConfigurationVersion version) {
+        Entry next = byIndex.get(version.index() + 1);
+        return next != null && next.change().change().baseVersion().equals(version);
     }
 
     /** The changes after a version, at least one and no more than so many bytes; empty where they are not here. */
-    Optional<List<AgreedChange>> after(ConfigurationVersion version, int most, int atMostBytes) {
-        if (!goesOnFrom(version)) {
+    Optional<List<CommittedChange>> changesAfter(ConfigurationVersion version, int maxCount, int maxBatchBytes) {
+        if (!continuesFrom(version)) {
             return Optional.empty();
         }
-        List<AgreedChange> changes = new ArrayList<>();
-        long taken = 0;
-        for (Kept kept : byIndex.tailMap(version.index(), false).values()) {
-            taken += kept.bytes;
-            if (!changes.isEmpty() && (taken > atMostBytes || changes.size() >= most)) {
+        List<CommittedChange> changes = new ArrayList<>();
+        long batchBytes = 0;
+        for (Entry entry : byIndex.tailMap(version.index(), false).values()) {
+            batchBytes += entry.bytes;
+            if (!changes.isEmpty() && (batchBytes > maxBatchBytes || changes.size() >= maxCount)) {
                 break;
             }
-            changes.add(kept.change());
+            changes.add(entry.change());
         }
         return Optional.of(changes);
     }
--- a/src/main/java/sandstack/configuration/SnapshotDownload.java
+++ b/src/main/java/sandstack/configuration/SnapshotDownload.java
@@ -6,18 +6,18 @@
 /** Parts of one encoded snapshot, in order. Bounded by the size that was accepted with the first part. One thread. */
 final class SnapshotDownload {
     /** Times that the next part is asked for again before the download is given up. */
-    private static final int MOST_RETRIES = 8;
+    private static final int MAX_RETRIES = 8;
 
     private final ConfigurationVersion version;
     private final int totalBytes;
     private final ByteArrayOutputStream received = new ByteArrayOutputStream();
-    private long waitingSince;
+    private long waitingSinceMicros;
     private int retries;
 
-    SnapshotDownload(SnapshotChunk first, long now) {
+    SnapshotDownload(SnapshotChunk first, long nowMicros) {
         this.version = first.version();
         this.totalBytes = first.totalBytes();
-        this.waitingSince = now;
+        this.waitingSinceMicros = nowMicros;
     }
 
     ConfigurationVersion version() {
@@ -29,18 +29,18 @@
     }
 
     /** Whether the part is the next one and was taken. */
-    boolean take(SnapshotChunk chunk, long now) {
-        boolean next = chunk.version().equals(version)
+    boolean accept(SnapshotChunk chunk, long nowMicros) {
+        boolean isNext = chunk.version().equals(version)
                 && chunk.totalBytes() == totalBytes
                 && chunk.offset() == received.size()
                 && chunk.bytes().length > 0
                 && chunk.bytes().length <= totalBytes - received.size();
-        if (next) {
+        if (isNext) {
             received.writeBytes(chunk.bytes());
-            waitingSince = now;
+            waitingSinceMicros = nowMicros;
             retries = 0;
         }
-        return next;
+        return isNext;
     }
 
     boolean isComplete() {
@@ -52,16 +52,16 @@
     }
 
     /** Whether the next part is to be asked for again now. */
-    boolean retries(long now, long timeout) {
-        if (now - waitingSince < timeout) {
+    boolean retryIsDue(long nowMicros, long retryTimeoutMicros) {
+        if (nowMicros - waitingSinceMicros < retryTimeoutMicros) {
             return false;
         }
-        waitingSince = now;
+        waitingSinceMicros = nowMicros;
         retries++;
         return true;
     }
 
-    boolean isHopeless() {
-        return retries > MOST_RETRIES;
+    boolean isExhausted() {
+        return retries > MAX_RETRIES;
     }
 }
--- a/src/main/java/sandstack/configuration/TokenBucket.java
+++ b/src/main/java/sandstack/configuration/TokenBucket.java
@@ -2,25 +2,26 @@
 
 /** Allows so much a second on average and a burst at once. One thread; O(1). */
 final class TokenBucket {
-    private static final double SECOND = 1_000_000;
+    private static final double MICROS_PER_SECOND = 1_000_000;
 
-    private final double perSecond;
-    private final double burst;
+    private final double tokensPerSecond;
+    private final double capacity;
     private double tokens;
-    private long at;
+    private long refilledMicros;
 
-    TokenBucket(double perSecond, double burst, long now) {
-        this.perSecond = perSecond;
-        this.burst = burst;
-        this.tokens = burst;
-        this.at = now;
+    TokenBucket(double tokensPerSecond, double capacity, long nowMicros) {
+        this.tokensPerSecond = tokensPerSecond;
+        this.capacity = capacity;
+        this.tokens = capacity;
+        this.refilledMicros = nowMicros;
     }
 
     /** Takes so much where it is there; more than a burst is taken from a full bucket, and pays later. */
-    boolean take(double amount, long now) {
-        tokens = Math.min(burst, tokens + Math.max(0, now - at) / SECOND * perSecond);
-        at = Math.max(at, now);
-        if (tokens < Math.min(amount, burst)) {
+    boolean tryTake(double amount, long nowMicros) {
+        tokens = Math.min(
+                capacity, tokens + Math.max(0, nowMicros - refilledMicros) / MICROS_PER_SECOND * tokensPerSecond);
+        refilledMicros = Math.max(refilledMicros, nowMicros);
+        if (tokens < Math.min(amount, capacity)) {
             return false;
         }
         tokens -= amount;
--- a/src/main/java/sandstack/configuration/consensus/AgreedProposals.java
+++ b/src/main/java/sandstack/configuration/consensus/CommittedProposals.java
@@ -13,24 +13,24 @@
  * The last proposals that were agreed on, by id, so that an attempt repeated is answered with the version of the first.
  * The oldest are forgotten; a repetition of such a one is refused, as its base is no longer current.
  */
-final class AgreedProposals {
-    private static final int ENTRY_BYTES = 4 * Long.BYTES;
+final class CommittedProposals {
+    private static final int ENCODED_PROPOSAL_BYTES = 4 * Long.BYTES;
 
-    private final int most;
-    private final Map<ChangeId, ConfigurationVersion> versions = new LinkedHashMap<>();
+    private final int capacity;
+    private final Map<IdempotencyKey, ConfigurationVersion> versions = new LinkedHashMap<>();
 
-    AgreedProposals(int most) {
-        this.most = most;
+    CommittedProposals(int capacity) {
+        this.capacity = capacity;
     }
 
-    Optional<ConfigurationVersion> versionOf(ChangeId id) {
-        return Optional.ofNullable(versions.get(id));
+    Optional<ConfigurationVersion> committedVersionOf(IdempotencyKey key) {
+        return Optional.ofNullable(versions.get(key));
     }
 
-    void add(ChangeId id, ConfigurationVersion version) {
-        versions.put(id, version);
-        Iterator<ChangeId> oldest = versions.keySet().iterator();
-        while (versions.size() > most) {
+    void add(IdempotencyKey key, ConfigurationVersion version) {
+        versions.put(key, version);
+        Iterator<IdempotencyKey> oldest = versions.keySet().iterator();
+        while (versions.size() > capacity) {
             oldest.next();
             oldest.remove();
         }
@@ -39,19 +39,19 @@
     /** Writes them in the order in which they were agreed on. */
     void write(FieldWriter out) {
         out.writeInt(versions.size());
-        versions.forEach((id, version) -> out.writeLong(id.high())
-                .writeLong(id.low())
+        versions.forEach((key, version) -> out.writeLong(key.high())
+                .writeLong(key.low())
                 .writeLong(version.term())
                 .writeLong(version.index()));
     }
 
     /** Replaces them by those that were written. */
     void read(BoundedReader in) throws MalformedConfigurationException {
-        int count = in.readCount(most, ENTRY_BYTES);
+        int count = in.readCount(capacity, ENCODED_PROPOSAL_BYTES);
         versions.clear();
         for (int i = 0; i < count; i++) {
-            ChangeId id = new ChangeId(in.readLong(), in.readLong());
-            versions.put(id, readVersion(in));
+            IdempotencyKey key = new IdempotencyKey(in.readLong(), in.readLong());
+            versions.put(key, readVersion(in));
         }
     }
 
--- a/src/main/java/sandstack/configuration/consensus/ConfigurationStateMachine.java
+++ b/src/main/java/sandstack/configuration/consensus/ConfigurationStateMachine.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import sandstack.configuration.AgreedChangeListener;
 import sandstack.configuration.BoundedReader;
-import sandstack.configuration.ChangeRefusal;
+import sandstack.configuration.ChangeRejection;
 import sandstack.configuration.ChangeValidator;
+import sandstack.configuration.CommittedChangeListener;
 import sandstack.configuration.ConfigurationChange;
 import sandstack.configuration.ConfigurationCodec;
 import sandstack.configuration.ConfigurationHistory;
@@ -26,16 +26,16 @@
  */
 class ConfigurationStateMachine implements StateMachine {
     /** Proposals whose outcome is remembered: some hours at 3,700 changes a day. */
-    static final int REMEMBERED_PROPOSALS = 1_024;
+    static final int MAX_REMEMBERED_PROPOSALS = 1_024;
     /** The longest part of a snapshot, so that one message stays small. */
-    static final int CHUNK_BYTES = 64 << 10;
+    static final int MAX_CHUNK_BYTES = 64 << 10;
 
-    private static final int STATE_FORMAT = 1;
+    private static final int STATE_FORMAT_VERSION = 1;
 
     private final ConfigurationCodec codec;
     private final ConfigurationHistory history;
     private final LongSupplier leaderTerm;
-    private final AgreedProposals agreedProposals = new AgreedProposals(REMEMBERED_PROPOSALS);
+    private final CommittedProposals committedProposals = new CommittedProposals(MAX_REMEMBERED_PROPOSALS);
     private long term;
 
     /**
@@ -44,7 +44,7 @@
      * @param leaderTerm the Raft node's term, read where this machine becomes leader
      * @param listener is told each agreed change in order, once in the life of this object
      */
-    ConfigurationStateMachine(ChangeValidator validator, AgreedChangeListener listener, LongSupplier leaderTerm) {
+    ConfigurationStateMachine(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
         this.codec = new ConfigurationCodec(validator.limits());
         this.history = new ConfigurationHistory(validator, listener);
         this.leaderTerm = leaderTerm;
@@ -56,8 +56,8 @@
     }
 
     /** At which version a proposal was agreed on, as far as this machine has applied the log and remembers. */
-    Optional<ConfigurationVersion> versionOf(ChangeId id) {
-        return agreedProposals.versionOf(id);
+    Optional<ConfigurationVersion> committedVersionOf(IdempotencyKey key) {
+        return committedProposals.committedVersionOf(key);
     }
 
     @Override
@@ -80,8 +80,8 @@
     @Override
     public void takeSnapshot(long commitIndex, Consumer<Object> chunks) {
         byte[] state = encodeState();
-        for (int start = 0; start < state.length; start += CHUNK_BYTES) {
-            int end = Math.min(state.length, start + CHUNK_BYTES);
+        for (int start = 0; start < state.length; start += MAX_CHUNK_BYTES) {
+            int end = Math.min(state.length, start + MAX_CHUNK_BYTES);
             chunks.accept(new StateChunk(Arrays.copyOfRange(state, start, end)));
         }
     }
@@ -100,45 +100,45 @@
     }
 
     private ProposalOutcome apply(LogOperation.Proposal proposal) {
-        Optional<ConfigurationVersion> before = agreedProposals.versionOf(proposal.id());
-        if (before.isPresent()) {
-            return new ProposalOutcome.Agreed(before.get());
+        Optional<ConfigurationVersion> earlier = committedProposals.committedVersionOf(proposal.key());
+        if (earlier.isPresent()) {
+            return new ProposalOutcome.Committed(earlier.get());
         }
         ConfigurationChange change;
         try {
             change = codec.decodeChange(proposal.encodedChange());
         } catch (MalformedConfigurationException e) {
-            return new ProposalOutcome.Refused(e.refusal());
+            return new ProposalOutcome.Rejected(e.toRejection());
         }
-        return outcomeOf(proposal.id(), history.committed(term, change));
+        return outcomeOf(proposal.key(), history.applyCommitted(term, change));
     }
 
-    private ProposalOutcome outcomeOf(ChangeId id, ConfigurationHistory.Outcome outcome) {
+    private ProposalOutcome outcomeOf(IdempotencyKey key, ConfigurationHistory.Outcome outcome) {
         if (outcome instanceof ConfigurationHistory.Outcome.Accepted accepted) {
             ConfigurationVersion version = accepted.change().version();
-            agreedProposals.add(id, version);
-            return new ProposalOutcome.Agreed(version);
+            committedProposals.add(key, version);
+            return new ProposalOutcome.Committed(version);
         }
-        ChangeRefusal refusal = ((ConfigurationHistory.Outcome.Refused) outcome).refusal();
-        return new ProposalOutcome.Refused(refusal);
+        ChangeRejection rejection = ((ConfigurationHistory.Outcome.Rejected) outcome).rejection();
+        return new ProposalOutcome.Rejected(rejection);
     }
 
     private byte[] encodeState() {
-        FieldWriter out = new FieldWriter().writeInt(STATE_FORMAT).writeLong(term);
-        agreedProposals.write(out);
+        FieldWriter out = new FieldWriter().writeInt(STATE_FORMAT_VERSION).writeLong(term);
+        committedProposals.write(out);
         return out.writeBytes(codec.encode(history.current())).toBytes();
     }
 
     private void restoreState(byte[] state) throws MalformedConfigurationException {
         BoundedReader in = new BoundedReader(state);
         int format = in.readInt();
-        if (format != STATE_FORMAT) {
+        if (format != STATE_FORMAT_VERSION) {
             throw new MalformedConfigurationException(
-                    "state format " + format + ", this release knows " + STATE_FORMAT);
+                    "state format " + format + ", this release knows " + STATE_FORMAT_VERSION);
         }
         long restoredTerm = in.readLong();
-        agreedProposals.read(in);
-        ConfigurationSnapshot snapshot = codec.decodeSnapshot(in.readBytes(codec.mostSnapshotBytes()));
+        committedProposals.read(in);
+        ConfigurationSnapshot snapshot = codec.decodeSnapshot(in.readBytes(codec.maxSnapshotBytes()));
         in.requireEnd();
         term = restoredTerm;
         history.restore(snapshot);
--- a/src/main/java/sandstack/configuration/consensus/ControlIdentity.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlIdentity.java
@@ -8,15 +8,15 @@
  */
 public record ControlIdentity(String identity) implements RaftEndpoint {
     /** The longest identity. */
-    public static final int MOST_CHARACTERS = 64;
+    public static final int MAX_CHARACTERS = 64;
 
-    private static final String ALLOWED = "[A-Za-z0-9._-]{1," + MOST_CHARACTERS + "}";
+    private static final String ALLOWED_PATTERN = "[A-Za-z0-9._-]{1," + MAX_CHARACTERS + "}";
 
     /** Refuses an identity that is empty, too long or has other characters than letters, digits, dot, dash, underscore. */
     public ControlIdentity {
-        if (!identity.matches(ALLOWED)) {
+        if (!identity.matches(ALLOWED_PATTERN)) {
             throw new IllegalArgumentException(
-                    "an identity has 1 to " + MOST_CHARACTERS + " letters, digits, dots, dashes or underscores");
+                    "an identity has 1 to " + MAX_CHARACTERS + " letters, digits, dots, dashes or underscores");
         }
     }
 
--- a/src/main/java/sandstack/configuration/consensus/ControlNode.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNode.java
@@ -21,9 +21,9 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import sandstack.configuration.AgreedChangeListener;
-import sandstack.configuration.ChangeRefusal;
+import sandstack.configuration.ChangeRejection;
 import sandstack.configuration.ChangeValidator;
+import sandstack.configuration.CommittedChangeListener;
 import sandstack.configuration.ConfigurationChange;
 import sandstack.configuration.ConfigurationCodec;
 import sandstack.configuration.ConfigurationSnapshot;
@@ -45,9 +45,9 @@
     private final ChangeValidator validator;
     private final ConfigurationCodec codec;
     private final ConfigurationStateMachine stateMachine;
-    private final SnapshotBoundary boundary;
-    private final SnapshotStall snapshotStall;
-    private volatile RaftNode raft;
+    private final SnapshotConsistencyCheck snapshotConsistency;
+    private final SnapshotStallDetector stallDetector;
+    private volatile RaftNode raftNode;
     private boolean restarting;
 
     /**
@@ -59,7 +59,7 @@
             ControlNodeSettings settings,
             ControlNodeEnvironment environment,
             ChangeValidator validator,
-            AgreedChangeListener listener)
+            CommittedChangeListener listener)
             throws IOException {
         return new ControlNode(
                 settings,
@@ -79,9 +79,9 @@
         this.validator = validator;
         this.codec = new ConfigurationCodec(validator.limits());
         this.stateMachine = stateMachines.create(this::currentTerm);
-        this.snapshotStall = new SnapshotStall(settings.times().heartbeatTimeout());
-        this.boundary = new SnapshotBoundary(environment.store());
-        this.raft = buildRaftNode();
+        this.stallDetector = new SnapshotStallDetector(settings.timeouts().heartbeatTimeout());
+        this.snapshotConsistency = new SnapshotConsistencyCheck(environment.store());
+        this.raftNode = buildRaftNode();
     }
 
     private RaftNode buildRaftNode() throws IOException {
@@ -105,51 +105,54 @@
 
     /** Begins to take part. */
     public CompletionStage<Void> start() {
-        return raft.start().thenApply(ignored -> null);
+        return raftNode.start().thenApply(ignored -> null);
     }
 
     /** Takes part no longer; proposals that are out become indeterminate. */
     public CompletionStage<Void> stop() {
-        return raft.terminate().thenApply(ignored -> null);
+        return raftNode.terminate().thenApply(ignored -> null);
     }
 
     /** A message of another control machine arrived. */
     public void handle(RaftMessage message) {
-        environment.executor().execute(() -> receive(message));
+        environment.executor().execute(() -> handleOnExecutor(message));
     }
 
-    private void receive(RaftMessage message) {
+    private void handleOnExecutor(RaftMessage message) {
         if (restarting) {
             return;
         }
-        boolean stalled = snapshotStall.stalledBy(message, environment.clock().millis());
-        if (stalled || boundary.contradictedFrom(message, currentTerm()).isPresent()) {
-            restart(message);
+        boolean stalled = stallDetector.isStalledBy(message, environment.clock().millis());
+        if (stalled
+                || snapshotConsistency
+                        .firstConflictingIndex(message, currentTerm())
+                        .isPresent()) {
+            restartRaftNode(message);
         } else {
-            raft.handle(boundary.withoutHeldEntries(message));
+            raftNode.handle(snapshotConsistency.withoutStoredEntries(message));
         }
     }
 
     /** The library's node is begun anew over the store; messages until then are lost, as on any network. */
-    private void restart(RaftMessage message) {
+    private void restartRaftNode(RaftMessage message) {
         restarting = true;
-        raft.terminate().whenComplete((ignored, failure) -> {
+        raftNode.terminate().whenComplete((ignored, failure) -> {
             try {
-                removeContradicted(message);
-                raft = buildRaftNode();
+                removeConflictingEntries(message);
+                raftNode = buildRaftNode();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
             restarting = false;
-            raft.start();
+            raftNode.start();
         });
     }
 
     /** Asked again now that the node handles nothing more: a later leader may have confirmed the entries meanwhile. */
-    private void removeContradicted(RaftMessage message) throws IOException {
-        OptionalLong from = boundary.contradictedFrom(message, currentTerm());
-        if (from.isPresent()) {
-            environment.store().truncateLogEntriesFrom(from.getAsLong());
+    private void removeConflictingEntries(RaftMessage message) throws IOException {
+        OptionalLong firstConflicting = snapshotConsistency.firstConflictingIndex(message, currentTerm());
+        if (firstConflicting.isPresent()) {
+            environment.store().truncateLogEntriesFrom(firstConflicting.getAsLong());
             environment.store().flush();
         }
     }
@@ -158,54 +161,54 @@
      * Asks for a change. Answered at once where this machine cannot have it agreed on, and in any case within the
      * proposal timeout, as long as the executor runs.
      */
-    public CompletionStage<ProposalOutcome> propose(ChangeId id, ConfigurationChange change) {
-        Optional<ChangeRefusal> refusal = validator.refuseContent(change);
-        if (refusal.isPresent()) {
-            return CompletableFuture.completedFuture(new ProposalOutcome.Refused(refusal.get()));
+    public CompletionStage<ProposalOutcome> propose(IdempotencyKey key, ConfigurationChange change) {
+        Optional<ChangeRejection> rejection = validator.validateContent(change);
+        if (rejection.isPresent()) {
+            return CompletableFuture.completedFuture(new ProposalOutcome.Rejected(rejection.get()));
         }
-        Optional<ProposalOutcome> elsewhere = outcomeWithoutLeading();
-        if (elsewhere.isPresent()) {
-            return CompletableFuture.completedFuture(elsewhere.get());
+        Optional<ProposalOutcome> outcome = outcomeUnlessLeader();
+        if (outcome.isPresent()) {
+            return CompletableFuture.completedFuture(outcome.get());
         }
-        LogOperation.Proposal proposal = new LogOperation.Proposal(id, codec.encode(change));
-        return raft.getReport()
-                .thenCompose(report -> hearsQuorum(report.getResult())
+        LogOperation.Proposal proposal = new LogOperation.Proposal(key, codec.encode(change));
+        return raftNode.getReport()
+                .thenCompose(report -> hasRecentQuorumHeartbeat(report.getResult())
                         ? replicate(proposal)
-                        : CompletableFuture.completedFuture(noQuorum()))
-                .exceptionally(failure -> outcomeOfFailure(id, failure));
+                        : CompletableFuture.completedFuture(rejectedWithoutQuorum()))
+                .exceptionally(failure -> outcomeOfFailure(key, failure));
     }
 
     /** The version at which a change was agreed on, as far as this machine has applied the log and remembers. */
-    public CompletionStage<Optional<ConfigurationVersion>> versionOf(ChangeId id) {
+    public CompletionStage<Optional<ConfigurationVersion>> committedVersionOf(IdempotencyKey key) {
         CompletableFuture<Optional<ConfigurationVersion>> version = new CompletableFuture<>();
-        environment.executor().submit(() -> version.complete(stateMachine.versionOf(id)));
+        environment.executor().submit(() -> version.complete(stateMachine.committedVersionOf(key)));
         return version;
     }
 
     /** Whom this machine believes to lead. */
     public Optional<ControlIdentity> leader() {
-        return Optional.ofNullable((ControlIdentity) raft.getTerm().getLeaderEndpoint());
+        return Optional.ofNullable((ControlIdentity) raftNode.getTerm().getLeaderEndpoint());
     }
 
     /** The term that this machine is in. */
     public long currentTerm() {
-        return raft.getTerm().getTerm();
+        return raftNode.getTerm().getTerm();
     }
 
     /** The members that are agreed on. */
     public RaftGroupMembers members() {
-        return raft.getCommittedMembers();
+        return raftNode.getCommittedMembers();
     }
 
     /** Has a machine admitted, promoted or removed; asked of the leader with the index of the members that it saw. */
     public CompletionStage<RaftGroupMembers> changeMembership(
             ControlIdentity machine, MembershipChangeMode mode, long membersLogIndex) {
-        return raft.changeMembership(machine, mode, membersLogIndex).thenApply(ordered -> ordered.getResult());
+        return raftNode.changeMembership(machine, mode, membersLogIndex).thenApply(ordered -> ordered.getResult());
     }
 
     /** What the library tells of the node, for the operators' figures. */
     public CompletionStage<RaftNodeReport> report() {
-        return raft.getReport().thenApply(ordered -> ordered.getResult());
+        return raftNode.getReport().thenApply(ordered -> ordered.getResult());
     }
 
     /** The configuration as this machine has applied it; read on the executor's thread. */
@@ -213,10 +216,10 @@
         return stateMachine.current();
     }
 
-    private Optional<ProposalOutcome> outcomeWithoutLeading() {
+    private Optional<ProposalOutcome> outcomeUnlessLeader() {
         Optional<ControlIdentity> leader = leader();
         if (leader.isEmpty()) {
-            return Optional.of(noQuorum());
+            return Optional.of(rejectedWithoutQuorum());
         }
         return leader.get().equals(settings.self())
                 ? Optional.empty()
@@ -224,51 +227,51 @@
     }
 
     /** A leader that misses two heartbeats of a quorum puts nothing more to the others, before it is given up. */
-    private boolean hearsQuorum(RaftNodeReport report) {
+    private boolean hasRecentQuorumHeartbeat(RaftNodeReport report) {
         if (report.getRole() != RaftRole.LEADER) {
             return false;
         }
-        Duration most = settings.times().heartbeatPeriod().multipliedBy(2);
-        long now = environment.clock().millis();
+        Duration maxAge = settings.timeouts().heartbeatPeriod().multipliedBy(2);
+        long nowMillis = environment.clock().millis();
         return report.getQuorumHeartbeatTimestamp()
-                .map(heard -> now - heard <= most.toMillis())
+                .map(heardMillis -> nowMillis - heardMillis <= maxAge.toMillis())
                 .orElse(false);
     }
 
     private CompletableFuture<ProposalOutcome> replicate(LogOperation.Proposal proposal) {
         CompletableFuture<ProposalOutcome> outcome = new CompletableFuture<>();
-        raft.<ProposalOutcome>replicate(proposal).whenComplete((ordered, failure) -> {
+        raftNode.<ProposalOutcome>replicate(proposal).whenComplete((ordered, failure) -> {
             if (failure == null) {
                 outcome.complete(ordered.getResult());
             } else {
-                outcome.complete(outcomeOfFailure(proposal.id(), failure));
+                outcome.complete(outcomeOfFailure(proposal.key(), failure));
             }
         });
-        long timeout = settings.times().proposalTimeout().toMillis();
+        long timeoutMillis = settings.timeouts().proposalTimeout().toMillis();
         environment
                 .executor()
                 .schedule(
-                        () -> outcome.complete(new ProposalOutcome.Indeterminate(proposal.id())),
-                        timeout,
+                        () -> outcome.complete(new ProposalOutcome.Indeterminate(proposal.key())),
+                        timeoutMillis,
                         TimeUnit.MILLISECONDS);
         return outcome;
     }
 
-    private ProposalOutcome outcomeOfFailure(ChangeId id, Throwable failure) {
+    private ProposalOutcome outcomeOfFailure(IdempotencyKey key, Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         if (cause instanceof NotLeaderException) {
-            return outcomeWithoutLeading().orElseGet(this::noQuorum);
+            return outcomeUnlessLeader().orElseGet(this::rejectedWithoutQuorum);
         }
         if (cause instanceof CannotReplicateException) {
-            return new ProposalOutcome.Refused(new ChangeRefusal(
-                    ChangeRefusal.Reason.TOO_MANY,
+            return new ProposalOutcome.Rejected(new ChangeRejection(
+                    ChangeRejection.Reason.TOO_MANY,
                     "more than " + settings.maxPendingProposals() + " proposals are out, or the members change"));
         }
-        return new ProposalOutcome.Indeterminate(id);
+        return new ProposalOutcome.Indeterminate(key);
     }
 
-    private ProposalOutcome noQuorum() {
-        return new ProposalOutcome.Refused(new ChangeRefusal(
-                ChangeRefusal.Reason.NO_QUORUM, settings.self() + " knows of no leader that reaches a quorum"));
+    private ProposalOutcome rejectedWithoutQuorum() {
+        return new ProposalOutcome.Rejected(new ChangeRejection(
+                ChangeRejection.Reason.NO_QUORUM, settings.self() + " knows of no leader that reaches a quorum"));
     }
 }
--- a/src/main/java/sandstack/configuration/consensus/ControlNodeSettings.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNodeSettings.java
@@ -10,25 +10,25 @@
  * @param group names the group, so that machines of two installations never vote for each other
  * @param self this machine's identity, of its disk
  * @param bootstrapVoters who voted when the group was founded; read only where the disk is new
- * @param times how fast a leader is missed
+ * @param timeouts how fast a leader is missed
  * @param maxPendingProposals more than this are refused until some are agreed on
- * @param snapshotEveryEntries log entries after which the log is replaced by a snapshot
+ * @param snapshotIntervalEntries log entries after which the log is replaced by a snapshot
  */
 public record ControlNodeSettings(
         String group,
         ControlIdentity self,
         List<ControlIdentity> bootstrapVoters,
-        Times times,
+        Timeouts timeouts,
         int maxPendingProposals,
-        int snapshotEveryEntries) {
+        int snapshotIntervalEntries) {
     /** The fewest and the most machines that vote. */
-    static final int LEAST_VOTERS = 3;
+    static final int MIN_VOTERS = 3;
 
-    static final int MOST_VOTERS = 9;
+    static final int MAX_VOTERS = 9;
     /** Entries in one message to a follower; each is a change of bounded size. */
-    static final int ENTRIES_PER_MESSAGE = 16;
+    static final int APPEND_BATCH_ENTRIES = 16;
     /** MicroRaft 0.7 sends up to one entry more than its batch size. */
-    static final int MOST_ENTRIES_IN_MESSAGE = ENTRIES_PER_MESSAGE + 1;
+    static final int MAX_ENTRIES_PER_MESSAGE = APPEND_BATCH_ENTRIES + 1;
 
     /**
      * How fast a leader is missed and a proposal given up.
@@ -38,14 +38,14 @@
      * @param electionTimeout of one round of votes
      * @param proposalTimeout after which a proposal's outcome is told as indeterminate
      */
-    public record Times(
+    public record Timeouts(
             Duration heartbeatPeriod, Duration heartbeatTimeout, Duration electionTimeout, Duration proposalTimeout) {
         /** Heartbeats each second, a leader missed after 4 s, rounds of 1 s, proposals given up after 6 s. */
-        public static final Times DEFAULT =
-                new Times(Duration.ofSeconds(1), Duration.ofSeconds(4), Duration.ofSeconds(1), Duration.ofSeconds(6));
+        public static final Timeouts DEFAULT = new Timeouts(
+                Duration.ofSeconds(1), Duration.ofSeconds(4), Duration.ofSeconds(1), Duration.ofSeconds(6));
 
         /** Refuses times that are not positive, and a timeout that a single late heartbeat would exceed. */
-        public Times {
+        public Timeouts {
             if (heartbeatPeriod.toSeconds() < 1 || electionTimeout.toMillis() < 1 || proposalTimeout.toMillis() < 1) {
                 throw new IllegalArgumentException("times are positive, the heartbeat period at least 1 s");
             }
@@ -58,33 +58,33 @@
     /** Refuses a group that cannot agree. */
     public ControlNodeSettings {
         bootstrapVoters = List.copyOf(bootstrapVoters);
-        if (bootstrapVoters.size() < LEAST_VOTERS
-                || bootstrapVoters.size() > MOST_VOTERS
+        if (bootstrapVoters.size() < MIN_VOTERS
+                || bootstrapVoters.size() > MAX_VOTERS
                 || bootstrapVoters.size() % 2 == 0) {
             throw new IllegalArgumentException("bootstrapVoters are 3, 5, 7 or 9 control machines");
         }
         if (bootstrapVoters.stream().distinct().count() != bootstrapVoters.size()) {
             throw new IllegalArgumentException("bootstrapVoters names a control machine twice");
         }
-        if (maxPendingProposals < ENTRIES_PER_MESSAGE || snapshotEveryEntries < 1) {
+        if (maxPendingProposals < APPEND_BATCH_ENTRIES || snapshotIntervalEntries < 1) {
             throw new IllegalArgumentException(
-                    "maxPendingProposals is at least " + ENTRIES_PER_MESSAGE + " and snapshotEveryEntries positive");
+                    "maxPendingProposals is at least " + APPEND_BATCH_ENTRIES + " and snapshotEveryEntries positive");
         }
     }
 
     /** With what an installation rarely changes. */
     public static ControlNodeSettings of(String group, ControlIdentity self, List<ControlIdentity> bootstrapVoters) {
-        return new ControlNodeSettings(group, self, bootstrapVoters, Times.DEFAULT, 64, 1_000);
+        return new ControlNodeSettings(group, self, bootstrapVoters, Timeouts.DEFAULT, 64, 1_000);
     }
 
     RaftConfig toRaftConfig() {
         return RaftConfig.newBuilder()
-                .setLeaderHeartbeatPeriodSecs(times.heartbeatPeriod().toSeconds())
-                .setLeaderHeartbeatTimeoutSecs(times.heartbeatTimeout().toSeconds())
-                .setLeaderElectionTimeoutMillis(times.electionTimeout().toMillis())
-                .setAppendEntriesRequestBatchSize(ENTRIES_PER_MESSAGE)
+                .setLeaderHeartbeatPeriodSecs(timeouts.heartbeatPeriod().toSeconds())
+                .setLeaderHeartbeatTimeoutSecs(timeouts.heartbeatTimeout().toSeconds())
+                .setLeaderElectionTimeoutMillis(timeouts.electionTimeout().toMillis())
+                .setAppendEntriesRequestBatchSize(APPEND_BATCH_ENTRIES)
                 .setMaxPendingLogEntryCount(maxPendingProposals)
-                .setCommitCountToTakeSnapshot(snapshotEveryEntries)
+                .setCommitCountToTakeSnapshot(snapshotIntervalEntries)
                 .build();
     }
 }
--- a/src/main/java/sandstack/configuration/consensus/EncodedRaftStore.java
+++ b/src/main/java/sandstack/configuration/consensus/EncodedRaftStore.java
@@ -35,23 +35,23 @@
     abstract Map<Long, byte[]> log();
 
     /** Snapshot chunks by {@link #chunkKey}, in order. */
-    abstract Map<Long, byte[]> chunks();
+    abstract Map<Long, byte[]> snapshotChunks();
 
     /** Something was removed that takes space on disk until it is compacted. */
-    abstract void removed();
+    abstract void spaceReleased();
 
     /** Names the store in refusals. */
     abstract String name();
 
     /** What the store holds, for the Raft node to go on with; empty where the node never ran. */
     public Optional<RestoredRaftState> restore() throws IOException {
-        return stored().restore();
+        return storedState().restore();
     }
 
     /** The index of the newest snapshot of which there is a chunk, 0 for none. */
     final long snapshotIndex() {
-        return chunks().keySet().stream()
-                .mapToLong(key -> key / RaftRecordCodec.MOST_CHUNKS)
+        return snapshotChunks().keySet().stream()
+                .mapToLong(key -> key / RaftRecordCodec.MAX_SNAPSHOT_CHUNKS)
                 .max()
                 .orElse(0);
     }
@@ -59,11 +59,13 @@
     /** The term of an entry in the log. */
     final OptionalInt termOfEntry(long index) {
         byte[] entry = log().get(index);
-        return entry == null ? OptionalInt.empty() : OptionalInt.of(stored().termOf(index, entry));
+        return entry == null
+                ? OptionalInt.empty()
+                : OptionalInt.of(storedState().termOf(index, entry));
     }
 
-    final StoredState stored() {
-        return new StoredState(name(), codec, header(), log(), chunks());
+    final StoredRaftState storedState() {
+        return new StoredRaftState(name(), codec, header(), log(), snapshotChunks());
     }
 
     @Override
@@ -103,34 +105,34 @@
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
         FieldWriter out = new FieldWriter();
         codec.write(out, chunk);
-        put(chunks(), chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex()), out);
+        put(snapshotChunks(), chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex()), out);
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        removeEntries(key -> key >= index);
+        removeEntriesWhere(key -> key >= index);
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        removeEntries(key -> key <= index);
-        removed();
+        removeEntriesWhere(key -> key <= index);
+        spaceReleased();
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int chunkCount) throws IOException {
         for (int chunk = 0; chunk < chunkCount; chunk++) {
-            chunks().remove(chunkKey(index, chunk));
+            snapshotChunks().remove(chunkKey(index, chunk));
         }
-        removed();
+        spaceReleased();
     }
 
     static long chunkKey(long index, int chunk) {
-        return index * RaftRecordCodec.MOST_CHUNKS + chunk;
+        return index * RaftRecordCodec.MAX_SNAPSHOT_CHUNKS + chunk;
     }
 
-    private void removeEntries(LongPredicate which) {
-        List<Long> keys = log().keySet().stream().filter(which::test).toList();
+    private void removeEntriesWhere(LongPredicate condition) {
+        List<Long> keys = log().keySet().stream().filter(condition::test).toList();
         keys.forEach(log()::remove);
     }
 
--- a/src/main/java/sandstack/configuration/consensus/FlushCounter.java
+++ b/src/main/java/sandstack/configuration/consensus/FlushCounter.java
@@ -18,15 +18,15 @@
 
     private final String file;
     private FileChannel channel;
-    private long last;
+    private long lastFlush;
 
     FlushCounter(String file) {
         this.file = file;
     }
 
     /** The number that the next flush has. */
-    long next() {
-        return last + 1;
+    long nextFlush() {
+        return lastFlush + 1;
     }
 
     /**
@@ -34,37 +34,37 @@
      *
      * @param store named in the refusal
      */
-    long read(String store) throws StoreRefusedException {
+    long readLastFlush(String store) throws RejectedStoreException {
         if (!StoreFiles.exists(file)) {
-            throw new StoreRefusedException(store + ": the flush count " + file + " beside it is missing: whether the"
+            throw new RejectedStoreException(store + ": the flush count " + file + " beside it is missing: whether the"
                     + " file is the newest cannot be known; its machine takes a new identity");
         }
         try {
-            last = Math.max(readSlot(0), readSlot(1));
+            lastFlush = Math.max(readSlot(0), readSlot(1));
         } catch (IOException e) {
-            throw new StoreRefusedException(file + ": cannot be read: " + e.getMessage());
+            throw new RejectedStoreException(file + ": cannot be read: " + e.getMessage());
         }
-        if (last <= 0) {
-            throw new StoreRefusedException(file + ": damaged: no flush count; its machine takes a new identity");
+        if (lastFlush <= 0) {
+            throw new RejectedStoreException(file + ": damaged: no flush count; its machine takes a new identity");
         }
-        return last;
+        return lastFlush;
     }
 
     /** Goes on from a store that was flushed once more than counted, as a crash between the two leaves it. */
-    void resumeAt(long flushes) {
-        last = Math.max(last, flushes);
+    void resumeFrom(long flush) {
+        lastFlush = Math.max(lastFlush, flush);
     }
 
     /** Counts a flush; returns when the disk has it. */
-    void write(long flushes) throws IOException {
-        byte[] value = Checksummed.wrap(MvStoreRaftStore.longBytes(flushes));
+    void writeFlush(long flush) throws IOException {
+        byte[] value = Checksummed.wrap(MvStoreRaftStore.longBytes(flush));
         ByteBuffer bytes = ByteBuffer.wrap(value);
-        long position = (flushes & 1) * SLOT_BYTES;
+        long position = (flush & 1) * SLOT_BYTES;
         while (bytes.hasRemaining()) {
-            position += open().write(bytes, position);
+            position += openChannel().write(bytes, position);
         }
-        open().force(false);
-        last = flushes;
+        openChannel().force(false);
+        lastFlush = flush;
     }
 
     @Override
@@ -83,7 +83,7 @@
         ByteBuffer value = ByteBuffer.allocate(VALUE_BYTES);
         long position = (long) slot * SLOT_BYTES;
         while (value.hasRemaining()) {
-            int read = open().read(value, position + value.position());
+            int read = openChannel().read(value, position + value.position());
             if (read <= 0) {
                 return 0;
             }
@@ -95,7 +95,7 @@
         }
     }
 
-    private FileChannel open() throws IOException {
+    private FileChannel openChannel() throws IOException {
         if (channel == null) {
             channel = FilePath.get(file).open("rw");
         }
--- a/src/main/java/sandstack/configuration/consensus/ChangeId.java
+++ b/src/main/java/sandstack/configuration/consensus/IdempotencyKey.java
@@ -6,10 +6,10 @@
  * The name that a client gives to one change, the same in each attempt to have it agreed on. The same change under the
  * same id is applied once.
  */
-public record ChangeId(long high, long low) {
+public record IdempotencyKey(long high, long low) {
     /** The id with the bits of a UUID. */
-    public static ChangeId of(UUID uuid) {
-        return new ChangeId(uuid.getMostSignificantBits(), uuid.getLeastSignificantBits());
+    public static IdempotencyKey of(UUID uuid) {
+        return new IdempotencyKey(uuid.getMostSignificantBits(), uuid.getLeastSignificantBits());
     }
 
     @Override
--- a/src/main/java/sandstack/configuration/consensus/JitteredExecutor.java
+++ b/src/main/java/sandstack/configuration/consensus/JitteredExecutor.java
@@ -9,7 +9,7 @@
  * heartbeat period; machines that do so in step stand for election in step, and split the votes again and again.
  */
 final class JitteredExecutor implements RaftNodeExecutor {
-    private static final double MOST_JITTER = 0.25;
+    private static final double MAX_JITTER_RATIO = 0.25;
 
     private final RaftNodeExecutor executor;
     private final Random random;
@@ -31,8 +31,8 @@
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
-        long micros = unit.toMicros(delay);
-        long jitter = (long) (micros * MOST_JITTER * random.nextDouble());
-        executor.schedule(task, micros + jitter, TimeUnit.MICROSECONDS);
+        long delayMicros = unit.toMicros(delay);
+        long jitterMicros = (long) (delayMicros * MAX_JITTER_RATIO * random.nextDouble());
+        executor.schedule(task, delayMicros + jitterMicros, TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/sandstack/configuration/consensus/LogOperation.java
+++ b/src/main/java/sandstack/configuration/consensus/LogOperation.java
@@ -16,23 +16,23 @@
      *
      * @param encodedChange as {@link sandstack.configuration.ConfigurationCodec} writes it; never modified
      */
-    record Proposal(ChangeId id, byte[] encodedChange) implements LogOperation {
+    record Proposal(IdempotencyKey key, byte[] encodedChange) implements LogOperation {
         /** Refuses nulls. */
         public Proposal {
-            Objects.requireNonNull(id, "id");
+            Objects.requireNonNull(key, "key");
             Objects.requireNonNull(encodedChange, "encodedChange");
         }
 
         @Override
         public boolean equals(Object other) {
             return other instanceof Proposal that
-                    && id.equals(that.id)
+                    && key.equals(that.key)
                     && Arrays.equals(encodedChange, that.encodedChange);
         }
 
         @Override
         public int hashCode() {
-            return id.hashCode();
+            return key.hashCode();
         }
     }
 }
--- a/src/main/java/sandstack/configuration/consensus/MvStoreRaftStore.java
+++ b/src/main/java/sandstack/configuration/consensus/MvStoreRaftStore.java
@@ -29,16 +29,16 @@
 
     private static final int CACHE_MEGABYTES = 2;
     /** Rewrites chunks of the file that are less full than this, after the log was cut. */
-    private static final int LEAST_FILL_PERCENT = 50;
+    private static final int MIN_FILL_PERCENT = 50;
 
     private static final int COMPACTION_WRITE_BYTES = 4 << 20;
 
     private final String file;
     private final MVStore store;
-    private final FlushCounter counter;
+    private final FlushCounter flushCounter;
     private final MVMap<String, byte[]> header;
     private final MVMap<Long, byte[]> log;
-    private final MVMap<Long, byte[]> chunks;
+    private final MVMap<Long, byte[]> snapshotChunks;
     private boolean compactionDue;
 
     private MvStoreRaftStore(String file, ConfigurationLimits limits) {
@@ -52,10 +52,10 @@
         store.setVersionsToKeep(0);
         // each flush is synced before the next begins, so what it replaced may be overwritten
         store.setRetentionTime(0);
-        counter = new FlushCounter(file + ".flushes");
+        flushCounter = new FlushCounter(file + ".flushes");
         header = openMap("header", StringDataType.INSTANCE);
         log = openMap("log", LongDataType.INSTANCE);
-        chunks = openMap("chunks", LongDataType.INSTANCE);
+        snapshotChunks = openMap("chunks", LongDataType.INSTANCE);
     }
 
     private <K> MVMap<K, byte[]> openMap(String name, DataType<K> keys) {
@@ -65,14 +65,14 @@
     /**
      * Founds a disk for an identity that never had one; refuses a file that exists.
      *
-     * @param key the setting that permits it, named in the refusal
+     * @param newIdentitySetting the setting that permits it, named in the refusal
      */
     public static MvStoreRaftStore create(
-            String file, String key, String group, ControlIdentity self, ConfigurationLimits limits)
+            String file, String newIdentitySetting, String group, ControlIdentity self, ConfigurationLimits limits)
             throws IOException {
         if (StoreFiles.exists(file) || StoreFiles.exists(file + ".flushes")) {
-            throw new StoreRefusedException(file + ": " + key + " permits a new disk, but this file exists: remove "
-                    + key + " from the settings");
+            throw new RejectedStoreException(file + ": " + newIdentitySetting
+                    + " permits a new disk, but this file exists: remove " + newIdentitySetting + " from the settings");
         }
         MvStoreRaftStore created = open(file, limits);
         created.header.put(FORMAT, Checksummed.wrap(longBytes(FORMAT_VERSION)));
@@ -86,55 +86,55 @@
      * Opens the disk of this identity; refuses one that is missing, of another machine, group or release, damaged or
      * older than it was.
      *
-     * @param key the setting that would permit a new disk, named in the refusal
+     * @param newIdentitySetting the setting that would permit a new disk, named in the refusal
      */
     public static MvStoreRaftStore reopen(
-            String file, String key, String group, ControlIdentity self, ConfigurationLimits limits)
+            String file, String newIdentitySetting, String group, ControlIdentity self, ConfigurationLimits limits)
             throws IOException {
         if (!StoreFiles.exists(file)) {
-            throw new StoreRefusedException(file + ": no disk of " + self + ": a machine that lost it takes a new"
-                    + " identity, states that as " + key + " and is admitted by the others");
+            throw new RejectedStoreException(file + ": no disk of " + self + ": a machine that lost it takes a new"
+                    + " identity, states that as " + newIdentitySetting + " and is admitted by the others");
         }
         MvStoreRaftStore opened = open(file, limits);
         try {
-            opened.requireOwner(group, self);
-            opened.requireNewest();
+            opened.requireIdentity(group, self);
+            opened.requireNotRolledBack();
             return opened;
-        } catch (StoreRefusedException e) {
-            opened.crash();
+        } catch (RejectedStoreException e) {
+            opened.closeImmediately();
             throw e;
         } catch (MVStoreException e) {
-            opened.crash();
-            throw new StoreRefusedException(file + ": damaged: " + firstLine(e));
+            opened.closeImmediately();
+            throw new RejectedStoreException(file + ": damaged: " + firstLine(e));
         }
     }
 
-    private static MvStoreRaftStore open(String file, ConfigurationLimits limits) throws StoreRefusedException {
+    private static MvStoreRaftStore open(String file, ConfigurationLimits limits) throws RejectedStoreException {
         try {
             return new MvStoreRaftStore(file, limits);
         } catch (MVStoreException | IllegalArgumentException e) {
-            throw new StoreRefusedException(file + ": damaged or in use: " + firstLine(e));
+            throw new RejectedStoreException(file + ": damaged or in use: " + firstLine(e));
         }
     }
 
-    private void requireOwner(String group, ControlIdentity self) throws StoreRefusedException {
-        StoredState stored = stored();
+    private void requireIdentity(String group, ControlIdentity self) throws RejectedStoreException {
+        StoredRaftState stored = storedState();
         long format = stored.headerLong(FORMAT);
         if (format != FORMAT_VERSION) {
-            throw new StoreRefusedException(file + ": format " + format + ", this release reads " + FORMAT_VERSION);
+            throw new RejectedStoreException(file + ": format " + format + ", this release reads " + FORMAT_VERSION);
         }
         stored.requireText(GROUP, group);
         stored.requireText(IDENTITY, self.identity());
     }
 
-    private void requireNewest() throws StoreRefusedException {
-        long flushes = stored().headerLong(FLUSHES);
-        long counted = counter.read(file);
+    private void requireNotRolledBack() throws RejectedStoreException {
+        long flushes = storedState().headerLong(FLUSHES);
+        long counted = flushCounter.readLastFlush(file);
         if (flushes < counted) {
-            throw new StoreRefusedException(file + ": holds flush " + flushes + " but " + counted
+            throw new RejectedStoreException(file + ": holds flush " + flushes + " but " + counted
                     + " were made: it was truncated or set back; its machine takes a new identity");
         }
-        counter.resumeAt(flushes);
+        flushCounter.resumeFrom(flushes);
     }
 
     @Override
@@ -142,7 +142,7 @@
         try {
             return super.restore();
         } catch (MVStoreException e) {
-            throw new StoreRefusedException(file + ": damaged: " + firstLine(e));
+            throw new RejectedStoreException(file + ": damaged: " + firstLine(e));
         }
     }
 
@@ -157,12 +157,12 @@
     }
 
     @Override
-    Map<Long, byte[]> chunks() {
-        return chunks;
+    Map<Long, byte[]> snapshotChunks() {
+        return snapshotChunks;
     }
 
     @Override
-    void removed() {
+    void spaceReleased() {
         compactionDue = true;
     }
 
@@ -174,14 +174,14 @@
     @Override
     public void flush() throws IOException {
         try {
-            long flushes = counter.next();
+            long flushes = flushCounter.nextFlush();
             header.put(FLUSHES, Checksummed.wrap(longBytes(flushes)));
             store.commit();
             store.sync();
-            counter.write(flushes);
+            flushCounter.writeFlush(flushes);
             if (compactionDue) {
                 compactionDue = false;
-                store.compact(LEAST_FILL_PERCENT, COMPACTION_WRITE_BYTES);
+                store.compact(MIN_FILL_PERCENT, COMPACTION_WRITE_BYTES);
                 store.sync();
             }
         } catch (MVStoreException e) {
@@ -192,13 +192,13 @@
     @Override
     public void close() {
         store.close();
-        counter.close();
+        flushCounter.close();
     }
 
     /** Lets go of the file as a killed process does: what was not flushed is lost. */
-    void crash() {
+    void closeImmediately() {
         store.closeImmediately();
-        counter.close();
+        flushCounter.close();
     }
 
     static byte[] longBytes(long value) {
--- a/src/main/java/sandstack/configuration/consensus/RaftMessageCodec.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftMessageCodec.java
@@ -37,10 +37,10 @@
     private static final int VOTE_RESPONSE = 9;
     private static final int TRIGGER_ELECTION = 10;
     /** The longest name of a group. */
-    static final int MOST_GROUP_BYTES = 128;
+    static final int MAX_GROUP_BYTES = 128;
 
-    private static final int LEAST_ENTRY_BYTES = Long.BYTES + Integer.BYTES + Byte.BYTES;
-    private static final int HEADER_BYTES = 512;
+    private static final int MIN_ENTRY_BYTES = Long.BYTES + Integer.BYTES + Byte.BYTES;
+    private static final int MAX_HEADER_BYTES = 512;
 
     /** What every message has. */
     private record Header(ControlIdentity sender, int term) {}
@@ -56,8 +56,8 @@
     }
 
     /** The longest frame that is read. */
-    int mostMessageBytes() {
-        return HEADER_BYTES + ControlNodeSettings.MOST_ENTRIES_IN_MESSAGE * records.mostRecordBytes();
+    int maxMessageBytes() {
+        return MAX_HEADER_BYTES + ControlNodeSettings.MAX_ENTRIES_PER_MESSAGE * records.maxRecordBytes();
     }
 
     byte[] encode(RaftMessage message) {
@@ -70,12 +70,12 @@
     }
 
     RaftMessage decode(byte[] frame) throws MalformedConfigurationException {
-        if (frame.length > mostMessageBytes()) {
+        if (frame.length > maxMessageBytes()) {
             throw new MalformedConfigurationException("a message of " + frame.length + " bytes");
         }
         BoundedReader in = new BoundedReader(frame);
         byte type = in.readByte();
-        if (!in.readText(MOST_GROUP_BYTES).equals(group)) {
+        if (!in.readText(MAX_GROUP_BYTES).equals(group)) {
             throw new MalformedConfigurationException("a message of another group");
         }
         Header header = new Header(records.readEndpoint(in), in.readInt());
@@ -227,7 +227,7 @@
                 .setPreviousLogTerm(in.readInt())
                 .setPreviousLogIndex(in.readLong())
                 .setCommitIndex(in.readLong());
-        int count = in.readCount(ControlNodeSettings.MOST_ENTRIES_IN_MESSAGE, LEAST_ENTRY_BYTES);
+        int count = in.readCount(ControlNodeSettings.MAX_ENTRIES_PER_MESSAGE, MIN_ENTRY_BYTES);
         List<LogEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             entries.add(records.readLogEntry(in));
@@ -272,7 +272,7 @@
 
     private static int readChunkCount(BoundedReader in) throws MalformedConfigurationException {
         int count = in.readInt();
-        if (count < 0 || count > RaftRecordCodec.MOST_CHUNKS) {
+        if (count < 0 || count > RaftRecordCodec.MAX_SNAPSHOT_CHUNKS) {
             throw new MalformedConfigurationException("a snapshot of " + count + " chunks");
         }
         return count;
--- a/src/main/java/sandstack/configuration/consensus/RaftRecordCodec.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftRecordCodec.java
@@ -22,26 +22,26 @@
 /** The binary form of what Raft keeps on disk and sends: log entries, snapshot chunks, members, term. Bounded in reading. */
 final class RaftRecordCodec {
     /** Members of a group with its learners, and those that a change of members passes through. */
-    static final int MOST_MEMBERS = 16;
+    static final int MAX_MEMBERS = 16;
     /** Chunks of one snapshot; the library counts them in an int. */
-    static final int MOST_CHUNKS = 4_096;
+    static final int MAX_SNAPSHOT_CHUNKS = 4_096;
 
     private static final int NEW_TERM = 1;
     private static final int PROPOSAL = 2;
     private static final int MEMBERS_CHANGE = 3;
-    private static final int LEAST_ENDPOINT_BYTES = Integer.BYTES;
+    private static final int MIN_ENDPOINT_BYTES = Integer.BYTES;
 
     private final RaftModelFactory models = new DefaultRaftModelFactory();
-    private final int mostChangeBytes;
+    private final int maxChangeBytes;
 
     RaftRecordCodec(ConfigurationLimits limits) {
-        mostChangeBytes = new ConfigurationCodec(limits).mostChangeBytes();
+        maxChangeBytes = new ConfigurationCodec(limits).maxChangeBytes();
     }
 
     /** The longest encoded log entry or snapshot chunk, with its members. */
-    int mostRecordBytes() {
-        int members = 4 * MOST_MEMBERS * (Integer.BYTES + ControlIdentity.MOST_CHARACTERS);
-        return Math.max(mostChangeBytes, ConfigurationStateMachine.CHUNK_BYTES) + members + 128;
+    int maxRecordBytes() {
+        int members = 4 * MAX_MEMBERS * (Integer.BYTES + ControlIdentity.MAX_CHARACTERS);
+        return Math.max(maxChangeBytes, ConfigurationStateMachine.MAX_CHUNK_BYTES) + members + 128;
     }
 
     void write(FieldWriter out, LogEntry entry) {
@@ -71,12 +71,12 @@
                 models.createSnapshotChunkBuilder().setIndex(in.readLong()).setTerm(in.readInt());
         int index = in.readInt();
         int count = in.readInt();
-        if (count < 1 || count > MOST_CHUNKS || index < 0 || index >= count) {
+        if (count < 1 || count > MAX_SNAPSHOT_CHUNKS || index < 0 || index >= count) {
             throw new MalformedConfigurationException("snapshot chunk " + index + " of " + count);
         }
         return chunk.setSnapshotChunkIndex(index)
                 .setSnapshotChunkCount(count)
-                .setOperation(new StateChunk(in.readBytes(ConfigurationStateMachine.CHUNK_BYTES)))
+                .setOperation(new StateChunk(in.readBytes(ConfigurationStateMachine.MAX_CHUNK_BYTES)))
                 .setGroupMembersView(readMembersView(in))
                 .build();
     }
@@ -125,7 +125,7 @@
     }
 
     ControlIdentity readEndpoint(BoundedReader in) throws MalformedConfigurationException {
-        String identity = in.readText(ControlIdentity.MOST_CHARACTERS);
+        String identity = in.readText(ControlIdentity.MAX_CHARACTERS);
         try {
             return new ControlIdentity(identity);
         } catch (IllegalArgumentException e) {
@@ -139,7 +139,7 @@
     }
 
     List<RaftEndpoint> readEndpoints(BoundedReader in) throws MalformedConfigurationException {
-        int count = in.readCount(MOST_MEMBERS, LEAST_ENDPOINT_BYTES);
+        int count = in.readCount(MAX_MEMBERS, MIN_ENDPOINT_BYTES);
         List<RaftEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             endpoints.add(readEndpoint(in));
@@ -152,8 +152,8 @@
             out.writeByte(NEW_TERM).writeLong(newTerm.term());
         } else if (operation instanceof LogOperation.Proposal proposal) {
             out.writeByte(PROPOSAL)
-                    .writeLong(proposal.id().high())
-                    .writeLong(proposal.id().low())
+                    .writeLong(proposal.key().high())
+                    .writeLong(proposal.key().low())
                     .writeBytes(proposal.encodedChange());
         } else if (operation instanceof UpdateRaftGroupMembersOp change) {
             out.writeByte(MEMBERS_CHANGE);
@@ -173,7 +173,7 @@
                 return new LogOperation.NewTerm(in.readLong());
             case PROPOSAL:
                 return new LogOperation.Proposal(
-                        new ChangeId(in.readLong(), in.readLong()), in.readBytes(mostChangeBytes));
+                        new IdempotencyKey(in.readLong(), in.readLong()), in.readBytes(maxChangeBytes));
             case MEMBERS_CHANGE:
                 return models.createUpdateRaftGroupMembersOpBuilder()
                         .setMembers(readEndpoints(in))
@@ -187,7 +187,7 @@
     }
 
     private static MembershipChangeMode readMode(BoundedReader in) throws MalformedConfigurationException {
-        String name = in.readText(ControlIdentity.MOST_CHARACTERS);
+        String name = in.readText(ControlIdentity.MAX_CHARACTERS);
         for (MembershipChangeMode mode : MembershipChangeMode.values()) {
             if (mode.name().equals(name)) {
                 return mode;
--- a/src/main/java/sandstack/configuration/consensus/SnapshotStall.java
+++ b/src/main/java/sandstack/configuration/consensus/SnapshotStallDetector.java
@@ -9,25 +9,25 @@
  * Notices that a leader offers a snapshot again and again and no chunk of it comes. MicroRaft 0.7 asks a member that once
  * did not answer no more; where regions were apart that can be all of them, and the machine stays behind.
  */
-final class SnapshotStall {
-    private final long mostMillis;
+final class SnapshotStallDetector {
+    private final long timeoutMillis;
     private long offeredSinceMillis;
-    private boolean offered;
+    private boolean isOffered;
 
     /** A stall is an offer without a chunk for so long. */
-    SnapshotStall(Duration most) {
-        mostMillis = most.toMillis();
+    SnapshotStallDetector(Duration timeout) {
+        timeoutMillis = timeout.toMillis();
     }
 
     /** Whether the node has to be begun anew, as of this message; then nothing is offered any more. */
-    boolean stalledBy(RaftMessage message, long nowMillis) {
+    boolean isStalledBy(RaftMessage message, long nowMillis) {
         if (message instanceof AppendEntriesRequest || isChunk(message)) {
-            offered = false;
-        } else if (message instanceof InstallSnapshotRequest && !offered) {
-            offered = true;
+            isOffered = false;
+        } else if (message instanceof InstallSnapshotRequest && !isOffered) {
+            isOffered = true;
             offeredSinceMillis = nowMillis;
-        } else if (message instanceof InstallSnapshotRequest && nowMillis - offeredSinceMillis >= mostMillis) {
-            offered = false;
+        } else if (message instanceof InstallSnapshotRequest && nowMillis - offeredSinceMillis >= timeoutMillis) {
+            isOffered = false;
             return true;
         }
         return false;
--- a/src/main/java/sandstack/configuration/consensus/StoredState.java
+++ b/src/main/java/sandstack/configuration/consensus/StoredRaftState.java
@@ -18,7 +18,7 @@
 import sandstack.configuration.MalformedConfigurationException;
 
 /** Reads a store back, and refuses with one line what is damaged or does not hang together. */
-final class StoredState {
+final class StoredRaftState {
     /** Reads one value. */
     private interface ValueReader<T> {
         T read(BoundedReader in) throws MalformedConfigurationException;
@@ -29,29 +29,29 @@
     private final RaftRecordCodec codec;
     private final Map<String, byte[]> header;
     private final Map<Long, byte[]> log;
-    private final Map<Long, byte[]> chunks;
+    private final Map<Long, byte[]> snapshotChunks;
 
-    StoredState(
+    StoredRaftState(
             String file,
             RaftRecordCodec codec,
             Map<String, byte[]> header,
             Map<Long, byte[]> log,
-            Map<Long, byte[]> chunks) {
+            Map<Long, byte[]> snapshotChunks) {
         this.file = file;
         this.codec = codec;
         this.header = header;
         this.log = log;
-        this.chunks = chunks;
+        this.snapshotChunks = snapshotChunks;
     }
 
-    long headerLong(String key) throws StoreRefusedException {
+    long headerLong(String key) throws RejectedStoreException {
         return read(key, header.get(key), BoundedReader::readLong);
     }
 
-    void requireText(String key, String expected) throws StoreRefusedException {
-        String found = read(key, header.get(key), in -> in.readText(RaftMessageCodec.MOST_GROUP_BYTES));
+    void requireText(String key, String expected) throws RejectedStoreException {
+        String found = read(key, header.get(key), in -> in.readText(RaftMessageCodec.MAX_GROUP_BYTES));
         if (!found.equals(expected)) {
-            throw new StoreRefusedException(
+            throw new RejectedStoreException(
                     file + ": " + key + " is " + found + " on this disk, " + expected + " in the settings");
         }
     }
@@ -60,13 +60,13 @@
     int termOf(long index, byte[] entry) {
         try {
             return read("log entry " + index, entry, codec::readLogEntry).getTerm();
-        } catch (StoreRefusedException e) {
+        } catch (RejectedStoreException e) {
             return 0;
         }
     }
 
     /** The state to go on from; empty where the node never ran. */
-    Optional<RestoredRaftState> restore() throws StoreRefusedException {
+    Optional<RestoredRaftState> restore() throws RejectedStoreException {
         if (!header.containsKey(EncodedRaftStore.LOCAL_ENDPOINT)) {
             return Optional.empty();
         }
@@ -84,28 +84,28 @@
     }
 
     /** A node that was killed before its first start was complete has neither voted nor acknowledged anything. */
-    private Optional<RestoredRaftState> restoreUnstarted() throws StoreRefusedException {
-        if (!log.isEmpty() || !chunks.isEmpty() || header.containsKey(EncodedRaftStore.TERM)) {
-            throw new StoreRefusedException(file + ": damaged: a log without members or term");
+    private Optional<RestoredRaftState> restoreUnstarted() throws RejectedStoreException {
+        if (!log.isEmpty() || !snapshotChunks.isEmpty() || header.containsKey(EncodedRaftStore.TERM)) {
+            throw new RejectedStoreException(file + ": damaged: a log without members or term");
         }
         return Optional.empty();
     }
 
     /** The newest snapshot that has all its chunks; null where there is none. */
-    private SnapshotEntry restoreSnapshot() throws StoreRefusedException {
+    private SnapshotEntry restoreSnapshot() throws RejectedStoreException {
         TreeMap<Long, List<SnapshotChunk>> byIndex = new TreeMap<>();
-        for (Map.Entry<Long, byte[]> entry : chunks.entrySet()) {
+        for (Map.Entry<Long, byte[]> entry : snapshotChunks.entrySet()) {
             SnapshotChunk chunk = read("snapshot chunk " + entry.getKey(), entry.getValue(), codec::readSnapshotChunk);
             byIndex.computeIfAbsent(chunk.getIndex(), index -> new ArrayList<>())
                     .add(chunk);
         }
-        for (List<SnapshotChunk> parts : byIndex.descendingMap().values()) {
-            SnapshotChunk first = parts.get(0);
-            if (parts.size() == first.getSnapshotChunkCount()) {
+        for (List<SnapshotChunk> chunks : byIndex.descendingMap().values()) {
+            SnapshotChunk first = chunks.get(0);
+            if (chunks.size() == first.getSnapshotChunkCount()) {
                 return models.createSnapshotEntryBuilder()
                         .setIndex(first.getIndex())
                         .setTerm(first.getTerm())
-                        .setSnapshotChunks(parts)
+                        .setSnapshotChunks(chunks)
                         .setGroupMembersView(first.getGroupMembersView())
                         .build();
             }
@@ -113,7 +113,7 @@
         return null;
     }
 
-    private List<LogEntry> restoreLog(long snapshotIndex) throws StoreRefusedException {
+    private List<LogEntry> restoreLog(long snapshotIndex) throws RejectedStoreException {
         List<LogEntry> entries = new ArrayList<>();
         long expected = snapshotIndex + 1;
         for (Map.Entry<Long, byte[]> stored : log.entrySet()) {
@@ -122,7 +122,7 @@
             }
             LogEntry entry = read("log entry " + stored.getKey(), stored.getValue(), codec::readLogEntry);
             if (entry.getIndex() != stored.getKey() || entry.getIndex() != expected) {
-                throw new StoreRefusedException(
+                throw new RejectedStoreException(
                         file + ": damaged: log entry " + entry.getIndex() + " where " + expected + " follows");
             }
             expected++;
@@ -131,9 +131,9 @@
         return entries;
     }
 
-    private <T> T read(String what, byte[] wrapped, ValueReader<T> reader) throws StoreRefusedException {
+    private <T> T read(String what, byte[] wrapped, ValueReader<T> reader) throws RejectedStoreException {
         if (wrapped == null) {
-            throw new StoreRefusedException(file + ": damaged: " + what + " is missing");
+            throw new RejectedStoreException(file + ": damaged: " + what + " is missing");
         }
         try {
             BoundedReader in = new BoundedReader(Checksummed.unwrap(wrapped));
@@ -141,7 +141,7 @@
             in.requireEnd();
             return value;
         } catch (MalformedConfigurationException e) {
-            throw new StoreRefusedException(file + ": damaged: " + what + ": " + e.getMessage());
+            throw new RejectedStoreException(file + ": damaged: " + what + ": " + e.getMessage());
         }
     }
 }
--- a/src/main/java/sandstack/measure/configuration/FleetScenario.java
+++ b/src/main/java/sandstack/measure/configuration/FleetScenario.java
@@ -149,7 +149,7 @@
     private double killMachine() {
         HollowControlMachine busiest = fleet.machines().stream()
                 .max(Comparator.comparingInt(
-                        (HollowControlMachine machine) -> machine.publisher().sessions()))
+                        (HollowControlMachine machine) -> machine.publisher().sessionCount()))
                 .orElseThrow();
         busiest.kill(true);
         proposeOne();
--- a/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
@@ -8,11 +8,11 @@
 import sandstack.configuration.ConfigurationCodec;
 import sandstack.configuration.ConfigurationFollower;
 import sandstack.configuration.ConfigurationLimits;
+import sandstack.configuration.ConfigurationMessageCodec;
 import sandstack.configuration.ConfigurationPublisher;
 import sandstack.configuration.ConfigurationVersion;
 import sandstack.configuration.ControlMachine;
 import sandstack.configuration.FollowerSettings;
-import sandstack.configuration.MessageCodec;
 import sandstack.configuration.PublisherSettings;
 import sandstack.configuration.RelayIdentity;
 
@@ -55,7 +55,7 @@
     private final CountedNetwork network;
     private final ChangeValidator validator = new ChangeValidator(ConfigurationLimits.DEFAULT, ConfigurationCheck.NONE);
     private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
-    private final MessageCodec messages = new MessageCodec(codec);
+    private final ConfigurationMessageCodec messages = new ConfigurationMessageCodec(codec);
     private final List<HollowControlMachine> machines = new ArrayList<>();
     private final List<HollowRelay> relays = new ArrayList<>();
     private final List<ControlMachine> controlMachines = new ArrayList<>();
@@ -115,7 +115,7 @@
         ConfigurationVersion version = consensus.current().version();
         return relays.stream()
                 .allMatch(relay -> relay.follower() != null
-                        && relay.follower().inForce().version().equals(version));
+                        && relay.follower().active().version().equals(version));
     }
 
     /** Runs until the last agreed state is in force everywhere; returns how long that took, -1 where it did not. */
@@ -134,7 +134,7 @@
         return network;
     }
 
-    MessageCodec messages() {
+    ConfigurationMessageCodec messages() {
         return messages;
     }
 
--- a/src/main/java/sandstack/measure/configuration/HollowControlMachine.java
+++ b/src/main/java/sandstack/measure/configuration/HollowControlMachine.java
@@ -72,8 +72,8 @@
 
     private void turn() {
         fleet.consensus().turn(this);
-        publisher.turn(fleet.clock().now());
-        mostSessions = Math.max(mostSessions, publisher.sessions());
+        publisher.tick(fleet.clock().now());
+        mostSessions = Math.max(mostSessions, publisher.sessionCount());
     }
 
     /** A frame has arrived; where no process listens, the machine says so. */
@@ -91,7 +91,7 @@
         connections.put(connection.peer(), connection);
         try {
             ConfigurationMessage decoded = fleet.messages().decode(frame);
-            if (decoded instanceof ConfigurationMessage.FromFollower message) {
+            if (decoded instanceof ConfigurationMessage.FollowerMessage message) {
                 hellos += decoded instanceof ConfigurationMessage.Hello ? 1 : 0;
                 publisher.received(connection.peer(), message, fleet.clock().now());
             }
@@ -109,7 +109,7 @@
     }
 
     @Override
-    public boolean send(String peer, ConfigurationMessage.FromPublisher message) {
+    public boolean send(String peer, ConfigurationMessage.PublisherMessage message) {
         HollowConnection connection = connections.get(peer);
         if (connection == null) {
             return false;
@@ -130,7 +130,7 @@
     }
 
     @Override
-    public void line(String text) {
+    public void log(String text) {
         lines++;
     }
 }
--- a/src/main/java/sandstack/measure/configuration/HollowRelay.java
+++ b/src/main/java/sandstack/measure/configuration/HollowRelay.java
@@ -70,7 +70,7 @@
     /** One of the fleet's turns, where the process runs. */
     void turn() {
         if (isRunning() && !isPaused()) {
-            work(() -> follower.turn(fleet.clock().now()));
+            work(() -> follower.tick(fleet.clock().now()));
         }
     }
 
@@ -90,7 +90,7 @@
             return;
         }
         try {
-            if (fleet.messages().decode(frame) instanceof ConfigurationMessage.FromPublisher message) {
+            if (fleet.messages().decode(frame) instanceof ConfigurationMessage.PublisherMessage message) {
                 tap.accept(message);
                 follower.received(
                         connection.machine().name(), message, fleet.clock().now());
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void send(String machine, ConfigurationMessage.FromFollower message) {
+    public void send(String machine, ConfigurationMessage.FollowerMessage message) {
         HollowConnection connection = connections.computeIfAbsent(machine, name -> fleet.connect(this, name));
         byte[] frame = fleet.messages().encode(message);
         fleet.network().send(this, connection.machine(), connection.toMachine(), frame, bytes -> connection
@@ -127,12 +127,12 @@
     }
 
     @Override
-    public void inForce(ConfigurationSnapshot snapshot) {
+    public void activated(ConfigurationSnapshot snapshot) {
         observer.accept(this, snapshot);
     }
 
     @Override
-    public void line(String text) {
+    public void log(String text) {
         lines++;
     }
 }
--- a/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
+++ b/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import sandstack.configuration.AgreedChange;
-import sandstack.configuration.AgreedChangeListener;
-import sandstack.configuration.ChangeRefusal;
-import sandstack.configuration.ChangeRefusal.Reason;
+import sandstack.configuration.ChangeRejection;
+import sandstack.configuration.ChangeRejection.Reason;
 import sandstack.configuration.ChangeValidator;
+import sandstack.configuration.CommittedChange;
+import sandstack.configuration.CommittedChangeListener;
 import sandstack.configuration.ConfigurationChange;
 import sandstack.configuration.ConfigurationEdit;
 import sandstack.configuration.ConfigurationHistory;
@@ -20,7 +20,7 @@
  * is agreed where a majority of all machines is reached both ways from the one that proposes, and a machine learns what
  * was agreed while it reaches such a majority. Its own messages are not counted. One thread.
  */
-public final class ModelledConsensus implements AgreedChangeListener {
+public final class ModelledConsensus implements CommittedChangeListener {
     /** A machine that lacks a majority for so long says that it lacks a quorum, in microseconds. */
     private static final long QUORUM_TIMEOUT = 1_000_000;
     /** From the agreement to the next machine's knowledge, in microseconds: one way between regions and some. */
@@ -35,7 +35,7 @@
     private final HollowConfigurationFleet fleet;
     private final int mostReplayed;
     private final ConfigurationHistory history;
-    private final List<AgreedChange> changes = new ArrayList<>();
+    private final List<CommittedChange> changes = new ArrayList<>();
     private final List<ConfigurationSnapshot> states = new ArrayList<>(List.of(ConfigurationSnapshot.EMPTY));
     private final List<Long> agreedAt = new ArrayList<>();
     private final Map<HollowControlMachine, Replica> replicas = new HashMap<>();
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void agreed(AgreedChange change) {
+    public void committed(CommittedChange change) {
         changes.add(change);
         states.add(history.current());
         agreedAt.add(fleet.clock().now());
@@ -76,9 +76,9 @@
     }
 
     /** Proposes a change on the current state at a machine. */
-    public Optional<ChangeRefusal> propose(HollowControlMachine machine, List<ConfigurationEdit> edits) {
+    public Optional<ChangeRejection> propose(HollowControlMachine machine, List<ConfigurationEdit> edits) {
         if (!hasMajority(machine)) {
-            return Optional.of(new ChangeRefusal(Reason.NO_QUORUM, machine.name() + " reaches no majority"));
+            return Optional.of(new ChangeRejection(Reason.NO_QUORUM, machine.name() + " reaches no majority"));
         }
         if (leader != machine) {
             leader = machine;
@@ -86,9 +86,9 @@
         }
         ConfigurationChange change =
                 ConfigurationChange.of(current().version(), "operator", "a simulated change", edits);
-        ConfigurationHistory.Outcome outcome = history.committed(term, change);
-        if (outcome instanceof ConfigurationHistory.Outcome.Refused refused) {
-            return Optional.of(refused.refusal());
+        ConfigurationHistory.Outcome outcome = history.applyCommitted(term, change);
+        if (outcome instanceof ConfigurationHistory.Outcome.Rejected refused) {
+            return Optional.of(refused.rejection());
         }
         fleet.clock().after(REPLICATION, () -> fleet.machines().forEach(each -> each.work(() -> turn(each))));
         return Optional.empty();
@@ -131,7 +131,7 @@
             replica.majorityAt = now;
             catchUp(machine, replica);
         }
-        machine.publisher().quorum(now - replica.majorityAt < QUORUM_TIMEOUT);
+        machine.publisher().setQuorumReached(now - replica.majorityAt < QUORUM_TIMEOUT);
     }
 
     private void catchUp(HollowControlMachine machine, Replica replica) {
@@ -140,7 +140,7 @@
             machine.publisher().restored(current());
         }
         while (replica.applied < changes.size()) {
-            machine.publisher().agreed(changes.get(replica.applied));
+            machine.publisher().committed(changes.get(replica.applied));
             replica.applied++;
         }
     }
--- a/src/main/java/sandstack/measure/configuration/StoredInMemory.java
+++ b/src/main/java/sandstack/measure/configuration/StoredInMemory.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sandstack.configuration.AgreedChange;
+import sandstack.configuration.CommittedChange;
 import sandstack.configuration.ConfigurationDigest;
 import sandstack.configuration.ConfigurationSnapshot;
 import sandstack.configuration.ConfigurationStore;
@@ -58,7 +58,7 @@
             return new Loaded.Unreadable("a simulated fault of the disk");
         }
         if (states.isEmpty()) {
-            return new Loaded.Nothing();
+            return new Loaded.Absent();
         }
         ConfigurationSnapshot last = states.get(states.size() - 1);
         ConfigurationDigest digest = damaged ? last.digest().with("damaged", "") : last.digest();
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void apply(AgreedChange change, ConfigurationSnapshot after) throws ConfigurationStoreException {
+    public void apply(CommittedChange change, ConfigurationSnapshot after) throws ConfigurationStoreException {
         replace(after);
     }
 
