--- a/src/test/java/sandstack/configuration/ChangeValidatorTest.java
+++ b/src/test/java/sandstack/configuration/ChangeValidatorTest.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import sandstack.configuration.ChangeRefusal.Reason;
+import sandstack.configuration.ChangeRejection.Reason;
 import sandstack.configuration.ConfigurationEdit.Put;
 import sandstack.configuration.ConfigurationEdit.Remove;
 
@@ -21,38 +21,38 @@
         return ConfigurationChange.of(ConfigurationVersion.NONE, "ann", "a test", List.of(edits));
     }
 
-    private void assertRefused(ConfigurationChange change, Reason reason) {
-        Optional<ChangeRefusal> refusal = validator.refuse(ConfigurationSnapshot.EMPTY, change);
-        assertThat(refusal).map(ChangeRefusal::reason).contains(reason);
+    private void assertRejected(ConfigurationChange change, Reason reason) {
+        Optional<ChangeRejection> refusal = validator.validate(ConfigurationSnapshot.EMPTY, change);
+        assertThat(refusal).map(ChangeRejection::reason).contains(reason);
         assertThat(refusal.orElseThrow().toString()).hasSizeLessThan(300).doesNotContain("\n");
     }
 
     @Test
     void anOrdinaryChangeIsTaken() {
-        assertThat(validator.refuse(ConfigurationSnapshot.EMPTY, change(new Put("a", "1"), new Remove("b"))))
+        assertThat(validator.validate(ConfigurationSnapshot.EMPTY, change(new Put("a", "1"), new Remove("b"))))
                 .isEmpty();
     }
 
     @Test
     void boundsOfOneChange() {
-        assertRefused(change(), Reason.EMPTY_CHANGE);
-        assertRefused(change(new Put("a", "1"), new Remove("a")), Reason.DUPLICATE_KEY);
-        assertRefused(change(new Put("", "1")), Reason.INVALID_KEY);
-        assertRefused(change(new Put("k".repeat(LIMITS.keyBytes() + 1), "1")), Reason.INVALID_KEY);
-        assertRefused(change(new Put("a", "é".repeat(LIMITS.valueBytes() / 2 + 1))), Reason.VALUE_TOO_LARGE);
-        assertThat(validator.refuse(
-                        ConfigurationSnapshot.EMPTY, change(new Put("a", "é".repeat(LIMITS.valueBytes() / 2)))))
+        assertRejected(change(), Reason.EMPTY_CHANGE);
+        assertRejected(change(new Put("a", "1"), new Remove("a")), Reason.DUPLICATE_KEY);
+        assertRejected(change(new Put("", "1")), Reason.INVALID_KEY);
+        assertRejected(change(new Put("k".repeat(LIMITS.maxKeyBytes() + 1), "1")), Reason.INVALID_KEY);
+        assertRejected(change(new Put("a", "é".repeat(LIMITS.maxValueBytes() / 2 + 1))), Reason.VALUE_TOO_LARGE);
+        assertThat(validator.validate(
+                        ConfigurationSnapshot.EMPTY, change(new Put("a", "é".repeat(LIMITS.maxValueBytes() / 2)))))
                 .isEmpty();
-        assertRefused(change(new Put("a\ud800", "1")), Reason.MALFORMED);
-        assertRefused(change(new Put("a", "\udc00")), Reason.MALFORMED);
-        assertRefused(
+        assertRejected(change(new Put("a\ud800", "1")), Reason.MALFORMED);
+        assertRejected(change(new Put("a", "\udc00")), Reason.MALFORMED);
+        assertRejected(
                 ConfigurationChange.of(ConfigurationVersion.NONE, " ", "why", List.of(new Put("a", "1"))),
                 Reason.INVALID_AUTHOR);
-        assertRefused(
+        assertRejected(
                 ConfigurationChange.of(
                         ConfigurationVersion.NONE,
                         "ann",
-                        "r".repeat(LIMITS.reasonBytes() + 1),
+                        "r".repeat(LIMITS.maxReasonBytes() + 1),
                         List.of(new Put("a", "1"))),
                 Reason.INVALID_AUTHOR);
     }
@@ -60,26 +60,26 @@
     @Test
     void aConfigurationOfSixtyMegabytesIsRefused() {
         String value = "v".repeat(60 << 20);
-        assertRefused(change(new Put("a\nb", value)), Reason.VALUE_TOO_LARGE);
+        assertRejected(change(new Put("a\nb", value)), Reason.VALUE_TOO_LARGE);
         ConfigurationEdit[] many = IntStream.range(0, 960)
                 .mapToObj(i -> new Put("key-" + i, value.substring(0, 64 << 10)))
                 .toArray(ConfigurationEdit[]::new);
-        assertRefused(change(many), Reason.CHANGE_TOO_LARGE);
-        ConfigurationEdit[] edits = IntStream.range(0, LIMITS.editsPerChange() + 1)
+        assertRejected(change(many), Reason.CHANGE_TOO_LARGE);
+        ConfigurationEdit[] edits = IntStream.range(0, LIMITS.maxEditsPerChange() + 1)
                 .mapToObj(i -> new Remove("key-" + i))
                 .toArray(ConfigurationEdit[]::new);
-        assertRefused(change(edits), Reason.CHANGE_TOO_LARGE);
+        assertRejected(change(edits), Reason.CHANGE_TOO_LARGE);
     }
 
     @Test
     void manySmallChangesCannotExceedTheWhole() {
-        List<ChangeRefusal> refusals = new ArrayList<>();
+        List<ChangeRejection> refusals = new ArrayList<>();
         ConfigurationHistory history = new ConfigurationHistory(validator, new RecordingListener());
         for (int i = 0; i < 40; i++) {
             ConfigurationChange next = ConfigurationChange.of(
                     history.current().version(), "ann", "more", List.of(new Put("key-" + i, "v".repeat(60_000))));
-            if (history.committed(1, next) instanceof ConfigurationHistory.Outcome.Refused refused) {
-                refusals.add(refused.refusal());
+            if (history.applyCommitted(1, next) instanceof ConfigurationHistory.Outcome.Rejected refused) {
+                refusals.add(refused.rejection());
             }
         }
         assertThat(history.current().entries()).hasSize(17);
@@ -94,14 +94,14 @@
                 "ann",
                 "why",
                 List.of(new Put("a", "1")));
-        assertRefused(future, Reason.UNKNOWN_FORMAT);
+        assertRejected(future, Reason.UNKNOWN_FORMAT);
     }
 
     @Test
     void aChangeOfAnOlderStateIsRefused() {
         ConfigurationSnapshot current =
                 ConfigurationSnapshot.EMPTY.apply(new ConfigurationVersion(1, 1), change(new Put("a", "1")));
-        assertThat(validator.refuse(current, change(new Put("b", "1"))).map(ChangeRefusal::reason))
+        assertThat(validator.validate(current, change(new Put("b", "1"))).map(ChangeRejection::reason))
                 .contains(Reason.CONFLICTING_BASE);
     }
 
@@ -110,9 +110,9 @@
         ChangeValidator checked = new ChangeValidator(
                 LIMITS,
                 state -> state.entries().containsKey("port") ? Optional.empty() : Optional.of("port is missing"));
-        assertThat(checked.refuse(ConfigurationSnapshot.EMPTY, change(new Put("a", "1"))))
-                .contains(new ChangeRefusal(Reason.UNUSABLE, "port is missing"));
-        assertThat(checked.refuse(ConfigurationSnapshot.EMPTY, change(new Put("port", "1"))))
+        assertThat(checked.validate(ConfigurationSnapshot.EMPTY, change(new Put("a", "1"))))
+                .contains(new ChangeRejection(Reason.UNUSABLE, "port is missing"));
+        assertThat(checked.validate(ConfigurationSnapshot.EMPTY, change(new Put("port", "1"))))
                 .isEmpty();
     }
 }
--- a/src/test/java/sandstack/configuration/ConfigurationCodecTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationCodecTest.java
@@ -23,10 +23,10 @@
 class ConfigurationCodecTest {
     private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
 
-    private static AgreedChange agreed(List<ConfigurationEdit> edits) {
+    private static CommittedChange committedChange(List<ConfigurationEdit> edits) {
         ConfigurationVersion base = new ConfigurationVersion(3, 41);
         ConfigurationChange change = new ConfigurationChange(7, base, "ann é", "why\n", edits);
-        return new AgreedChange(base.next(4), change, new ConfigurationDigest(-1, 5));
+        return new CommittedChange(base.next(4), change, new ConfigurationDigest(-1, 5));
     }
 
     @Property(tries = 200)
@@ -37,8 +37,8 @@
                 .map(text -> text.length() % 2 == 0 ? new Put(text, text + text) : new Remove(text))
                 .map(ConfigurationEdit.class::cast)
                 .toList();
-        AgreedChange agreed = agreed(edits);
-        assertThat(codec.decodeAgreedChange(codec.encode(agreed))).isEqualTo(agreed);
+        CommittedChange agreed = committedChange(edits);
+        assertThat(codec.decodeCommittedChange(codec.encode(agreed))).isEqualTo(agreed);
         assertThat(codec.decodeChange(codec.encode(agreed.change()))).isEqualTo(agreed.change());
     }
 
@@ -55,7 +55,7 @@
     @Property(tries = 500)
     void damagedBytesAreRefusedOrRead(
             @ForAll @IntRange(max = 400) int at, @ForAll @ByteRange byte value, @ForAll boolean cut) {
-        byte[] change = codec.encode(agreed(List.of(new Put("a", "1"), new Remove("b"))));
+        byte[] change = codec.encode(committedChange(List.of(new Put("a", "1"), new Remove("b"))));
         byte[] snapshot =
                 codec.encode(ConfigurationSnapshot.of(new ConfigurationVersion(2, 9), 1, Map.of("a", "1", "b", "2")));
         for (byte[] bytes : List.of(change, snapshot)) {
@@ -64,11 +64,11 @@
                 damaged[at % bytes.length] = value;
             }
             try {
-                Object read = bytes == change ? codec.decodeAgreedChange(damaged) : codec.decodeSnapshot(damaged);
+                Object read = bytes == change ? codec.decodeCommittedChange(damaged) : codec.decodeSnapshot(damaged);
                 assertThat(read).isNotNull();
                 assertThat(cut).isFalse();
             } catch (MalformedConfigurationException e) {
-                assertThat(e.refusal().toString()).hasSizeLessThan(300);
+                assertThat(e.toRejection().toString()).hasSizeLessThan(300);
             }
         }
     }
@@ -94,7 +94,7 @@
                 .isInstanceOf(MalformedConfigurationException.class);
         assertThatThrownBy(() -> codec.decodeChange(new byte[60 << 20]))
                 .isInstanceOf(MalformedConfigurationException.class);
-        byte[] claims = codec.encode(agreed(List.of(new Put("a", "1"))).change());
+        byte[] claims = codec.encode(committedChange(List.of(new Put("a", "1"))).change());
         // the length of the author, after format and base version
         ByteBuffer.wrap(claims).putInt(Integer.BYTES + 2 * Long.BYTES, Integer.MAX_VALUE);
         assertThatThrownBy(() -> codec.decodeChange(claims)).isInstanceOf(MalformedConfigurationException.class);
@@ -109,9 +109,9 @@
                 .mapToObj(i -> (ConfigurationEdit) new Put("key-key" + i, "012345678901"))
                 .toList();
         ConfigurationChange change = ConfigurationChange.of(ConfigurationVersion.NONE, "abcd", "efgh", edits);
-        assertThat(new ChangeValidator(limits, ConfigurationCheck.NONE).refuse(ConfigurationSnapshot.EMPTY, change))
+        assertThat(new ChangeValidator(limits, ConfigurationCheck.NONE).validate(ConfigurationSnapshot.EMPTY, change))
                 .isEmpty();
-        AgreedChange agreed = new AgreedChange(new ConfigurationVersion(1, 1), change, ConfigurationDigest.EMPTY);
-        assertThat(small.decodeAgreedChange(small.encode(agreed))).isEqualTo(agreed);
+        CommittedChange agreed = new CommittedChange(new ConfigurationVersion(1, 1), change, ConfigurationDigest.EMPTY);
+        assertThat(small.decodeCommittedChange(small.encode(agreed))).isEqualTo(agreed);
     }
 }
--- a/src/test/java/sandstack/configuration/ConfigurationFixturesTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationFixturesTest.java
@@ -8,7 +8,7 @@
 /** What an earlier build stored and sent is read, and the same is written, byte for byte. */
 class ConfigurationFixturesTest {
     private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
-    private final MessageCodec messages = new MessageCodec(codec);
+    private final ConfigurationMessageCodec messages = new ConfigurationMessageCodec(codec);
     private final Map<String, byte[]> forms = FixtureFile.readBytes(ConfigurationSamples.FORMS);
 
     @Test
@@ -19,7 +19,8 @@
     @Test
     void readsChangesAndSnapshotsOfTheFixtures() throws Exception {
         assertThat(codec.decodeChange(forms.get("change"))).isEqualTo(ConfigurationSamples.change());
-        assertThat(codec.decodeAgreedChange(forms.get("agreed-change"))).isEqualTo(ConfigurationSamples.agreedChange());
+        assertThat(codec.decodeCommittedChange(forms.get("agreed-change")))
+                .isEqualTo(ConfigurationSamples.committedChange());
         assertThat(codec.decodeSnapshot(forms.get("snapshot"))).isEqualTo(ConfigurationSamples.snapshot());
         assertThat(codec.decodeSnapshot(forms.get("snapshot.empty"))).isEqualTo(ConfigurationSnapshot.EMPTY);
     }
@@ -46,7 +47,7 @@
         Map<String, String> expected = FixtureFile.read(ConfigurationSamples.TRACES);
         assertThat(expected).hasSize(ConfigurationSamples.TRACED_SEEDS);
         for (long seed = 1; seed <= ConfigurationSamples.TRACED_SEEDS; seed++) {
-            assertThat(new DistributionTrace(seed).play()).isEqualTo(expected.get("seed-" + seed));
+            assertThat(new DistributionTrace(seed).run()).isEqualTo(expected.get("seed-" + seed));
         }
     }
 }
--- a/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
@@ -15,19 +15,19 @@
 import sandstack.configuration.ConfigurationMessage.Goodbye;
 import sandstack.configuration.ConfigurationMessage.Heartbeat;
 import sandstack.configuration.ConfigurationMessage.Hello;
-import sandstack.configuration.ConfigurationMessage.Rejected;
-import sandstack.configuration.ConfigurationMessage.RejectionReason;
 import sandstack.configuration.ConfigurationMessage.RepairRequest;
-import sandstack.configuration.ConfigurationMessage.Report;
+import sandstack.configuration.ConfigurationMessage.SessionRejected;
+import sandstack.configuration.ConfigurationMessage.SessionRejectionReason;
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 import sandstack.configuration.ConfigurationMessage.SnapshotOffer;
 import sandstack.configuration.ConfigurationMessage.SnapshotRequest;
+import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
 /** What a relay takes, what it refuses, and whom it asks. */
 class ConfigurationFollowerTest {
-    private static final long SECOND = 1_000_000;
-    private static final long TURN = 100_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long TICK_MICROS = 100_000;
     private static final List<ControlMachine> MACHINES = List.of(
             new ControlMachine("north-1", "north"),
             new ControlMachine("north-2", "north"),
@@ -35,17 +35,17 @@
 
     /** A disk that is told what to hold. */
     private static final class Disk implements ConfigurationStore {
-        Loaded held = new Loaded.Nothing();
+        Loaded stored = new Loaded.Absent();
         boolean fails;
         int writes;
 
         @Override
         public Loaded load() {
-            return held;
+            return stored;
         }
 
         @Override
-        public void apply(AgreedChange change, ConfigurationSnapshot after) throws ConfigurationStoreException {
+        public void apply(CommittedChange change, ConfigurationSnapshot after) throws ConfigurationStoreException {
             replace(after);
         }
 
@@ -55,7 +55,7 @@
                 throw new ConfigurationStoreException("no space", null);
             }
             writes++;
-            held = found(snapshot);
+            stored = found(snapshot);
         }
 
         static Loaded.Found found(ConfigurationSnapshot snapshot) {
@@ -66,7 +66,7 @@
 
     private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
     private final RecordingFollowerOutput output = new RecordingFollowerOutput();
-    private final AgreedHistory history = new AgreedHistory();
+    private final CommittedHistory history = new CommittedHistory();
     private final Disk disk = new Disk();
     private ConfigurationCheck check = ConfigurationCheck.NONE;
     private ConfigurationFollower follower;
@@ -77,7 +77,7 @@
                 FollowerSettings.DEFAULT,
                 new RelayIdentity("relay-1", "north"),
                 MACHINES,
-                new ChangeValidator(ConfigurationLimits.DEFAULT, state -> check.problem(state)),
+                new ChangeValidator(ConfigurationLimits.DEFAULT, state -> check.findProblem(state)),
                 disk,
                 output,
                 new SplittableRandom(5),
@@ -86,18 +86,18 @@
 
     private void run(long micros) {
         for (long end = now + micros; now < end; ) {
-            now += TURN;
-            follower.turn(now);
+            now += TICK_MICROS;
+            follower.tick(now);
         }
     }
 
     /** The same while the machine that is followed sends heartbeats with this head. */
-    private void runHearing(ConfigurationHead head, long micros) {
+    private void runWithHeartbeats(ConfigurationHead head, long micros) {
         String machine = follower.status().machine().orElseThrow();
         long session = session();
         for (long end = now + micros; now < end; ) {
             follower.received(machine, new Heartbeat(session, head), now);
-            run(SECOND);
+            run(SECOND_MICROS);
         }
     }
 
@@ -106,7 +106,7 @@
         return hellos.get(hellos.size() - 1);
     }
 
-    private String lastAsked() {
+    private String lastContactedMachine() {
         return output.sent.stream()
                 .filter(sent -> sent.message() instanceof Hello)
                 .reduce((first, second) -> second)
@@ -118,25 +118,25 @@
     private void follow(boolean quorum) {
         int before = output.messages(Hello.class).size();
         while (output.messages(Hello.class).size() == before) {
-            run(TURN);
+            run(TICK_MICROS);
         }
-        follower.received(lastAsked(), new Welcome(lastHello().session(), history.head(quorum)), now);
+        follower.received(lastContactedMachine(), new Welcome(lastHello().sessionId(), history.head(quorum)), now);
     }
 
-    private void hear(ConfigurationMessage.FromPublisher message) {
+    private void receive(ConfigurationMessage.PublisherMessage message) {
         follower.received(follower.status().machine().orElseThrow(), message, now);
     }
 
     private long session() {
-        return lastHello().session();
+        return lastHello().sessionId();
     }
 
     private void heartbeat(boolean quorum) {
-        hear(new Heartbeat(session(), history.head(quorum)));
+        receive(new Heartbeat(session(), history.head(quorum)));
     }
 
     private void deltas(int from, int to) {
-        hear(new Deltas(session(), history.changes.subList(from, to)));
+        receive(new Deltas(session(), history.changes.subList(from, to)));
     }
 
     /** Sends a snapshot in parts, as they are asked for. */
@@ -144,7 +144,7 @@
         byte[] bytes = codec.encode(snapshot);
         for (int offset = 0; offset < bytes.length; offset += partBytes) {
             byte[] part = Arrays.copyOfRange(bytes, offset, Math.min(bytes.length, offset + partBytes));
-            hear(new SnapshotChunk(
+            receive(new SnapshotChunk(
                     session(), snapshot.version(), snapshot.formatVersion(), bytes.length, offset, part));
         }
     }
@@ -153,13 +153,13 @@
     void changesAreTakenStoredAndReported() {
         start();
         follow(true);
-        history.addMany(3);
+        history.commitMany(3);
         deltas(0, 3);
-        assertThat(follower.inForce()).isEqualTo(history.current());
-        assertThat(output.states).hasSize(3);
-        assertThat(disk.held).isEqualTo(Disk.found(history.current()));
-        assertThat(output.last().message())
-                .isEqualTo(new Report(
+        assertThat(follower.active()).isEqualTo(history.current());
+        assertThat(output.activated).hasSize(3);
+        assertThat(disk.stored).isEqualTo(Disk.found(history.current()));
+        assertThat(output.lastSent().message())
+                .isEqualTo(new StatusReport(
                         session(),
                         history.current().version(),
                         history.current().digest(),
@@ -170,10 +170,10 @@
     void aGapIsNotTakenButRepaired() {
         start();
         follow(true);
-        history.addMany(3);
+        history.commitMany(3);
         deltas(1, 3);
-        assertThat(output.states).isEmpty();
-        assertThat(output.last().message()).isEqualTo(new RepairRequest(session(), ConfigurationVersion.NONE));
+        assertThat(output.activated).isEmpty();
+        assertThat(output.lastSent().message()).isEqualTo(new RepairRequest(session(), ConfigurationVersion.NONE));
         deltas(2, 3);
         assertThat(output.messages(RepairRequest.class)).hasSize(1);
     }
@@ -182,77 +182,77 @@
     void whatIsOldChangesNothing() {
         start();
         follow(true);
-        history.addMany(3);
+        history.commitMany(3);
         deltas(0, 3);
         deltas(0, 2);
         sendSnapshot(history.states.get(2), 1_000);
-        assertThat(follower.inForce()).isEqualTo(history.current());
-        assertThat(output.states).hasSize(3);
+        assertThat(follower.active()).isEqualTo(history.current());
+        assertThat(output.activated).hasSize(3);
     }
 
     @Test
     void aMachineThatIsOlderDoesNotRollARelayBack() {
-        history.addMany(5);
-        disk.held = Disk.found(history.current());
+        history.commitMany(5);
+        disk.stored = Disk.found(history.current());
         start();
-        assertThat(output.states).containsExactly(history.current());
+        assertThat(output.activated).containsExactly(history.current());
         int before = output.messages(Hello.class).size();
-        run(SECOND);
+        run(SECOND_MICROS);
         assertThat(output.messages(Hello.class)).hasSize(before + 1);
-        String older = lastAsked();
+        String older = lastContactedMachine();
         ConfigurationSnapshot old = history.states.get(2);
         follower.received(older, new Welcome(session(), new ConfigurationHead(old.version(), old.digest(), true)), now);
         sendSnapshot(old, 1_000);
-        assertThat(follower.inForce()).isEqualTo(history.current());
-        runHearing(new ConfigurationHead(old.version(), old.digest(), true), 8 * SECOND);
+        assertThat(follower.active()).isEqualTo(history.current());
+        runWithHeartbeats(new ConfigurationHead(old.version(), old.digest(), true), 8 * SECOND_MICROS);
         // it is behind, so others are asked
-        assertThat(lastAsked()).isNotEqualTo(older);
+        assertThat(lastContactedMachine()).isNotEqualTo(older);
         long again = session();
-        follower.received(lastAsked(), new Welcome(again, history.head(true)), now);
-        assertThat(follower.status().machine()).contains(lastAsked());
+        follower.received(lastContactedMachine(), new Welcome(again, history.head(true)), now);
+        assertThat(follower.status().machine()).contains(lastContactedMachine());
         assertThat(output.sent).anyMatch(sent -> sent.machine().equals(older) && sent.message() instanceof Goodbye);
     }
 
     @Test
     void anotherHistoryIsNotTaken() {
-        history.addMany(3);
-        disk.held = Disk.found(history.current());
+        history.commitMany(3);
+        disk.stored = Disk.found(history.current());
         start();
-        run(SECOND);
-        String machine = lastAsked();
+        run(SECOND_MICROS);
+        String machine = lastContactedMachine();
         ConfigurationVersion other = new ConfigurationVersion(7, 2);
         follower.received(
                 machine, new Welcome(session(), new ConfigurationHead(other, ConfigurationDigest.EMPTY, true)), now);
         assertThat(follower.status().machine()).isEmpty();
-        assertThat(output.lines).hasSize(1).allMatch(line -> line.contains("another history"));
+        assertThat(output.logLines).hasSize(1).allMatch(line -> line.contains("another history"));
         follow(true);
-        hear(new Heartbeat(
+        receive(new Heartbeat(
                 session(), new ConfigurationHead(history.current().version(), ConfigurationDigest.EMPTY, true)));
         assertThat(follower.status().machine()).isEmpty();
-        assertThat(follower.inForce()).isEqualTo(history.current());
+        assertThat(follower.active()).isEqualTo(history.current());
     }
 
     @Test
     void aChangeThatDoesNotLeadToItsDigestIsFetchedWhole() {
         start();
         follow(true);
-        AgreedChange good = history.add("a", "1");
-        hear(new Deltas(
-                session(), List.of(new AgreedChange(good.version(), good.change(), new ConfigurationDigest(1, 2)))));
-        assertThat(output.states).isEmpty();
-        assertThat(output.last().message()).isEqualTo(new SnapshotRequest(session(), 1));
+        CommittedChange good = history.commit("a", "1");
+        receive(new Deltas(
+                session(), List.of(new CommittedChange(good.version(), good.change(), new ConfigurationDigest(1, 2)))));
+        assertThat(output.activated).isEmpty();
+        assertThat(output.lastSent().message()).isEqualTo(new SnapshotRequest(session(), 1));
         sendSnapshot(history.current(), 10);
-        assertThat(follower.inForce()).isEqualTo(history.current());
+        assertThat(follower.active()).isEqualTo(history.current());
     }
 
     @Test
     void aHeartbeatThatTellsOfALaterVersionTwiceIsActedOn() {
         start();
         follow(true);
-        history.addMany(2);
+        history.commitMany(2);
         heartbeat(true);
         assertThat(output.messages(RepairRequest.class)).isEmpty();
-        run(2 * SECOND);
+        run(2 * SECOND_MICROS);
         heartbeat(true);
         assertThat(output.messages(RepairRequest.class)).hasSize(1);
     }
@@ -261,25 +261,26 @@
     void aRelayThatIsFarBehindFetchesASnapshotInParts() {
         start();
         follow(true);
-        history.addMany(20);
-        hear(new SnapshotOffer(session(), history.current().version(), 1));
-        assertThat(output.last().message()).isEqualTo(new SnapshotRequest(session(), 1));
+        history.commitMany(20);
+        receive(new SnapshotOffer(session(), history.current().version(), 1));
+        assertThat(output.lastSent().message()).isEqualTo(new SnapshotRequest(session(), 1));
         sendSnapshot(history.current(), 20);
-        assertThat(follower.inForce()).isEqualTo(history.current());
+        assertThat(follower.active()).isEqualTo(history.current());
         assertThat(output.messages(ChunkRequest.class).size()).isGreaterThan(3);
-        assertThat(output.states).hasSize(1);
+        assertThat(output.activated).hasSize(1);
     }
 
     @Test
     void partsThatAreLostAreAskedForAgainAndNotForEver() {
         start();
         follow(true);
-        history.addMany(20);
+        history.commitMany(20);
         byte[] bytes = codec.encode(history.current());
-        hear(new SnapshotChunk(session(), history.current().version(), 1, bytes.length, 0, Arrays.copyOf(bytes, 50)));
+        receive(new SnapshotChunk(
+                session(), history.current().version(), 1, bytes.length, 0, Arrays.copyOf(bytes, 50)));
         for (int i = 0; i < 60; i++) {
-            run(SECOND);
-            hear(new Heartbeat(
+            run(SECOND_MICROS);
+            receive(new Heartbeat(
                     session(), new ConfigurationHead(ConfigurationVersion.NONE, ConfigurationDigest.EMPTY, true)));
         }
         assertThat(output.messages(ChunkRequest.class).size()).isBetween(5, 12);
@@ -289,34 +290,35 @@
     void aSnapshotOfSixtyMegabytesIsRefusedAtItsFirstPart() {
         start();
         follow(true);
-        history.addMany(1);
-        hear(new SnapshotChunk(session(), history.current().version(), 1, 60 << 20, 0, new byte[1_000]));
-        assertThat(output.lines).hasSize(1).allMatch(line -> line.contains("CONFIGURATION_TOO_LARGE"));
+        history.commitMany(1);
+        receive(new SnapshotChunk(session(), history.current().version(), 1, 60 << 20, 0, new byte[1_000]));
+        assertThat(output.logLines).hasSize(1).allMatch(line -> line.contains("CONFIGURATION_TOO_LARGE"));
         assertThat(output.messages(ChunkRequest.class)).isEmpty();
-        assertThat(((Report) output.last().message()).refused()).contains(ChangeRefusal.Reason.CONFIGURATION_TOO_LARGE);
+        assertThat(((StatusReport) output.lastSent().message()).rejectionReason())
+                .contains(ChangeRejection.Reason.CONFIGURATION_TOO_LARGE);
     }
 
     @Test
     void aFormatFromTheFutureIsRefusedAndARollBackTaken() {
         start();
         follow(true);
-        history.add("a", "1");
+        history.commit("a", "1");
         deltas(0, 1);
-        history.add(2, 1, Map.of("a", "in a new way"));
+        history.commit(2, 1, Map.of("a", "in a new way"));
         deltas(1, 2);
-        assertThat(follower.status().refusal().map(ChangeRefusal::reason))
-                .contains(ChangeRefusal.Reason.UNKNOWN_FORMAT);
-        assertThat(follower.inForce()).isEqualTo(history.states.get(1));
-        assertThat(output.lines).hasSize(1);
+        assertThat(follower.status().rejection().map(ChangeRejection::reason))
+                .contains(ChangeRejection.Reason.UNKNOWN_FORMAT);
+        assertThat(follower.active()).isEqualTo(history.states.get(1));
+        assertThat(output.logLines).hasSize(1);
         // not asked for again while nothing later is there
-        runHearing(history.head(true), 10 * SECOND);
+        runWithHeartbeats(history.head(true), 10 * SECOND_MICROS);
         assertThat(output.messages(SnapshotRequest.class)).isEmpty();
-        history.add("a", "1");
+        history.commit("a", "1");
         deltas(2, 3);
-        assertThat(output.last().message()).isEqualTo(new SnapshotRequest(session(), 3));
+        assertThat(output.lastSent().message()).isEqualTo(new SnapshotRequest(session(), 3));
         sendSnapshot(history.current(), 1_000);
-        assertThat(follower.inForce()).isEqualTo(history.current());
-        assertThat(follower.status().refusal()).isEmpty();
+        assertThat(follower.active()).isEqualTo(history.current());
+        assertThat(follower.status().rejection()).isEmpty();
     }
 
     @Test
@@ -324,11 +326,12 @@
         check = state -> "bad".equals(state.entries().get("a")) ? Optional.of("a is bad") : Optional.empty();
         start();
         follow(true);
-        history.add("a", "1");
-        history.add("a", "bad");
+        history.commit("a", "1");
+        history.commit("a", "bad");
         deltas(0, 2);
-        assertThat(follower.inForce()).isEqualTo(history.states.get(1));
-        assertThat(((Report) output.last().message()).refused()).contains(ChangeRefusal.Reason.UNUSABLE);
+        assertThat(follower.active()).isEqualTo(history.states.get(1));
+        assertThat(((StatusReport) output.lastSent().message()).rejectionReason())
+                .contains(ChangeRejection.Reason.UNUSABLE);
     }
 
     /** A relay that cannot use what all others can does not fetch it again and again. */
@@ -337,12 +340,12 @@
         check = state -> state.entries().containsKey("bad") ? Optional.of("bad is there") : Optional.empty();
         start();
         follow(true);
-        history.add("bad", "1");
+        history.commit("bad", "1");
         deltas(0, 1);
         int answered = 0;
         for (int i = 0; i < 300; i++) {
-            run(SECOND);
-            history.add("other", "" + i);
+            run(SECOND_MICROS);
+            history.commit("other", "" + i);
             deltas(i + 1, i + 2);
             heartbeat(true);
             if (output.messages(SnapshotRequest.class).size() > answered) {
@@ -355,18 +358,18 @@
 
     @Test
     void aDamagedDiskIsRefusedAndFetchedAnew() {
-        history.addMany(2);
+        history.commitMany(2);
         ConfigurationSnapshot good = history.current();
         Map<String, String> damaged = new HashMap<>(good.entries());
         damaged.put("key-0", "damaged");
-        disk.held = new ConfigurationStore.Loaded.Found(good.version(), 1, damaged, good.digest());
+        disk.stored = new ConfigurationStore.Loaded.Found(good.version(), 1, damaged, good.digest());
         start();
-        assertThat(output.states).isEmpty();
-        assertThat(output.lines).hasSize(1).allMatch(line -> line.contains("does not match its digest"));
+        assertThat(output.activated).isEmpty();
+        assertThat(output.logLines).hasSize(1).allMatch(line -> line.contains("does not match its digest"));
         follow(true);
-        assertThat(lastHello().inForce()).isEqualTo(ConfigurationVersion.NONE);
+        assertThat(lastHello().activeVersion()).isEqualTo(ConfigurationVersion.NONE);
         deltas(0, 2);
-        assertThat(disk.held).isEqualTo(Disk.found(good));
+        assertThat(disk.stored).isEqualTo(Disk.found(good));
     }
 
     @Test
@@ -374,10 +377,10 @@
         start();
         follow(true);
         disk.fails = true;
-        history.addMany(5);
+        history.commitMany(5);
         deltas(0, 5);
-        assertThat(follower.inForce()).isEqualTo(history.current());
-        assertThat(output.lines).hasSize(1).allMatch(line -> line.contains("no space"));
+        assertThat(follower.active()).isEqualTo(history.current());
+        assertThat(output.logLines).hasSize(1).allMatch(line -> line.contains("no space"));
     }
 
     @Test
@@ -386,10 +389,11 @@
         List<String> asked = new ArrayList<>();
         while (asked.size() < 3) {
             int before = output.messages(Hello.class).size();
-            run(TURN);
+            run(TICK_MICROS);
             if (output.messages(Hello.class).size() > before) {
-                asked.add(lastAsked());
-                follower.received(lastAsked(), new Rejected(session(), RejectionReason.FULL), now);
+                asked.add(lastContactedMachine());
+                follower.received(
+                        lastContactedMachine(), new SessionRejected(session(), SessionRejectionReason.FULL), now);
             }
         }
         assertThat(asked.subList(0, 2)).containsExactlyInAnyOrder("north-1", "north-2");
@@ -398,16 +402,16 @@
 
     @Test
     void aSilentMachineIsLeftAndWhatIsInForceStays() {
-        history.addMany(1);
+        history.commitMany(1);
         start();
         follow(true);
         deltas(0, 1);
         String first = follower.status().machine().orElseThrow();
-        run(7 * SECOND);
+        run(7 * SECOND_MICROS);
         assertThat(follower.status().machine()).isEmpty();
-        run(2 * SECOND);
-        assertThat(lastAsked()).isNotEqualTo(first);
-        assertThat(follower.inForce()).isEqualTo(history.current());
+        run(2 * SECOND_MICROS);
+        assertThat(lastContactedMachine()).isNotEqualTo(first);
+        assertThat(follower.active()).isEqualTo(history.current());
     }
 
     /** A relay that itself stood still blames nobody. */
@@ -415,10 +419,10 @@
     void aPauseDoesNotCostTheSession() {
         start();
         follow(true);
-        now += 30 * SECOND;
-        follower.turn(now);
+        now += 30 * SECOND_MICROS;
+        follower.tick(now);
         assertThat(follower.status().machine()).isPresent();
-        assertThat(output.last().message()).isInstanceOf(Report.class);
+        assertThat(output.lastSent().message()).isInstanceOf(StatusReport.class);
     }
 
     @Test
@@ -427,13 +431,13 @@
         follow(false);
         String first = follower.status().machine().orElseThrow();
         for (int i = 0; i < 60; i++) {
-            run(SECOND);
+            run(SECOND_MICROS);
             long attempt = session();
-            if (!lastAsked().equals(first)) {
-                follower.received(lastAsked(), new Welcome(attempt, history.head(false)), now);
+            if (!lastContactedMachine().equals(first)) {
+                follower.received(lastContactedMachine(), new Welcome(attempt, history.head(false)), now);
             }
             follower.received(
-                    first, new Heartbeat(output.messages(Hello.class).get(0).session(), history.head(false)), now);
+                    first, new Heartbeat(output.messages(Hello.class).get(0).sessionId(), history.head(false)), now);
         }
         assertThat(follower.status().machine()).contains(first);
         assertThat(output.messages(Hello.class).size()).isBetween(8, 30);
@@ -443,17 +447,17 @@
     @Test
     void attemptsSpreadOverGrowingIntervals() {
         FollowerSettings settings = FollowerSettings.DEFAULT;
-        long slot = settings.slot();
+        long slot = settings.backoffSlotMicros();
         List<Long> second = new ArrayList<>();
         for (int relay = 0; relay < 2_000; relay++) {
-            ReconnectBackOff backOff =
-                    new ReconnectBackOff(slot, settings.mostDoublings(), new SplittableRandom(relay), 0);
-            long first = backOff.first(0);
+            ReconnectBackoff backOff =
+                    new ReconnectBackoff(slot, settings.maxBackoffDoublings(), new SplittableRandom(relay), 0);
+            long first = backOff.firstAttemptMicros(0);
             assertThat(first).isBetween(0L, slot - 1);
-            long next = backOff.next(first);
+            long next = backOff.nextAttemptMicros(first);
             assertThat(next).isBetween(slot, 3 * slot - 1);
             second.add(next);
-            long after = backOff.next(next);
+            long after = backOff.nextAttemptMicros(next);
             assertThat(after).isBetween(3 * slot, 7 * slot - 1);
         }
         long early = second.stream().filter(at -> at < 2 * slot).count();
--- a/src/test/java/sandstack/configuration/ConfigurationHistoryTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationHistoryTest.java
@@ -19,7 +19,7 @@
     private static final ChangeValidator VALIDATOR =
             new ChangeValidator(ConfigurationLimits.DEFAULT, ConfigurationCheck.NONE);
 
-    private static ConfigurationChange drawn(SplittableRandom random, ConfigurationVersion base) {
+    private static ConfigurationChange randomChange(SplittableRandom random, ConfigurationVersion base) {
         String key = "key-" + random.nextInt(8);
         ConfigurationEdit edit = random.nextInt(3) == 0 ? new Remove(key) : new Put(key, "v" + random.nextInt(4));
         return ConfigurationChange.of(base, "ann", "drawn", List.of(edit, new Put("other", "" + random.nextInt(3))));
@@ -37,12 +37,12 @@
             ConfigurationVersion base = random.nextInt(5) == 0
                     ? new ConfigurationVersion(0, i)
                     : one.current().version();
-            ConfigurationChange change = drawn(random, base);
+            ConfigurationChange change = randomChange(random, base);
             // a leader that lost its term and won a later one may have proposed under the earlier
             long term = Math.max(0, 1 + i / 10 - random.nextInt(2));
             ConfigurationVersion before = one.current().version();
-            Outcome outcome = one.committed(term, change);
-            assertThat(other.committed(term, change)).isEqualTo(outcome);
+            Outcome outcome = one.applyCommitted(term, change);
+            assertThat(other.applyCommitted(term, change)).isEqualTo(outcome);
             if (outcome instanceof Outcome.Accepted accepted) {
                 assertThat(accepted.change().version().follows(before)).isTrue();
                 for (ConfigurationEdit edit : change.edits()) {
@@ -54,19 +54,20 @@
                 }
             }
             assertThat(one.current().entries()).isEqualTo(model);
-            assertThat(one.current().matchesItsDigest()).isTrue();
+            assertThat(one.current().matchesDigest()).isTrue();
         }
         assertThat(other.current()).isEqualTo(one.current());
-        assertThat(changes.changes).hasSize((int) one.current().version().index());
+        assertThat(changes.committed).hasSize((int) one.current().version().index());
     }
 
     @Test
     void aRollBackIsAChangeLikeAnother() {
         ConfigurationHistory history = new ConfigurationHistory(VALIDATOR, new RecordingListener());
-        history.committed(1, ConfigurationChange.of(ConfigurationVersion.NONE, "ann", "a", List.of(new Put("a", "1"))));
+        history.applyCommitted(
+                1, ConfigurationChange.of(ConfigurationVersion.NONE, "ann", "a", List.of(new Put("a", "1"))));
         ConfigurationSnapshot good = history.current();
-        history.committed(1, ConfigurationChange.of(good.version(), "ann", "b", List.of(new Put("a", "2"))));
-        history.committed(
+        history.applyCommitted(1, ConfigurationChange.of(good.version(), "ann", "b", List.of(new Put("a", "2"))));
+        history.applyCommitted(
                 2,
                 ConfigurationChange.of(
                         history.current().version(), "ann", "back to " + good.version(), List.of(new Put("a", "1"))));
@@ -102,8 +103,8 @@
         SplittableRandom random = new SplittableRandom(seed);
         ConfigurationVersion a = new ConfigurationVersion(random.nextLong(4), random.nextLong(4));
         ConfigurationVersion b = new ConfigurationVersion(random.nextLong(4), random.nextLong(4));
-        assertThat(a.contradicts(b)).isEqualTo(b.contradicts(a));
+        assertThat(a.divergesFrom(b)).isEqualTo(b.divergesFrom(a));
         int relations = (a.equals(b) ? 1 : 0) + (a.isAfter(b) ? 1 : 0) + (b.isAfter(a) ? 1 : 0);
-        assertThat(relations).isEqualTo(a.contradicts(b) ? 0 : 1);
+        assertThat(relations).isEqualTo(a.divergesFrom(b) ? 0 : 1);
     }
 }
--- a/src/test/java/sandstack/configuration/MessageCodecTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationMessageCodecTest.java
@@ -15,33 +15,34 @@
 import sandstack.configuration.ConfigurationMessage.Goodbye;
 import sandstack.configuration.ConfigurationMessage.Heartbeat;
 import sandstack.configuration.ConfigurationMessage.Hello;
-import sandstack.configuration.ConfigurationMessage.Rejected;
-import sandstack.configuration.ConfigurationMessage.RejectionReason;
 import sandstack.configuration.ConfigurationMessage.RepairRequest;
-import sandstack.configuration.ConfigurationMessage.Report;
+import sandstack.configuration.ConfigurationMessage.SessionRejected;
+import sandstack.configuration.ConfigurationMessage.SessionRejectionReason;
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 import sandstack.configuration.ConfigurationMessage.SnapshotOffer;
 import sandstack.configuration.ConfigurationMessage.SnapshotRequest;
+import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
 /** Each message comes back as it was; nothing else is read. */
-class MessageCodecTest {
-    private final MessageCodec codec = new MessageCodec(new ConfigurationCodec(ConfigurationLimits.DEFAULT));
+class ConfigurationMessageCodecTest {
+    private final ConfigurationMessageCodec codec =
+            new ConfigurationMessageCodec(new ConfigurationCodec(ConfigurationLimits.DEFAULT));
 
     private static List<ConfigurationMessage> all(long session) {
-        AgreedHistory history = new AgreedHistory().addMany(3);
+        CommittedHistory history = new CommittedHistory().commitMany(3);
         ConfigurationVersion version = history.current().version();
         ConfigurationDigest digest = history.current().digest();
         return List.of(
                 new Hello(session, "relay-1", 1, version),
-                new Report(session, version, digest, Optional.empty()),
-                new Report(session, version, digest, Optional.of(ChangeRefusal.Reason.TOO_MANY)),
+                new StatusReport(session, version, digest, Optional.empty()),
+                new StatusReport(session, version, digest, Optional.of(ChangeRejection.Reason.TOO_MANY)),
                 new RepairRequest(session, version),
                 new SnapshotRequest(session, 7),
                 new ChunkRequest(session, version, 9),
                 new Goodbye(session),
                 new Welcome(session, history.head(true)),
-                new Rejected(session, RejectionReason.FLOOD),
+                new SessionRejected(session, SessionRejectionReason.FLOOD),
                 new Heartbeat(session, history.head(false)),
                 new Deltas(session, history.changes),
                 new SnapshotOffer(session, version, 3),
@@ -51,8 +52,8 @@
     @Test
     void messagesComeBackAsTheyWere() throws Exception {
         assertThat(all(1).stream().map(Object::getClass).distinct())
-                .hasSize(ConfigurationMessage.FromFollower.class.getPermittedSubclasses().length
-                        + ConfigurationMessage.FromPublisher.class.getPermittedSubclasses().length);
+                .hasSize(ConfigurationMessage.FollowerMessage.class.getPermittedSubclasses().length
+                        + ConfigurationMessage.PublisherMessage.class.getPermittedSubclasses().length);
         for (ConfigurationMessage message : all(-5)) {
             assertThat(codec.decode(codec.encode(message))).isEqualTo(message);
         }
@@ -70,14 +71,14 @@
             try {
                 assertThat(codec.decode(damaged)).isNotNull();
             } catch (MalformedConfigurationException e) {
-                assertThat(e.refusal().toString()).hasSizeLessThan(300);
+                assertThat(e.toRejection().toString()).hasSizeLessThan(300);
             }
         }
     }
 
     @Test
     void oversizedFramesAreRefusedBeforeTheyAreRead() {
-        assertThatThrownBy(() -> codec.decode(new byte[codec.mostBytes() + 1]))
+        assertThatThrownBy(() -> codec.decode(new byte[codec.maxFrameBytes() + 1]))
                 .isInstanceOf(MalformedConfigurationException.class);
         // a count of changes that the frame cannot hold
         byte[] claims = codec.encode(new Deltas(1, List.of()));
@@ -87,7 +88,7 @@
 
     @Test
     void theOrdinaryMessagesAreSmall() {
-        AgreedHistory history = new AgreedHistory().addMany(1);
+        CommittedHistory history = new CommittedHistory().commitMany(1);
         assertThat(codec.encode(new Heartbeat(1, history.head(true)))).hasSize(42);
         assertThat(codec.encode(all(1).get(1))).hasSize(42);
     }
--- a/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
@@ -9,56 +9,68 @@
 import sandstack.configuration.ConfigurationMessage.Deltas;
 import sandstack.configuration.ConfigurationMessage.Heartbeat;
 import sandstack.configuration.ConfigurationMessage.Hello;
-import sandstack.configuration.ConfigurationMessage.Rejected;
-import sandstack.configuration.ConfigurationMessage.RejectionReason;
 import sandstack.configuration.ConfigurationMessage.RepairRequest;
-import sandstack.configuration.ConfigurationMessage.Report;
+import sandstack.configuration.ConfigurationMessage.SessionRejected;
+import sandstack.configuration.ConfigurationMessage.SessionRejectionReason;
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 import sandstack.configuration.ConfigurationMessage.SnapshotOffer;
 import sandstack.configuration.ConfigurationMessage.SnapshotRequest;
+import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
 /** What a control machine sends to whom, and where it stops. */
 class ConfigurationPublisherTest {
-    private static final long SECOND = 1_000_000;
-    private static final int WINDOW = 4;
-    private static final int HISTORY = 10;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final int WINDOW_CHANGES = 4;
+    private static final int HISTORY_CHANGES = 10;
     private static final PublisherSettings SETTINGS = new PublisherSettings(
-            3, 2 * SECOND, 8 * SECOND, WINDOW, 1 << 16, HISTORY, 1 << 20, 64, 5, 1 << 20, 20, 10, 40);
+            3,
+            2 * SECOND_MICROS,
+            8 * SECOND_MICROS,
+            WINDOW_CHANGES,
+            1 << 16,
+            HISTORY_CHANGES,
+            1 << 20,
+            64,
+            5,
+            1 << 20,
+            20,
+            10,
+            40);
 
     private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
     private final RecordingPublisherOutput output = new RecordingPublisherOutput();
     private final ConfigurationPublisher publisher = new ConfigurationPublisher(SETTINGS, codec, output, 0);
-    private final AgreedHistory history = new AgreedHistory();
+    private final CommittedHistory history = new CommittedHistory();
 
     private void hello(String peer, long session, ConfigurationVersion inForce, long now) {
         publisher.received(peer, new Hello(session, "relay-" + peer, 1, inForce), now);
     }
 
-    private void agree(int changes) {
+    private void commit(int changes) {
         int from = history.changes.size();
-        history.addMany(changes);
-        history.changes.subList(from, from + changes).forEach(publisher::agreed);
+        history.commitMany(changes);
+        history.changes.subList(from, from + changes).forEach(publisher::committed);
     }
 
     private void report(String peer, long session, ConfigurationSnapshot state, long now) {
-        publisher.received(peer, new Report(session, state.version(), state.digest(), Optional.empty()), now);
+        publisher.received(peer, new StatusReport(session, state.version(), state.digest(), Optional.empty()), now);
     }
 
     @Test
     void aRelayThatComesGetsWhatItLacksAndThenEachChange() {
-        agree(3);
+        commit(3);
         hello("a", 1, history.states.get(1).version(), 0);
         assertThat(output.messages(Welcome.class)).containsExactly(new Welcome(1, history.head(false)));
         assertThat(output.messages(Deltas.class)).containsExactly(new Deltas(1, history.changes.subList(1, 3)));
         report("a", 1, history.current(), 0);
-        publisher.quorum(true);
-        agree(1);
+        publisher.setQuorumReached(true);
+        commit(1);
         assertThat(output.messages(Deltas.class))
                 .hasSize(2)
                 .last()
                 .isEqualTo(new Deltas(1, history.changes.subList(3, 4)));
-        publisher.turn(2 * SECOND);
+        publisher.tick(2 * SECOND_MICROS);
         assertThat(output.messages(Heartbeat.class)).containsExactly(new Heartbeat(1, history.head(true)));
     }
 
@@ -66,20 +78,20 @@
     @Test
     void aRelayThatDoesNotReportGetsNoMoreThanTheWindow() {
         hello("a", 1, ConfigurationVersion.NONE, 0);
-        agree(HISTORY * 10);
+        commit(HISTORY_CHANGES * 10);
         assertThat(output.messages(Deltas.class).stream()
                         .mapToInt(d -> d.changes().size())
                         .sum())
-                .isEqualTo(WINDOW);
-        report("a", 1, history.states.get(WINDOW), 0);
+                .isEqualTo(WINDOW_CHANGES);
+        report("a", 1, history.states.get(WINDOW_CHANGES), 0);
         assertThat(output.messages(SnapshotOffer.class)).hasSize(1);
-        agree(5);
+        commit(5);
         assertThat(output.messages(SnapshotOffer.class)).hasSize(1);
     }
 
     @Test
     void aSnapshotIsSentInPartsThatAreAskedFor() throws Exception {
-        agree(HISTORY + 5);
+        commit(HISTORY_CHANGES + 5);
         hello("a", 1, ConfigurationVersion.NONE, 0);
         publisher.received("a", new SnapshotRequest(1, 1), 0);
         SnapshotChunk first = output.messages(SnapshotChunk.class).get(0);
@@ -92,15 +104,15 @@
             System.arraycopy(chunk.bytes(), 0, whole, offset, chunk.bytes().length);
             offset += chunk.bytes().length;
             // changes go on meanwhile; the snapshot stays the same as long as the history leads on from it
-            agree(offset == chunk.bytes().length ? 2 : 0);
+            commit(offset == chunk.bytes().length ? 2 : 0);
             publisher.received("a", new ChunkRequest(1, first.version(), offset), 0);
         }
-        assertThat(codec.decodeSnapshot(whole)).isEqualTo(history.states.get(HISTORY + 5));
+        assertThat(codec.decodeSnapshot(whole)).isEqualTo(history.states.get(HISTORY_CHANGES + 5));
     }
 
     @Test
     void nothingIsSentToARelayThatIsAheadOrOfAnotherHistory() {
-        agree(3);
+        commit(3);
         hello("a", 1, new ConfigurationVersion(9, 9), 0);
         assertThat(output.sent).hasSize(1);
         hello("b", 2, new ConfigurationVersion(2, 2), 0);
@@ -113,23 +125,26 @@
         for (int i = 0; i < 5; i++) {
             hello("peer-" + i, i, ConfigurationVersion.NONE, 0);
         }
-        assertThat(publisher.sessions()).isEqualTo(3);
-        assertThat(output.messages(Rejected.class))
-                .containsExactly(new Rejected(3, RejectionReason.FULL), new Rejected(4, RejectionReason.FULL));
+        assertThat(publisher.sessionCount()).isEqualTo(3);
+        assertThat(output.messages(SessionRejected.class))
+                .containsExactly(
+                        new SessionRejected(3, SessionRejectionReason.FULL),
+                        new SessionRejected(4, SessionRejectionReason.FULL));
         assertThat(output.closed).containsExactly("peer-3", "peer-4");
-        assertThat(output.lines).hasSize(1);
+        assertThat(output.logLines).hasSize(1);
     }
 
     @Test
     void aPeerThatFloodsIsHungUpOnWithOneLine() {
         hello("a", 1, ConfigurationVersion.NONE, 0);
         for (int i = 0; i < 100_000; i++) {
-            report("a", 1, ConfigurationSnapshot.EMPTY, SECOND);
+            report("a", 1, ConfigurationSnapshot.EMPTY, SECOND_MICROS);
         }
-        assertThat(output.messages(Rejected.class).get(0)).isEqualTo(new Rejected(1, RejectionReason.FLOOD));
-        assertThat(output.messages(Rejected.class)).hasSizeLessThan(30);
-        assertThat(publisher.sessions()).isZero();
-        assertThat(output.lines).hasSize(1);
+        assertThat(output.messages(SessionRejected.class).get(0))
+                .isEqualTo(new SessionRejected(1, SessionRejectionReason.FLOOD));
+        assertThat(output.messages(SessionRejected.class)).hasSizeLessThan(30);
+        assertThat(publisher.sessionCount()).isZero();
+        assertThat(output.logLines).hasSize(1);
     }
 
     @Test
@@ -138,7 +153,7 @@
         for (int i = 0; i < 100; i++) {
             report("a", 1, ConfigurationSnapshot.EMPTY, 0);
         }
-        assertThat(output.lines).containsExactly("a relay is turned away: relay no fault x sends too much");
+        assertThat(output.logLines).containsExactly("a relay is turned away: relay no fault x sends too much");
     }
 
     /** One peer's hellos are charged to it: others still get in. */
@@ -148,9 +163,9 @@
             hello("a", i, ConfigurationVersion.NONE, i);
         }
         assertThat(output.messages(Welcome.class)).hasSizeLessThan(60);
-        hello("b", 1, ConfigurationVersion.NONE, 2 * SECOND);
+        hello("b", 1, ConfigurationVersion.NONE, 2 * SECOND_MICROS);
         assertThat(output.sent.get(output.sent.size() - 1).message()).isInstanceOf(Welcome.class);
-        assertThat(output.lines).hasSize(1);
+        assertThat(output.logLines).hasSize(1);
     }
 
     @Test
@@ -160,16 +175,16 @@
             publisher.disconnected("peer-" + i);
         }
         assertThat(output.messages(Welcome.class)).hasSize(20);
-        assertThat(output.messages(Rejected.class)).hasSize(980);
-        assertThat(output.lines).hasSize(1);
+        assertThat(output.messages(SessionRejected.class)).hasSize(980);
+        assertThat(output.logLines).hasSize(1);
     }
 
     @Test
     void repairsOfOneRelayAreBounded() {
-        agree(WINDOW);
+        commit(WINDOW_CHANGES);
         hello("a", 1, ConfigurationVersion.NONE, 0);
         for (int i = 0; i < 30; i++) {
-            publisher.received("a", new RepairRequest(1, ConfigurationVersion.NONE), SECOND + i * 1_000);
+            publisher.received("a", new RepairRequest(1, ConfigurationVersion.NONE), SECOND_MICROS + i * 1_000);
         }
         assertThat(output.messages(Deltas.class)).hasSize(2);
     }
@@ -178,16 +193,17 @@
     void aRelayThatIsSilentIsGivenUp() {
         hello("a", 1, ConfigurationVersion.NONE, 0);
         hello("b", 2, ConfigurationVersion.NONE, 0);
-        report("b", 2, ConfigurationSnapshot.EMPTY, 5 * SECOND);
-        publisher.turn(9 * SECOND);
+        report("b", 2, ConfigurationSnapshot.EMPTY, 5 * SECOND_MICROS);
+        publisher.tick(9 * SECOND_MICROS);
         assertThat(output.closed).containsExactly("a");
-        assertThat(publisher.sessions()).isEqualTo(1);
+        assertThat(publisher.sessionCount()).isEqualTo(1);
     }
 
     @Test
     void anUnknownSessionIsTold() {
         report("a", 7, ConfigurationSnapshot.EMPTY, 0);
-        assertThat(output.messages(Rejected.class)).containsExactly(new Rejected(7, RejectionReason.UNKNOWN_SESSION));
+        assertThat(output.messages(SessionRejected.class))
+                .containsExactly(new SessionRejected(7, SessionRejectionReason.UNKNOWN_SESSION));
         assertThat(output.closed).containsExactly("a");
     }
 
@@ -195,7 +211,7 @@
     void whatTheTransportDoesNotTakeIsSentAgain() {
         hello("a", 1, ConfigurationVersion.NONE, 0);
         output.full = true;
-        agree(2);
+        commit(2);
         output.full = false;
         report("a", 1, ConfigurationSnapshot.EMPTY, 0);
         assertThat(output.messages(Deltas.class)).containsExactly(new Deltas(1, history.changes));
@@ -204,7 +220,7 @@
     @Test
     void restoringALaterStateOffersItAtOnce() {
         hello("a", 1, ConfigurationVersion.NONE, 0);
-        history.addMany(HISTORY);
+        history.commitMany(HISTORY_CHANGES);
         publisher.restored(history.current());
         assertThat(output.messages(SnapshotOffer.class))
                 .containsExactly(new SnapshotOffer(1, history.current().version(), 1));
@@ -212,32 +228,32 @@
 
     @Test
     void restoringAnOlderStateChangesNothing() {
-        agree(3);
+        commit(3);
         publisher.restored(history.states.get(2));
         assertThat(publisher.head()).isEqualTo(history.head(false));
     }
 
     @Test
     void operatorsSeeWhatIsInForceWhere() {
-        agree(2);
+        commit(2);
         hello("a", 1, history.current().version(), 0);
         hello("b", 2, history.states.get(1).version(), 0);
         hello("c", 3, history.current().version(), 0);
         publisher.received(
                 "b",
-                new Report(
+                new StatusReport(
                         2,
                         history.states.get(1).version(),
                         history.states.get(1).digest(),
-                        Optional.of(ChangeRefusal.Reason.UNUSABLE)),
+                        Optional.of(ChangeRejection.Reason.UNUSABLE)),
                 0);
         publisher.received(
-                "c", new Report(3, history.current().version(), ConfigurationDigest.EMPTY, Optional.empty()), 0);
+                "c", new StatusReport(3, history.current().version(), ConfigurationDigest.EMPTY, Optional.empty()), 0);
         ConfigurationPublisher.Overview overview = publisher.overview();
         assertThat(overview.relaysByVersion())
                 .containsEntry(history.current().version(), 2)
                 .containsEntry(history.states.get(1).version(), 1);
-        assertThat(overview.relaysRefusing()).containsEntry("relay-b", ChangeRefusal.Reason.UNUSABLE);
-        assertThat(overview.relaysDiffering()).isEqualTo(List.of("relay-c"));
+        assertThat(overview.relaysRejecting()).containsEntry("relay-b", ChangeRejection.Reason.UNUSABLE);
+        assertThat(overview.relaysWithDigestMismatch()).isEqualTo(List.of("relay-c"));
     }
 }
--- a/src/test/java/sandstack/configuration/ConfigurationSamples.java
+++ b/src/test/java/sandstack/configuration/ConfigurationSamples.java
@@ -13,13 +13,13 @@
 import sandstack.configuration.ConfigurationMessage.Goodbye;
 import sandstack.configuration.ConfigurationMessage.Heartbeat;
 import sandstack.configuration.ConfigurationMessage.Hello;
-import sandstack.configuration.ConfigurationMessage.Rejected;
-import sandstack.configuration.ConfigurationMessage.RejectionReason;
 import sandstack.configuration.ConfigurationMessage.RepairRequest;
-import sandstack.configuration.ConfigurationMessage.Report;
+import sandstack.configuration.ConfigurationMessage.SessionRejected;
+import sandstack.configuration.ConfigurationMessage.SessionRejectionReason;
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 import sandstack.configuration.ConfigurationMessage.SnapshotOffer;
 import sandstack.configuration.ConfigurationMessage.SnapshotRequest;
+import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
 /**
@@ -42,8 +42,8 @@
                 BASE, "ann é", "why\n", List.of(new Put("a", "1"), new Remove("b"), new Put("c", "")));
     }
 
-    static AgreedChange agreedChange() {
-        return new AgreedChange(BASE.next(4), change(), DIGEST);
+    static CommittedChange committedChange() {
+        return new CommittedChange(BASE.next(4), change(), DIGEST);
     }
 
     static ConfigurationSnapshot snapshot() {
@@ -55,21 +55,22 @@
         Map<String, ConfigurationMessage> messages = new LinkedHashMap<>();
         ConfigurationVersion version = BASE;
         messages.put("message.hello", new Hello(SESSION, "relay-é", 1, version));
-        messages.put("message.report", new Report(SESSION, version, DIGEST, Optional.empty()));
+        messages.put("message.report", new StatusReport(SESSION, version, DIGEST, Optional.empty()));
         messages.put("message.repair-request", new RepairRequest(SESSION, version));
         messages.put("message.snapshot-request", new SnapshotRequest(SESSION, 7));
         messages.put("message.chunk-request", new ChunkRequest(SESSION, version, 9));
         messages.put("message.goodbye", new Goodbye(SESSION));
         messages.put("message.welcome", new Welcome(SESSION, new ConfigurationHead(version, DIGEST, true)));
         messages.put("message.heartbeat", new Heartbeat(SESSION, new ConfigurationHead(version, DIGEST, false)));
-        messages.put("message.deltas", new Deltas(SESSION, List.of(agreedChange(), agreedChange())));
+        messages.put("message.deltas", new Deltas(SESSION, List.of(committedChange(), committedChange())));
         messages.put("message.snapshot-offer", new SnapshotOffer(SESSION, version, 3));
         messages.put("message.snapshot-chunk", new SnapshotChunk(SESSION, version, 1, 100, 50, new byte[] {1, 2, 3}));
-        for (ChangeRefusal.Reason reason : ChangeRefusal.Reason.values()) {
-            messages.put("message.report." + reason.name(), new Report(SESSION, version, DIGEST, Optional.of(reason)));
+        for (ChangeRejection.Reason reason : ChangeRejection.Reason.values()) {
+            messages.put(
+                    "message.report." + reason.name(), new StatusReport(SESSION, version, DIGEST, Optional.of(reason)));
         }
-        for (RejectionReason reason : RejectionReason.values()) {
-            messages.put("message.rejected." + reason.name(), new Rejected(SESSION, reason));
+        for (SessionRejectionReason reason : SessionRejectionReason.values()) {
+            messages.put("message.rejected." + reason.name(), new SessionRejected(SESSION, reason));
         }
         return messages;
     }
@@ -77,10 +78,10 @@
     /** The bytes of every sample. */
     static Map<String, byte[]> encoded() {
         ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
-        MessageCodec messages = new MessageCodec(codec);
+        ConfigurationMessageCodec messages = new ConfigurationMessageCodec(codec);
         Map<String, byte[]> encoded = new LinkedHashMap<>();
         encoded.put("change", codec.encode(change()));
-        encoded.put("agreed-change", codec.encode(agreedChange()));
+        encoded.put("agreed-change", codec.encode(committedChange()));
         encoded.put("snapshot", codec.encode(snapshot()));
         encoded.put("snapshot.empty", codec.encode(ConfigurationSnapshot.EMPTY));
         messages().forEach((name, message) -> encoded.put(name, messages.encode(message)));
@@ -93,7 +94,7 @@
         FixtureFile.write(folder.resolve(FORMS), arguments[1], FixtureFile.toHex(encoded()));
         Map<String, String> traces = new LinkedHashMap<>();
         for (long seed = 1; seed <= TRACED_SEEDS; seed++) {
-            traces.put("seed-" + seed, new DistributionTrace(seed).play());
+            traces.put("seed-" + seed, new DistributionTrace(seed).run());
         }
         FixtureFile.write(folder.resolve(TRACES), arguments[1], traces);
     }
--- a/src/test/java/sandstack/configuration/DistributionTrace.java
+++ b/src/test/java/sandstack/configuration/DistributionTrace.java
@@ -24,10 +24,10 @@
  */
 final class DistributionTrace {
     private static final long SECOND_MICROS = 1_000_000;
-    private static final long TURN_MICROS = 100_000;
-    private static final long PLAYED_MICROS = 240 * SECOND_MICROS;
+    private static final long TICK_MICROS = 100_000;
+    private static final long RUN_MICROS = 240 * SECOND_MICROS;
     private static final int RELAYS = 8;
-    private static final int MOST_DELAY_MICROS = 40_000;
+    private static final int MAX_DELAY_MICROS = 40_000;
     private static final PublisherSettings PUBLISHER_SETTINGS = new PublisherSettings(
             6, 2 * SECOND_MICROS, 8 * SECOND_MICROS, 4, 400, 12, 1 << 20, 96, 5, 4_000, 20, 10, 40);
     private static final FollowerSettings FOLLOWER_SETTINGS = new FollowerSettings(
@@ -55,13 +55,13 @@
             new PriorityQueue<>(Comparator.comparingLong(Delivery::atMicros).thenComparingLong(Delivery::order));
     private final ChangeValidator validator = new ChangeValidator(ConfigurationLimits.DEFAULT, ConfigurationCheck.NONE);
     private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
-    private final MessageCodec messages = new MessageCodec(codec);
+    private final ConfigurationMessageCodec messages = new ConfigurationMessageCodec(codec);
     private final Map<String, Publisher> publishers = new LinkedHashMap<>();
     private final List<Relay> relays = new ArrayList<>();
     private final ConfigurationHistory history;
     private long order;
-    private long now = SECOND_MICROS;
-    private boolean apart;
+    private long nowMicros = SECOND_MICROS;
+    private boolean regionsPartitioned;
     private double lossShare;
 
     DistributionTrace(long seed) {
@@ -75,9 +75,9 @@
         for (int i = 0; i < RELAYS; i++) {
             relays.add(new Relay(new RelayIdentity("relay-" + i, i % 2 == 0 ? "north" : "south")));
         }
-        history = new ConfigurationHistory(validator, new AgreedChangeListener() {
+        history = new ConfigurationHistory(validator, new CommittedChangeListener() {
             @Override
-            public void agreed(AgreedChange change) {
+            public void committed(CommittedChange change) {
                 publishers.values().forEach(publisher -> publisher.agreed(change));
             }
 
@@ -89,10 +89,10 @@
     }
 
     /** Plays the seed; the number of events by kind, and the digest of all. */
-    String play() {
-        while (now < PLAYED_MICROS) {
-            now += TURN_MICROS;
-            drawFault();
+    String run() {
+        while (nowMicros < RUN_MICROS) {
+            nowMicros += TICK_MICROS;
+            injectRandomFault();
             deliver();
             publishers.values().forEach(Publisher::turn);
             relays.forEach(Relay::turn);
@@ -103,12 +103,12 @@
     }
 
     private void deliver() {
-        while (!network.isEmpty() && network.peek().atMicros() <= now) {
+        while (!network.isEmpty() && network.peek().atMicros() <= nowMicros) {
             network.poll().action().run();
         }
     }
 
-    private void drawFault() {
+    private void injectRandomFault() {
         if (random.nextInt(20) == 0) {
             propose();
         }
@@ -116,8 +116,8 @@
                 publishers.get(MACHINES.get(random.nextInt(MACHINES.size())).name());
         Relay relay = relays.get(random.nextInt(RELAYS));
         switch (random.nextInt(400)) {
-            case 0 -> apart = true;
-            case 1, 2, 3 -> apart = false;
+            case 0 -> regionsPartitioned = true;
+            case 1, 2, 3 -> regionsPartitioned = false;
             case 4 -> lossShare = 0.2;
             case 5, 6 -> lossShare = 0;
             case 7 -> publisher.start();
@@ -126,7 +126,7 @@
             case 11 -> relay.start();
             case 12 -> relay.store.wipe();
             case 13 -> relay.store.fails = !relay.store.fails;
-            case 14 -> relay.pausedUntil = now + 3 * SECOND_MICROS;
+            case 14 -> relay.pausedUntil = nowMicros + 3 * SECOND_MICROS;
             case 15 -> relay.selective = !relay.selective;
             case 16 -> publisher.setQuorum(false);
             case 17, 18 -> publisher.setQuorum(true);
@@ -144,37 +144,37 @@
         if (random.nextInt(15) == 0) {
             forge(base, edit);
         } else {
-            history.committed(term(), ConfigurationChange.of(base, "ann", "drawn", List.of(edit)));
+            history.applyCommitted(term(), ConfigurationChange.of(base, "ann", "drawn", List.of(edit)));
         }
     }
 
     private long term() {
-        return 1 + now / (60 * SECOND_MICROS);
+        return 1 + nowMicros / (60 * SECOND_MICROS);
     }
 
     /** Sends what was not agreed on: a change of a later format, or one that leads to another state than it says. */
     private void forge(ConfigurationVersion base, ConfigurationEdit edit) {
         int formatVersion = 1 + random.nextInt(2);
         ConfigurationChange change = new ConfigurationChange(formatVersion, base, "ann", "forged", List.of(edit));
-        AgreedChange forged = new AgreedChange(base.next(term()), change, new ConfigurationDigest(1, 2));
+        CommittedChange forged = new CommittedChange(base.next(term()), change, new ConfigurationDigest(1, 2));
         Relay relay = relays.get(random.nextInt(RELAYS));
         relay.follower.status().machine().ifPresent(machine -> {
             long session = publishers.get(machine).sessions.getOrDefault(relay.identity.name(), 0L);
-            relay.follower.received(machine, new ConfigurationMessage.Deltas(session, List.of(forged)), now);
+            relay.follower.received(machine, new ConfigurationMessage.Deltas(session, List.of(forged)), nowMicros);
         });
     }
 
     private boolean reachable(String oneRegion, String otherRegion) {
-        return !(apart && !oneRegion.equals(otherRegion)) && random.nextDouble() >= lossShare;
+        return !(regionsPartitioned && !oneRegion.equals(otherRegion)) && random.nextDouble() >= lossShare;
     }
 
     private void later(Runnable action) {
-        network.add(new Delivery(now + random.nextInt(MOST_DELAY_MICROS), order++, action));
+        network.add(new Delivery(nowMicros + random.nextInt(MAX_DELAY_MICROS), order++, action));
     }
 
     private void record(String kind, String who, byte[] bytes) {
         counts.merge(kind, 1, Integer::sum);
-        digest.update((now + " " + kind + " " + who + " ").getBytes(StandardCharsets.UTF_8));
+        digest.update((nowMicros + " " + kind + " " + who + " ").getBytes(StandardCharsets.UTF_8));
         digest.update(bytes);
     }
 
@@ -183,7 +183,7 @@
     }
 
     private static String textOf(ConfigurationHead head) {
-        return head.version() + " " + head.digest() + " " + head.quorum();
+        return head.version() + " " + head.digest() + " " + head.hasQuorum();
     }
 
     private ConfigurationMessage decode(byte[] frame) {
@@ -197,7 +197,7 @@
     /** A control machine that can restart without sessions, and lag behind what was agreed. */
     private final class Publisher implements PublisherOutput {
         final ControlMachine machine;
-        private final List<AgreedChange> withheld = new ArrayList<>();
+        private final List<CommittedChange> withheld = new ArrayList<>();
         private boolean lagging;
         private boolean quorum = true;
         private ConfigurationPublisher publisher;
@@ -211,8 +211,8 @@
         }
 
         void start() {
-            publisher = new ConfigurationPublisher(PUBLISHER_SETTINGS, codec, this, now);
-            publisher.quorum(quorum);
+            publisher = new ConfigurationPublisher(PUBLISHER_SETTINGS, codec, this, nowMicros);
+            publisher.setQuorumReached(quorum);
             if (history != null) {
                 withheld.clear();
                 publisher.restored(history.current());
@@ -232,26 +232,26 @@
                 withheld.stream()
                         .filter(change -> change.version().index()
                                 > publisher.head().version().index())
-                        .forEach(publisher::agreed);
+                        .forEach(publisher::committed);
             }
             withheld.clear();
         }
 
         void setQuorum(boolean reached) {
             quorum = reached;
-            publisher.quorum(reached);
+            publisher.setQuorumReached(reached);
         }
 
-        void agreed(AgreedChange change) {
+        void agreed(CommittedChange change) {
             if (lagging) {
                 withheld.add(change);
             } else {
-                publisher.agreed(change);
+                publisher.committed(change);
             }
         }
 
         void turn() {
-            publisher.turn(now);
+            publisher.tick(nowMicros);
         }
 
         void recordOverview() {
@@ -259,16 +259,16 @@
             record(
                     "overview",
                     machine.name(),
-                    textOf(overview.head()) + " " + overview.relaysByVersion() + " " + overview.relaysRefusing() + " "
-                            + overview.relaysDiffering() + " " + publisher.sessions());
+                    textOf(overview.head()) + " " + overview.relaysByVersion() + " " + overview.relaysRejecting() + " "
+                            + overview.relaysWithDigestMismatch() + " " + publisher.sessionCount());
         }
 
         @Override
-        public boolean send(String peer, ConfigurationMessage.FromPublisher message) {
+        public boolean send(String peer, ConfigurationMessage.PublisherMessage message) {
             if (full && random.nextInt(3) == 0) {
                 return false;
             }
-            sessions.put(peer, message.session());
+            sessions.put(peer, message.sessionId());
             byte[] frame = messages.encode(message);
             record("from-publisher." + frame[0], machine.name() + ">" + peer, frame);
             Relay relay = relays.get(Integer.parseInt(peer.substring("relay-".length())));
@@ -282,11 +282,11 @@
         public void close(String peer) {
             record("publisher-closes", machine.name() + ">" + peer, "");
             Relay relay = relays.get(Integer.parseInt(peer.substring("relay-".length())));
-            later(() -> relay.follower.disconnected(machine.name(), now));
+            later(() -> relay.follower.disconnected(machine.name(), nowMicros));
         }
 
         @Override
-        public void line(String text) {
+        public void log(String text) {
             record("publisher-line", machine.name(), "");
         }
     }
@@ -318,18 +318,18 @@
                     store,
                     this,
                     new SplittableRandom(random.nextLong()),
-                    now);
+                    nowMicros);
         }
 
         void received(String machine, byte[] frame) {
-            if (now >= pausedUntil) {
-                follower.received(machine, (ConfigurationMessage.FromPublisher) decode(frame), now);
+            if (nowMicros >= pausedUntil) {
+                follower.received(machine, (ConfigurationMessage.PublisherMessage) decode(frame), nowMicros);
             }
         }
 
         void turn() {
-            if (now >= pausedUntil) {
-                follower.turn(now);
+            if (nowMicros >= pausedUntil) {
+                follower.tick(nowMicros);
             }
         }
 
@@ -340,7 +340,7 @@
                 long session = publisher.sessions.getOrDefault(identity.name(), 0L);
                 for (int i = 0; i < 60; i++) {
                     publisher.publisher.received(
-                            identity.name(), new ConfigurationMessage.SnapshotRequest(session, 1), now);
+                            identity.name(), new ConfigurationMessage.SnapshotRequest(session, 1), nowMicros);
                 }
             });
         }
@@ -350,19 +350,19 @@
             record(
                     "status",
                     identity.name(),
-                    status.inForce() + " " + status.digest() + " " + status.machine() + " "
+                    status.activeVersion() + " " + status.digest() + " " + status.machine() + " "
                             + status.head().map(DistributionTrace::textOf) + " "
-                            + status.refusal().map(ChangeRefusal::reason));
+                            + status.rejection().map(ChangeRejection::reason));
         }
 
         @Override
-        public void send(String machine, ConfigurationMessage.FromFollower message) {
+        public void send(String machine, ConfigurationMessage.FollowerMessage message) {
             byte[] frame = messages.encode(message);
             record("from-follower." + frame[0], identity.name() + ">" + machine, frame);
             Publisher publisher = publishers.get(machine);
             if (reachable(identity.region(), publisher.machine.region())) {
                 later(() -> publisher.publisher.received(
-                        identity.name(), (ConfigurationMessage.FromFollower) decode(frame), now));
+                        identity.name(), (ConfigurationMessage.FollowerMessage) decode(frame), nowMicros));
             }
         }
 
@@ -373,23 +373,23 @@
         }
 
         @Override
-        public void inForce(ConfigurationSnapshot snapshot) {
+        public void activated(ConfigurationSnapshot snapshot) {
             record("in-force", identity.name(), codec.encode(snapshot));
         }
 
         @Override
-        public void line(String text) {
+        public void log(String text) {
             record("follower-line", identity.name(), "");
         }
     }
 
     /** A disk that can fail, be wiped and be damaged. */
     private final class MemoryStore implements ConfigurationStore {
-        private Loaded stored = new Loaded.Nothing();
+        private Loaded stored = new Loaded.Absent();
         boolean fails;
 
         void wipe() {
-            stored = new Loaded.Nothing();
+            stored = new Loaded.Absent();
         }
 
         void damage() {
@@ -407,7 +407,7 @@
         }
 
         @Override
-        public void apply(AgreedChange change, ConfigurationSnapshot after) throws ConfigurationStoreException {
+        public void apply(CommittedChange change, ConfigurationSnapshot after) throws ConfigurationStoreException {
             replace(after);
         }
 
--- a/src/test/java/sandstack/configuration/RecordingFollowerOutput.java
+++ b/src/test/java/sandstack/configuration/RecordingFollowerOutput.java
@@ -6,15 +6,15 @@
 /** Keeps what a follower sends, closes, puts in force and logs. */
 final class RecordingFollowerOutput implements FollowerOutput {
     /** A message and the machine that it went to. */
-    record Sent(String machine, ConfigurationMessage.FromFollower message) {}
+    record Sent(String machine, ConfigurationMessage.FollowerMessage message) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<String> closed = new ArrayList<>();
-    final List<ConfigurationSnapshot> states = new ArrayList<>();
-    final List<String> lines = new ArrayList<>();
+    final List<ConfigurationSnapshot> activated = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
 
     @Override
-    public void send(String machine, ConfigurationMessage.FromFollower message) {
+    public void send(String machine, ConfigurationMessage.FollowerMessage message) {
         sent.add(new Sent(machine, message));
     }
 
@@ -24,13 +24,13 @@
     }
 
     @Override
-    public void inForce(ConfigurationSnapshot snapshot) {
-        states.add(snapshot);
+    public void activated(ConfigurationSnapshot snapshot) {
+        activated.add(snapshot);
     }
 
     @Override
-    public void line(String text) {
-        lines.add(text);
+    public void log(String text) {
+        logLines.add(text);
     }
 
     <T> List<T> messages(Class<T> kind) {
@@ -41,7 +41,7 @@
                 .toList();
     }
 
-    Sent last() {
+    Sent lastSent() {
         return sent.get(sent.size() - 1);
     }
 }
--- a/src/test/java/sandstack/configuration/RecordingListener.java
+++ b/src/test/java/sandstack/configuration/RecordingListener.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /** Keeps what it is told. */
-final class RecordingListener implements AgreedChangeListener {
-    final List<AgreedChange> changes = new ArrayList<>();
+final class RecordingListener implements CommittedChangeListener {
+    final List<CommittedChange> committed = new ArrayList<>();
     final List<ConfigurationSnapshot> restored = new ArrayList<>();
 
     @Override
-    public void agreed(AgreedChange change) {
-        changes.add(change);
+    public void committed(CommittedChange change) {
+        committed.add(change);
     }
 
     @Override
--- a/src/test/java/sandstack/configuration/RecordingPublisherOutput.java
+++ b/src/test/java/sandstack/configuration/RecordingPublisherOutput.java
@@ -6,15 +6,15 @@
 /** Keeps what a publisher sends, closes and logs. */
 final class RecordingPublisherOutput implements PublisherOutput {
     /** A message and the peer that it went to. */
-    record Sent(String peer, ConfigurationMessage.FromPublisher message) {}
+    record Sent(String peer, ConfigurationMessage.PublisherMessage message) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<String> closed = new ArrayList<>();
-    final List<String> lines = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
     boolean full;
 
     @Override
-    public boolean send(String peer, ConfigurationMessage.FromPublisher message) {
+    public boolean send(String peer, ConfigurationMessage.PublisherMessage message) {
         if (!full) {
             sent.add(new Sent(peer, message));
         }
@@ -27,8 +27,8 @@
     }
 
     @Override
-    public void line(String text) {
-        lines.add(text);
+    public void log(String text) {
+        logLines.add(text);
     }
 
     <T> List<T> messages(Class<T> kind) {
--- a/src/test/java/sandstack/configuration/consensus/ClusterOnDisksTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ClusterOnDisksTest.java
@@ -14,8 +14,8 @@
 
 /** The simulated cluster over real files: machines are killed, and go on from what their files hold. */
 class ClusterOnDisksTest {
-    private static final String KEY = "new_identity";
-    private static final int SNAPSHOT_EVERY = 10;
+    private static final String NEW_IDENTITY_SETTING = "new_identity";
+    private static final int SNAPSHOT_INTERVAL_ENTRIES = 10;
 
     @TempDir
     Path folder;
@@ -33,10 +33,14 @@
             Path file = folder.resolve(machine.identity.identity());
             return Files.exists(file)
                     ? MvStoreRaftStore.reopen(
-                            file.toString(), KEY, SimulatedNetwork.GROUP, machine.identity, ConfigurationLimits.DEFAULT)
+                            file.toString(),
+                            NEW_IDENTITY_SETTING,
+                            SimulatedNetwork.GROUP,
+                            machine.identity,
+                            ConfigurationLimits.DEFAULT)
                     : MvStoreRaftStore.create(
                             file.toString(),
-                            KEY,
+                            NEW_IDENTITY_SETTING,
                             SimulatedNetwork.GROUP,
                             machine.identity,
                             ConfigurationLimits.DEFAULT);
@@ -44,51 +48,51 @@
 
         @Override
         public void crash(EncodedRaftStore store) {
-            ((MvStoreRaftStore) store).crash();
+            ((MvStoreRaftStore) store).closeImmediately();
         }
     }
 
     private SimulatedCluster started() {
-        SimulatedCluster cluster = new SimulatedCluster(5, 11, SNAPSHOT_EVERY);
+        SimulatedCluster cluster = new SimulatedCluster(5, 11, SNAPSHOT_INTERVAL_ENTRIES);
         cluster.machines.forEach(machine -> machine.stores = new FileStores(machine));
         cluster.startAll();
         cluster.awaitLeader();
         return cluster;
     }
 
-    private static void agree(SimulatedCluster cluster, int changes) {
+    private static void commit(SimulatedCluster cluster, int changes) {
         for (int i = 0; i < changes; i++) {
-            assertThat(cluster.agree().outcome).isInstanceOf(ProposalOutcome.Agreed.class);
+            assertThat(cluster.commitChange().outcome).isInstanceOf(ProposalOutcome.Committed.class);
         }
     }
 
     @Test
     void killedMachinesGoOnFromTheirFiles() {
         SimulatedCluster cluster = started();
-        agree(cluster, 13);
+        commit(cluster, 13);
         SimulatedMachine first = cluster.awaitLeader();
         first.kill();
-        agree(cluster, 25);
+        commit(cluster, 25);
         cluster.start(first);
-        agree(cluster, 2);
+        commit(cluster, 2);
         cluster.machines.forEach(SimulatedMachine::kill);
         cluster.startAll();
-        agree(cluster, 5);
-        assertThat(cluster.settleAndCheck(Duration.ofSeconds(16))).isEmpty();
-        assertThat(cluster.checker.agreedChanges()).isEqualTo(45);
+        commit(cluster, 5);
+        assertThat(cluster.recoverAndCheck(Duration.ofSeconds(16))).isEmpty();
+        assertThat(cluster.checker.committedChanges()).isEqualTo(45);
         cluster.machines.forEach(SimulatedMachine::kill);
     }
 
     @Test
     void aMachineWhoseFileWasSetBackDoesNotStart() throws IOException {
         SimulatedCluster cluster = started();
-        agree(cluster, 3);
+        commit(cluster, 3);
         SimulatedMachine machine = cluster.machines.get(0);
         machine.kill();
         Path file = folder.resolve(machine.identity.identity());
         byte[] older = Files.readAllBytes(file);
         cluster.start(machine);
-        agree(cluster, 5);
+        commit(cluster, 5);
         machine.kill();
         Files.write(file, older);
         assertThatThrownBy(() -> cluster.start(machine))
@@ -97,8 +101,8 @@
                 .hasMessageContaining("set back");
         machine.kill();
         cluster.machines.remove(machine);
-        agree(cluster, 5);
-        assertThat(cluster.settleAndCheck(Duration.ofSeconds(16))).isEmpty();
+        commit(cluster, 5);
+        assertThat(cluster.recoverAndCheck(Duration.ofSeconds(16))).isEmpty();
         cluster.machines.forEach(SimulatedMachine::kill);
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/ConfigurationStateMachineTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ConfigurationStateMachineTest.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sandstack.configuration.AgreedChange;
-import sandstack.configuration.AgreedChangeListener;
-import sandstack.configuration.ChangeRefusal.Reason;
+import sandstack.configuration.ChangeRejection.Reason;
+import sandstack.configuration.CommittedChange;
+import sandstack.configuration.CommittedChangeListener;
 import sandstack.configuration.ConfigurationChange;
 import sandstack.configuration.ConfigurationCodec;
 import sandstack.configuration.ConfigurationEdit;
@@ -20,16 +20,16 @@
 class ConfigurationStateMachineTest {
     private static final ConfigurationCodec CODEC = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
 
-    private final List<AgreedChange> told = new ArrayList<>();
+    private final List<CommittedChange> committed = new ArrayList<>();
     private final List<ConfigurationSnapshot> restored = new ArrayList<>();
     private final ConfigurationStateMachine machine = machine();
     private long index;
 
     private ConfigurationStateMachine machine() {
-        AgreedChangeListener listener = new AgreedChangeListener() {
+        CommittedChangeListener listener = new CommittedChangeListener() {
             @Override
-            public void agreed(AgreedChange change) {
-                told.add(change);
+            public void committed(CommittedChange change) {
+                committed.add(change);
             }
 
             @Override
@@ -43,7 +43,7 @@
     private static LogOperation.Proposal put(long id, ConfigurationVersion base, String key, String value) {
         ConfigurationChange change =
                 ConfigurationChange.of(base, "ann", "test", List.of(new ConfigurationEdit.Put(key, value)));
-        return new LogOperation.Proposal(new ChangeId(0, id), CODEC.encode(change));
+        return new LogOperation.Proposal(new IdempotencyKey(0, id), CODEC.encode(change));
     }
 
     private Object run(LogOperation operation) {
@@ -60,9 +60,9 @@
     void aChangeHasTheTermOfTheLeaderBeforeIt() {
         run(new LogOperation.NewTerm(4));
         Object outcome = run(put(1, ConfigurationVersion.NONE, "a", "1"));
-        assertThat(outcome).isEqualTo(new ProposalOutcome.Agreed(new ConfigurationVersion(4, 1)));
-        assertThat(told).hasSize(1);
-        assertThat(told.get(0).version()).isEqualTo(new ConfigurationVersion(4, 1));
+        assertThat(outcome).isEqualTo(new ProposalOutcome.Committed(new ConfigurationVersion(4, 1)));
+        assertThat(committed).hasSize(1);
+        assertThat(committed.get(0).version()).isEqualTo(new ConfigurationVersion(4, 1));
         assertThat(machine.getNewTermOperation()).isEqualTo(new LogOperation.NewTerm(9));
     }
 
@@ -73,11 +73,12 @@
         ConfigurationSnapshot before = machine.current();
         ProposalOutcome conflicting = (ProposalOutcome) run(put(2, ConfigurationVersion.NONE, "a", "2"));
         ProposalOutcome malformed =
-                (ProposalOutcome) run(new LogOperation.Proposal(new ChangeId(0, 3), new byte[] {1}));
-        assertThat(((ProposalOutcome.Refused) conflicting).refusal().reason()).isEqualTo(Reason.CONFLICTING_BASE);
-        assertThat(((ProposalOutcome.Refused) malformed).refusal().reason()).isEqualTo(Reason.MALFORMED);
+                (ProposalOutcome) run(new LogOperation.Proposal(new IdempotencyKey(0, 3), new byte[] {1}));
+        assertThat(((ProposalOutcome.Rejected) conflicting).rejection().reason())
+                .isEqualTo(Reason.CONFLICTING_BASE);
+        assertThat(((ProposalOutcome.Rejected) malformed).rejection().reason()).isEqualTo(Reason.MALFORMED);
         assertThat(machine.current()).isEqualTo(before);
-        assertThat(told).hasSize(1);
+        assertThat(committed).hasSize(1);
     }
 
     @Test
@@ -89,7 +90,7 @@
         }
         List<Object> chunks = snapshotOf(machine);
         assertThat(chunks).hasSizeGreaterThan(10).allSatisfy(chunk -> assertThat(((StateChunk) chunk).bytes())
-                .hasSizeLessThanOrEqualTo(ConfigurationStateMachine.CHUNK_BYTES));
+                .hasSizeLessThanOrEqualTo(ConfigurationStateMachine.MAX_CHUNK_BYTES));
         ConfigurationStateMachine other = machine();
         other.installSnapshot(16, chunks);
         assertThat(other.current()).isEqualTo(machine.current());
@@ -99,7 +100,7 @@
         LogOperation.Proposal next = put(99, machine.current().version(), "a", "1");
         assertThat(other.runOperation(18, next))
                 .isEqualTo(machine.runOperation(18, next))
-                .isEqualTo(new ProposalOutcome.Agreed(new ConfigurationVersion(2, 16)));
+                .isEqualTo(new ProposalOutcome.Committed(new ConfigurationVersion(2, 16)));
         assertThat(snapshotOf(other)).isEqualTo(snapshotOf(machine));
     }
 
@@ -122,11 +123,11 @@
         run(new LogOperation.NewTerm(1));
         LogOperation.Proposal first = put(0, ConfigurationVersion.NONE, "a", "0");
         run(first);
-        for (int i = 1; i <= ConfigurationStateMachine.REMEMBERED_PROPOSALS; i++) {
+        for (int i = 1; i <= ConfigurationStateMachine.MAX_REMEMBERED_PROPOSALS; i++) {
             run(put(i, machine.current().version(), "a", "" + i));
         }
         ProposalOutcome again = (ProposalOutcome) run(first);
-        assertThat(((ProposalOutcome.Refused) again).refusal().reason()).isEqualTo(Reason.CONFLICTING_BASE);
-        assertThat(machine.versionOf(new ChangeId(0, 1))).isPresent();
+        assertThat(((ProposalOutcome.Rejected) again).rejection().reason()).isEqualTo(Reason.CONFLICTING_BASE);
+        assertThat(machine.committedVersionOf(new IdempotencyKey(0, 1))).isPresent();
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/AgreementFiguresTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ConsensusFiguresTest.java
@@ -11,19 +11,19 @@
 import sandstack.configuration.consensus.SimulatedNetwork.Traffic;
 
 /** What the agreement costs and how long it takes with seven machines, in simulated time; prints, and holds to bounds. */
-class AgreementFiguresTest {
+class ConsensusFiguresTest {
     private static final int MACHINES = 7;
-    private static final int SNAPSHOT_EVERY = 1_000;
+    private static final int SNAPSHOT_INTERVAL_ENTRIES = 1_000;
     private static final long BETWEEN_REGIONS_MICROS = 40_000;
-    private static final Duration CHANGE_EVERY = Duration.ofMillis(86_400_000 / 3_700);
+    private static final Duration CHANGE_INTERVAL = Duration.ofMillis(86_400_000 / 3_700);
     private static final Duration MEASURED = Duration.ofMinutes(30);
     /** Of the budget for control at a relay, which a control machine has to itself many times over. */
     private static final int BUDGET_BYTES_PER_SECOND = 4_096;
 
-    private static final Duration IN_FORCE_WITHIN = Duration.ofSeconds(16);
+    private static final Duration RECOVERY_BOUND = Duration.ofSeconds(16);
 
     private static SimulatedCluster started(long seed) {
-        SimulatedCluster cluster = new SimulatedCluster(MACHINES, seed, SNAPSHOT_EVERY);
+        SimulatedCluster cluster = new SimulatedCluster(MACHINES, seed, SNAPSHOT_INTERVAL_ENTRIES);
         cluster.network.betweenRegionsMicros = BETWEEN_REGIONS_MICROS;
         cluster.startAll();
         cluster.awaitLeader();
@@ -39,7 +39,7 @@
     }
 
     /** The largest bytes a second that a machine sent. */
-    private static double tell(String what, SimulatedCluster cluster) {
+    private static double printTraffic(String what, SimulatedCluster cluster) {
         SimulatedMachine leader = cluster.awaitLeader();
         double most = 0;
         for (SimulatedMachine machine : cluster.machines) {
@@ -63,7 +63,7 @@
         SimulatedCluster cluster = started(1);
         resetTraffic(cluster);
         cluster.runFor(MEASURED);
-        assertThat(tell("idle", cluster)).isLessThan(BUDGET_BYTES_PER_SECOND);
+        assertThat(printTraffic("idle", cluster)).isLessThan(BUDGET_BYTES_PER_SECOND);
     }
 
     @Test
@@ -72,9 +72,9 @@
             SimulatedCluster cluster = withLeaderIn(leaderRegion);
             resetTraffic(cluster);
             List<Long> millis = new ArrayList<>();
-            for (long i = 0; i < MEASURED.dividedBy(CHANGE_EVERY); i++) {
-                cluster.runFor(CHANGE_EVERY);
-                millis.add(cluster.agree().millis());
+            for (long i = 0; i < MEASURED.dividedBy(CHANGE_INTERVAL); i++) {
+                cluster.runFor(CHANGE_INTERVAL);
+                millis.add(cluster.commitChange().millis());
             }
             Collections.sort(millis);
             System.out.printf(
@@ -83,7 +83,7 @@
                     millis.get(millis.size() / 2),
                     millis.get(millis.size() - 1),
                     millis.size());
-            assertThat(tell("3,700 changes a day", cluster)).isLessThan(BUDGET_BYTES_PER_SECOND);
+            assertThat(printTraffic("3,700 changes a day", cluster)).isLessThan(BUDGET_BYTES_PER_SECOND);
             assertThat(millis.get(millis.size() - 1)).isLessThan(200);
         }
     }
@@ -103,11 +103,11 @@
         List<Long> millis = new ArrayList<>();
         for (long seed = 1; seed <= 40; seed++) {
             SimulatedCluster cluster = started(seed);
-            cluster.agree();
+            cluster.commitChange();
             cluster.runFor(Duration.ofMillis(seed * 37));
             long killed = cluster.time.nowMicros();
             cluster.awaitLeader().kill();
-            while (!(cluster.agree().outcome instanceof ProposalOutcome.Agreed)) {
+            while (!(cluster.commitChange().outcome instanceof ProposalOutcome.Committed)) {
                 cluster.runFor(Duration.ofMillis(100));
             }
             millis.add((cluster.time.nowMicros() - killed) / 1_000);
@@ -117,7 +117,7 @@
         System.out.printf(
                 "failover: the next change agreed %d ms after the leader's kill (median), %d ms (most of %d)%n",
                 millis.get(millis.size() / 2), most, millis.size());
-        assertThat(most).isLessThan(IN_FORCE_WITHIN.toMillis());
+        assertThat(most).isLessThan(RECOVERY_BOUND.toMillis());
     }
 
     @Test
@@ -126,13 +126,13 @@
         SimulatedDisk disk = cluster.awaitLeader().disk;
         disk.measured = true;
         for (int i = 0; i < 3_700; i++) {
-            cluster.agree();
+            cluster.commitChange();
         }
         System.out.printf(
                 "3,700 changes: at most %d log entries and %d bytes in the store, %d flushes%n",
-                disk.mostLogEntries, disk.mostBytes, disk.flushes);
-        assertThat(disk.mostBytes).isPositive().isLessThan(1 << 20);
-        assertThat(disk.mostLogEntries).isLessThanOrEqualTo(SNAPSHOT_EVERY + SNAPSHOT_EVERY / 4);
-        assertThat(cluster.settleAndCheck(IN_FORCE_WITHIN)).isEmpty();
+                disk.maxLogEntries, disk.maxBytes, disk.flushes);
+        assertThat(disk.maxBytes).isPositive().isLessThan(1 << 20);
+        assertThat(disk.maxLogEntries).isLessThanOrEqualTo(SNAPSHOT_INTERVAL_ENTRIES + SNAPSHOT_INTERVAL_ENTRIES / 4);
+        assertThat(cluster.recoverAndCheck(RECOVERY_BOUND)).isEmpty();
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/IgnoringListener.java
+++ b/src/test/java/sandstack/configuration/consensus/IgnoringListener.java
@@ -1,13 +1,13 @@
 package sandstack.configuration.consensus;
 
-import sandstack.configuration.AgreedChange;
-import sandstack.configuration.AgreedChangeListener;
+import sandstack.configuration.CommittedChange;
+import sandstack.configuration.CommittedChangeListener;
 import sandstack.configuration.ConfigurationSnapshot;
 
 /** Does nothing with what it is told. */
-final class IgnoringListener implements AgreedChangeListener {
+final class IgnoringListener implements CommittedChangeListener {
     @Override
-    public void agreed(AgreedChange change) {}
+    public void committed(CommittedChange change) {}
 
     @Override
     public void restored(ConfigurationSnapshot snapshot) {}
--- a/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
+++ b/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
@@ -24,7 +24,7 @@
 class MvStoreRaftStoreTest {
     private static final ControlIdentity SELF = new ControlIdentity("control-0");
     private static final String GROUP = "configuration";
-    private static final String KEY = "new_identity";
+    private static final String NEW_IDENTITY_SETTING = "new_identity";
     private static final DefaultRaftModelFactory MODELS = new DefaultRaftModelFactory();
 
     @TempDir
@@ -38,11 +38,11 @@
     }
 
     private MvStoreRaftStore create() throws IOException {
-        return MvStoreRaftStore.create(file, KEY, GROUP, SELF, ConfigurationLimits.DEFAULT);
+        return MvStoreRaftStore.create(file, NEW_IDENTITY_SETTING, GROUP, SELF, ConfigurationLimits.DEFAULT);
     }
 
     private MvStoreRaftStore reopen() throws IOException {
-        return MvStoreRaftStore.reopen(file, KEY, GROUP, SELF, ConfigurationLimits.DEFAULT);
+        return MvStoreRaftStore.reopen(file, NEW_IDENTITY_SETTING, GROUP, SELF, ConfigurationLimits.DEFAULT);
     }
 
     private static RaftGroupMembersView members() {
@@ -79,7 +79,7 @@
         return MODELS.createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(3)
-                .setOperation(new LogOperation.Proposal(new ChangeId(0, index), change))
+                .setOperation(new LogOperation.Proposal(new IdempotencyKey(0, index), change))
                 .build();
     }
 
@@ -100,13 +100,13 @@
         return state.getLogEntries().stream().map(LogEntry::getIndex).toList();
     }
 
-    private void assertRefused(String... words) {
+    private void assertRejected(String... words) {
         assertThatThrownBy(() -> {
                     try (MvStoreRaftStore store = reopen()) {
                         store.restore();
                     }
                 })
-                .isInstanceOf(StoreRefusedException.class)
+                .isInstanceOf(RejectedStoreException.class)
                 .satisfies(refusal -> {
                     assertThat(refusal.getMessage()).contains(file).contains(words);
                     assertThat(refusal.getMessage().lines()).hasSize(1);
@@ -121,7 +121,7 @@
         store.truncateLogEntriesFrom(9);
         store.flush();
         append(store, 9, 12);
-        store.crash();
+        store.closeImmediately();
         try (MvStoreRaftStore again = reopen()) {
             RestoredRaftState state = again.restore().orElseThrow();
             assertThat(indexes(state)).containsExactly(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L);
@@ -142,7 +142,7 @@
         snapshot(store, 10, 3, 2);
         store.truncateLogEntriesUntil(4);
         store.flush();
-        store.crash();
+        store.closeImmediately();
         try (MvStoreRaftStore again = reopen()) {
             RestoredRaftState state = again.restore().orElseThrow();
             assertThat(state.getSnapshotEntry().getIndex()).isEqualTo(5);
@@ -153,27 +153,32 @@
 
     @Test
     void aWipedDiskIsRefusedWithoutPermissionAndPermissionIsRefusedOverADisk() throws IOException {
-        assertRefused("no disk of control-0", KEY);
+        assertRejected("no disk of control-0", NEW_IDENTITY_SETTING);
         create().close();
         assertThatThrownBy(this::create)
-                .isInstanceOf(StoreRefusedException.class)
+                .isInstanceOf(RejectedStoreException.class)
                 .hasMessageContaining(file)
-                .hasMessageContaining(KEY);
+                .hasMessageContaining(NEW_IDENTITY_SETTING);
         // the flush count alone tells that there was a disk
         Files.delete(Path.of(file));
-        assertThatThrownBy(this::create).isInstanceOf(StoreRefusedException.class);
-        assertRefused("no disk of control-0");
+        assertThatThrownBy(this::create).isInstanceOf(RejectedStoreException.class);
+        assertRejected("no disk of control-0");
     }
 
     @Test
     void aDiskOfAnotherMachineOrGroupIsRefused() throws IOException {
         create().close();
         assertThatThrownBy(() -> MvStoreRaftStore.reopen(
-                        file, KEY, GROUP, new ControlIdentity("control-1"), ConfigurationLimits.DEFAULT))
-                .isInstanceOf(StoreRefusedException.class)
+                        file,
+                        NEW_IDENTITY_SETTING,
+                        GROUP,
+                        new ControlIdentity("control-1"),
+                        ConfigurationLimits.DEFAULT))
+                .isInstanceOf(RejectedStoreException.class)
                 .hasMessageContaining("identity is control-0 on this disk, control-1 in the settings");
-        assertThatThrownBy(() -> MvStoreRaftStore.reopen(file, KEY, "other", SELF, ConfigurationLimits.DEFAULT))
-                .isInstanceOf(StoreRefusedException.class)
+        assertThatThrownBy(() ->
+                        MvStoreRaftStore.reopen(file, NEW_IDENTITY_SETTING, "other", SELF, ConfigurationLimits.DEFAULT))
+                .isInstanceOf(RejectedStoreException.class)
                 .hasMessageContaining("group is configuration on this disk");
     }
 
@@ -183,7 +188,7 @@
         start(store);
         append(store, 1, 5);
         store.flush();
-        store.crash();
+        store.closeImmediately();
         Path older = folder.resolve("older");
         Files.copy(Path.of(file), older);
         MvStoreRaftStore again = reopen();
@@ -191,14 +196,14 @@
         again.flush();
         again.close();
         Files.copy(older, Path.of(file), StandardCopyOption.REPLACE_EXISTING);
-        assertRefused("truncated or set back", "new identity");
+        assertRejected("truncated or set back", "new identity");
     }
 
     @Test
     void aFileWithoutItsFlushCountIsRefused() throws IOException {
         create().close();
         Files.delete(Path.of(file + ".flushes"));
-        assertRefused("flush count", "missing");
+        assertRejected("flush count", "missing");
     }
 
     @Test
@@ -233,7 +238,7 @@
         snapshot(store, 20, 1, 1);
         store.truncateLogEntriesUntil(18);
         store.flush();
-        store.crash();
+        store.closeImmediately();
         byte[] whole = Files.readAllBytes(Path.of(file));
         byte[] count = Files.readAllBytes(Path.of(file + ".flushes"));
         SplittableRandom random = new SplittableRandom(40);
@@ -242,7 +247,7 @@
             Files.write(Path.of(file), whole);
             Files.write(Path.of(file + ".flushes"), count);
             damage(random, whole.length);
-            refused += refusedOrWhole() ? 1 : 0;
+            refused += isRejectedOrComplete() ? 1 : 0;
         }
         assertThat(refused).isGreaterThan(100);
     }
@@ -260,13 +265,13 @@
         }
     }
 
-    private boolean refusedOrWhole() throws IOException {
+    private boolean isRejectedOrComplete() throws IOException {
         try (MvStoreRaftStore store = reopen()) {
             RestoredRaftState state = store.restore().orElseThrow();
             assertThat(state.getSnapshotEntry().getIndex()).isEqualTo(20);
             assertThat(indexes(state)).hasSize(20).endsWith(40L);
             return false;
-        } catch (StoreRefusedException e) {
+        } catch (RejectedStoreException e) {
             assertThat(e.getMessage().lines()).hasSize(1);
             assertThat(e.getMessage()).contains(file);
             return true;
--- a/src/test/java/sandstack/configuration/consensus/NewIdentityTest.java
+++ b/src/test/java/sandstack/configuration/consensus/NewIdentityTest.java
@@ -11,7 +11,7 @@
 /** A machine whose disk is lost comes back under a new identity, admitted by the others; the old one goes. */
 class NewIdentityTest {
     private static final Duration SETTLING = Duration.ofSeconds(16);
-    private static final int SNAPSHOT_EVERY = 20;
+    private static final int SNAPSHOT_INTERVAL_ENTRIES = 20;
 
     private static RaftGroupMembers change(
             SimulatedCluster cluster, ControlIdentity machine, MembershipChangeMode mode) {
@@ -24,17 +24,17 @@
         return change.join();
     }
 
-    private static void agree(SimulatedCluster cluster, int changes) {
+    private static void commit(SimulatedCluster cluster, int changes) {
         for (int i = 0; i < changes; i++) {
-            assertThat(cluster.agree().outcome).isInstanceOf(ProposalOutcome.Agreed.class);
+            assertThat(cluster.commitChange().outcome).isInstanceOf(ProposalOutcome.Committed.class);
         }
     }
 
     @Test
     void aNewIdentityReplacesTheOldAndHoldsAll() {
-        SimulatedCluster cluster = new SimulatedCluster(5, 3, SNAPSHOT_EVERY);
+        SimulatedCluster cluster = new SimulatedCluster(5, 3, SNAPSHOT_INTERVAL_ENTRIES);
         cluster.startAll();
-        agree(cluster, 45);
+        commit(cluster, 45);
         SimulatedMachine lost = cluster.machines.get(0);
         lost.kill();
         cluster.machines.remove(lost);
@@ -49,17 +49,17 @@
         change(cluster, fresh.identity, MembershipChangeMode.ADD_LEARNER);
         RaftGroupMembers with = change(cluster, fresh.identity, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
         assertThat(with.getVotingMembers()).hasSize(5).contains(fresh.identity);
-        agree(cluster, 5);
-        assertThat(cluster.settleAndCheck(SETTLING)).isEmpty();
+        commit(cluster, 5);
+        assertThat(cluster.recoverAndCheck(SETTLING)).isEmpty();
         assertThat(fresh.node.current().version().index()).isEqualTo(50);
     }
 
     /** It does not know the members yet and must not unseat who leads. */
     @Test
     void aMachineThatIsNotAdmittedChangesNothing() {
-        SimulatedCluster cluster = new SimulatedCluster(5, 4, SNAPSHOT_EVERY);
+        SimulatedCluster cluster = new SimulatedCluster(5, 4, SNAPSHOT_INTERVAL_ENTRIES);
         cluster.startAll();
-        agree(cluster, 5);
+        commit(cluster, 5);
         SimulatedMachine leader = cluster.awaitLeader();
         long term = leader.node.currentTerm();
         SimulatedMachine stranger = cluster.add("stranger", 1);
@@ -70,7 +70,7 @@
         assertThat(leader.node.members().getVotingMembers()).hasSize(5).doesNotContain(stranger.identity);
         cluster.machines.remove(stranger);
         stranger.kill();
-        agree(cluster, 5);
-        assertThat(cluster.settleAndCheck(SETTLING)).isEmpty();
+        commit(cluster, 5);
+        assertThat(cluster.recoverAndCheck(SETTLING)).isEmpty();
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/PlantedFaultsTest.java
+++ b/src/test/java/sandstack/configuration/consensus/PlantedFaultsTest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 import org.junit.jupiter.api.Test;
-import sandstack.configuration.AgreedChange;
-import sandstack.configuration.AgreedChangeListener;
 import sandstack.configuration.ChangeValidator;
+import sandstack.configuration.CommittedChange;
+import sandstack.configuration.CommittedChangeListener;
 import sandstack.configuration.ConfigurationChange;
 import sandstack.configuration.ConfigurationCodec;
 import sandstack.configuration.ConfigurationSnapshot;
@@ -22,7 +22,7 @@
     private static final class SkipsOne extends ConfigurationStateMachine {
         private int seen;
 
-        SkipsOne(ChangeValidator validator, AgreedChangeListener listener, LongSupplier leaderTerm) {
+        SkipsOne(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
             super(validator, listener, leaderTerm);
         }
 
@@ -37,7 +37,7 @@
 
     /** Applies a repetition again, as its memory of ids is gone. */
     private static final class TakesEachIdForNew extends ConfigurationStateMachine {
-        TakesEachIdForNew(ChangeValidator validator, AgreedChangeListener listener, LongSupplier leaderTerm) {
+        TakesEachIdForNew(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
             super(validator, listener, leaderTerm);
         }
 
@@ -47,7 +47,7 @@
                 return super.runOperation(commitIndex, operation);
             }
             return super.runOperation(
-                    commitIndex, new LogOperation.Proposal(new ChangeId(commitIndex, 1), rebased(proposal)));
+                    commitIndex, new LogOperation.Proposal(new IdempotencyKey(commitIndex, 1), rebased(proposal)));
         }
 
         private byte[] rebased(LogOperation.Proposal proposal) {
@@ -70,28 +70,28 @@
         return cluster;
     }
 
-    private static void agree(SimulatedCluster cluster, int changes) {
+    private static void commit(SimulatedCluster cluster, int changes) {
         for (int i = 0; i < changes; i++) {
-            cluster.agree();
+            cluster.commitChange();
         }
     }
 
     @Test
     void aStateMachineThatSkipsAChangeIsFound() {
         SimulatedCluster cluster = cluster(SkipsOne::new, 1);
-        agree(cluster, 20);
-        assertThat(cluster.settleAndCheck(SETTLING)).anyMatch(breach -> breach.contains("where another was told"));
+        commit(cluster, 20);
+        assertThat(cluster.recoverAndCheck(SETTLING)).anyMatch(breach -> breach.contains("where another was told"));
     }
 
     @Test
     void aChangeAppliedTwiceIsFound() {
         SimulatedCluster cluster = cluster(TakesEachIdForNew::new, 5);
         SimulatedMachine leader = cluster.awaitLeader();
-        ConfigurationChange change = cluster.drawChange(leader.node.current().version());
+        ConfigurationChange change = cluster.randomChange(leader.node.current().version());
         cluster.propose(leader, change);
         cluster.runFor(Duration.ofSeconds(1));
         cluster.propose(leader, change);
-        assertThat(cluster.settleAndCheck(SETTLING)).anyMatch(breach -> breach.contains("was applied at 1 and 2"));
+        assertThat(cluster.recoverAndCheck(SETTLING)).anyMatch(breach -> breach.contains("was applied at 1 and 2"));
     }
 
     /** A leader that tells of a change when it is proposed, before the others have it. */
@@ -100,14 +100,14 @@
         SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
         SimulatedMachine leader = cluster.awaitLeader();
         ConfigurationSnapshot before = leader.node.current();
-        ConfigurationChange change = cluster.drawChange(before.version());
+        ConfigurationChange change = cluster.randomChange(before.version());
         cluster.propose(leader, change);
         ConfigurationSnapshot after = before.apply(before.version().next(leader.node.currentTerm()), change);
-        cluster.checker.new Life(leader.identity)
-                .agreed(
-                        new AgreedChange(after.version(), change, after.digest()),
-                        () -> cluster.majorityHolds(new AgreedChange(after.version(), change, after.digest())));
-        assertThat(cluster.settleAndCheck(SETTLING))
+        cluster.checker.new Incarnation(leader.identity)
+                .committed(
+                        new CommittedChange(after.version(), change, after.digest()),
+                        () -> cluster.majorityStores(new CommittedChange(after.version(), change, after.digest())));
+        assertThat(cluster.recoverAndCheck(SETTLING))
                 .anyMatch(breach -> breach.contains("before a majority of the disks held it"));
     }
 
@@ -115,13 +115,13 @@
     @Test
     void disksThatForgetAreFound() {
         SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
-        agree(cluster, 5);
-        cluster.machines.forEach(machine -> machine.disk.forgetFlushes());
-        agree(cluster, 5);
+        commit(cluster, 5);
+        cluster.machines.forEach(machine -> machine.disk.loseFlushes());
+        commit(cluster, 5);
         cluster.machines.forEach(SimulatedMachine::kill);
         cluster.startAll();
-        agree(cluster, 5);
-        assertThat(cluster.settleAndCheck(SETTLING)).anyMatch(breach -> breach.contains("where another was told"));
+        commit(cluster, 5);
+        assertThat(cluster.recoverAndCheck(SETTLING)).anyMatch(breach -> breach.contains("where another was told"));
     }
 
     /** Why a wiped disk must not vote under its old identity: a majority of those that hold a change can be lost. */
@@ -132,19 +132,19 @@
         List<SimulatedMachine> late = cluster.machines.subList(3, 5);
         cluster.runFor(Duration.ofSeconds(3));
         late.forEach(SimulatedMachine::kill);
-        agree(cluster, 5);
+        commit(cluster, 5);
         holders.forEach(SimulatedMachine::kill);
         holders.get(0).disk.wipe();
         late.forEach(cluster::start);
         cluster.start(holders.get(0));
-        agree(cluster, 5);
-        assertThat(cluster.settleAndCheck(SETTLING)).anyMatch(breach -> breach.contains("where another was told"));
+        commit(cluster, 5);
+        assertThat(cluster.recoverAndCheck(SETTLING)).anyMatch(breach -> breach.contains("where another was told"));
     }
 
     @Test
     void withoutAFaultTheCheckerIsSilent() {
         SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
-        agree(cluster, 20);
-        assertThat(cluster.settleAndCheck(SETTLING)).isEmpty();
+        commit(cluster, 20);
+        assertThat(cluster.recoverAndCheck(SETTLING)).isEmpty();
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/RaftFixturesTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftFixturesTest.java
@@ -57,8 +57,8 @@
                 new ConfigurationStateMachine(SimulatedMachine.VALIDATOR, new IgnoringListener(), () -> 1);
         restored.installSnapshot(4, List.of(new StateChunk(fixture)));
         assertThat(restored.current()).isEqualTo(RaftSamples.stateMachine().current());
-        assertThat(restored.versionOf(new ChangeId(2, -2)))
-                .isEqualTo(RaftSamples.stateMachine().versionOf(new ChangeId(2, -2)))
+        assertThat(restored.committedVersionOf(new IdempotencyKey(2, -2)))
+                .isEqualTo(RaftSamples.stateMachine().committedVersionOf(new IdempotencyKey(2, -2)))
                 .isPresent();
         assertThat(RaftSamples.stateOf(restored)).isEqualTo(fixture);
     }
@@ -67,7 +67,11 @@
     void goesOnFromTheStoreOfTheFixtures() throws IOException {
         Path file = copyStore();
         try (MvStoreRaftStore store = MvStoreRaftStore.reopen(
-                file.toString(), RaftSamples.KEY, RaftSamples.GROUP, RaftSamples.SELF, ConfigurationLimits.DEFAULT)) {
+                file.toString(),
+                RaftSamples.NEW_IDENTITY_SETTING,
+                RaftSamples.GROUP,
+                RaftSamples.SELF,
+                ConfigurationLimits.DEFAULT)) {
             RestoredRaftState state = store.restore().orElseThrow();
             assertThat(state.getLocalEndpointPersistentState().getLocalEndpoint())
                     .isEqualTo(RaftSamples.SELF);
--- a/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
@@ -47,7 +47,9 @@
                 .build();
         List<LogEntry> entries = new ArrayList<>();
         for (Object operation : List.of(
-                new LogOperation.NewTerm(4), new LogOperation.Proposal(new ChangeId(1, 2), new byte[300]), change)) {
+                new LogOperation.NewTerm(4),
+                new LogOperation.Proposal(new IdempotencyKey(1, 2), new byte[300]),
+                change)) {
             entries.add(MODELS.createLogEntryBuilder()
                     .setIndex(entries.size() + 8)
                     .setTerm(4)
--- a/src/test/java/sandstack/configuration/consensus/RaftSamples.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftSamples.java
@@ -34,7 +34,7 @@
     static final List<Long> TRACED_SEEDS = List.of(1L, 2L, 3L, 4L, 1081L, 20242L);
 
     static final String GROUP = "configuration";
-    static final String KEY = "new_identity";
+    static final String NEW_IDENTITY_SETTING = "new_identity";
     static final ControlIdentity SELF = new ControlIdentity("control-0");
     static final ControlIdentity OTHER = new ControlIdentity("control_1.b");
     static final int SNAPSHOT_INDEX = 6;
@@ -221,7 +221,7 @@
         ConfigurationChange change =
                 ConfigurationChange.of(base, "ann", "fixture", List.of(new ConfigurationEdit.Put(key, "value")));
         byte[] encoded = new ConfigurationCodec(ConfigurationLimits.DEFAULT).encode(change);
-        return new LogOperation.Proposal(new ChangeId(id, -id), encoded);
+        return new LogOperation.Proposal(new IdempotencyKey(id, -id), encoded);
     }
 
     /** A state machine after one term and three proposals. */
@@ -244,8 +244,8 @@
 
     /** Writes a store with all that Raft remembers, and leaves it closed. */
     static void writeStore(Path file) throws IOException {
-        try (MvStoreRaftStore store =
-                MvStoreRaftStore.create(file.toString(), KEY, GROUP, SELF, ConfigurationLimits.DEFAULT)) {
+        try (MvStoreRaftStore store = MvStoreRaftStore.create(
+                file.toString(), NEW_IDENTITY_SETTING, GROUP, SELF, ConfigurationLimits.DEFAULT)) {
             store.persistAndFlushLocalEndpoint(MODELS.createRaftEndpointPersistentStateBuilder()
                     .setLocalEndpoint(SELF)
                     .setVoting(true)
@@ -264,12 +264,12 @@
 
     /** The messages of one cluster under drawn faults, and the state at each machine in the end. */
     static String trace(long seed) {
-        DrawnSchedule schedule = new DrawnSchedule(seed);
-        List<String> breaches = schedule.play();
+        RandomFaultSchedule schedule = new RandomFaultSchedule(seed);
+        List<String> breaches = schedule.run();
         StringBuilder states = new StringBuilder();
         schedule.cluster.machines.forEach(
                 machine -> states.append(machine.node.current()).append(';'));
-        return breaches.size() + " breaches, " + schedule.cluster.checker.agreedChanges() + " changes, "
+        return breaches.size() + " breaches, " + schedule.cluster.checker.committedChanges() + " changes, "
                 + schedule.cluster.network.traceDigest() + ", states "
                 + Integer.toHexString(Arrays.hashCode(states.toString().toCharArray()));
     }
--- a/src/test/java/sandstack/configuration/consensus/DrawnSchedule.java
+++ b/src/test/java/sandstack/configuration/consensus/RandomFaultSchedule.java
@@ -8,62 +8,65 @@
 import sandstack.configuration.ConfigurationChange;
 
 /** A cluster under drawn faults, and clients that ask whoever is up and repeat what stayed open. */
-final class DrawnSchedule {
+final class RandomFaultSchedule {
     private static final int STEPS = 60;
-    private static final int SNAPSHOT_EVERY = 15;
-    private static final int MOST_STEP_MILLIS = 2_500;
+    private static final int SNAPSHOT_INTERVAL_ENTRIES = 15;
+    private static final int MAX_STEP_MILLIS = 2_500;
     private static final Duration SETTLING = Duration.ofSeconds(16);
 
     /** A change that a client wants, with the attempts that it made. */
-    private record Wanted(ConfigurationChange change, List<SimulatedCluster.Attempt> attempts) {}
+    private record ClientChange(ConfigurationChange change, List<SimulatedCluster.Attempt> attempts) {}
 
     final SimulatedCluster cluster;
     private final SplittableRandom random;
-    private final List<Wanted> wanted = new ArrayList<>();
+    private final List<ClientChange> clientChanges = new ArrayList<>();
     int faults;
 
-    DrawnSchedule(long seed) {
+    RandomFaultSchedule(long seed) {
         random = new SplittableRandom(seed);
-        cluster = new SimulatedCluster(random.nextBoolean() ? 5 : 7, random.nextLong(), SNAPSHOT_EVERY);
+        cluster = new SimulatedCluster(random.nextBoolean() ? 5 : 7, random.nextLong(), SNAPSHOT_INTERVAL_ENTRIES);
         cluster.network.lossShare = random.nextInt(3) == 0 ? 0.05 : 0;
     }
 
     /** Plays it and tells the breaches. */
-    List<String> play() {
+    List<String> run() {
         cluster.startAll();
         cluster.runFor(Duration.ofSeconds(3));
         for (int step = 0; step < STEPS; step++) {
-            clientsAsk();
-            drawFault();
-            cluster.runFor(Duration.ofMillis(random.nextInt(MOST_STEP_MILLIS)));
+            proposeChanges();
+            injectRandomFault();
+            cluster.runFor(Duration.ofMillis(random.nextInt(MAX_STEP_MILLIS)));
         }
-        return cluster.settleAndCheck(SETTLING);
+        return cluster.recoverAndCheck(SETTLING);
     }
 
-    private void clientsAsk() {
+    private void proposeChanges() {
         for (int i = random.nextInt(4); i > 0; i--) {
-            SimulatedMachine asked = draw(cluster.machines);
+            SimulatedMachine machine = randomElement(cluster.machines);
             // most clients know who leads
             if (random.nextInt(4) != 0) {
-                asked = cluster.leader().orElse(asked);
+                machine = cluster.leader().orElse(machine);
             }
-            if (!asked.isUp()) {
+            if (!machine.isUp()) {
                 continue;
             }
-            Wanted next = random.nextInt(4) == 0 && !wanted.isEmpty() ? draw(wanted) : newWish(asked);
-            next.attempts().add(cluster.propose(asked, next.change()));
+            ClientChange next = random.nextInt(4) == 0 && !clientChanges.isEmpty()
+                    ? randomElement(clientChanges)
+                    : newClientChange(machine);
+            next.attempts().add(cluster.propose(machine, next.change()));
         }
     }
 
-    private Wanted newWish(SimulatedMachine asked) {
-        Wanted wish = new Wanted(cluster.drawChange(asked.node.current().version()), new ArrayList<>());
-        wanted.add(wish);
-        return wish;
+    private ClientChange newClientChange(SimulatedMachine machine) {
+        ClientChange change =
+                new ClientChange(cluster.randomChange(machine.node.current().version()), new ArrayList<>());
+        clientChanges.add(change);
+        return change;
     }
 
-    private void drawFault() {
-        SimulatedMachine one = draw(cluster.machines);
-        SimulatedMachine victim = random.nextInt(3) == 0 ? cluster.leader().orElse(one) : one;
+    private void injectRandomFault() {
+        SimulatedMachine machine = randomElement(cluster.machines);
+        SimulatedMachine victim = random.nextInt(3) == 0 ? cluster.leader().orElse(machine) : machine;
         switch (random.nextInt(9)) {
             case 0 -> kill(victim);
             case 1 -> pause(victim);
@@ -73,9 +76,7 @@
                 faults++;
             }
             case 4, 5 -> cluster.network.heal();
-            case 6 -> cluster.machines.stream()
-                    .filter(machine -> !machine.isUp())
-                    .forEach(cluster::start);
+            case 6 -> cluster.machines.stream().filter(other -> !other.isUp()).forEach(cluster::start);
             case 7 -> cluster.machines.forEach(SimulatedMachine::resume);
             default -> {}
         }
@@ -105,13 +106,13 @@
 
     /** Attempts that were answered, of all. */
     Optional<SimulatedCluster.Attempt> slowestAnswer() {
-        return wanted.stream()
-                .flatMap(wish -> wish.attempts().stream())
+        return clientChanges.stream()
+                .flatMap(change -> change.attempts().stream())
                 .filter(attempt -> attempt.outcome != null)
                 .max((a, b) -> Long.compare(a.millis(), b.millis()));
     }
 
-    private <T> T draw(List<T> list) {
+    private <T> T randomElement(List<T> list) {
         return list.get(random.nextInt(list.size()));
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/DrawnSchedulesTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RandomFaultSchedulesTest.java
@@ -9,7 +9,7 @@
  * Drawn faults: kills, pauses, one-way cuts, regions apart, lost messages. {@code -Dsandstack.consensus.schedules=N}
  * plays more than CI does, {@code -Dsandstack.consensus.first=SEED} from another seed on.
  */
-class DrawnSchedulesTest {
+class RandomFaultSchedulesTest {
     private static final int SCHEDULES = Integer.getInteger("sandstack.consensus.schedules", 25);
     private static final int FIRST_SEED = Integer.getInteger("sandstack.consensus.first", 1);
 
@@ -18,10 +18,10 @@
         int agreed = 0;
         int faults = 0;
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SCHEDULES; seed++) {
-            DrawnSchedule schedule = new DrawnSchedule(seed);
-            List<String> breaches = schedule.play();
+            RandomFaultSchedule schedule = new RandomFaultSchedule(seed);
+            List<String> breaches = schedule.run();
             assertThat(breaches).as("seed " + seed).isEmpty();
-            agreed += schedule.cluster.checker.agreedChanges();
+            agreed += schedule.cluster.checker.committedChanges();
             faults += schedule.faults;
         }
         System.out.println(SCHEDULES + " schedules kept: " + agreed + " changes agreed on, " + faults + " faults");
@@ -30,11 +30,11 @@
         assertThat(faults).isGreaterThan(10 * SCHEDULES);
     }
 
-    /** In these a machine stayed behind for good, before {@link SnapshotBoundary} and {@link SnapshotStall}. */
+    /** In these a machine stayed behind for good, before {@link SnapshotConsistencyCheck} and {@link SnapshotStallDetector}. */
     @Test
     void schedulesThatWereNotKeptAre() {
         for (long seed : new long[] {1081, 1089, 20242}) {
-            assertThat(new DrawnSchedule(seed).play()).as("seed " + seed).isEmpty();
+            assertThat(new RandomFaultSchedule(seed).run()).as("seed " + seed).isEmpty();
         }
     }
 
@@ -44,8 +44,8 @@
     }
 
     private static String outcomeOf(long seed) {
-        DrawnSchedule schedule = new DrawnSchedule(seed);
-        List<String> breaches = schedule.play();
+        RandomFaultSchedule schedule = new RandomFaultSchedule(seed);
+        List<String> breaches = schedule.run();
         SimulatedMachine any = schedule.cluster.machines.get(0);
         return breaches + " " + any.node.current() + " " + schedule.cluster.network.sent.get(any.identity).bytes;
     }
--- a/src/test/java/sandstack/configuration/consensus/SimulatedCluster.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedCluster.java
@@ -9,15 +9,15 @@
 import java.util.SplittableRandom;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sandstack.configuration.AgreedChange;
+import sandstack.configuration.CommittedChange;
 import sandstack.configuration.ConfigurationChange;
 import sandstack.configuration.ConfigurationEdit;
 import sandstack.configuration.ConfigurationVersion;
 
 /** Control machines in two regions, the first with the smaller half, all in simulated time and on one thread. */
 final class SimulatedCluster {
-    private static final ControlNodeSettings.Times TIMES = ControlNodeSettings.Times.DEFAULT;
-    private static final int PENDING = 64;
+    private static final ControlNodeSettings.Timeouts TIMES = ControlNodeSettings.Timeouts.DEFAULT;
+    private static final int MAX_PENDING_PROPOSALS = 64;
     /** The library tells of each vote; held here, as a logger that nobody holds forgets its level. */
     private static final Logger LIBRARY = Logger.getLogger("io.microraft");
 
@@ -28,34 +28,34 @@
     /** An attempt that a client made. */
     static final class Attempt {
         final String change;
-        final long askedMicros;
+        final long proposedMicros;
         long answeredMicros;
         ProposalOutcome outcome;
 
         private Attempt(String change, long askedMicros) {
             this.change = change;
-            this.askedMicros = askedMicros;
+            this.proposedMicros = askedMicros;
         }
 
         long millis() {
-            return (answeredMicros - askedMicros) / 1_000;
+            return (answeredMicros - proposedMicros) / 1_000;
         }
     }
 
     final SimulatedTime time = new SimulatedTime();
     final SplittableRandom random;
     final SimulatedNetwork network;
-    final AgreementChecker checker = new AgreementChecker();
+    final HistoryChecker checker = new HistoryChecker();
     final List<SimulatedMachine> machines = new ArrayList<>();
     private final List<ControlIdentity> voters = new ArrayList<>();
     private final Set<Attempt> unanswered = new HashSet<>();
-    private final int snapshotEvery;
-    private int drawnChanges;
+    private final int snapshotIntervalEntries;
+    private int generatedChanges;
 
-    SimulatedCluster(int size, long seed, int snapshotEvery) {
+    SimulatedCluster(int size, long seed, int snapshotIntervalEntries) {
         this.random = new SplittableRandom(seed);
         this.network = new SimulatedNetwork(time, random.split());
-        this.snapshotEvery = snapshotEvery;
+        this.snapshotIntervalEntries = snapshotIntervalEntries;
         for (int i = 0; i < size; i++) {
             voters.add(new ControlIdentity("control-" + i));
         }
@@ -80,7 +80,8 @@
     }
 
     ControlNodeSettings settings(ControlIdentity self) {
-        return new ControlNodeSettings(SimulatedNetwork.GROUP, self, voters, TIMES, PENDING, snapshotEvery);
+        return new ControlNodeSettings(
+                SimulatedNetwork.GROUP, self, voters, TIMES, MAX_PENDING_PROPOSALS, snapshotIntervalEntries);
     }
 
     void runFor(Duration duration) {
@@ -103,34 +104,34 @@
     }
 
     /** A change that only this cluster makes, by its reason. */
-    ConfigurationChange drawChange(ConfigurationVersion base) {
-        String reason = "change " + drawnChanges++;
+    ConfigurationChange randomChange(ConfigurationVersion base) {
+        String reason = "change " + generatedChanges++;
         String key = "key-" + random.nextInt(20);
         return ConfigurationChange.of(base, "ann", reason, List.of(new ConfigurationEdit.Put(key, reason)));
     }
 
-    static ChangeId idOf(ConfigurationChange change) {
-        return new ChangeId(0, change.reason().hashCode());
+    static IdempotencyKey keyOf(ConfigurationChange change) {
+        return new IdempotencyKey(0, change.reason().hashCode());
     }
 
     /** A client asks a machine that is up. */
     Attempt propose(SimulatedMachine machine, ConfigurationChange change) {
         Attempt attempt = new Attempt(change.reason(), time.nowMicros());
-        checker.asked(change.reason());
+        checker.proposed(change.reason());
         unanswered.add(attempt);
-        machine.node.propose(idOf(change), change).thenAccept(outcome -> {
+        machine.node.propose(keyOf(change), change).thenAccept(outcome -> {
             attempt.outcome = outcome;
             attempt.answeredMicros = time.nowMicros();
             unanswered.remove(attempt);
-            checker.answered(change.reason(), outcome);
+            checker.outcomeReported(change.reason(), outcome);
         });
         return attempt;
     }
 
     /** A client asks the leader for a change based on what that has applied, and waits. */
-    Attempt agree() {
+    Attempt commitChange() {
         SimulatedMachine leader = awaitLeader();
-        Attempt attempt = propose(leader, drawChange(leader.node.current().version()));
+        Attempt attempt = propose(leader, randomChange(leader.node.current().version()));
         for (int i = 0; i < 1_000 && attempt.outcome == null; i++) {
             time.runForMillis(10);
         }
@@ -148,9 +149,10 @@
         }
     }
 
-    boolean majorityHolds(AgreedChange change) {
-        long holders =
-                machines.stream().filter(machine -> machine.holds(change)).count();
+    boolean majorityStores(CommittedChange change) {
+        long holders = machines.stream()
+                .filter(machine -> machine.storesDurably(change))
+                .count();
         return holders > voters.size() / 2;
     }
 
@@ -163,7 +165,7 @@
     }
 
     /** Mends everything, lets it settle, and asks the checker. */
-    List<String> settleAndCheck(Duration settling) {
+    List<String> recoverAndCheck(Duration recoveryTime) {
         network.heal();
         network.lossShare = 0;
         for (SimulatedMachine machine : machines) {
@@ -173,14 +175,14 @@
                 machine.resume();
             }
         }
-        runFor(settling);
+        runFor(recoveryTime);
         Set<String> open = new HashSet<>();
         unanswered.forEach(attempt -> open.add(attempt.change));
         checker.finish(open);
-        List<String> breaches = new ArrayList<>(checker.breaches);
+        List<String> violations = new ArrayList<>(checker.violations);
         if (!allEqual()) {
-            breaches.add("the machines differ " + settling + " after all is mended");
+            violations.add("the machines differ " + recoveryTime + " after all is mended");
         }
-        return breaches;
+        return violations;
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/SimulatedDisk.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedDisk.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import sandstack.configuration.AgreedChange;
+import sandstack.configuration.CommittedChange;
 import sandstack.configuration.ConfigurationCodec;
 import sandstack.configuration.ConfigurationLimits;
 
@@ -25,13 +25,13 @@
     private Map<String, byte[]> durableHeader = new TreeMap<>();
     private Map<Long, byte[]> durableLog = new TreeMap<>();
     private Map<Long, byte[]> durableChunks = new TreeMap<>();
-    private boolean forgetful;
+    private boolean losesFlushes;
     long flushes;
-    int mostLogEntries;
+    int maxLogEntries;
     /** Whether bytes are counted, which takes a look at all at each flush. */
     boolean measured;
 
-    long mostBytes;
+    long maxBytes;
 
     SimulatedDisk(String name) {
         super(ConfigurationLimits.DEFAULT);
@@ -39,8 +39,8 @@
     }
 
     /** A planted fault: what is flushed from now on is lost in a crash. */
-    void forgetFlushes() {
-        forgetful = true;
+    void loseFlushes() {
+        losesFlushes = true;
     }
 
     void wipe() {
@@ -57,20 +57,20 @@
     }
 
     /** Whether a crash now would leave this change, as a log entry of its term or in the snapshot. */
-    boolean holds(AgreedChange change) {
-        return holds(durableState(), change);
+    boolean stores(CommittedChange change) {
+        return stores(durableState(), change);
     }
 
     /** Whether a store holds this change, flushed or not. */
-    static boolean holds(EncodedRaftStore store, AgreedChange change) {
+    static boolean stores(EncodedRaftStore store, CommittedChange change) {
         try {
-            return holds(store.restore(), change);
+            return stores(store.restore(), change);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static boolean holds(Optional<RestoredRaftState> state, AgreedChange change) {
+    private static boolean stores(Optional<RestoredRaftState> state, CommittedChange change) {
         return state.isPresent()
                 && (inLog(state.get().getLogEntries(), change)
                         || snapshotIndex(state.get().getSnapshotEntry())
@@ -80,13 +80,13 @@
     private Optional<RestoredRaftState> durableState() {
         try {
             RaftRecordCodec codec = new RaftRecordCodec(ConfigurationLimits.DEFAULT);
-            return new StoredState(name, codec, durableHeader, durableLog, durableChunks).restore();
+            return new StoredRaftState(name, codec, durableHeader, durableLog, durableChunks).restore();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static boolean inLog(List<LogEntry> entries, AgreedChange change) {
+    private static boolean inLog(List<LogEntry> entries, CommittedChange change) {
         byte[] encoded = new ConfigurationCodec(ConfigurationLimits.DEFAULT).encode(change.change());
         return entries.stream()
                 .anyMatch(entry -> entry.getTerm() == change.version().term()
@@ -113,11 +113,11 @@
     @Override
     public void flush() {
         flushes++;
-        mostLogEntries = Math.max(mostLogEntries, log.size());
+        maxLogEntries = Math.max(maxLogEntries, log.size());
         if (measured) {
-            mostBytes = Math.max(mostBytes, sizeOf(header) + sizeOf(log) + sizeOf(chunks));
+            maxBytes = Math.max(maxBytes, sizeOf(header) + sizeOf(log) + sizeOf(chunks));
         }
-        if (!forgetful) {
+        if (!losesFlushes) {
             durableHeader = new TreeMap<>(header);
             durableLog = new TreeMap<>(log);
             durableChunks = new TreeMap<>(chunks);
@@ -135,12 +135,12 @@
     }
 
     @Override
-    Map<Long, byte[]> chunks() {
+    Map<Long, byte[]> snapshotChunks() {
         return chunks;
     }
 
     @Override
-    void removed() {
+    void spaceReleased() {
         // nothing is compacted in memory
     }
 
--- a/src/test/java/sandstack/configuration/consensus/SimulatedMachine.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedMachine.java
@@ -11,9 +11,9 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import sandstack.configuration.AgreedChange;
-import sandstack.configuration.AgreedChangeListener;
 import sandstack.configuration.ChangeValidator;
+import sandstack.configuration.CommittedChange;
+import sandstack.configuration.CommittedChangeListener;
 import sandstack.configuration.ConfigurationCheck;
 import sandstack.configuration.ConfigurationLimits;
 import sandstack.configuration.ConfigurationSnapshot;
@@ -25,7 +25,7 @@
     /** Makes the state machine; tests plant faults here. */
     interface StateMachines {
         ConfigurationStateMachine create(
-                ChangeValidator validator, AgreedChangeListener listener, LongSupplier leaderTerm);
+                ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm);
     }
 
     /** Where a machine finds its store at each start, and how a kill leaves it. */
@@ -43,8 +43,8 @@
 
     private EncodedRaftStore store;
     private final SimulatedCluster cluster;
-    private final List<Runnable> held = new ArrayList<>();
-    private int life;
+    private final List<Runnable> pausedTasks = new ArrayList<>();
+    private int incarnation;
     private boolean up;
     private boolean paused;
     StateMachines stateMachines = ConfigurationStateMachine::new;
@@ -78,15 +78,15 @@
     }
 
     void start(ControlNodeSettings settings) {
-        life++;
+        incarnation++;
         up = true;
         paused = false;
-        held.clear();
+        pausedTasks.clear();
         try {
             store = stores.open();
             ControlNodeEnvironment environment = new ControlNodeEnvironment(
                     executor(), transport(), store, cluster.time.clock(), new Random(cluster.random.nextLong()));
-            AgreedChangeListener listener = listener(cluster.checker.new Life(identity));
+            CommittedChangeListener listener = listener(cluster.checker.new Incarnation(identity));
             node = new ControlNode(
                     settings, environment, VALIDATOR, term -> stateMachines.create(VALIDATOR, listener, term));
         } catch (IOException e) {
@@ -96,15 +96,15 @@
     }
 
     void kill() {
-        life++;
+        incarnation++;
         up = false;
-        held.clear();
+        pausedTasks.clear();
         stores.crash(store);
     }
 
     /** Whether the disk has this change; of a real file, whether it was written, as a flush is not told from here. */
-    boolean holds(AgreedChange change) {
-        return store == null || store == disk ? disk.holds(change) : up && SimulatedDisk.holds(store, change);
+    boolean storesDurably(CommittedChange change) {
+        return store == null || store == disk ? disk.stores(change) : up && SimulatedDisk.stores(store, change);
     }
 
     void pause() {
@@ -113,44 +113,44 @@
 
     void resume() {
         paused = false;
-        List<Runnable> waiting = List.copyOf(held);
-        held.clear();
+        List<Runnable> waiting = List.copyOf(pausedTasks);
+        pausedTasks.clear();
         waiting.forEach(task -> cluster.time.after(0, task));
     }
 
     private void receive(RaftMessage message) {
-        int now = life;
-        inLife(now, () -> node.handle(message)).run();
+        int now = incarnation;
+        inIncarnation(now, () -> node.handle(message)).run();
     }
 
     private RaftNodeExecutor executor() {
-        int now = life;
+        int now = incarnation;
         return new RaftNodeExecutor() {
             @Override
             public void execute(Runnable task) {
-                cluster.time.after(0, inLife(now, task));
+                cluster.time.after(0, inIncarnation(now, task));
             }
 
             @Override
             public void submit(Runnable task) {
-                cluster.time.after(0, inLife(now, task));
+                cluster.time.after(0, inIncarnation(now, task));
             }
 
             @Override
             public void schedule(Runnable task, long delay, TimeUnit unit) {
-                cluster.time.after(unit.toMicros(delay), inLife(now, task));
+                cluster.time.after(unit.toMicros(delay), inIncarnation(now, task));
             }
         };
     }
 
     /** A task of one life: gone with it, held while paused. */
-    private Runnable inLife(int taskLife, Runnable task) {
+    private Runnable inIncarnation(int taskIncarnation, Runnable task) {
         return () -> {
-            if (!up || taskLife != life) {
+            if (!up || taskIncarnation != incarnation) {
                 return;
             }
             if (paused) {
-                held.add(inLife(taskLife, task));
+                pausedTasks.add(inIncarnation(taskIncarnation, task));
                 return;
             }
             task.run();
@@ -158,11 +158,11 @@
     }
 
     private Transport transport() {
-        int now = life;
+        int now = incarnation;
         return new Transport() {
             @Override
             public void send(RaftEndpoint target, RaftMessage message) {
-                if (now == life) {
+                if (now == incarnation) {
                     cluster.network.send(identity, (ControlIdentity) target, message);
                 }
             }
@@ -174,11 +174,11 @@
         };
     }
 
-    private AgreedChangeListener listener(AgreementChecker.Life watching) {
-        return new AgreedChangeListener() {
+    private CommittedChangeListener listener(HistoryChecker.Incarnation watching) {
+        return new CommittedChangeListener() {
             @Override
-            public void agreed(AgreedChange change) {
-                watching.agreed(change, () -> cluster.majorityHolds(change));
+            public void committed(CommittedChange change) {
+                watching.committed(change, () -> cluster.majorityStores(change));
             }
 
             @Override
--- a/src/test/java/sandstack/configuration/consensus/SnapshotBoundaryTest.java
+++ b/src/test/java/sandstack/configuration/consensus/SnapshotConsistencyCheckTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.Test;
 
 /** A snapshot up to 5, and entries 6 and 7 of term 2 in the log. */
-class SnapshotBoundaryTest {
+class SnapshotConsistencyCheckTest {
     private static final ControlIdentity SELF = new ControlIdentity("control-0");
     private static final DefaultRaftModelFactory MODELS = new DefaultRaftModelFactory();
     private static final long CURRENT_TERM = 3;
 
     private final SimulatedDisk disk = new SimulatedDisk("disk");
-    private final SnapshotBoundary boundary = new SnapshotBoundary(disk);
+    private final SnapshotConsistencyCheck check = new SnapshotConsistencyCheck(disk);
 
     @BeforeEach
     void fillDisk() throws IOException {
@@ -70,13 +70,13 @@
 
     @Test
     void whatTheLeaderContradictsBehindTheSnapshotGoes() {
-        assertThat(boundary.contradictedFrom(request(3, 5, entries(6, 3, 3)), CURRENT_TERM))
+        assertThat(check.firstConflictingIndex(request(3, 5, entries(6, 3, 3)), CURRENT_TERM))
                 .hasValue(6);
     }
 
     @Test
     void aLeaderOfAnEarlierTermRemovesNothing() {
-        assertThat(boundary.contradictedFrom(request(2, 5, entries(6, 3)), CURRENT_TERM))
+        assertThat(check.firstConflictingIndex(request(2, 5, entries(6, 3)), CURRENT_TERM))
                 .isEmpty();
     }
 
@@ -84,15 +84,15 @@
     void whatTheLibrarySeesItselfIsLeftToIt() {
         for (RaftMessage message :
                 List.of(request(3, 6, entries(7, 3)), request(3, 5, List.of()), request(3, 4, entries(5, 1, 3)))) {
-            assertThat(boundary.contradictedFrom(message, CURRENT_TERM)).isEmpty();
-            assertThat(boundary.withoutHeldEntries(message)).isSameAs(message);
+            assertThat(check.firstConflictingIndex(message, CURRENT_TERM)).isEmpty();
+            assertThat(check.withoutStoredEntries(message)).isSameAs(message);
         }
     }
 
     @Test
     void entriesThatTheLogHoldsAreLeftOut() {
         AppendEntriesRequest adapted =
-                (AppendEntriesRequest) boundary.withoutHeldEntries(request(3, 5, entries(6, 2, 3, 3)));
+                (AppendEntriesRequest) check.withoutStoredEntries(request(3, 5, entries(6, 2, 3, 3)));
         assertThat(adapted.getPreviousLogIndex()).isEqualTo(6);
         assertThat(adapted.getPreviousLogTerm()).isEqualTo(2);
         assertThat(adapted.getLogEntries()).extracting(LogEntry::getIndex).containsExactly(7L, 8L);
--- a/src/test/java/sandstack/configuration/consensus/SnapshotStallTest.java
+++ b/src/test/java/sandstack/configuration/consensus/SnapshotStallDetectorTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Offers of a snapshot without chunks for 4 s. */
-class SnapshotStallTest {
+class SnapshotStallDetectorTest {
     private static final ControlIdentity LEADER = new ControlIdentity("control-1");
     private static final DefaultRaftModelFactory MODELS = new DefaultRaftModelFactory();
     private static final RaftGroupMembersView MEMBERS = MODELS.createRaftGroupMembersViewBuilder()
@@ -21,7 +21,7 @@
             .setVotingMembers(List.<RaftEndpoint>of(LEADER))
             .build();
 
-    private final SnapshotStall stall = new SnapshotStall(Duration.ofSeconds(4));
+    private final SnapshotStallDetector detector = new SnapshotStallDetector(Duration.ofSeconds(4));
 
     private static RaftMessage offer(SnapshotChunk chunk) {
         return MODELS.createInstallSnapshotRequestBuilder()
@@ -53,18 +53,18 @@
 
     @Test
     void offersWithoutChunksAreAStallOnceInFourSeconds() {
-        assertThat(stall.stalledBy(offer(null), 1_000)).isFalse();
-        assertThat(stall.stalledBy(offer(null), 4_999)).isFalse();
-        assertThat(stall.stalledBy(offer(null), 5_000)).isTrue();
-        assertThat(stall.stalledBy(offer(null), 5_001)).isFalse();
-        assertThat(stall.stalledBy(offer(null), 9_001)).isTrue();
+        assertThat(detector.isStalledBy(offer(null), 1_000)).isFalse();
+        assertThat(detector.isStalledBy(offer(null), 4_999)).isFalse();
+        assertThat(detector.isStalledBy(offer(null), 5_000)).isTrue();
+        assertThat(detector.isStalledBy(offer(null), 5_001)).isFalse();
+        assertThat(detector.isStalledBy(offer(null), 9_001)).isTrue();
     }
 
     @Test
     void aChunkIsProgress() {
-        assertThat(stall.stalledBy(offer(null), 1_000)).isFalse();
-        assertThat(stall.stalledBy(offer(chunk()), 4_000)).isFalse();
-        assertThat(stall.stalledBy(offer(null), 5_000)).isFalse();
-        assertThat(stall.stalledBy(offer(null), 8_999)).isFalse();
+        assertThat(detector.isStalledBy(offer(null), 1_000)).isFalse();
+        assertThat(detector.isStalledBy(offer(chunk()), 4_000)).isFalse();
+        assertThat(detector.isStalledBy(offer(null), 5_000)).isFalse();
+        assertThat(detector.isStalledBy(offer(null), 8_999)).isFalse();
     }
 }
--- a/src/test/java/sandstack/measure/configuration/PlantedFaultsTest.java
+++ b/src/test/java/sandstack/measure/configuration/PlantedFaultsTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import sandstack.configuration.AgreedChange;
+import sandstack.configuration.CommittedChange;
 import sandstack.configuration.ConfigurationChange;
 import sandstack.configuration.ConfigurationDigest;
 import sandstack.configuration.ConfigurationEdit;
@@ -41,7 +41,7 @@
             }
         }
 
-        private void take(AgreedChange agreed) {
+        private void take(CommittedChange agreed) {
             if (!goesBack && agreed.version().index() <= index) {
                 return;
             }
@@ -97,20 +97,20 @@
         fleet.clock().run(2 * SECOND);
         assertThat(rules.broken()).isEmpty();
         HollowControlMachine believer = fleet.machines().stream()
-                .filter(machine -> machine.publisher().sessions() > 0)
+                .filter(machine -> machine.publisher().sessionCount() > 0)
                 .findFirst()
                 .orElseThrow();
-        believer.publisher().agreed(forged(fleet.consensus().current()));
+        believer.publisher().committed(forged(fleet.consensus().current()));
         fleet.clock().run(SECOND);
         assertThat(rules.broken()).isNotEmpty().allMatch(line -> line.endsWith("which was not agreed"));
     }
 
-    private static AgreedChange forged(ConfigurationSnapshot current) {
+    private static CommittedChange forged(ConfigurationSnapshot current) {
         ConfigurationChange change =
                 ConfigurationChange.of(current.version(), "nobody", "not agreed", List.of(new Put("a", "2")));
         ConfigurationVersion version = current.version().next(9);
         ConfigurationDigest digest = current.apply(version, change).digest();
-        return new AgreedChange(version, change, digest);
+        return new CommittedChange(version, change, digest);
     }
 
     /** The end of a schedule is looked at as well: a relay that nobody reaches is told. */
