--- a/src/main/java/sandstack/configuration/ConfigurationPublisher.java
+++ b/src/main/java/sandstack/configuration/ConfigurationPublisher.java
@@ -1,7 +1,6 @@
 package sandstack.configuration;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -16,7 +15,6 @@
 import sandstack.configuration.ConfigurationMessage.RepairRequest;
 import sandstack.configuration.ConfigurationMessage.SessionRejected;
 import sandstack.configuration.ConfigurationMessage.SessionRejectionReason;
-import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 import sandstack.configuration.ConfigurationMessage.SnapshotOffer;
 import sandstack.configuration.ConfigurationMessage.SnapshotRequest;
 import sandstack.configuration.ConfigurationMessage.StatusReport;
@@ -34,47 +32,14 @@
  */
 public final class ConfigurationPublisher implements CommittedChangeListener {
     private static final long LOG_INTERVAL_MICROS = 10_000_000;
-    /** A snapshot is encoded no more often than this, in microseconds. */
-    private static final long MIN_ENCODE_INTERVAL_MICROS = 500_000;
-    /** What a relay lacks is sent again no more often than this, in microseconds. */
+    /** What a relay lacks is sent again no more often than this. */
     private static final long MIN_REPAIR_INTERVAL_MICROS = 500_000;
 
-    /** One relay that is served. */
-    private static final class Session {
-        final long id;
-        final String relay;
-        final TokenBucket messageRate;
-        /** The last change that was sent, or what the relay said that it has. */
-        ConfigurationVersion sentVersion;
-
-        ConfigurationVersion reportedVersion;
-        boolean hasDigestMismatch;
-        Optional<ChangeRejection.Reason> rejectionReason = Optional.empty();
-        long lastHeardMicros;
-        long lastRepairMicros;
-        long nextHeartbeatMicros;
-        /** The relay has been offered a snapshot and has not said what became of it. */
-        boolean snapshotOffered;
-
-        Session(Hello hello, TokenBucket messageRate, long nowMicros) {
-            this.id = hello.sessionId();
-            this.relay = LogText.singleLine(hello.relay());
-            this.messageRate = messageRate;
-            this.sentVersion = hello.activeVersion();
-            this.reportedVersion = hello.activeVersion();
-            this.lastHeardMicros = nowMicros;
-            this.lastRepairMicros = nowMicros - MIN_REPAIR_INTERVAL_MICROS;
-        }
-    }
-
-    /** A snapshot as it is sent. */
-    private record EncodedSnapshot(ConfigurationVersion version, int formatVersion, byte[] bytes) {}
-
     /**
-     * What is in force at the relays that this machine serves.
+     * What is active at the relays that this machine serves.
      *
      * @param relaysByVersion number of relays for each version
-     * @param relaysRejecting names of relays that refused a later version, with the reason
+     * @param relaysRejecting names of relays that rejected a later version, with the reason
      * @param relaysWithDigestMismatch names of relays that hold another state at the version that is current here
      */
     public record Overview(
@@ -84,32 +49,27 @@
             List<String> relaysWithDigestMismatch) {}
 
     private final PublisherSettings settings;
-    private final ConfigurationCodec codec;
     private final PublisherOutput output;
-    private final Map<String, Session> sessions = new LinkedHashMap<>();
+    private final Map<String, RelaySession> sessions = new LinkedHashMap<>();
     private final RecentChanges recentChanges;
-    private final TokenBucket helloRate;
-    private final TokenBucket snapshotByteRate;
+    private final SessionAdmission admission;
+    private final SnapshotChunkSource snapshotChunks;
     private final RateLimitedLog rejectionLog;
     private ConfigurationSnapshot current = ConfigurationSnapshot.EMPTY;
     private boolean quorumReached;
-    private EncodedSnapshot encodedSnapshot;
-    private long encodedAtMicros;
 
     /** Begins before the first change, without a quorum. */
     public ConfigurationPublisher(
             PublisherSettings settings, ConfigurationCodec codec, PublisherOutput output, long nowMicros) {
         this.settings = settings;
-        this.codec = codec;
         this.output = output;
         this.recentChanges = new RecentChanges(codec, settings.maxHistoryChanges(), settings.maxHistoryBytes());
-        this.helloRate = new TokenBucket(settings.hellosPerSecond(), settings.hellosPerSecond(), nowMicros);
-        this.snapshotByteRate =
-                new TokenBucket(settings.snapshotBytesPerSecond(), settings.snapshotBytesPerSecond(), nowMicros);
+        this.admission = new SessionAdmission(settings, nowMicros);
+        this.snapshotChunks = new SnapshotChunkSource(settings, codec, recentChanges, nowMicros);
         this.rejectionLog = new RateLimitedLog(output::log, LOG_INTERVAL_MICROS);
     }
 
-    /** Whether this machine is in touch with a quorum, as the consensus says. */
+    /** Whether this machine is in touch with a quorum, as the consensus says; relays see it in heartbeats. */
     public void setQuorumReached(boolean reached) {
         quorumReached = reached;
     }
@@ -128,23 +88,26 @@
         }
         current = snapshot;
         recentChanges.clear();
-        encodedSnapshot = null;
+        snapshotChunks.invalidate();
         sessions.forEach(this::sendChanges);
     }
 
-    /** A peer said something. */
+    /** A message of a peer arrived. */
     public void received(String peer, FollowerMessage message, long nowMicros) {
         if (message instanceof Hello hello) {
             openSession(peer, hello, nowMicros);
             return;
         }
-        Session session = sessions.get(peer);
-        if (session == null || session.id != message.sessionId()) {
-            rejectUnknown(peer, message, nowMicros);
-        } else if (!session.messageRate.tryTake(1, nowMicros)) {
-            reject(peer, session.id, SessionRejectionReason.FLOOD, session.relay + " sends too much", nowMicros);
+        RelaySession session = sessions.get(peer);
+        if (session == null || session.id() != message.sessionId()) {
+            rejectUnknownSession(peer, message, nowMicros);
+            return;
+        }
+        Optional<SessionAdmission.Rejection> rejection = admission.checkMessage(session, nowMicros);
+        if (rejection.isPresent()) {
+            reject(peer, session.id(), rejection.get(), nowMicros);
         } else {
-            session.lastHeardMicros = nowMicros;
+            session.heard(nowMicros);
             handle(peer, session, message, nowMicros);
         }
     }
@@ -154,21 +117,20 @@
         sessions.remove(peer);
     }
 
-    /** Sends the heartbeats that are due and gives up relays that say nothing; a few times a heartbeat. */
+    /** Sends the heartbeats that are due and closes the sessions of silent relays; to be called a few times a heartbeat. */
     public void tick(long nowMicros) {
-        List<String> silent = new ArrayList<>();
+        List<String> silentPeers = new ArrayList<>();
         sessions.forEach((peer, session) -> {
-            if (nowMicros - session.lastHeardMicros > settings.silenceTimeoutMicros()) {
-                silent.add(peer);
-            } else if (nowMicros >= session.nextHeartbeatMicros) {
-                session.nextHeartbeatMicros = nowMicros + settings.heartbeatIntervalMicros();
-                output.send(peer, new Heartbeat(session.id, head()));
+            if (session.isSilent(nowMicros, settings.silenceTimeoutMicros())) {
+                silentPeers.add(peer);
+            } else if (session.tryHeartbeat(nowMicros, settings.heartbeatIntervalMicros())) {
+                output.send(peer, new Heartbeat(session.id(), head()));
             }
         });
-        silent.forEach(this::closeSession);
+        silentPeers.forEach(this::closeSession);
     }
 
-    /** What this machine holds as the latest agreed state. */
+    /** What this machine holds as the latest committed state. */
     public ConfigurationHead head() {
         return new ConfigurationHead(current.version(), current.digest(), quorumReached);
     }
@@ -178,162 +140,91 @@
         return sessions.size();
     }
 
-    /** What is in force at the relays that are served; O(sessions). */
+    /** What is active at the relays that are served; O(sessions). */
     public Overview overview() {
         Map<ConfigurationVersion, Integer> byVersion = new TreeMap<>();
         Map<String, ChangeRejection.Reason> rejecting = new TreeMap<>();
         List<String> withDigestMismatch = new ArrayList<>();
-        for (Session session : sessions.values()) {
-            byVersion.merge(session.reportedVersion, 1, Integer::sum);
-            session.rejectionReason.ifPresent(reason -> rejecting.put(session.relay, reason));
-            if (session.hasDigestMismatch) {
-                withDigestMismatch.add(session.relay);
+        for (RelaySession session : sessions.values()) {
+            byVersion.merge(session.reportedVersion(), 1, Integer::sum);
+            session.rejectionReason().ifPresent(reason -> rejecting.put(session.relayName(), reason));
+            if (session.hasDigestMismatch()) {
+                withDigestMismatch.add(session.relayName());
             }
         }
         return new Overview(head(), byVersion, rejecting, withDigestMismatch);
     }
 
     private void openSession(String peer, Hello hello, long nowMicros) {
-        Session before = sessions.remove(peer);
-        TokenBucket messages = before != null
-                ? before.messageRate
-                : new TokenBucket(settings.messagesPerSecond(), settings.messageBurst(), nowMicros);
-        if (!messages.tryTake(1, nowMicros)) {
-            reject(peer, hello.sessionId(), SessionRejectionReason.FLOOD, "one says hello too often", nowMicros);
-        } else if (!helloRate.tryTake(1, nowMicros)) {
-            reject(peer, hello.sessionId(), SessionRejectionReason.BUSY, "more come at once than are taken", nowMicros);
-        } else if (sessions.size() >= settings.maxSessions()) {
-            reject(
-                    peer,
-                    hello.sessionId(),
-                    SessionRejectionReason.FULL,
-                    sessions.size() + " are served, the most",
-                    nowMicros);
-        } else {
-            Session session = new Session(hello, messages, nowMicros);
-            session.nextHeartbeatMicros = nowMicros + settings.heartbeatIntervalMicros();
-            sessions.put(peer, session);
-            output.send(peer, new Welcome(session.id, head()));
-            sendChanges(peer, session);
+        RelaySession previous = sessions.remove(peer);
+        TokenBucket messageRate = previous == null ? admission.newMessageRate(nowMicros) : previous.messageRate();
+        Optional<SessionAdmission.Rejection> rejection = admission.checkHello(messageRate, sessions.size(), nowMicros);
+        if (rejection.isPresent()) {
+            reject(peer, hello.sessionId(), rejection.get(), nowMicros);
+            return;
         }
+        RelaySession session = new RelaySession(
+                hello,
+                messageRate,
+                nowMicros,
+                nowMicros + settings.heartbeatIntervalMicros(),
+                nowMicros - MIN_REPAIR_INTERVAL_MICROS);
+        sessions.put(peer, session);
+        output.send(peer, new Welcome(session.id(), head()));
+        sendChanges(peer, session);
     }
 
-    private void handle(String peer, Session session, FollowerMessage message, long nowMicros) {
+    private void handle(String peer, RelaySession session, FollowerMessage message, long nowMicros) {
         if (message instanceof StatusReport report) {
             handleReport(peer, session, report);
         } else if (message instanceof RepairRequest request) {
-            handleRepairRequest(peer, session, request, nowMicros);
+            if (session.tryRepair(request.activeVersion(), nowMicros, MIN_REPAIR_INTERVAL_MICROS)) {
+                sendChanges(peer, session);
+            }
         } else if (message instanceof SnapshotRequest request) {
-            handleSnapshotRequest(peer, session, request.minIndex(), nowMicros);
+            snapshotChunks
+                    .firstChunk(session.id(), current, request.minIndex(), nowMicros)
+                    .ifPresent(chunk -> output.send(peer, chunk));
         } else if (message instanceof ChunkRequest request) {
-            handleChunkRequest(peer, session, request, nowMicros);
+            snapshotChunks
+                    .chunk(session.id(), current, request, nowMicros)
+                    .ifPresent(chunk -> output.send(peer, chunk));
         } else if (message instanceof Goodbye) {
             closeSession(peer);
         }
     }
 
-    private void handleRepairRequest(String peer, Session session, RepairRequest request, long nowMicros) {
-        if (nowMicros - session.lastRepairMicros < MIN_REPAIR_INTERVAL_MICROS) {
-            return;
-        }
-        session.lastRepairMicros = nowMicros;
-        session.sentVersion = request.activeVersion();
-        session.reportedVersion = request.activeVersion();
-        session.snapshotOffered = false;
-        sendChanges(peer, session);
-    }
-
-    private void handleReport(String peer, Session session, StatusReport report) {
-        session.reportedVersion = report.activeVersion();
-        session.hasDigestMismatch = report.activeVersion().equals(current.version())
-                && !report.digest().equals(current.digest());
-        session.rejectionReason = report.rejectionReason();
-        if (report.activeVersion().index() > session.sentVersion.index()) {
-            session.sentVersion = report.activeVersion();
-            session.snapshotOffered = false;
-        }
+    private void handleReport(String peer, RelaySession session, StatusReport report) {
+        session.reported(report, current);
         if (report.rejectionReason().isEmpty()) {
             sendChanges(peer, session);
         }
     }
 
-    /** Sends the next batch of what the relay lacks, as far as it has taken what was sent before. */
-    private void sendChanges(String peer, Session session) {
-        long inFlight = session.sentVersion.index() - session.reportedVersion.index();
-        if (session.sentVersion.index() >= current.version().index() || inFlight >= settings.windowChanges()) {
+    /** Sends the next batch of what the relay lacks, as far as its window of changes in flight has headroom. */
+    private void sendChanges(String peer, RelaySession session) {
+        long headroom = settings.windowChanges() - session.changesInFlight();
+        if (session.sentVersion().index() >= current.version().index() || headroom <= 0) {
             return;
         }
-        int headroom = (int) (settings.windowChanges() - inFlight);
         Optional<List<CommittedChange>> changes =
-                recentChanges.changesAfter(session.sentVersion, headroom, settings.maxBatchBytes());
+                recentChanges.changesAfter(session.sentVersion(), (int) headroom, settings.maxBatchBytes());
         if (changes.isEmpty()) {
             offerSnapshot(peer, session);
-        } else if (output.send(peer, new Deltas(session.id, changes.get()))) {
-            session.sentVersion = changes.get().get(changes.get().size() - 1).version();
-        }
-    }
-
-    private void offerSnapshot(String peer, Session session) {
-        if (!session.snapshotOffered) {
-            session.snapshotOffered =
-                    output.send(peer, new SnapshotOffer(session.id, current.version(), current.formatVersion()));
-        }
-    }
-
-    private void handleSnapshotRequest(String peer, Session session, long minIndex, long nowMicros) {
-        if (current.version().index() < minIndex) {
-            return;
-        }
-        refreshEncoded(minIndex, nowMicros);
-        if (encodedSnapshot != null && encodedSnapshot.version().index() >= minIndex) {
-            sendChunkAt(peer, session, 0, nowMicros);
+        } else if (output.send(peer, new Deltas(session.id(), changes.get()))) {
+            session.changesSent(changes.get().get(changes.get().size() - 1).version());
         }
     }
 
-    private void handleChunkRequest(String peer, Session session, ChunkRequest request, long nowMicros) {
-        if (encodedSnapshot == null || !encodedSnapshot.version().equals(request.version())) {
-            handleSnapshotRequest(peer, session, request.version().index(), nowMicros);
-        } else if (request.offset() >= 0 && request.offset() < encodedSnapshot.bytes().length) {
-            sendChunkAt(peer, session, request.offset(), nowMicros);
-        }
-    }
-
-    /** Keeps one encoded snapshot as long as the history goes on from it, so that a slow relay finds the next part. */
-    private void refreshEncoded(long minIndex, long nowMicros) {
-        if (encodedSnapshot != null) {
-            boolean current = encodedSnapshot.version().equals(this.current.version());
-            boolean young =
-                    this.current.version().index() - encodedSnapshot.version().index()
-                                    < settings.maxSnapshotLagChanges()
-                            && recentChanges.continuesFrom(encodedSnapshot.version());
-            boolean late = encodedSnapshot.version().index() >= minIndex;
-            if (current || young && late || nowMicros - encodedAtMicros < MIN_ENCODE_INTERVAL_MICROS) {
-                return;
-            }
-        }
-        encodedSnapshot = new EncodedSnapshot(current.version(), current.formatVersion(), codec.encode(current));
-        encodedAtMicros = nowMicros;
-    }
-
-    private void sendChunkAt(String peer, Session session, int offset, long nowMicros) {
-        int length = Math.min(settings.maxChunkBytes(), encodedSnapshot.bytes().length - offset);
-        if (!snapshotByteRate.tryTake(length, nowMicros)) {
-            return;
+    private void offerSnapshot(String peer, RelaySession session) {
+        if (!session.isSnapshotOffered()) {
+            session.setSnapshotOffered(
+                    output.send(peer, new SnapshotOffer(session.id(), current.version(), current.formatVersion())));
         }
-        byte[] part = Arrays.copyOfRange(encodedSnapshot.bytes(), offset, offset + length);
-        output.send(
-                peer,
-                new SnapshotChunk(
-                        session.id,
-                        encodedSnapshot.version(),
-                        encodedSnapshot.formatVersion(),
-                        encodedSnapshot.bytes().length,
-                        offset,
-                        part));
     }
 
-    private void rejectUnknown(String peer, FollowerMessage message, long nowMicros) {
-        if (!(message instanceof Goodbye) && helloRate.tryTake(1, nowMicros)) {
+    private void rejectUnknownSession(String peer, FollowerMessage message, long nowMicros) {
+        if (!(message instanceof Goodbye) && admission.mayAnswerUnknownSession(nowMicros)) {
             output.send(peer, new SessionRejected(message.sessionId(), SessionRejectionReason.UNKNOWN_SESSION));
         }
         if (!sessions.containsKey(peer)) {
@@ -341,10 +232,10 @@
         }
     }
 
-    private void reject(String peer, long session, SessionRejectionReason reason, String detail, long nowMicros) {
-        output.send(peer, new SessionRejected(session, reason));
+    private void reject(String peer, long sessionId, SessionAdmission.Rejection rejection, long nowMicros) {
+        output.send(peer, new SessionRejected(sessionId, rejection.reason()));
         closeSession(peer);
-        rejectionLog.log("a relay is turned away: " + detail, nowMicros);
+        rejectionLog.log("a relay is turned away: " + rejection.detail(), nowMicros);
     }
 
     private void closeSession(String peer) {
