--- a/src/main/java/sandstack/configuration/ConfigurationFollower.java
+++ b/src/main/java/sandstack/configuration/ConfigurationFollower.java
@@ -30,15 +30,14 @@
  */
 public final class ConfigurationFollower {
     private static final long LOG_INTERVAL_MICROS = 10_000_000;
-    /** The wait after refusals doubles no more often than this. */
-    private static final int MAX_REJECTION_DOUBLINGS = 7;
+    private static final long NOT_LAGGING = -1;
 
     /**
-     * What is in force at this relay.
+     * What is active at this relay.
      *
      * @param machine the control machine that is followed; empty where none is
      * @param head what that machine holds; empty where none is followed
-     * @param rejection why a later version is not in force here
+     * @param rejection why a later version is not active here
      */
     public record Status(
             ConfigurationVersion activeVersion,
@@ -48,25 +47,19 @@
             Optional<ChangeRejection> rejection) {}
 
     private final FollowerSettings settings;
-    private final ConfigurationCodec codec;
-    private final FollowerOutput output;
-    private final ActiveConfiguration active;
-    private final ControlSession control;
+    private final ActiveConfiguration activeConfiguration;
+    private final ControlSession session;
+    private final FetchSchedule fetchSchedule;
+    private final SnapshotFetcher snapshots;
     private final RateLimitedLog divergenceLog;
-    private SnapshotDownload download;
-    /** No repair is asked for before this. */
-    private long nextRepairMicros;
-    /** No snapshot is asked for before this. */
-    private long nextSnapshotRequestMicros;
-
-    private int consecutiveRejections;
-    /** The index in force when the machine last said that there is a later one; -1 where it did not. */
-    private long laggingIndex = -1;
+    /** The active index when the machine last reported a later one; {@link #NOT_LAGGING} where it did not. */
+    private long laggingIndex = NOT_LAGGING;
 
     /**
-     * Loads what is stored and puts it in force.
+     * Loads and activates what is stored.
      *
      * @param machines all control machines, at least one
+     * @param random for the backoff, the failback and the ids of sessions
      */
     public ConfigurationFollower(
             FollowerSettings settings,
@@ -81,80 +74,75 @@
             throw new IllegalArgumentException("there is no control machine");
         }
         this.settings = settings;
-        this.codec = new ConfigurationCodec(validator.limits());
-        this.output = output;
-        this.active = new ActiveConfiguration(validator, store, output);
+        this.activeConfiguration = new ActiveConfiguration(validator, store, output);
         this.divergenceLog = new RateLimitedLog(output::log, LOG_INTERVAL_MICROS);
-        List<ControlMachine> order = ControlMachine.inPreferenceOrder(relay, machines);
-        this.control = new ControlSession(settings, relay.name(), order, output, random, nowMicros);
-        this.nextRepairMicros = nowMicros;
-        this.nextSnapshotRequestMicros = nowMicros;
-        active.load();
+        this.snapshots = new SnapshotFetcher(new ConfigurationCodec(validator.limits()), activeConfiguration);
+        this.fetchSchedule = new FetchSchedule(settings, nowMicros);
+        List<ControlMachine> preferenceOrder = ControlMachine.inPreferenceOrder(relay, machines);
+        this.session = new ControlSession(settings, relay.name(), preferenceOrder, output, random, nowMicros);
+        activeConfiguration.load();
     }
 
-    /** The state in force. */
-    public ConfigurationSnapshot active() {
-        return active.current();
+    /** The configuration that is active at this relay. */
+    public ConfigurationSnapshot activeSnapshot() {
+        return activeConfiguration.current();
     }
 
-    /** Which version is in force and whom this relay follows. */
+    /** Which version is active and which machine this relay follows. */
     public Status status() {
         return new Status(
-                active.version(),
-                active.current().digest(),
-                Optional.ofNullable(control.machine()),
-                Optional.ofNullable(control.head()),
-                active.rejection());
+                activeConfiguration.version(),
+                activeConfiguration.current().digest(),
+                session.machine(),
+                session.head(),
+                activeConfiguration.rejection());
     }
 
-    /** A control machine said something. */
+    /** A message of a control machine arrived; one of another session or attempt is ignored. */
     public void received(String machine, PublisherMessage message, long nowMicros) {
-        if (control.isCurrentAttempt(machine, message.sessionId())) {
+        if (session.isCurrentAttempt(machine, message.sessionId())) {
             handleAttemptReply(message, nowMicros);
-        } else if (control.isCurrentSession(machine, message.sessionId())) {
-            control.heard(nowMicros);
+        } else if (session.isCurrentSession(machine, message.sessionId())) {
+            session.heard(nowMicros);
             handle(message, nowMicros);
         }
     }
 
     /** The connection with a control machine is gone, or could not be made. */
     public void disconnected(String machine, long nowMicros) {
-        if (control.disconnected(machine, nowMicros)) {
+        if (session.disconnected(machine, nowMicros)) {
             resetSessionState();
         }
     }
 
-    /** Does what is due; a few times a second. */
+    /** Does what is due; to be called a few times a second. */
     public void tick(long nowMicros) {
-        if (control.detectPause(nowMicros) && control.isOpen()) {
+        if (session.detectPause(nowMicros) && session.isOpen()) {
             sendReport();
         }
-        if (control.tick(active.version(), nowMicros)) {
+        if (session.tick(activeConfiguration.version(), nowMicros)) {
             resetSessionState();
         }
-        if (download != null && download.retryIsDue(nowMicros, settings.repairIntervalMicros())) {
-            continueDownload();
-        }
+        snapshots.retry(nowMicros, settings.repairIntervalMicros()).ifPresent(this::requestChunk);
     }
 
-    /** The machine that was asked has answered. */
     private void handleAttemptReply(PublisherMessage message, long nowMicros) {
         if (message instanceof Welcome welcome) {
-            if (welcome.head().version().divergesFrom(active.version())) {
+            if (welcome.head().version().divergesFrom(activeConfiguration.version())) {
                 logDivergence(welcome.head().version(), nowMicros);
-                control.attemptFailed(nowMicros);
-            } else if (control.welcomed(welcome.head(), active.version(), nowMicros)) {
+                session.attemptFailed(nowMicros);
+            } else if (session.welcomed(welcome.head(), activeConfiguration.version(), nowMicros)) {
                 resetSessionState();
                 compareWithHead(welcome.head(), nowMicros);
             }
         } else if (message instanceof SessionRejected) {
-            control.attemptFailed(nowMicros);
+            session.attemptFailed(nowMicros);
         }
     }
 
     private void handle(PublisherMessage message, long nowMicros) {
         if (message instanceof Heartbeat heartbeat) {
-            control.heard(heartbeat.head(), active.version(), nowMicros);
+            session.headReceived(heartbeat.head(), activeConfiguration.version(), nowMicros);
             sendReport();
             compareWithHead(heartbeat.head(), nowMicros);
         } else if (message instanceof Deltas deltas) {
@@ -164,22 +152,22 @@
         } else if (message instanceof SnapshotChunk chunk) {
             handleChunk(chunk, nowMicros);
         } else if (message instanceof SessionRejected) {
-            control.lost(nowMicros);
+            session.lost(nowMicros);
             resetSessionState();
         }
     }
 
-    /** Looks whether the machine's state is this one, a later one, or one of another history. */
+    /** Tells apart a machine that holds the active state, a later one, or one of another history. */
     private void compareWithHead(ConfigurationHead head, long nowMicros) {
-        ConfigurationVersion version = active.version();
-        boolean sameVersion = head.version().equals(version);
-        if (head.version().divergesFrom(version)
-                || sameVersion && !head.digest().equals(active.current().digest())) {
+        ConfigurationVersion version = activeConfiguration.version();
+        boolean hasOtherDigest = head.version().equals(version)
+                && !head.digest().equals(activeConfiguration.current().digest());
+        if (head.version().divergesFrom(version) || hasOtherDigest) {
             abandonDivergentMachine(head.version(), nowMicros);
-        } else if (head.version().index() <= active.highestHandledIndex()) {
-            laggingIndex = -1;
+        } else if (head.version().index() <= activeConfiguration.highestHandledIndex()) {
+            laggingIndex = NOT_LAGGING;
         } else if (laggingIndex == version.index()) {
-            // it was behind a heartbeat ago, and nothing has come since
+            // it lagged at the last heartbeat too, and nothing was activated since
             requestMissing(nowMicros);
         } else {
             laggingIndex = version.index();
@@ -187,21 +175,21 @@
     }
 
     private void apply(List<CommittedChange> changes, long nowMicros) {
-        long before = active.version().index();
+        long indexBefore = activeConfiguration.version().index();
         for (CommittedChange change : changes) {
-            ActivationResult result = active.apply(change, nowMicros);
+            ActivationResult result = activeConfiguration.apply(change, nowMicros);
             if (result != ActivationResult.ACTIVATED && result != ActivationResult.STALE) {
-                handleFailure(result, change.version(), nowMicros);
+                handleUnapplied(result, change.version(), nowMicros);
                 return;
             }
         }
-        if (active.version().index() > before) {
-            consecutiveRejections = 0;
+        if (activeConfiguration.version().index() > indexBefore) {
+            fetchSchedule.activated();
             sendReport();
         }
     }
 
-    private void handleFailure(ActivationResult result, ConfigurationVersion version, long nowMicros) {
+    private void handleUnapplied(ActivationResult result, ConfigurationVersion version, long nowMicros) {
         switch (result) {
             case GAP -> requestMissing(nowMicros);
             case DIGEST_MISMATCH -> {
@@ -215,70 +203,30 @@
     }
 
     private void handleOffer(SnapshotOffer offer, long nowMicros) {
-        if (offer.version().divergesFrom(active.version())) {
+        if (offer.version().divergesFrom(activeConfiguration.version())) {
             abandonDivergentMachine(offer.version(), nowMicros);
-        } else if (offer.version().index() > active.highestHandledIndex() && download == null) {
-            requestSnapshot(active.highestHandledIndex() + 1, nowMicros);
+        } else if (offer.version().index() > activeConfiguration.highestHandledIndex() && !snapshots.isFetching()) {
+            requestSnapshot(activeConfiguration.highestHandledIndex() + 1, nowMicros);
         }
     }
 
     private void handleChunk(SnapshotChunk chunk, long nowMicros) {
-        if (chunk.version().divergesFrom(active.version())) {
+        if (chunk.version().divergesFrom(activeConfiguration.version())) {
             abandonDivergentMachine(chunk.version(), nowMicros);
             return;
         }
-        if (chunk.version().index() <= active.highestHandledIndex()) {
-            return;
-        }
-        if (chunk.offset() == 0 && (download == null || chunk.version().isAfter(download.version()))) {
-            beginDownload(chunk, nowMicros);
-        }
-        if (download != null && download.accept(chunk, nowMicros)) {
-            if (download.isComplete()) {
-                finishDownload(nowMicros);
-            } else {
-                continueDownload();
-            }
-        }
-    }
-
-    private void beginDownload(SnapshotChunk first, long nowMicros) {
-        Optional<ChangeRejection> rejection = active.validateFormat(first.formatVersion())
-                .or(() -> active.validateEncodedSize(first.totalBytes(), codec.maxSnapshotBytes()));
-        if (rejection.isPresent()) {
-            download = null;
-            active.reject(first.version(), rejection.get());
-            handleRejection(nowMicros);
-            return;
-        }
-        download = new SnapshotDownload(first, nowMicros);
-    }
-
-    private void continueDownload() {
-        if (download.isExhausted()) {
-            download = null;
-            return;
+        SnapshotFetcher.Progress progress = snapshots.accept(chunk, nowMicros);
+        if (progress instanceof SnapshotFetcher.Progress.NextChunk next) {
+            requestChunk(next);
+        } else if (progress instanceof SnapshotFetcher.Progress.Finished finished) {
+            handleFetched(finished.result(), chunk.version(), nowMicros);
         }
-        output.send(control.machine(), new ChunkRequest(control.sessionId(), download.version(), download.offset()));
     }
 
-    private void finishDownload(long nowMicros) {
-        ConfigurationVersion version = download.version();
-        byte[] bytes = download.bytes();
-        download = null;
-        ActivationResult result;
-        try {
-            ConfigurationSnapshot snapshot = codec.decodeSnapshot(bytes);
-            if (!snapshot.version().equals(version)) {
-                throw new MalformedConfigurationException("a snapshot of " + version + " says " + snapshot.version());
-            }
-            result = active.replace(snapshot, nowMicros);
-        } catch (MalformedConfigurationException e) {
-            result = active.reject(version, e.toRejection());
-        }
+    private void handleFetched(ActivationResult result, ConfigurationVersion version, long nowMicros) {
         switch (result) {
             case ACTIVATED -> {
-                consecutiveRejections = 0;
+                fetchSchedule.activated();
                 sendReport();
             }
             case REJECTED -> handleRejection(nowMicros);
@@ -288,55 +236,52 @@
     }
 
     private void handleRejection(long nowMicros) {
-        consecutiveRejections++;
-        nextSnapshotRequestMicros = nowMicros
-                + (settings.rejectionBackoffMicros() << Math.min(consecutiveRejections - 1, MAX_REJECTION_DOUBLINGS));
+        fetchSchedule.rejected(nowMicros);
         sendReport();
     }
 
-    /** Asks for what is missing; past a refused state only a later snapshot leads on. */
+    /** Requests what is missing; past a rejected state only a later snapshot leads on. */
     private void requestMissing(long nowMicros) {
-        if (active.hasRejectedLaterVersion()) {
-            requestSnapshot(active.highestHandledIndex() + 1, nowMicros);
-        } else if (download == null && nowMicros >= nextRepairMicros) {
-            nextRepairMicros = nowMicros + settings.repairIntervalMicros();
-            output.send(control.machine(), new RepairRequest(control.sessionId(), active.version()));
+        if (activeConfiguration.hasRejectedLaterVersion()) {
+            requestSnapshot(activeConfiguration.highestHandledIndex() + 1, nowMicros);
+        } else if (!snapshots.isFetching() && fetchSchedule.tryRepair(nowMicros)) {
+            session.send(id -> new RepairRequest(id, activeConfiguration.version()));
         }
     }
 
     private void requestSnapshot(long minIndex, long nowMicros) {
-        if (nowMicros >= nextSnapshotRequestMicros) {
-            nextSnapshotRequestMicros = nowMicros + settings.repairIntervalMicros();
-            output.send(control.machine(), new SnapshotRequest(control.sessionId(), minIndex));
+        if (fetchSchedule.trySnapshot(nowMicros)) {
+            session.send(id -> new SnapshotRequest(id, minIndex));
         }
     }
 
+    private void requestChunk(SnapshotFetcher.Progress.NextChunk next) {
+        session.send(id -> new ChunkRequest(id, next.version(), next.offset()));
+    }
+
     private void sendReport() {
-        output.send(
-                control.machine(),
-                new StatusReport(
-                        control.sessionId(),
-                        active.version(),
-                        active.current().digest(),
-                        active.rejection().map(ChangeRejection::reason)));
+        ConfigurationSnapshot active = activeConfiguration.current();
+        Optional<ChangeRejection.Reason> reason =
+                activeConfiguration.rejection().map(ChangeRejection::reason);
+        session.send(id -> new StatusReport(id, active.version(), active.digest(), reason));
     }
 
-    /** The machine holds another history: what is in force stays, and another machine is asked. */
+    /** The machine holds another history: the active state stays, and another machine is tried. */
     private void abandonDivergentMachine(ConfigurationVersion machineVersion, long nowMicros) {
         logDivergence(machineVersion, nowMicros);
-        control.lost(nowMicros);
+        session.lost(nowMicros);
         resetSessionState();
     }
 
     private void logDivergence(ConfigurationVersion machineVersion, long nowMicros) {
         divergenceLog.log(
-                "a control machine holds " + machineVersion + " of another history than " + active.version()
-                        + ", which stays in force",
+                "a control machine holds " + machineVersion + " of another history than "
+                        + activeConfiguration.version() + ", which stays in force",
                 nowMicros);
     }
 
     private void resetSessionState() {
-        download = null;
-        laggingIndex = -1;
+        snapshots.abort();
+        laggingIndex = NOT_LAGGING;
     }
 }
--- a/src/main/java/sandstack/configuration/ControlSession.java
+++ b/src/main/java/sandstack/configuration/ControlSession.java
@@ -1,51 +1,42 @@
 package sandstack.configuration;
 
 import java.util.List;
+import java.util.Optional;
+import java.util.function.LongFunction;
 import java.util.random.RandomGenerator;
+import sandstack.configuration.ConfigurationMessage.FollowerMessage;
 import sandstack.configuration.ConfigurationMessage.Goodbye;
 import sandstack.configuration.ConfigurationMessage.Hello;
 
 /**
- * Which control machine a relay follows. Keeps one session; asks another machine where there is none, where the machine
- * lacks a quorum or is behind, and once in a while where it is not the preferred one. One attempt at a time. One thread.
+ * Which control machine a relay follows. Keeps one session; tries another machine where there is none, where the machine
+ * lacks a quorum or is behind, and once in a while where it is not the preferred one (failback). One attempt at a time.
+ * One thread; moments are microseconds of the relay's clock.
  */
 final class ControlSession {
-    /** A turn that comes this much later than the one before was slept through, in microseconds. */
+    /** A tick that comes this much later than the one before means that the process was paused. */
     private static final long MIN_PAUSE_MICROS = 2_000_000;
 
-    /** A connection with one machine. */
-    private static final class Link {
-        final String machine;
-        final long id;
-        ConfigurationHead head;
-        long lastHeardMicros;
-        long openedMicros;
-
-        Link(String machine, long id, long nowMicros) {
-            this.machine = machine;
-            this.id = id;
-            this.lastHeardMicros = nowMicros;
-            this.openedMicros = nowMicros;
-        }
-    }
-
     private final FollowerSettings settings;
     private final String relay;
-    private final List<ControlMachine> machines;
+    private final MachineRotation rotation;
     private final FollowerOutput output;
     private final RandomGenerator random;
     private final ReconnectBackoff backoff;
-    private Link session;
-    private Link attempt;
-    private int nextCandidateIndex;
+    /** The machine that is followed; null where there is none. */
+    private ControlConnection session;
+    /** The machine that was sent a hello and has not replied; null where there is none. */
+    private ControlConnection attempt;
+
     private long nextAttemptMicros;
     private long failbackMicros;
-    /** Since when the session's machine lacks a quorum or is behind; only while it does. */
-    private long unsatisfiedSinceMicros;
-
-    private boolean satisfied;
     private long lastTickMicros;
 
+    /**
+     * Makes the first attempt within one slot of the backoff.
+     *
+     * @param machines in this relay's order of preference
+     */
     ControlSession(
             FollowerSettings settings,
             String relay,
@@ -55,7 +46,7 @@
             long nowMicros) {
         this.settings = settings;
         this.relay = relay;
-        this.machines = List.copyOf(machines);
+        this.rotation = new MachineRotation(machines);
         this.output = output;
         this.random = random;
         this.backoff =
@@ -64,187 +55,171 @@
         this.lastTickMicros = nowMicros;
     }
 
-    /** Whether a message of this session comes from the machine that is followed. */
-    boolean isCurrentSession(String machine, long id) {
-        return session != null && session.id == id && session.machine.equals(machine);
+    /** Whether a message belongs to the session with the machine that is followed. */
+    boolean isCurrentSession(String machine, long sessionId) {
+        return session != null && session.matches(machine, sessionId);
     }
 
-    boolean isCurrentAttempt(String machine, long id) {
-        return attempt != null && attempt.id == id && attempt.machine.equals(machine);
+    /** Whether a message replies to the hello of the current attempt. */
+    boolean isCurrentAttempt(String machine, long sessionId) {
+        return attempt != null && attempt.matches(machine, sessionId);
     }
 
     boolean isOpen() {
         return session != null;
     }
 
-    /** The machine that is followed; null where there is none. */
-    String machine() {
-        return session == null ? null : session.machine;
+    /** The machine that is followed. */
+    Optional<String> machine() {
+        return Optional.ofNullable(session).map(ControlConnection::machine);
     }
 
-    /** What the machine that is followed said last; null where there is none. */
-    ConfigurationHead head() {
-        return session == null ? null : session.head;
+    /** What the machine that is followed last reported. */
+    Optional<ConfigurationHead> head() {
+        return Optional.ofNullable(session).map(ControlConnection::head);
     }
 
-    long sessionId() {
-        return session.id;
+    /**
+     * Sends to the machine that is followed; only while the session is open.
+     *
+     * @param message makes the message of a session's id
+     */
+    void send(LongFunction<FollowerMessage> message) {
+        output.send(session.machine(), message.apply(session.sessionId()));
     }
 
-    /** The machine that is followed said something. */
+    /** A message of the session arrived. */
     void heard(long nowMicros) {
-        session.lastHeardMicros = nowMicros;
+        session.heard(nowMicros);
     }
 
-    /** The machine that is followed said what it holds. */
-    void heard(ConfigurationHead head, ConfigurationVersion activeVersion, long nowMicros) {
-        session.lastHeardMicros = nowMicros;
-        session.head = head;
-        boolean satisfies = satisfies(head, activeVersion);
-        if (satisfied && !satisfies) {
-            unsatisfiedSinceMicros = nowMicros;
-            // all relays of a machine hear of it at once; they are not to ask the others at once
+    /** The machine that is followed reported what it holds. */
+    void headReceived(ConfigurationHead head, ConfigurationVersion activeVersion, long nowMicros) {
+        session.heard(nowMicros);
+        if (session.headReceived(head, activeVersion, nowMicros)) {
+            // all relays of a machine learn of it at once and must not try the others at once
             nextAttemptMicros = nowMicros + settings.unsatisfiedGraceMicros() + backoff.randomMaxDelayMicros();
         }
-        satisfied = satisfies;
     }
 
-    /** The machine that was asked takes this relay; returns whether it is followed now. */
+    /** The machine of the attempt welcomed this relay; whether it is followed from now on. */
     boolean welcomed(ConfigurationHead head, ConfigurationVersion activeVersion, long nowMicros) {
-        if (session != null && !isBetter(head, activeVersion)) {
-            output.send(attempt.machine, new Goodbye(attempt.id));
-            attemptFailed(nowMicros);
-            return false;
-        }
         if (session != null) {
-            output.send(session.machine, new Goodbye(session.id));
-            output.close(session.machine);
+            boolean isPreferred = rotation.isPreferredTo(attempt.machine(), session.machine());
+            if (!MachineSelection.isBetter(head, isPreferred, session, activeVersion)) {
+                output.send(attempt.machine(), new Goodbye(attempt.sessionId()));
+                attemptFailed(nowMicros);
+                return false;
+            }
+            output.send(session.machine(), new Goodbye(session.sessionId()));
+            output.close(session.machine());
         }
         session = attempt;
         attempt = null;
-        session.openedMicros = nowMicros;
-        satisfied = true;
+        session.opened(nowMicros);
         nextAttemptMicros = nowMicros;
-        heard(head, activeVersion, nowMicros);
+        headReceived(head, activeVersion, nowMicros);
         scheduleFailback(nowMicros);
         return true;
     }
 
-    /** The machine that was asked does not take this relay, or is not reached. */
+    /** The machine of the attempt rejected this relay, did not reply in time, or is not reached. */
     void attemptFailed(long nowMicros) {
-        output.close(attempt.machine);
+        output.close(attempt.machine());
         attempt = null;
         nextAttemptMicros = backoff.nextAttemptMicros(nowMicros);
         scheduleFailback(nowMicros);
     }
 
-    /** The session is over: another machine is asked at a drawn moment. */
+    /** The session ended: the next machine is tried after a backoff. */
     void lost(long nowMicros) {
-        output.close(session.machine);
-        nextCandidateIndex = preferenceOf(session.machine) + 1;
+        output.close(session.machine());
+        rotation.continueAfter(session.machine());
         session = null;
         if (attempt == null) {
             nextAttemptMicros = backoff.nextAttemptMicros(nowMicros);
         }
     }
 
-    /** The connection with a machine is gone; returns whether it was the session's. */
+    /** The connection with a machine is gone; whether it was the session's. */
     boolean disconnected(String machine, long nowMicros) {
-        if (attempt != null && attempt.machine.equals(machine)) {
+        if (attempt != null && attempt.machine().equals(machine)) {
             attemptFailed(nowMicros);
         }
-        boolean current = session != null && session.machine.equals(machine);
-        if (current) {
+        boolean isSession = session != null && session.machine().equals(machine);
+        if (isSession) {
             lost(nowMicros);
         }
-        return current;
+        return isSession;
     }
 
-    /** Whether this process stood still since the last turn; nobody is blamed for what it missed then. */
+    /** Whether this process was paused since the last tick; no machine counts as silent for what was missed then. */
     boolean detectPause(long nowMicros) {
         boolean paused = nowMicros - lastTickMicros >= MIN_PAUSE_MICROS;
         lastTickMicros = nowMicros;
         if (paused && session != null) {
-            session.lastHeardMicros = nowMicros;
+            session.heard(nowMicros);
         }
         if (paused && attempt != null) {
-            attempt.lastHeardMicros = nowMicros;
+            attempt.heard(nowMicros);
         }
         return paused;
     }
 
-    /** Gives up who is silent and asks where it is time to; returns whether the session was given up. */
+    /** Gives up silent machines and begins an attempt where one is due; whether the session was given up. */
     boolean tick(ConfigurationVersion activeVersion, long nowMicros) {
-        if (attempt != null && nowMicros - attempt.lastHeardMicros >= settings.attemptTimeoutMicros()) {
+        if (attempt != null && attempt.isSilentFor(settings.attemptTimeoutMicros(), nowMicros)) {
             attemptFailed(nowMicros);
         }
-        boolean silent = session != null && nowMicros - session.lastHeardMicros >= settings.silenceTimeoutMicros();
+        boolean silent = session != null && session.isSilentFor(settings.silenceTimeoutMicros(), nowMicros);
         if (silent) {
             lost(nowMicros);
         }
-        if (session != null && satisfied && nowMicros - session.openedMicros >= settings.stableSessionMicros()) {
+        if (session != null && session.isStableFor(settings.stableSessionMicros(), nowMicros)) {
             backoff.reset();
         }
         if (attempt == null && nowMicros >= nextAttemptMicros && wantsAnother(nowMicros)) {
-            sendHello(activeVersion, nowMicros);
+            beginAttempt(activeVersion, nowMicros);
         }
         return silent;
     }
 
     private boolean wantsAnother(long nowMicros) {
         return session == null
-                || !satisfied && nowMicros - unsatisfiedSinceMicros >= settings.unsatisfiedGraceMicros()
+                || session.isUnsatisfactoryFor(settings.unsatisfiedGraceMicros(), nowMicros)
                 || wantsFailback(nowMicros);
     }
 
     private boolean wantsFailback(long nowMicros) {
-        return session != null && satisfied && nowMicros >= failbackMicros && preferenceOf(session.machine) > 0;
+        return session != null
+                && session.isSatisfactory()
+                && nowMicros >= failbackMicros
+                && !rotation.isPreferred(session.machine());
     }
 
-    private void sendHello(ConfigurationVersion activeVersion, long nowMicros) {
+    private void beginAttempt(ConfigurationVersion activeVersion, long nowMicros) {
         if (wantsFailback(nowMicros)) {
-            nextCandidateIndex = 0;
+            rotation.restart();
         }
-        ControlMachine candidate = nextCandidate();
-        if (session != null && candidate.name().equals(session.machine)) {
-            candidate = nextCandidate();
+        String candidate = rotation.next();
+        if (isFollowed(candidate)) {
+            candidate = rotation.next();
         }
-        if (session != null && candidate.name().equals(session.machine)) {
+        if (isFollowed(candidate)) {
             // there is no other machine
             nextAttemptMicros = backoff.nextAttemptMicros(nowMicros);
             return;
         }
-        attempt = new Link(candidate.name(), random.nextLong(), nowMicros);
-        output.send(candidate.name(), new Hello(attempt.id, relay, ConfigurationChange.FORMAT_VERSION, activeVersion));
+        attempt = new ControlConnection(candidate, random.nextLong(), nowMicros);
+        output.send(
+                candidate, new Hello(attempt.sessionId(), relay, ConfigurationChange.FORMAT_VERSION, activeVersion));
     }
 
-    private ControlMachine nextCandidate() {
-        ControlMachine candidate = machines.get(nextCandidateIndex % machines.size());
-        nextCandidateIndex = (nextCandidateIndex + 1) % machines.size();
-        return candidate;
-    }
-
-    private boolean isBetter(ConfigurationHead head, ConfigurationVersion activeVersion) {
-        if (satisfied) {
-            return satisfies(head, activeVersion) && preferenceOf(attempt.machine) < preferenceOf(session.machine);
-        }
-        return satisfies(head, activeVersion)
-                || !session.head.hasQuorum() && head.version().isAfter(session.head.version());
-    }
-
-    private static boolean satisfies(ConfigurationHead head, ConfigurationVersion activeVersion) {
-        return head.hasQuorum() && head.version().index() >= activeVersion.index();
-    }
-
-    private int preferenceOf(String machine) {
-        for (int i = 0; i < machines.size(); i++) {
-            if (machines.get(i).name().equals(machine)) {
-                return i;
-            }
-        }
-        return 0;
+    private boolean isFollowed(String machine) {
+        return session != null && session.machine().equals(machine);
     }
 
+    /** Draws the next failback over the span, after a quarter of it, so that relays do not come back together. */
     private void scheduleFailback(long nowMicros) {
         failbackMicros = nowMicros + settings.failbackSpanMicros() / 4 + random.nextLong(settings.failbackSpanMicros());
     }
--- a/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
@@ -115,7 +115,7 @@
         ConfigurationVersion version = consensus.current().version();
         return relays.stream()
                 .allMatch(relay -> relay.follower() != null
-                        && relay.follower().active().version().equals(version));
+                        && relay.follower().activeSnapshot().version().equals(version));
     }
 
     /** Runs until the last agreed state is in force everywhere; returns how long that took, -1 where it did not. */
--- a/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
@@ -155,7 +155,7 @@
         follow(true);
         history.commitMany(3);
         deltas(0, 3);
-        assertThat(follower.active()).isEqualTo(history.current());
+        assertThat(follower.activeSnapshot()).isEqualTo(history.current());
         assertThat(output.activated).hasSize(3);
         assertThat(disk.stored).isEqualTo(Disk.found(history.current()));
         assertThat(output.lastSent().message())
@@ -186,7 +186,7 @@
         deltas(0, 3);
         deltas(0, 2);
         sendSnapshot(history.states.get(2), 1_000);
-        assertThat(follower.active()).isEqualTo(history.current());
+        assertThat(follower.activeSnapshot()).isEqualTo(history.current());
         assertThat(output.activated).hasSize(3);
     }
 
@@ -203,7 +203,7 @@
         ConfigurationSnapshot old = history.states.get(2);
         follower.received(older, new Welcome(session(), new ConfigurationHead(old.version(), old.digest(), true)), now);
         sendSnapshot(old, 1_000);
-        assertThat(follower.active()).isEqualTo(history.current());
+        assertThat(follower.activeSnapshot()).isEqualTo(history.current());
         runWithHeartbeats(new ConfigurationHead(old.version(), old.digest(), true), 8 * SECOND_MICROS);
         // it is behind, so others are asked
         assertThat(lastContactedMachine()).isNotEqualTo(older);
@@ -229,7 +229,7 @@
         receive(new Heartbeat(
                 session(), new ConfigurationHead(history.current().version(), ConfigurationDigest.EMPTY, true)));
         assertThat(follower.status().machine()).isEmpty();
-        assertThat(follower.active()).isEqualTo(history.current());
+        assertThat(follower.activeSnapshot()).isEqualTo(history.current());
     }
 
     @Test
@@ -242,7 +242,7 @@
         assertThat(output.activated).isEmpty();
         assertThat(output.lastSent().message()).isEqualTo(new SnapshotRequest(session(), 1));
         sendSnapshot(history.current(), 10);
-        assertThat(follower.active()).isEqualTo(history.current());
+        assertThat(follower.activeSnapshot()).isEqualTo(history.current());
     }
 
     @Test
@@ -265,7 +265,7 @@
         receive(new SnapshotOffer(session(), history.current().version(), 1));
         assertThat(output.lastSent().message()).isEqualTo(new SnapshotRequest(session(), 1));
         sendSnapshot(history.current(), 20);
-        assertThat(follower.active()).isEqualTo(history.current());
+        assertThat(follower.activeSnapshot()).isEqualTo(history.current());
         assertThat(output.messages(ChunkRequest.class).size()).isGreaterThan(3);
         assertThat(output.activated).hasSize(1);
     }
@@ -308,7 +308,7 @@
         deltas(1, 2);
         assertThat(follower.status().rejection().map(ChangeRejection::reason))
                 .contains(ChangeRejection.Reason.UNKNOWN_FORMAT);
-        assertThat(follower.active()).isEqualTo(history.states.get(1));
+        assertThat(follower.activeSnapshot()).isEqualTo(history.states.get(1));
         assertThat(output.logLines).hasSize(1);
         // not asked for again while nothing later is there
         runWithHeartbeats(history.head(true), 10 * SECOND_MICROS);
@@ -317,7 +317,7 @@
         deltas(2, 3);
         assertThat(output.lastSent().message()).isEqualTo(new SnapshotRequest(session(), 3));
         sendSnapshot(history.current(), 1_000);
-        assertThat(follower.active()).isEqualTo(history.current());
+        assertThat(follower.activeSnapshot()).isEqualTo(history.current());
         assertThat(follower.status().rejection()).isEmpty();
     }
 
@@ -329,7 +329,7 @@
         history.commit("a", "1");
         history.commit("a", "bad");
         deltas(0, 2);
-        assertThat(follower.active()).isEqualTo(history.states.get(1));
+        assertThat(follower.activeSnapshot()).isEqualTo(history.states.get(1));
         assertThat(((StatusReport) output.lastSent().message()).rejectionReason())
                 .contains(ChangeRejection.Reason.UNUSABLE);
     }
@@ -379,7 +379,7 @@
         disk.fails = true;
         history.commitMany(5);
         deltas(0, 5);
-        assertThat(follower.active()).isEqualTo(history.current());
+        assertThat(follower.activeSnapshot()).isEqualTo(history.current());
         assertThat(output.logLines).hasSize(1).allMatch(line -> line.contains("no space"));
     }
 
@@ -411,7 +411,7 @@
         assertThat(follower.status().machine()).isEmpty();
         run(2 * SECOND_MICROS);
         assertThat(lastContactedMachine()).isNotEqualTo(first);
-        assertThat(follower.active()).isEqualTo(history.current());
+        assertThat(follower.activeSnapshot()).isEqualTo(history.current());
     }
 
     /** A relay that itself stood still blames nobody. */
--- a/src/test/java/sandstack/measure/configuration/DistributionRules.java
+++ b/src/test/java/sandstack/measure/configuration/DistributionRules.java
@@ -55,7 +55,7 @@
     void settled(HollowConfigurationFleet fleet) {
         ConfigurationSnapshot last = consensus.current();
         for (HollowRelay relay : fleet.relays()) {
-            ConfigurationSnapshot there = relay.follower().active();
+            ConfigurationSnapshot there = relay.follower().activeSnapshot();
             if (!there.equals(last)) {
                 broken.add(relay.name() + " has " + there.version() + " in the end, agreed is " + last.version()
                         + "; it follows " + relay.follower().status());
