--- a/src/main/java/sandstack/configuration/ConfigurationMessageCodec.java
+++ b/src/main/java/sandstack/configuration/ConfigurationMessageCodec.java
@@ -5,9 +5,11 @@
 import java.util.Optional;
 import sandstack.configuration.ConfigurationMessage.ChunkRequest;
 import sandstack.configuration.ConfigurationMessage.Deltas;
+import sandstack.configuration.ConfigurationMessage.FollowerMessage;
 import sandstack.configuration.ConfigurationMessage.Goodbye;
 import sandstack.configuration.ConfigurationMessage.Heartbeat;
 import sandstack.configuration.ConfigurationMessage.Hello;
+import sandstack.configuration.ConfigurationMessage.PublisherMessage;
 import sandstack.configuration.ConfigurationMessage.RepairRequest;
 import sandstack.configuration.ConfigurationMessage.SessionRejected;
 import sandstack.configuration.ConfigurationMessage.SessionRejectionReason;
@@ -54,20 +56,20 @@
     /** Encodes a message. */
     public byte[] encode(ConfigurationMessage message) {
         FieldWriter out = new FieldWriter();
-        if (message instanceof Heartbeat heartbeat) {
-            write(begin(out, HEARTBEAT, message), heartbeat.head());
-        } else if (message instanceof StatusReport report) {
+        if (message instanceof FollowerMessage followerMessage) {
+            writeFollowerMessage(out, followerMessage);
+        } else {
+            writePublisherMessage(out, (PublisherMessage) message);
+        }
+        return out.toBytes();
+    }
+
+    private void writeFollowerMessage(FieldWriter out, FollowerMessage message) {
+        if (message instanceof StatusReport report) {
             write(begin(out, REPORT, message), report);
-        } else if (message instanceof Deltas deltas) {
-            begin(out, DELTAS, message).writeInt(deltas.changes().size());
-            deltas.changes().forEach(change -> codec.write(out, change));
         } else if (message instanceof Hello hello) {
             begin(out, HELLO, message).writeInt(hello.formatVersion()).writeText(hello.relay());
             codec.write(out, hello.activeVersion());
-        } else if (message instanceof Welcome welcome) {
-            write(begin(out, WELCOME, message), welcome.head());
-        } else if (message instanceof SessionRejected rejected) {
-            begin(out, REJECTED, message).writeByte(rejected.reason().ordinal());
         } else if (message instanceof RepairRequest request) {
             codec.write(begin(out, REPAIR_REQUEST, message), request.activeVersion());
         } else if (message instanceof SnapshotRequest request) {
@@ -75,15 +77,27 @@
         } else if (message instanceof ChunkRequest request) {
             codec.write(begin(out, CHUNK_REQUEST, message), request.version());
             out.writeInt(request.offset());
+        } else {
+            begin(out, GOODBYE, message);
+        }
+    }
+
+    private void writePublisherMessage(FieldWriter out, PublisherMessage message) {
+        if (message instanceof Heartbeat heartbeat) {
+            write(begin(out, HEARTBEAT, message), heartbeat.head());
+        } else if (message instanceof Deltas deltas) {
+            begin(out, DELTAS, message).writeInt(deltas.changes().size());
+            deltas.changes().forEach(change -> codec.write(out, change));
+        } else if (message instanceof SnapshotChunk chunk) {
+            write(begin(out, SNAPSHOT_CHUNK, message), chunk);
         } else if (message instanceof SnapshotOffer offer) {
             codec.write(begin(out, SNAPSHOT_OFFER, message), offer.version());
             out.writeInt(offer.formatVersion());
-        } else if (message instanceof SnapshotChunk chunk) {
-            write(begin(out, SNAPSHOT_CHUNK, message), chunk);
-        } else {
-            begin(out, GOODBYE, message);
+        } else if (message instanceof Welcome welcome) {
+            write(begin(out, WELCOME, message), welcome.head());
+        } else if (message instanceof SessionRejected rejected) {
+            begin(out, REJECTED, message).writeByte(rejected.reason().ordinal());
         }
-        return out.toBytes();
     }
 
     /** Decodes one message. */
--- a/src/main/java/sandstack/configuration/consensus/ControlNode.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNode.java
@@ -1,21 +1,15 @@
 package sandstack.configuration.consensus;
 
 import io.microraft.MembershipChangeMode;
-import io.microraft.RaftEndpoint;
-import io.microraft.RaftNode;
 import io.microraft.RaftRole;
 import io.microraft.exception.CannotReplicateException;
 import io.microraft.exception.NotLeaderException;
 import io.microraft.model.message.RaftMessage;
-import io.microraft.persistence.RestoredRaftState;
 import io.microraft.report.RaftGroupMembers;
 import io.microraft.report.RaftNodeReport;
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.time.Duration;
-import java.util.List;
 import java.util.Optional;
-import java.util.OptionalLong;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.CompletionStage;
@@ -45,10 +39,7 @@
     private final ChangeValidator validator;
     private final ConfigurationCodec codec;
     private final ConfigurationStateMachine stateMachine;
-    private final SnapshotConsistencyCheck snapshotConsistency;
-    private final SnapshotStallDetector stallDetector;
-    private volatile RaftNode raftNode;
-    private boolean restarting;
+    private final RestartableRaftNode raftNode;
 
     /**
      * Builds the node; it takes part from {@link #start} on.
@@ -79,82 +70,22 @@
         this.validator = validator;
         this.codec = new ConfigurationCodec(validator.limits());
         this.stateMachine = stateMachines.create(this::currentTerm);
-        this.stallDetector = new SnapshotStallDetector(settings.timeouts().heartbeatTimeout());
-        this.snapshotConsistency = new SnapshotConsistencyCheck(environment.store());
-        this.raftNode = buildRaftNode();
-    }
-
-    private RaftNode buildRaftNode() throws IOException {
-        RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
-                .setGroupId(settings.group())
-                .setConfig(settings.toRaftConfig())
-                .setExecutor(new JitteredExecutor(environment.executor(), environment.random()))
-                .setTransport(environment.transport())
-                .setStore(environment.store())
-                .setStateMachine(stateMachine)
-                .setClock(environment.clock())
-                .setRandom(environment.random());
-        Optional<RestoredRaftState> restored = environment.store().restore();
-        if (restored.isPresent()) {
-            return builder.setRestoredState(restored.get()).build();
-        }
-        return builder.setLocalEndpoint(settings.self())
-                .setInitialGroupMembers(List.<RaftEndpoint>copyOf(settings.bootstrapVoters()))
-                .build();
+        this.raftNode = new RestartableRaftNode(settings, environment, stateMachine);
     }
 
     /** Begins to take part. */
     public CompletionStage<Void> start() {
-        return raftNode.start().thenApply(ignored -> null);
+        return raftNode.current().start().thenApply(ignored -> null);
     }
 
     /** Takes part no longer; proposals that are out become indeterminate. */
     public CompletionStage<Void> stop() {
-        return raftNode.terminate().thenApply(ignored -> null);
+        return raftNode.current().terminate().thenApply(ignored -> null);
     }
 
     /** A message of another control machine arrived. */
     public void handle(RaftMessage message) {
-        environment.executor().execute(() -> handleOnExecutor(message));
-    }
-
-    private void handleOnExecutor(RaftMessage message) {
-        if (restarting) {
-            return;
-        }
-        boolean stalled = stallDetector.isStalledBy(message, environment.clock().millis());
-        if (stalled
-                || snapshotConsistency
-                        .firstConflictingIndex(message, currentTerm())
-                        .isPresent()) {
-            restartRaftNode(message);
-        } else {
-            raftNode.handle(snapshotConsistency.withoutStoredEntries(message));
-        }
-    }
-
-    /** The library's node is begun anew over the store; messages until then are lost, as on any network. */
-    private void restartRaftNode(RaftMessage message) {
-        restarting = true;
-        raftNode.terminate().whenComplete((ignored, failure) -> {
-            try {
-                removeConflictingEntries(message);
-                raftNode = buildRaftNode();
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-            restarting = false;
-            raftNode.start();
-        });
-    }
-
-    /** Asked again now that the node handles nothing more: a later leader may have confirmed the entries meanwhile. */
-    private void removeConflictingEntries(RaftMessage message) throws IOException {
-        OptionalLong firstConflicting = snapshotConsistency.firstConflictingIndex(message, currentTerm());
-        if (firstConflicting.isPresent()) {
-            environment.store().truncateLogEntriesFrom(firstConflicting.getAsLong());
-            environment.store().flush();
-        }
+        raftNode.handle(message);
     }
 
     /**
@@ -171,7 +102,8 @@
             return CompletableFuture.completedFuture(outcome.get());
         }
         LogOperation.Proposal proposal = new LogOperation.Proposal(key, codec.encode(change));
-        return raftNode.getReport()
+        return raftNode.current()
+                .getReport()
                 .thenCompose(report -> hasRecentQuorumHeartbeat(report.getResult())
                         ? replicate(proposal)
                         : CompletableFuture.completedFuture(rejectedWithoutQuorum()))
@@ -187,28 +119,31 @@
 
     /** Whom this machine believes to lead. */
     public Optional<ControlIdentity> leader() {
-        return Optional.ofNullable((ControlIdentity) raftNode.getTerm().getLeaderEndpoint());
+        return Optional.ofNullable(
+                (ControlIdentity) raftNode.current().getTerm().getLeaderEndpoint());
     }
 
     /** The term that this machine is in. */
     public long currentTerm() {
-        return raftNode.getTerm().getTerm();
+        return raftNode.current().getTerm().getTerm();
     }
 
     /** The members that are agreed on. */
     public RaftGroupMembers members() {
-        return raftNode.getCommittedMembers();
+        return raftNode.current().getCommittedMembers();
     }
 
     /** Has a machine admitted, promoted or removed; asked of the leader with the index of the members that it saw. */
     public CompletionStage<RaftGroupMembers> changeMembership(
             ControlIdentity machine, MembershipChangeMode mode, long membersLogIndex) {
-        return raftNode.changeMembership(machine, mode, membersLogIndex).thenApply(ordered -> ordered.getResult());
+        return raftNode.current()
+                .changeMembership(machine, mode, membersLogIndex)
+                .thenApply(ordered -> ordered.getResult());
     }
 
     /** What the library tells of the node, for the operators' figures. */
     public CompletionStage<RaftNodeReport> report() {
-        return raftNode.getReport().thenApply(ordered -> ordered.getResult());
+        return raftNode.current().getReport().thenApply(ordered -> ordered.getResult());
     }
 
     /** The configuration as this machine has applied it; read on the executor's thread. */
@@ -240,7 +175,7 @@
 
     private CompletableFuture<ProposalOutcome> replicate(LogOperation.Proposal proposal) {
         CompletableFuture<ProposalOutcome> outcome = new CompletableFuture<>();
-        raftNode.<ProposalOutcome>replicate(proposal).whenComplete((ordered, failure) -> {
+        raftNode.current().<ProposalOutcome>replicate(proposal).whenComplete((ordered, failure) -> {
             if (failure == null) {
                 outcome.complete(ordered.getResult());
             } else {
--- a/src/main/java/sandstack/configuration/consensus/StoredRaftState.java
+++ b/src/main/java/sandstack/configuration/consensus/StoredRaftState.java
@@ -78,9 +78,11 @@
         RaftGroupMembersView members = read(
                 EncodedRaftStore.INITIAL_MEMBERS, header.get(EncodedRaftStore.INITIAL_MEMBERS), codec::readMembersView);
         RaftTermPersistentState term = read(EncodedRaftStore.TERM, header.get(EncodedRaftStore.TERM), codec::readTerm);
-        SnapshotEntry snapshot = restoreSnapshot();
-        long snapshotIndex = snapshot == null ? 0 : snapshot.getIndex();
-        return Optional.of(new RestoredRaftState(local, members, term, snapshot, restoreLog(snapshotIndex)));
+        Optional<SnapshotEntry> snapshot = restoreSnapshot();
+        List<LogEntry> entries =
+                restoreLog(snapshot.map(SnapshotEntry::getIndex).orElse(0L));
+        // the library takes null where there is no snapshot
+        return Optional.of(new RestoredRaftState(local, members, term, snapshot.orElse(null), entries));
     }
 
     /** A node that was killed before its first start was complete has neither voted nor acknowledged anything. */
@@ -91,8 +93,8 @@
         return Optional.empty();
     }
 
-    /** The newest snapshot that has all its chunks; null where there is none. */
-    private SnapshotEntry restoreSnapshot() throws RejectedStoreException {
+    /** The newest snapshot that has all its chunks. */
+    private Optional<SnapshotEntry> restoreSnapshot() throws RejectedStoreException {
         TreeMap<Long, List<SnapshotChunk>> byIndex = new TreeMap<>();
         for (Map.Entry<Long, byte[]> entry : snapshotChunks.entrySet()) {
             SnapshotChunk chunk = read("snapshot chunk " + entry.getKey(), entry.getValue(), codec::readSnapshotChunk);
@@ -102,15 +104,15 @@
         for (List<SnapshotChunk> chunks : byIndex.descendingMap().values()) {
             SnapshotChunk first = chunks.get(0);
             if (chunks.size() == first.getSnapshotChunkCount()) {
-                return models.createSnapshotEntryBuilder()
+                return Optional.of(models.createSnapshotEntryBuilder()
                         .setIndex(first.getIndex())
                         .setTerm(first.getTerm())
                         .setSnapshotChunks(chunks)
                         .setGroupMembersView(first.getGroupMembersView())
-                        .build();
+                        .build());
             }
         }
-        return null;
+        return Optional.empty();
     }
 
     private List<LogEntry> restoreLog(long snapshotIndex) throws RejectedStoreException {
