--- a/src/test/java/sandstack/configuration/ChangeValidatorTest.java
+++ b/src/test/java/sandstack/configuration/ChangeValidatorTest.java
@@ -28,13 +28,13 @@
     }
 
     @Test
-    void anOrdinaryChangeIsTaken() {
+    void validChangeIsAccepted() {
         assertThat(validator.validate(ConfigurationSnapshot.EMPTY, change(new Put("a", "1"), new Remove("b"))))
                 .isEmpty();
     }
 
     @Test
-    void boundsOfOneChange() {
+    void changeOutsideABoundIsRejectedWithItsReason() {
         assertRejected(change(), Reason.EMPTY_CHANGE);
         assertRejected(change(new Put("a", "1"), new Remove("a")), Reason.DUPLICATE_KEY);
         assertRejected(change(new Put("", "1")), Reason.INVALID_KEY);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aConfigurationOfSixtyMegabytesIsRefused() {
+    void configurationOfSixtyMegabytesIsRejected() {
         String value = "v".repeat(60 << 20);
         assertRejected(change(new Put("a\nb", value)), Reason.VALUE_TOO_LARGE);
         ConfigurationEdit[] many = IntStream.range(0, 960)
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void manySmallChangesCannotExceedTheWhole() {
+    void manySmallChangesCannotExceedTheConfigurationBound() {
         List<ChangeRejection> refusals = new ArrayList<>();
         ConfigurationHistory history = new ConfigurationHistory(validator, new RecordingListener());
         for (int i = 0; i < 40; i++) {
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void aFormatFromTheFutureIsRefused() {
+    void unknownFormatIsRejected() {
         ConfigurationChange future = new ConfigurationChange(
                 ConfigurationChange.FORMAT_VERSION + 1,
                 ConfigurationVersion.NONE,
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aChangeOfAnOlderStateIsRefused() {
+    void changeOfAnOlderBaseIsRejected() {
         ConfigurationSnapshot current =
                 ConfigurationSnapshot.EMPTY.apply(new ConfigurationVersion(1, 1), change(new Put("a", "1")));
         assertThat(validator.validate(current, change(new Put("b", "1"))).map(ChangeRejection::reason))
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void whatTheProgramCannotUseIsRefused() {
+    void configurationThatTheProgramCannotUseIsRejected() {
         ChangeValidator checked = new ChangeValidator(
                 LIMITS,
                 state -> state.entries().containsKey("port") ? Optional.empty() : Optional.of("port is missing"));
--- a/src/test/java/sandstack/configuration/ConfigurationCodecTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationCodecTest.java
@@ -30,8 +30,7 @@
     }
 
     @Property(tries = 200)
-    void changesComeBackAsTheyWere(@ForAll @Size(max = 20) List<@StringLength(max = 30) String> texts)
-            throws Exception {
+    void changesSurviveARoundTrip(@ForAll @Size(max = 20) List<@StringLength(max = 30) String> texts) throws Exception {
         List<ConfigurationEdit> edits = texts.stream()
                 .map(text -> text.replaceAll("[\\ud800-\\udfff]", "x"))
                 .map(text -> text.length() % 2 == 0 ? new Put(text, text + text) : new Remove(text))
@@ -43,7 +42,7 @@
     }
 
     @Property(tries = 100)
-    void snapshotsComeBackAsTheyWere(@ForAll @Size(max = 30) @UniqueElements List<@IntRange(min = 0) Integer> keys)
+    void snapshotsSurviveARoundTrip(@ForAll @Size(max = 30) @UniqueElements List<@IntRange(min = 0) Integer> keys)
             throws Exception {
         Map<String, String> entries =
                 keys.stream().collect(java.util.stream.Collectors.toMap(k -> "k" + k, k -> "value of " + k));
@@ -53,7 +52,7 @@
 
     /** Cut or changed anywhere: an exception of the one kind, or another valid value; never anything else. */
     @Property(tries = 500)
-    void damagedBytesAreRefusedOrRead(
+    void damagedBytesAreRejectedOrDecoded(
             @ForAll @IntRange(max = 400) int at, @ForAll @ByteRange byte value, @ForAll boolean cut) {
         byte[] change = codec.encode(committedChange(List.of(new Put("a", "1"), new Remove("b"))));
         byte[] snapshot =
@@ -74,12 +73,12 @@
     }
 
     @Property(tries = 300)
-    void sizesAreThoseOfUtf8(@ForAll String text) {
+    void countedSizesAreThoseOfUtf8(@ForAll String text) {
         assertThat(ConfigurationSize.ofText(text)).isEqualTo(text.getBytes(StandardCharsets.UTF_8).length);
     }
 
     @Test
-    void aDamagedValueOfASnapshotIsRefused() {
+    void snapshotWithADamagedValueIsRejected() {
         byte[] bytes =
                 codec.encode(ConfigurationSnapshot.of(new ConfigurationVersion(2, 9), 1, Map.of("a", "1", "b", "2")));
         bytes[bytes.length - 1] ^= 1;
@@ -89,7 +88,7 @@
     }
 
     @Test
-    void whatIsTooLargeIsRefusedBeforeItIsRead() {
+    void oversizedInputIsRejectedBeforeItIsRead() {
         assertThatThrownBy(() -> codec.decodeSnapshot(new byte[60 << 20]))
                 .isInstanceOf(MalformedConfigurationException.class);
         assertThatThrownBy(() -> codec.decodeChange(new byte[60 << 20]))
@@ -102,7 +101,7 @@
 
     /** The largest that the validator takes fits into what the codec reads. */
     @Test
-    void whatTheValidatorTakesTheCodecReads() throws Exception {
+    void largestValidChangeCanBeDecoded() throws Exception {
         ConfigurationLimits limits = new ConfigurationLimits(8, 16, 4, 4, 10, 200, 20, 300, 0);
         ConfigurationCodec small = new ConfigurationCodec(limits);
         List<ConfigurationEdit> edits = java.util.stream.IntStream.range(0, 10)
--- a/src/test/java/sandstack/configuration/ConfigurationFixturesTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationFixturesTest.java
@@ -12,12 +12,12 @@
     private final Map<String, byte[]> forms = FixtureFile.readBytes(ConfigurationSamples.FORMS);
 
     @Test
-    void writesTheBytesOfTheFixtures() {
+    void encodedBytesMatchTheFixtures() {
         assertThat(FixtureFile.toHex(ConfigurationSamples.encoded())).isEqualTo(FixtureFile.toHex(forms));
     }
 
     @Test
-    void readsChangesAndSnapshotsOfTheFixtures() throws Exception {
+    void changesAndSnapshotsOfTheFixturesAreDecoded() throws Exception {
         assertThat(codec.decodeChange(forms.get("change"))).isEqualTo(ConfigurationSamples.change());
         assertThat(codec.decodeCommittedChange(forms.get("agreed-change")))
                 .isEqualTo(ConfigurationSamples.committedChange());
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void readsMessagesOfTheFixtures() throws Exception {
+    void messagesOfTheFixturesAreDecoded() throws Exception {
         for (Map.Entry<String, ConfigurationMessage> sample :
                 ConfigurationSamples.messages().entrySet()) {
             assertThat(messages.decode(forms.get(sample.getKey())))
@@ -36,14 +36,14 @@
     }
 
     @Test
-    void digestsAndVersionsAreWrittenForPeopleAsBefore() {
+    void textFormsMatchTheFixtures() {
         assertThat(ConfigurationSamples.snapshot())
                 .hasToString("configuration 3/41 with 4 entries, digest ede21e7ec348b9d2358c54648ac6edc7");
         assertThat(ConfigurationDigest.of(Map.of("a", "1", "b", "é"))).hasToString("a0ddd84b36117ea4302d93da5bcfd500");
     }
 
     @Test
-    void seededFaultsLeadToTheSameMessagesStatesAndMoments() {
+    void seededFaultsReproduceTheTraces() {
         Map<String, String> expected = FixtureFile.read(ConfigurationSamples.TRACES);
         assertThat(expected).hasSize(ConfigurationSamples.TRACED_SEEDS);
         for (long seed = 1; seed <= ConfigurationSamples.TRACED_SEEDS; seed++) {
--- a/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void changesAreTakenStoredAndReported() {
+    void changesAreStoredActivatedAndReported() {
         start();
         follow(true);
         history.commitMany(3);
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void aGapIsNotTakenButRepaired() {
+    void gapIsRepairedBeforeAnythingIsActivated() {
         start();
         follow(true);
         history.commitMany(3);
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void whatIsOldChangesNothing() {
+    void staleChangesAndSnapshotsAreIgnored() {
         start();
         follow(true);
         history.commitMany(3);
@@ -191,7 +191,7 @@
     }
 
     @Test
-    void aMachineThatIsOlderDoesNotRollARelayBack() {
+    void machineThatIsBehindDoesNotRollTheRelayBack() {
         history.commitMany(5);
         disk.stored = Disk.found(history.current());
         start();
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void anotherHistoryIsNotTaken() {
+    void divergentHistoryIsNotActivated() {
         history.commitMany(3);
         disk.stored = Disk.found(history.current());
         start();
@@ -233,7 +233,7 @@
     }
 
     @Test
-    void aChangeThatDoesNotLeadToItsDigestIsFetchedWhole() {
+    void digestMismatchRequestsASnapshot() {
         start();
         follow(true);
         CommittedChange good = history.commit("a", "1");
@@ -246,7 +246,7 @@
     }
 
     @Test
-    void aHeartbeatThatTellsOfALaterVersionTwiceIsActedOn() {
+    void secondHeartbeatWithALaterVersionRequestsARepair() {
         start();
         follow(true);
         history.commitMany(2);
@@ -258,7 +258,7 @@
     }
 
     @Test
-    void aRelayThatIsFarBehindFetchesASnapshotInParts() {
+    void relayFarBehindFetchesASnapshotInChunks() {
         start();
         follow(true);
         history.commitMany(20);
@@ -271,7 +271,7 @@
     }
 
     @Test
-    void partsThatAreLostAreAskedForAgainAndNotForEver() {
+    void lostChunksAreRequestedAgainABoundedNumberOfTimes() {
         start();
         follow(true);
         history.commitMany(20);
@@ -287,7 +287,7 @@
     }
 
     @Test
-    void aSnapshotOfSixtyMegabytesIsRefusedAtItsFirstPart() {
+    void oversizedSnapshotIsRejectedAtItsFirstChunk() {
         start();
         follow(true);
         history.commitMany(1);
@@ -299,7 +299,7 @@
     }
 
     @Test
-    void aFormatFromTheFutureIsRefusedAndARollBackTaken() {
+    void unknownFormatIsRejectedAndALaterRollbackActivated() {
         start();
         follow(true);
         history.commit("a", "1");
@@ -322,7 +322,7 @@
     }
 
     @Test
-    void whatTheProgramCannotUseStaysOut() {
+    void unusableChangeIsNotActivated() {
         check = state -> "bad".equals(state.entries().get("a")) ? Optional.of("a is bad") : Optional.empty();
         start();
         follow(true);
@@ -336,7 +336,7 @@
 
     /** A relay that cannot use what all others can does not fetch it again and again. */
     @Test
-    void refusedStatesAreFetchedLessAndLessOften() {
+    void rejectedStatesAreFetchedWithBackoff() {
         check = state -> state.entries().containsKey("bad") ? Optional.of("bad is there") : Optional.empty();
         start();
         follow(true);
@@ -357,7 +357,7 @@
     }
 
     @Test
-    void aDamagedDiskIsRefusedAndFetchedAnew() {
+    void damagedStoredStateIsRejectedAndFetchedAgain() {
         history.commitMany(2);
         ConfigurationSnapshot good = history.current();
         Map<String, String> damaged = new HashMap<>(good.entries());
@@ -373,7 +373,7 @@
     }
 
     @Test
-    void aDiskThatIsFullKeepsNothingFromBeingInForce() {
+    void storeFailureDoesNotPreventActivation() {
         start();
         follow(true);
         disk.fails = true;
@@ -384,7 +384,7 @@
     }
 
     @Test
-    void theRegionsOwnMachinesAreAskedFirst() {
+    void machinesOfTheOwnRegionAreTriedFirst() {
         start();
         List<String> asked = new ArrayList<>();
         while (asked.size() < 3) {
@@ -401,7 +401,7 @@
     }
 
     @Test
-    void aSilentMachineIsLeftAndWhatIsInForceStays() {
+    void silentMachineIsAbandonedAndTheActiveStateStays() {
         history.commitMany(1);
         start();
         follow(true);
@@ -416,7 +416,7 @@
 
     /** A relay that itself stood still blames nobody. */
     @Test
-    void aPauseDoesNotCostTheSession() {
+    void pauseOfTheRelayKeepsTheSession() {
         start();
         follow(true);
         now += 30 * SECOND_MICROS;
@@ -426,7 +426,7 @@
     }
 
     @Test
-    void whileNoMachineHasAQuorumTheSessionIsKept() {
+    void sessionIsKeptWhileNoMachineHasAQuorum() {
         start();
         follow(false);
         String first = follower.status().machine().orElseThrow();
@@ -445,7 +445,7 @@
 
     /** DESIGN's mechanism: those who fail together come back over 2^n slots, whole intervals apart. */
     @Test
-    void attemptsSpreadOverGrowingIntervals() {
+    void attemptsAreSpreadOverGrowingIntervals() {
         FollowerSettings settings = FollowerSettings.DEFAULT;
         long slot = settings.backoffSlotMicros();
         List<Long> second = new ArrayList<>();
--- a/src/test/java/sandstack/configuration/ConfigurationHistoryTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationHistoryTest.java
@@ -27,7 +27,7 @@
 
     /** Some proposals are late for their base, as happens when two are put to the leader at once. */
     @Property(tries = 200)
-    void machinesThatSeeTheSameProposalsHoldTheSame(@ForAll long seed) {
+    void sameProposalsLeadToTheSameState(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         RecordingListener changes = new RecordingListener();
         ConfigurationHistory one = new ConfigurationHistory(VALIDATOR, changes);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aRollBackIsAChangeLikeAnother() {
+    void rollbackIsCommittedAsAChange() {
         ConfigurationHistory history = new ConfigurationHistory(VALIDATOR, new RecordingListener());
         history.applyCommitted(
                 1, ConfigurationChange.of(ConfigurationVersion.NONE, "ann", "a", List.of(new Put("a", "1"))));
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void restoringNeverGoesBack() {
+    void restoringAnEarlierStateIsIgnored() {
         RecordingListener listener = new RecordingListener();
         ConfigurationHistory history = new ConfigurationHistory(VALIDATOR, listener);
         ConfigurationSnapshot later = ConfigurationSnapshot.of(new ConfigurationVersion(3, 7), 1, Map.of("a", "1"));
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aSnapshotTakesNoChangeOfAnotherBase() {
+    void changeOfAnotherBaseCannotBeApplied() {
         ConfigurationChange change =
                 ConfigurationChange.of(ConfigurationVersion.NONE, "ann", "a", List.of(new Put("a", "1")));
         assertThatThrownBy(() -> ConfigurationSnapshot.EMPTY.apply(new ConfigurationVersion(1, 2), change))
@@ -99,7 +99,7 @@
     }
 
     @Property(tries = 200)
-    void versionsOfTwoHistoriesAreToldApart(@ForAll long seed) {
+    void divergentVersionsAreDetected(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         ConfigurationVersion a = new ConfigurationVersion(random.nextLong(4), random.nextLong(4));
         ConfigurationVersion b = new ConfigurationVersion(random.nextLong(4), random.nextLong(4));
--- a/src/test/java/sandstack/configuration/ConfigurationMessageCodecTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationMessageCodecTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void messagesComeBackAsTheyWere() throws Exception {
+    void messagesSurviveARoundTrip() throws Exception {
         assertThat(all(1).stream().map(Object::getClass).distinct())
                 .hasSize(ConfigurationMessage.FollowerMessage.class.getPermittedSubclasses().length
                         + ConfigurationMessage.PublisherMessage.class.getPermittedSubclasses().length);
@@ -60,7 +60,7 @@
     }
 
     @Property(tries = 300)
-    void damagedFramesAreRefusedOrRead(@ForAll long seed) {
+    void damagedFramesAreRejectedOrDecoded(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         for (ConfigurationMessage message : all(random.nextLong())) {
             byte[] frame = codec.encode(message);
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void oversizedFramesAreRefusedBeforeTheyAreRead() {
+    void oversizedFramesAreRejectedBeforeTheyAreRead() {
         assertThatThrownBy(() -> codec.decode(new byte[codec.maxFrameBytes() + 1]))
                 .isInstanceOf(MalformedConfigurationException.class);
         // a count of changes that the frame cannot hold
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void theOrdinaryMessagesAreSmall() {
+    void heartbeatsAndReportsHave42Bytes() {
         CommittedHistory history = new CommittedHistory().commitMany(1);
         assertThat(codec.encode(new Heartbeat(1, history.head(true)))).hasSize(42);
         assertThat(codec.encode(all(1).get(1))).hasSize(42);
--- a/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aRelayThatComesGetsWhatItLacksAndThenEachChange() {
+    void newSessionGetsMissingChangesAndThenEachChange() {
         commit(3);
         hello("a", 1, history.states.get(1).version(), 0);
         assertThat(output.messages(Welcome.class)).containsExactly(new Welcome(1, history.head(false)));
@@ -76,7 +76,7 @@
 
     /** The memory that a slow relay costs is a cursor: nothing is sent beyond the window, nothing is queued. */
     @Test
-    void aRelayThatDoesNotReportGetsNoMoreThanTheWindow() {
+    void relayThatDoesNotReportGetsNoMoreThanTheWindow() {
         hello("a", 1, ConfigurationVersion.NONE, 0);
         commit(HISTORY_CHANGES * 10);
         assertThat(output.messages(Deltas.class).stream()
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aSnapshotIsSentInPartsThatAreAskedFor() throws Exception {
+    void snapshotIsSentInRequestedChunks() throws Exception {
         commit(HISTORY_CHANGES + 5);
         hello("a", 1, ConfigurationVersion.NONE, 0);
         publisher.received("a", new SnapshotRequest(1, 1), 0);
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void nothingIsSentToARelayThatIsAheadOrOfAnotherHistory() {
+    void relayAheadOrOfADivergentHistoryGetsNoChanges() {
         commit(3);
         hello("a", 1, new ConfigurationVersion(9, 9), 0);
         assertThat(output.sent).hasSize(1);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void noMoreRelaysThanAreServed() {
+    void sessionsBeyondTheMaximumAreRejected() {
         for (int i = 0; i < 5; i++) {
             hello("peer-" + i, i, ConfigurationVersion.NONE, 0);
         }
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void aPeerThatFloodsIsHungUpOnWithOneLine() {
+    void floodingPeerIsClosedWithOneLogLine() {
         hello("a", 1, ConfigurationVersion.NONE, 0);
         for (int i = 0; i < 100_000; i++) {
             report("a", 1, ConfigurationSnapshot.EMPTY, SECOND_MICROS);
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void aNameCannotForgeALine() {
+    void relayNameCannotForgeALogLine() {
         publisher.received("a", new Hello(1, "relay\nno fault\u2028x", 1, ConfigurationVersion.NONE), 0);
         for (int i = 0; i < 100; i++) {
             report("a", 1, ConfigurationSnapshot.EMPTY, 0);
@@ -158,7 +158,7 @@
 
     /** One peer's hellos are charged to it: others still get in. */
     @Test
-    void hellosOfOnePeerAreBounded() {
+    void hellosOfOnePeerAreRateLimited() {
         for (int i = 0; i < 10_000; i++) {
             hello("a", i, ConfigurationVersion.NONE, i);
         }
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void hellosOfManyAtOnceAreBounded() {
+    void hellosOfManyPeersAreRateLimited() {
         for (int i = 0; i < 1_000; i++) {
             hello("peer-" + i, i, ConfigurationVersion.NONE, 0);
             publisher.disconnected("peer-" + i);
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void repairsOfOneRelayAreBounded() {
+    void repairsOfOneRelayAreRateLimited() {
         commit(WINDOW_CHANGES);
         hello("a", 1, ConfigurationVersion.NONE, 0);
         for (int i = 0; i < 30; i++) {
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void aRelayThatIsSilentIsGivenUp() {
+    void sessionOfASilentRelayIsClosed() {
         hello("a", 1, ConfigurationVersion.NONE, 0);
         hello("b", 2, ConfigurationVersion.NONE, 0);
         report("b", 2, ConfigurationSnapshot.EMPTY, 5 * SECOND_MICROS);
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void anUnknownSessionIsTold() {
+    void unknownSessionIsRejected() {
         report("a", 7, ConfigurationSnapshot.EMPTY, 0);
         assertThat(output.messages(SessionRejected.class))
                 .containsExactly(new SessionRejected(7, SessionRejectionReason.UNKNOWN_SESSION));
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void whatTheTransportDoesNotTakeIsSentAgain() {
+    void changesThatTheTransportRejectsAreSentAgain() {
         hello("a", 1, ConfigurationVersion.NONE, 0);
         output.full = true;
         commit(2);
@@ -218,7 +218,7 @@
     }
 
     @Test
-    void restoringALaterStateOffersItAtOnce() {
+    void restoredStateIsOfferedAtOnce() {
         hello("a", 1, ConfigurationVersion.NONE, 0);
         history.commitMany(HISTORY_CHANGES);
         publisher.restored(history.current());
@@ -227,14 +227,14 @@
     }
 
     @Test
-    void restoringAnOlderStateChangesNothing() {
+    void restoringAnOlderStateIsIgnored() {
         commit(3);
         publisher.restored(history.states.get(2));
         assertThat(publisher.head()).isEqualTo(history.head(false));
     }
 
     @Test
-    void operatorsSeeWhatIsInForceWhere() {
+    void overviewCountsVersionsRejectionsAndMismatches() {
         commit(2);
         hello("a", 1, history.current().version(), 0);
         hello("b", 2, history.states.get(1).version(), 0);
--- a/src/test/java/sandstack/configuration/consensus/ClusterOnDisksTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ClusterOnDisksTest.java
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void killedMachinesGoOnFromTheirFiles() {
+    void killedMachinesRecoverFromTheirFiles() {
         SimulatedCluster cluster = started();
         commit(cluster, 13);
         SimulatedMachine first = cluster.awaitLeader();
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aMachineWhoseFileWasSetBackDoesNotStart() throws IOException {
+    void machineWithARolledBackFileDoesNotStart() throws IOException {
         SimulatedCluster cluster = started();
         commit(cluster, 3);
         SimulatedMachine machine = cluster.machines.get(0);
--- a/src/test/java/sandstack/configuration/consensus/ConfigurationStateMachineTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ConfigurationStateMachineTest.java
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aChangeHasTheTermOfTheLeaderBeforeIt() {
+    void changeHasTheTermOfThePrecedingNewTermEntry() {
         run(new LogOperation.NewTerm(4));
         Object outcome = run(put(1, ConfigurationVersion.NONE, "a", "1"));
         assertThat(outcome).isEqualTo(new ProposalOutcome.Committed(new ConfigurationVersion(4, 1)));
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void whatDoesNotValidateChangesNothing() {
+    void invalidProposalChangesNothing() {
         run(new LogOperation.NewTerm(1));
         run(put(1, ConfigurationVersion.NONE, "a", "1"));
         ConfigurationSnapshot before = machine.current();
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aSnapshotCarriesStateTermAndIdsInBoundedChunks() {
+    void snapshotCarriesStateTermAndKeysInBoundedChunks() {
         run(new LogOperation.NewTerm(2));
         String large = "x".repeat(60_000);
         for (int i = 0; i < 15; i++) {
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void aSnapshotThatIsDamagedIsNotTaken() {
+    void damagedSnapshotIsNotInstalled() {
         run(new LogOperation.NewTerm(2));
         run(put(1, ConfigurationVersion.NONE, "a", "1"));
         byte[] state = ((StateChunk) snapshotOf(machine).get(0)).bytes();
@@ -119,7 +119,7 @@
 
     /** Forgotten ids are refused by their base, so nothing is applied twice. */
     @Test
-    void onlyTheLastIdsAreRemembered() {
+    void onlyTheLatestKeysAreRemembered() {
         run(new LogOperation.NewTerm(1));
         LogOperation.Proposal first = put(0, ConfigurationVersion.NONE, "a", "0");
         run(first);
--- a/src/test/java/sandstack/configuration/consensus/ConsensusFiguresTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ConsensusFiguresTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void idle() {
+    void trafficWhileIdle() {
         SimulatedCluster cluster = started(1);
         resetTraffic(cluster);
         cluster.runFor(MEASURED);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void withTheDaysChanges() {
+    void trafficAndLatencyWithTheChangesOfADay() {
         for (int leaderRegion = 0; leaderRegion < 2; leaderRegion++) {
             SimulatedCluster cluster = withLeaderIn(leaderRegion);
             resetTraffic(cluster);
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void failover() {
+    void commitLatencyAfterTheLeaderIsKilled() {
         List<Long> millis = new ArrayList<>();
         for (long seed = 1; seed <= 40; seed++) {
             SimulatedCluster cluster = started(seed);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void logOfADay() {
+    void storeSizeAfterTheChangesOfADay() {
         SimulatedCluster cluster = started(1);
         SimulatedDisk disk = cluster.awaitLeader().disk;
         disk.measured = true;
--- a/src/test/java/sandstack/configuration/consensus/ControlNodeTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ControlNodeTest.java
@@ -52,7 +52,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {5, 7})
-    void changesAreInOneOrderEverywhere(int size) {
+    void changesHaveOneOrderOnAllMachines(int size) {
         SimulatedCluster cluster = started(size);
         commit(cluster, 50);
         assertComplete(cluster, 50);
@@ -60,7 +60,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {5, 7})
-    void anotherLeadsWhereTheLeaderIsKilledAndItComesBackWithItsDisk(int size) {
+    void newLeaderIsElectedAndTheKilledOneRejoinsWithItsDisk(int size) {
         SimulatedCluster cluster = started(size);
         commit(cluster, 10);
         SimulatedMachine first = cluster.awaitLeader();
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void allAreKilledAtOnceAndGoOnFromTheirDisks() {
+    void allMachinesRecoverFromTheirDisksAfterBeingKilledAtOnce() {
         SimulatedCluster cluster = started(7);
         commit(cluster, 33);
         cluster.machines.forEach(SimulatedMachine::kill);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aLeaderThatWasPausedAgreesOnNothingAlone() {
+    void pausedLeaderCommitsNothingAlone() {
         SimulatedCluster cluster = started(7);
         commit(cluster, 5);
         SimulatedMachine paused = cluster.awaitLeader();
@@ -99,7 +99,7 @@
 
     /** It sends heartbeats and hears nothing, so that without a quorum's answers it has to give up. */
     @Test
-    void aLeaderThatCannotHearTheOthersGivesUp() {
+    void leaderThatReceivesNothingStepsDown() {
         SimulatedCluster cluster = started(7);
         commit(cluster, 5);
         SimulatedMachine deaf = cluster.awaitLeader();
@@ -112,7 +112,7 @@
 
     /** It hears and reaches all others, and so asks them again and again to vote for it. */
     @Test
-    void aMachineThatDoesNotHearTheLeaderDoesNotUnseatIt() {
+    void machineThatDoesNotHearTheLeaderDoesNotDisruptIt() {
         SimulatedCluster cluster = started(7);
         commit(cluster, 5);
         SimulatedMachine leader = cluster.awaitLeader();
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void withTheRegionsApartTheMajorityGoesOnAndTheMinorityRefusesAtOnce() {
+    void partitionedMajorityCommitsAndMinorityRejectsAtOnce() {
         SimulatedCluster cluster = started(7);
         commit(cluster, 5);
         // followers learn with the next message that the last change is committed
@@ -157,7 +157,7 @@
 
     /** The leader is in the minority; what it is asked for at any moment is answered within the proposal timeout. */
     @Test
-    void aLeaderCutOffAnswersEachProposalInTime() {
+    void isolatedLeaderCompletesEachProposalInTime() {
         SimulatedCluster cluster = started(7);
         while (cluster.awaitLeader().region != 0) {
             SimulatedMachine leader = cluster.awaitLeader();
@@ -188,7 +188,7 @@
     }
 
     @Test
-    void aChangeProposedTwiceIsAppliedOnceAndAnsweredAlike() {
+    void proposalRepeatedUnderItsKeyIsAppliedOnce() {
         SimulatedCluster cluster = started(5);
         commit(cluster, 2);
         SimulatedMachine leader = cluster.awaitLeader();
@@ -207,7 +207,7 @@
     }
 
     @Test
-    void ofTwoChangesWithOneBaseTheLaterIsRefused() {
+    void secondChangeOfTheSameBaseIsRejected() {
         SimulatedCluster cluster = started(5);
         SimulatedMachine leader = cluster.awaitLeader();
         Attempt one = cluster.propose(leader, cluster.randomChange(ConfigurationVersion.NONE));
@@ -219,7 +219,7 @@
     }
 
     @Test
-    void whatIsInvalidIsRefusedBeforeItIsPutToTheOthers() {
+    void invalidProposalIsRejectedBeforeReplication() {
         SimulatedCluster cluster = started(5);
         SimulatedMachine leader = cluster.awaitLeader();
         String large = "x".repeat(ConfigurationLimits.DEFAULT.maxValueBytes() + 1);
@@ -239,7 +239,7 @@
     }
 
     @Test
-    void moreProposalsThanMayBeOutAreRefused() {
+    void proposalsBeyondThePendingLimitAreRejected() {
         SimulatedCluster cluster = started(5);
         SimulatedMachine leader = cluster.awaitLeader();
         List<Attempt> attempts = new ArrayList<>();
@@ -253,7 +253,7 @@
     }
 
     @Test
-    void theAgreementStartsNoThread() {
+    void consensusStartsNoThread() {
         int before = Thread.activeCount();
         SimulatedCluster cluster = started(7);
         commit(cluster, 30);
@@ -262,7 +262,7 @@
     }
 
     @Test
-    void aMachineThatDoesNotLeadNamesWhoDoes() {
+    void followerNamesTheLeader() {
         SimulatedCluster cluster = started(5);
         cluster.runFor(Duration.ofSeconds(2));
         SimulatedMachine leader = cluster.awaitLeader();
--- a/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
+++ b/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void whatWasFlushedIsThereAfterACrashAndNothingElse() throws IOException {
+    void onlyFlushedStateSurvivesACrash() throws IOException {
         MvStoreRaftStore store = create();
         start(store);
         append(store, 1, 10);
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void theNewestWholeSnapshotCounts() throws IOException {
+    void newestCompleteSnapshotIsRestored() throws IOException {
         MvStoreRaftStore store = create();
         start(store);
         append(store, 1, 12);
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void aWipedDiskIsRefusedWithoutPermissionAndPermissionIsRefusedOverADisk() throws IOException {
+    void missingStoreNeedsPermissionAndPermissionNeedsAMissingStore() throws IOException {
         assertRejected("no disk of control-0", NEW_IDENTITY_SETTING);
         create().close();
         assertThatThrownBy(this::create)
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void aDiskOfAnotherMachineOrGroupIsRefused() throws IOException {
+    void storeOfAnotherMachineOrGroupIsRejected() throws IOException {
         create().close();
         assertThatThrownBy(() -> MvStoreRaftStore.reopen(
                         file,
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void anOlderFileIsRefused() throws IOException {
+    void rolledBackFileIsRejected() throws IOException {
         MvStoreRaftStore store = create();
         start(store);
         append(store, 1, 5);
@@ -200,14 +200,14 @@
     }
 
     @Test
-    void aFileWithoutItsFlushCountIsRefused() throws IOException {
+    void fileWithoutItsFlushCountIsRejected() throws IOException {
         create().close();
         Files.delete(Path.of(file + ".flushes"));
         assertRejected("flush count", "missing");
     }
 
     @Test
-    void aCrashBetweenFileAndFlushCountIsNone() throws IOException {
+    void crashBetweenFileAndFlushCountIsRecovered() throws IOException {
         MvStoreRaftStore store = create();
         start(store);
         store.close();
@@ -228,7 +228,7 @@
 
     /** However a file is cut or damaged: a refusal, or all that was flushed; never a part of it. */
     @Test
-    void damagedFilesAreRefusedOrWhole() throws IOException {
+    void damagedFilesAreRejectedOrComplete() throws IOException {
         MvStoreRaftStore store = create();
         start(store);
         for (int i = 1; i <= 40; i++) {
@@ -279,7 +279,7 @@
     }
 
     @Test
-    void theStoreStartsNoThread() throws IOException {
+    void storeStartsNoThread() throws IOException {
         int before = Thread.activeCount();
         try (MvStoreRaftStore store = create()) {
             start(store);
@@ -291,7 +291,7 @@
 
     /** The log is cut at each snapshot, and the file does not grow with all that was ever written. */
     @Test
-    void theFileStaysBounded() throws IOException {
+    void fileSizeStaysBounded() throws IOException {
         int snapshotEvery = 100;
         try (MvStoreRaftStore store = create()) {
             start(store);
--- a/src/test/java/sandstack/configuration/consensus/NewIdentityTest.java
+++ b/src/test/java/sandstack/configuration/consensus/NewIdentityTest.java
@@ -10,7 +10,7 @@
 
 /** A machine whose disk is lost comes back under a new identity, admitted by the others; the old one goes. */
 class NewIdentityTest {
-    private static final Duration SETTLING = Duration.ofSeconds(16);
+    private static final Duration RECOVERY_TIME = Duration.ofSeconds(16);
     private static final int SNAPSHOT_INTERVAL_ENTRIES = 20;
 
     private static RaftGroupMembers change(
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aNewIdentityReplacesTheOldAndHoldsAll() {
+    void newIdentityReplacesTheOldOneAndCatchesUp() {
         SimulatedCluster cluster = new SimulatedCluster(5, 3, SNAPSHOT_INTERVAL_ENTRIES);
         cluster.startAll();
         commit(cluster, 45);
@@ -50,13 +50,13 @@
         RaftGroupMembers with = change(cluster, fresh.identity, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
         assertThat(with.getVotingMembers()).hasSize(5).contains(fresh.identity);
         commit(cluster, 5);
-        assertThat(cluster.recoverAndCheck(SETTLING)).isEmpty();
+        assertThat(cluster.recoverAndCheck(RECOVERY_TIME)).isEmpty();
         assertThat(fresh.node.current().version().index()).isEqualTo(50);
     }
 
     /** It does not know the members yet and must not unseat who leads. */
     @Test
-    void aMachineThatIsNotAdmittedChangesNothing() {
+    void machineThatIsNoMemberDisruptsNothing() {
         SimulatedCluster cluster = new SimulatedCluster(5, 4, SNAPSHOT_INTERVAL_ENTRIES);
         cluster.startAll();
         commit(cluster, 5);
@@ -71,6 +71,6 @@
         cluster.machines.remove(stranger);
         stranger.kill();
         commit(cluster, 5);
-        assertThat(cluster.recoverAndCheck(SETTLING)).isEmpty();
+        assertThat(cluster.recoverAndCheck(RECOVERY_TIME)).isEmpty();
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/PlantedFaultsTest.java
+++ b/src/test/java/sandstack/configuration/consensus/PlantedFaultsTest.java
@@ -16,13 +16,13 @@
 
 /** The checker finds faults that are planted, so that its silence elsewhere says something. */
 class PlantedFaultsTest {
-    private static final Duration SETTLING = Duration.ofSeconds(16);
+    private static final Duration RECOVERY_TIME = Duration.ofSeconds(16);
 
     /** Forgets the entry at which the eleventh proposal comes. */
-    private static final class SkipsOne extends ConfigurationStateMachine {
+    private static final class SkippingStateMachine extends ConfigurationStateMachine {
         private int seen;
 
-        SkipsOne(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
+        SkippingStateMachine(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
             super(validator, listener, leaderTerm);
         }
 
@@ -36,8 +36,8 @@
     }
 
     /** Applies a repetition again, as its memory of ids is gone. */
-    private static final class TakesEachIdForNew extends ConfigurationStateMachine {
-        TakesEachIdForNew(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
+    private static final class ForgetfulStateMachine extends ConfigurationStateMachine {
+        ForgetfulStateMachine(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
             super(validator, listener, leaderTerm);
         }
 
@@ -77,26 +77,28 @@
     }
 
     @Test
-    void aStateMachineThatSkipsAChangeIsFound() {
-        SimulatedCluster cluster = cluster(SkipsOne::new, 1);
+    void skippedChangeIsDetected() {
+        SimulatedCluster cluster = cluster(SkippingStateMachine::new, 1);
         commit(cluster, 20);
-        assertThat(cluster.recoverAndCheck(SETTLING)).anyMatch(breach -> breach.contains("where another was told"));
+        assertThat(cluster.recoverAndCheck(RECOVERY_TIME))
+                .anyMatch(breach -> breach.contains("where another was told"));
     }
 
     @Test
-    void aChangeAppliedTwiceIsFound() {
-        SimulatedCluster cluster = cluster(TakesEachIdForNew::new, 5);
+    void changeAppliedTwiceIsDetected() {
+        SimulatedCluster cluster = cluster(ForgetfulStateMachine::new, 5);
         SimulatedMachine leader = cluster.awaitLeader();
         ConfigurationChange change = cluster.randomChange(leader.node.current().version());
         cluster.propose(leader, change);
         cluster.runFor(Duration.ofSeconds(1));
         cluster.propose(leader, change);
-        assertThat(cluster.recoverAndCheck(SETTLING)).anyMatch(breach -> breach.contains("was applied at 1 and 2"));
+        assertThat(cluster.recoverAndCheck(RECOVERY_TIME))
+                .anyMatch(breach -> breach.contains("was applied at 1 and 2"));
     }
 
     /** A leader that tells of a change when it is proposed, before the others have it. */
     @Test
-    void aChangeToldBeforeItIsCommittedIsFound() {
+    void changeReportedBeforeItsCommitIsDetected() {
         SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
         SimulatedMachine leader = cluster.awaitLeader();
         ConfigurationSnapshot before = leader.node.current();
@@ -107,13 +109,13 @@
                 .committed(
                         new CommittedChange(after.version(), change, after.digest()),
                         () -> cluster.majorityStores(new CommittedChange(after.version(), change, after.digest())));
-        assertThat(cluster.recoverAndCheck(SETTLING))
+        assertThat(cluster.recoverAndCheck(RECOVERY_TIME))
                 .anyMatch(breach -> breach.contains("before a majority of the disks held it"));
     }
 
     /** Disks that lose what they said they had. */
     @Test
-    void disksThatForgetAreFound() {
+    void disksThatLoseFlushesAreDetected() {
         SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
         commit(cluster, 5);
         cluster.machines.forEach(machine -> machine.disk.loseFlushes());
@@ -121,12 +123,13 @@
         cluster.machines.forEach(SimulatedMachine::kill);
         cluster.startAll();
         commit(cluster, 5);
-        assertThat(cluster.recoverAndCheck(SETTLING)).anyMatch(breach -> breach.contains("where another was told"));
+        assertThat(cluster.recoverAndCheck(RECOVERY_TIME))
+                .anyMatch(breach -> breach.contains("where another was told"));
     }
 
     /** Why a wiped disk must not vote under its old identity: a majority of those that hold a change can be lost. */
     @Test
-    void wipedDisksThatVoteUnderTheirOldIdentityAreFound() {
+    void wipedDiskThatVotesUnderItsOldIdentityIsDetected() {
         SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
         List<SimulatedMachine> holders = cluster.machines.subList(0, 3);
         List<SimulatedMachine> late = cluster.machines.subList(3, 5);
@@ -138,13 +141,14 @@
         late.forEach(cluster::start);
         cluster.start(holders.get(0));
         commit(cluster, 5);
-        assertThat(cluster.recoverAndCheck(SETTLING)).anyMatch(breach -> breach.contains("where another was told"));
+        assertThat(cluster.recoverAndCheck(RECOVERY_TIME))
+                .anyMatch(breach -> breach.contains("where another was told"));
     }
 
     @Test
-    void withoutAFaultTheCheckerIsSilent() {
+    void noViolationIsReportedWithoutAFault() {
         SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
         commit(cluster, 20);
-        assertThat(cluster.recoverAndCheck(SETTLING)).isEmpty();
+        assertThat(cluster.recoverAndCheck(RECOVERY_TIME)).isEmpty();
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/RaftFixturesTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftFixturesTest.java
@@ -34,12 +34,12 @@
     Path folder;
 
     @Test
-    void writesTheMessagesOfTheFixtures() {
+    void encodedMessagesMatchTheFixtures() {
         assertThat(FixtureFile.toHex(RaftSamples.encodedMessages())).isEqualTo(FixtureFile.read(RaftSamples.MESSAGES));
     }
 
     @Test
-    void readsTheMessagesOfTheFixtures() throws Exception {
+    void messagesOfTheFixturesAreDecoded() throws Exception {
         Map<String, RaftMessage> samples = RaftSamples.messages();
         for (Map.Entry<String, byte[]> fixture :
                 FixtureFile.readBytes(RaftSamples.MESSAGES).entrySet()) {
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void readsAndWritesTheStateMachineOfTheFixtures() {
+    void stateMachineSnapshotMatchesTheFixture() {
         byte[] fixture = FixtureFile.readBytes(RaftSamples.STATE).get("state");
         assertThat(RaftSamples.stateOf(RaftSamples.stateMachine())).isEqualTo(fixture);
         ConfigurationStateMachine restored =
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void goesOnFromTheStoreOfTheFixtures() throws IOException {
+    void storeOfTheFixturesIsRestored() throws IOException {
         Path file = copyStore();
         try (MvStoreRaftStore store = MvStoreRaftStore.reopen(
                 file.toString(),
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void writesTheStoreOfTheFixtures() throws IOException {
+    void writtenStoreMatchesTheFixture() throws IOException {
         Path file = copyStore();
         Path written = folder.resolve("written.mv");
         RaftSamples.writeStore(written);
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void seededFaultsLeadToTheSameRaftMessagesAndMoments() {
+    void seededFaultsReproduceTheTraces() {
         Map<String, String> expected = FixtureFile.read(RaftSamples.TRACES);
         assertThat(expected).hasSize(RaftSamples.TRACED_SEEDS.size());
         for (long seed : RaftSamples.TRACED_SEEDS) {
--- a/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
@@ -110,7 +110,7 @@
 
     /** The other types are sent in the simulated clusters, each through this codec. */
     @Example
-    void messagesComeBackAsTheyWere() throws MalformedConfigurationException {
+    void messagesSurviveARoundTrip() throws MalformedConfigurationException {
         for (RaftMessage message : List.of(append(entries()), installSnapshot(), vote())) {
             RaftMessage back = codec.decode(codec.encode(message));
             assertThat(back.getClass()).isEqualTo(message.getClass());
@@ -119,7 +119,7 @@
     }
 
     @Property(tries = 2_000)
-    void damagedFramesAreReadOrRefusedWithOneLine(@ForAll long seed) {
+    void damagedFramesAreDecodedOrRejectedWithOneLine(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RaftMessage> messages = List.of(append(entries()), installSnapshot(), vote());
         byte[] frame = codec.encode(messages.get(random.nextInt(messages.size())));
@@ -136,7 +136,7 @@
     }
 
     @Example
-    void unknownTypesAndOtherGroupsAreRefused() {
+    void unknownTypesAndOtherGroupsAreRejected() {
         byte[] frame = codec.encode(vote());
         frame[TYPE_OFFSET] = 17;
         assertThatThrownBy(() -> codec.decode(frame))
@@ -149,7 +149,7 @@
 
     /** A length that claims 2 GB costs nothing, and neither does a frame of 60 MB. */
     @Example
-    void whatClaimsToBeLargeIsRefusedBeforeItIsAllocated() {
+    void oversizedClaimsAreRejectedBeforeAllocation() {
         byte[] frame = codec.encode(append(entries()));
         int count = frame.length - 2 * Long.BYTES - encodedEntriesBytes() - Integer.BYTES;
         ByteBuffer.wrap(frame).putInt(count, Integer.MAX_VALUE);
--- a/src/test/java/sandstack/configuration/consensus/RandomFaultSchedule.java
+++ b/src/test/java/sandstack/configuration/consensus/RandomFaultSchedule.java
@@ -12,7 +12,7 @@
     private static final int STEPS = 60;
     private static final int SNAPSHOT_INTERVAL_ENTRIES = 15;
     private static final int MAX_STEP_MILLIS = 2_500;
-    private static final Duration SETTLING = Duration.ofSeconds(16);
+    private static final Duration RECOVERY_TIME = Duration.ofSeconds(16);
 
     /** A change that a client wants, with the attempts that it made. */
     private record ClientChange(ConfigurationChange change, List<SimulatedCluster.Attempt> attempts) {}
@@ -37,7 +37,7 @@
             injectRandomFault();
             cluster.runFor(Duration.ofMillis(random.nextInt(MAX_STEP_MILLIS)));
         }
-        return cluster.recoverAndCheck(SETTLING);
+        return cluster.recoverAndCheck(RECOVERY_TIME);
     }
 
     private void proposeChanges() {
--- a/src/test/java/sandstack/configuration/consensus/SnapshotConsistencyCheckTest.java
+++ b/src/test/java/sandstack/configuration/consensus/SnapshotConsistencyCheckTest.java
@@ -69,19 +69,19 @@
     }
 
     @Test
-    void whatTheLeaderContradictsBehindTheSnapshotGoes() {
+    void entriesThatConflictWithTheLeaderAreFound() {
         assertThat(check.firstConflictingIndex(request(3, 5, entries(6, 3, 3)), CURRENT_TERM))
                 .hasValue(6);
     }
 
     @Test
-    void aLeaderOfAnEarlierTermRemovesNothing() {
+    void leaderOfAnEarlierTermRemovesNothing() {
         assertThat(check.firstConflictingIndex(request(2, 5, entries(6, 3)), CURRENT_TERM))
                 .isEmpty();
     }
 
     @Test
-    void whatTheLibrarySeesItselfIsLeftToIt() {
+    void conflictsThatTheLibraryDetectsAreLeftToIt() {
         for (RaftMessage message :
                 List.of(request(3, 6, entries(7, 3)), request(3, 5, List.of()), request(3, 4, entries(5, 1, 3)))) {
             assertThat(check.firstConflictingIndex(message, CURRENT_TERM)).isEmpty();
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void entriesThatTheLogHoldsAreLeftOut() {
+    void entriesAlreadyInTheLogAreLeftOut() {
         AppendEntriesRequest adapted =
                 (AppendEntriesRequest) check.withoutStoredEntries(request(3, 5, entries(6, 2, 3, 3)));
         assertThat(adapted.getPreviousLogIndex()).isEqualTo(6);
--- a/src/test/java/sandstack/configuration/consensus/SnapshotStallDetectorTest.java
+++ b/src/test/java/sandstack/configuration/consensus/SnapshotStallDetectorTest.java
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aChunkIsProgress() {
+    void chunkCountsAsProgress() {
         assertThat(detector.isStalledBy(offer(null), 1_000)).isFalse();
         assertThat(detector.isStalledBy(offer(chunk()), 4_000)).isFalse();
         assertThat(detector.isStalledBy(offer(null), 5_000)).isFalse();
