--- a/src/main/java/sandstack/configuration/ActiveConfiguration.java
+++ b/src/main/java/sandstack/configuration/ActiveConfiguration.java
@@ -8,8 +8,6 @@
  * of the same history; stores before it puts in force. One thread.
  */
 final class ActiveConfiguration {
-    private static final long LOG_INTERVAL_MICROS = 10_000_000;
-
     /** What became of a change or state. */
     enum ActivationResult {
         /** It is in force. */
@@ -40,7 +38,7 @@
         this.validator = validator;
         this.store = store;
         this.output = output;
-        this.storeFailureLog = new RateLimitedLog(output::log, LOG_INTERVAL_MICROS);
+        this.storeFailureLog = new RateLimitedLog(output::log);
     }
 
     ConfigurationSnapshot current() {
@@ -69,7 +67,7 @@
     void load() {
         ConfigurationStore.Loaded loaded = store.load();
         if (loaded instanceof ConfigurationStore.Loaded.Unreadable unreadable) {
-            output.log("the stored configuration cannot be read and is fetched anew: "
+            output.log("stored configuration cannot be read and is fetched again problem="
                     + LogText.singleLine(unreadable.problem()));
         } else if (loaded instanceof ConfigurationStore.Loaded.Found found) {
             load(found);
@@ -81,12 +79,12 @@
                 ConfigurationSnapshot.of(found.version(), found.formatVersion(), found.entries());
         if (!snapshot.digest().equals(found.digest())) {
             output.log(
-                    "the stored configuration " + found.version() + " does not match its digest and is fetched anew");
+                    "stored configuration does not match its digest and is fetched again version=" + found.version());
             return;
         }
         Optional<ChangeRejection> invalid = validator.validateSnapshot(snapshot);
         if (invalid.isPresent()) {
-            output.log("the stored configuration " + found.version() + " is not taken: " + invalid.get());
+            logRejection("stored configuration rejected version=" + found.version(), invalid.get());
             return;
         }
         current = snapshot;
@@ -142,10 +140,14 @@
     ActivationResult reject(ConfigurationVersion version, ChangeRejection why) {
         rejectedIndex = Math.max(rejectedIndex, version.index());
         rejection = Optional.of(why);
-        output.log("configuration " + version + " is not taken, " + version() + " stays in force: " + why);
+        logRejection("configuration rejected version=" + version + " activeVersion=" + version(), why);
         return ActivationResult.REJECTED;
     }
 
+    private void logRejection(String message, ChangeRejection why) {
+        output.log(message + " reason=" + why.reason() + " detail=" + why.detail());
+    }
+
     /** Why a format cannot be read here. */
     Optional<ChangeRejection> validateFormat(int formatVersion) {
         return validator.validateFormat(formatVersion);
@@ -177,7 +179,7 @@
             step.run();
         } catch (ConfigurationStoreException e) {
             storeFailureLog.log(
-                    "the configuration could not be stored: " + LogText.singleLine(String.valueOf(e.getMessage())),
+                    "configuration could not be stored problem=" + LogText.singleLine(String.valueOf(e.getMessage())),
                     nowMicros);
         }
     }
--- a/src/main/java/sandstack/configuration/BoundedReader.java
+++ b/src/main/java/sandstack/configuration/BoundedReader.java
@@ -28,7 +28,7 @@
     public boolean readBoolean() throws MalformedConfigurationException {
         byte value = readByte();
         if (value != 0 && value != 1) {
-            throw new MalformedConfigurationException("a flag is " + value);
+            throw new MalformedConfigurationException("a flag is " + value + ", neither 0 nor 1");
         }
         return value == 1;
     }
@@ -49,7 +49,7 @@
     public int readCount(int maxCount, int minBytesEach) throws MalformedConfigurationException {
         int count = readInt();
         if (count < 0 || count > maxCount || (long) count * minBytesEach > buffer.remaining()) {
-            throw new MalformedConfigurationException("a count of " + count + ", the most is " + maxCount);
+            throw new MalformedConfigurationException("a count of " + count + ", the maximum is " + maxCount);
         }
         return count;
     }
@@ -77,13 +77,14 @@
     /** Refuses a frame that goes on. */
     public void requireEnd() throws MalformedConfigurationException {
         if (buffer.hasRemaining()) {
-            throw new MalformedConfigurationException(buffer.remaining() + " bytes too many");
+            throw new MalformedConfigurationException(buffer.remaining() + " bytes after the end");
         }
     }
 
     private void require(int count) throws MalformedConfigurationException {
         if (buffer.remaining() < count) {
-            throw new MalformedConfigurationException("it ends too early");
+            throw new MalformedConfigurationException(
+                    "the frame ends early: " + count + " bytes expected, " + buffer.remaining() + " left");
         }
     }
 }
--- a/src/main/java/sandstack/configuration/ConfigurationCodec.java
+++ b/src/main/java/sandstack/configuration/ConfigurationCodec.java
@@ -77,8 +77,8 @@
     /** Encodes a whole state; equal states give equal bytes. */
     public byte[] encode(ConfigurationSnapshot snapshot) {
         FieldWriter out = new FieldWriter().writeInt(snapshot.formatVersion());
-        write(out, snapshot.version());
-        write(out, snapshot.digest());
+        snapshot.version().writeTo(out);
+        snapshot.digest().writeTo(out);
         out.writeInt(snapshot.entries().size());
         new TreeMap<>(snapshot.entries())
                 .forEach((key, value) -> out.writeText(key).writeText(value));
@@ -90,8 +90,8 @@
         requireAtMost(bytes, maxSnapshotBytes());
         BoundedReader in = new BoundedReader(bytes);
         int formatVersion = in.readInt();
-        ConfigurationVersion version = readVersion(in);
-        ConfigurationDigest digest = readDigest(in);
+        ConfigurationVersion version = ConfigurationVersion.readFrom(in);
+        ConfigurationDigest digest = ConfigurationDigest.readFrom(in);
         int count = in.readCount(limits.maxEntries(), MIN_ENTRY_BYTES);
         Map<String, String> entries = new HashMap<>();
         for (int i = 0; i < count; i++) {
@@ -105,36 +105,15 @@
         return snapshot;
     }
 
-    void write(FieldWriter out, ConfigurationVersion version) {
-        out.writeLong(version.term()).writeLong(version.index());
-    }
-
-    ConfigurationVersion readVersion(BoundedReader in) throws MalformedConfigurationException {
-        long term = in.readLong();
-        long index = in.readLong();
-        if (term < 0 || index < 0) {
-            throw new MalformedConfigurationException("a version is negative");
-        }
-        return new ConfigurationVersion(term, index);
-    }
-
-    void write(FieldWriter out, ConfigurationDigest digest) {
-        out.writeLong(digest.high()).writeLong(digest.low());
-    }
-
-    ConfigurationDigest readDigest(BoundedReader in) throws MalformedConfigurationException {
-        return new ConfigurationDigest(in.readLong(), in.readLong());
-    }
-
     void write(FieldWriter out, CommittedChange committed) {
-        write(out, committed.version());
-        write(out, committed.digest());
+        committed.version().writeTo(out);
+        committed.digest().writeTo(out);
         write(out, committed.change());
     }
 
     CommittedChange readCommittedChange(BoundedReader in) throws MalformedConfigurationException {
-        ConfigurationVersion version = readVersion(in);
-        ConfigurationDigest digest = readDigest(in);
+        ConfigurationVersion version = ConfigurationVersion.readFrom(in);
+        ConfigurationDigest digest = ConfigurationDigest.readFrom(in);
         ConfigurationChange change = readChange(in);
         if (!version.follows(change.baseVersion())) {
             throw new MalformedConfigurationException(version + " does not follow " + change.baseVersion());
@@ -149,7 +128,7 @@
 
     private void write(FieldWriter out, ConfigurationChange change) {
         out.writeInt(change.formatVersion());
-        write(out, change.baseVersion());
+        change.baseVersion().writeTo(out);
         out.writeText(change.author()).writeText(change.reason());
         out.writeInt(change.edits().size());
         for (ConfigurationEdit edit : change.edits()) {
@@ -163,7 +142,7 @@
 
     private ConfigurationChange readChange(BoundedReader in) throws MalformedConfigurationException {
         int formatVersion = in.readInt();
-        ConfigurationVersion baseVersion = readVersion(in);
+        ConfigurationVersion baseVersion = ConfigurationVersion.readFrom(in);
         String author = in.readText(limits.maxAuthorBytes());
         String reason = in.readText(limits.maxReasonBytes());
         int count = in.readCount(limits.maxEditsPerChange(), MIN_EDIT_BYTES);
@@ -180,13 +159,13 @@
         return switch (kind) {
             case PUT -> new ConfigurationEdit.Put(key, in.readText(limits.maxValueBytes()));
             case REMOVE -> new ConfigurationEdit.Remove(key);
-            default -> throw new MalformedConfigurationException("an edit of kind " + kind);
+            default -> throw new MalformedConfigurationException("edit kind " + kind + " is unknown");
         };
     }
 
     private static void requireAtMost(byte[] bytes, int maxBytes) throws MalformedConfigurationException {
         if (bytes.length > maxBytes) {
-            throw new MalformedConfigurationException(bytes.length + " bytes, the most is " + maxBytes);
+            throw new MalformedConfigurationException(bytes.length + " bytes, the maximum is " + maxBytes);
         }
     }
 }
--- a/src/main/java/sandstack/configuration/ConfigurationDigest.java
+++ b/src/main/java/sandstack/configuration/ConfigurationDigest.java
@@ -36,6 +36,16 @@
         return new ConfigurationDigest(high - entry.high, low - entry.low);
     }
 
+    /** Writes both halves. */
+    void writeTo(FieldWriter out) {
+        out.writeLong(high).writeLong(low);
+    }
+
+    /** Reads what {@link #writeTo} wrote. */
+    static ConfigurationDigest readFrom(BoundedReader in) throws MalformedConfigurationException {
+        return new ConfigurationDigest(in.readLong(), in.readLong());
+    }
+
     private static ConfigurationDigest ofEntry(String key, String value) {
         byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
         MessageDigest sha = sha256();
--- a/src/main/java/sandstack/configuration/ConfigurationFollower.java
+++ b/src/main/java/sandstack/configuration/ConfigurationFollower.java
@@ -29,7 +29,6 @@
  * <p>One thread that no client waits for. A message costs O(1) beside the states it carries, a turn O(1).
  */
 public final class ConfigurationFollower {
-    private static final long LOG_INTERVAL_MICROS = 10_000_000;
     private static final long NOT_LAGGING = -1;
 
     /**
@@ -71,11 +70,11 @@
             RandomGenerator random,
             long nowMicros) {
         if (machines.isEmpty()) {
-            throw new IllegalArgumentException("there is no control machine");
+            throw new IllegalArgumentException("machines is empty: a relay needs a control machine to follow");
         }
         this.settings = settings;
         this.activeConfiguration = new ActiveConfiguration(validator, store, output);
-        this.divergenceLog = new RateLimitedLog(output::log, LOG_INTERVAL_MICROS);
+        this.divergenceLog = new RateLimitedLog(output::log);
         this.snapshots = new SnapshotFetcher(new ConfigurationCodec(validator.limits()), activeConfiguration);
         this.fetchSchedule = new FetchSchedule(settings, nowMicros);
         List<ControlMachine> preferenceOrder = ControlMachine.inPreferenceOrder(relay, machines);
@@ -193,12 +192,12 @@
         switch (result) {
             case GAP -> requestMissing(nowMicros);
             case DIGEST_MISMATCH -> {
-                divergenceLog.log("configuration " + version + " does not lead to its digest here", nowMicros);
+                divergenceLog.log("change does not lead to its digest version=" + version, nowMicros);
                 requestSnapshot(version.index(), nowMicros);
             }
             case DIVERGENT -> abandonDivergentMachine(version, nowMicros);
             case REJECTED -> handleRejection(nowMicros);
-            default -> throw new IllegalStateException("nothing to do after " + result);
+            default -> throw new IllegalStateException("unexpected result of a change: " + result);
         }
     }
 
@@ -275,8 +274,8 @@
 
     private void logDivergence(ConfigurationVersion machineVersion, long nowMicros) {
         divergenceLog.log(
-                "a control machine holds " + machineVersion + " of another history than "
-                        + activeConfiguration.version() + ", which stays in force",
+                "control machine holds another history machineVersion=" + machineVersion + " activeVersion="
+                        + activeConfiguration.version(),
                 nowMicros);
     }
 
--- a/src/main/java/sandstack/configuration/ConfigurationLimits.java
+++ b/src/main/java/sandstack/configuration/ConfigurationLimits.java
@@ -16,8 +16,16 @@
         int maxConfigurationBytes,
         int entryOverheadBytes) {
     /** What holds where staff state nothing else: 1 MB in all. */
-    public static final ConfigurationLimits DEFAULT =
-            new ConfigurationLimits(256, 64 << 10, 128, 512, 1_000, 128 << 10, 10_000, 1 << 20, 16);
+    public static final ConfigurationLimits DEFAULT = new ConfigurationLimits(
+            256, // maxKeyBytes
+            64 << 10, // maxValueBytes
+            128, // maxAuthorBytes
+            512, // maxReasonBytes
+            1_000, // maxEditsPerChange
+            128 << 10, // maxChangeBytes
+            10_000, // maxEntries
+            1 << 20, // maxConfigurationBytes
+            16); // entryOverheadBytes
 
     /** Refuses bounds that are not positive. */
     public ConfigurationLimits {
@@ -25,7 +33,8 @@
         smallest = Math.min(smallest, Math.min(maxEditsPerChange, maxChangeBytes));
         smallest = Math.min(smallest, Math.min(maxEntries, maxConfigurationBytes));
         if (smallest <= 0 || entryOverheadBytes < 0) {
-            throw new IllegalArgumentException("limits are positive numbers");
+            throw new IllegalArgumentException("the smallest limit is " + smallest + " and entryOverheadBytes is "
+                    + entryOverheadBytes + "; limits are positive, the overhead is not negative");
         }
     }
 }
--- a/src/main/java/sandstack/configuration/ConfigurationMessageCodec.java
+++ b/src/main/java/sandstack/configuration/ConfigurationMessageCodec.java
@@ -69,13 +69,13 @@
             write(begin(out, REPORT, message), report);
         } else if (message instanceof Hello hello) {
             begin(out, HELLO, message).writeInt(hello.formatVersion()).writeText(hello.relay());
-            codec.write(out, hello.activeVersion());
+            hello.activeVersion().writeTo(out);
         } else if (message instanceof RepairRequest request) {
-            codec.write(begin(out, REPAIR_REQUEST, message), request.activeVersion());
+            request.activeVersion().writeTo(begin(out, REPAIR_REQUEST, message));
         } else if (message instanceof SnapshotRequest request) {
             begin(out, SNAPSHOT_REQUEST, message).writeLong(request.minIndex());
         } else if (message instanceof ChunkRequest request) {
-            codec.write(begin(out, CHUNK_REQUEST, message), request.version());
+            request.version().writeTo(begin(out, CHUNK_REQUEST, message));
             out.writeInt(request.offset());
         } else {
             begin(out, GOODBYE, message);
@@ -91,7 +91,7 @@
         } else if (message instanceof SnapshotChunk chunk) {
             write(begin(out, SNAPSHOT_CHUNK, message), chunk);
         } else if (message instanceof SnapshotOffer offer) {
-            codec.write(begin(out, SNAPSHOT_OFFER, message), offer.version());
+            offer.version().writeTo(begin(out, SNAPSHOT_OFFER, message));
             out.writeInt(offer.formatVersion());
         } else if (message instanceof Welcome welcome) {
             write(begin(out, WELCOME, message), welcome.head());
@@ -103,7 +103,8 @@
     /** Decodes one message. */
     public ConfigurationMessage decode(byte[] frame) throws MalformedConfigurationException {
         if (frame.length > maxFrameBytes()) {
-            throw new MalformedConfigurationException(frame.length + " bytes, the most is " + maxFrameBytes());
+            throw new MalformedConfigurationException(
+                    "a frame of " + frame.length + " bytes, the maximum is " + maxFrameBytes());
         }
         BoundedReader in = new BoundedReader(frame);
         byte kind = in.readByte();
@@ -112,18 +113,19 @@
                 switch (kind) {
                     case HELLO -> readHello(in, sessionId);
                     case REPORT -> readReport(in, sessionId);
-                    case REPAIR_REQUEST -> new RepairRequest(sessionId, codec.readVersion(in));
+                    case REPAIR_REQUEST -> new RepairRequest(sessionId, ConfigurationVersion.readFrom(in));
                     case SNAPSHOT_REQUEST -> new SnapshotRequest(sessionId, in.readLong());
-                    case CHUNK_REQUEST -> new ChunkRequest(sessionId, codec.readVersion(in), in.readInt());
+                    case CHUNK_REQUEST -> new ChunkRequest(sessionId, ConfigurationVersion.readFrom(in), in.readInt());
                     case GOODBYE -> new Goodbye(sessionId);
                     case WELCOME -> new Welcome(sessionId, readHead(in));
                     case REJECTED -> new SessionRejected(
                             sessionId, readConstant(SessionRejectionReason.values(), in.readByte()));
                     case HEARTBEAT -> new Heartbeat(sessionId, readHead(in));
                     case DELTAS -> readDeltas(in, sessionId);
-                    case SNAPSHOT_OFFER -> new SnapshotOffer(sessionId, codec.readVersion(in), in.readInt());
+                    case SNAPSHOT_OFFER -> new SnapshotOffer(
+                            sessionId, ConfigurationVersion.readFrom(in), in.readInt());
                     case SNAPSHOT_CHUNK -> readChunk(in, sessionId);
-                    default -> throw new MalformedConfigurationException("a message of kind " + kind);
+                    default -> throw new MalformedConfigurationException("message kind " + kind + " is unknown");
                 };
         in.requireEnd();
         return message;
@@ -134,24 +136,25 @@
     }
 
     private void write(FieldWriter out, ConfigurationHead head) {
-        codec.write(out, head.version());
-        codec.write(out, head.digest());
+        head.version().writeTo(out);
+        head.digest().writeTo(out);
         out.writeBoolean(head.hasQuorum());
     }
 
     private ConfigurationHead readHead(BoundedReader in) throws MalformedConfigurationException {
-        return new ConfigurationHead(codec.readVersion(in), codec.readDigest(in), in.readBoolean());
+        return new ConfigurationHead(
+                ConfigurationVersion.readFrom(in), ConfigurationDigest.readFrom(in), in.readBoolean());
     }
 
     private void write(FieldWriter out, StatusReport report) {
-        codec.write(out, report.activeVersion());
-        codec.write(out, report.digest());
+        report.activeVersion().writeTo(out);
+        report.digest().writeTo(out);
         out.writeByte(report.rejectionReason().map(Enum::ordinal).orElse(NO_REJECTION));
     }
 
     private StatusReport readReport(BoundedReader in, long sessionId) throws MalformedConfigurationException {
-        ConfigurationVersion activeVersion = codec.readVersion(in);
-        ConfigurationDigest digest = codec.readDigest(in);
+        ConfigurationVersion activeVersion = ConfigurationVersion.readFrom(in);
+        ConfigurationDigest digest = ConfigurationDigest.readFrom(in);
         byte rejectionOrdinal = in.readByte();
         return new StatusReport(
                 sessionId,
@@ -165,7 +168,7 @@
     private Hello readHello(BoundedReader in, long sessionId) throws MalformedConfigurationException {
         int formatVersion = in.readInt();
         String relay = in.readText(MAX_RELAY_NAME_BYTES);
-        return new Hello(sessionId, relay, formatVersion, codec.readVersion(in));
+        return new Hello(sessionId, relay, formatVersion, ConfigurationVersion.readFrom(in));
     }
 
     private Deltas readDeltas(BoundedReader in, long sessionId) throws MalformedConfigurationException {
@@ -178,7 +181,7 @@
     }
 
     private void write(FieldWriter out, SnapshotChunk chunk) {
-        codec.write(out, chunk.version());
+        chunk.version().writeTo(out);
         out.writeInt(chunk.formatVersion())
                 .writeInt(chunk.totalBytes())
                 .writeInt(chunk.offset())
@@ -186,7 +189,7 @@
     }
 
     private SnapshotChunk readChunk(BoundedReader in, long sessionId) throws MalformedConfigurationException {
-        ConfigurationVersion version = codec.readVersion(in);
+        ConfigurationVersion version = ConfigurationVersion.readFrom(in);
         int formatVersion = in.readInt();
         int totalBytes = in.readInt();
         int offset = in.readInt();
@@ -195,7 +198,7 @@
 
     private static <T> T readConstant(T[] constants, byte ordinal) throws MalformedConfigurationException {
         if (ordinal < 0 || ordinal >= constants.length) {
-            throw new MalformedConfigurationException("a constant " + ordinal);
+            throw new MalformedConfigurationException("constant " + ordinal + " is not one of " + constants.length);
         }
         return constants[ordinal];
     }
--- a/src/main/java/sandstack/configuration/ConfigurationPublisher.java
+++ b/src/main/java/sandstack/configuration/ConfigurationPublisher.java
@@ -31,7 +31,6 @@
  * <p>One thread. An agreed change and a turn cost O(sessions), a message O(1) beside what it sends.
  */
 public final class ConfigurationPublisher implements CommittedChangeListener {
-    private static final long LOG_INTERVAL_MICROS = 10_000_000;
     /** What a relay lacks is sent again no more often than this. */
     private static final long MIN_REPAIR_INTERVAL_MICROS = 500_000;
 
@@ -66,7 +65,7 @@
         this.recentChanges = new RecentChanges(codec, settings.maxHistoryChanges(), settings.maxHistoryBytes());
         this.admission = new SessionAdmission(settings, nowMicros);
         this.snapshotChunks = new SnapshotChunkSource(settings, codec, recentChanges, nowMicros);
-        this.rejectionLog = new RateLimitedLog(output::log, LOG_INTERVAL_MICROS);
+        this.rejectionLog = new RateLimitedLog(output::log);
     }
 
     /** Whether this machine is in touch with a quorum, as the consensus says; relays see it in heartbeats. */
@@ -235,7 +234,7 @@
     private void reject(String peer, long sessionId, SessionAdmission.Rejection rejection, long nowMicros) {
         output.send(peer, new SessionRejected(sessionId, rejection.reason()));
         closeSession(peer);
-        rejectionLog.log("a relay is turned away: " + rejection.detail(), nowMicros);
+        rejectionLog.log("relay rejected reason=" + rejection.reason() + " detail=" + rejection.detail(), nowMicros);
     }
 
     private void closeSession(String peer) {
--- a/src/main/java/sandstack/configuration/ConfigurationVersion.java
+++ b/src/main/java/sandstack/configuration/ConfigurationVersion.java
@@ -39,6 +39,21 @@
         return index == other.index ? term != other.term : index > other.index ? term < other.term : term > other.term;
     }
 
+    /** Writes the term and the index. */
+    public void writeTo(FieldWriter out) {
+        out.writeLong(term).writeLong(index);
+    }
+
+    /** Reads what {@link #writeTo} wrote; negative numbers are malformed. */
+    public static ConfigurationVersion readFrom(BoundedReader in) throws MalformedConfigurationException {
+        long term = in.readLong();
+        long index = in.readLong();
+        if (term < 0 || index < 0) {
+            throw new MalformedConfigurationException("version " + term + "/" + index + " is negative");
+        }
+        return new ConfigurationVersion(term, index);
+    }
+
     /** By index, then by term. */
     @Override
     public int compareTo(ConfigurationVersion other) {
--- a/src/main/java/sandstack/configuration/FollowerSettings.java
+++ b/src/main/java/sandstack/configuration/FollowerSettings.java
@@ -27,13 +27,13 @@
 
     /** What holds where staff state nothing else. */
     public static final FollowerSettings DEFAULT = new FollowerSettings(
-            6 * SECOND_MICROS,
-            SECOND_MICROS,
-            SECOND_MICROS / 4,
-            4,
-            3 * SECOND_MICROS,
-            10 * SECOND_MICROS,
-            600 * SECOND_MICROS,
-            SECOND_MICROS,
-            2 * SECOND_MICROS);
+            6 * SECOND_MICROS, // silenceTimeoutMicros
+            SECOND_MICROS, // attemptTimeoutMicros
+            SECOND_MICROS / 4, // backoffSlotMicros
+            4, // maxBackoffDoublings
+            3 * SECOND_MICROS, // unsatisfiedGraceMicros
+            10 * SECOND_MICROS, // stableSessionMicros
+            600 * SECOND_MICROS, // failbackSpanMicros
+            SECOND_MICROS, // repairIntervalMicros
+            2 * SECOND_MICROS); // rejectionBackoffMicros
 }
--- a/src/main/java/sandstack/configuration/PublisherSettings.java
+++ b/src/main/java/sandstack/configuration/PublisherSettings.java
@@ -35,17 +35,17 @@
 
     /** What holds where staff state nothing else. */
     public static final PublisherSettings DEFAULT = new PublisherSettings(
-            2_000,
-            2 * SECOND_MICROS,
-            8 * SECOND_MICROS,
-            64,
-            64 << 10,
-            4_096,
-            8 << 20,
-            32 << 10,
-            256,
-            32 << 20,
-            1_000,
-            50,
-            200);
+            2_000, // maxSessions
+            2 * SECOND_MICROS, // heartbeatIntervalMicros
+            8 * SECOND_MICROS, // silenceTimeoutMicros
+            64, // windowChanges
+            64 << 10, // maxBatchBytes
+            4_096, // maxHistoryChanges
+            8 << 20, // maxHistoryBytes
+            32 << 10, // maxChunkBytes
+            256, // maxSnapshotLagChanges
+            32 << 20, // snapshotBytesPerSecond
+            1_000, // hellosPerSecond
+            50, // messagesPerSecond
+            200); // messageBurst
 }
--- a/src/main/java/sandstack/configuration/RateLimitedLog.java
+++ b/src/main/java/sandstack/configuration/RateLimitedLog.java
@@ -2,25 +2,28 @@
 
 import java.util.function.Consumer;
 
-/** Lets one line of a kind through in a while and counts the others. One thread; O(1). */
+/**
+ * Writes at most one line of a kind in an interval and counts the lines that are suppressed; the next line that is
+ * written tells their number. Not thread-safe; a call costs O(1).
+ */
 final class RateLimitedLog {
+    private static final long INTERVAL_MICROS = 10_000_000;
+
     private final Consumer<String> output;
-    private final long intervalMicros;
-    private long lastLoggedMicros;
     private boolean hasLogged;
+    private long lastLoggedMicros;
     private long suppressed;
 
-    RateLimitedLog(Consumer<String> output, long intervalMicros) {
+    RateLimitedLog(Consumer<String> output) {
         this.output = output;
-        this.intervalMicros = intervalMicros;
     }
 
     void log(String text, long nowMicros) {
-        if (hasLogged && nowMicros - lastLoggedMicros < intervalMicros) {
+        if (hasLogged && nowMicros - lastLoggedMicros < INTERVAL_MICROS) {
             suppressed++;
             return;
         }
-        output.accept(suppressed == 0 ? text : text + "; " + suppressed + " like it before");
+        output.accept(suppressed == 0 ? text : text + " suppressed=" + suppressed);
         hasLogged = true;
         lastLoggedMicros = nowMicros;
         suppressed = 0;
--- a/src/main/java/sandstack/configuration/SessionAdmission.java
+++ b/src/main/java/sandstack/configuration/SessionAdmission.java
@@ -36,13 +36,14 @@
      */
     Optional<Rejection> checkHello(TokenBucket messageRate, int sessionCount, long nowMicros) {
         if (!messageRate.tryTake(1, nowMicros)) {
-            return Optional.of(new Rejection(SessionRejectionReason.FLOOD, "one says hello too often"));
+            return Optional.of(new Rejection(SessionRejectionReason.FLOOD, "too many hellos of one peer"));
         }
         if (!helloRate.tryTake(1, nowMicros)) {
-            return Optional.of(new Rejection(SessionRejectionReason.BUSY, "more come at once than are taken"));
+            return Optional.of(new Rejection(SessionRejectionReason.BUSY, "too many hellos of all peers"));
         }
         if (sessionCount >= settings.maxSessions()) {
-            return Optional.of(new Rejection(SessionRejectionReason.FULL, sessionCount + " are served, the most"));
+            return Optional.of(
+                    new Rejection(SessionRejectionReason.FULL, sessionCount + " sessions are open, the maximum"));
         }
         return Optional.empty();
     }
@@ -52,7 +53,8 @@
         if (session.messageRate().tryTake(1, nowMicros)) {
             return Optional.empty();
         }
-        return Optional.of(new Rejection(SessionRejectionReason.FLOOD, session.relayName() + " sends too much"));
+        return Optional.of(
+                new Rejection(SessionRejectionReason.FLOOD, session.relayName() + " sends too many messages"));
     }
 
     /** Whether a message of an unknown session is answered; it is charged to the rate of hellos. */
--- a/src/main/java/sandstack/configuration/SnapshotFetcher.java
+++ b/src/main/java/sandstack/configuration/SnapshotFetcher.java
@@ -49,7 +49,7 @@
             Optional<ChangeRejection> rejection = checkFirstChunk(chunk);
             if (rejection.isPresent()) {
                 download = null;
-                return new Progress.Finished(activeConfiguration.reject(chunk.version(), rejection.get()));
+                return rejected(chunk.version(), rejection.get());
             }
             download = new SnapshotDownload(chunk, nowMicros);
         }
@@ -92,11 +92,16 @@
         try {
             ConfigurationSnapshot snapshot = codec.decodeSnapshot(bytes);
             if (!snapshot.version().equals(version)) {
-                throw new MalformedConfigurationException("a snapshot of " + version + " says " + snapshot.version());
+                String detail = "a snapshot of " + version + " says " + snapshot.version();
+                return rejected(version, new ChangeRejection(ChangeRejection.Reason.MALFORMED, detail));
             }
             return new Progress.Finished(activeConfiguration.replace(snapshot, nowMicros));
         } catch (MalformedConfigurationException e) {
-            return new Progress.Finished(activeConfiguration.reject(version, e.toRejection()));
+            return rejected(version, e.toRejection());
         }
     }
+
+    private Progress.Finished rejected(ConfigurationVersion version, ChangeRejection rejection) {
+        return new Progress.Finished(activeConfiguration.reject(version, rejection));
+    }
 }
--- a/src/main/java/sandstack/configuration/consensus/Checksummed.java
+++ b/src/main/java/sandstack/configuration/consensus/Checksummed.java
@@ -18,7 +18,8 @@
 
     static byte[] unwrap(byte[] wrapped) throws MalformedConfigurationException {
         if (wrapped.length < Integer.BYTES) {
-            throw new MalformedConfigurationException("a value is shorter than its checksum");
+            throw new MalformedConfigurationException(
+                    "a value of " + wrapped.length + " bytes is shorter than its checksum");
         }
         byte[] value = Arrays.copyOfRange(wrapped, Integer.BYTES, wrapped.length);
         if (ByteBuffer.wrap(wrapped).getInt() != checksum(value)) {
--- a/src/main/java/sandstack/configuration/consensus/CommittedProposals.java
+++ b/src/main/java/sandstack/configuration/consensus/CommittedProposals.java
@@ -39,10 +39,10 @@
     /** Writes them in the order in which they were agreed on. */
     void write(FieldWriter out) {
         out.writeInt(versions.size());
-        versions.forEach((key, version) -> out.writeLong(key.high())
-                .writeLong(key.low())
-                .writeLong(version.term())
-                .writeLong(version.index()));
+        versions.forEach((key, version) -> {
+            out.writeLong(key.high()).writeLong(key.low());
+            version.writeTo(out);
+        });
     }
 
     /** Replaces them by those that were written. */
@@ -51,16 +51,7 @@
         versions.clear();
         for (int i = 0; i < count; i++) {
             IdempotencyKey key = new IdempotencyKey(in.readLong(), in.readLong());
-            versions.put(key, readVersion(in));
+            versions.put(key, ConfigurationVersion.readFrom(in));
         }
     }
-
-    private static ConfigurationVersion readVersion(BoundedReader in) throws MalformedConfigurationException {
-        long term = in.readLong();
-        long index = in.readLong();
-        if (term < 0 || index < 0) {
-            throw new MalformedConfigurationException("a version is negative");
-        }
-        return new ConfigurationVersion(term, index);
-    }
 }
--- a/src/main/java/sandstack/configuration/consensus/ConfigurationStateMachine.java
+++ b/src/main/java/sandstack/configuration/consensus/ConfigurationStateMachine.java
@@ -69,7 +69,7 @@
         if (operation instanceof LogOperation.Proposal proposal) {
             return apply(proposal);
         }
-        throw new IllegalArgumentException("the log holds an unknown operation at " + commitIndex);
+        throw new IllegalArgumentException("log entry " + commitIndex + " holds an unknown operation " + operation);
     }
 
     @Override
@@ -95,7 +95,7 @@
         try {
             restoreState(state.toByteArray());
         } catch (MalformedConfigurationException e) {
-            throw new IllegalStateException("the snapshot at " + commitIndex + " is unusable: " + e.getMessage(), e);
+            throw new UnusableSnapshotException(commitIndex, e);
         }
     }
 
--- a/src/main/java/sandstack/configuration/consensus/ControlNodeSettings.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNodeSettings.java
@@ -47,10 +47,13 @@
         /** Refuses times that are not positive, and a timeout that a single late heartbeat would exceed. */
         public Timeouts {
             if (heartbeatPeriod.toSeconds() < 1 || electionTimeout.toMillis() < 1 || proposalTimeout.toMillis() < 1) {
-                throw new IllegalArgumentException("times are positive, the heartbeat period at least 1 s");
+                throw new IllegalArgumentException(
+                        "heartbeatPeriod " + heartbeatPeriod + " is at least 1 s, electionTimeout " + electionTimeout
+                                + " and proposalTimeout " + proposalTimeout + " at least 1 ms");
             }
             if (heartbeatTimeout.compareTo(heartbeatPeriod.multipliedBy(2)) < 0) {
-                throw new IllegalArgumentException("heartbeatTimeout is at least two periods");
+                throw new IllegalArgumentException(
+                        "heartbeatTimeout " + heartbeatTimeout + " is at least two periods of " + heartbeatPeriod);
             }
         }
     }
@@ -61,10 +64,11 @@
         if (bootstrapVoters.size() < MIN_VOTERS
                 || bootstrapVoters.size() > MAX_VOTERS
                 || bootstrapVoters.size() % 2 == 0) {
-            throw new IllegalArgumentException("bootstrapVoters are 3, 5, 7 or 9 control machines");
+            throw new IllegalArgumentException(
+                    "bootstrapVoters are 3, 5, 7 or 9 control machines, not " + bootstrapVoters.size());
         }
         if (bootstrapVoters.stream().distinct().count() != bootstrapVoters.size()) {
-            throw new IllegalArgumentException("bootstrapVoters names a control machine twice");
+            throw new IllegalArgumentException("bootstrapVoters names a control machine twice: " + bootstrapVoters);
         }
         if (maxPendingProposals < APPEND_BATCH_ENTRIES || snapshotIntervalEntries < 1) {
             throw new IllegalArgumentException(
--- a/src/main/java/sandstack/configuration/consensus/MvStoreRaftStore.java
+++ b/src/main/java/sandstack/configuration/consensus/MvStoreRaftStore.java
@@ -185,7 +185,7 @@
                 store.sync();
             }
         } catch (MVStoreException e) {
-            throw new IOException("the disk does not take what Raft has to remember: " + firstLine(e), e);
+            throw new IOException(file + ": Raft's state could not be flushed: " + firstLine(e), e);
         }
     }
 
--- a/src/main/java/sandstack/configuration/consensus/RaftMessageReader.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftMessageReader.java
@@ -184,7 +184,8 @@
     private static int readChunkCount(BoundedReader in) throws MalformedConfigurationException {
         int count = in.readInt();
         if (count < 0 || count > RaftRecordCodec.MAX_SNAPSHOT_CHUNKS) {
-            throw new MalformedConfigurationException("a snapshot of " + count + " chunks");
+            throw new MalformedConfigurationException(
+                    "a snapshot of " + count + " chunks, the maximum is " + RaftRecordCodec.MAX_SNAPSHOT_CHUNKS);
         }
         return count;
     }
--- a/src/main/java/sandstack/configuration/consensus/RaftRecordCodec.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftRecordCodec.java
@@ -129,7 +129,8 @@
         try {
             return new ControlIdentity(identity);
         } catch (IllegalArgumentException e) {
-            throw new MalformedConfigurationException("an identity is malformed");
+            throw new MalformedConfigurationException(
+                    "an identity of " + identity.length() + " characters is malformed");
         }
     }
 
@@ -162,7 +163,7 @@
             writeEndpoint(out, change.getEndpoint());
             out.writeText(change.getMode().name());
         } else {
-            throw new IllegalArgumentException("an operation that cannot be kept: " + operation);
+            throw new IllegalArgumentException("an operation that cannot be stored: " + operation);
         }
     }
 
@@ -193,6 +194,7 @@
                 return mode;
             }
         }
-        throw new MalformedConfigurationException("a change of members has an unknown mode");
+        throw new MalformedConfigurationException(
+                "a membership change has an unknown mode of " + name.length() + " characters");
     }
 }
--- a/src/test/java/sandstack/configuration/CommittedHistory.java
+++ b/src/test/java/sandstack/configuration/CommittedHistory.java
@@ -39,7 +39,12 @@
         return states.get(states.size() - 1);
     }
 
-    ConfigurationHead head(boolean quorum) {
-        return new ConfigurationHead(current().version(), current().digest(), quorum);
+    /** What a machine reports that has all of this history and reaches a quorum. */
+    ConfigurationHead headWithQuorum() {
+        return new ConfigurationHead(current().version(), current().digest(), true);
+    }
+
+    ConfigurationHead headWithoutQuorum() {
+        return new ConfigurationHead(current().version(), current().digest(), false);
     }
 }
--- a/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
@@ -114,13 +114,21 @@
                 .machine();
     }
 
-    /** Runs until a hello is sent and welcomes it. */
-    private void follow(boolean quorum) {
+    private void followMachineWithQuorum() {
+        follow(history.headWithQuorum());
+    }
+
+    private void followMachineWithoutQuorum() {
+        follow(history.headWithoutQuorum());
+    }
+
+    /** Runs until a hello is sent and welcomes it with this head. */
+    private void follow(ConfigurationHead head) {
         int before = output.messages(Hello.class).size();
         while (output.messages(Hello.class).size() == before) {
             run(TICK_MICROS);
         }
-        follower.received(lastContactedMachine(), new Welcome(lastHello().sessionId(), history.head(quorum)), now);
+        follower.received(lastContactedMachine(), new Welcome(lastHello().sessionId(), head), now);
     }
 
     private void receive(ConfigurationMessage.PublisherMessage message) {
@@ -131,8 +139,8 @@
         return lastHello().sessionId();
     }
 
-    private void heartbeat(boolean quorum) {
-        receive(new Heartbeat(session(), history.head(quorum)));
+    private void heartbeatWithQuorum() {
+        receive(new Heartbeat(session(), history.headWithQuorum()));
     }
 
     private void deltas(int from, int to) {
@@ -152,7 +160,7 @@
     @Test
     void changesAreStoredActivatedAndReported() {
         start();
-        follow(true);
+        followMachineWithQuorum();
         history.commitMany(3);
         deltas(0, 3);
         assertThat(follower.activeSnapshot()).isEqualTo(history.current());
@@ -169,7 +177,7 @@
     @Test
     void gapIsRepairedBeforeAnythingIsActivated() {
         start();
-        follow(true);
+        followMachineWithQuorum();
         history.commitMany(3);
         deltas(1, 3);
         assertThat(output.activated).isEmpty();
@@ -181,7 +189,7 @@
     @Test
     void staleChangesAndSnapshotsAreIgnored() {
         start();
-        follow(true);
+        followMachineWithQuorum();
         history.commitMany(3);
         deltas(0, 3);
         deltas(0, 2);
@@ -208,7 +216,7 @@
         // it is behind, so others are asked
         assertThat(lastContactedMachine()).isNotEqualTo(older);
         long again = session();
-        follower.received(lastContactedMachine(), new Welcome(again, history.head(true)), now);
+        follower.received(lastContactedMachine(), new Welcome(again, history.headWithQuorum()), now);
         assertThat(follower.status().machine()).contains(lastContactedMachine());
         assertThat(output.sent).anyMatch(sent -> sent.machine().equals(older) && sent.message() instanceof Goodbye);
     }
@@ -225,7 +233,7 @@
                 machine, new Welcome(session(), new ConfigurationHead(other, ConfigurationDigest.EMPTY, true)), now);
         assertThat(follower.status().machine()).isEmpty();
         assertThat(output.logLines).hasSize(1).allMatch(line -> line.contains("another history"));
-        follow(true);
+        followMachineWithQuorum();
         receive(new Heartbeat(
                 session(), new ConfigurationHead(history.current().version(), ConfigurationDigest.EMPTY, true)));
         assertThat(follower.status().machine()).isEmpty();
@@ -235,7 +243,7 @@
     @Test
     void digestMismatchRequestsASnapshot() {
         start();
-        follow(true);
+        followMachineWithQuorum();
         CommittedChange good = history.commit("a", "1");
         receive(new Deltas(
                 session(), List.of(new CommittedChange(good.version(), good.change(), new ConfigurationDigest(1, 2)))));
@@ -248,19 +256,19 @@
     @Test
     void secondHeartbeatWithALaterVersionRequestsARepair() {
         start();
-        follow(true);
+        followMachineWithQuorum();
         history.commitMany(2);
-        heartbeat(true);
+        heartbeatWithQuorum();
         assertThat(output.messages(RepairRequest.class)).isEmpty();
         run(2 * SECOND_MICROS);
-        heartbeat(true);
+        heartbeatWithQuorum();
         assertThat(output.messages(RepairRequest.class)).hasSize(1);
     }
 
     @Test
     void relayFarBehindFetchesASnapshotInChunks() {
         start();
-        follow(true);
+        followMachineWithQuorum();
         history.commitMany(20);
         receive(new SnapshotOffer(session(), history.current().version(), 1));
         assertThat(output.lastSent().message()).isEqualTo(new SnapshotRequest(session(), 1));
@@ -273,7 +281,7 @@
     @Test
     void lostChunksAreRequestedAgainABoundedNumberOfTimes() {
         start();
-        follow(true);
+        followMachineWithQuorum();
         history.commitMany(20);
         byte[] bytes = codec.encode(history.current());
         receive(new SnapshotChunk(
@@ -289,7 +297,7 @@
     @Test
     void oversizedSnapshotIsRejectedAtItsFirstChunk() {
         start();
-        follow(true);
+        followMachineWithQuorum();
         history.commitMany(1);
         receive(new SnapshotChunk(session(), history.current().version(), 1, 60 << 20, 0, new byte[1_000]));
         assertThat(output.logLines).hasSize(1).allMatch(line -> line.contains("CONFIGURATION_TOO_LARGE"));
@@ -301,7 +309,7 @@
     @Test
     void unknownFormatIsRejectedAndALaterRollbackActivated() {
         start();
-        follow(true);
+        followMachineWithQuorum();
         history.commit("a", "1");
         deltas(0, 1);
         history.commit(2, 1, Map.of("a", "in a new way"));
@@ -311,7 +319,7 @@
         assertThat(follower.activeSnapshot()).isEqualTo(history.states.get(1));
         assertThat(output.logLines).hasSize(1);
         // not asked for again while nothing later is there
-        runWithHeartbeats(history.head(true), 10 * SECOND_MICROS);
+        runWithHeartbeats(history.headWithQuorum(), 10 * SECOND_MICROS);
         assertThat(output.messages(SnapshotRequest.class)).isEmpty();
         history.commit("a", "1");
         deltas(2, 3);
@@ -325,7 +333,7 @@
     void unusableChangeIsNotActivated() {
         check = state -> "bad".equals(state.entries().get("a")) ? Optional.of("a is bad") : Optional.empty();
         start();
-        follow(true);
+        followMachineWithQuorum();
         history.commit("a", "1");
         history.commit("a", "bad");
         deltas(0, 2);
@@ -339,7 +347,7 @@
     void rejectedStatesAreFetchedWithBackoff() {
         check = state -> state.entries().containsKey("bad") ? Optional.of("bad is there") : Optional.empty();
         start();
-        follow(true);
+        followMachineWithQuorum();
         history.commit("bad", "1");
         deltas(0, 1);
         int answered = 0;
@@ -347,7 +355,7 @@
             run(SECOND_MICROS);
             history.commit("other", "" + i);
             deltas(i + 1, i + 2);
-            heartbeat(true);
+            heartbeatWithQuorum();
             if (output.messages(SnapshotRequest.class).size() > answered) {
                 answered = output.messages(SnapshotRequest.class).size();
                 sendSnapshot(history.current(), 10_000);
@@ -366,7 +374,7 @@
         start();
         assertThat(output.activated).isEmpty();
         assertThat(output.logLines).hasSize(1).allMatch(line -> line.contains("does not match its digest"));
-        follow(true);
+        followMachineWithQuorum();
         assertThat(lastHello().activeVersion()).isEqualTo(ConfigurationVersion.NONE);
         deltas(0, 2);
         assertThat(disk.stored).isEqualTo(Disk.found(good));
@@ -375,7 +383,7 @@
     @Test
     void storeFailureDoesNotPreventActivation() {
         start();
-        follow(true);
+        followMachineWithQuorum();
         disk.fails = true;
         history.commitMany(5);
         deltas(0, 5);
@@ -404,7 +412,7 @@
     void silentMachineIsAbandonedAndTheActiveStateStays() {
         history.commitMany(1);
         start();
-        follow(true);
+        followMachineWithQuorum();
         deltas(0, 1);
         String first = follower.status().machine().orElseThrow();
         run(7 * SECOND_MICROS);
@@ -418,7 +426,7 @@
     @Test
     void pauseOfTheRelayKeepsTheSession() {
         start();
-        follow(true);
+        followMachineWithQuorum();
         now += 30 * SECOND_MICROS;
         follower.tick(now);
         assertThat(follower.status().machine()).isPresent();
@@ -428,16 +436,18 @@
     @Test
     void sessionIsKeptWhileNoMachineHasAQuorum() {
         start();
-        follow(false);
+        followMachineWithoutQuorum();
         String first = follower.status().machine().orElseThrow();
         for (int i = 0; i < 60; i++) {
             run(SECOND_MICROS);
             long attempt = session();
             if (!lastContactedMachine().equals(first)) {
-                follower.received(lastContactedMachine(), new Welcome(attempt, history.head(false)), now);
+                follower.received(lastContactedMachine(), new Welcome(attempt, history.headWithoutQuorum()), now);
             }
             follower.received(
-                    first, new Heartbeat(output.messages(Hello.class).get(0).sessionId(), history.head(false)), now);
+                    first,
+                    new Heartbeat(output.messages(Hello.class).get(0).sessionId(), history.headWithoutQuorum()),
+                    now);
         }
         assertThat(follower.status().machine()).contains(first);
         assertThat(output.messages(Hello.class).size()).isBetween(8, 30);
--- a/src/test/java/sandstack/configuration/ConfigurationMessageCodecTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationMessageCodecTest.java
@@ -41,9 +41,9 @@
                 new SnapshotRequest(session, 7),
                 new ChunkRequest(session, version, 9),
                 new Goodbye(session),
-                new Welcome(session, history.head(true)),
+                new Welcome(session, history.headWithQuorum()),
                 new SessionRejected(session, SessionRejectionReason.FLOOD),
-                new Heartbeat(session, history.head(false)),
+                new Heartbeat(session, history.headWithoutQuorum()),
                 new Deltas(session, history.changes),
                 new SnapshotOffer(session, version, 3),
                 new SnapshotChunk(session, version, 1, 100, 50, new byte[] {1, 2, 3}));
@@ -89,7 +89,7 @@
     @Test
     void heartbeatsAndReportsHave42Bytes() {
         CommittedHistory history = new CommittedHistory().commitMany(1);
-        assertThat(codec.encode(new Heartbeat(1, history.head(true)))).hasSize(42);
+        assertThat(codec.encode(new Heartbeat(1, history.headWithQuorum()))).hasSize(42);
         assertThat(codec.encode(all(1).get(1))).hasSize(42);
     }
 }
--- a/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
@@ -61,7 +61,7 @@
     void newSessionGetsMissingChangesAndThenEachChange() {
         commit(3);
         hello("a", 1, history.states.get(1).version(), 0);
-        assertThat(output.messages(Welcome.class)).containsExactly(new Welcome(1, history.head(false)));
+        assertThat(output.messages(Welcome.class)).containsExactly(new Welcome(1, history.headWithoutQuorum()));
         assertThat(output.messages(Deltas.class)).containsExactly(new Deltas(1, history.changes.subList(1, 3)));
         report("a", 1, history.current(), 0);
         publisher.setQuorumReached(true);
@@ -71,7 +71,7 @@
                 .last()
                 .isEqualTo(new Deltas(1, history.changes.subList(3, 4)));
         publisher.tick(2 * SECOND_MICROS);
-        assertThat(output.messages(Heartbeat.class)).containsExactly(new Heartbeat(1, history.head(true)));
+        assertThat(output.messages(Heartbeat.class)).containsExactly(new Heartbeat(1, history.headWithQuorum()));
     }
 
     /** The memory that a slow relay costs is a cursor: nothing is sent beyond the window, nothing is queued. */
@@ -153,7 +153,8 @@
         for (int i = 0; i < 100; i++) {
             report("a", 1, ConfigurationSnapshot.EMPTY, 0);
         }
-        assertThat(output.logLines).containsExactly("a relay is turned away: relay no fault x sends too much");
+        assertThat(output.logLines)
+                .containsExactly("relay rejected reason=FLOOD detail=relay no fault x sends too many messages");
     }
 
     /** One peer's hellos are charged to it: others still get in. */
@@ -230,7 +231,7 @@
     void restoringAnOlderStateIsIgnored() {
         commit(3);
         publisher.restored(history.states.get(2));
-        assertThat(publisher.head()).isEqualTo(history.head(false));
+        assertThat(publisher.head()).isEqualTo(history.headWithoutQuorum());
     }
 
     @Test
--- a/src/test/java/sandstack/configuration/consensus/ConfigurationStateMachineTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ConfigurationStateMachineTest.java
@@ -112,7 +112,7 @@
         state[state.length - 1]++;
         ConfigurationStateMachine other = machine();
         assertThatThrownBy(() -> other.installSnapshot(2, List.of(new StateChunk(state))))
-                .isInstanceOf(IllegalStateException.class)
+                .isInstanceOf(UnusableSnapshotException.class)
                 .hasMessageContaining("do not match their digest");
         assertThat(other.current()).isEqualTo(ConfigurationSnapshot.EMPTY);
     }
