--- a/src/main/java/sandstack/configuration/ActiveConfiguration.java
+++ b/src/main/java/sandstack/configuration/ActiveConfiguration.java
@@ -4,21 +4,21 @@
 import sandstack.configuration.ChangeRejection.Reason;
 
 /**
- * The state in force at a relay. Moves on only by a validated change that follows directly, or a validated later state
- * of the same history; stores before it puts in force. One thread.
+ * The configuration that is active at a relay. It is replaced only by a validated change that directly follows it, or
+ * by a validated later snapshot of the same history; each is stored before it is activated. Not thread-safe.
  */
 final class ActiveConfiguration {
-    /** What became of a change or state. */
+    /** What became of a change or a snapshot. */
     enum ActivationResult {
-        /** It is in force. */
+        /** It is active. */
         ACTIVATED,
-        /** It, or a later one, was in force already. */
+        /** It, or a later version, was active already. */
         STALE,
-        /** Changes between are missing. */
+        /** Changes between the active version and this one are missing. */
         GAP,
-        /** It is not valid here. */
+        /** It is not valid at this relay. */
         REJECTED,
-        /** It leads to another state than the control machines say. */
+        /** It leads to another state than the control machines report. */
         DIGEST_MISMATCH,
         /** It belongs to another history. */
         DIVERGENT
@@ -29,7 +29,7 @@
     private final FollowerOutput output;
     private final RateLimitedLog storeFailureLog;
     private ConfigurationSnapshot current = ConfigurationSnapshot.EMPTY;
-    /** The highest index that was refused; 0 where none was since the last state. */
+    /** The highest index that was rejected since the last activation; 0 where none was. */
     private long rejectedIndex;
 
     private Optional<ChangeRejection> rejection = Optional.empty();
@@ -53,17 +53,17 @@
         return rejection;
     }
 
-    /** No state with this index or a lower one is worth asking for. */
+    /** The highest index that is active or was rejected: only later states are worth fetching. */
     long highestHandledIndex() {
         return Math.max(rejectedIndex, version().index());
     }
 
-    /** Whether a state was refused that is later than the one in force. */
+    /** Whether a state later than the active one was rejected. */
     boolean hasRejectedLaterVersion() {
         return rejectedIndex > version().index();
     }
 
-    /** Takes what was stored, if it is whole and valid. */
+    /** Activates what was stored, if it is complete and valid. Called once, before anything else. */
     void load() {
         ConfigurationStore.Loaded loaded = store.load();
         if (loaded instanceof ConfigurationStore.Loaded.Unreadable unreadable) {
@@ -91,6 +91,7 @@
         output.activated(snapshot);
     }
 
+    /** Stores and activates a change that directly follows the active version. */
     ActivationResult apply(CommittedChange committed, long nowMicros) {
         ConfigurationVersion version = committed.version();
         if (version.divergesFrom(version())) {
@@ -119,6 +120,7 @@
         return ActivationResult.ACTIVATED;
     }
 
+    /** Stores and activates a later snapshot of the same history. */
     ActivationResult replace(ConfigurationSnapshot snapshot, long nowMicros) {
         ConfigurationVersion version = snapshot.version();
         if (version.divergesFrom(version())) {
@@ -136,7 +138,7 @@
         return ActivationResult.ACTIVATED;
     }
 
-    /** A later state was refused: the one in force stays. */
+    /** A later state is not valid here: the active one stays. */
     ActivationResult reject(ConfigurationVersion version, ChangeRejection why) {
         rejectedIndex = Math.max(rejectedIndex, version.index());
         rejection = Optional.of(why);
@@ -148,12 +150,12 @@
         output.log(message + " reason=" + why.reason() + " detail=" + why.detail());
     }
 
-    /** Why a format cannot be read here. */
+    /** Why this relay cannot read a format. */
     Optional<ChangeRejection> validateFormat(int formatVersion) {
         return validator.validateFormat(formatVersion);
     }
 
-    /** Why an encoded state of this size is not fetched. */
+    /** Why an encoded snapshot of this size is not fetched. */
     Optional<ChangeRejection> validateEncodedSize(int bytes, int maxBytes) {
         return bytes <= maxBytes
                 ? Optional.empty()
@@ -168,12 +170,12 @@
         output.activated(next);
     }
 
-    /** Something that the store is to keep. */
+    /** An operation of the store. */
     private interface StoreStep {
         void run() throws ConfigurationStoreException;
     }
 
-    /** A relay whose disk fails goes on with what was agreed, and catches up after its next start. */
+    /** A relay whose disk fails goes on with the committed state, and catches up after its next start. */
     private void store(StoreStep step, long nowMicros) {
         try {
             step.run();
--- a/src/main/java/sandstack/configuration/BoundedReader.java
+++ b/src/main/java/sandstack/configuration/BoundedReader.java
@@ -4,11 +4,14 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 
-/** Reads fields of a frame; allocates nothing before the length is checked against the bound and what is left. */
+/**
+ * Reads the fields of a frame. Nothing is allocated before its length is checked against the bound and against the
+ * bytes that remain. Not thread-safe.
+ */
 public final class BoundedReader {
     private final ByteBuffer buffer;
 
-    /** Reads this frame from its start. */
+    /** Reads this frame from its start; the bytes are not copied. */
     public BoundedReader(byte[] frame) {
         buffer = ByteBuffer.wrap(frame);
     }
@@ -45,7 +48,12 @@
         return buffer.getLong();
     }
 
-    /** A number of things that take at least so many bytes each. */
+    /**
+     * Four bytes: the number of elements that follow.
+     *
+     * @param maxCount the largest number that is accepted
+     * @param minBytesEach the fewest bytes that one element takes
+     */
     public int readCount(int maxCount, int minBytesEach) throws MalformedConfigurationException {
         int count = readInt();
         if (count < 0 || count > maxCount || (long) count * minBytesEach > buffer.remaining()) {
@@ -54,7 +62,7 @@
         return count;
     }
 
-    /** A text of UTF-8 after its length. */
+    /** A length in bytes and a text in UTF-8. */
     public String readText(int maxBytes) throws MalformedConfigurationException {
         byte[] text = readBytes(maxBytes);
         try {
@@ -67,14 +75,14 @@
         }
     }
 
-    /** Bytes after their number. */
+    /** A length and as many bytes. */
     public byte[] readBytes(int maxBytes) throws MalformedConfigurationException {
         byte[] value = new byte[readCount(maxBytes, 1)];
         buffer.get(value);
         return value;
     }
 
-    /** Refuses a frame that goes on. */
+    /** Rejects a frame with bytes after its end. */
     public void requireEnd() throws MalformedConfigurationException {
         if (buffer.hasRemaining()) {
             throw new MalformedConfigurationException(buffer.remaining() + " bytes after the end");
--- a/src/main/java/sandstack/configuration/ChangeRejection.java
+++ b/src/main/java/sandstack/configuration/ChangeRejection.java
@@ -3,16 +3,17 @@
 import java.util.Objects;
 
 /**
- * Why a change or a state was refused.
+ * Why a change or a state was rejected.
  *
- * @param detail for people, one bounded line
+ * @param reason sent to control machines by its ordinal, so that constants are only ever appended
+ * @param detail for operators, one bounded line
  */
 public record ChangeRejection(Reason reason, String detail) {
-    /** What is wrong. */
+    /** What is wrong. Sent by ordinal: append only. */
     public enum Reason {
-        /** It edits nothing. */
+        /** The change has no edit. */
         EMPTY_CHANGE,
-        /** It edits a key twice. */
+        /** The change edits a key twice. */
         DUPLICATE_KEY,
         /** A key is empty or too long. */
         INVALID_KEY,
@@ -20,27 +21,27 @@
         VALUE_TOO_LARGE,
         /** The author is missing, or author or reason is too long. */
         INVALID_AUTHOR,
-        /** It has too many edits or bytes. */
+        /** The change has too many edits or bytes. */
         CHANGE_TOO_LARGE,
-        /** The whole configuration would have too many entries or bytes. */
+        /** The configuration has, or would have, too many entries or bytes. */
         CONFIGURATION_TOO_LARGE,
-        /** It is written in a format that this release does not know. */
+        /** It is written in a format version that this release does not know. */
         UNKNOWN_FORMAT,
-        /** Another change was agreed since the version that it is based on. */
+        /** Another change was committed since the version that it is based on. */
         CONFLICTING_BASE,
         /** Its version or digest belongs to another history. */
         DIVERGENT_HISTORY,
-        /** Its bytes are none of this format. */
+        /** Its bytes are not of this format. */
         MALFORMED,
-        /** The program cannot use the configuration that would result. */
+        /** The program cannot use the resulting configuration. */
         UNUSABLE,
-        /** No quorum of the control machines is reached, so nothing can be agreed. */
+        /** No quorum of the control machines is reached, so nothing can be committed. */
         NO_QUORUM,
-        /** More arrive than are taken. */
+        /** More proposals are pending than are accepted. */
         TOO_MANY
     }
 
-    /** Cuts the detail to one bounded line. */
+    /** Bounds the detail to one line. */
     public ChangeRejection {
         Objects.requireNonNull(reason, "reason");
         detail = LogText.singleLine(detail);
--- a/src/main/java/sandstack/configuration/ChangeValidator.java
+++ b/src/main/java/sandstack/configuration/ChangeValidator.java
@@ -8,8 +8,8 @@
 import sandstack.configuration.ChangeRejection.Reason;
 
 /**
- * Decides whether a change may be agreed on and whether a state may be put in force. The same inputs give the same
- * answer on every machine. Stops at the first thing that is wrong, so a large one costs no more than its bound.
+ * Decides whether a change may be committed and whether a state may be activated. Immutable; the same inputs give the
+ * same answer on every machine. Stops at the first violation, so that a large input costs no more than its bound.
  */
 public final class ChangeValidator {
     private final ConfigurationLimits limits;
@@ -30,7 +30,7 @@
         return limits;
     }
 
-    /** Why the change cannot come next after the current state; empty where it can. */
+    /** Why the change cannot follow the current state; empty where it can. */
     public Optional<ChangeRejection> validate(ConfigurationSnapshot current, ConfigurationChange change) {
         return validateContent(change).or(() -> validateBase(current, change)).or(() -> {
             // the term does not matter to whether the result is valid
@@ -39,21 +39,21 @@
         });
     }
 
-    /** Why a change is refused whatever the current state is. */
+    /** Why a change is rejected whatever the current state is. */
     public Optional<ChangeRejection> validateContent(ConfigurationChange change) {
         return validateFormat(change.formatVersion())
                 .or(() -> validateAuthor(change))
                 .or(() -> validateEdits(change));
     }
 
-    /** Why a whole state is refused. */
+    /** Why a complete state is rejected. */
     public Optional<ChangeRejection> validateSnapshot(ConfigurationSnapshot snapshot) {
         return validateFormat(snapshot.formatVersion())
                 .or(() -> validateSize(snapshot))
                 .or(() -> check.findProblem(snapshot).map(problem -> new ChangeRejection(Reason.UNUSABLE, problem)));
     }
 
-    /** Why something in this format is refused. */
+    /** Why a format version is rejected. */
     Optional<ChangeRejection> validateFormat(int formatVersion) {
         if (formatVersion >= 1 && formatVersion <= ConfigurationChange.FORMAT_VERSION) {
             return Optional.empty();
@@ -157,12 +157,12 @@
         return Optional.empty();
     }
 
-    /** Whether a text has more bytes; one with more characters than that is not read. */
+    /** Whether a text has more bytes in UTF-8; the bytes of one with more characters than that are not counted. */
     private static boolean exceeds(String text, int maxBytes) {
         return text.length() > maxBytes || ConfigurationSize.ofText(text) > maxBytes;
     }
 
-    /** Whether a text survives UTF-8: half a surrogate pair does not. */
+    /** Whether a text can be encoded in UTF-8: an unpaired surrogate cannot. */
     private static boolean isUnicode(String text) {
         return StandardCharsets.UTF_8.newEncoder().canEncode(text);
     }
--- a/src/main/java/sandstack/configuration/ConfigurationChange.java
+++ b/src/main/java/sandstack/configuration/ConfigurationChange.java
@@ -4,11 +4,12 @@
 import java.util.Objects;
 
 /**
- * Edits that take effect together or not at all. A roll-back is a change like another: its edits restore what was.
+ * Edits that take effect together or not at all. A rollback is an ordinary change whose edits restore the earlier
+ * values.
  *
- * @param formatVersion which release of the format a reader has to know, {@link #FORMAT_VERSION} as written here
- * @param baseVersion the version that the author saw; the change is refused where another was agreed since
- * @param author who asks for the change
+ * @param formatVersion the format version that a reader has to know, {@link #FORMAT_VERSION} as written here
+ * @param baseVersion the version that the author saw; the change is rejected where another was committed since
+ * @param author who proposes the change
  * @param reason why, for the operators' log
  */
 public record ConfigurationChange(
@@ -20,7 +21,7 @@
     /** The newest format that this release reads, and the one that it writes. */
     public static final int FORMAT_VERSION = 1;
 
-    /** Keeps a copy of the edits; refuses nulls. */
+    /** Copies the edits; rejects null. */
     public ConfigurationChange {
         Objects.requireNonNull(baseVersion, "baseVersion");
         Objects.requireNonNull(author, "author");
--- a/src/main/java/sandstack/configuration/ConfigurationCheck.java
+++ b/src/main/java/sandstack/configuration/ConfigurationCheck.java
@@ -2,12 +2,14 @@
 
 import java.util.Optional;
 
-/** Whether the program can use a configuration; asked before a change is agreed on and before a state is put in force. */
+/**
+ * Whether the program can use a configuration; evaluated before a change is committed and before a state is activated.
+ */
 @FunctionalInterface
 public interface ConfigurationCheck {
-    /** Takes every state. */
+    /** Accepts every state. */
     ConfigurationCheck NONE = snapshot -> Optional.empty();
 
-    /** What makes this state unusable, as one line that names the key; empty where it can be used. */
+    /** What makes this state unusable, in one line that names the key; empty where it is usable. */
     Optional<String> findProblem(ConfigurationSnapshot snapshot);
 }
--- a/src/main/java/sandstack/configuration/ConfigurationCodec.java
+++ b/src/main/java/sandstack/configuration/ConfigurationCodec.java
@@ -8,9 +8,9 @@
 
 /**
  * The binary form of changes and snapshots, for the consensus log, the network and the disk. Integers are big-endian,
- * texts and byte arrays follow their length. What is read is held to the limits, and nothing is allocated by a length
- * that was not checked. A format version from the future is read where the fields are the same; refusing it is the
- * validator's part, so that the refusal names it.
+ * texts and byte arrays follow their length. Input is bounded by the limits, and nothing is allocated by a length that
+ * was not checked. An unknown format version is decoded where the fields are the same; the validator rejects it, with
+ * its reason. Immutable.
  */
 public final class ConfigurationCodec {
     private static final int PUT = 1;
@@ -18,17 +18,17 @@
     private static final int VERSION_BYTES = 2 * Long.BYTES;
     private static final int MIN_EDIT_BYTES = Byte.BYTES + Integer.BYTES;
     private static final int MIN_ENTRY_BYTES = 2 * Integer.BYTES;
-    /** Lengths and numbers of a change or snapshot beside its texts. */
+    /** Bounds the lengths and numbers of a change or snapshot beside its texts. */
     private static final int MAX_HEADER_BYTES = 256;
 
     private final ConfigurationLimits limits;
 
-    /** Reads no more than these limits allow. */
+    /** Decodes no more than these limits allow. */
     public ConfigurationCodec(ConfigurationLimits limits) {
         this.limits = limits;
     }
 
-    /** The longest encoded change that is read. */
+    /** The longest encoded change that is decoded. */
     public int maxChangeBytes() {
         return limits.maxChangeBytes()
                 + limits.maxEditsPerChange() * (MIN_EDIT_BYTES + Integer.BYTES)
@@ -37,7 +37,7 @@
                 + MAX_HEADER_BYTES;
     }
 
-    /** The longest encoded snapshot that is read. */
+    /** The longest encoded snapshot that is decoded. */
     public int maxSnapshotBytes() {
         return limits.maxConfigurationBytes() + limits.maxEntries() * MIN_ENTRY_BYTES + MAX_HEADER_BYTES;
     }
@@ -58,14 +58,14 @@
         return change;
     }
 
-    /** Encodes an agreed change. */
+    /** Encodes a committed change. */
     public byte[] encode(CommittedChange committed) {
         FieldWriter out = new FieldWriter();
         write(out, committed);
         return out.toBytes();
     }
 
-    /** Decodes an agreed change. */
+    /** Decodes a committed change. */
     public CommittedChange decodeCommittedChange(byte[] bytes) throws MalformedConfigurationException {
         requireAtMost(bytes, maxChangeBytes());
         BoundedReader in = new BoundedReader(bytes);
@@ -74,7 +74,7 @@
         return committed;
     }
 
-    /** Encodes a whole state; equal states give equal bytes. */
+    /** Encodes a snapshot with its entries in the order of their keys; equal states give equal bytes. */
     public byte[] encode(ConfigurationSnapshot snapshot) {
         FieldWriter out = new FieldWriter().writeInt(snapshot.formatVersion());
         snapshot.version().writeTo(out);
@@ -85,7 +85,7 @@
         return out.toBytes();
     }
 
-    /** Decodes a whole state; one whose entries do not match its digest is malformed. */
+    /** Decodes a snapshot; one whose entries do not match its digest is malformed. */
     public ConfigurationSnapshot decodeSnapshot(byte[] bytes) throws MalformedConfigurationException {
         requireAtMost(bytes, maxSnapshotBytes());
         BoundedReader in = new BoundedReader(bytes);
@@ -121,7 +121,7 @@
         return new CommittedChange(version, change, digest);
     }
 
-    /** The fewest bytes of an agreed change, for bounds of counts. */
+    /** The fewest bytes of a committed change, for the bounds of counts. */
     int minCommittedChangeBytes() {
         return 2 * VERSION_BYTES + 2 * Long.BYTES + 4 * Integer.BYTES;
     }
--- a/src/main/java/sandstack/configuration/ConfigurationDigest.java
+++ b/src/main/java/sandstack/configuration/ConfigurationDigest.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * A digest of a set of entries that does not depend on their order and is carried on by the entries that change: two
- * sums modulo 2^64 over halves of each entry's SHA-256. It tells states apart that differ by fault, not by malice:
- * members do not lie.
+ * A digest of a set of entries that does not depend on their order and can be updated by the entries that change: two
+ * sums modulo 2^64 over the halves of each entry's SHA-256. It detects states that differ by a fault; it is no
+ * protection against a forger.
  */
 public record ConfigurationDigest(long high, long low) {
-    /** Of no entry at all. */
+    /** The digest of no entries. */
     public static final ConfigurationDigest EMPTY = new ConfigurationDigest(0, 0);
 
-    /** Of all entries of a map. */
+    /** The digest of all entries of a map. */
     public static ConfigurationDigest of(Map<String, String> entries) {
         ConfigurationDigest digest = EMPTY;
         for (Map.Entry<String, String> entry : entries.entrySet()) {
@@ -24,13 +24,13 @@
         return digest;
     }
 
-    /** With one entry more. */
+    /** The digest with one more entry. */
     public ConfigurationDigest with(String key, String value) {
         ConfigurationDigest entry = ofEntry(key, value);
         return new ConfigurationDigest(high + entry.high, low + entry.low);
     }
 
-    /** With one entry less, which was in it. */
+    /** The digest without an entry that is in it. */
     public ConfigurationDigest without(String key, String value) {
         ConfigurationDigest entry = ofEntry(key, value);
         return new ConfigurationDigest(high - entry.high, low - entry.low);
--- a/src/main/java/sandstack/configuration/ConfigurationEdit.java
+++ b/src/main/java/sandstack/configuration/ConfigurationEdit.java
@@ -2,23 +2,23 @@
 
 import java.util.Objects;
 
-/** One edit of a change: a key gets a value or loses it. */
+/** One edit of a change: sets or removes the value of a key. */
 public sealed interface ConfigurationEdit {
     /** The key that is edited. */
     String key();
 
-    /** The key has this value from then on. */
+    /** Sets the value of a key. */
     record Put(String key, String value) implements ConfigurationEdit {
-        /** Refuses nulls. */
+        /** Rejects null. */
         public Put {
             Objects.requireNonNull(key, "key");
             Objects.requireNonNull(value, "value");
         }
     }
 
-    /** The key has no value from then on; it may have had none. */
+    /** Removes the value of a key, if it has one. */
     record Remove(String key) implements ConfigurationEdit {
-        /** Refuses nulls. */
+        /** Rejects null. */
         public Remove {
             Objects.requireNonNull(key, "key");
         }
--- a/src/main/java/sandstack/configuration/ConfigurationFollower.java
+++ b/src/main/java/sandstack/configuration/ConfigurationFollower.java
@@ -17,16 +17,17 @@
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
 /**
- * A relay's side of the distribution: follows one control machine and puts what it agreed on in force here.
+ * A relay's side of the distribution: follows one control machine and activates what was committed there.
  *
  * <p><b>Failure model.</b> Relays and control machines crash and restart with their disk, without it or with an older
- * one, stop for any time and go on; links lose, delay, reorder and duplicate, and are cut one way or both. Members do
- * not lie. <b>Promised:</b> every state that is put in force was agreed, and within one life, or over a restart with
- * its disk, a later one never gives way to an earlier; what is in force stays while nobody is reached. <b>Not
- * promised:</b> that all relays hold one version at one moment, or that a relay whose disk is older or wiped begins
- * where it was.
+ * one, and pause for any time; links lose, delay, reorder and duplicate messages, and are cut one way or both. Members
+ * do not lie. <b>Guaranteed:</b> every state that is activated was committed, and within one incarnation, or over a
+ * restart with its disk, a later version is never replaced by an earlier one; the active state stays while no machine
+ * is reached. <b>Not guaranteed:</b> that all relays hold one version at one moment, or that a relay whose disk is
+ * older or wiped begins where it was.
  *
- * <p>One thread that no client waits for. A message costs O(1) beside the states it carries, a turn O(1).
+ * <p>Not thread-safe; called on one thread that no client waits for. Moments are microseconds of a monotonic clock. A
+ * message costs O(1) beside the states that it carries, a tick O(1).
  */
 public final class ConfigurationFollower {
     private static final long NOT_LAGGING = -1;
@@ -156,7 +157,9 @@
         }
     }
 
-    /** Tells apart a machine that holds the active state, a later one, or one of another history. */
+    /**
+     * Distinguishes a machine that holds the active state or an earlier one, a later one, or one of another history.
+     */
     private void compareWithHead(ConfigurationHead head, long nowMicros) {
         ConfigurationVersion version = activeConfiguration.version();
         boolean hasOtherDigest = head.version().equals(version)
@@ -239,7 +242,7 @@
         sendReport();
     }
 
-    /** Requests what is missing; past a rejected state only a later snapshot leads on. */
+    /** Requests what is missing; after a rejected state only a later snapshot helps. */
     private void requestMissing(long nowMicros) {
         if (activeConfiguration.hasRejectedLaterVersion()) {
             requestSnapshot(activeConfiguration.highestHandledIndex() + 1, nowMicros);
--- a/src/main/java/sandstack/configuration/ConfigurationHistory.java
+++ b/src/main/java/sandstack/configuration/ConfigurationHistory.java
@@ -3,9 +3,10 @@
 import java.util.Optional;
 
 /**
- * The state machine that the consensus drives on each control machine: committed proposals go in, in the one order of
- * the log, and agreed changes come out to the listener. The same proposals give the same changes on every machine, so a
- * proposal that came too late for its base is refused by all of them alike. One thread.
+ * The replicated state machine of the configuration on each control machine: committed proposals are applied in the
+ * order of the log, and committed changes go to the listener. The outcome depends on nothing but the proposals before
+ * (State Machine Safety, section 5.4 of the Raft paper), so that a proposal whose base is no longer current is rejected
+ * alike on all machines. Not thread-safe.
  */
 public final class ConfigurationHistory {
     /** What became of a committed proposal. */
@@ -32,15 +33,15 @@
         return current;
     }
 
-    /** Why a proposal would be refused if it were committed now; asked before it is put to the others. */
+    /** Why a proposal would be rejected if it were committed now; checked before it is replicated. */
     public Optional<ChangeRejection> validate(ConfigurationChange change) {
         return validator.validate(current, change);
     }
 
     /**
-     * A proposal was committed.
+     * Applies a committed proposal.
      *
-     * @param term of the leader that proposed it, as the proposal itself says, so that all machines see the same
+     * @param term of the leader that proposed it, as the log says, so that all machines see the same
      */
     public Outcome applyCommitted(long term, ConfigurationChange change) {
         Optional<ChangeRejection> rejection = validator.validate(current, change);
@@ -54,7 +55,7 @@
         return new Outcome.Accepted(committed);
     }
 
-    /** The consensus replaces the state by a later one; the same or an earlier one changes nothing. */
+    /** Replaces the state by a snapshot that the consensus installs; the same version or an earlier one is ignored. */
     public void restore(ConfigurationSnapshot snapshot) {
         if (snapshot.version().index() <= current.version().index()) {
             return;
--- a/src/main/java/sandstack/configuration/ConfigurationLimits.java
+++ b/src/main/java/sandstack/configuration/ConfigurationLimits.java
@@ -1,9 +1,9 @@
 package sandstack.configuration;
 
 /**
- * Bounds of what is agreed on and kept, in bytes of UTF-8 where they are sizes.
+ * Bounds of what is committed and stored; sizes are in bytes of UTF-8. All control machines have to use the same.
  *
- * @param entryOverheadBytes counted for each entry beside its key and value
+ * @param entryOverheadBytes counted for each entry in addition to its key and value
  */
 public record ConfigurationLimits(
         int maxKeyBytes,
@@ -15,7 +15,7 @@
         int maxEntries,
         int maxConfigurationBytes,
         int entryOverheadBytes) {
-    /** What holds where staff state nothing else: 1 MB in all. */
+    /** The default limits: 1 MB in all. */
     public static final ConfigurationLimits DEFAULT = new ConfigurationLimits(
             256, // maxKeyBytes
             64 << 10, // maxValueBytes
@@ -27,7 +27,7 @@
             1 << 20, // maxConfigurationBytes
             16); // entryOverheadBytes
 
-    /** Refuses bounds that are not positive. */
+    /** Rejects bounds that are not positive. */
     public ConfigurationLimits {
         int smallest = Math.min(Math.min(maxKeyBytes, maxValueBytes), Math.min(maxAuthorBytes, maxReasonBytes));
         smallest = Math.min(smallest, Math.min(maxEditsPerChange, maxChangeBytes));
--- a/src/main/java/sandstack/configuration/ConfigurationMessage.java
+++ b/src/main/java/sandstack/configuration/ConfigurationMessage.java
@@ -5,9 +5,11 @@
 import java.util.Objects;
 import java.util.Optional;
 
-/** What a relay and a control machine say to each other. Every message names the session that it belongs to. */
+/**
+ * The messages between a relay (follower) and a control machine (publisher). Each names the session that it belongs to.
+ */
 public sealed interface ConfigurationMessage {
-    /** The session, drawn by the relay when it says hello. */
+    /** The session; the relay draws the id at random for each hello. */
     long sessionId();
 
     /** From a relay to a control machine. */
@@ -16,24 +18,33 @@
     /** From a control machine to a relay. */
     sealed interface PublisherMessage extends ConfigurationMessage {}
 
-    /** Asks for a session, from the version in force on. */
+    /**
+     * Requests a session.
+     *
+     * @param formatVersion the newest format version that the relay reads
+     * @param activeVersion the version from which changes are sent
+     */
     record Hello(long sessionId, String relay, int formatVersion, ConfigurationVersion activeVersion)
             implements FollowerMessage {
-        /** Refuses nulls. */
+        /** Rejects null. */
         public Hello {
             Objects.requireNonNull(relay, "relay");
             Objects.requireNonNull(activeVersion, "activeVersion");
         }
     }
 
-    /** Says which version is in force, after each one and at each heartbeat, and why a later one was refused. */
+    /**
+     * Acknowledges the active version, after each activation and at each heartbeat.
+     *
+     * @param rejectionReason why a later version was rejected; empty where none was
+     */
     record StatusReport(
             long sessionId,
             ConfigurationVersion activeVersion,
             ConfigurationDigest digest,
             Optional<ChangeRejection.Reason> rejectionReason)
             implements FollowerMessage {
-        /** Refuses nulls. */
+        /** Rejects null. */
         public StatusReport {
             Objects.requireNonNull(activeVersion, "activeVersion");
             Objects.requireNonNull(digest, "digest");
@@ -41,78 +52,78 @@
         }
     }
 
-    /** Something was lost: asks for all changes after the version in force. */
+    /** Changes were lost: requests all changes after the active version. */
     record RepairRequest(long sessionId, ConfigurationVersion activeVersion) implements FollowerMessage {
-        /** Refuses nulls. */
+        /** Rejects null. */
         public RepairRequest {
             Objects.requireNonNull(activeVersion, "activeVersion");
         }
     }
 
-    /** Changes do not help: asks for the beginning of a snapshot with this index or a later one. */
+    /** Changes cannot help: requests the first chunk of a snapshot with this index or a later one. */
     record SnapshotRequest(long sessionId, long minIndex) implements FollowerMessage {}
 
-    /** Asks for the next part of a snapshot. */
+    /** Requests the chunk of a snapshot that begins at an offset in bytes. */
     record ChunkRequest(long sessionId, ConfigurationVersion version, int offset) implements FollowerMessage {
-        /** Refuses nulls. */
+        /** Rejects null. */
         public ChunkRequest {
             Objects.requireNonNull(version, "version");
         }
     }
 
-    /** Ends the session. */
+    /** Closes the session. */
     record Goodbye(long sessionId) implements FollowerMessage {}
 
-    /** The session stands. */
+    /** Opens the session. */
     record Welcome(long sessionId, ConfigurationHead head) implements PublisherMessage {
-        /** Refuses nulls. */
+        /** Rejects null. */
         public Welcome {
             Objects.requireNonNull(head, "head");
         }
     }
 
-    /** The session does not stand, or no longer. */
+    /** The session is not opened, or is closed. */
     record SessionRejected(long sessionId, SessionRejectionReason reason) implements PublisherMessage {
-        /** Refuses nulls. */
+        /** Rejects null. */
         public SessionRejected {
             Objects.requireNonNull(reason, "reason");
         }
     }
 
-    /** The control machine lives, and what it holds. */
+    /** Shows that the control machine is alive, and what it holds. */
     record Heartbeat(long sessionId, ConfigurationHead head) implements PublisherMessage {
-        /** Refuses nulls. */
+        /** Rejects null. */
         public Heartbeat {
             Objects.requireNonNull(head, "head");
         }
     }
 
-    /** Changes without gaps between them. */
+    /** Consecutive committed changes. */
     record Deltas(long sessionId, List<CommittedChange> changes) implements PublisherMessage {
-        /** Keeps a copy. */
+        /** Copies the changes. */
         public Deltas {
             changes = List.copyOf(changes);
         }
     }
 
-    /** The changes that the relay lacks are no longer kept; it may ask for a snapshot. */
+    /** The changes that the relay lacks are no longer in the history; it may request a snapshot. */
     record SnapshotOffer(long sessionId, ConfigurationVersion version, int formatVersion) implements PublisherMessage {
-        /** Refuses nulls. */
+        /** Rejects null. */
         public SnapshotOffer {
             Objects.requireNonNull(version, "version");
         }
     }
 
     /**
-     * A part of an encoded snapshot.
+     * A chunk of an encoded snapshot.
      *
-     * @param totalBytes of the whole encoded snapshot
-     * @param offset of this part in it
+     * @param totalBytes size of the complete encoded snapshot
+     * @param offset of this chunk in it, in bytes
      */
     record SnapshotChunk(
             long sessionId, ConfigurationVersion version, int formatVersion, int totalBytes, int offset, byte[] bytes)
             implements PublisherMessage {
-        /** Refuses nulls; the bytes are not copied and must not be changed. */
+        /** Rejects null; the bytes are not copied and must not be modified. */
         public SnapshotChunk {
             Objects.requireNonNull(version, "version");
             Objects.requireNonNull(bytes, "bytes");
@@ -135,15 +146,15 @@
         }
     }
 
-    /** Why there is no session. */
+    /** Why there is no session. Sent by ordinal: append only. */
     enum SessionRejectionReason {
-        /** This machine has as many relays as it serves. */
+        /** The machine has as many sessions as it serves. */
         FULL,
-        /** More say hello at once than are taken. */
+        /** More hellos arrive than are admitted. */
         BUSY,
-        /** This machine does not know the session; it may have been restarted. */
+        /** The machine does not know the session; it may have been restarted. */
         UNKNOWN_SESSION,
-        /** The relay sent more than is taken. */
+        /** The relay exceeds its rate of messages. */
         FLOOD
     }
 }
--- a/src/main/java/sandstack/configuration/ConfigurationMessageCodec.java
+++ b/src/main/java/sandstack/configuration/ConfigurationMessageCodec.java
@@ -19,9 +19,12 @@
 import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
-/** The binary form of messages: a kind, the session, and the fields. What is read is bounded; each frame is one message. */
+/**
+ * The binary form of messages: a kind, the session and the fields of the kind. Input is bounded; each frame is one
+ * message. Immutable.
+ */
 public final class ConfigurationMessageCodec {
-    /** The longest name of a relay, in bytes. */
+    /** The longest name of a relay, in bytes of UTF-8. */
     public static final int MAX_RELAY_NAME_BYTES = 128;
 
     private static final byte HELLO = 1;
@@ -36,19 +39,19 @@
     private static final byte DELTAS = 10;
     private static final byte SNAPSHOT_CHUNK = 11;
     private static final byte SNAPSHOT_OFFER = 12;
-    /** Numbers of a message beside changes and parts of snapshots. */
+    /** Bounds the numbers of a message beside its changes or chunk. */
     private static final int MAX_HEADER_BYTES = 64;
-    /** In place of the ordinal of a refusal where there is none. */
+    /** Stands in a report for the ordinal of a reason where there is none. */
     private static final int NO_REJECTION = -1;
 
     private final ConfigurationCodec codec;
 
-    /** Reads changes within the limits of this codec. */
+    /** Decodes changes within the limits of this codec. */
     public ConfigurationMessageCodec(ConfigurationCodec codec) {
         this.codec = codec;
     }
 
-    /** The longest message that is read. */
+    /** The longest frame that is decoded. */
     public int maxFrameBytes() {
         return codec.maxChangeBytes() + MAX_HEADER_BYTES;
     }
--- a/src/main/java/sandstack/configuration/ConfigurationPublisher.java
+++ b/src/main/java/sandstack/configuration/ConfigurationPublisher.java
@@ -21,17 +21,18 @@
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
 /**
- * A control machine's side of the distribution: gives every relay with a session the agreed changes in order.
+ * A control machine's side of the distribution: sends the committed changes in order to every relay with a session.
  *
  * <p><b>Bounded.</b> A session is a cursor into one shared history and a few numbers; nothing is queued for it. A relay
- * that does not report back gets no more than a window of changes; one that is behind the history gets a snapshot in
- * parts that it asks for. Sessions, hellos, messages of one relay and bytes of snapshots have bounds.
- * <b>Promised:</b> what is sent was agreed. <b>Not promised:</b> that it arrives; the relay asks again.
+ * that does not acknowledge gets no more than a window of changes; one that is behind the history gets a snapshot in
+ * chunks that it requests. Sessions, hellos, messages of one relay and bytes of snapshots are limited.
+ * <b>Guaranteed:</b> what is sent was committed. <b>Not guaranteed:</b> that it arrives; the relay requests it again.
  *
- * <p>One thread. An agreed change and a turn cost O(sessions), a message O(1) beside what it sends.
+ * <p>Not thread-safe. Moments are microseconds of a monotonic clock. A committed change and a tick cost O(sessions), a
+ * message O(1) beside what it sends.
  */
 public final class ConfigurationPublisher implements CommittedChangeListener {
-    /** What a relay lacks is sent again no more often than this. */
+    /** Changes are repaired for one relay no more often than this. */
     private static final long MIN_REPAIR_INTERVAL_MICROS = 500_000;
 
     /**
@@ -68,7 +69,7 @@
         this.rejectionLog = new RateLimitedLog(output::log);
     }
 
-    /** Whether this machine is in touch with a quorum, as the consensus says; relays see it in heartbeats. */
+    /** Whether this machine is in touch with a quorum, according to the consensus; heartbeats carry it. */
     public void setQuorumReached(boolean reached) {
         quorumReached = reached;
     }
@@ -91,7 +92,7 @@
         sessions.forEach(this::sendChanges);
     }
 
-    /** A message of a peer arrived. */
+    /** A message of a peer arrived; one that is not admitted closes its session. */
     public void received(String peer, FollowerMessage message, long nowMicros) {
         if (message instanceof Hello hello) {
             openSession(peer, hello, nowMicros);
@@ -200,7 +201,7 @@
         }
     }
 
-    /** Sends the next batch of what the relay lacks, as far as its window of changes in flight has headroom. */
+    /** Sends the next batch of changes, as far as the window of changes in flight has headroom. */
     private void sendChanges(String peer, RelaySession session) {
         long headroom = settings.windowChanges() - session.changesInFlight();
         if (session.sentVersion().index() >= current.version().index() || headroom <= 0) {
--- a/src/main/java/sandstack/configuration/ConfigurationSize.java
+++ b/src/main/java/sandstack/configuration/ConfigurationSize.java
@@ -4,7 +4,7 @@
 final class ConfigurationSize {
     private ConfigurationSize() {}
 
-    /** Bytes of a text; a lone surrogate counts as the one byte that replaces it. */
+    /** The bytes of a text; an unpaired surrogate counts as the one byte that replaces it. */
     static long ofText(String text) {
         return text.codePoints().mapToLong(ConfigurationSize::ofCodePoint).sum();
     }
@@ -22,7 +22,7 @@
         return Character.isSupplementaryCodePoint(codePoint) ? 4 : 3;
     }
 
-    /** Bytes of an entry with what is counted for each. */
+    /** The bytes of an entry, with the overhead that the limits count for each. */
     static long ofEntry(String key, String value, ConfigurationLimits limits) {
         return ofText(key) + ofText(value) + limits.entryOverheadBytes();
     }
--- a/src/main/java/sandstack/configuration/ConfigurationSnapshot.java
+++ b/src/main/java/sandstack/configuration/ConfigurationSnapshot.java
@@ -6,10 +6,11 @@
 import java.util.Objects;
 
 /**
- * The whole configuration at one version. Immutable; applying a change costs O(entries) and digests only what changes.
+ * The complete configuration at one version. Immutable; applying a change costs O(entries) and digests only what
+ * changes.
  */
 public final class ConfigurationSnapshot {
-    /** Before the first change. */
+    /** The state before the first change. */
     public static final ConfigurationSnapshot EMPTY = new ConfigurationSnapshot(
             ConfigurationVersion.NONE, ConfigurationChange.FORMAT_VERSION, Map.of(), ConfigurationDigest.EMPTY);
 
@@ -33,27 +34,27 @@
         return new ConfigurationSnapshot(version, formatVersion, copy, ConfigurationDigest.of(copy));
     }
 
-    /** The version at which the configuration is this. */
+    /** The version of the last change. */
     public ConfigurationVersion version() {
         return version;
     }
 
-    /** The format that the last change was written in; who reads this state has to know it. */
+    /** The format version of the last change; a reader of this state has to know it. */
     public int formatVersion() {
         return formatVersion;
     }
 
-    /** All keys with their values; cannot be changed. */
+    /** All keys with their values; unmodifiable. */
     public Map<String, String> entries() {
         return entries;
     }
 
-    /** Of the entries. */
+    /** The digest of the entries. */
     public ConfigurationDigest digest() {
         return digest;
     }
 
-    /** Whether the entries still are what the digest was made of; reads them all. */
+    /** Whether the entries still match the digest; reads them all. */
     public boolean matchesDigest() {
         return ConfigurationDigest.of(entries).equals(digest);
     }
--- a/src/main/java/sandstack/configuration/ConfigurationStore.java
+++ b/src/main/java/sandstack/configuration/ConfigurationStore.java
@@ -2,17 +2,17 @@
 
 import java.util.Map;
 
-/** Keeps the last good configuration of a relay over a restart. */
+/** Keeps the last active configuration of a relay over a restart. Called on the follower's thread. */
 public interface ConfigurationStore {
     /** What a store holds, not yet verified. */
     sealed interface Loaded {
-        /** Nothing was ever stored. */
+        /** Nothing was stored. */
         record Absent() implements Loaded {}
 
-        /** Something is there and cannot be read. */
+        /** The stored state cannot be read. */
         record Unreadable(String problem) implements Loaded {}
 
-        /** A state as it was stored, with the digest that was stored beside it. */
+        /** A state as it was stored, with the digest that was stored with it. */
         record Found(
                 ConfigurationVersion version,
                 int formatVersion,
@@ -21,20 +21,20 @@
                 implements Loaded {}
     }
 
-    /** Read once, at start. */
+    /** Reads what is stored; called once, at start. */
     Loaded load();
 
     /**
-     * Keeps a change and what it leads to, together or not at all.
+     * Stores a change and the state after it, atomically.
      *
-     * @throws ConfigurationStoreException where it may not be kept
+     * @throws ConfigurationStoreException where it may not have been stored
      */
     void apply(CommittedChange change, ConfigurationSnapshot after) throws ConfigurationStoreException;
 
     /**
-     * Keeps a whole state in place of what was there.
+     * Stores a complete state in place of the stored one.
      *
-     * @throws ConfigurationStoreException where it may not be kept
+     * @throws ConfigurationStoreException where it may not have been stored
      */
     void replace(ConfigurationSnapshot snapshot) throws ConfigurationStoreException;
 }
--- a/src/main/java/sandstack/configuration/ConfigurationStoreException.java
+++ b/src/main/java/sandstack/configuration/ConfigurationStoreException.java
@@ -5,9 +5,10 @@
     private static final long serialVersionUID = 1L;
 
     /**
-     * With what went wrong.
+     * Names what failed.
      *
      * @param message one line
+     * @param cause null where there is none
      */
     public ConfigurationStoreException(String message, Throwable cause) {
         super(message, cause);
--- a/src/main/java/sandstack/configuration/ConfigurationVersion.java
+++ b/src/main/java/sandstack/configuration/ConfigurationVersion.java
@@ -1,25 +1,25 @@
 package sandstack.configuration;
 
 /**
- * A place in the one order of agreed changes. The index rises by one with each agreed change; the term is that of the
- * leader under which it was agreed and never falls along the order. Two versions with one index and different terms
- * belong to different histories and are never exchanged for each other.
+ * A position in the history of committed changes. The index rises by one with each change; the term is that of the
+ * leader under which the change was committed and never falls along the history. Two versions with one index and
+ * different terms belong to different histories (the Log Matching property of Raft, section 5.3 of its paper).
  *
  * @param term of the consensus, 0 before the first change
- * @param index number of changes agreed so far
+ * @param index number of changes committed so far
  */
 public record ConfigurationVersion(long term, long index) implements Comparable<ConfigurationVersion> {
     /** Before the first change. */
     public static final ConfigurationVersion NONE = new ConfigurationVersion(0, 0);
 
-    /** Refuses negative numbers. */
+    /** Rejects negative numbers. */
     public ConfigurationVersion {
         if (term < 0 || index < 0) {
             throw new IllegalArgumentException("negative version " + term + "/" + index);
         }
     }
 
-    /** The version of the change that is agreed next, in this term or a later one. */
+    /** The version of the change that is committed next, in this term or a later one. */
     public ConfigurationVersion next(long commitTerm) {
         return new ConfigurationVersion(Math.max(term, commitTerm), index + 1);
     }
@@ -29,7 +29,7 @@
         return index == other.index + 1 && term >= other.term;
     }
 
-    /** Whether this is later than the other in a history that may hold both. */
+    /** Whether this is later than the other, and one history can hold both. */
     public boolean isAfter(ConfigurationVersion other) {
         return index > other.index && term >= other.term;
     }
@@ -54,7 +54,7 @@
         return new ConfigurationVersion(term, index);
     }
 
-    /** By index, then by term. */
+    /** Orders by index, then by term. */
     @Override
     public int compareTo(ConfigurationVersion other) {
         int byIndex = Long.compare(index, other.index);
--- a/src/main/java/sandstack/configuration/ControlMachine.java
+++ b/src/main/java/sandstack/configuration/ControlMachine.java
@@ -6,20 +6,20 @@
 import sandstack.random.SeededRandom;
 
 /**
- * One of the machines that agree on the configuration.
+ * One of the machines that replicate the configuration.
  *
- * @param name by which its transport reaches it
+ * @param name by which the transport reaches it
  */
 public record ControlMachine(String name, String region) {
-    /** Refuses nulls. */
+    /** Rejects null. */
     public ControlMachine {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(region, "region");
     }
 
     /**
-     * The order in which a relay asks machines: those of its region first, and in each part by rendezvous hashing
-     * (highest random weight), so that relays spread evenly and those of a machine that dies spread over all others.
+     * The order in which a relay tries machines: those of its region first, and within each part by rendezvous hashing
+     * (highest random weight), so that relays spread evenly and those of a failed machine spread over all others.
      */
     static List<ControlMachine> inPreferenceOrder(RelayIdentity relay, List<ControlMachine> machines) {
         return machines.stream()
--- a/src/main/java/sandstack/configuration/ControlSession.java
+++ b/src/main/java/sandstack/configuration/ControlSession.java
@@ -9,12 +9,12 @@
 import sandstack.configuration.ConfigurationMessage.Hello;
 
 /**
- * Which control machine a relay follows. Keeps one session; tries another machine where there is none, where the machine
- * lacks a quorum or is behind, and once in a while where it is not the preferred one (failback). One attempt at a time.
- * One thread; moments are microseconds of the relay's clock.
+ * The session of a relay with the control machine that it follows. Tries another machine where there is no session,
+ * where the machine lacks a quorum or is behind, and from time to time where it is not the preferred one (failback).
+ * One attempt at a time. Not thread-safe; moments are microseconds of the relay's clock.
  */
 final class ControlSession {
-    /** A tick that comes this much later than the one before means that the process was paused. */
+    /** A tick that comes this much after the one before means that the process was paused. */
     private static final long MIN_PAUSE_MICROS = 2_000_000;
 
     private final FollowerSettings settings;
@@ -219,7 +219,9 @@
         return session != null && session.machine().equals(machine);
     }
 
-    /** Draws the next failback over the span, after a quarter of it, so that relays do not come back together. */
+    /**
+     * The next failback is drawn at random over the span, after a quarter of it, so that relays do not return together.
+     */
     private void scheduleFailback(long nowMicros) {
         failbackMicros = nowMicros + settings.failbackSpanMicros() / 4 + random.nextLong(settings.failbackSpanMicros());
     }
--- a/src/main/java/sandstack/configuration/FetchSchedule.java
+++ b/src/main/java/sandstack/configuration/FetchSchedule.java
@@ -1,8 +1,8 @@
 package sandstack.configuration;
 
 /**
- * When a relay may request what it lacks. Two requests of one kind are at least the repair interval apart; after a state
- * was rejected, snapshots wait for a backoff that doubles with each further rejection. One thread.
+ * When a relay may request what it lacks. Two requests of one kind are at least the repair interval apart; after a
+ * rejected state, snapshots wait for a backoff that doubles with each further rejection. Not thread-safe.
  */
 final class FetchSchedule {
     /** Bounds the backoff after rejections; the shift below must not overflow. */
@@ -40,14 +40,14 @@
         return true;
     }
 
-    /** A state was rejected: the next snapshot waits for the backoff. */
+    /** A state was rejected: the next snapshot request waits for the backoff. */
     void rejected(long nowMicros) {
         int doublings = Math.min(consecutiveRejections, MAX_REJECTION_DOUBLINGS);
         consecutiveRejections++;
         nextSnapshotMicros = nowMicros + (rejectionBackoffMicros << doublings);
     }
 
-    /** A later state became active: the backoff begins anew. */
+    /** A later state became active: the backoff is reset. */
     void activated() {
         consecutiveRejections = 0;
     }
--- a/src/main/java/sandstack/configuration/FieldWriter.java
+++ b/src/main/java/sandstack/configuration/FieldWriter.java
@@ -4,7 +4,10 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Writes the fields that {@link BoundedReader} reads. */
+/**
+ * Writes the fields that {@link BoundedReader} reads: integers in big-endian order, texts and byte arrays after their
+ * length. Not thread-safe.
+ */
 public final class FieldWriter {
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
@@ -31,12 +34,12 @@
         return this;
     }
 
-    /** A text as UTF-8 after its length. */
+    /** A length in bytes and a text in UTF-8. */
     public FieldWriter writeText(String text) {
         return writeBytes(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** One byte, the lowest of the value. */
+    /** A length and the bytes. */
     public FieldWriter writeBytes(byte[] value) {
         writeInt(value.length);
         bytes.writeBytes(value);
--- a/src/main/java/sandstack/configuration/FollowerOutput.java
+++ b/src/main/java/sandstack/configuration/FollowerOutput.java
@@ -1,16 +1,16 @@
 package sandstack.configuration;
 
-/** Where a follower's messages, states and lines go. None of these calls may wait or call back. */
+/** The effects of a follower: its messages, activated states and log lines. No call may block or call back. */
 public interface FollowerOutput {
-    /** Sends to a control machine, connecting first where there is no connection. */
+    /** Sends a message to a control machine, connecting first where there is no connection. */
     void send(String machine, ConfigurationMessage.FollowerMessage message);
 
-    /** Hangs up on a control machine, after what was sent. */
+    /** Closes the connection with a control machine after what was sent. */
     void close(String machine);
 
-    /** This state is in force from now on; it is stored already. */
+    /** This state is active from now on; the store was called before, and may have failed. */
     void activated(ConfigurationSnapshot snapshot);
 
-    /** One line for the log. */
+    /** Writes one line to the log. */
     void log(String text);
 }
--- a/src/main/java/sandstack/configuration/FollowerSettings.java
+++ b/src/main/java/sandstack/configuration/FollowerSettings.java
@@ -1,17 +1,17 @@
 package sandstack.configuration;
 
 /**
- * How a relay follows the configuration. Durations are in microseconds.
+ * How a relay follows the configuration.
  *
- * @param silenceTimeoutMicros after which a control machine that says nothing is given up
- * @param attemptTimeoutMicros for the answer to a hello
- * @param backoffSlotMicros of the back-off between attempts
+ * @param silenceTimeoutMicros after which a silent control machine is abandoned
+ * @param attemptTimeoutMicros for the reply to a hello
+ * @param backoffSlotMicros slot of the backoff between attempts
  * @param maxBackoffDoublings of the slot
- * @param unsatisfiedGraceMicros for which a machine may lack a quorum before others are asked
- * @param stableSessionMicros after which a session clears the back-off
+ * @param unsatisfiedGraceMicros for which a machine may lack a quorum or be behind before others are tried
+ * @param stableSessionMicros after which a session resets the backoff
  * @param failbackSpanMicros over which the return to the preferred machine is drawn
  * @param repairIntervalMicros between two requests for what is missing
- * @param rejectionBackoffMicros before a state is fetched again after one was refused; doubles with each refusal
+ * @param rejectionBackoffMicros before a snapshot is fetched after a rejection; doubles with each further one
  */
 public record FollowerSettings(
         long silenceTimeoutMicros,
@@ -25,7 +25,7 @@
         long rejectionBackoffMicros) {
     private static final long SECOND_MICROS = 1_000_000;
 
-    /** What holds where staff state nothing else. */
+    /** The default settings. */
     public static final FollowerSettings DEFAULT = new FollowerSettings(
             6 * SECOND_MICROS, // silenceTimeoutMicros
             SECOND_MICROS, // attemptTimeoutMicros
--- a/src/main/java/sandstack/configuration/LogText.java
+++ b/src/main/java/sandstack/configuration/LogText.java
@@ -1,6 +1,6 @@
 package sandstack.configuration;
 
-/** Makes what came from elsewhere fit for one bounded line of a log. */
+/** Makes foreign text safe for the log: one line of bounded length, so that it cannot forge another. */
 final class LogText {
     private static final int MAX_CHARACTERS = 200;
 
--- a/src/main/java/sandstack/configuration/MachineSelection.java
+++ b/src/main/java/sandstack/configuration/MachineSelection.java
@@ -4,7 +4,7 @@
 final class MachineSelection {
     private MachineSelection() {}
 
-    /** Whether a relay can stay with a machine: it has a quorum and is not behind what is active at the relay. */
+    /** Whether a relay may stay with a machine: it has a quorum and is not behind the active version of the relay. */
     static boolean isSatisfactory(ConfigurationHead head, ConfigurationVersion activeVersion) {
         return head.hasQuorum() && head.version().index() >= activeVersion.index();
     }
--- a/src/main/java/sandstack/configuration/MalformedConfigurationException.java
+++ b/src/main/java/sandstack/configuration/MalformedConfigurationException.java
@@ -5,7 +5,7 @@
     private static final long serialVersionUID = 1L;
 
     /**
-     * With what is wrong.
+     * Names what is malformed.
      *
      * @param message one line, without the bytes themselves
      */
@@ -13,7 +13,7 @@
         super(message);
     }
 
-    /** As a refusal. */
+    /** As a rejection with the reason {@code MALFORMED}. */
     public ChangeRejection toRejection() {
         return new ChangeRejection(ChangeRejection.Reason.MALFORMED, getMessage());
     }
--- a/src/main/java/sandstack/configuration/PublisherOutput.java
+++ b/src/main/java/sandstack/configuration/PublisherOutput.java
@@ -1,13 +1,15 @@
 package sandstack.configuration;
 
-/** Where a publisher's messages and lines go. None of these calls may wait or call back. */
+/** The effects of a publisher: its messages and log lines. No call may block or call back. */
 public interface PublisherOutput {
-    /** Sends to a peer; false where the transport takes nothing more for it now, and then nothing of it was sent. */
+    /**
+     * Sends a message to a peer; false where the transport takes nothing more for it now, and then nothing was sent.
+     */
     boolean send(String peer, ConfigurationMessage.PublisherMessage message);
 
-    /** Hangs up on a peer, after what was sent. */
+    /** Closes the connection with a peer after what was sent. */
     void close(String peer);
 
-    /** One line for the log. */
+    /** Writes one line to the log. */
     void log(String text);
 }
--- a/src/main/java/sandstack/configuration/PublisherSettings.java
+++ b/src/main/java/sandstack/configuration/PublisherSettings.java
@@ -1,19 +1,19 @@
 package sandstack.configuration;
 
 /**
- * How a control machine serves relays. Durations are in microseconds.
+ * How a control machine serves relays.
  *
  * @param maxSessions relays that are served at once
  * @param heartbeatIntervalMicros between two heartbeats of a session
- * @param silenceTimeoutMicros after which a relay that says nothing is given up
- * @param windowChanges changes that may be under way to a relay
- * @param maxBatchBytes of changes in one message, where there is more than one
- * @param maxHistoryChanges kept for relays that are behind
- * @param maxHistoryBytes the same in bytes
- * @param maxChunkBytes of a snapshot in one message
- * @param maxSnapshotLagChanges changes after which the kept encoded snapshot is made anew
+ * @param silenceTimeoutMicros after which the session of a silent relay is closed
+ * @param windowChanges changes that may be in flight to one relay
+ * @param maxBatchBytes of changes in one message with more than one
+ * @param maxHistoryChanges changes in the history for relays that are behind
+ * @param maxHistoryBytes encoded bytes in that history
+ * @param maxChunkBytes bytes of a snapshot in one message
+ * @param maxSnapshotLagChanges changes after which the cached encoded snapshot is renewed
  * @param snapshotBytesPerSecond of snapshots to all relays together
- * @param hellosPerSecond that are answered with a session
+ * @param hellosPerSecond of all relays together that are admitted
  * @param messagesPerSecond that one relay may send on average
  * @param messageBurst that one relay may send at once
  */
@@ -33,7 +33,7 @@
         int messageBurst) {
     private static final long SECOND_MICROS = 1_000_000;
 
-    /** What holds where staff state nothing else. */
+    /** The default settings. */
     public static final PublisherSettings DEFAULT = new PublisherSettings(
             2_000, // maxSessions
             2 * SECOND_MICROS, // heartbeatIntervalMicros
--- a/src/main/java/sandstack/configuration/RecentChanges.java
+++ b/src/main/java/sandstack/configuration/RecentChanges.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The latest agreed changes, bounded by number and bytes, without a gap. One thread. */
+/** The latest committed changes without a gap, bounded by number and encoded bytes. Not thread-safe. */
 final class RecentChanges {
     /** A change with the size of its encoded form. */
     private record Entry(CommittedChange change, int bytes) {}
@@ -22,7 +22,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** The next change; forgets the oldest where there are too many. */
+    /** Adds the next change and drops the oldest ones beyond the bounds; one that does not follow starts anew. */
     void add(CommittedChange change) {
         if (!byIndex.isEmpty()
                 && !change.change()
@@ -43,13 +43,15 @@
         bytes = 0;
     }
 
-    /** Whether all changes after a version are here. */
+    /** Whether the change directly after a version is here, and so all later ones. */
     boolean continuesFrom(ConfigurationVersion version) {
         Entry next = byIndex.get(version.index() + 1);
         return next != null && next.change().change().baseVersion().equals(version);
     }
 
-    /** The changes after a version, at least one and no more than so many bytes; empty where they are not here. */
+    /**
+     * The changes after a version, at least one and within both bounds beyond the first; empty where they are not here.
+     */
     Optional<List<CommittedChange>> changesAfter(ConfigurationVersion version, int maxCount, int maxBatchBytes) {
         if (!continuesFrom(version)) {
             return Optional.empty();
--- a/src/main/java/sandstack/configuration/ReconnectBackoff.java
+++ b/src/main/java/sandstack/configuration/ReconnectBackoff.java
@@ -3,9 +3,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a relay next asks a control machine. With each failure the number n rises by one, and the attempt is drawn over
- * the whole next interval of 2^n slots, which begins where the current one ends: relays that lost a machine together
- * come back at a falling rate. One thread.
+ * When a relay next tries a control machine. Each failure raises the exponent n, and the attempt is drawn over the
+ * complete next interval of 2^n slots, which begins where the current one ends: relays that lost a machine together
+ * return at a falling rate. Not thread-safe.
  */
 final class ReconnectBackoff {
     private final long slotMicros;
@@ -32,12 +32,12 @@
         return randomAttemptMicros(nowMicros);
     }
 
-    /** A wait over the widest interval, where there is no hurry. */
+    /** A delay over the widest interval, for attempts that are not urgent. */
     long randomMaxDelayMicros() {
         return random.nextLong(slotMicros << maxExponent);
     }
 
-    /** A session stayed up. */
+    /** A session was stable: the next failure begins with the smallest interval. */
     void reset() {
         exponent = 0;
     }
--- a/src/main/java/sandstack/configuration/RelayIdentity.java
+++ b/src/main/java/sandstack/configuration/RelayIdentity.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /**
- * Who a relay is to the control machines.
+ * The identity of a relay towards the control machines.
  *
  * @param name unique in the fleet
- * @param region that it is in; its control machines are asked first
+ * @param region in which it runs; the control machines of the region are preferred
  */
 public record RelayIdentity(String name, String region) {
-    /** Refuses nulls. */
+    /** Rejects null. */
     public RelayIdentity {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(region, "region");
--- a/src/main/java/sandstack/configuration/SnapshotDownload.java
+++ b/src/main/java/sandstack/configuration/SnapshotDownload.java
@@ -3,9 +3,12 @@
 import java.io.ByteArrayOutputStream;
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 
-/** Parts of one encoded snapshot, in order. Bounded by the size that was accepted with the first part. One thread. */
+/**
+ * The chunks of one encoded snapshot, in order. Bounded by the size that was accepted with the first chunk. Not
+ * thread-safe.
+ */
 final class SnapshotDownload {
-    /** Times that the next part is asked for again before the download is given up. */
+    /** Requests for the same chunk before the download is abandoned. */
     private static final int MAX_RETRIES = 8;
 
     private final ConfigurationVersion version;
@@ -28,7 +31,7 @@
         return received.size();
     }
 
-    /** Whether the part is the next one and was taken. */
+    /** Takes the chunk if it is the next one; whether it was. */
     boolean accept(SnapshotChunk chunk, long nowMicros) {
         boolean isNext = chunk.version().equals(version)
                 && chunk.totalBytes() == totalBytes
@@ -51,7 +54,7 @@
         return received.toByteArray();
     }
 
-    /** Whether the next part is to be asked for again now. */
+    /** Whether the next chunk is to be requested again now; this counts as a retry. */
     boolean retryIsDue(long nowMicros, long retryTimeoutMicros) {
         if (nowMicros - waitingSinceMicros < retryTimeoutMicros) {
             return false;
@@ -61,6 +64,7 @@
         return true;
     }
 
+    /** Whether the same chunk was requested too often. */
     boolean isExhausted() {
         return retries > MAX_RETRIES;
     }
--- a/src/main/java/sandstack/configuration/TokenBucket.java
+++ b/src/main/java/sandstack/configuration/TokenBucket.java
@@ -1,6 +1,6 @@
 package sandstack.configuration;
 
-/** Allows so much a second on average and a burst at once. One thread; O(1). */
+/** Limits a rate to so many tokens a second with a burst of its capacity. Not thread-safe; O(1). */
 final class TokenBucket {
     private static final double MICROS_PER_SECOND = 1_000_000;
 
@@ -16,7 +16,7 @@
         this.refilledMicros = nowMicros;
     }
 
-    /** Takes so much where it is there; more than a burst is taken from a full bucket, and pays later. */
+    /** Takes tokens where there are enough. More than the capacity is taken from a full bucket and leaves a debt. */
     boolean tryTake(double amount, long nowMicros) {
         tokens = Math.min(
                 capacity, tokens + Math.max(0, nowMicros - refilledMicros) / MICROS_PER_SECOND * tokensPerSecond);
