--- a/src/main/java/sandstack/configuration/consensus/Checksummed.java
+++ b/src/main/java/sandstack/configuration/consensus/Checksummed.java
@@ -5,7 +5,7 @@
 import java.util.zip.CRC32C;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** A value with its checksum before it, as the store's own covers its pages' heads only. */
+/** A stored value after its CRC-32C, as the store's own checksums cover the headers of its pages only. */
 final class Checksummed {
     private Checksummed() {}
 
--- a/src/main/java/sandstack/configuration/consensus/CommittedProposals.java
+++ b/src/main/java/sandstack/configuration/consensus/CommittedProposals.java
@@ -10,8 +10,9 @@
 import sandstack.configuration.MalformedConfigurationException;
 
 /**
- * The last proposals that were agreed on, by id, so that an attempt repeated is answered with the version of the first.
- * The oldest are forgotten; a repetition of such a one is refused, as its base is no longer current.
+ * The latest committed proposals by idempotency key, so that a retry is answered with the version of the first attempt.
+ * The oldest are dropped; a retry of such a one is rejected, as its base is no longer current. Part of the replicated
+ * state: the same on every machine. Not thread-safe.
  */
 final class CommittedProposals {
     private static final int ENCODED_PROPOSAL_BYTES = 4 * Long.BYTES;
@@ -36,7 +37,7 @@
         }
     }
 
-    /** Writes them in the order in which they were agreed on. */
+    /** Writes them in the order in which they were committed. */
     void write(FieldWriter out) {
         out.writeInt(versions.size());
         versions.forEach((key, version) -> {
--- a/src/main/java/sandstack/configuration/consensus/ConfigurationStateMachine.java
+++ b/src/main/java/sandstack/configuration/consensus/ConfigurationStateMachine.java
@@ -20,14 +20,14 @@
 import sandstack.configuration.MalformedConfigurationException;
 
 /**
- * Applies committed log entries to the configuration, alike on every control machine: the outcome depends on nothing but
- * the entries before and the limits, which all machines have to share. A proposal that does not validate changes nothing.
- * Called on the Raft node's thread only.
+ * Applies committed log entries to the configuration. The outcome depends on nothing but the entries before and the
+ * limits, which all machines have to share (State Machine Safety, section 5.4.3 of the Raft paper). An invalid proposal
+ * changes nothing. Called on the Raft node's thread only.
  */
 class ConfigurationStateMachine implements StateMachine {
     /** Proposals whose outcome is remembered: some hours at 3,700 changes a day. */
     static final int MAX_REMEMBERED_PROPOSALS = 1_024;
-    /** The longest part of a snapshot, so that one message stays small. */
+    /** The longest chunk of a snapshot, so that one message stays small. */
     static final int MAX_CHUNK_BYTES = 64 << 10;
 
     private static final int STATE_FORMAT_VERSION = 1;
@@ -41,8 +41,8 @@
     /**
      * Begins before the first change.
      *
-     * @param leaderTerm the Raft node's term, read where this machine becomes leader
-     * @param listener is told each agreed change in order, once in the life of this object
+     * @param leaderTerm the term of the Raft node, read when this machine becomes leader
+     * @param listener receives each committed change in order, once in the life of this object
      */
     ConfigurationStateMachine(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
         this.codec = new ConfigurationCodec(validator.limits());
@@ -55,7 +55,7 @@
         return history.current();
     }
 
-    /** At which version a proposal was agreed on, as far as this machine has applied the log and remembers. */
+    /** The version at which a proposal was committed, as far as this machine has applied the log and remembers. */
     Optional<ConfigurationVersion> committedVersionOf(IdempotencyKey key) {
         return committedProposals.committedVersionOf(key);
     }
--- a/src/main/java/sandstack/configuration/consensus/ControlIdentity.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlIdentity.java
@@ -3,8 +3,9 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * The identity under which a machine votes. It belongs to one disk: a machine whose disk was replaced, wiped or set back
- * gets a new identity, as it could vote twice or forget what it has acknowledged under the old one.
+ * The identity under which a machine votes. It belongs to one disk: a machine whose disk was replaced, wiped or rolled
+ * back needs a new identity, as under the old one it could vote twice in a term or forget what it acknowledged (Raft
+ * requires term, vote and log to be persistent, figure 2 of its paper).
  */
 public record ControlIdentity(String identity) implements RaftEndpoint {
     /** The longest identity. */
@@ -12,7 +13,10 @@
 
     private static final String ALLOWED_PATTERN = "[A-Za-z0-9._-]{1," + MAX_CHARACTERS + "}";
 
-    /** Refuses an identity that is empty, too long or has other characters than letters, digits, dot, dash, underscore. */
+    /**
+     * Rejects an identity that is empty, too long or has other characters than letters, digits, dot, dash and
+     * underscore.
+     */
     public ControlIdentity {
         if (!identity.matches(ALLOWED_PATTERN)) {
             throw new IllegalArgumentException(
--- a/src/main/java/sandstack/configuration/consensus/ControlNode.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNode.java
@@ -24,11 +24,11 @@
 import sandstack.configuration.ConfigurationVersion;
 
 /**
- * One control machine's part in the agreement: takes proposals where it leads, and tells its listener what was agreed.
- * All methods may be called on any thread; stages complete on the executor's.
+ * One control machine's part in the consensus: replicates proposals where it leads, and reports to its listener what
+ * was committed. All methods may be called on any thread; stages complete on the executor's.
  */
 public final class ControlNode {
-    /** Makes the state machine, given where the node's term is read. */
+    /** Makes the state machine, given how the term of the Raft node is read. */
     @FunctionalInterface
     interface StateMachineFactory {
         ConfigurationStateMachine create(LongSupplier leaderTerm);
@@ -44,7 +44,7 @@
     /**
      * Builds the node; it takes part from {@link #start} on.
      *
-     * @throws IOException where the store cannot be read or is refused
+     * @throws IOException where the store cannot be read or is rejected
      */
     public static ControlNode create(
             ControlNodeSettings settings,
@@ -73,12 +73,12 @@
         this.raftNode = new RestartableRaftNode(settings, environment, stateMachine);
     }
 
-    /** Begins to take part. */
+    /** Starts to take part: to vote, to follow or to lead. */
     public CompletionStage<Void> start() {
         return raftNode.current().start().thenApply(ignored -> null);
     }
 
-    /** Takes part no longer; proposals that are out become indeterminate. */
+    /** Stops taking part; pending proposals become indeterminate. */
     public CompletionStage<Void> stop() {
         return raftNode.current().terminate().thenApply(ignored -> null);
     }
@@ -89,8 +89,10 @@
     }
 
     /**
-     * Asks for a change. Answered at once where this machine cannot have it agreed on, and in any case within the
+     * Proposes a change. Completes at once where this machine cannot have it committed, and in any case within the
      * proposal timeout, as long as the executor runs.
+     *
+     * @param key the same for each attempt of the same change
      */
     public CompletionStage<ProposalOutcome> propose(IdempotencyKey key, ConfigurationChange change) {
         Optional<ChangeRejection> rejection = validator.validateContent(change);
@@ -110,30 +112,35 @@
                 .exceptionally(failure -> outcomeOfFailure(key, failure));
     }
 
-    /** The version at which a change was agreed on, as far as this machine has applied the log and remembers. */
+    /** The version at which a change was committed, as far as this machine has applied the log and remembers. */
     public CompletionStage<Optional<ConfigurationVersion>> committedVersionOf(IdempotencyKey key) {
         CompletableFuture<Optional<ConfigurationVersion>> version = new CompletableFuture<>();
         environment.executor().submit(() -> version.complete(stateMachine.committedVersionOf(key)));
         return version;
     }
 
-    /** Whom this machine believes to lead. */
+    /** The leader that this machine knows of. */
     public Optional<ControlIdentity> leader() {
         return Optional.ofNullable(
                 (ControlIdentity) raftNode.current().getTerm().getLeaderEndpoint());
     }
 
-    /** The term that this machine is in. */
+    /** The current term of this machine. */
     public long currentTerm() {
         return raftNode.current().getTerm().getTerm();
     }
 
-    /** The members that are agreed on. */
+    /** The committed members of the group. */
     public RaftGroupMembers members() {
         return raftNode.current().getCommittedMembers();
     }
 
-    /** Has a machine admitted, promoted or removed; asked of the leader with the index of the members that it saw. */
+    /**
+     * Admits, promotes or removes a machine; only the leader can. One change at a time (section 4.1 of the Raft
+     * dissertation).
+     *
+     * @param membersLogIndex index of the members that the caller saw; the change is rejected where they changed since
+     */
     public CompletionStage<RaftGroupMembers> changeMembership(
             ControlIdentity machine, MembershipChangeMode mode, long membersLogIndex) {
         return raftNode.current()
@@ -141,7 +148,7 @@
                 .thenApply(ordered -> ordered.getResult());
     }
 
-    /** What the library tells of the node, for the operators' figures. */
+    /** The library's report of the node, for monitoring. */
     public CompletionStage<RaftNodeReport> report() {
         return raftNode.current().getReport().thenApply(ordered -> ordered.getResult());
     }
@@ -161,7 +168,7 @@
                 : Optional.of(new ProposalOutcome.NotLeader(leader.get()));
     }
 
-    /** A leader that misses two heartbeats of a quorum puts nothing more to the others, before it is given up. */
+    /** A leader that misses two heartbeats of a quorum replicates nothing more, before it steps down. */
     private boolean hasRecentQuorumHeartbeat(RaftNodeReport report) {
         if (report.getRole() != RaftRole.LEADER) {
             return false;
@@ -200,7 +207,7 @@
         if (cause instanceof CannotReplicateException) {
             return new ProposalOutcome.Rejected(new ChangeRejection(
                     ChangeRejection.Reason.TOO_MANY,
-                    "more than " + settings.maxPendingProposals() + " proposals are out, or the members change"));
+                    "more than " + settings.maxPendingProposals() + " proposals are pending, or a membership change is in progress"));
         }
         return new ProposalOutcome.Indeterminate(key);
     }
--- a/src/main/java/sandstack/configuration/consensus/ControlNodeEnvironment.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNodeEnvironment.java
@@ -6,10 +6,12 @@
 import java.util.Random;
 
 /**
- * What a control node uses of the world around it.
+ * The dependencies of a control node.
  *
  * @param executor runs the node's tasks one at a time
- * @param store what this machine remembered before, or a new one
+ * @param store what this machine persisted before, or a new one
+ * @param clock for timeouts only; what is committed never depends on it
+ * @param random for the election timeouts and the jitter of timers
  */
 public record ControlNodeEnvironment(
         RaftNodeExecutor executor, Transport transport, EncodedRaftStore store, Clock clock, Random random) {}
--- a/src/main/java/sandstack/configuration/consensus/ControlNodeSettings.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNodeSettings.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * One control machine's part in the agreement; group, voters and times are the same on all machines.
+ * The settings of one control machine; group, voters and timeouts are the same on all machines.
  *
  * @param group names the group, so that machines of two installations never vote for each other
  * @param self this machine's identity, of its disk
- * @param bootstrapVoters who voted when the group was founded; read only where the disk is new
- * @param timeouts how fast a leader is missed
- * @param maxPendingProposals more than this are refused until some are agreed on
- * @param snapshotIntervalEntries log entries after which the log is replaced by a snapshot
+ * @param bootstrapVoters the voters when the group was founded; read only where the disk is new
+ * @param timeouts of elections, heartbeats and proposals
+ * @param maxPendingProposals further ones are rejected until some are committed
+ * @param snapshotIntervalEntries log entries after which the log is compacted into a snapshot
  */
 public record ControlNodeSettings(
         String group,
@@ -21,30 +21,34 @@
         Timeouts timeouts,
         int maxPendingProposals,
         int snapshotIntervalEntries) {
-    /** The fewest and the most machines that vote. */
+    /** The fewest voters that survive the loss of one. */
     static final int MIN_VOTERS = 3;
 
+    /** More voters make each commit slower and hardly safer. */
     static final int MAX_VOTERS = 9;
-    /** Entries in one message to a follower; each is a change of bounded size. */
+    /** Entries in one AppendEntries message; each is a change of bounded size. */
     static final int APPEND_BATCH_ENTRIES = 16;
     /** MicroRaft 0.7 sends up to one entry more than its batch size. */
     static final int MAX_ENTRIES_PER_MESSAGE = APPEND_BATCH_ENTRIES + 1;
 
     /**
-     * How fast a leader is missed and a proposal given up.
+     * How fast a leader is given up, and a proposal.
      *
-     * @param heartbeatPeriod whole seconds, as the library counts
-     * @param heartbeatTimeout whole seconds; a leader that is not heard so long, or hears no quorum, is given up
+     * @param heartbeatPeriod in whole seconds, as the library counts
+     * @param heartbeatTimeout in whole seconds; after it followers start an election, and a leader without a quorum
+     *     steps down
      * @param electionTimeout of one round of votes
-     * @param proposalTimeout after which a proposal's outcome is told as indeterminate
+     * @param proposalTimeout after which the outcome of a proposal is reported as indeterminate
      */
     public record Timeouts(
             Duration heartbeatPeriod, Duration heartbeatTimeout, Duration electionTimeout, Duration proposalTimeout) {
-        /** Heartbeats each second, a leader missed after 4 s, rounds of 1 s, proposals given up after 6 s. */
+        /** Heartbeats each second, an election after 4 s, rounds of 1 s, proposals given up after 6 s. */
         public static final Timeouts DEFAULT = new Timeouts(
                 Duration.ofSeconds(1), Duration.ofSeconds(4), Duration.ofSeconds(1), Duration.ofSeconds(6));
 
-        /** Refuses times that are not positive, and a timeout that a single late heartbeat would exceed. */
+        /**
+         * Rejects timeouts that are not positive, and a heartbeat timeout that a single late heartbeat would exceed.
+         */
         public Timeouts {
             if (heartbeatPeriod.toSeconds() < 1 || electionTimeout.toMillis() < 1 || proposalTimeout.toMillis() < 1) {
                 throw new IllegalArgumentException(
@@ -58,7 +62,7 @@
         }
     }
 
-    /** Refuses a group that cannot agree. */
+    /** Rejects a group that cannot commit, or whose voters are not distinct. */
     public ControlNodeSettings {
         bootstrapVoters = List.copyOf(bootstrapVoters);
         if (bootstrapVoters.size() < MIN_VOTERS
@@ -76,7 +80,7 @@
         }
     }
 
-    /** With what an installation rarely changes. */
+    /** The settings of a group with the defaults of all that an installation rarely changes. */
     public static ControlNodeSettings of(String group, ControlIdentity self, List<ControlIdentity> bootstrapVoters) {
         return new ControlNodeSettings(group, self, bootstrapVoters, Timeouts.DEFAULT, 64, 1_000);
     }
--- a/src/main/java/sandstack/configuration/consensus/EncodedRaftStore.java
+++ b/src/main/java/sandstack/configuration/consensus/EncodedRaftStore.java
@@ -16,7 +16,10 @@
 import sandstack.configuration.ConfigurationLimits;
 import sandstack.configuration.FieldWriter;
 
-/** What Raft has to remember, encoded and with checksums, in three sorted maps; how they reach a disk is the heirs' part. */
+/**
+ * The persistent state of Raft (term, vote, log and snapshot, figure 2 of the Raft paper), encoded and with checksums
+ * in three sorted maps; subclasses flush the maps to a disk. Called on the Raft node's thread.
+ */
 abstract class EncodedRaftStore implements RaftStore {
     static final String LOCAL_ENDPOINT = "local-endpoint";
     static final String INITIAL_MEMBERS = "initial-members";
@@ -28,27 +31,27 @@
         codec = new RaftRecordCodec(limits);
     }
 
-    /** The values that there are one of. */
+    /** The values that exist once, by their name. */
     abstract Map<String, byte[]> header();
 
-    /** Log entries by index, in order. */
+    /** The log entries by index, in order. */
     abstract Map<Long, byte[]> log();
 
-    /** Snapshot chunks by {@link #chunkKey}, in order. */
+    /** The snapshot chunks by {@link #chunkKey}, in order. */
     abstract Map<Long, byte[]> snapshotChunks();
 
-    /** Something was removed that takes space on disk until it is compacted. */
+    /** Entries or chunks were removed whose space on disk can be compacted. */
     abstract void spaceReleased();
 
-    /** Names the store in refusals. */
+    /** The name of the store in error messages. */
     abstract String name();
 
-    /** What the store holds, for the Raft node to go on with; empty where the node never ran. */
+    /** What the store holds, for the Raft node to resume from; empty where the node never ran. */
     public Optional<RestoredRaftState> restore() throws IOException {
         return storedState().restore();
     }
 
-    /** The index of the newest snapshot of which there is a chunk, 0 for none. */
+    /** The index of the newest snapshot of which there is a chunk; 0 for none. */
     final long snapshotIndex() {
         return snapshotChunks().keySet().stream()
                 .mapToLong(key -> key / RaftRecordCodec.MAX_SNAPSHOT_CHUNKS)
@@ -56,7 +59,7 @@
                 .orElse(0);
     }
 
-    /** The term of an entry in the log. */
+    /** The term of an entry in the log; empty where there is none with this index. */
     final OptionalInt termOfEntry(long index) {
         byte[] entry = log().get(index);
         return entry == null
--- a/src/main/java/sandstack/configuration/consensus/FlushCounter.java
+++ b/src/main/java/sandstack/configuration/consensus/FlushCounter.java
@@ -8,9 +8,9 @@
 import sandstack.configuration.MalformedConfigurationException;
 
 /**
- * How many flushes the store beside it has made, in a small file of its own. It is written after each flush, so the
- * store is never behind it unless the store's file was cut or replaced by an older one. Two slots are written in turn, so
- * that a write cut by a crash leaves the one before.
+ * The number of flushes that the store beside it has made, in a small file of its own. It is written after each flush,
+ * so that the store is never behind it unless the store's file was truncated or replaced by an older one. Two slots are
+ * written alternately, so that a write torn by a crash leaves the one before. Not thread-safe.
  */
 final class FlushCounter implements AutoCloseable {
     private static final int SLOT_BYTES = 512;
@@ -24,15 +24,15 @@
         this.file = file;
     }
 
-    /** The number that the next flush has. */
+    /** The number of the next flush. */
     long nextFlush() {
         return lastFlush + 1;
     }
 
     /**
-     * The flushes counted.
+     * Reads the number of the last flush.
      *
-     * @param store named in the refusal
+     * @param store named in the error message
      */
     long readLastFlush(String store) throws RejectedStoreException {
         if (!StoreFiles.exists(file)) {
@@ -50,12 +50,12 @@
         return lastFlush;
     }
 
-    /** Goes on from a store that was flushed once more than counted, as a crash between the two leaves it. */
+    /** Resumes from a store that was flushed once more than counted, as a crash between the two leaves it. */
     void resumeFrom(long flush) {
         lastFlush = Math.max(lastFlush, flush);
     }
 
-    /** Counts a flush; returns when the disk has it. */
+    /** Counts a flush; returns when it is on disk. */
     void writeFlush(long flush) throws IOException {
         byte[] value = Checksummed.wrap(MvStoreRaftStore.longBytes(flush));
         ByteBuffer bytes = ByteBuffer.wrap(value);
--- a/src/main/java/sandstack/configuration/consensus/IdempotencyKey.java
+++ b/src/main/java/sandstack/configuration/consensus/IdempotencyKey.java
@@ -3,11 +3,11 @@
 import java.util.UUID;
 
 /**
- * The name that a client gives to one change, the same in each attempt to have it agreed on. The same change under the
- * same id is applied once.
+ * The idempotency key that a client gives to one change, the same in each attempt to have it committed. The same change
+ * under the same key is applied once.
  */
 public record IdempotencyKey(long high, long low) {
-    /** The id with the bits of a UUID. */
+    /** The key with the bits of a UUID. */
     public static IdempotencyKey of(UUID uuid) {
         return new IdempotencyKey(uuid.getMostSignificantBits(), uuid.getLeastSignificantBits());
     }
--- a/src/main/java/sandstack/configuration/consensus/JitteredExecutor.java
+++ b/src/main/java/sandstack/configuration/consensus/JitteredExecutor.java
@@ -5,10 +5,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lets each timer fire up to a quarter later than asked. MicroRaft's followers look for their leader once in each
- * heartbeat period; machines that do so in step stand for election in step, and split the votes again and again.
+ * Delays each timer by up to a quarter at random. MicroRaft's followers check for their leader once in each heartbeat
+ * period; machines that do so in step become candidates in step, and split the votes repeatedly (Raft randomizes
+ * election timeouts for this reason, section 5.2 of its paper).
  */
 final class JitteredExecutor implements RaftNodeExecutor {
+    /** The largest delay, as a share of the timer's own. */
     private static final double MAX_JITTER_RATIO = 0.25;
 
     private final RaftNodeExecutor executor;
--- a/src/main/java/sandstack/configuration/consensus/LogOperation.java
+++ b/src/main/java/sandstack/configuration/consensus/LogOperation.java
@@ -3,21 +3,21 @@
 import java.util.Arrays;
 import java.util.Objects;
 
-/** What the state machine is told by the replicated log. */
+/** An operation of the replicated log, which the state machine applies. */
 public sealed interface LogOperation {
     /**
-     * The first entry of each leader: the operations after it belong to this term. MicroRaft does not tell the state
-     * machine the term of an entry.
+     * The first entry of each leader: the operations after it belong to this term. MicroRaft does not pass the term of
+     * an entry to the state machine.
      */
     record NewTerm(long term) implements LogOperation {}
 
     /**
-     * A change that a client asks for.
+     * A change that a client proposes.
      *
      * @param encodedChange as {@link sandstack.configuration.ConfigurationCodec} writes it; never modified
      */
     record Proposal(IdempotencyKey key, byte[] encodedChange) implements LogOperation {
-        /** Refuses nulls. */
+        /** Rejects null. */
         public Proposal {
             Objects.requireNonNull(key, "key");
             Objects.requireNonNull(encodedChange, "encodedChange");
--- a/src/main/java/sandstack/configuration/consensus/MvStoreRaftStore.java
+++ b/src/main/java/sandstack/configuration/consensus/MvStoreRaftStore.java
@@ -15,9 +15,10 @@
 import sandstack.configuration.FieldWriter;
 
 /**
- * What Raft has to remember, in one MVStore file: whose disk this is, term and vote, log, snapshot. A flush returns when
- * the disk has it. Beside the file stands a flush count (`.flushes`): a file that is older than its count was truncated or
- * set back, and is refused, as its machine would have forgotten votes and entries that it acknowledged. One thread.
+ * The persistent state of Raft in one MVStore file, with the identity that the disk belongs to. A flush returns when it
+ * is on disk. Beside the file lies a flush count ({@code .flushes}): a file that is older than its count was truncated
+ * or rolled back, and is rejected, as its machine would have forgotten votes and entries that it acknowledged. Not
+ * thread-safe; starts no thread.
  */
 public final class MvStoreRaftStore extends EncodedRaftStore implements AutoCloseable {
     static final String FORMAT = "format";
@@ -28,7 +29,7 @@
     static final long FORMAT_VERSION = 1;
 
     private static final int CACHE_MEGABYTES = 2;
-    /** Rewrites chunks of the file that are less full than this, after the log was cut. */
+    /** Chunks of the file that are less full than this are rewritten after the log was compacted. */
     private static final int MIN_FILL_PERCENT = 50;
 
     private static final int COMPACTION_WRITE_BYTES = 4 << 20;
@@ -63,9 +64,9 @@
     }
 
     /**
-     * Founds a disk for an identity that never had one; refuses a file that exists.
+     * Creates the store of an identity that never had one; rejects a file that exists.
      *
-     * @param newIdentitySetting the setting that permits it, named in the refusal
+     * @param newIdentitySetting the setting that permits it, named in the error message
      */
     public static MvStoreRaftStore create(
             String file, String newIdentitySetting, String group, ControlIdentity self, ConfigurationLimits limits)
@@ -83,10 +84,10 @@
     }
 
     /**
-     * Opens the disk of this identity; refuses one that is missing, of another machine, group or release, damaged or
-     * older than it was.
+     * Opens the store of this identity; rejects one that is missing, of another machine, group or release, damaged or
+     * rolled back.
      *
-     * @param newIdentitySetting the setting that would permit a new disk, named in the refusal
+     * @param newIdentitySetting the setting that would permit a new store, named in the error message
      */
     public static MvStoreRaftStore reopen(
             String file, String newIdentitySetting, String group, ControlIdentity self, ConfigurationLimits limits)
@@ -195,7 +196,7 @@
         flushCounter.close();
     }
 
-    /** Lets go of the file as a killed process does: what was not flushed is lost. */
+    /** Closes the file as a killed process does: what was not flushed is lost. */
     void closeImmediately() {
         store.closeImmediately();
         flushCounter.close();
--- a/src/main/java/sandstack/configuration/consensus/ProposalOutcome.java
+++ b/src/main/java/sandstack/configuration/consensus/ProposalOutcome.java
@@ -4,30 +4,30 @@
 import sandstack.configuration.ChangeRejection;
 import sandstack.configuration.ConfigurationVersion;
 
-/** What became of one attempt to have a change agreed on. */
+/** What became of one attempt to have a change committed. */
 public sealed interface ProposalOutcome {
-    /** The change is in the one order at this version; also the answer to an attempt repeated later. */
+    /** The change is committed at this version; also the answer to a later retry. */
     record Committed(ConfigurationVersion version) implements ProposalOutcome {}
 
     /**
-     * This attempt changes nothing, now or later. With {@code NO_QUORUM} and {@code TOO_MANY} it was not put to the
-     * others; an earlier attempt whose outcome was {@link Indeterminate} may still be agreed on.
+     * This attempt changes nothing, now or later. With {@code NO_QUORUM} and {@code TOO_MANY} it was not replicated; an
+     * earlier attempt whose outcome was {@link Indeterminate} may still be committed.
      */
     record Rejected(ChangeRejection rejection) implements ProposalOutcome {
-        /** Refuses null. */
+        /** Rejects null. */
         public Rejected {
             Objects.requireNonNull(rejection, "rejection");
         }
     }
 
-    /** This machine does not lead, nothing was done; the leader that it knows of may answer. */
+    /** This machine does not lead and did nothing; the leader that it knows of may accept the change. */
     record NotLeader(ControlIdentity leader) implements ProposalOutcome {
-        /** Refuses null. */
+        /** Rejects null. */
         public NotLeader {
             Objects.requireNonNull(leader, "leader");
         }
     }
 
-    /** The change may be agreed on, now or later, or never. Proposing it again under the same id tells. */
+    /** The change may be committed, now or later, or never. Proposing it again under the same key tells. */
     record Indeterminate(IdempotencyKey key) implements ProposalOutcome {}
 }
--- a/src/main/java/sandstack/configuration/consensus/RaftMessageCodec.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftMessageCodec.java
@@ -8,7 +8,7 @@
 
 /**
  * The binary form of the messages between control machines: a type, the group, the sender, the term, and the fields of
- * the type. A frame of another group, of an unknown type or beyond the bounds is rejected with one line.
+ * the type. A frame of another group, of an unknown type or beyond the bounds is rejected with one line. Immutable.
  */
 final class RaftMessageCodec {
     /** The longest name of a group. */
@@ -21,7 +21,7 @@
     private final RaftMessageReader reader;
     private final String group;
 
-    /** Takes messages of this group only. */
+    /** Accepts messages of this group only. */
     RaftMessageCodec(String group, ConfigurationLimits limits) {
         this.group = group;
         this.records = new RaftRecordCodec(limits);
@@ -29,7 +29,7 @@
         this.reader = new RaftMessageReader(group, records);
     }
 
-    /** The longest frame that is read. */
+    /** The longest frame that is decoded. */
     int maxMessageBytes() {
         return MAX_HEADER_BYTES + ControlNodeSettings.MAX_ENTRIES_PER_MESSAGE * records.maxRecordBytes();
     }
--- a/src/main/java/sandstack/configuration/consensus/RaftMessageType.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftMessageType.java
@@ -13,7 +13,10 @@
 import io.microraft.model.message.VoteResponse;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** The messages of Raft, with the byte that stands for each on the wire. */
+/**
+ * The types of Raft messages (RequestVote, AppendEntries and InstallSnapshot with their responses, pre-vote and
+ * leadership transfer), each with its byte on the wire.
+ */
 enum RaftMessageType {
     APPEND_ENTRIES(1, AppendEntriesRequest.class),
     APPEND_ENTRIES_SUCCESS(2, AppendEntriesSuccessResponse.class),
--- a/src/main/java/sandstack/configuration/consensus/RaftRecordCodec.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftRecordCodec.java
@@ -19,11 +19,14 @@
 import sandstack.configuration.FieldWriter;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** The binary form of what Raft keeps on disk and sends: log entries, snapshot chunks, members, term. Bounded in reading. */
+/**
+ * The binary form of the records that Raft stores and sends: log entries, snapshot chunks, members and terms. Input is
+ * bounded. Immutable.
+ */
 final class RaftRecordCodec {
-    /** Members of a group with its learners, and those that a change of members passes through. */
+    /** Members of a group with its learners, and those of a membership change in progress. */
     static final int MAX_MEMBERS = 16;
-    /** Chunks of one snapshot; the library counts them in an int. */
+    /** Chunks of one snapshot. */
     static final int MAX_SNAPSHOT_CHUNKS = 4_096;
 
     private static final int NEW_TERM = 1;
--- a/src/main/java/sandstack/configuration/consensus/RestartableRaftNode.java
+++ b/src/main/java/sandstack/configuration/consensus/RestartableRaftNode.java
@@ -11,9 +11,9 @@
 import java.util.OptionalLong;
 
 /**
- * The library's Raft node, which is built anew over its store where {@link SnapshotStallDetector} or
- * {@link SnapshotConsistencyCheck} finds that it cannot go on by itself. {@link #current} may be read on any thread;
- * messages are handled on the executor's.
+ * The library's Raft node, which is rebuilt from its store where {@link SnapshotStallDetector} or {@link
+ * SnapshotConsistencyCheck} finds that it cannot go on by itself. {@link #current} may be read on any thread; messages
+ * are handled on the executor's.
  */
 final class RestartableRaftNode {
     private final ControlNodeSettings settings;
@@ -22,7 +22,7 @@
     private final SnapshotConsistencyCheck consistencyCheck;
     private final SnapshotStallDetector stallDetector;
     private volatile RaftNode current;
-    /** Only touched on the executor's thread. */
+    /** While it is set, messages are dropped, as on any network. Only touched on the executor's thread. */
     private boolean restarting;
 
     /**
@@ -41,7 +41,7 @@
         this.current = build();
     }
 
-    /** The library's node as it was built last. */
+    /** The library's node as it was last built. */
     RaftNode current() {
         return current;
     }
@@ -85,7 +85,7 @@
         }
     }
 
-    /** The library's node is begun anew over the store; messages until then are lost, as on any network. */
+    /** Rebuilds the library's node from the store, as a restart of the process would; messages until then are lost. */
     private void restart(RaftMessage message) {
         restarting = true;
         current.terminate().whenComplete((ignored, failure) -> {
@@ -100,7 +100,7 @@
         });
     }
 
-    /** Asked again now that the node handles nothing more: a later leader may have confirmed the entries meanwhile. */
+    /** Checks again now that the node handles nothing more: a later leader may have confirmed the entries meanwhile. */
     private void removeConflictingEntries(RaftMessage message) throws IOException {
         OptionalLong firstConflicting = consistencyCheck.firstConflictingIndex(message, currentTerm());
         if (firstConflicting.isPresent()) {
--- a/src/main/java/sandstack/configuration/consensus/SnapshotConsistencyCheck.java
+++ b/src/main/java/sandstack/configuration/consensus/SnapshotConsistencyCheck.java
@@ -10,22 +10,24 @@
 import java.util.OptionalLong;
 
 /**
- * Lets a leader's entries through that begin directly after this machine's snapshot. MicroRaft 0.7 looks for the entry
- * before those that are sent in the log only, not in the snapshot; where the log holds entries behind the snapshot it
- * refuses the leader's for ever, and the machine stays behind until the leader's next snapshot.
+ * Raft's log consistency check (section 5.3 of its paper) where a leader's entries begin directly after this machine's
+ * snapshot. MicroRaft 0.7 looks up the entry before them in the log only, not in the snapshot; where the log holds
+ * entries after the snapshot, it rejects the leader's every time, and the machine stays behind until the leader's next
+ * snapshot. Called on the executor's thread.
  */
 final class SnapshotConsistencyCheck {
     private final RaftModelFactory models = new DefaultRaftModelFactory();
     private final EncodedRaftStore store;
 
-    /** Looks at what this store holds. */
+    /** Checks against what this store holds. */
     SnapshotConsistencyCheck(EncodedRaftStore store) {
         this.store = store;
     }
 
     /**
-     * From which index on the log has to go, as a leader of the current or a later term contradicts the entry directly
-     * after the snapshot. Raft removes such entries: none is committed, as that leader has all that are.
+     * The index from which the log has to be removed, as a leader of the current or a later term contradicts the entry
+     * directly after the snapshot. Raft removes such entries ("delete the existing entry and all that follow it",
+     * AppendEntries rule 3): none is committed, as that leader has all that are (Leader Completeness, section 5.4).
      */
     OptionalLong firstConflictingIndex(RaftMessage message, long currentTerm) {
         if (!(message instanceof AppendEntriesRequest request)
@@ -40,7 +42,10 @@
                 : OptionalLong.empty();
     }
 
-    /** The message without the entries that the log holds already: one index and one term are one entry. */
+    /**
+     * The message without the entries that the log holds already: one index and one term identify one entry (Log
+     * Matching).
+     */
     RaftMessage withoutStoredEntries(RaftMessage message) {
         if (!(message instanceof AppendEntriesRequest request) || !followsSnapshot(request)) {
             return message;
--- a/src/main/java/sandstack/configuration/consensus/SnapshotStallDetector.java
+++ b/src/main/java/sandstack/configuration/consensus/SnapshotStallDetector.java
@@ -6,20 +6,21 @@
 import java.time.Duration;
 
 /**
- * Notices that a leader offers a snapshot again and again and no chunk of it comes. MicroRaft 0.7 asks a member that once
- * did not answer no more; where regions were apart that can be all of them, and the machine stays behind.
+ * Detects that a leader offers a snapshot repeatedly and no chunk of it arrives. MicroRaft 0.7 does not request chunks
+ * again from a member that once did not answer; after a partition of the regions that can be all of them, and the
+ * machine stays behind. Called on the executor's thread.
  */
 final class SnapshotStallDetector {
     private final long timeoutMillis;
     private long offeredSinceMillis;
     private boolean isOffered;
 
-    /** A stall is an offer without a chunk for so long. */
+    /** A stall is an offer that is repeated without a chunk for this long. */
     SnapshotStallDetector(Duration timeout) {
         timeoutMillis = timeout.toMillis();
     }
 
-    /** Whether the node has to be begun anew, as of this message; then nothing is offered any more. */
+    /** Whether the node has to be restarted, as of this message; the detector then begins anew. */
     boolean isStalledBy(RaftMessage message, long nowMillis) {
         if (message instanceof AppendEntriesRequest || isChunk(message)) {
             isOffered = false;
--- a/src/main/java/sandstack/configuration/consensus/StateChunk.java
+++ b/src/main/java/sandstack/configuration/consensus/StateChunk.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * One part of the state machine's encoded state, as snapshots are sent and kept.
+ * One chunk of the state machine's encoded state, as snapshots are sent and stored.
  *
  * @param bytes never modified
  */
--- a/src/main/java/sandstack/configuration/consensus/StoreFiles.java
+++ b/src/main/java/sandstack/configuration/consensus/StoreFiles.java
@@ -2,7 +2,7 @@
 
 import org.h2.store.fs.FileUtils;
 
-/** The store's files, by names that the store's library takes. */
+/** Access to the store's files by the names that MVStore accepts. */
 final class StoreFiles {
     private StoreFiles() {}
 
--- a/src/main/java/sandstack/configuration/consensus/StoredRaftState.java
+++ b/src/main/java/sandstack/configuration/consensus/StoredRaftState.java
@@ -17,7 +17,7 @@
 import sandstack.configuration.BoundedReader;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** Reads a store back, and refuses with one line what is damaged or does not hang together. */
+/** Decodes a store, and rejects with one line what is damaged or inconsistent. Not thread-safe. */
 final class StoredRaftState {
     /** Reads one value. */
     private interface ValueReader<T> {
@@ -56,7 +56,7 @@
         }
     }
 
-    /** The term of a log entry; one that is damaged is of none. */
+    /** The term of a log entry; 0, which no entry has, for one that is damaged. */
     int termOf(long index, byte[] entry) {
         try {
             return read("log entry " + index, entry, codec::readLogEntry).getTerm();
@@ -65,7 +65,7 @@
         }
     }
 
-    /** The state to go on from; empty where the node never ran. */
+    /** The state to resume from; empty where the node never ran. */
     Optional<RestoredRaftState> restore() throws RejectedStoreException {
         if (!header.containsKey(EncodedRaftStore.LOCAL_ENDPOINT)) {
             return Optional.empty();
