--- a/src/main/java/sandstack/configuration/consensus/ControlNode.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNode.java
@@ -207,7 +207,8 @@
         if (cause instanceof CannotReplicateException) {
             return new ProposalOutcome.Rejected(new ChangeRejection(
                     ChangeRejection.Reason.TOO_MANY,
-                    "more than " + settings.maxPendingProposals() + " proposals are pending, or a membership change is in progress"));
+                    "more than " + settings.maxPendingProposals()
+                            + " proposals are pending, or a membership change is in progress"));
         }
         return new ProposalOutcome.Indeterminate(key);
     }
--- a/src/test/java/sandstack/configuration/ChangeValidatorTest.java
+++ b/src/test/java/sandstack/configuration/ChangeValidatorTest.java
@@ -11,7 +11,7 @@
 import sandstack.configuration.ConfigurationEdit.Put;
 import sandstack.configuration.ConfigurationEdit.Remove;
 
-/** What is refused, each with its reason and one bounded line. */
+/** Each rejection has its reason and one bounded line. */
 class ChangeValidatorTest {
     private static final ConfigurationLimits LIMITS = ConfigurationLimits.DEFAULT;
 
--- a/src/test/java/sandstack/configuration/CommittedHistory.java
+++ b/src/test/java/sandstack/configuration/CommittedHistory.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 import sandstack.configuration.ConfigurationEdit.Put;
 
-/** A history of agreed changes to test with. */
+/** A history of committed changes for tests. */
 final class CommittedHistory {
     final List<CommittedChange> changes = new ArrayList<>();
     final List<ConfigurationSnapshot> states = new ArrayList<>(List.of(ConfigurationSnapshot.EMPTY));
 
-    /** One change more, in this format and term. */
+    /** Commits one more change in this format version and term. */
     CommittedChange commit(int formatVersion, long term, Map<String, String> puts) {
         ConfigurationSnapshot current = current();
         List<ConfigurationEdit> edits = new ArrayList<>();
@@ -39,7 +39,7 @@
         return states.get(states.size() - 1);
     }
 
-    /** What a machine reports that has all of this history and reaches a quorum. */
+    /** The head of a machine that has all of this history and reaches a quorum. */
     ConfigurationHead headWithQuorum() {
         return new ConfigurationHead(current().version(), current().digest(), true);
     }
--- a/src/test/java/sandstack/configuration/ConfigurationCodecTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationCodecTest.java
@@ -19,7 +19,7 @@
 import sandstack.configuration.ConfigurationEdit.Put;
 import sandstack.configuration.ConfigurationEdit.Remove;
 
-/** What is written is read, and nothing else is. */
+/** Round trips of changes and snapshots, and the rejection of damaged and oversized input. */
 class ConfigurationCodecTest {
     private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
 
@@ -50,7 +50,7 @@
         assertThat(codec.decodeSnapshot(codec.encode(snapshot))).isEqualTo(snapshot);
     }
 
-    /** Cut or changed anywhere: an exception of the one kind, or another valid value; never anything else. */
+    /** Truncated or changed anywhere: one typed exception, or another valid value. */
     @Property(tries = 500)
     void damagedBytesAreRejectedOrDecoded(
             @ForAll @IntRange(max = 400) int at, @ForAll @ByteRange byte value, @ForAll boolean cut) {
@@ -99,7 +99,7 @@
         assertThatThrownBy(() -> codec.decodeChange(claims)).isInstanceOf(MalformedConfigurationException.class);
     }
 
-    /** The largest that the validator takes fits into what the codec reads. */
+    /** The bounds of the codec are no tighter than those of the validator. */
     @Test
     void largestValidChangeCanBeDecoded() throws Exception {
         ConfigurationLimits limits = new ConfigurationLimits(8, 16, 4, 4, 10, 200, 20, 300, 0);
--- a/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
@@ -24,7 +24,7 @@
 import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
-/** What a relay takes, what it refuses, and whom it asks. */
+/** What a relay activates and rejects, and which control machine it follows. */
 class ConfigurationFollowerTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long TICK_MICROS = 100_000;
@@ -33,7 +33,7 @@
             new ControlMachine("north-2", "north"),
             new ControlMachine("south-1", "south"));
 
-    /** A disk that is told what to hold. */
+    /** A disk whose content and failures the test sets. */
     private static final class Disk implements ConfigurationStore {
         Loaded stored = new Loaded.Absent();
         boolean fails;
@@ -70,7 +70,7 @@
     private final Disk disk = new Disk();
     private ConfigurationCheck check = ConfigurationCheck.NONE;
     private ConfigurationFollower follower;
-    private long now;
+    private long nowMicros;
 
     private void start() {
         follower = new ConfigurationFollower(
@@ -81,22 +81,22 @@
                 disk,
                 output,
                 new SplittableRandom(5),
-                now);
+                nowMicros);
     }
 
     private void run(long micros) {
-        for (long end = now + micros; now < end; ) {
-            now += TICK_MICROS;
-            follower.tick(now);
+        for (long end = nowMicros + micros; nowMicros < end; ) {
+            nowMicros += TICK_MICROS;
+            follower.tick(nowMicros);
         }
     }
 
-    /** The same while the machine that is followed sends heartbeats with this head. */
+    /** Runs while the machine that is followed sends heartbeats with this head. */
     private void runWithHeartbeats(ConfigurationHead head, long micros) {
         String machine = follower.status().machine().orElseThrow();
         long session = session();
-        for (long end = now + micros; now < end; ) {
-            follower.received(machine, new Heartbeat(session, head), now);
+        for (long end = nowMicros + micros; nowMicros < end; ) {
+            follower.received(machine, new Heartbeat(session, head), nowMicros);
             run(SECOND_MICROS);
         }
     }
@@ -128,11 +128,11 @@
         while (output.messages(Hello.class).size() == before) {
             run(TICK_MICROS);
         }
-        follower.received(lastContactedMachine(), new Welcome(lastHello().sessionId(), head), now);
+        follower.received(lastContactedMachine(), new Welcome(lastHello().sessionId(), head), nowMicros);
     }
 
     private void receive(ConfigurationMessage.PublisherMessage message) {
-        follower.received(follower.status().machine().orElseThrow(), message, now);
+        follower.received(follower.status().machine().orElseThrow(), message, nowMicros);
     }
 
     private long session() {
@@ -147,7 +147,7 @@
         receive(new Deltas(session(), history.changes.subList(from, to)));
     }
 
-    /** Sends a snapshot in parts, as they are asked for. */
+    /** Sends all chunks of a snapshot. */
     private void sendSnapshot(ConfigurationSnapshot snapshot, int partBytes) {
         byte[] bytes = codec.encode(snapshot);
         for (int offset = 0; offset < bytes.length; offset += partBytes) {
@@ -209,14 +209,15 @@
         assertThat(output.messages(Hello.class)).hasSize(before + 1);
         String older = lastContactedMachine();
         ConfigurationSnapshot old = history.states.get(2);
-        follower.received(older, new Welcome(session(), new ConfigurationHead(old.version(), old.digest(), true)), now);
+        follower.received(
+                older, new Welcome(session(), new ConfigurationHead(old.version(), old.digest(), true)), nowMicros);
         sendSnapshot(old, 1_000);
         assertThat(follower.activeSnapshot()).isEqualTo(history.current());
         runWithHeartbeats(new ConfigurationHead(old.version(), old.digest(), true), 8 * SECOND_MICROS);
-        // it is behind, so others are asked
+        // it is behind, so others are tried
         assertThat(lastContactedMachine()).isNotEqualTo(older);
         long again = session();
-        follower.received(lastContactedMachine(), new Welcome(again, history.headWithQuorum()), now);
+        follower.received(lastContactedMachine(), new Welcome(again, history.headWithQuorum()), nowMicros);
         assertThat(follower.status().machine()).contains(lastContactedMachine());
         assertThat(output.sent).anyMatch(sent -> sent.machine().equals(older) && sent.message() instanceof Goodbye);
     }
@@ -230,7 +231,9 @@
         String machine = lastContactedMachine();
         ConfigurationVersion other = new ConfigurationVersion(7, 2);
         follower.received(
-                machine, new Welcome(session(), new ConfigurationHead(other, ConfigurationDigest.EMPTY, true)), now);
+                machine,
+                new Welcome(session(), new ConfigurationHead(other, ConfigurationDigest.EMPTY, true)),
+                nowMicros);
         assertThat(follower.status().machine()).isEmpty();
         assertThat(output.logLines).hasSize(1).allMatch(line -> line.contains("another history"));
         followMachineWithQuorum();
@@ -318,7 +321,7 @@
                 .contains(ChangeRejection.Reason.UNKNOWN_FORMAT);
         assertThat(follower.activeSnapshot()).isEqualTo(history.states.get(1));
         assertThat(output.logLines).hasSize(1);
-        // not asked for again while nothing later is there
+        // no snapshot is requested while there is no later version
         runWithHeartbeats(history.headWithQuorum(), 10 * SECOND_MICROS);
         assertThat(output.messages(SnapshotRequest.class)).isEmpty();
         history.commit("a", "1");
@@ -342,7 +345,7 @@
                 .contains(ChangeRejection.Reason.UNUSABLE);
     }
 
-    /** A relay that cannot use what all others can does not fetch it again and again. */
+    /** A relay that rejects what all others accept must not load the control machines. */
     @Test
     void rejectedStatesAreFetchedWithBackoff() {
         check = state -> state.entries().containsKey("bad") ? Optional.of("bad is there") : Optional.empty();
@@ -350,14 +353,14 @@
         followMachineWithQuorum();
         history.commit("bad", "1");
         deltas(0, 1);
-        int answered = 0;
+        int sentSnapshots = 0;
         for (int i = 0; i < 300; i++) {
             run(SECOND_MICROS);
             history.commit("other", "" + i);
             deltas(i + 1, i + 2);
             heartbeatWithQuorum();
-            if (output.messages(SnapshotRequest.class).size() > answered) {
-                answered = output.messages(SnapshotRequest.class).size();
+            if (output.messages(SnapshotRequest.class).size() > sentSnapshots) {
+                sentSnapshots = output.messages(SnapshotRequest.class).size();
                 sendSnapshot(history.current(), 10_000);
             }
         }
@@ -394,18 +397,18 @@
     @Test
     void machinesOfTheOwnRegionAreTriedFirst() {
         start();
-        List<String> asked = new ArrayList<>();
-        while (asked.size() < 3) {
+        List<String> contacted = new ArrayList<>();
+        while (contacted.size() < 3) {
             int before = output.messages(Hello.class).size();
             run(TICK_MICROS);
             if (output.messages(Hello.class).size() > before) {
-                asked.add(lastContactedMachine());
+                contacted.add(lastContactedMachine());
                 follower.received(
-                        lastContactedMachine(), new SessionRejected(session(), SessionRejectionReason.FULL), now);
+                        lastContactedMachine(), new SessionRejected(session(), SessionRejectionReason.FULL), nowMicros);
             }
         }
-        assertThat(asked.subList(0, 2)).containsExactlyInAnyOrder("north-1", "north-2");
-        assertThat(asked.get(2)).isEqualTo("south-1");
+        assertThat(contacted.subList(0, 2)).containsExactlyInAnyOrder("north-1", "north-2");
+        assertThat(contacted.get(2)).isEqualTo("south-1");
     }
 
     @Test
@@ -422,13 +425,13 @@
         assertThat(follower.activeSnapshot()).isEqualTo(history.current());
     }
 
-    /** A relay that itself stood still blames nobody. */
+    /** After a pause of its own process a relay must not count the machine as silent. */
     @Test
     void pauseOfTheRelayKeepsTheSession() {
         start();
         followMachineWithQuorum();
-        now += 30 * SECOND_MICROS;
-        follower.tick(now);
+        nowMicros += 30 * SECOND_MICROS;
+        follower.tick(nowMicros);
         assertThat(follower.status().machine()).isPresent();
         assertThat(output.lastSent().message()).isInstanceOf(StatusReport.class);
     }
@@ -442,18 +445,18 @@
             run(SECOND_MICROS);
             long attempt = session();
             if (!lastContactedMachine().equals(first)) {
-                follower.received(lastContactedMachine(), new Welcome(attempt, history.headWithoutQuorum()), now);
+                follower.received(lastContactedMachine(), new Welcome(attempt, history.headWithoutQuorum()), nowMicros);
             }
             follower.received(
                     first,
                     new Heartbeat(output.messages(Hello.class).get(0).sessionId(), history.headWithoutQuorum()),
-                    now);
+                    nowMicros);
         }
         assertThat(follower.status().machine()).contains(first);
         assertThat(output.messages(Hello.class).size()).isBetween(8, 30);
     }
 
-    /** DESIGN's mechanism: those who fail together come back over 2^n slots, whole intervals apart. */
+    /** The n-th attempt after a failure is drawn over an interval of 2^n slots that follows the one before. */
     @Test
     void attemptsAreSpreadOverGrowingIntervals() {
         FollowerSettings settings = FollowerSettings.DEFAULT;
--- a/src/test/java/sandstack/configuration/ConfigurationHistoryTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationHistoryTest.java
@@ -25,23 +25,23 @@
         return ConfigurationChange.of(base, "ann", "drawn", List.of(edit, new Put("other", "" + random.nextInt(3))));
     }
 
-    /** Some proposals are late for their base, as happens when two are put to the leader at once. */
+    /** Some proposals have an old base, as happens when two are proposed at once. */
     @Property(tries = 200)
     void sameProposalsLeadToTheSameState(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         RecordingListener changes = new RecordingListener();
-        ConfigurationHistory one = new ConfigurationHistory(VALIDATOR, changes);
+        ConfigurationHistory first = new ConfigurationHistory(VALIDATOR, changes);
         ConfigurationHistory other = new ConfigurationHistory(VALIDATOR, new RecordingListener());
         Map<String, String> model = new HashMap<>();
         for (int i = 0; i < 60; i++) {
             ConfigurationVersion base = random.nextInt(5) == 0
                     ? new ConfigurationVersion(0, i)
-                    : one.current().version();
+                    : first.current().version();
             ConfigurationChange change = randomChange(random, base);
             // a leader that lost its term and won a later one may have proposed under the earlier
             long term = Math.max(0, 1 + i / 10 - random.nextInt(2));
-            ConfigurationVersion before = one.current().version();
-            Outcome outcome = one.applyCommitted(term, change);
+            ConfigurationVersion before = first.current().version();
+            Outcome outcome = first.applyCommitted(term, change);
             assertThat(other.applyCommitted(term, change)).isEqualTo(outcome);
             if (outcome instanceof Outcome.Accepted accepted) {
                 assertThat(accepted.change().version().follows(before)).isTrue();
@@ -53,11 +53,11 @@
                     }
                 }
             }
-            assertThat(one.current().entries()).isEqualTo(model);
-            assertThat(one.current().matchesDigest()).isTrue();
+            assertThat(first.current().entries()).isEqualTo(model);
+            assertThat(first.current().matchesDigest()).isTrue();
         }
-        assertThat(other.current()).isEqualTo(one.current());
-        assertThat(changes.committed).hasSize((int) one.current().version().index());
+        assertThat(other.current()).isEqualTo(first.current());
+        assertThat(changes.committed).hasSize((int) first.current().version().index());
     }
 
     @Test
@@ -93,8 +93,8 @@
                 ConfigurationChange.of(ConfigurationVersion.NONE, "ann", "a", List.of(new Put("a", "1")));
         assertThatThrownBy(() -> ConfigurationSnapshot.EMPTY.apply(new ConfigurationVersion(1, 2), change))
                 .isInstanceOf(IllegalArgumentException.class);
-        ConfigurationSnapshot one = ConfigurationSnapshot.EMPTY.apply(new ConfigurationVersion(1, 1), change);
-        assertThatThrownBy(() -> one.apply(new ConfigurationVersion(1, 2), change))
+        ConfigurationSnapshot first = ConfigurationSnapshot.EMPTY.apply(new ConfigurationVersion(1, 1), change);
+        assertThatThrownBy(() -> first.apply(new ConfigurationVersion(1, 2), change))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
--- a/src/test/java/sandstack/configuration/ConfigurationMessageCodecTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationMessageCodecTest.java
@@ -24,7 +24,7 @@
 import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
-/** Each message comes back as it was; nothing else is read. */
+/** Round trips of all messages, and the rejection of damaged and oversized frames. */
 class ConfigurationMessageCodecTest {
     private final ConfigurationMessageCodec codec =
             new ConfigurationMessageCodec(new ConfigurationCodec(ConfigurationLimits.DEFAULT));
--- a/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
@@ -18,7 +18,7 @@
 import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
-/** What a control machine sends to whom, and where it stops. */
+/** What a control machine sends to its relays, and its bounds. */
 class ConfigurationPublisherTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final int WINDOW_CHANGES = 4;
@@ -43,8 +43,8 @@
     private final ConfigurationPublisher publisher = new ConfigurationPublisher(SETTINGS, codec, output, 0);
     private final CommittedHistory history = new CommittedHistory();
 
-    private void hello(String peer, long session, ConfigurationVersion inForce, long now) {
-        publisher.received(peer, new Hello(session, "relay-" + peer, 1, inForce), now);
+    private void hello(String peer, long session, ConfigurationVersion inForce, long nowMicros) {
+        publisher.received(peer, new Hello(session, "relay-" + peer, 1, inForce), nowMicros);
     }
 
     private void commit(int changes) {
@@ -53,8 +53,9 @@
         history.changes.subList(from, from + changes).forEach(publisher::committed);
     }
 
-    private void report(String peer, long session, ConfigurationSnapshot state, long now) {
-        publisher.received(peer, new StatusReport(session, state.version(), state.digest(), Optional.empty()), now);
+    private void report(String peer, long session, ConfigurationSnapshot state, long nowMicros) {
+        publisher.received(
+                peer, new StatusReport(session, state.version(), state.digest(), Optional.empty()), nowMicros);
     }
 
     @Test
@@ -74,7 +75,7 @@
         assertThat(output.messages(Heartbeat.class)).containsExactly(new Heartbeat(1, history.headWithQuorum()));
     }
 
-    /** The memory that a slow relay costs is a cursor: nothing is sent beyond the window, nothing is queued. */
+    /** A slow relay costs a cursor: nothing is sent beyond the window, and nothing is queued. */
     @Test
     void relayThatDoesNotReportGetsNoMoreThanTheWindow() {
         hello("a", 1, ConfigurationVersion.NONE, 0);
@@ -103,7 +104,7 @@
             assertThat(chunk.offset()).isEqualTo(offset);
             System.arraycopy(chunk.bytes(), 0, whole, offset, chunk.bytes().length);
             offset += chunk.bytes().length;
-            // changes go on meanwhile; the snapshot stays the same as long as the history leads on from it
+            // changes are committed meanwhile; the snapshot stays while the history continues from it
             commit(offset == chunk.bytes().length ? 2 : 0);
             publisher.received("a", new ChunkRequest(1, first.version(), offset), 0);
         }
@@ -157,7 +158,7 @@
                 .containsExactly("relay rejected reason=FLOOD detail=relay no fault x sends too many messages");
     }
 
-    /** One peer's hellos are charged to it: others still get in. */
+    /** The hellos of one peer are charged to it: those of others are still admitted. */
     @Test
     void hellosOfOnePeerAreRateLimited() {
         for (int i = 0; i < 10_000; i++) {
--- a/src/test/java/sandstack/configuration/ConfigurationSamples.java
+++ b/src/test/java/sandstack/configuration/ConfigurationSamples.java
@@ -24,7 +24,8 @@
 
 /**
  * One value of each form that is stored or sent, with every constant that a form holds. {@code main} writes their bytes
- * and the distribution traces with the build on the class path; that is how the fixtures were made.
+ * and the distribution traces with the build on the class path. The fixtures were made by this class as it was in the
+ * commit that added them, compiled against the build that they name.
  */
 final class ConfigurationSamples {
     static final String FORMS = "forms.txt";
--- a/src/test/java/sandstack/configuration/RecordingFollowerOutput.java
+++ b/src/test/java/sandstack/configuration/RecordingFollowerOutput.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Keeps what a follower sends, closes, puts in force and logs. */
+/** Records what a follower sends, closes, activates and logs. */
 final class RecordingFollowerOutput implements FollowerOutput {
     /** A message and the machine that it went to. */
     record Sent(String machine, ConfigurationMessage.FollowerMessage message) {}
--- a/src/test/java/sandstack/configuration/RecordingListener.java
+++ b/src/test/java/sandstack/configuration/RecordingListener.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Keeps what it is told. */
+/** Records committed changes and restored snapshots. */
 final class RecordingListener implements CommittedChangeListener {
     final List<CommittedChange> committed = new ArrayList<>();
     final List<ConfigurationSnapshot> restored = new ArrayList<>();
--- a/src/test/java/sandstack/configuration/RecordingPublisherOutput.java
+++ b/src/test/java/sandstack/configuration/RecordingPublisherOutput.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Keeps what a publisher sends, closes and logs. */
+/** Records what a publisher sends, closes and logs. */
 final class RecordingPublisherOutput implements PublisherOutput {
     /** A message and the peer that it went to. */
     record Sent(String peer, ConfigurationMessage.PublisherMessage message) {}
--- a/src/test/java/sandstack/configuration/consensus/ClusterOnDisksTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ClusterOnDisksTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import sandstack.configuration.ConfigurationLimits;
 
-/** The simulated cluster over real files: machines are killed, and go on from what their files hold. */
+/** The simulated cluster over real files: killed machines recover from their files. */
 class ClusterOnDisksTest {
     private static final String NEW_IDENTITY_SETTING = "new_identity";
     private static final int SNAPSHOT_INTERVAL_ENTRIES = 10;
@@ -20,7 +20,7 @@
     @TempDir
     Path folder;
 
-    /** A file per machine; founded at its first start only. */
+    /** A file per machine, created at its first start only. */
     private final class FileStores implements SimulatedMachine.Stores {
         private final SimulatedMachine machine;
 
--- a/src/test/java/sandstack/configuration/consensus/ConfigurationStateMachineTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ConfigurationStateMachineTest.java
@@ -16,7 +16,7 @@
 import sandstack.configuration.ConfigurationSnapshot;
 import sandstack.configuration.ConfigurationVersion;
 
-/** What the log does to the configuration. */
+/** How log entries and snapshots change the state machine. */
 class ConfigurationStateMachineTest {
     private static final ConfigurationCodec CODEC = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
 
@@ -117,7 +117,7 @@
         assertThat(other.current()).isEqualTo(ConfigurationSnapshot.EMPTY);
     }
 
-    /** Forgotten ids are refused by their base, so nothing is applied twice. */
+    /** A retry whose key was dropped is rejected by its base, so that nothing is applied twice. */
     @Test
     void onlyTheLatestKeysAreRemembered() {
         run(new LogOperation.NewTerm(1));
--- a/src/test/java/sandstack/configuration/consensus/ConsensusFiguresTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ConsensusFiguresTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 import sandstack.configuration.consensus.SimulatedNetwork.Traffic;
 
-/** What the agreement costs and how long it takes with seven machines, in simulated time; prints, and holds to bounds. */
+/** Traffic, latency and store size of seven machines in simulated time: prints the figures and asserts their bounds. */
 class ConsensusFiguresTest {
     private static final int MACHINES = 7;
     private static final int SNAPSHOT_INTERVAL_ENTRIES = 1_000;
     private static final long BETWEEN_REGIONS_MICROS = 40_000;
     private static final Duration CHANGE_INTERVAL = Duration.ofMillis(86_400_000 / 3_700);
     private static final Duration MEASURED = Duration.ofMinutes(30);
-    /** Of the budget for control at a relay, which a control machine has to itself many times over. */
+    /** The budget for control traffic at a relay; a control machine has many times more. */
     private static final int BUDGET_BYTES_PER_SECOND = 4_096;
 
     private static final Duration RECOVERY_BOUND = Duration.ofSeconds(16);
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The largest bytes a second that a machine sent. */
+    /** Prints what each machine sent; returns the most bytes a second. */
     private static double printTraffic(String what, SimulatedCluster cluster) {
         SimulatedMachine leader = cluster.awaitLeader();
         double most = 0;
--- a/src/test/java/sandstack/configuration/consensus/ControlNodeTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ControlNodeTest.java
@@ -15,13 +15,13 @@
 import sandstack.configuration.ConfigurationVersion;
 import sandstack.configuration.consensus.SimulatedCluster.Attempt;
 
-/** The agreement among control machines, in simulated time, under one fault at a time. */
+/** The consensus of the control machines in simulated time, under one fault at a time. */
 class ControlNodeTest {
     private static final long SEED = 40;
     private static final int SNAPSHOT_INTERVAL_ENTRIES = 20;
-    /** Within so long all are equal after a heal. */
+    /** All machines are equal this long after a fault ends. */
     private static final Duration CONVERGENCE_BOUND = Duration.ofSeconds(16);
-    /** Within so long a machine that reaches no quorum says so. */
+    /** A machine that reaches no quorum rejects proposals after this long. */
     private static final Duration QUORUM_LOSS_BOUND = Duration.ofSeconds(8);
 
     private static SimulatedCluster started(int size) {
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Null where the attempt was not refused. */
+    /** Null where the attempt was not rejected. */
     private static Reason rejectionReasonOf(Attempt attempt) {
         return attempt.outcome instanceof ProposalOutcome.Rejected refused
                 ? refused.rejection().reason()
@@ -90,37 +90,37 @@
         paused.pause();
         commit(cluster, 5);
         paused.resume();
-        Attempt late = cluster.propose(
+        Attempt lateAttempt = cluster.propose(
                 paused, cluster.randomChange(paused.node.current().version()));
         cluster.runFor(Duration.ofSeconds(8));
-        assertThat(late.outcome).isNotNull().isNotInstanceOf(ProposalOutcome.Committed.class);
+        assertThat(lateAttempt.outcome).isNotNull().isNotInstanceOf(ProposalOutcome.Committed.class);
         assertComplete(cluster, 10);
     }
 
-    /** It sends heartbeats and hears nothing, so that without a quorum's answers it has to give up. */
+    /** It sends heartbeats and receives nothing, so that it has to step down without a quorum of responses. */
     @Test
     void leaderThatReceivesNothingStepsDown() {
         SimulatedCluster cluster = started(7);
         commit(cluster, 5);
-        SimulatedMachine deaf = cluster.awaitLeader();
-        cluster.machines.forEach(other -> cluster.network.cut(other.identity, deaf.identity));
+        SimulatedMachine isolated = cluster.awaitLeader();
+        cluster.machines.forEach(other -> cluster.network.cut(other.identity, isolated.identity));
         cluster.runFor(Duration.ofSeconds(16));
-        assertThat(cluster.awaitLeader()).isNotSameAs(deaf);
+        assertThat(cluster.awaitLeader()).isNotSameAs(isolated);
         commit(cluster, 5);
         assertComplete(cluster, 10);
     }
 
-    /** It hears and reaches all others, and so asks them again and again to vote for it. */
+    /** It reaches and hears all machines but the leader, so that it requests votes repeatedly; pre-vote must stop it. */
     @Test
     void machineThatDoesNotHearTheLeaderDoesNotDisruptIt() {
         SimulatedCluster cluster = started(7);
         commit(cluster, 5);
         SimulatedMachine leader = cluster.awaitLeader();
-        SimulatedMachine deaf = cluster.machines.stream()
+        SimulatedMachine isolated = cluster.machines.stream()
                 .filter(machine -> machine != leader)
                 .findFirst()
                 .orElseThrow();
-        cluster.machines.forEach(other -> cluster.network.cut(leader.identity, deaf.identity));
+        cluster.machines.forEach(other -> cluster.network.cut(leader.identity, isolated.identity));
         long term = leader.node.currentTerm();
         cluster.runFor(Duration.ofSeconds(60));
         assertThat(cluster.awaitLeader()).isSameAs(leader);
@@ -155,7 +155,7 @@
         assertThat(rejectionReasonOf(attempt)).isEqualTo(Reason.NO_QUORUM);
     }
 
-    /** The leader is in the minority; what it is asked for at any moment is answered within the proposal timeout. */
+    /** The leader is in the minority; each proposal completes within the proposal timeout. */
     @Test
     void isolatedLeaderCompletesEachProposalInTime() {
         SimulatedCluster cluster = started(7);
@@ -193,16 +193,16 @@
         commit(cluster, 2);
         SimulatedMachine leader = cluster.awaitLeader();
         ConfigurationChange change = cluster.randomChange(leader.node.current().version());
-        Attempt one = cluster.propose(leader, change);
+        Attempt first = cluster.propose(leader, change);
         Attempt two = cluster.propose(leader, change);
         cluster.runFor(Duration.ofSeconds(1));
         commit(cluster, 30);
         leader.kill();
         Attempt three = cluster.propose(cluster.awaitLeader(), change);
         cluster.runFor(Duration.ofSeconds(1));
-        assertThat(one.outcome).isInstanceOf(ProposalOutcome.Committed.class);
-        assertThat(two.outcome).isEqualTo(one.outcome);
-        assertThat(three.outcome).isEqualTo(one.outcome);
+        assertThat(first.outcome).isInstanceOf(ProposalOutcome.Committed.class);
+        assertThat(two.outcome).isEqualTo(first.outcome);
+        assertThat(three.outcome).isEqualTo(first.outcome);
         assertComplete(cluster, 33);
     }
 
@@ -210,10 +210,10 @@
     void secondChangeOfTheSameBaseIsRejected() {
         SimulatedCluster cluster = started(5);
         SimulatedMachine leader = cluster.awaitLeader();
-        Attempt one = cluster.propose(leader, cluster.randomChange(ConfigurationVersion.NONE));
+        Attempt first = cluster.propose(leader, cluster.randomChange(ConfigurationVersion.NONE));
         Attempt two = cluster.propose(leader, cluster.randomChange(ConfigurationVersion.NONE));
         cluster.runFor(Duration.ofSeconds(1));
-        assertThat(one.outcome).isInstanceOf(ProposalOutcome.Committed.class);
+        assertThat(first.outcome).isInstanceOf(ProposalOutcome.Committed.class);
         assertThat(rejectionReasonOf(two)).isEqualTo(Reason.CONFLICTING_BASE);
         assertComplete(cluster, 1);
     }
--- a/src/test/java/sandstack/configuration/consensus/HistoryChecker.java
+++ b/src/test/java/sandstack/configuration/consensus/HistoryChecker.java
@@ -12,8 +12,8 @@
 import sandstack.configuration.ConfigurationVersion;
 
 /**
- * Watches what machines tell of and what clients are answered, and notes each breach: one order everywhere without gaps,
- * nothing told before a majority of the disks holds it, each change once, answers that are true.
+ * Checks what machines report and what clients are answered, and records each violation: one order on all machines
+ * without gaps, nothing reported before a majority of the disks stores it, each change applied once, and true answers.
  */
 final class HistoryChecker {
     final List<String> violations = new ArrayList<>();
@@ -24,7 +24,7 @@
     private final Set<String> indeterminate = new HashSet<>();
     private final Set<String> proposed = new HashSet<>();
 
-    /** One life of a machine's state machine. */
+    /** One incarnation of a machine's state machine. */
     final class Incarnation {
         private final ControlIdentity machine;
         private ConfigurationVersion last = ConfigurationVersion.NONE;
@@ -35,7 +35,7 @@
 
         void committed(CommittedChange change, BooleanSupplier majorityHolds) {
             if (!change.version().follows(last)) {
-                addViolation(machine + " was told " + change.version() + " after " + last);
+                addViolation(machine + " reported " + change.version() + " after " + last);
             }
             last = change.version();
             CommittedChange first = committed.putIfAbsent(last.index(), change);
@@ -44,7 +44,7 @@
                 return;
             }
             if (!majorityHolds.getAsBoolean()) {
-                addViolation(machine + " was told " + last + " before a majority of the disks held it");
+                addViolation(machine + " reported " + last + " before a majority of the disks stored it");
             }
             Long earlier = indexOfChange.putIfAbsent(change.change().reason(), last.index());
             if (earlier != null) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Once all is calm: an unanswered attempt counts as indeterminate. */
+    /** Checks the answers after the last fault; an unanswered attempt counts as indeterminate. */
     void finish(Set<String> unanswered) {
         indeterminate.addAll(unanswered);
         reportedCommitted.forEach((change, version) -> {
@@ -96,7 +96,7 @@
         });
         for (String change : reportedRejected) {
             if (indexOfChange.containsKey(change)) {
-                addViolation(change + " was refused and is in the order");
+                addViolation(change + " was rejected and is committed");
             }
         }
         for (String change : indexOfChange.keySet()) {
@@ -104,12 +104,12 @@
                 addViolation(change + " is in the order and nobody asked for it");
             }
             if (!reportedCommitted.containsKey(change) && !indeterminate.contains(change)) {
-                addViolation(change + " is in the order and was never told as agreed or indeterminate");
+                addViolation(change + " is committed and was never answered as committed or indeterminate");
             }
         }
     }
 
-    /** Changes in the order. */
+    /** Number of committed changes. */
     int committedChanges() {
         return committed.size();
     }
@@ -120,7 +120,7 @@
 
     private void requireEqual(ControlIdentity machine, CommittedChange first, CommittedChange later) {
         if (!first.equals(later)) {
-            addViolation(machine + " was told " + later + " where another was told " + first);
+            addViolation(machine + " reported " + later + " where another machine reported " + first);
         }
     }
 
--- a/src/test/java/sandstack/configuration/consensus/IgnoringListener.java
+++ b/src/test/java/sandstack/configuration/consensus/IgnoringListener.java
@@ -4,7 +4,7 @@
 import sandstack.configuration.CommittedChangeListener;
 import sandstack.configuration.ConfigurationSnapshot;
 
-/** Does nothing with what it is told. */
+/** Ignores all changes and snapshots. */
 final class IgnoringListener implements CommittedChangeListener {
     @Override
     public void committed(CommittedChange change) {}
--- a/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
+++ b/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import sandstack.configuration.ConfigurationLimits;
 
-/** What Raft has to remember on a real disk: all that was flushed, or a refusal of one line. */
+/** Raft's persistent state on a real disk: all that was flushed is restored, or the store is rejected in one line. */
 class MvStoreRaftStoreTest {
     private static final ControlIdentity SELF = new ControlIdentity("control-0");
     private static final String GROUP = "configuration";
@@ -159,7 +159,7 @@
                 .isInstanceOf(RejectedStoreException.class)
                 .hasMessageContaining(file)
                 .hasMessageContaining(NEW_IDENTITY_SETTING);
-        // the flush count alone tells that there was a disk
+        // the flush count alone shows that there was a store
         Files.delete(Path.of(file));
         assertThatThrownBy(this::create).isInstanceOf(RejectedStoreException.class);
         assertRejected("no disk of control-0");
@@ -226,7 +226,7 @@
         reopen().close();
     }
 
-    /** However a file is cut or damaged: a refusal, or all that was flushed; never a part of it. */
+    /** However a file is truncated or damaged, it is rejected or restored completely, never in part. */
     @Test
     void damagedFilesAreRejectedOrComplete() throws IOException {
         MvStoreRaftStore store = create();
@@ -289,7 +289,7 @@
         }
     }
 
-    /** The log is cut at each snapshot, and the file does not grow with all that was ever written. */
+    /** The log is compacted at each snapshot, so that the file does not grow with all that was written. */
     @Test
     void fileSizeStaysBounded() throws IOException {
         int snapshotEvery = 100;
--- a/src/test/java/sandstack/configuration/consensus/NewIdentityTest.java
+++ b/src/test/java/sandstack/configuration/consensus/NewIdentityTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** A machine whose disk is lost comes back under a new identity, admitted by the others; the old one goes. */
+/** A machine whose disk is lost rejoins under a new identity; the old one is removed. */
 class NewIdentityTest {
     private static final Duration RECOVERY_TIME = Duration.ofSeconds(16);
     private static final int SNAPSHOT_INTERVAL_ENTRIES = 20;
@@ -35,26 +35,26 @@
         SimulatedCluster cluster = new SimulatedCluster(5, 3, SNAPSHOT_INTERVAL_ENTRIES);
         cluster.startAll();
         commit(cluster, 45);
-        SimulatedMachine lost = cluster.machines.get(0);
-        lost.kill();
-        cluster.machines.remove(lost);
+        SimulatedMachine replaced = cluster.machines.get(0);
+        replaced.kill();
+        cluster.machines.remove(replaced);
 
-        SimulatedMachine fresh = cluster.add("control-0b", 0);
-        cluster.start(fresh);
+        SimulatedMachine replacement = cluster.add("control-0b", 0);
+        cluster.start(replacement);
         cluster.runFor(Duration.ofSeconds(30));
-        assertThat(fresh.node.current().version().index()).isZero();
+        assertThat(replacement.node.current().version().index()).isZero();
 
-        RaftGroupMembers without = change(cluster, lost.identity, MembershipChangeMode.REMOVE_MEMBER);
+        RaftGroupMembers without = change(cluster, replaced.identity, MembershipChangeMode.REMOVE_MEMBER);
         assertThat(without.getVotingMembers()).hasSize(4);
-        change(cluster, fresh.identity, MembershipChangeMode.ADD_LEARNER);
-        RaftGroupMembers with = change(cluster, fresh.identity, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
-        assertThat(with.getVotingMembers()).hasSize(5).contains(fresh.identity);
+        change(cluster, replacement.identity, MembershipChangeMode.ADD_LEARNER);
+        RaftGroupMembers with = change(cluster, replacement.identity, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
+        assertThat(with.getVotingMembers()).hasSize(5).contains(replacement.identity);
         commit(cluster, 5);
         assertThat(cluster.recoverAndCheck(RECOVERY_TIME)).isEmpty();
-        assertThat(fresh.node.current().version().index()).isEqualTo(50);
+        assertThat(replacement.node.current().version().index()).isEqualTo(50);
     }
 
-    /** It does not know the members yet and must not unseat who leads. */
+    /** A machine that is no member yet must not disrupt the leader. */
     @Test
     void machineThatIsNoMemberDisruptsNothing() {
         SimulatedCluster cluster = new SimulatedCluster(5, 4, SNAPSHOT_INTERVAL_ENTRIES);
@@ -62,14 +62,14 @@
         commit(cluster, 5);
         SimulatedMachine leader = cluster.awaitLeader();
         long term = leader.node.currentTerm();
-        SimulatedMachine stranger = cluster.add("stranger", 1);
-        cluster.start(stranger);
+        SimulatedMachine nonMember = cluster.add("stranger", 1);
+        cluster.start(nonMember);
         cluster.runFor(Duration.ofSeconds(60));
         assertThat(cluster.awaitLeader()).isSameAs(leader);
         assertThat(leader.node.currentTerm()).isEqualTo(term);
-        assertThat(leader.node.members().getVotingMembers()).hasSize(5).doesNotContain(stranger.identity);
-        cluster.machines.remove(stranger);
-        stranger.kill();
+        assertThat(leader.node.members().getVotingMembers()).hasSize(5).doesNotContain(nonMember.identity);
+        cluster.machines.remove(nonMember);
+        nonMember.kill();
         commit(cluster, 5);
         assertThat(cluster.recoverAndCheck(RECOVERY_TIME)).isEmpty();
     }
--- a/src/test/java/sandstack/configuration/consensus/PlantedFaultsTest.java
+++ b/src/test/java/sandstack/configuration/consensus/PlantedFaultsTest.java
@@ -14,11 +14,11 @@
 import sandstack.configuration.ConfigurationSnapshot;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** The checker finds faults that are planted, so that its silence elsewhere says something. */
+/** The checker detects planted faults, so that its silence in other tests is evidence. */
 class PlantedFaultsTest {
     private static final Duration RECOVERY_TIME = Duration.ofSeconds(16);
 
-    /** Forgets the entry at which the eleventh proposal comes. */
+    /** Skips the entry of the eleventh proposal. */
     private static final class SkippingStateMachine extends ConfigurationStateMachine {
         private int seen;
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Applies a repetition again, as its memory of ids is gone. */
+    /** Applies a retry again, as it takes each idempotency key for a new one. */
     private static final class ForgetfulStateMachine extends ConfigurationStateMachine {
         ForgetfulStateMachine(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
             super(validator, listener, leaderTerm);
@@ -81,7 +81,7 @@
         SimulatedCluster cluster = cluster(SkippingStateMachine::new, 1);
         commit(cluster, 20);
         assertThat(cluster.recoverAndCheck(RECOVERY_TIME))
-                .anyMatch(breach -> breach.contains("where another was told"));
+                .anyMatch(violation -> violation.contains("where another machine reported"));
     }
 
     @Test
@@ -93,10 +93,10 @@
         cluster.runFor(Duration.ofSeconds(1));
         cluster.propose(leader, change);
         assertThat(cluster.recoverAndCheck(RECOVERY_TIME))
-                .anyMatch(breach -> breach.contains("was applied at 1 and 2"));
+                .anyMatch(violation -> violation.contains("was applied at 1 and 2"));
     }
 
-    /** A leader that tells of a change when it is proposed, before the others have it. */
+    /** A leader that reports a change when it is proposed, before the others store it. */
     @Test
     void changeReportedBeforeItsCommitIsDetected() {
         SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
@@ -110,10 +110,10 @@
                         new CommittedChange(after.version(), change, after.digest()),
                         () -> cluster.majorityStores(new CommittedChange(after.version(), change, after.digest())));
         assertThat(cluster.recoverAndCheck(RECOVERY_TIME))
-                .anyMatch(breach -> breach.contains("before a majority of the disks held it"));
+                .anyMatch(violation -> violation.contains("before a majority of the disks stored it"));
     }
 
-    /** Disks that lose what they said they had. */
+    /** Disks that lose what they acknowledged. */
     @Test
     void disksThatLoseFlushesAreDetected() {
         SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
@@ -124,25 +124,25 @@
         cluster.startAll();
         commit(cluster, 5);
         assertThat(cluster.recoverAndCheck(RECOVERY_TIME))
-                .anyMatch(breach -> breach.contains("where another was told"));
+                .anyMatch(violation -> violation.contains("where another machine reported"));
     }
 
-    /** Why a wiped disk must not vote under its old identity: a majority of those that hold a change can be lost. */
+    /** Why a wiped disk must not vote under its old identity: the majority that stored a change can be lost. */
     @Test
     void wipedDiskThatVotesUnderItsOldIdentityIsDetected() {
         SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
         List<SimulatedMachine> holders = cluster.machines.subList(0, 3);
-        List<SimulatedMachine> late = cluster.machines.subList(3, 5);
+        List<SimulatedMachine> restartedLater = cluster.machines.subList(3, 5);
         cluster.runFor(Duration.ofSeconds(3));
-        late.forEach(SimulatedMachine::kill);
+        restartedLater.forEach(SimulatedMachine::kill);
         commit(cluster, 5);
         holders.forEach(SimulatedMachine::kill);
         holders.get(0).disk.wipe();
-        late.forEach(cluster::start);
+        restartedLater.forEach(cluster::start);
         cluster.start(holders.get(0));
         commit(cluster, 5);
         assertThat(cluster.recoverAndCheck(RECOVERY_TIME))
-                .anyMatch(breach -> breach.contains("where another was told"));
+                .anyMatch(violation -> violation.contains("where another machine reported"));
     }
 
     @Test
--- a/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
@@ -21,7 +21,7 @@
 import sandstack.configuration.ConfigurationLimits;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** Messages between control machines come back as they were, and anything else is refused with one line. */
+/** Round trips of Raft messages, and the rejection of anything else with one line. */
 class RaftMessageCodecTest {
     private static final String GROUP = "configuration";
     private static final ControlIdentity SENDER = new ControlIdentity("control-1");
@@ -108,7 +108,7 @@
                 .build();
     }
 
-    /** The other types are sent in the simulated clusters, each through this codec. */
+    /** All types are in {@link RaftFixturesTest}; the simulated clusters send each through this codec. */
     @Example
     void messagesSurviveARoundTrip() throws MalformedConfigurationException {
         for (RaftMessage message : List.of(append(entries()), installSnapshot(), vote())) {
@@ -147,7 +147,7 @@
         assertThatThrownBy(() -> codec.decode(other)).hasMessage("a message of another group");
     }
 
-    /** A length that claims 2 GB costs nothing, and neither does a frame of 60 MB. */
+    /** Neither a length that claims 2 GB nor a frame of 60 MB is allocated. */
     @Example
     void oversizedClaimsAreRejectedBeforeAllocation() {
         byte[] frame = codec.encode(append(entries()));
--- a/src/test/java/sandstack/configuration/consensus/RaftSamples.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftSamples.java
@@ -23,7 +23,8 @@
 
 /**
  * What Raft stores and sends, one of each kind. {@code main} writes the bytes, a store on disk and the traces of simulated
- * clusters with the build on the class path; that is how the fixtures were made.
+ * clusters with the build on the class path; the fixtures were made by this class as it was in the commit that added
+ * them, compiled against the build that they name.
  */
 final class RaftSamples {
     static final String MESSAGES = "raft-messages.txt";
@@ -265,11 +266,11 @@
     /** The messages of one cluster under drawn faults, and the state at each machine in the end. */
     static String trace(long seed) {
         RandomFaultSchedule schedule = new RandomFaultSchedule(seed);
-        List<String> breaches = schedule.run();
+        List<String> violations = schedule.run();
         StringBuilder states = new StringBuilder();
         schedule.cluster.machines.forEach(
                 machine -> states.append(machine.node.current()).append(';'));
-        return breaches.size() + " breaches, " + schedule.cluster.checker.committedChanges() + " changes, "
+        return violations.size() + " breaches, " + schedule.cluster.checker.committedChanges() + " changes, "
                 + schedule.cluster.network.traceDigest() + ", states "
                 + Integer.toHexString(Arrays.hashCode(states.toString().toCharArray()));
     }
--- a/src/test/java/sandstack/configuration/consensus/RandomFaultSchedule.java
+++ b/src/test/java/sandstack/configuration/consensus/RandomFaultSchedule.java
@@ -7,14 +7,14 @@
 import java.util.SplittableRandom;
 import sandstack.configuration.ConfigurationChange;
 
-/** A cluster under drawn faults, and clients that ask whoever is up and repeat what stayed open. */
+/** A cluster under random faults, and clients that propose to any machine and retry what stayed open. */
 final class RandomFaultSchedule {
     private static final int STEPS = 60;
     private static final int SNAPSHOT_INTERVAL_ENTRIES = 15;
     private static final int MAX_STEP_MILLIS = 2_500;
     private static final Duration RECOVERY_TIME = Duration.ofSeconds(16);
 
-    /** A change that a client wants, with the attempts that it made. */
+    /** A change that a client proposes, with its attempts. */
     private record ClientChange(ConfigurationChange change, List<SimulatedCluster.Attempt> attempts) {}
 
     final SimulatedCluster cluster;
@@ -28,7 +28,7 @@
         cluster.network.lossShare = random.nextInt(3) == 0 ? 0.05 : 0;
     }
 
-    /** Plays it and tells the breaches. */
+    /** Runs the schedule and returns the violations. */
     List<String> run() {
         cluster.startAll();
         cluster.runFor(Duration.ofSeconds(3));
@@ -43,7 +43,7 @@
     private void proposeChanges() {
         for (int i = random.nextInt(4); i > 0; i--) {
             SimulatedMachine machine = randomElement(cluster.machines);
-            // most clients know who leads
+            // most clients know the leader
             if (random.nextInt(4) != 0) {
                 machine = cluster.leader().orElse(machine);
             }
@@ -97,14 +97,15 @@
     }
 
     private void cutOneWay(SimulatedMachine victim) {
-        boolean deaf = random.nextBoolean();
+        boolean cutsIncoming = random.nextBoolean();
         for (SimulatedMachine other : cluster.machines) {
-            cluster.network.cut(deaf ? other.identity : victim.identity, deaf ? victim.identity : other.identity);
+            cluster.network.cut(
+                    cutsIncoming ? other.identity : victim.identity, cutsIncoming ? victim.identity : other.identity);
         }
         faults++;
     }
 
-    /** Attempts that were answered, of all. */
+    /** The attempt that was answered after the longest time. */
     Optional<SimulatedCluster.Attempt> slowestAnswer() {
         return clientChanges.stream()
                 .flatMap(change -> change.attempts().stream())
--- a/src/test/java/sandstack/configuration/consensus/SimulatedCluster.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedCluster.java
@@ -14,18 +14,18 @@
 import sandstack.configuration.ConfigurationEdit;
 import sandstack.configuration.ConfigurationVersion;
 
-/** Control machines in two regions, the first with the smaller half, all in simulated time and on one thread. */
+/** Control machines in two regions, the first with the smaller half, in simulated time on one thread. */
 final class SimulatedCluster {
     private static final ControlNodeSettings.Timeouts TIMES = ControlNodeSettings.Timeouts.DEFAULT;
     private static final int MAX_PENDING_PROPOSALS = 64;
-    /** The library tells of each vote; held here, as a logger that nobody holds forgets its level. */
+    /** Silenced; referenced here because a logger without a reference loses its level. */
     private static final Logger LIBRARY = Logger.getLogger("io.microraft");
 
     static {
         LIBRARY.setLevel(Level.OFF);
     }
 
-    /** An attempt that a client made. */
+    /** A client's attempt to have a change committed. */
     static final class Attempt {
         final String change;
         final long proposedMicros;
@@ -72,7 +72,7 @@
         machine.start(settings(machine.identity));
     }
 
-    /** A machine that is no voter yet. */
+    /** Adds a machine that is no voter yet. */
     SimulatedMachine add(String identity, int region) {
         SimulatedMachine machine = new SimulatedMachine(this, new ControlIdentity(identity), region);
         machines.add(machine);
@@ -103,7 +103,7 @@
         return leader().orElseThrow(() -> new AssertionError("no leader within 60 s"));
     }
 
-    /** A change that only this cluster makes, by its reason. */
+    /** A random change with a unique reason. */
     ConfigurationChange randomChange(ConfigurationVersion base) {
         String reason = "change " + generatedChanges++;
         String key = "key-" + random.nextInt(20);
@@ -114,7 +114,7 @@
         return new IdempotencyKey(0, change.reason().hashCode());
     }
 
-    /** A client asks a machine that is up. */
+    /** A client proposes a change to a machine that is up. */
     Attempt propose(SimulatedMachine machine, ConfigurationChange change) {
         Attempt attempt = new Attempt(change.reason(), time.nowMicros());
         checker.proposed(change.reason());
@@ -128,7 +128,7 @@
         return attempt;
     }
 
-    /** A client asks the leader for a change based on what that has applied, and waits. */
+    /** A client proposes a change on the leader's state to it, and waits for the outcome. */
     Attempt commitChange() {
         SimulatedMachine leader = awaitLeader();
         Attempt attempt = propose(leader, randomChange(leader.node.current().version()));
@@ -164,7 +164,7 @@
                 == 1;
     }
 
-    /** Mends everything, lets it settle, and asks the checker. */
+    /** Ends all faults, runs for the recovery time, and returns the violations. */
     List<String> recoverAndCheck(Duration recoveryTime) {
         network.heal();
         network.lossShare = 0;
--- a/src/test/java/sandstack/configuration/consensus/SimulatedDisk.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedDisk.java
@@ -16,7 +16,7 @@
 import sandstack.configuration.ConfigurationCodec;
 import sandstack.configuration.ConfigurationLimits;
 
-/** A disk in memory: a crash leaves what the last flush left. */
+/** A disk in memory: a crash leaves the state of the last flush. */
 final class SimulatedDisk extends EncodedRaftStore {
     private final String name;
     private TreeMap<String, byte[]> header = new TreeMap<>();
@@ -28,7 +28,7 @@
     private boolean losesFlushes;
     long flushes;
     int maxLogEntries;
-    /** Whether bytes are counted, which takes a look at all at each flush. */
+    /** Whether bytes are counted, which reads all values at each flush. */
     boolean measured;
 
     long maxBytes;
@@ -38,7 +38,7 @@
         this.name = name;
     }
 
-    /** A planted fault: what is flushed from now on is lost in a crash. */
+    /** Plants a fault: what is flushed from now on is lost in a crash. */
     void loseFlushes() {
         losesFlushes = true;
     }
@@ -56,7 +56,7 @@
         chunks = new TreeMap<>(durableChunks);
     }
 
-    /** Whether a crash now would leave this change, as a log entry of its term or in the snapshot. */
+    /** Whether this change would survive a crash now, as a log entry of its term or in the snapshot. */
     boolean stores(CommittedChange change) {
         return stores(durableState(), change);
     }
--- a/src/test/java/sandstack/configuration/consensus/SimulatedMachine.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedMachine.java
@@ -28,7 +28,7 @@
                 ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm);
     }
 
-    /** Where a machine finds its store at each start, and how a kill leaves it. */
+    /** Opens the store of a machine at each start, and leaves it as a kill does. */
     interface Stores {
         EncodedRaftStore open() throws IOException;
 
@@ -38,7 +38,7 @@
     final ControlIdentity identity;
     final int region;
     final SimulatedDisk disk;
-    /** What the node remembers by; the simulated disk, unless a test has another. */
+    /** The node's stores; the simulated disk, unless a test sets another. */
     Stores stores;
 
     private EncodedRaftStore store;
@@ -102,7 +102,7 @@
         stores.crash(store);
     }
 
-    /** Whether the disk has this change; of a real file, whether it was written, as a flush is not told from here. */
+    /** Whether the disk has this change; for a real file, whether it was written, as flushes are not observed here. */
     boolean storesDurably(CommittedChange change) {
         return store == null || store == disk ? disk.stores(change) : up && SimulatedDisk.stores(store, change);
     }
@@ -143,7 +143,7 @@
         };
     }
 
-    /** A task of one life: gone with it, held while paused. */
+    /** A task of one incarnation: dropped when it ends, deferred while the machine is paused. */
     private Runnable inIncarnation(int taskIncarnation, Runnable task) {
         return () -> {
             if (!up || taskIncarnation != incarnation) {
--- a/src/test/java/sandstack/configuration/consensus/SimulatedNetwork.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedNetwork.java
@@ -38,7 +38,7 @@
     long betweenRegionsMicros = 20_000;
 
     private static final long WITHIN_REGION_MICROS = 500;
-    /** Each message takes up to so much of its delay more. */
+    /** Each message is delayed by up to this share of its delay more. */
     private static final double JITTER = 0.2;
 
     double lossShare;
--- a/src/test/java/sandstack/configuration/consensus/SimulatedTime.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedTime.java
@@ -12,7 +12,7 @@
     private static final long MICROS_PER_MILLI = 1_000;
     private static final long START_MILLIS = 1_700_000_000_000L;
 
-    /** Something to do at a moment; those of one moment in the order in which they were asked for. */
+    /** A task at a moment; tasks of one moment run in the order in which they were scheduled. */
     private record Task(long atMicros, long order, Runnable action) {}
 
     private final PriorityQueue<Task> tasks =
