--- a/src/test/java/sandstack/configuration/consensus/RaftSamples.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftSamples.java
@@ -31,7 +31,7 @@
     static final String STATE = "raft-state-machine.txt";
     static final String TRACES = "raft-traces.txt";
     static final String STORE = "raft-store.mv";
-    /** The last two put a machine beyond the snapshot boundary and stall its snapshot. */
+    /** The last two are regression seeds of {@link RandomFaultSchedulesTest}. */
     static final List<Long> TRACED_SEEDS = List.of(1L, 2L, 3L, 4L, 1081L, 20242L);
 
     static final String GROUP = "configuration";
