--- a/src/main/java/sandstack/configuration/RecentChanges.java
+++ b/src/main/java/sandstack/configuration/RecentChanges.java
@@ -67,8 +67,4 @@
         }
         return Optional.of(changes);
     }
-
-    int size() {
-        return byIndex.size();
-    }
 }
