--- a/src/main/java/sandstack/configuration/ConfigurationFollower.java
+++ b/src/main/java/sandstack/configuration/ConfigurationFollower.java
@@ -3,70 +3,63 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
+import sandstack.configuration.ActiveConfiguration.ActivationResult;
 import sandstack.configuration.ConfigurationMessage.ChunkRequest;
 import sandstack.configuration.ConfigurationMessage.Deltas;
-import sandstack.configuration.ConfigurationMessage.FromPublisher;
 import sandstack.configuration.ConfigurationMessage.Heartbeat;
-import sandstack.configuration.ConfigurationMessage.Rejected;
+import sandstack.configuration.ConfigurationMessage.PublisherMessage;
 import sandstack.configuration.ConfigurationMessage.RepairRequest;
-import sandstack.configuration.ConfigurationMessage.Report;
+import sandstack.configuration.ConfigurationMessage.SessionRejected;
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 import sandstack.configuration.ConfigurationMessage.SnapshotOffer;
 import sandstack.configuration.ConfigurationMessage.SnapshotRequest;
+import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
-import sandstack.configuration.InForceConfiguration.Result;
 
 /**
- * A relay's side of the distribution: follows one control machine and puts what it agreed on in force here.
+ * A relay's side of the distribution: follows one control machine and activates what was committed there.
  *
  * <p><b>Failure model.</b> Relays and control machines crash and restart with their disk, without it or with an older
- * one, stop for any time and go on; links lose, delay, reorder and duplicate, and are cut one way or both. Members do
- * not lie. <b>Promised:</b> every state that is put in force was agreed, and within one life, or over a restart with
- * its disk, a later one never gives way to an earlier; what is in force stays while nobody is reached. <b>Not
- * promised:</b> that all relays hold one version at one moment, or that a relay whose disk is older or wiped begins
- * where it was.
+ * one, and pause for any time; links lose, delay, reorder and duplicate messages, and are cut one way or both. Members
+ * do not lie. <b>Guaranteed:</b> every state that is activated was committed, and within one incarnation, or over a
+ * restart with its disk, a later version is never replaced by an earlier one; the active state stays while no machine
+ * is reached. <b>Not guaranteed:</b> that all relays hold one version at one moment, or that a relay whose disk is
+ * older or wiped begins where it was.
  *
- * <p>One thread that no client waits for. A message costs O(1) beside the states it carries, a turn O(1).
+ * <p>Not thread-safe; called on one thread that no client waits for. Moments are microseconds of a monotonic clock. A
+ * message costs O(1) beside the states that it carries, a tick O(1).
  */
 public final class ConfigurationFollower {
-    private static final long LINE_INTERVAL = 10_000_000;
-    /** The wait after refusals doubles no more often than this. */
-    private static final int MOST_REFUSAL_DOUBLINGS = 7;
+    private static final long NOT_LAGGING = -1;
 
     /**
-     * What is in force at this relay.
+     * What is active at this relay.
      *
      * @param machine the control machine that is followed; empty where none is
      * @param head what that machine holds; empty where none is followed
-     * @param refusal why a later version is not in force here
+     * @param rejection why a later version is not active here
      */
     public record Status(
-            ConfigurationVersion inForce,
+            ConfigurationVersion activeVersion,
             ConfigurationDigest digest,
             Optional<String> machine,
             Optional<ConfigurationHead> head,
-            Optional<ChangeRefusal> refusal) {}
+            Optional<ChangeRejection> rejection) {}
 
     private final FollowerSettings settings;
-    private final ConfigurationCodec codec;
-    private final FollowerOutput output;
-    private final InForceConfiguration inForce;
-    private final ControlSession control;
-    private final LineLimiter divergenceLines;
-    private SnapshotDownload download;
-    /** No repair is asked for before this. */
-    private long repairAt;
-    /** No snapshot is asked for before this. */
-    private long snapshotAt;
-
-    private int refusals;
-    /** The index in force when the machine last said that there is a later one; -1 where it did not. */
-    private long behindAt = -1;
+    private final ActiveConfiguration activeConfiguration;
+    private final ControlSession session;
+    private final FetchSchedule fetchSchedule;
+    private final SnapshotFetcher snapshots;
+    private final RateLimitedLog divergenceLog;
+    /** The active index when the machine last reported a later one; {@link #NOT_LAGGING} where it did not. */
+    private long laggingIndex = NOT_LAGGING;
 
     /**
-     * Loads what is stored and puts it in force.
+     * Loads and activates what is stored.
      *
      * @param machines all control machines, at least one
+     * @param random for the backoff, the failback and the ids of sessions
      */
     public ConfigurationFollower(
             FollowerSettings settings,
@@ -76,266 +69,221 @@
             ConfigurationStore store,
             FollowerOutput output,
             RandomGenerator random,
-            long now) {
+            long nowMicros) {
         if (machines.isEmpty()) {
-            throw new IllegalArgumentException("there is no control machine");
+            throw new IllegalArgumentException("machines is empty: a relay needs a control machine to follow");
         }
         this.settings = settings;
-        this.codec = new ConfigurationCodec(validator.limits());
-        this.output = output;
-        this.inForce = new InForceConfiguration(validator, store, output);
-        this.divergenceLines = new LineLimiter(output::line, LINE_INTERVAL);
-        List<ControlMachine> order = ControlMachine.inOrderFor(relay, machines);
-        this.control = new ControlSession(settings, relay.name(), order, output, random, now);
-        this.repairAt = now;
-        this.snapshotAt = now;
-        inForce.load();
+        this.activeConfiguration = new ActiveConfiguration(validator, store, output);
+        this.divergenceLog = new RateLimitedLog(output::log);
+        this.snapshots = new SnapshotFetcher(new ConfigurationCodec(validator.limits()), activeConfiguration);
+        this.fetchSchedule = new FetchSchedule(settings, nowMicros);
+        List<ControlMachine> preferenceOrder = ControlMachine.inPreferenceOrder(relay, machines);
+        this.session = new ControlSession(settings, relay.name(), preferenceOrder, output, random, nowMicros);
+        activeConfiguration.load();
     }
 
-    /** The state in force. */
-    public ConfigurationSnapshot inForce() {
-        return inForce.current();
+    /** The configuration that is active at this relay. */
+    public ConfigurationSnapshot activeSnapshot() {
+        return activeConfiguration.current();
     }
 
-    /** Which version is in force and whom this relay follows. */
+    /** Which version is active and which machine this relay follows. */
     public Status status() {
         return new Status(
-                inForce.version(),
-                inForce.current().digest(),
-                Optional.ofNullable(control.machine()),
-                Optional.ofNullable(control.head()),
-                inForce.refusal());
+                activeConfiguration.version(),
+                activeConfiguration.current().digest(),
+                session.machine(),
+                session.head(),
+                activeConfiguration.rejection());
     }
 
-    /** A control machine said something. */
-    public void received(String machine, FromPublisher message, long now) {
-        if (control.isAttempt(machine, message.session())) {
-            answered(message, now);
-        } else if (control.isCurrent(machine, message.session())) {
-            control.heard(now);
-            handle(message, now);
+    /** A message of a control machine arrived; one of another session or attempt is ignored. */
+    public void received(String machine, PublisherMessage message, long nowMicros) {
+        if (session.isCurrentAttempt(machine, message.sessionId())) {
+            handleAttemptReply(message, nowMicros);
+        } else if (session.isCurrentSession(machine, message.sessionId())) {
+            session.heard(nowMicros);
+            handle(message, nowMicros);
         }
     }
 
     /** The connection with a control machine is gone, or could not be made. */
-    public void disconnected(String machine, long now) {
-        if (control.disconnected(machine, now)) {
-            sessionChanged();
+    public void disconnected(String machine, long nowMicros) {
+        if (session.disconnected(machine, nowMicros)) {
+            resetSessionState();
         }
     }
 
-    /** Does what is due; a few times a second. */
-    public void turn(long now) {
-        if (control.slept(now) && control.isOpen()) {
-            report();
-        }
-        if (control.turn(inForce.version(), now)) {
-            sessionChanged();
+    /** Does what is due; to be called a few times a second. */
+    public void tick(long nowMicros) {
+        if (session.detectPause(nowMicros) && session.isOpen()) {
+            sendReport();
         }
-        if (download != null && download.retries(now, settings.repairInterval())) {
-            continueDownload();
+        if (session.tick(activeConfiguration.version(), nowMicros)) {
+            resetSessionState();
         }
+        snapshots.retry(nowMicros, settings.repairIntervalMicros()).ifPresent(this::requestChunk);
     }
 
-    /** The machine that was asked has answered. */
-    private void answered(FromPublisher message, long now) {
+    private void handleAttemptReply(PublisherMessage message, long nowMicros) {
         if (message instanceof Welcome welcome) {
-            if (welcome.head().version().contradicts(inForce.version())) {
-                reportDivergence(welcome.head().version(), now);
-                control.attemptFailed(now);
-            } else if (control.welcomed(welcome.head(), inForce.version(), now)) {
-                sessionChanged();
-                compare(welcome.head(), now);
+            if (welcome.head().version().divergesFrom(activeConfiguration.version())) {
+                logDivergence(welcome.head().version(), nowMicros);
+                session.attemptFailed(nowMicros);
+            } else if (session.welcomed(welcome.head(), activeConfiguration.version(), nowMicros)) {
+                resetSessionState();
+                compareWithHead(welcome.head(), nowMicros);
             }
-        } else if (message instanceof Rejected) {
-            control.attemptFailed(now);
+        } else if (message instanceof SessionRejected) {
+            session.attemptFailed(nowMicros);
         }
     }
 
-    private void handle(FromPublisher message, long now) {
+    private void handle(PublisherMessage message, long nowMicros) {
         if (message instanceof Heartbeat heartbeat) {
-            control.heard(heartbeat.head(), inForce.version(), now);
-            report();
-            compare(heartbeat.head(), now);
+            session.headReceived(heartbeat.head(), activeConfiguration.version(), nowMicros);
+            sendReport();
+            compareWithHead(heartbeat.head(), nowMicros);
         } else if (message instanceof Deltas deltas) {
-            apply(deltas.changes(), now);
+            apply(deltas.changes(), nowMicros);
         } else if (message instanceof SnapshotOffer offer) {
-            handleOffer(offer, now);
+            handleOffer(offer, nowMicros);
         } else if (message instanceof SnapshotChunk chunk) {
-            handleChunk(chunk, now);
-        } else if (message instanceof Rejected) {
-            control.lost(now);
-            sessionChanged();
+            handleChunk(chunk, nowMicros);
+        } else if (message instanceof SessionRejected) {
+            session.lost(nowMicros);
+            resetSessionState();
         }
     }
 
-    /** Looks whether the machine's state is this one, a later one, or one of another history. */
-    private void compare(ConfigurationHead head, long now) {
-        ConfigurationVersion version = inForce.version();
-        boolean sameVersion = head.version().equals(version);
-        if (head.version().contradicts(version)
-                || sameVersion && !head.digest().equals(inForce.current().digest())) {
-            leaveDivergent(head.version(), now);
-        } else if (head.version().index() <= inForce.notWanted()) {
-            behindAt = -1;
-        } else if (behindAt == version.index()) {
-            // it was behind a heartbeat ago, and nothing has come since
-            repair(now);
+    /**
+     * Distinguishes a machine that holds the active state or an earlier one, a later one, or one of another history.
+     */
+    private void compareWithHead(ConfigurationHead head, long nowMicros) {
+        ConfigurationVersion version = activeConfiguration.version();
+        boolean hasOtherDigest = head.version().equals(version)
+                && !head.digest().equals(activeConfiguration.current().digest());
+        if (head.version().divergesFrom(version) || hasOtherDigest) {
+            abandonDivergentMachine(head.version(), nowMicros);
+        } else if (head.version().index() <= activeConfiguration.highestHandledIndex()) {
+            laggingIndex = NOT_LAGGING;
+        } else if (laggingIndex == version.index()) {
+            // it lagged at the last heartbeat too, and nothing was activated since
+            requestMissing(nowMicros);
         } else {
-            behindAt = version.index();
+            laggingIndex = version.index();
         }
     }
 
-    private void apply(List<AgreedChange> changes, long now) {
-        long before = inForce.version().index();
-        for (AgreedChange change : changes) {
-            Result result = inForce.apply(change, now);
-            if (result != Result.IN_FORCE && result != Result.OLD) {
-                notApplied(result, change.version(), now);
+    private void apply(List<CommittedChange> changes, long nowMicros) {
+        long indexBefore = activeConfiguration.version().index();
+        for (CommittedChange change : changes) {
+            ActivationResult result = activeConfiguration.apply(change, nowMicros);
+            if (result != ActivationResult.ACTIVATED && result != ActivationResult.STALE) {
+                handleUnapplied(result, change.version(), nowMicros);
                 return;
             }
         }
-        if (inForce.version().index() > before) {
-            refusals = 0;
-            report();
+        if (activeConfiguration.version().index() > indexBefore) {
+            fetchSchedule.activated();
+            sendReport();
         }
     }
 
-    private void notApplied(Result result, ConfigurationVersion version, long now) {
+    private void handleUnapplied(ActivationResult result, ConfigurationVersion version, long nowMicros) {
         switch (result) {
-            case GAP -> repair(now);
-            case MISMATCH -> {
-                divergenceLines.line("configuration " + version + " does not lead to its digest here", now);
-                requestSnapshot(version.index(), now);
+            case GAP -> requestMissing(nowMicros);
+            case DIGEST_MISMATCH -> {
+                divergenceLog.log("change does not lead to its digest version=" + version, nowMicros);
+                requestSnapshot(version.index(), nowMicros);
             }
-            case DIVERGENT -> leaveDivergent(version, now);
-            case REFUSED -> refused(now);
-            default -> throw new IllegalStateException("nothing to do after " + result);
-        }
-    }
-
-    private void handleOffer(SnapshotOffer offer, long now) {
-        if (offer.version().contradicts(inForce.version())) {
-            leaveDivergent(offer.version(), now);
-        } else if (offer.version().index() > inForce.notWanted() && download == null) {
-            requestSnapshot(inForce.notWanted() + 1, now);
+            case DIVERGENT -> abandonDivergentMachine(version, nowMicros);
+            case REJECTED -> handleRejection(nowMicros);
+            default -> throw new IllegalStateException("unexpected result of a change: " + result);
         }
     }
 
-    private void handleChunk(SnapshotChunk chunk, long now) {
-        if (chunk.version().contradicts(inForce.version())) {
-            leaveDivergent(chunk.version(), now);
-            return;
-        }
-        if (chunk.version().index() <= inForce.notWanted()) {
-            return;
-        }
-        if (chunk.offset() == 0 && (download == null || chunk.version().isAfter(download.version()))) {
-            beginDownload(chunk, now);
-        }
-        if (download != null && download.take(chunk, now)) {
-            if (download.isComplete()) {
-                finishDownload(now);
-            } else {
-                continueDownload();
-            }
+    private void handleOffer(SnapshotOffer offer, long nowMicros) {
+        if (offer.version().divergesFrom(activeConfiguration.version())) {
+            abandonDivergentMachine(offer.version(), nowMicros);
+        } else if (offer.version().index() > activeConfiguration.highestHandledIndex() && !snapshots.isFetching()) {
+            requestSnapshot(activeConfiguration.highestHandledIndex() + 1, nowMicros);
         }
     }
 
-    private void beginDownload(SnapshotChunk first, long now) {
-        Optional<ChangeRefusal> refusal = inForce.refuseFormat(first.formatVersion())
-                .or(() -> inForce.refuseSize(first.totalBytes(), codec.mostSnapshotBytes()));
-        if (refusal.isPresent()) {
-            download = null;
-            inForce.refuse(first.version(), refusal.get());
-            refused(now);
+    private void handleChunk(SnapshotChunk chunk, long nowMicros) {
+        if (chunk.version().divergesFrom(activeConfiguration.version())) {
+            abandonDivergentMachine(chunk.version(), nowMicros);
             return;
         }
-        download = new SnapshotDownload(first, now);
-    }
-
-    private void continueDownload() {
-        if (download.isHopeless()) {
-            download = null;
-            return;
+        SnapshotFetcher.Progress progress = snapshots.accept(chunk, nowMicros);
+        if (progress instanceof SnapshotFetcher.Progress.NextChunk next) {
+            requestChunk(next);
+        } else if (progress instanceof SnapshotFetcher.Progress.Finished finished) {
+            handleFetched(finished.result(), chunk.version(), nowMicros);
         }
-        output.send(control.machine(), new ChunkRequest(control.id(), download.version(), download.offset()));
     }
 
-    private void finishDownload(long now) {
-        ConfigurationVersion version = download.version();
-        byte[] bytes = download.bytes();
-        download = null;
-        Result result;
-        try {
-            ConfigurationSnapshot snapshot = codec.decodeSnapshot(bytes);
-            if (!snapshot.version().equals(version)) {
-                throw new MalformedConfigurationException("a snapshot of " + version + " says " + snapshot.version());
-            }
-            result = inForce.replace(snapshot, now);
-        } catch (MalformedConfigurationException e) {
-            result = inForce.refuse(version, e.refusal());
-        }
+    private void handleFetched(ActivationResult result, ConfigurationVersion version, long nowMicros) {
         switch (result) {
-            case IN_FORCE -> {
-                refusals = 0;
-                report();
+            case ACTIVATED -> {
+                fetchSchedule.activated();
+                sendReport();
             }
-            case REFUSED -> refused(now);
-            case DIVERGENT -> leaveDivergent(version, now);
-            default -> report();
+            case REJECTED -> handleRejection(nowMicros);
+            case DIVERGENT -> abandonDivergentMachine(version, nowMicros);
+            default -> sendReport();
         }
     }
 
-    private void refused(long now) {
-        refusals++;
-        snapshotAt = now + (settings.refusalWait() << Math.min(refusals - 1, MOST_REFUSAL_DOUBLINGS));
-        report();
+    private void handleRejection(long nowMicros) {
+        fetchSchedule.rejected(nowMicros);
+        sendReport();
     }
 
-    /** Asks for what is missing; past a refused state only a later snapshot leads on. */
-    private void repair(long now) {
-        if (inForce.isStuck()) {
-            requestSnapshot(inForce.notWanted() + 1, now);
-        } else if (download == null && now >= repairAt) {
-            repairAt = now + settings.repairInterval();
-            output.send(control.machine(), new RepairRequest(control.id(), inForce.version()));
+    /** Requests what is missing; after a rejected state only a later snapshot helps. */
+    private void requestMissing(long nowMicros) {
+        if (activeConfiguration.hasRejectedLaterVersion()) {
+            requestSnapshot(activeConfiguration.highestHandledIndex() + 1, nowMicros);
+        } else if (!snapshots.isFetching() && fetchSchedule.tryRepair(nowMicros)) {
+            session.send(id -> new RepairRequest(id, activeConfiguration.version()));
         }
     }
 
-    private void requestSnapshot(long leastIndex, long now) {
-        if (now >= snapshotAt) {
-            snapshotAt = now + settings.repairInterval();
-            output.send(control.machine(), new SnapshotRequest(control.id(), leastIndex));
+    private void requestSnapshot(long minIndex, long nowMicros) {
+        if (fetchSchedule.trySnapshot(nowMicros)) {
+            session.send(id -> new SnapshotRequest(id, minIndex));
         }
     }
 
-    private void report() {
-        output.send(
-                control.machine(),
-                new Report(
-                        control.id(),
-                        inForce.version(),
-                        inForce.current().digest(),
-                        inForce.refusal().map(ChangeRefusal::reason)));
+    private void requestChunk(SnapshotFetcher.Progress.NextChunk next) {
+        session.send(id -> new ChunkRequest(id, next.version(), next.offset()));
+    }
+
+    private void sendReport() {
+        ConfigurationSnapshot active = activeConfiguration.current();
+        Optional<ChangeRejection.Reason> reason =
+                activeConfiguration.rejection().map(ChangeRejection::reason);
+        session.send(id -> new StatusReport(id, active.version(), active.digest(), reason));
     }
 
-    /** The machine holds another history: what is in force stays, and another machine is asked. */
-    private void leaveDivergent(ConfigurationVersion theirs, long now) {
-        reportDivergence(theirs, now);
-        control.lost(now);
-        sessionChanged();
+    /** The machine holds another history: the active state stays, and another machine is tried. */
+    private void abandonDivergentMachine(ConfigurationVersion machineVersion, long nowMicros) {
+        logDivergence(machineVersion, nowMicros);
+        session.lost(nowMicros);
+        resetSessionState();
     }
 
-    private void reportDivergence(ConfigurationVersion theirs, long now) {
-        divergenceLines.line(
-                "a control machine holds " + theirs + " of another history than " + inForce.version()
-                        + ", which stays in force",
-                now);
+    private void logDivergence(ConfigurationVersion machineVersion, long nowMicros) {
+        divergenceLog.log(
+                "control machine holds another history machineVersion=" + machineVersion + " activeVersion="
+                        + activeConfiguration.version(),
+                nowMicros);
     }
 
-    private void sessionChanged() {
-        download = null;
-        behindAt = -1;
+    private void resetSessionState() {
+        snapshots.abort();
+        laggingIndex = NOT_LAGGING;
     }
 }
--- a/src/main/java/sandstack/configuration/ControlSession.java
+++ b/src/main/java/sandstack/configuration/ControlSession.java
@@ -1,248 +1,228 @@
 package sandstack.configuration;
 
 import java.util.List;
+import java.util.Optional;
+import java.util.function.LongFunction;
 import java.util.random.RandomGenerator;
+import sandstack.configuration.ConfigurationMessage.FollowerMessage;
 import sandstack.configuration.ConfigurationMessage.Goodbye;
 import sandstack.configuration.ConfigurationMessage.Hello;
 
 /**
- * Which control machine a relay follows. Keeps one session; asks another machine where there is none, where the machine
- * lacks a quorum or is behind, and once in a while where it is not the preferred one. One attempt at a time. One thread.
+ * The session of a relay with the control machine that it follows. Tries another machine where there is no session,
+ * where the machine lacks a quorum or is behind, and from time to time where it is not the preferred one (failback).
+ * One attempt at a time. Not thread-safe; moments are microseconds of the relay's clock.
  */
 final class ControlSession {
-    /** A turn that comes this much later than the one before was slept through, in microseconds. */
-    private static final long SLEPT = 2_000_000;
-
-    /** A connection with one machine. */
-    private static final class Link {
-        final String machine;
-        final long id;
-        ConfigurationHead head;
-        long heardAt;
-        long since;
-
-        Link(String machine, long id, long now) {
-            this.machine = machine;
-            this.id = id;
-            this.heardAt = now;
-            this.since = now;
-        }
-    }
+    /** A tick that comes this much after the one before means that the process was paused. */
+    private static final long MIN_PAUSE_MICROS = 2_000_000;
 
     private final FollowerSettings settings;
     private final String relay;
-    private final List<ControlMachine> order;
+    private final MachineRotation rotation;
     private final FollowerOutput output;
     private final RandomGenerator random;
-    private final ReconnectBackOff backOff;
-    private Link session;
-    private Link attempt;
-    private int nextCandidate;
-    private long attemptAt;
-    private long returnAt;
-    /** Since when the session's machine lacks a quorum or is behind; only while it does. */
-    private long unsatisfiedSince;
-
-    private boolean satisfied;
-    private long lastTurn;
-
+    private final ReconnectBackoff backoff;
+    /** The machine that is followed; null where there is none. */
+    private ControlConnection session;
+    /** The machine that was sent a hello and has not replied; null where there is none. */
+    private ControlConnection attempt;
+
+    private long nextAttemptMicros;
+    private long failbackMicros;
+    private long lastTickMicros;
+
+    /**
+     * Makes the first attempt within one slot of the backoff.
+     *
+     * @param machines in this relay's order of preference
+     */
     ControlSession(
             FollowerSettings settings,
             String relay,
-            List<ControlMachine> order,
+            List<ControlMachine> machines,
             FollowerOutput output,
             RandomGenerator random,
-            long now) {
+            long nowMicros) {
         this.settings = settings;
         this.relay = relay;
-        this.order = List.copyOf(order);
+        this.rotation = new MachineRotation(machines);
         this.output = output;
         this.random = random;
-        this.backOff = new ReconnectBackOff(settings.slot(), settings.mostDoublings(), random, now);
-        this.attemptAt = backOff.first(now);
-        this.lastTurn = now;
+        this.backoff =
+                new ReconnectBackoff(settings.backoffSlotMicros(), settings.maxBackoffDoublings(), random, nowMicros);
+        this.nextAttemptMicros = backoff.firstAttemptMicros(nowMicros);
+        this.lastTickMicros = nowMicros;
     }
 
-    /** Whether a message of this session comes from the machine that is followed. */
-    boolean isCurrent(String machine, long id) {
-        return session != null && session.id == id && session.machine.equals(machine);
+    /** Whether a message belongs to the session with the machine that is followed. */
+    boolean isCurrentSession(String machine, long sessionId) {
+        return session != null && session.matches(machine, sessionId);
     }
 
-    boolean isAttempt(String machine, long id) {
-        return attempt != null && attempt.id == id && attempt.machine.equals(machine);
+    /** Whether a message replies to the hello of the current attempt. */
+    boolean isCurrentAttempt(String machine, long sessionId) {
+        return attempt != null && attempt.matches(machine, sessionId);
     }
 
     boolean isOpen() {
         return session != null;
     }
 
-    /** The machine that is followed; null where there is none. */
-    String machine() {
-        return session == null ? null : session.machine;
+    /** The machine that is followed. */
+    Optional<String> machine() {
+        return Optional.ofNullable(session).map(ControlConnection::machine);
     }
 
-    /** What the machine that is followed said last; null where there is none. */
-    ConfigurationHead head() {
-        return session == null ? null : session.head;
+    /** What the machine that is followed last reported. */
+    Optional<ConfigurationHead> head() {
+        return Optional.ofNullable(session).map(ControlConnection::head);
     }
 
-    long id() {
-        return session.id;
+    /**
+     * Sends to the machine that is followed; only while the session is open.
+     *
+     * @param message makes the message of a session's id
+     */
+    void send(LongFunction<FollowerMessage> message) {
+        output.send(session.machine(), message.apply(session.sessionId()));
     }
 
-    /** The machine that is followed said something. */
-    void heard(long now) {
-        session.heardAt = now;
+    /** A message of the session arrived. */
+    void heard(long nowMicros) {
+        session.heard(nowMicros);
     }
 
-    /** The machine that is followed said what it holds. */
-    void heard(ConfigurationHead head, ConfigurationVersion inForce, long now) {
-        session.heardAt = now;
-        session.head = head;
-        boolean satisfies = satisfies(head, inForce);
-        if (satisfied && !satisfies) {
-            unsatisfiedSince = now;
-            // all relays of a machine hear of it at once; they are not to ask the others at once
-            attemptAt = now + settings.grace() + backOff.drawWidest();
+    /** The machine that is followed reported what it holds. */
+    void headReceived(ConfigurationHead head, ConfigurationVersion activeVersion, long nowMicros) {
+        session.heard(nowMicros);
+        if (session.headReceived(head, activeVersion, nowMicros)) {
+            // all relays of a machine learn of it at once and must not try the others at once
+            nextAttemptMicros = nowMicros + settings.unsatisfiedGraceMicros() + backoff.randomMaxDelayMicros();
         }
-        satisfied = satisfies;
     }
 
-    /** The machine that was asked takes this relay; returns whether it is followed now. */
-    boolean welcomed(ConfigurationHead head, ConfigurationVersion inForce, long now) {
-        if (session != null && !isBetter(head, inForce)) {
-            output.send(attempt.machine, new Goodbye(attempt.id));
-            attemptFailed(now);
-            return false;
-        }
+    /** The machine of the attempt welcomed this relay; whether it is followed from now on. */
+    boolean welcomed(ConfigurationHead head, ConfigurationVersion activeVersion, long nowMicros) {
         if (session != null) {
-            output.send(session.machine, new Goodbye(session.id));
-            output.close(session.machine);
+            boolean isPreferred = rotation.isPreferredTo(attempt.machine(), session.machine());
+            if (!MachineSelection.isBetter(head, isPreferred, session, activeVersion)) {
+                output.send(attempt.machine(), new Goodbye(attempt.sessionId()));
+                attemptFailed(nowMicros);
+                return false;
+            }
+            output.send(session.machine(), new Goodbye(session.sessionId()));
+            output.close(session.machine());
         }
         session = attempt;
         attempt = null;
-        session.since = now;
-        satisfied = true;
-        attemptAt = now;
-        heard(head, inForce, now);
-        drawReturn(now);
+        session.opened(nowMicros);
+        nextAttemptMicros = nowMicros;
+        headReceived(head, activeVersion, nowMicros);
+        scheduleFailback(nowMicros);
         return true;
     }
 
-    /** The machine that was asked does not take this relay, or is not reached. */
-    void attemptFailed(long now) {
-        output.close(attempt.machine);
+    /** The machine of the attempt rejected this relay, did not reply in time, or is not reached. */
+    void attemptFailed(long nowMicros) {
+        output.close(attempt.machine());
         attempt = null;
-        attemptAt = backOff.next(now);
-        drawReturn(now);
+        nextAttemptMicros = backoff.nextAttemptMicros(nowMicros);
+        scheduleFailback(nowMicros);
     }
 
-    /** The session is over: another machine is asked at a drawn moment. */
-    void lost(long now) {
-        output.close(session.machine);
-        nextCandidate = position(session.machine) + 1;
+    /** The session ended: the next machine is tried after a backoff. */
+    void lost(long nowMicros) {
+        output.close(session.machine());
+        rotation.continueAfter(session.machine());
         session = null;
         if (attempt == null) {
-            attemptAt = backOff.next(now);
+            nextAttemptMicros = backoff.nextAttemptMicros(nowMicros);
         }
     }
 
-    /** The connection with a machine is gone; returns whether it was the session's. */
-    boolean disconnected(String machine, long now) {
-        if (attempt != null && attempt.machine.equals(machine)) {
-            attemptFailed(now);
+    /** The connection with a machine is gone; whether it was the session's. */
+    boolean disconnected(String machine, long nowMicros) {
+        if (attempt != null && attempt.machine().equals(machine)) {
+            attemptFailed(nowMicros);
         }
-        boolean current = session != null && session.machine.equals(machine);
-        if (current) {
-            lost(now);
+        boolean isSession = session != null && session.machine().equals(machine);
+        if (isSession) {
+            lost(nowMicros);
         }
-        return current;
+        return isSession;
     }
 
-    /** Whether this process stood still since the last turn; nobody is blamed for what it missed then. */
-    boolean slept(long now) {
-        boolean slept = now - lastTurn >= SLEPT;
-        lastTurn = now;
-        if (slept && session != null) {
-            session.heardAt = now;
+    /** Whether this process was paused since the last tick; no machine counts as silent for what was missed then. */
+    boolean detectPause(long nowMicros) {
+        boolean paused = nowMicros - lastTickMicros >= MIN_PAUSE_MICROS;
+        lastTickMicros = nowMicros;
+        if (paused && session != null) {
+            session.heard(nowMicros);
         }
-        if (slept && attempt != null) {
-            attempt.heardAt = now;
+        if (paused && attempt != null) {
+            attempt.heard(nowMicros);
         }
-        return slept;
+        return paused;
     }
 
-    /** Gives up who is silent and asks where it is time to; returns whether the session was given up. */
-    boolean turn(ConfigurationVersion inForce, long now) {
-        if (attempt != null && now - attempt.heardAt >= settings.attemptTimeout()) {
-            attemptFailed(now);
+    /** Gives up silent machines and begins an attempt where one is due; whether the session was given up. */
+    boolean tick(ConfigurationVersion activeVersion, long nowMicros) {
+        if (attempt != null && attempt.isSilentFor(settings.attemptTimeoutMicros(), nowMicros)) {
+            attemptFailed(nowMicros);
         }
-        boolean silent = session != null && now - session.heardAt >= settings.silence();
+        boolean silent = session != null && session.isSilentFor(settings.silenceTimeoutMicros(), nowMicros);
         if (silent) {
-            lost(now);
+            lost(nowMicros);
         }
-        if (session != null && satisfied && now - session.since >= settings.stable()) {
-            backOff.clear();
+        if (session != null && session.isStableFor(settings.stableSessionMicros(), nowMicros)) {
+            backoff.reset();
         }
-        if (attempt == null && now >= attemptAt && wantsAnother(now)) {
-            ask(inForce, now);
+        if (attempt == null && nowMicros >= nextAttemptMicros && wantsAnother(nowMicros)) {
+            beginAttempt(activeVersion, nowMicros);
         }
         return silent;
     }
 
-    private boolean wantsAnother(long now) {
-        return session == null || !satisfied && now - unsatisfiedSince >= settings.grace() || wantsReturn(now);
+    private boolean wantsAnother(long nowMicros) {
+        return session == null
+                || session.isUnsatisfactoryFor(settings.unsatisfiedGraceMicros(), nowMicros)
+                || wantsFailback(nowMicros);
     }
 
-    private boolean wantsReturn(long now) {
-        return session != null && satisfied && now >= returnAt && position(session.machine) > 0;
+    private boolean wantsFailback(long nowMicros) {
+        return session != null
+                && session.isSatisfactory()
+                && nowMicros >= failbackMicros
+                && !rotation.isPreferred(session.machine());
     }
 
-    private void ask(ConfigurationVersion inForce, long now) {
-        if (wantsReturn(now)) {
-            nextCandidate = 0;
+    private void beginAttempt(ConfigurationVersion activeVersion, long nowMicros) {
+        if (wantsFailback(nowMicros)) {
+            rotation.restart();
         }
-        ControlMachine candidate = candidate();
-        if (session != null && candidate.name().equals(session.machine)) {
-            candidate = candidate();
+        String candidate = rotation.next();
+        if (isFollowed(candidate)) {
+            candidate = rotation.next();
         }
-        if (session != null && candidate.name().equals(session.machine)) {
+        if (isFollowed(candidate)) {
             // there is no other machine
-            attemptAt = backOff.next(now);
+            nextAttemptMicros = backoff.nextAttemptMicros(nowMicros);
             return;
         }
-        attempt = new Link(candidate.name(), random.nextLong(), now);
-        output.send(candidate.name(), new Hello(attempt.id, relay, ConfigurationChange.FORMAT_VERSION, inForce));
-    }
-
-    private ControlMachine candidate() {
-        ControlMachine candidate = order.get(nextCandidate % order.size());
-        nextCandidate = (nextCandidate + 1) % order.size();
-        return candidate;
-    }
-
-    private boolean isBetter(ConfigurationHead head, ConfigurationVersion inForce) {
-        if (satisfied) {
-            return satisfies(head, inForce) && position(attempt.machine) < position(session.machine);
-        }
-        return satisfies(head, inForce)
-                || !session.head.quorum() && head.version().isAfter(session.head.version());
+        attempt = new ControlConnection(candidate, random.nextLong(), nowMicros);
+        output.send(
+                candidate, new Hello(attempt.sessionId(), relay, ConfigurationChange.FORMAT_VERSION, activeVersion));
     }
 
-    private static boolean satisfies(ConfigurationHead head, ConfigurationVersion inForce) {
-        return head.quorum() && head.version().index() >= inForce.index();
-    }
-
-    private int position(String machine) {
-        for (int i = 0; i < order.size(); i++) {
-            if (order.get(i).name().equals(machine)) {
-                return i;
-            }
-        }
-        return 0;
+    private boolean isFollowed(String machine) {
+        return session != null && session.machine().equals(machine);
     }
 
-    private void drawReturn(long now) {
-        returnAt = now + settings.returnSpan() / 4 + random.nextLong(settings.returnSpan());
+    /**
+     * The next failback is drawn at random over the span, after a quarter of it, so that relays do not return together.
+     */
+    private void scheduleFailback(long nowMicros) {
+        failbackMicros = nowMicros + settings.failbackSpanMicros() / 4 + random.nextLong(settings.failbackSpanMicros());
     }
 }
--- a/src/main/java/sandstack/configuration/MalformedConfigurationException.java
+++ b/src/main/java/sandstack/configuration/MalformedConfigurationException.java
@@ -5,7 +5,7 @@
     private static final long serialVersionUID = 1L;
 
     /**
-     * With what is wrong.
+     * Names what is malformed.
      *
      * @param message one line, without the bytes themselves
      */
@@ -13,8 +13,8 @@
         super(message);
     }
 
-    /** As a refusal. */
-    public ChangeRefusal refusal() {
-        return new ChangeRefusal(ChangeRefusal.Reason.MALFORMED, getMessage());
+    /** As a rejection with the reason {@code MALFORMED}. */
+    public ChangeRejection toRejection() {
+        return new ChangeRejection(ChangeRejection.Reason.MALFORMED, getMessage());
     }
 }
--- a/src/main/java/sandstack/configuration/PublisherSettings.java
+++ b/src/main/java/sandstack/configuration/PublisherSettings.java
@@ -1,39 +1,51 @@
 package sandstack.configuration;
 
 /**
- * How a control machine serves relays. Durations are in microseconds.
+ * How a control machine serves relays.
  *
- * @param mostSessions relays that are served at once
- * @param heartbeat between two heartbeats of a session
- * @param silence after which a relay that says nothing is given up
- * @param window changes that may be under way to a relay
- * @param batchBytes of changes in one message, where there is more than one
- * @param historyChanges kept for relays that are behind
- * @param historyBytes the same in bytes
- * @param chunkBytes of a snapshot in one message
- * @param snapshotAge changes after which the kept encoded snapshot is made anew
+ * @param maxSessions relays that are served at once
+ * @param heartbeatIntervalMicros between two heartbeats of a session
+ * @param silenceTimeoutMicros after which the session of a silent relay is closed
+ * @param windowChanges changes that may be in flight to one relay
+ * @param maxBatchBytes of changes in one message with more than one
+ * @param maxHistoryChanges changes in the history for relays that are behind
+ * @param maxHistoryBytes encoded bytes in that history
+ * @param maxChunkBytes bytes of a snapshot in one message
+ * @param maxSnapshotLagChanges changes after which the cached encoded snapshot is renewed
  * @param snapshotBytesPerSecond of snapshots to all relays together
- * @param hellosPerSecond that are answered with a session
+ * @param hellosPerSecond of all relays together that are admitted
  * @param messagesPerSecond that one relay may send on average
  * @param messageBurst that one relay may send at once
  */
 public record PublisherSettings(
-        int mostSessions,
-        long heartbeat,
-        long silence,
-        int window,
-        int batchBytes,
-        int historyChanges,
-        long historyBytes,
-        int chunkBytes,
-        int snapshotAge,
+        int maxSessions,
+        long heartbeatIntervalMicros,
+        long silenceTimeoutMicros,
+        int windowChanges,
+        int maxBatchBytes,
+        int maxHistoryChanges,
+        long maxHistoryBytes,
+        int maxChunkBytes,
+        int maxSnapshotLagChanges,
         long snapshotBytesPerSecond,
         int hellosPerSecond,
         int messagesPerSecond,
         int messageBurst) {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
-    /** What holds where staff state nothing else. */
+    /** The default settings. */
     public static final PublisherSettings DEFAULT = new PublisherSettings(
-            2_000, 2 * SECOND, 8 * SECOND, 64, 64 << 10, 4_096, 8 << 20, 32 << 10, 256, 32 << 20, 1_000, 50, 200);
+            2_000, // maxSessions
+            2 * SECOND_MICROS, // heartbeatIntervalMicros
+            8 * SECOND_MICROS, // silenceTimeoutMicros
+            64, // windowChanges
+            64 << 10, // maxBatchBytes
+            4_096, // maxHistoryChanges
+            8 << 20, // maxHistoryBytes
+            32 << 10, // maxChunkBytes
+            256, // maxSnapshotLagChanges
+            32 << 20, // snapshotBytesPerSecond
+            1_000, // hellosPerSecond
+            50, // messagesPerSecond
+            200); // messageBurst
 }
--- /dev/null
+++ b/src/main/java/sandstack/configuration/RateLimitedLog.java
@@ -0,0 +1,31 @@
+package sandstack.configuration;
+
+import java.util.function.Consumer;
+
+/**
+ * Writes at most one line of a kind in an interval and counts the lines that are suppressed; the next line that is
+ * written tells their number. Not thread-safe; a call costs O(1).
+ */
+final class RateLimitedLog {
+    private static final long INTERVAL_MICROS = 10_000_000;
+
+    private final Consumer<String> output;
+    private boolean hasLogged;
+    private long lastLoggedMicros;
+    private long suppressed;
+
+    RateLimitedLog(Consumer<String> output) {
+        this.output = output;
+    }
+
+    void log(String text, long nowMicros) {
+        if (hasLogged && nowMicros - lastLoggedMicros < INTERVAL_MICROS) {
+            suppressed++;
+            return;
+        }
+        output.accept(suppressed == 0 ? text : text + " suppressed=" + suppressed);
+        hasLogged = true;
+        lastLoggedMicros = nowMicros;
+        suppressed = 0;
+    }
+}
--- a/src/main/java/sandstack/configuration/SnapshotDownload.java
+++ b/src/main/java/sandstack/configuration/SnapshotDownload.java
@@ -3,21 +3,24 @@
 import java.io.ByteArrayOutputStream;
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 
-/** Parts of one encoded snapshot, in order. Bounded by the size that was accepted with the first part. One thread. */
+/**
+ * The chunks of one encoded snapshot, in order. Bounded by the size that was accepted with the first chunk. Not
+ * thread-safe.
+ */
 final class SnapshotDownload {
-    /** Times that the next part is asked for again before the download is given up. */
-    private static final int MOST_RETRIES = 8;
+    /** Requests for the same chunk before the download is abandoned. */
+    private static final int MAX_RETRIES = 8;
 
     private final ConfigurationVersion version;
     private final int totalBytes;
     private final ByteArrayOutputStream received = new ByteArrayOutputStream();
-    private long waitingSince;
+    private long waitingSinceMicros;
     private int retries;
 
-    SnapshotDownload(SnapshotChunk first, long now) {
+    SnapshotDownload(SnapshotChunk first, long nowMicros) {
         this.version = first.version();
         this.totalBytes = first.totalBytes();
-        this.waitingSince = now;
+        this.waitingSinceMicros = nowMicros;
     }
 
     ConfigurationVersion version() {
@@ -28,19 +31,19 @@
         return received.size();
     }
 
-    /** Whether the part is the next one and was taken. */
-    boolean take(SnapshotChunk chunk, long now) {
-        boolean next = chunk.version().equals(version)
+    /** Takes the chunk if it is the next one; whether it was. */
+    boolean accept(SnapshotChunk chunk, long nowMicros) {
+        boolean isNext = chunk.version().equals(version)
                 && chunk.totalBytes() == totalBytes
                 && chunk.offset() == received.size()
                 && chunk.bytes().length > 0
                 && chunk.bytes().length <= totalBytes - received.size();
-        if (next) {
+        if (isNext) {
             received.writeBytes(chunk.bytes());
-            waitingSince = now;
+            waitingSinceMicros = nowMicros;
             retries = 0;
         }
-        return next;
+        return isNext;
     }
 
     boolean isComplete() {
@@ -51,17 +54,18 @@
         return received.toByteArray();
     }
 
-    /** Whether the next part is to be asked for again now. */
-    boolean retries(long now, long timeout) {
-        if (now - waitingSince < timeout) {
+    /** Whether the next chunk is to be requested again now; this counts as a retry. */
+    boolean retryIsDue(long nowMicros, long retryTimeoutMicros) {
+        if (nowMicros - waitingSinceMicros < retryTimeoutMicros) {
             return false;
         }
-        waitingSince = now;
+        waitingSinceMicros = nowMicros;
         retries++;
         return true;
     }
 
-    boolean isHopeless() {
-        return retries > MOST_RETRIES;
+    /** Whether the same chunk was requested too often. */
+    boolean isExhausted() {
+        return retries > MAX_RETRIES;
     }
 }
--- a/src/main/java/sandstack/configuration/consensus/Checksummed.java
+++ b/src/main/java/sandstack/configuration/consensus/Checksummed.java
@@ -5,7 +5,7 @@
 import java.util.zip.CRC32C;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** A value with its checksum before it, as the store's own covers its pages' heads only. */
+/** A stored value after its CRC-32C, as the store's own checksums cover the headers of its pages only. */
 final class Checksummed {
     private Checksummed() {}
 
@@ -18,7 +18,8 @@
 
     static byte[] unwrap(byte[] wrapped) throws MalformedConfigurationException {
         if (wrapped.length < Integer.BYTES) {
-            throw new MalformedConfigurationException("a value is shorter than its checksum");
+            throw new MalformedConfigurationException(
+                    "a value of " + wrapped.length + " bytes is shorter than its checksum");
         }
         byte[] value = Arrays.copyOfRange(wrapped, Integer.BYTES, wrapped.length);
         if (ByteBuffer.wrap(wrapped).getInt() != checksum(value)) {
--- /dev/null
+++ b/src/main/java/sandstack/configuration/consensus/CommittedProposals.java
@@ -0,0 +1,58 @@
+package sandstack.configuration.consensus;
+
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Optional;
+import sandstack.configuration.BoundedReader;
+import sandstack.configuration.ConfigurationVersion;
+import sandstack.configuration.FieldWriter;
+import sandstack.configuration.MalformedConfigurationException;
+
+/**
+ * The latest committed proposals by idempotency key, so that a retry is answered with the version of the first attempt.
+ * The oldest are dropped; a retry of such a one is rejected, as its base is no longer current. Part of the replicated
+ * state: the same on every machine. Not thread-safe.
+ */
+final class CommittedProposals {
+    private static final int ENCODED_PROPOSAL_BYTES = 4 * Long.BYTES;
+
+    private final int capacity;
+    private final Map<IdempotencyKey, ConfigurationVersion> versions = new LinkedHashMap<>();
+
+    CommittedProposals(int capacity) {
+        this.capacity = capacity;
+    }
+
+    Optional<ConfigurationVersion> committedVersionOf(IdempotencyKey key) {
+        return Optional.ofNullable(versions.get(key));
+    }
+
+    void add(IdempotencyKey key, ConfigurationVersion version) {
+        versions.put(key, version);
+        Iterator<IdempotencyKey> oldest = versions.keySet().iterator();
+        while (versions.size() > capacity) {
+            oldest.next();
+            oldest.remove();
+        }
+    }
+
+    /** Writes them in the order in which they were committed. */
+    void write(FieldWriter out) {
+        out.writeInt(versions.size());
+        versions.forEach((key, version) -> {
+            out.writeLong(key.high()).writeLong(key.low());
+            version.writeTo(out);
+        });
+    }
+
+    /** Replaces them by those that were written. */
+    void read(BoundedReader in) throws MalformedConfigurationException {
+        int count = in.readCount(capacity, ENCODED_PROPOSAL_BYTES);
+        versions.clear();
+        for (int i = 0; i < count; i++) {
+            IdempotencyKey key = new IdempotencyKey(in.readLong(), in.readLong());
+            versions.put(key, ConfigurationVersion.readFrom(in));
+        }
+    }
+}
--- a/src/main/java/sandstack/configuration/consensus/ConfigurationStateMachine.java
+++ b/src/main/java/sandstack/configuration/consensus/ConfigurationStateMachine.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import sandstack.configuration.AgreedChangeListener;
 import sandstack.configuration.BoundedReader;
-import sandstack.configuration.ChangeRefusal;
+import sandstack.configuration.ChangeRejection;
 import sandstack.configuration.ChangeValidator;
+import sandstack.configuration.CommittedChangeListener;
 import sandstack.configuration.ConfigurationChange;
 import sandstack.configuration.ConfigurationCodec;
 import sandstack.configuration.ConfigurationHistory;
@@ -20,31 +20,31 @@
 import sandstack.configuration.MalformedConfigurationException;
 
 /**
- * Applies committed log entries to the configuration, alike on every control machine: the outcome depends on nothing but
- * the entries before and the limits, which all machines have to share. A proposal that does not validate changes nothing.
- * Called on the Raft node's thread only.
+ * Applies committed log entries to the configuration. The outcome depends on nothing but the entries before and the
+ * limits, which all machines have to share (State Machine Safety, section 5.4.3 of the Raft paper). An invalid proposal
+ * changes nothing. Called on the Raft node's thread only.
  */
 class ConfigurationStateMachine implements StateMachine {
     /** Proposals whose outcome is remembered: some hours at 3,700 changes a day. */
-    static final int REMEMBERED_PROPOSALS = 1_024;
-    /** The longest part of a snapshot, so that one message stays small. */
-    static final int CHUNK_BYTES = 64 << 10;
+    static final int MAX_REMEMBERED_PROPOSALS = 1_024;
+    /** The longest chunk of a snapshot, so that one message stays small. */
+    static final int MAX_CHUNK_BYTES = 64 << 10;
 
-    private static final int STATE_FORMAT = 1;
+    private static final int STATE_FORMAT_VERSION = 1;
 
     private final ConfigurationCodec codec;
     private final ConfigurationHistory history;
     private final LongSupplier leaderTerm;
-    private final AgreedProposals agreedProposals = new AgreedProposals(REMEMBERED_PROPOSALS);
+    private final CommittedProposals committedProposals = new CommittedProposals(MAX_REMEMBERED_PROPOSALS);
     private long term;
 
     /**
      * Begins before the first change.
      *
-     * @param leaderTerm the Raft node's term, read where this machine becomes leader
-     * @param listener is told each agreed change in order, once in the life of this object
+     * @param leaderTerm the term of the Raft node, read when this machine becomes leader
+     * @param listener receives each committed change in order, once in the life of this object
      */
-    ConfigurationStateMachine(ChangeValidator validator, AgreedChangeListener listener, LongSupplier leaderTerm) {
+    ConfigurationStateMachine(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
         this.codec = new ConfigurationCodec(validator.limits());
         this.history = new ConfigurationHistory(validator, listener);
         this.leaderTerm = leaderTerm;
@@ -55,9 +55,9 @@
         return history.current();
     }
 
-    /** At which version a proposal was agreed on, as far as this machine has applied the log and remembers. */
-    Optional<ConfigurationVersion> versionOf(ChangeId id) {
-        return agreedProposals.versionOf(id);
+    /** The version at which a proposal was committed, as far as this machine has applied the log and remembers. */
+    Optional<ConfigurationVersion> committedVersionOf(IdempotencyKey key) {
+        return committedProposals.committedVersionOf(key);
     }
 
     @Override
@@ -69,7 +69,7 @@
         if (operation instanceof LogOperation.Proposal proposal) {
             return apply(proposal);
         }
-        throw new IllegalArgumentException("the log holds an unknown operation at " + commitIndex);
+        throw new IllegalArgumentException("log entry " + commitIndex + " holds an unknown operation " + operation);
     }
 
     @Override
@@ -80,8 +80,8 @@
     @Override
     public void takeSnapshot(long commitIndex, Consumer<Object> chunks) {
         byte[] state = encodeState();
-        for (int start = 0; start < state.length; start += CHUNK_BYTES) {
-            int end = Math.min(state.length, start + CHUNK_BYTES);
+        for (int start = 0; start < state.length; start += MAX_CHUNK_BYTES) {
+            int end = Math.min(state.length, start + MAX_CHUNK_BYTES);
             chunks.accept(new StateChunk(Arrays.copyOfRange(state, start, end)));
         }
     }
@@ -95,50 +95,50 @@
         try {
             restoreState(state.toByteArray());
         } catch (MalformedConfigurationException e) {
-            throw new IllegalStateException("the snapshot at " + commitIndex + " is unusable: " + e.getMessage(), e);
+            throw new UnusableSnapshotException(commitIndex, e);
         }
     }
 
     private ProposalOutcome apply(LogOperation.Proposal proposal) {
-        Optional<ConfigurationVersion> before = agreedProposals.versionOf(proposal.id());
-        if (before.isPresent()) {
-            return new ProposalOutcome.Agreed(before.get());
+        Optional<ConfigurationVersion> earlier = committedProposals.committedVersionOf(proposal.key());
+        if (earlier.isPresent()) {
+            return new ProposalOutcome.Committed(earlier.get());
         }
         ConfigurationChange change;
         try {
             change = codec.decodeChange(proposal.encodedChange());
         } catch (MalformedConfigurationException e) {
-            return new ProposalOutcome.Refused(e.refusal());
+            return new ProposalOutcome.Rejected(e.toRejection());
         }
-        return outcomeOf(proposal.id(), history.committed(term, change));
+        return outcomeOf(proposal.key(), history.applyCommitted(term, change));
     }
 
-    private ProposalOutcome outcomeOf(ChangeId id, ConfigurationHistory.Outcome outcome) {
+    private ProposalOutcome outcomeOf(IdempotencyKey key, ConfigurationHistory.Outcome outcome) {
         if (outcome instanceof ConfigurationHistory.Outcome.Accepted accepted) {
             ConfigurationVersion version = accepted.change().version();
-            agreedProposals.add(id, version);
-            return new ProposalOutcome.Agreed(version);
+            committedProposals.add(key, version);
+            return new ProposalOutcome.Committed(version);
         }
-        ChangeRefusal refusal = ((ConfigurationHistory.Outcome.Refused) outcome).refusal();
-        return new ProposalOutcome.Refused(refusal);
+        ChangeRejection rejection = ((ConfigurationHistory.Outcome.Rejected) outcome).rejection();
+        return new ProposalOutcome.Rejected(rejection);
     }
 
     private byte[] encodeState() {
-        FieldWriter out = new FieldWriter().writeInt(STATE_FORMAT).writeLong(term);
-        agreedProposals.write(out);
+        FieldWriter out = new FieldWriter().writeInt(STATE_FORMAT_VERSION).writeLong(term);
+        committedProposals.write(out);
         return out.writeBytes(codec.encode(history.current())).toBytes();
     }
 
     private void restoreState(byte[] state) throws MalformedConfigurationException {
         BoundedReader in = new BoundedReader(state);
         int format = in.readInt();
-        if (format != STATE_FORMAT) {
+        if (format != STATE_FORMAT_VERSION) {
             throw new MalformedConfigurationException(
-                    "state format " + format + ", this release knows " + STATE_FORMAT);
+                    "state format " + format + ", this release knows " + STATE_FORMAT_VERSION);
         }
         long restoredTerm = in.readLong();
-        agreedProposals.read(in);
-        ConfigurationSnapshot snapshot = codec.decodeSnapshot(in.readBytes(codec.mostSnapshotBytes()));
+        committedProposals.read(in);
+        ConfigurationSnapshot snapshot = codec.decodeSnapshot(in.readBytes(codec.maxSnapshotBytes()));
         in.requireEnd();
         term = restoredTerm;
         history.restore(snapshot);
--- a/src/main/java/sandstack/configuration/consensus/ControlNode.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNode.java
@@ -1,40 +1,34 @@
 package sandstack.configuration.consensus;
 
 import io.microraft.MembershipChangeMode;
-import io.microraft.RaftEndpoint;
-import io.microraft.RaftNode;
 import io.microraft.RaftRole;
 import io.microraft.exception.CannotReplicateException;
 import io.microraft.exception.NotLeaderException;
 import io.microraft.model.message.RaftMessage;
-import io.microraft.persistence.RestoredRaftState;
 import io.microraft.report.RaftGroupMembers;
 import io.microraft.report.RaftNodeReport;
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.time.Duration;
-import java.util.List;
 import java.util.Optional;
-import java.util.OptionalLong;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import sandstack.configuration.AgreedChangeListener;
-import sandstack.configuration.ChangeRefusal;
+import sandstack.configuration.ChangeRejection;
 import sandstack.configuration.ChangeValidator;
+import sandstack.configuration.CommittedChangeListener;
 import sandstack.configuration.ConfigurationChange;
 import sandstack.configuration.ConfigurationCodec;
 import sandstack.configuration.ConfigurationSnapshot;
 import sandstack.configuration.ConfigurationVersion;
 
 /**
- * One control machine's part in the agreement: takes proposals where it leads, and tells its listener what was agreed.
- * All methods may be called on any thread; stages complete on the executor's.
+ * One control machine's part in the consensus: replicates proposals where it leads, and reports to its listener what
+ * was committed. All methods may be called on any thread; stages complete on the executor's.
  */
 public final class ControlNode {
-    /** Makes the state machine, given where the node's term is read. */
+    /** Makes the state machine, given how the term of the Raft node is read. */
     @FunctionalInterface
     interface StateMachineFactory {
         ConfigurationStateMachine create(LongSupplier leaderTerm);
@@ -45,21 +39,18 @@
     private final ChangeValidator validator;
     private final ConfigurationCodec codec;
     private final ConfigurationStateMachine stateMachine;
-    private final SnapshotBoundary boundary;
-    private final SnapshotStall snapshotStall;
-    private volatile RaftNode raft;
-    private boolean restarting;
+    private final RestartableRaftNode raftNode;
 
     /**
      * Builds the node; it takes part from {@link #start} on.
      *
-     * @throws IOException where the store cannot be read or is refused
+     * @throws IOException where the store cannot be read or is rejected
      */
     public static ControlNode create(
             ControlNodeSettings settings,
             ControlNodeEnvironment environment,
             ChangeValidator validator,
-            AgreedChangeListener listener)
+            CommittedChangeListener listener)
             throws IOException {
         return new ControlNode(
                 settings,
@@ -79,133 +70,87 @@
         this.validator = validator;
         this.codec = new ConfigurationCodec(validator.limits());
         this.stateMachine = stateMachines.create(this::currentTerm);
-        this.snapshotStall = new SnapshotStall(settings.times().heartbeatTimeout());
-        this.boundary = new SnapshotBoundary(environment.store());
-        this.raft = buildRaftNode();
+        this.raftNode = new RestartableRaftNode(settings, environment, stateMachine);
     }
 
-    private RaftNode buildRaftNode() throws IOException {
-        RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
-                .setGroupId(settings.group())
-                .setConfig(settings.toRaftConfig())
-                .setExecutor(new JitteredExecutor(environment.executor(), environment.random()))
-                .setTransport(environment.transport())
-                .setStore(environment.store())
-                .setStateMachine(stateMachine)
-                .setClock(environment.clock())
-                .setRandom(environment.random());
-        Optional<RestoredRaftState> restored = environment.store().restore();
-        if (restored.isPresent()) {
-            return builder.setRestoredState(restored.get()).build();
-        }
-        return builder.setLocalEndpoint(settings.self())
-                .setInitialGroupMembers(List.<RaftEndpoint>copyOf(settings.bootstrapVoters()))
-                .build();
-    }
-
-    /** Begins to take part. */
+    /** Starts to take part: to vote, to follow or to lead. */
     public CompletionStage<Void> start() {
-        return raft.start().thenApply(ignored -> null);
+        return raftNode.current().start().thenApply(ignored -> null);
     }
 
-    /** Takes part no longer; proposals that are out become indeterminate. */
+    /** Stops taking part; pending proposals become indeterminate. */
     public CompletionStage<Void> stop() {
-        return raft.terminate().thenApply(ignored -> null);
+        return raftNode.current().terminate().thenApply(ignored -> null);
     }
 
     /** A message of another control machine arrived. */
     public void handle(RaftMessage message) {
-        environment.executor().execute(() -> receive(message));
-    }
-
-    private void receive(RaftMessage message) {
-        if (restarting) {
-            return;
-        }
-        boolean stalled = snapshotStall.stalledBy(message, environment.clock().millis());
-        if (stalled || boundary.contradictedFrom(message, currentTerm()).isPresent()) {
-            restart(message);
-        } else {
-            raft.handle(boundary.withoutHeldEntries(message));
-        }
-    }
-
-    /** The library's node is begun anew over the store; messages until then are lost, as on any network. */
-    private void restart(RaftMessage message) {
-        restarting = true;
-        raft.terminate().whenComplete((ignored, failure) -> {
-            try {
-                removeContradicted(message);
-                raft = buildRaftNode();
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-            restarting = false;
-            raft.start();
-        });
-    }
-
-    /** Asked again now that the node handles nothing more: a later leader may have confirmed the entries meanwhile. */
-    private void removeContradicted(RaftMessage message) throws IOException {
-        OptionalLong from = boundary.contradictedFrom(message, currentTerm());
-        if (from.isPresent()) {
-            environment.store().truncateLogEntriesFrom(from.getAsLong());
-            environment.store().flush();
-        }
+        raftNode.handle(message);
     }
 
     /**
-     * Asks for a change. Answered at once where this machine cannot have it agreed on, and in any case within the
+     * Proposes a change. Completes at once where this machine cannot have it committed, and in any case within the
      * proposal timeout, as long as the executor runs.
+     *
+     * @param key the same for each attempt of the same change
      */
-    public CompletionStage<ProposalOutcome> propose(ChangeId id, ConfigurationChange change) {
-        Optional<ChangeRefusal> refusal = validator.refuseContent(change);
-        if (refusal.isPresent()) {
-            return CompletableFuture.completedFuture(new ProposalOutcome.Refused(refusal.get()));
+    public CompletionStage<ProposalOutcome> propose(IdempotencyKey key, ConfigurationChange change) {
+        Optional<ChangeRejection> rejection = validator.validateContent(change);
+        if (rejection.isPresent()) {
+            return CompletableFuture.completedFuture(new ProposalOutcome.Rejected(rejection.get()));
         }
-        Optional<ProposalOutcome> elsewhere = outcomeWithoutLeading();
-        if (elsewhere.isPresent()) {
-            return CompletableFuture.completedFuture(elsewhere.get());
+        Optional<ProposalOutcome> outcome = outcomeUnlessLeader();
+        if (outcome.isPresent()) {
+            return CompletableFuture.completedFuture(outcome.get());
         }
-        LogOperation.Proposal proposal = new LogOperation.Proposal(id, codec.encode(change));
-        return raft.getReport()
-                .thenCompose(report -> hearsQuorum(report.getResult())
+        LogOperation.Proposal proposal = new LogOperation.Proposal(key, codec.encode(change));
+        return raftNode.current()
+                .getReport()
+                .thenCompose(report -> hasRecentQuorumHeartbeat(report.getResult())
                         ? replicate(proposal)
-                        : CompletableFuture.completedFuture(noQuorum()))
-                .exceptionally(failure -> outcomeOfFailure(id, failure));
+                        : CompletableFuture.completedFuture(rejectedWithoutQuorum()))
+                .exceptionally(failure -> outcomeOfFailure(key, failure));
     }
 
-    /** The version at which a change was agreed on, as far as this machine has applied the log and remembers. */
-    public CompletionStage<Optional<ConfigurationVersion>> versionOf(ChangeId id) {
+    /** The version at which a change was committed, as far as this machine has applied the log and remembers. */
+    public CompletionStage<Optional<ConfigurationVersion>> committedVersionOf(IdempotencyKey key) {
         CompletableFuture<Optional<ConfigurationVersion>> version = new CompletableFuture<>();
-        environment.executor().submit(() -> version.complete(stateMachine.versionOf(id)));
+        environment.executor().submit(() -> version.complete(stateMachine.committedVersionOf(key)));
         return version;
     }
 
-    /** Whom this machine believes to lead. */
+    /** The leader that this machine knows of. */
     public Optional<ControlIdentity> leader() {
-        return Optional.ofNullable((ControlIdentity) raft.getTerm().getLeaderEndpoint());
+        return Optional.ofNullable(
+                (ControlIdentity) raftNode.current().getTerm().getLeaderEndpoint());
     }
 
-    /** The term that this machine is in. */
+    /** The current term of this machine. */
     public long currentTerm() {
-        return raft.getTerm().getTerm();
+        return raftNode.current().getTerm().getTerm();
     }
 
-    /** The members that are agreed on. */
+    /** The committed members of the group. */
     public RaftGroupMembers members() {
-        return raft.getCommittedMembers();
+        return raftNode.current().getCommittedMembers();
     }
 
-    /** Has a machine admitted, promoted or removed; asked of the leader with the index of the members that it saw. */
+    /**
+     * Admits, promotes or removes a machine; only the leader can. One change at a time (section 4.1 of the Raft
+     * dissertation).
+     *
+     * @param membersLogIndex index of the members that the caller saw; the change is rejected where they changed since
+     */
     public CompletionStage<RaftGroupMembers> changeMembership(
             ControlIdentity machine, MembershipChangeMode mode, long membersLogIndex) {
-        return raft.changeMembership(machine, mode, membersLogIndex).thenApply(ordered -> ordered.getResult());
+        return raftNode.current()
+                .changeMembership(machine, mode, membersLogIndex)
+                .thenApply(ordered -> ordered.getResult());
     }
 
-    /** What the library tells of the node, for the operators' figures. */
+    /** The library's report of the node, for monitoring. */
     public CompletionStage<RaftNodeReport> report() {
-        return raft.getReport().thenApply(ordered -> ordered.getResult());
+        return raftNode.current().getReport().thenApply(ordered -> ordered.getResult());
     }
 
     /** The configuration as this machine has applied it; read on the executor's thread. */
@@ -213,62 +158,63 @@
         return stateMachine.current();
     }
 
-    private Optional<ProposalOutcome> outcomeWithoutLeading() {
+    private Optional<ProposalOutcome> outcomeUnlessLeader() {
         Optional<ControlIdentity> leader = leader();
         if (leader.isEmpty()) {
-            return Optional.of(noQuorum());
+            return Optional.of(rejectedWithoutQuorum());
         }
         return leader.get().equals(settings.self())
                 ? Optional.empty()
                 : Optional.of(new ProposalOutcome.NotLeader(leader.get()));
     }
 
-    /** A leader that misses two heartbeats of a quorum puts nothing more to the others, before it is given up. */
-    private boolean hearsQuorum(RaftNodeReport report) {
+    /** A leader that misses two heartbeats of a quorum replicates nothing more, before it steps down. */
+    private boolean hasRecentQuorumHeartbeat(RaftNodeReport report) {
         if (report.getRole() != RaftRole.LEADER) {
             return false;
         }
-        Duration most = settings.times().heartbeatPeriod().multipliedBy(2);
-        long now = environment.clock().millis();
+        Duration maxAge = settings.timeouts().heartbeatPeriod().multipliedBy(2);
+        long nowMillis = environment.clock().millis();
         return report.getQuorumHeartbeatTimestamp()
-                .map(heard -> now - heard <= most.toMillis())
+                .map(heardMillis -> nowMillis - heardMillis <= maxAge.toMillis())
                 .orElse(false);
     }
 
     private CompletableFuture<ProposalOutcome> replicate(LogOperation.Proposal proposal) {
         CompletableFuture<ProposalOutcome> outcome = new CompletableFuture<>();
-        raft.<ProposalOutcome>replicate(proposal).whenComplete((ordered, failure) -> {
+        raftNode.current().<ProposalOutcome>replicate(proposal).whenComplete((ordered, failure) -> {
             if (failure == null) {
                 outcome.complete(ordered.getResult());
             } else {
-                outcome.complete(outcomeOfFailure(proposal.id(), failure));
+                outcome.complete(outcomeOfFailure(proposal.key(), failure));
             }
         });
-        long timeout = settings.times().proposalTimeout().toMillis();
+        long timeoutMillis = settings.timeouts().proposalTimeout().toMillis();
         environment
                 .executor()
                 .schedule(
-                        () -> outcome.complete(new ProposalOutcome.Indeterminate(proposal.id())),
-                        timeout,
+                        () -> outcome.complete(new ProposalOutcome.Indeterminate(proposal.key())),
+                        timeoutMillis,
                         TimeUnit.MILLISECONDS);
         return outcome;
     }
 
-    private ProposalOutcome outcomeOfFailure(ChangeId id, Throwable failure) {
+    private ProposalOutcome outcomeOfFailure(IdempotencyKey key, Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         if (cause instanceof NotLeaderException) {
-            return outcomeWithoutLeading().orElseGet(this::noQuorum);
+            return outcomeUnlessLeader().orElseGet(this::rejectedWithoutQuorum);
         }
         if (cause instanceof CannotReplicateException) {
-            return new ProposalOutcome.Refused(new ChangeRefusal(
-                    ChangeRefusal.Reason.TOO_MANY,
-                    "more than " + settings.maxPendingProposals() + " proposals are out, or the members change"));
+            return new ProposalOutcome.Rejected(new ChangeRejection(
+                    ChangeRejection.Reason.TOO_MANY,
+                    "more than " + settings.maxPendingProposals()
+                            + " proposals are pending, or a membership change is in progress"));
         }
-        return new ProposalOutcome.Indeterminate(id);
+        return new ProposalOutcome.Indeterminate(key);
     }
 
-    private ProposalOutcome noQuorum() {
-        return new ProposalOutcome.Refused(new ChangeRefusal(
-                ChangeRefusal.Reason.NO_QUORUM, settings.self() + " knows of no leader that reaches a quorum"));
+    private ProposalOutcome rejectedWithoutQuorum() {
+        return new ProposalOutcome.Rejected(new ChangeRejection(
+                ChangeRejection.Reason.NO_QUORUM, settings.self() + " knows of no leader that reaches a quorum"));
     }
 }
--- a/src/main/java/sandstack/configuration/consensus/ControlNodeSettings.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNodeSettings.java
@@ -5,86 +5,94 @@
 import java.util.List;
 
 /**
- * One control machine's part in the agreement; group, voters and times are the same on all machines.
+ * The settings of one control machine; group, voters and timeouts are the same on all machines.
  *
  * @param group names the group, so that machines of two installations never vote for each other
  * @param self this machine's identity, of its disk
- * @param bootstrapVoters who voted when the group was founded; read only where the disk is new
- * @param times how fast a leader is missed
- * @param maxPendingProposals more than this are refused until some are agreed on
- * @param snapshotEveryEntries log entries after which the log is replaced by a snapshot
+ * @param bootstrapVoters the voters when the group was founded; read only where the disk is new
+ * @param timeouts of elections, heartbeats and proposals
+ * @param maxPendingProposals further ones are rejected until some are committed
+ * @param snapshotIntervalEntries log entries after which the log is compacted into a snapshot
  */
 public record ControlNodeSettings(
         String group,
         ControlIdentity self,
         List<ControlIdentity> bootstrapVoters,
-        Times times,
+        Timeouts timeouts,
         int maxPendingProposals,
-        int snapshotEveryEntries) {
-    /** The fewest and the most machines that vote. */
-    static final int LEAST_VOTERS = 3;
+        int snapshotIntervalEntries) {
+    /** The fewest voters that survive the loss of one. */
+    static final int MIN_VOTERS = 3;
 
-    static final int MOST_VOTERS = 9;
-    /** Entries in one message to a follower; each is a change of bounded size. */
-    static final int ENTRIES_PER_MESSAGE = 16;
+    /** More voters make each commit slower and hardly safer. */
+    static final int MAX_VOTERS = 9;
+    /** Entries in one AppendEntries message; each is a change of bounded size. */
+    static final int APPEND_BATCH_ENTRIES = 16;
     /** MicroRaft 0.7 sends up to one entry more than its batch size. */
-    static final int MOST_ENTRIES_IN_MESSAGE = ENTRIES_PER_MESSAGE + 1;
+    static final int MAX_ENTRIES_PER_MESSAGE = APPEND_BATCH_ENTRIES + 1;
 
     /**
-     * How fast a leader is missed and a proposal given up.
+     * How fast a leader is given up, and a proposal.
      *
-     * @param heartbeatPeriod whole seconds, as the library counts
-     * @param heartbeatTimeout whole seconds; a leader that is not heard so long, or hears no quorum, is given up
+     * @param heartbeatPeriod in whole seconds, as the library counts
+     * @param heartbeatTimeout in whole seconds; after it followers start an election, and a leader without a quorum
+     *     steps down
      * @param electionTimeout of one round of votes
-     * @param proposalTimeout after which a proposal's outcome is told as indeterminate
+     * @param proposalTimeout after which the outcome of a proposal is reported as indeterminate
      */
-    public record Times(
+    public record Timeouts(
             Duration heartbeatPeriod, Duration heartbeatTimeout, Duration electionTimeout, Duration proposalTimeout) {
-        /** Heartbeats each second, a leader missed after 4 s, rounds of 1 s, proposals given up after 6 s. */
-        public static final Times DEFAULT =
-                new Times(Duration.ofSeconds(1), Duration.ofSeconds(4), Duration.ofSeconds(1), Duration.ofSeconds(6));
+        /** Heartbeats each second, an election after 4 s, rounds of 1 s, proposals given up after 6 s. */
+        public static final Timeouts DEFAULT = new Timeouts(
+                Duration.ofSeconds(1), Duration.ofSeconds(4), Duration.ofSeconds(1), Duration.ofSeconds(6));
 
-        /** Refuses times that are not positive, and a timeout that a single late heartbeat would exceed. */
-        public Times {
+        /**
+         * Rejects timeouts that are not positive, and a heartbeat timeout that a single late heartbeat would exceed.
+         */
+        public Timeouts {
             if (heartbeatPeriod.toSeconds() < 1 || electionTimeout.toMillis() < 1 || proposalTimeout.toMillis() < 1) {
-                throw new IllegalArgumentException("times are positive, the heartbeat period at least 1 s");
+                throw new IllegalArgumentException(
+                        "heartbeatPeriod " + heartbeatPeriod + " is at least 1 s, electionTimeout " + electionTimeout
+                                + " and proposalTimeout " + proposalTimeout + " at least 1 ms");
             }
             if (heartbeatTimeout.compareTo(heartbeatPeriod.multipliedBy(2)) < 0) {
-                throw new IllegalArgumentException("heartbeatTimeout is at least two periods");
+                throw new IllegalArgumentException(
+                        "heartbeatTimeout " + heartbeatTimeout + " is at least two periods of " + heartbeatPeriod);
             }
         }
     }
 
-    /** Refuses a group that cannot agree. */
+    /** Rejects a group that cannot commit, or whose voters are not distinct. */
     public ControlNodeSettings {
         bootstrapVoters = List.copyOf(bootstrapVoters);
-        if (bootstrapVoters.size() < LEAST_VOTERS
-                || bootstrapVoters.size() > MOST_VOTERS
+        if (bootstrapVoters.size() < MIN_VOTERS
+                || bootstrapVoters.size() > MAX_VOTERS
                 || bootstrapVoters.size() % 2 == 0) {
-            throw new IllegalArgumentException("bootstrapVoters are 3, 5, 7 or 9 control machines");
+            throw new IllegalArgumentException(
+                    "bootstrapVoters are 3, 5, 7 or 9 control machines, not " + bootstrapVoters.size());
         }
         if (bootstrapVoters.stream().distinct().count() != bootstrapVoters.size()) {
-            throw new IllegalArgumentException("bootstrapVoters names a control machine twice");
+            throw new IllegalArgumentException("bootstrapVoters names a control machine twice: " + bootstrapVoters);
         }
-        if (maxPendingProposals < ENTRIES_PER_MESSAGE || snapshotEveryEntries < 1) {
+        if (maxPendingProposals < APPEND_BATCH_ENTRIES || snapshotIntervalEntries < 1) {
             throw new IllegalArgumentException(
-                    "maxPendingProposals is at least " + ENTRIES_PER_MESSAGE + " and snapshotEveryEntries positive");
+                    "maxPendingProposals is at least " + APPEND_BATCH_ENTRIES + " and snapshotEveryEntries positive");
         }
     }
 
-    /** With what an installation rarely changes. */
+    /** The settings of a group with the defaults of all that an installation rarely changes. */
     public static ControlNodeSettings of(String group, ControlIdentity self, List<ControlIdentity> bootstrapVoters) {
-        return new ControlNodeSettings(group, self, bootstrapVoters, Times.DEFAULT, 64, 1_000);
+        return new ControlNodeSettings(group, self, bootstrapVoters, Timeouts.DEFAULT, 64, 1_000);
     }
 
     RaftConfig toRaftConfig() {
         return RaftConfig.newBuilder()
-                .setLeaderHeartbeatPeriodSecs(times.heartbeatPeriod().toSeconds())
-                .setLeaderHeartbeatTimeoutSecs(times.heartbeatTimeout().toSeconds())
-                .setLeaderElectionTimeoutMillis(times.electionTimeout().toMillis())
-                .setAppendEntriesRequestBatchSize(ENTRIES_PER_MESSAGE)
+                .setLeaderHeartbeatPeriodSecs(timeouts.heartbeatPeriod().toSeconds())
+                .setLeaderHeartbeatTimeoutSecs(timeouts.heartbeatTimeout().toSeconds())
+                .setLeaderElectionTimeoutMillis(timeouts.electionTimeout().toMillis())
+                .setAppendEntriesRequestBatchSize(APPEND_BATCH_ENTRIES)
                 .setMaxPendingLogEntryCount(maxPendingProposals)
-                .setCommitCountToTakeSnapshot(snapshotEveryEntries)
+                .setCommitCountToTakeSnapshot(snapshotIntervalEntries)
                 .build();
     }
 }
--- a/src/main/java/sandstack/configuration/consensus/EncodedRaftStore.java
+++ b/src/main/java/sandstack/configuration/consensus/EncodedRaftStore.java
@@ -16,7 +16,10 @@
 import sandstack.configuration.ConfigurationLimits;
 import sandstack.configuration.FieldWriter;
 
-/** What Raft has to remember, encoded and with checksums, in three sorted maps; how they reach a disk is the heirs' part. */
+/**
+ * The persistent state of Raft (term, vote, log and snapshot, figure 2 of the Raft paper), encoded and with checksums
+ * in three sorted maps; subclasses flush the maps to a disk. Called on the Raft node's thread.
+ */
 abstract class EncodedRaftStore implements RaftStore {
     static final String LOCAL_ENDPOINT = "local-endpoint";
     static final String INITIAL_MEMBERS = "initial-members";
@@ -28,42 +31,44 @@
         codec = new RaftRecordCodec(limits);
     }
 
-    /** The values that there are one of. */
+    /** The values that exist once, by their name. */
     abstract Map<String, byte[]> header();
 
-    /** Log entries by index, in order. */
+    /** The log entries by index, in order. */
     abstract Map<Long, byte[]> log();
 
-    /** Snapshot chunks by {@link #chunkKey}, in order. */
-    abstract Map<Long, byte[]> chunks();
+    /** The snapshot chunks by {@link #chunkKey}, in order. */
+    abstract Map<Long, byte[]> snapshotChunks();
 
-    /** Something was removed that takes space on disk until it is compacted. */
-    abstract void removed();
+    /** Entries or chunks were removed whose space on disk can be compacted. */
+    abstract void spaceReleased();
 
-    /** Names the store in refusals. */
+    /** The name of the store in error messages. */
     abstract String name();
 
-    /** What the store holds, for the Raft node to go on with; empty where the node never ran. */
+    /** What the store holds, for the Raft node to resume from; empty where the node never ran. */
     public Optional<RestoredRaftState> restore() throws IOException {
-        return stored().restore();
+        return storedState().restore();
     }
 
-    /** The index of the newest snapshot of which there is a chunk, 0 for none. */
+    /** The index of the newest snapshot of which there is a chunk; 0 for none. */
     final long snapshotIndex() {
-        return chunks().keySet().stream()
-                .mapToLong(key -> key / RaftRecordCodec.MOST_CHUNKS)
+        return snapshotChunks().keySet().stream()
+                .mapToLong(key -> key / RaftRecordCodec.MAX_SNAPSHOT_CHUNKS)
                 .max()
                 .orElse(0);
     }
 
-    /** The term of an entry in the log. */
+    /** The term of an entry in the log; empty where there is none with this index. */
     final OptionalInt termOfEntry(long index) {
         byte[] entry = log().get(index);
-        return entry == null ? OptionalInt.empty() : OptionalInt.of(stored().termOf(index, entry));
+        return entry == null
+                ? OptionalInt.empty()
+                : OptionalInt.of(storedState().termOf(index, entry));
     }
 
-    final StoredState stored() {
-        return new StoredState(name(), codec, header(), log(), chunks());
+    final StoredRaftState storedState() {
+        return new StoredRaftState(name(), codec, header(), log(), snapshotChunks());
     }
 
     @Override
@@ -103,34 +108,34 @@
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
         FieldWriter out = new FieldWriter();
         codec.write(out, chunk);
-        put(chunks(), chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex()), out);
+        put(snapshotChunks(), chunkKey(chunk.getIndex(), chunk.getSnapshotChunkIndex()), out);
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        removeEntries(key -> key >= index);
+        removeEntriesWhere(key -> key >= index);
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        removeEntries(key -> key <= index);
-        removed();
+        removeEntriesWhere(key -> key <= index);
+        spaceReleased();
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int chunkCount) throws IOException {
         for (int chunk = 0; chunk < chunkCount; chunk++) {
-            chunks().remove(chunkKey(index, chunk));
+            snapshotChunks().remove(chunkKey(index, chunk));
         }
-        removed();
+        spaceReleased();
     }
 
     static long chunkKey(long index, int chunk) {
-        return index * RaftRecordCodec.MOST_CHUNKS + chunk;
+        return index * RaftRecordCodec.MAX_SNAPSHOT_CHUNKS + chunk;
     }
 
-    private void removeEntries(LongPredicate which) {
-        List<Long> keys = log().keySet().stream().filter(which::test).toList();
+    private void removeEntriesWhere(LongPredicate condition) {
+        List<Long> keys = log().keySet().stream().filter(condition::test).toList();
         keys.forEach(log()::remove);
     }
 
--- a/src/test/java/sandstack/configuration/AgreedHistory.java
+++ b/src/test/java/sandstack/configuration/CommittedHistory.java
@@ -5,32 +5,32 @@
 import java.util.Map;
 import sandstack.configuration.ConfigurationEdit.Put;
 
-/** A history of agreed changes to test with. */
-final class AgreedHistory {
-    final List<AgreedChange> changes = new ArrayList<>();
+/** A history of committed changes for tests. */
+final class CommittedHistory {
+    final List<CommittedChange> changes = new ArrayList<>();
     final List<ConfigurationSnapshot> states = new ArrayList<>(List.of(ConfigurationSnapshot.EMPTY));
 
-    /** One change more, in this format and term. */
-    AgreedChange add(int formatVersion, long term, Map<String, String> puts) {
+    /** Commits one more change in this format version and term. */
+    CommittedChange commit(int formatVersion, long term, Map<String, String> puts) {
         ConfigurationSnapshot current = current();
         List<ConfigurationEdit> edits = new ArrayList<>();
         puts.forEach((key, value) -> edits.add(new Put(key, value)));
         ConfigurationChange change = new ConfigurationChange(formatVersion, current.version(), "ann", "a test", edits);
         ConfigurationVersion version = current.version().next(term);
         ConfigurationSnapshot next = current.apply(version, change);
-        AgreedChange agreed = new AgreedChange(version, change, next.digest());
-        changes.add(agreed);
+        CommittedChange committed = new CommittedChange(version, change, next.digest());
+        changes.add(committed);
         states.add(next);
-        return agreed;
+        return committed;
     }
 
-    AgreedChange add(String key, String value) {
-        return add(ConfigurationChange.FORMAT_VERSION, 1, Map.of(key, value));
+    CommittedChange commit(String key, String value) {
+        return commit(ConfigurationChange.FORMAT_VERSION, 1, Map.of(key, value));
     }
 
-    AgreedHistory addMany(int count) {
+    CommittedHistory commitMany(int count) {
         for (int i = 0; i < count; i++) {
-            add("key-" + i % 5, "value-" + i);
+            commit("key-" + i % 5, "value-" + i);
         }
         return this;
     }
@@ -39,7 +39,12 @@
         return states.get(states.size() - 1);
     }
 
-    ConfigurationHead head(boolean quorum) {
-        return new ConfigurationHead(current().version(), current().digest(), quorum);
+    /** The head of a machine that has all of this history and reaches a quorum. */
+    ConfigurationHead headWithQuorum() {
+        return new ConfigurationHead(current().version(), current().digest(), true);
+    }
+
+    ConfigurationHead headWithoutQuorum() {
+        return new ConfigurationHead(current().version(), current().digest(), false);
     }
 }
--- a/src/test/java/sandstack/configuration/ConfigurationHistoryTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationHistoryTest.java
@@ -19,30 +19,30 @@
     private static final ChangeValidator VALIDATOR =
             new ChangeValidator(ConfigurationLimits.DEFAULT, ConfigurationCheck.NONE);
 
-    private static ConfigurationChange drawn(SplittableRandom random, ConfigurationVersion base) {
+    private static ConfigurationChange randomChange(SplittableRandom random, ConfigurationVersion base) {
         String key = "key-" + random.nextInt(8);
         ConfigurationEdit edit = random.nextInt(3) == 0 ? new Remove(key) : new Put(key, "v" + random.nextInt(4));
         return ConfigurationChange.of(base, "ann", "drawn", List.of(edit, new Put("other", "" + random.nextInt(3))));
     }
 
-    /** Some proposals are late for their base, as happens when two are put to the leader at once. */
+    /** Some proposals have an old base, as happens when two are proposed at once. */
     @Property(tries = 200)
-    void machinesThatSeeTheSameProposalsHoldTheSame(@ForAll long seed) {
+    void sameProposalsLeadToTheSameState(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         RecordingListener changes = new RecordingListener();
-        ConfigurationHistory one = new ConfigurationHistory(VALIDATOR, changes);
+        ConfigurationHistory first = new ConfigurationHistory(VALIDATOR, changes);
         ConfigurationHistory other = new ConfigurationHistory(VALIDATOR, new RecordingListener());
         Map<String, String> model = new HashMap<>();
         for (int i = 0; i < 60; i++) {
             ConfigurationVersion base = random.nextInt(5) == 0
                     ? new ConfigurationVersion(0, i)
-                    : one.current().version();
-            ConfigurationChange change = drawn(random, base);
+                    : first.current().version();
+            ConfigurationChange change = randomChange(random, base);
             // a leader that lost its term and won a later one may have proposed under the earlier
             long term = Math.max(0, 1 + i / 10 - random.nextInt(2));
-            ConfigurationVersion before = one.current().version();
-            Outcome outcome = one.committed(term, change);
-            assertThat(other.committed(term, change)).isEqualTo(outcome);
+            ConfigurationVersion before = first.current().version();
+            Outcome outcome = first.applyCommitted(term, change);
+            assertThat(other.applyCommitted(term, change)).isEqualTo(outcome);
             if (outcome instanceof Outcome.Accepted accepted) {
                 assertThat(accepted.change().version().follows(before)).isTrue();
                 for (ConfigurationEdit edit : change.edits()) {
@@ -53,20 +53,21 @@
                     }
                 }
             }
-            assertThat(one.current().entries()).isEqualTo(model);
-            assertThat(one.current().matchesItsDigest()).isTrue();
+            assertThat(first.current().entries()).isEqualTo(model);
+            assertThat(first.current().matchesDigest()).isTrue();
         }
-        assertThat(other.current()).isEqualTo(one.current());
-        assertThat(changes.changes).hasSize((int) one.current().version().index());
+        assertThat(other.current()).isEqualTo(first.current());
+        assertThat(changes.committed).hasSize((int) first.current().version().index());
     }
 
     @Test
-    void aRollBackIsAChangeLikeAnother() {
+    void rollbackIsCommittedAsAChange() {
         ConfigurationHistory history = new ConfigurationHistory(VALIDATOR, new RecordingListener());
-        history.committed(1, ConfigurationChange.of(ConfigurationVersion.NONE, "ann", "a", List.of(new Put("a", "1"))));
+        history.applyCommitted(
+                1, ConfigurationChange.of(ConfigurationVersion.NONE, "ann", "a", List.of(new Put("a", "1"))));
         ConfigurationSnapshot good = history.current();
-        history.committed(1, ConfigurationChange.of(good.version(), "ann", "b", List.of(new Put("a", "2"))));
-        history.committed(
+        history.applyCommitted(1, ConfigurationChange.of(good.version(), "ann", "b", List.of(new Put("a", "2"))));
+        history.applyCommitted(
                 2,
                 ConfigurationChange.of(
                         history.current().version(), "ann", "back to " + good.version(), List.of(new Put("a", "1"))));
@@ -75,7 +76,7 @@
     }
 
     @Test
-    void restoringNeverGoesBack() {
+    void restoringAnEarlierStateIsIgnored() {
         RecordingListener listener = new RecordingListener();
         ConfigurationHistory history = new ConfigurationHistory(VALIDATOR, listener);
         ConfigurationSnapshot later = ConfigurationSnapshot.of(new ConfigurationVersion(3, 7), 1, Map.of("a", "1"));
@@ -87,23 +88,23 @@
     }
 
     @Test
-    void aSnapshotTakesNoChangeOfAnotherBase() {
+    void changeOfAnotherBaseCannotBeApplied() {
         ConfigurationChange change =
                 ConfigurationChange.of(ConfigurationVersion.NONE, "ann", "a", List.of(new Put("a", "1")));
         assertThatThrownBy(() -> ConfigurationSnapshot.EMPTY.apply(new ConfigurationVersion(1, 2), change))
                 .isInstanceOf(IllegalArgumentException.class);
-        ConfigurationSnapshot one = ConfigurationSnapshot.EMPTY.apply(new ConfigurationVersion(1, 1), change);
-        assertThatThrownBy(() -> one.apply(new ConfigurationVersion(1, 2), change))
+        ConfigurationSnapshot first = ConfigurationSnapshot.EMPTY.apply(new ConfigurationVersion(1, 1), change);
+        assertThatThrownBy(() -> first.apply(new ConfigurationVersion(1, 2), change))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
     @Property(tries = 200)
-    void versionsOfTwoHistoriesAreToldApart(@ForAll long seed) {
+    void divergentVersionsAreDetected(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         ConfigurationVersion a = new ConfigurationVersion(random.nextLong(4), random.nextLong(4));
         ConfigurationVersion b = new ConfigurationVersion(random.nextLong(4), random.nextLong(4));
-        assertThat(a.contradicts(b)).isEqualTo(b.contradicts(a));
+        assertThat(a.divergesFrom(b)).isEqualTo(b.divergesFrom(a));
         int relations = (a.equals(b) ? 1 : 0) + (a.isAfter(b) ? 1 : 0) + (b.isAfter(a) ? 1 : 0);
-        assertThat(relations).isEqualTo(a.contradicts(b) ? 0 : 1);
+        assertThat(relations).isEqualTo(a.divergesFrom(b) ? 0 : 1);
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
+++ b/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import sandstack.configuration.ConfigurationLimits;
 
-/** What Raft has to remember on a real disk: all that was flushed, or a refusal of one line. */
+/** Raft's persistent state on a real disk: all that was flushed is restored, or the store is rejected in one line. */
 class MvStoreRaftStoreTest {
     private static final ControlIdentity SELF = new ControlIdentity("control-0");
     private static final String GROUP = "configuration";
-    private static final String KEY = "new_identity";
+    private static final String NEW_IDENTITY_SETTING = "new_identity";
     private static final DefaultRaftModelFactory MODELS = new DefaultRaftModelFactory();
 
     @TempDir
@@ -38,11 +38,11 @@
     }
 
     private MvStoreRaftStore create() throws IOException {
-        return MvStoreRaftStore.create(file, KEY, GROUP, SELF, ConfigurationLimits.DEFAULT);
+        return MvStoreRaftStore.create(file, NEW_IDENTITY_SETTING, GROUP, SELF, ConfigurationLimits.DEFAULT);
     }
 
     private MvStoreRaftStore reopen() throws IOException {
-        return MvStoreRaftStore.reopen(file, KEY, GROUP, SELF, ConfigurationLimits.DEFAULT);
+        return MvStoreRaftStore.reopen(file, NEW_IDENTITY_SETTING, GROUP, SELF, ConfigurationLimits.DEFAULT);
     }
 
     private static RaftGroupMembersView members() {
@@ -79,7 +79,7 @@
         return MODELS.createLogEntryBuilder()
                 .setIndex(index)
                 .setTerm(3)
-                .setOperation(new LogOperation.Proposal(new ChangeId(0, index), change))
+                .setOperation(new LogOperation.Proposal(new IdempotencyKey(0, index), change))
                 .build();
     }
 
@@ -100,13 +100,13 @@
         return state.getLogEntries().stream().map(LogEntry::getIndex).toList();
     }
 
-    private void assertRefused(String... words) {
+    private void assertRejected(String... words) {
         assertThatThrownBy(() -> {
                     try (MvStoreRaftStore store = reopen()) {
                         store.restore();
                     }
                 })
-                .isInstanceOf(StoreRefusedException.class)
+                .isInstanceOf(RejectedStoreException.class)
                 .satisfies(refusal -> {
                     assertThat(refusal.getMessage()).contains(file).contains(words);
                     assertThat(refusal.getMessage().lines()).hasSize(1);
@@ -114,14 +114,14 @@
     }
 
     @Test
-    void whatWasFlushedIsThereAfterACrashAndNothingElse() throws IOException {
+    void onlyFlushedStateSurvivesACrash() throws IOException {
         MvStoreRaftStore store = create();
         start(store);
         append(store, 1, 10);
         store.truncateLogEntriesFrom(9);
         store.flush();
         append(store, 9, 12);
-        store.crash();
+        store.closeImmediately();
         try (MvStoreRaftStore again = reopen()) {
             RestoredRaftState state = again.restore().orElseThrow();
             assertThat(indexes(state)).containsExactly(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L);
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void theNewestWholeSnapshotCounts() throws IOException {
+    void newestCompleteSnapshotIsRestored() throws IOException {
         MvStoreRaftStore store = create();
         start(store);
         append(store, 1, 12);
@@ -142,7 +142,7 @@
         snapshot(store, 10, 3, 2);
         store.truncateLogEntriesUntil(4);
         store.flush();
-        store.crash();
+        store.closeImmediately();
         try (MvStoreRaftStore again = reopen()) {
             RestoredRaftState state = again.restore().orElseThrow();
             assertThat(state.getSnapshotEntry().getIndex()).isEqualTo(5);
@@ -152,38 +152,43 @@
     }
 
     @Test
-    void aWipedDiskIsRefusedWithoutPermissionAndPermissionIsRefusedOverADisk() throws IOException {
-        assertRefused("no disk of control-0", KEY);
+    void missingStoreNeedsPermissionAndPermissionNeedsAMissingStore() throws IOException {
+        assertRejected("no disk of control-0", NEW_IDENTITY_SETTING);
         create().close();
         assertThatThrownBy(this::create)
-                .isInstanceOf(StoreRefusedException.class)
+                .isInstanceOf(RejectedStoreException.class)
                 .hasMessageContaining(file)
-                .hasMessageContaining(KEY);
-        // the flush count alone tells that there was a disk
+                .hasMessageContaining(NEW_IDENTITY_SETTING);
+        // the flush count alone shows that there was a store
         Files.delete(Path.of(file));
-        assertThatThrownBy(this::create).isInstanceOf(StoreRefusedException.class);
-        assertRefused("no disk of control-0");
+        assertThatThrownBy(this::create).isInstanceOf(RejectedStoreException.class);
+        assertRejected("no disk of control-0");
     }
 
     @Test
-    void aDiskOfAnotherMachineOrGroupIsRefused() throws IOException {
+    void storeOfAnotherMachineOrGroupIsRejected() throws IOException {
         create().close();
         assertThatThrownBy(() -> MvStoreRaftStore.reopen(
-                        file, KEY, GROUP, new ControlIdentity("control-1"), ConfigurationLimits.DEFAULT))
-                .isInstanceOf(StoreRefusedException.class)
+                        file,
+                        NEW_IDENTITY_SETTING,
+                        GROUP,
+                        new ControlIdentity("control-1"),
+                        ConfigurationLimits.DEFAULT))
+                .isInstanceOf(RejectedStoreException.class)
                 .hasMessageContaining("identity is control-0 on this disk, control-1 in the settings");
-        assertThatThrownBy(() -> MvStoreRaftStore.reopen(file, KEY, "other", SELF, ConfigurationLimits.DEFAULT))
-                .isInstanceOf(StoreRefusedException.class)
+        assertThatThrownBy(() ->
+                        MvStoreRaftStore.reopen(file, NEW_IDENTITY_SETTING, "other", SELF, ConfigurationLimits.DEFAULT))
+                .isInstanceOf(RejectedStoreException.class)
                 .hasMessageContaining("group is configuration on this disk");
     }
 
     @Test
-    void anOlderFileIsRefused() throws IOException {
+    void rolledBackFileIsRejected() throws IOException {
         MvStoreRaftStore store = create();
         start(store);
         append(store, 1, 5);
         store.flush();
-        store.crash();
+        store.closeImmediately();
         Path older = folder.resolve("older");
         Files.copy(Path.of(file), older);
         MvStoreRaftStore again = reopen();
@@ -191,18 +196,18 @@
         again.flush();
         again.close();
         Files.copy(older, Path.of(file), StandardCopyOption.REPLACE_EXISTING);
-        assertRefused("truncated or set back", "new identity");
+        assertRejected("truncated or set back", "new identity");
     }
 
     @Test
-    void aFileWithoutItsFlushCountIsRefused() throws IOException {
+    void fileWithoutItsFlushCountIsRejected() throws IOException {
         create().close();
         Files.delete(Path.of(file + ".flushes"));
-        assertRefused("flush count", "missing");
+        assertRejected("flush count", "missing");
     }
 
     @Test
-    void aCrashBetweenFileAndFlushCountIsNone() throws IOException {
+    void crashBetweenFileAndFlushCountIsRecovered() throws IOException {
         MvStoreRaftStore store = create();
         start(store);
         store.close();
@@ -221,9 +226,9 @@
         reopen().close();
     }
 
-    /** However a file is cut or damaged: a refusal, or all that was flushed; never a part of it. */
+    /** However a file is truncated or damaged, it is rejected or restored completely, never in part. */
     @Test
-    void damagedFilesAreRefusedOrWhole() throws IOException {
+    void damagedFilesAreRejectedOrComplete() throws IOException {
         MvStoreRaftStore store = create();
         start(store);
         for (int i = 1; i <= 40; i++) {
@@ -233,7 +238,7 @@
         snapshot(store, 20, 1, 1);
         store.truncateLogEntriesUntil(18);
         store.flush();
-        store.crash();
+        store.closeImmediately();
         byte[] whole = Files.readAllBytes(Path.of(file));
         byte[] count = Files.readAllBytes(Path.of(file + ".flushes"));
         SplittableRandom random = new SplittableRandom(40);
@@ -242,7 +247,7 @@
             Files.write(Path.of(file), whole);
             Files.write(Path.of(file + ".flushes"), count);
             damage(random, whole.length);
-            refused += refusedOrWhole() ? 1 : 0;
+            refused += isRejectedOrComplete() ? 1 : 0;
         }
         assertThat(refused).isGreaterThan(100);
     }
@@ -260,13 +265,13 @@
         }
     }
 
-    private boolean refusedOrWhole() throws IOException {
+    private boolean isRejectedOrComplete() throws IOException {
         try (MvStoreRaftStore store = reopen()) {
             RestoredRaftState state = store.restore().orElseThrow();
             assertThat(state.getSnapshotEntry().getIndex()).isEqualTo(20);
             assertThat(indexes(state)).hasSize(20).endsWith(40L);
             return false;
-        } catch (StoreRefusedException e) {
+        } catch (RejectedStoreException e) {
             assertThat(e.getMessage().lines()).hasSize(1);
             assertThat(e.getMessage()).contains(file);
             return true;
@@ -274,7 +279,7 @@
     }
 
     @Test
-    void theStoreStartsNoThread() throws IOException {
+    void storeStartsNoThread() throws IOException {
         int before = Thread.activeCount();
         try (MvStoreRaftStore store = create()) {
             start(store);
@@ -284,9 +289,9 @@
         }
     }
 
-    /** The log is cut at each snapshot, and the file does not grow with all that was ever written. */
+    /** The log is compacted at each snapshot, so that the file does not grow with all that was written. */
     @Test
-    void theFileStaysBounded() throws IOException {
+    void fileSizeStaysBounded() throws IOException {
         int snapshotEvery = 100;
         try (MvStoreRaftStore store = create()) {
             start(store);
--- a/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
@@ -21,7 +21,7 @@
 import sandstack.configuration.ConfigurationLimits;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** Messages between control machines come back as they were, and anything else is refused with one line. */
+/** Round trips of Raft messages, and the rejection of anything else with one line. */
 class RaftMessageCodecTest {
     private static final String GROUP = "configuration";
     private static final ControlIdentity SENDER = new ControlIdentity("control-1");
@@ -47,7 +47,9 @@
                 .build();
         List<LogEntry> entries = new ArrayList<>();
         for (Object operation : List.of(
-                new LogOperation.NewTerm(4), new LogOperation.Proposal(new ChangeId(1, 2), new byte[300]), change)) {
+                new LogOperation.NewTerm(4),
+                new LogOperation.Proposal(new IdempotencyKey(1, 2), new byte[300]),
+                change)) {
             entries.add(MODELS.createLogEntryBuilder()
                     .setIndex(entries.size() + 8)
                     .setTerm(4)
@@ -106,9 +108,9 @@
                 .build();
     }
 
-    /** The other types are sent in the simulated clusters, each through this codec. */
+    /** All types are in {@link RaftFixturesTest}; the simulated clusters send each through this codec. */
     @Example
-    void messagesComeBackAsTheyWere() throws MalformedConfigurationException {
+    void messagesSurviveARoundTrip() throws MalformedConfigurationException {
         for (RaftMessage message : List.of(append(entries()), installSnapshot(), vote())) {
             RaftMessage back = codec.decode(codec.encode(message));
             assertThat(back.getClass()).isEqualTo(message.getClass());
@@ -117,7 +119,7 @@
     }
 
     @Property(tries = 2_000)
-    void damagedFramesAreReadOrRefusedWithOneLine(@ForAll long seed) {
+    void damagedFramesAreDecodedOrRejectedWithOneLine(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RaftMessage> messages = List.of(append(entries()), installSnapshot(), vote());
         byte[] frame = codec.encode(messages.get(random.nextInt(messages.size())));
@@ -134,7 +136,7 @@
     }
 
     @Example
-    void unknownTypesAndOtherGroupsAreRefused() {
+    void unknownTypesAndOtherGroupsAreRejected() {
         byte[] frame = codec.encode(vote());
         frame[TYPE_OFFSET] = 17;
         assertThatThrownBy(() -> codec.decode(frame))
@@ -145,9 +147,9 @@
         assertThatThrownBy(() -> codec.decode(other)).hasMessage("a message of another group");
     }
 
-    /** A length that claims 2 GB costs nothing, and neither does a frame of 60 MB. */
+    /** Neither a length that claims 2 GB nor a frame of 60 MB is allocated. */
     @Example
-    void whatClaimsToBeLargeIsRefusedBeforeItIsAllocated() {
+    void oversizedClaimsAreRejectedBeforeAllocation() {
         byte[] frame = codec.encode(append(entries()));
         int count = frame.length - 2 * Long.BYTES - encodedEntriesBytes() - Integer.BYTES;
         ByteBuffer.wrap(frame).putInt(count, Integer.MAX_VALUE);
