--- a/src/main/java/sandstack/CommandLineOfAll.java
+++ b/src/main/java/sandstack/CommandLineOfAll.java
@@ -16,8 +16,6 @@
 import picocli.CommandLine.IVersionProvider;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import sandstack.benchlink.Link;
-import sandstack.benchlink.WireException;
 import sandstack.config.CapacityFile;
 import sandstack.config.FleetFile;
 import sandstack.config.InvalidConfigurationException;
@@ -27,6 +25,8 @@
 import sandstack.measure.OpenCommand;
 import sandstack.measure.StandInCommand;
 import sandstack.rig.FaultsCommand;
+import sandstack.simulator.MalformedMessageException;
+import sandstack.simulator.SimulatorSession;
 
 /** The commands of the program, their help and their exit codes: 2 for wrong usage or settings, told in one line. */
 @Command(
@@ -160,8 +160,8 @@
     @Command(
             description = "The decisions on the simulator's wire, on standard input and output.",
             mixinStandardHelpOptions = true)
-    int simhost(@Mixin Known known) throws InvalidConfigurationException, IOException, WireException {
-        new Link(CapacityFile.read(Main.files(), known.file))
+    int simhost(@Mixin Known known) throws InvalidConfigurationException, IOException, MalformedMessageException {
+        new SimulatorSession(CapacityFile.read(Main.files(), known.file))
                 .run(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out));
         return 0;
     }
--- a/src/main/java/sandstack/benchlink/ActionWriter.java
+++ b/src/main/java/sandstack/simulator/ActionWriter.java
@@ -1,4 +1,4 @@
-package sandstack.benchlink;
+package sandstack.simulator;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
--- a/src/main/java/sandstack/benchlink/EventReader.java
+++ b/src/main/java/sandstack/simulator/BatchReader.java
@@ -1,4 +1,4 @@
-package sandstack.benchlink;
+package sandstack.simulator;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -25,7 +25,7 @@
 import sandstack.decisions.EndpointState;
 
 /** Reads one batch line of the wire; every complaint names the batch and the field. */
-final class EventReader {
+final class BatchReader {
     private static final int HINT_VALID = 1;
     private static final int MID_FLOW = 8;
     private static final int RETURNED = 16;
@@ -41,11 +41,11 @@
         final List<Raw> events = new ArrayList<>();
     }
 
-    WireException trouble(String what) {
-        return new WireException((inBatch ? "batch " + serial : "after batch " + serial) + ": " + what);
+    MalformedMessageException trouble(String what) {
+        return new MalformedMessageException((inBatch ? "batch " + serial : "after batch " + serial) + ": " + what);
     }
 
-    void batch(JsonParser in) throws IOException, WireException {
+    void batch(JsonParser in) throws IOException, MalformedMessageException {
         inBatch = false;
         parts.clear();
         expect(in.currentToken(), JsonToken.START_OBJECT, "the batch is not an object");
@@ -80,20 +80,20 @@
         }
     }
 
-    private void expect(JsonToken got, JsonToken wanted, String what) throws WireException {
+    private void expect(JsonToken got, JsonToken wanted, String what) throws MalformedMessageException {
         if (got != wanted) {
             throw trouble(what);
         }
     }
 
-    private long whole(JsonParser in, String field) throws IOException, WireException {
+    private long whole(JsonParser in, String field) throws IOException, MalformedMessageException {
         if (in.currentToken() != JsonToken.VALUE_NUMBER_INT) {
             throw trouble(field + " is not an integer");
         }
         return in.getLongValue();
     }
 
-    private Part part(JsonParser in) throws IOException, WireException {
+    private Part part(JsonParser in) throws IOException, MalformedMessageException {
         expect(in.currentToken(), JsonToken.START_OBJECT, "an item of parts is not an object");
         Part part = new Part();
         boolean named = false;
@@ -120,7 +120,7 @@
         return part;
     }
 
-    private Raw raw(JsonParser in) throws IOException, WireException {
+    private Raw raw(JsonParser in) throws IOException, MalformedMessageException {
         expect(in.currentToken(), JsonToken.START_OBJECT, "an item of happened is not an object");
         Raw raw = new Raw();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
@@ -158,7 +158,7 @@
         return raw;
     }
 
-    private void array(JsonParser in, String name, Raw raw) throws IOException, WireException {
+    private void array(JsonParser in, String name, Raw raw) throws IOException, MalformedMessageException {
         if (name.equals("stats")) {
             double[] row = new double[4];
             int n = 0;
@@ -180,7 +180,7 @@
         }
     }
 
-    private EndpointEntry entry(JsonParser in) throws IOException, WireException {
+    private EndpointEntry entry(JsonParser in) throws IOException, MalformedMessageException {
         expect(in.currentToken(), JsonToken.START_OBJECT, "an item of items is not an object");
         String server = null;
         EndpointState phase = null;
@@ -201,7 +201,7 @@
                     server = in.getText();
                 }
                 case "phase" -> {
-                    phase = Link.phase(in.getText());
+                    phase = SimulatorSession.phase(in.getText());
                     if (phase == null) {
                         throw trouble("items: phase has no known value");
                     }
@@ -231,7 +231,7 @@
         SettingsReader profile;
         final Map<String, Object> fields = new HashMap<>();
 
-        long number(String field) throws WireException {
+        long number(String field) throws MalformedMessageException {
             Object v = fields.get(field);
             if (v instanceof Long n) {
                 return n;
@@ -239,11 +239,11 @@
             throw trouble(type + (v == null ? " lacks " : ": not an integer: ") + field);
         }
 
-        private long number(String field, long absent) throws WireException {
+        private long number(String field, long absent) throws MalformedMessageException {
             return fields.get(field) == null ? absent : number(field);
         }
 
-        private double real(String field) throws WireException {
+        private double real(String field) throws MalformedMessageException {
             Object v = fields.get(field);
             if (v instanceof Number n) {
                 return n.doubleValue();
@@ -251,7 +251,7 @@
             throw trouble(type + (v == null ? " lacks " : ": not a number: ") + field);
         }
 
-        private String text(String field) throws WireException {
+        private String text(String field) throws MalformedMessageException {
             String v = optional(field);
             if (v == null) {
                 throw trouble(type + " lacks " + field);
@@ -259,7 +259,7 @@
             return v;
         }
 
-        private String optional(String field) throws WireException {
+        private String optional(String field) throws MalformedMessageException {
             Object v = fields.get(field);
             if (v == null || v instanceof String) {
                 return (String) v;
@@ -267,7 +267,7 @@
             throw trouble(type + ": not a string: " + field);
         }
 
-        private boolean flag(String field) throws WireException {
+        private boolean flag(String field) throws MalformedMessageException {
             Object v = fields.get(field);
             if (v == null || v instanceof Boolean) {
                 return v != null && (Boolean) v;
@@ -275,7 +275,7 @@
             throw trouble(type + ": not a bool: " + field);
         }
 
-        private double[] row() throws WireException {
+        private double[] row() throws MalformedMessageException {
             Object v = fields.get("stats");
             if (v == null || v instanceof double[]) {
                 return (double[]) v;
@@ -283,7 +283,7 @@
             throw trouble(type + ": not a row: stats");
         }
 
-        int tableIndex(int tables) throws WireException {
+        int tableIndex(int tables) throws MalformedMessageException {
             long table = number("table");
             if (table < 0 || table >= tables) {
                 throw trouble(type + ": table is out of range");
@@ -292,7 +292,7 @@
         }
 
         @SuppressWarnings("unchecked")
-        List<EndpointEntry> items(String field) throws WireException {
+        List<EndpointEntry> items(String field) throws MalformedMessageException {
             Object v = fields.get(field);
             if (v instanceof List) {
                 return (List<EndpointEntry>) v;
@@ -300,7 +300,7 @@
             throw trouble(type + " lacks " + field);
         }
 
-        EndpointListKind listKind() throws WireException {
+        EndpointListKind listKind() throws MalformedMessageException {
             return switch (text("form")) {
                 case "Partial" -> EndpointListKind.DELTA;
                 case "Complete" -> EndpointListKind.FULL;
@@ -310,7 +310,7 @@
             };
         }
 
-        private AttemptOutcome outcome() throws WireException {
+        private AttemptOutcome outcome() throws MalformedMessageException {
             return switch (text("ending")) {
                 case "completed" -> AttemptOutcome.OK;
                 case "errored" -> AttemptOutcome.ERROR;
@@ -324,7 +324,7 @@
             };
         }
 
-        private ConnectRequested request() throws WireException {
+        private ConnectRequested request() throws MalformedMessageException {
             long bits = number("bitmap", 0);
             double load = (bits & HINT_VALID) != 0 && fields.get("work_hint_us") != null ? real("work_hint_us") : 0;
             return new ConnectRequested(
@@ -339,7 +339,7 @@
                     (bits & RETURNED) != 0);
         }
 
-        private BalancerEvent update() throws WireException {
+        private BalancerEvent update() throws MalformedMessageException {
             long sort = number("sort");
             String id = text("corr");
             int attempt = (int) number("go");
@@ -350,7 +350,7 @@
         }
 
         /** The event in the module's terms; null for one that this version of the wire does not name. */
-        BalancerEvent event() throws WireException {
+        BalancerEvent event() throws MalformedMessageException {
             return switch (type) {
                 case "Ingress" -> request();
                 case "Handover" -> new ConnectionAdopted(request(), text("server"));
@@ -373,7 +373,7 @@
             };
         }
 
-        private BalancerEvent timer() throws WireException {
+        private BalancerEvent timer() throws MalformedMessageException {
             try {
                 return new TimerExpired(Long.parseLong(text("handle")));
             } catch (NumberFormatException e) {
--- a/src/main/java/sandstack/benchlink/Link.java
+++ b/src/main/java/sandstack/simulator/SimulatorSession.java
@@ -1,4 +1,4 @@
-package sandstack.benchlink;
+package sandstack.simulator;
 
 import com.fasterxml.jackson.core.JsonEncoding;
 import com.fasterxml.jackson.core.JsonFactory;
@@ -29,7 +29,7 @@
  * The adapter between the simulator's wire and {@link LoadBalancer}: reads batches of events, hands them to one
  * Brain per instance, writes its actions. It translates and decides nothing.
  */
-public final class Link {
+public final class SimulatorSession {
     private static final int TABLES = 16;
 
     private final CapacityFile capacity;
@@ -37,10 +37,10 @@
     private final Map<Integer, LoadBalancer> brains = new HashMap<>();
     private final Map<Integer, SettingsReader> profiles = new HashMap<>();
     private final List<List<EndpointEntry>> tables = new ArrayList<>();
-    private final EventReader reader = new EventReader();
+    private final BatchReader reader = new BatchReader();
 
     /** Creates a link whose instances are told nothing of the servers beforehand. */
-    public Link() {
+    public SimulatorSession() {
         this(CapacityFile.NONE);
     }
 
@@ -49,7 +49,7 @@
      *
      * @param capacity what every instance is told of the servers
      */
-    public Link(CapacityFile capacity) {
+    public SimulatorSession(CapacityFile capacity) {
         this.capacity = capacity;
         for (int i = 0; i < TABLES; i++) {
             tables.add(null);
@@ -57,7 +57,7 @@
     }
 
     /** Plays batches until the input ends. */
-    public void run(InputStream input, OutputStream output) throws IOException, WireException {
+    public void run(InputStream input, OutputStream output) throws IOException, MalformedMessageException {
         JsonParser in = json.createParser(new BufferedInputStream(input, 1 << 16));
         JsonGenerator out = json.createGenerator(output, JsonEncoding.UTF8);
         out.setRootValueSeparator(null);
@@ -72,7 +72,7 @@
         }
     }
 
-    private JsonToken next(JsonParser in) throws IOException, WireException {
+    private JsonToken next(JsonParser in) throws IOException, MalformedMessageException {
         try {
             return in.nextToken();
         } catch (JsonParseException e) {
@@ -80,7 +80,7 @@
         }
     }
 
-    private void batch(JsonParser in, JsonGenerator out) throws IOException, WireException {
+    private void batch(JsonParser in, JsonGenerator out) throws IOException, MalformedMessageException {
         try {
             reader.batch(in);
         } catch (JsonParseException e) {
@@ -89,9 +89,9 @@
         out.writeStartObject();
         out.writeNumberField("serial", reader.serial);
         out.writeArrayFieldStart("parts");
-        for (EventReader.Part part : reader.parts) {
+        for (BatchReader.Part part : reader.parts) {
             boolean open = false;
-            for (EventReader.Raw raw : part.events) {
+            for (BatchReader.Raw raw : part.events) {
                 List<BalancerAction> actions = play(part.who, raw);
                 if (actions.isEmpty()) {
                     continue;
@@ -115,7 +115,7 @@
         out.writeEndObject();
     }
 
-    private List<BalancerAction> play(int who, EventReader.Raw raw) throws WireException {
+    private List<BalancerAction> play(int who, BatchReader.Raw raw) throws MalformedMessageException {
         switch (raw.type) {
             case "Up" -> {
                 SettingsReader profile = raw.profile;
--- a/src/test/java/sandstack/benchlink/LinkTest.java
+++ b/src/test/java/sandstack/simulator/SimulatorSessionTest.java
@@ -1,4 +1,4 @@
-package sandstack.benchlink;
+package sandstack.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The adapter: round trips of every event, and what it says of malformed input. */
-class LinkTest {
+class SimulatorSessionTest {
     private static final String UP = "{\"t\":\"Up\",\"entropy\":6,\"new\":{\"x\":[1]},\"profile_data\":{\"caps\":"
             + "{\"connect_timeout_us\":100000,\"max_attempts\":3,\"probes\":true,\"later\":[{\"a\":1}]},"
             + "\"classes\":[{\"deadline_us\":2000000,\"goal_time_us\":500000,\"gain\":1,\"idempotency\":\"safe\","
@@ -31,14 +31,14 @@
                 + events + "]}]}\n";
     }
 
-    private static String[] play(String input) throws IOException, WireException {
+    private static String[] play(String input) throws IOException, MalformedMessageException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Link().run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out);
+        new SimulatorSession().run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out);
         return out.toString(StandardCharsets.UTF_8).split("\n");
     }
 
     private static String complaint(String input) {
-        return assertThrows(WireException.class, () -> play(input)).getMessage();
+        return assertThrows(MalformedMessageException.class, () -> play(input)).getMessage();
     }
 
     @Test
--- a/src/test/java/sandstack/benchlink/TranscriptTest.java
+++ b/src/test/java/sandstack/simulator/TranscriptTest.java
@@ -1,4 +1,4 @@
-package sandstack.benchlink;
+package sandstack.simulator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowable;
@@ -46,22 +46,22 @@
         return tests;
     }
 
-    private static String replies(String input) throws IOException, WireException {
+    private static String replies(String input) throws IOException, MalformedMessageException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Link().run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out);
+        new SimulatorSession().run(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out);
         return out.toString(StandardCharsets.UTF_8);
     }
 
     /** What the command prints after its name. */
     private static String firstErrorLine(String input) {
         Throwable error = catchThrowable(() -> replies(input));
-        assertThat(error).isInstanceOfAny(WireException.class, IOException.class);
+        assertThat(error).isInstanceOfAny(MalformedMessageException.class, IOException.class);
         String prefix = error instanceof IOException ? "input or output failed: " : "";
         return prefix + error.getMessage().lines().findFirst().orElseThrow();
     }
 
     private static String resource(String name) throws IOException {
-        try (InputStream in = TranscriptTest.class.getResourceAsStream("/benchlink/" + name)) {
+        try (InputStream in = TranscriptTest.class.getResourceAsStream("/simulator/" + name)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
