--- a/src/main/java/sandstack/capacity/AdaptiveLimit.java
+++ b/src/main/java/sandstack/capacity/AdaptiveLimit.java
@@ -1,50 +1,69 @@
 package sandstack.capacity;
 
 /**
- * The most that one server takes of one measure (connections, or load), as evidence has bounded it. There is no bound
- * until something went wrong; then it is what stood when it did. It is raised by trials: one connection past the
- * bound, at a moment drawn over an interval of 2^n slots. One that stands clears n and takes the bound a quarter of
- * the way, or by a step that doubles, to where it was last (the plateau of CUBIC, RFC 9438, 4.1); past that the steps
- * begin at one again. A trial that fails makes n rise, and the next interval starts where the current one ends, as for retries.
+ * The most that one server takes of one quantity (connections or load), learned from success and failure. The limit is
+ * infinite until the first failure, which sets it to what was in use at that moment. From then on it is raised by trials:
+ * one connection past the limit, at a moment drawn uniformly from an interval of 2^n slots.
  *
- * <p>Owned by one {@link CapacityEstimate}; one thread; every call is O(1) and allocates nothing.
+ * <ul>
+ *   <li>A trial that succeeds resets n and raises the limit towards the plateau, the value it had before the failure: by a
+ *       quarter of the gap, or by a step that doubles with each success, whichever is more. Past the plateau the steps
+ *       begin at one again, as the window of CUBIC does (RFC 9438, 4.1).
+ *   <li>A trial that fails increments n, and the next interval starts where the current one ends, as in a backoff between
+ *       retries.
+ * </ul>
+ *
+ * <p>Owned by one {@link CapacityEstimate}; used by one thread; every call is O(1) and allocates nothing.
  */
 final class AdaptiveLimit {
-    /** Interval n spans 2^n slots; n stops growing here. */
+    /** The longest interval between trials is 2 to this power, in slots. */
     static final int MAX_BACKOFF_EXPONENT = 8;
-    /** And is no less than this: what a trial does to a server shows only after a while. */
+    /** The same for the shortest interval: a server shows the effect of a trial only after a while. */
     private static final int MIN_BACKOFF_EXPONENT = 4;
-    /** A step is at most this part of the bound, so that no trial lets in a flood. */
+    /** The largest step, as a fraction of the limit, so that no single trial admits a flood. */
     private static final double MAX_STEP_FRACTION = 0.25;
+    /** Where a step stops doubling, so that it cannot overflow. */
+    private static final int MAX_STEP = 1 << 20;
+    /** Half of the smallest value, so that adding a duration to it cannot underflow. */
+    private static final long LONG_AGO_MICROS = Long.MIN_VALUE / 2;
 
     private final long slotMicros;
     private double limit = Double.POSITIVE_INFINITY;
     private double plateau;
+    /** In units of what one connection adds. */
     private double step = 1;
+
     private int backoffExponent;
-    private long intervalEndMicros = Long.MIN_VALUE / 2;
+    private long intervalEndMicros = LONG_AGO_MICROS;
     private long nextTrialMicros;
     private boolean trialInFlight;
     private boolean trialSinceFailure;
 
+    /**
+     * Creates a limit that is infinite.
+     *
+     * @param slotMicros the unit of the intervals between trials
+     */
     AdaptiveLimit(long slotMicros) {
         this.slotMicros = slotMicros;
     }
 
+    /** The present limit; infinite before the first failure. */
     double limit() {
         return limit;
     }
 
+    /** Whether a failure, or a stated start, has set a finite limit. */
     boolean isLimited() {
         return limit < Double.POSITIVE_INFINITY;
     }
 
-    /** Whether so much more fits, or a trial is due. */
+    /** Whether this much more is within the limit, or a trial is due. */
     boolean admits(double inUse, double added, long nowMicros) {
         return inUse + added <= limit || (!trialInFlight && nowMicros >= nextTrialMicros);
     }
 
-    /** So much more was sent. */
+    /** This much more was sent; past the limit it is a trial. */
     void onSent(double inUse, double added) {
         if (inUse + added > limit) {
             trialInFlight = true;
@@ -52,12 +71,18 @@
         }
     }
 
-    /** A trial ended without word on the server: its client left, or it was never sent. */
+    /** A trial ended without evidence on the server: the client disconnected, or the attempt was never sent. */
     void onInconclusive() {
         trialInFlight = false;
     }
 
-    /** What was sent stands: so much is held now. */
+    /**
+     * What was sent is established.
+     *
+     * @param inUse what is in use now, the new connection included
+     * @param unit what one connection adds on average
+     * @param uniformDraw from [0, 1)
+     */
     void onEstablished(double inUse, double unit, long nowMicros, double uniformDraw) {
         if (inUse <= limit) {
             return;
@@ -68,24 +93,36 @@
         }
         trialInFlight = false;
         if (inUse >= plateau) {
-            // past where it was last nothing is known: carefully first, then faster again
-            step = 1;
-            plateau = 2 * inUse + 1;
+            leavePlateau(inUse);
         } else {
-            // what was lost at once returns at once more often than not, and the next failure closes it again
-            double wantedStep = Math.max((step - 1) * unit, (plateau - inUse) * MAX_STEP_FRACTION);
-            double allowedStep = Math.min(wantedStep, Math.min(inUse * MAX_STEP_FRACTION, plateau - inUse));
-            limit += Math.max(0, allowedStep);
-            step = Math.min(step * 2, 1 << 20);
+            raiseTowardsPlateau(inUse, unit);
         }
         backoffExponent = MIN_BACKOFF_EXPONENT;
         scheduleTrial(nowMicros, uniformDraw);
     }
 
-    /** It went wrong while so much was held. */
+    /** Past the plateau nothing is known: small steps first, growing again. */
+    private void leavePlateau(double inUse) {
+        step = 1;
+        plateau = 2 * inUse + 1;
+    }
+
+    /** Capacity lost at once mostly returns at once; the next failure ends the rise where it does not. */
+    private void raiseTowardsPlateau(double inUse, double unit) {
+        double wantedStep = Math.max((step - 1) * unit, (plateau - inUse) * MAX_STEP_FRACTION);
+        double allowedStep = Math.min(wantedStep, Math.min(inUse * MAX_STEP_FRACTION, plateau - inUse));
+        limit += Math.max(0, allowedStep);
+        step = Math.min(step * 2, MAX_STEP);
+    }
+
+    /**
+     * The server failed or rejected.
+     *
+     * @param inUse what remained in use, which becomes the limit
+     * @param uniformDraw from [0, 1)
+     */
     void onFailure(double inUse, long nowMicros, double uniformDraw) {
-        boolean burst = isLimited() && !trialSinceFailure && nowMicros < intervalEndMicros;
-        if (!burst) {
+        if (!isPartOfBurst(nowMicros)) {
             plateau = Math.max(inUse, isLimited() ? Math.min(plateau, limit) : inUse);
             backoffExponent = Math.min(Math.max(backoffExponent, MIN_BACKOFF_EXPONENT) + 1, MAX_BACKOFF_EXPONENT);
             scheduleTrial(nowMicros, uniformDraw);
@@ -96,15 +133,21 @@
         trialSinceFailure = false;
     }
 
+    /** Failures within one interval that no trial caused count as one: the backoff grows once. */
+    private boolean isPartOfBurst(long nowMicros) {
+        return isLimited() && !trialSinceFailure && nowMicros < intervalEndMicros;
+    }
+
+    /** The next interval starts at the end of the current one, but no later than the longest interval from now. */
     private void scheduleTrial(long nowMicros, double uniformDraw) {
-        // evidence that comes without a trial, however often, puts the next one off by one longest interval
-        long beginMicros =
-                Math.min(Math.max(nowMicros, intervalEndMicros), nowMicros + (slotMicros << MAX_BACKOFF_EXPONENT));
-        intervalEndMicros = beginMicros + (slotMicros << backoffExponent);
-        nextTrialMicros = beginMicros + (long) (uniformDraw * (slotMicros << backoffExponent));
+        long longestMicros = slotMicros << MAX_BACKOFF_EXPONENT;
+        long beginMicros = Math.min(Math.max(nowMicros, intervalEndMicros), nowMicros + longestMicros);
+        long intervalMicros = slotMicros << backoffExponent;
+        intervalEndMicros = beginMicros + intervalMicros;
+        nextTrialMicros = beginMicros + (long) (uniformDraw * intervalMicros);
     }
 
-    /** What somebody else says of the bound, before there is evidence: a start, past which trials go at once. */
+    /** Sets the limit that an operator states, before there is evidence; trials past it are due at once. */
     void startAt(double stated) {
         if (!isLimited() && stated > 0) {
             limit = stated;
@@ -112,7 +155,7 @@
         }
     }
 
-    /** The server began anew: what the old process did before it fell bounds nothing. */
+    /** The server restarted: what was learned of the previous process limits nothing. */
     void reset() {
         limit = Double.POSITIVE_INFINITY;
         trialInFlight = false;
--- a/src/main/java/sandstack/capacity/CandidateSummary.java
+++ b/src/main/java/sandstack/capacity/CandidateSummary.java
@@ -1,82 +1,104 @@
 package sandstack.capacity;
 
 /**
- * What one draw saw of the servers that it might have taken, and what follows where it took none. What is kept free
- * for classes of more worth is trunk reservation (Key, 1990): where all servers are bounded and nearly full it keeps
- * nearly all of the room in use, and has no state of its own that could oscillate. One thread; O(1).
+ * The servers that one selection looked at, summed up: how much is free, and why a request is rejected where none of them
+ * can take it.
+ *
+ * <p>Classes of lower priority leave a part of the capacity free for those above them, which is trunk reservation (P. Key,
+ * 1990): where all servers are limited and nearly full it keeps nearly all of the capacity in use, and it has no state that
+ * could oscillate.
+ *
+ * <p>Reused for each selection by {@link #reset}; used by one thread; every call is O(1).
  */
 public final class CandidateSummary {
-    /** Part of all bounds that is closed to the class of least worth; those between keep less. */
+    /** Fraction of all limits that the class of lowest priority leaves free; those between leave less. */
     private static final double RESERVED_FRACTION = 0.03;
-    /** Below this part of all bounds, other relays have mostly taken what looks free from here. */
+    /** Below this fraction of all limits, other relays have mostly taken what looks free from here. */
     private static final double SCARCE_FRACTION = 0.1;
 
-    private final double[] reservedFraction;
+    private final double[] reservedFractionByClass;
     private double freeConnections = Double.POSITIVE_INFINITY;
     private double connectionLimits;
     private int fullCount;
     private int limitedCount;
-    private int add;
+    private int admittingCount;
 
     /**
-     * Creates a survey that has seen no server yet.
+     * Creates a summary of no server, which admits every class.
      *
-     * @param priorityWeights of each class
+     * @param priorityWeights of each class, by its index
      */
     public CandidateSummary(double[] priorityWeights) {
-        reservedFraction = new double[priorityWeights.length];
-        for (int c = 0; c < priorityWeights.length; c++) {
-            int above = 0;
-            for (double other : priorityWeights) {
-                above += other > priorityWeights[c] ? 1 : 0;
+        reservedFractionByClass = new double[priorityWeights.length];
+        if (priorityWeights.length < 2) {
+            return;
+        }
+        for (int classIndex = 0; classIndex < priorityWeights.length; classIndex++) {
+            int higherCount = countAbove(priorityWeights, priorityWeights[classIndex]);
+            reservedFractionByClass[classIndex] = RESERVED_FRACTION * higherCount / (priorityWeights.length - 1);
+        }
+    }
+
+    private static int countAbove(double[] weights, double weight) {
+        int count = 0;
+        for (double other : weights) {
+            if (other > weight) {
+                count++;
             }
-            reservedFraction[c] =
-                    priorityWeights.length < 2 ? 0 : RESERVED_FRACTION * above / (priorityWeights.length - 1);
         }
+        return count;
     }
 
-    /** Begins anew. */
+    /** Starts the next selection. */
     public void reset() {
         freeConnections = 0;
         connectionLimits = 0;
         fullCount = 0;
         limitedCount = 0;
-        add = 0;
+        admittingCount = 0;
     }
 
     /**
-     * One more server that is ready and without a mark; returns whether it may take one more.
+     * Adds one more server that is ready and not an outlier.
      *
-     * @param limitReached a limit of the installation closes it
+     * @param limitReached whether a limit of the installation closes the server
+     * @return whether the server may take one more connection
      */
     public boolean add(CapacityEstimate server, boolean limitReached, long nowMicros) {
         freeConnections += server.freeConnections();
         connectionLimits += server.connectionLimit();
-        boolean closed = !limitReached && !server.admits(nowMicros);
-        limitedCount += limitReached ? 1 : 0;
-        fullCount += closed ? 1 : 0;
-        add += limitReached || closed ? 0 : 1;
-        return !limitReached && !closed;
+        if (limitReached) {
+            limitedCount++;
+            return false;
+        }
+        if (!server.admits(nowMicros)) {
+            fullCount++;
+            return false;
+        }
+        admittingCount++;
+        return true;
     }
 
-    /** Whether so little is free that one more attempt would most likely be turned away too. */
+    /** Whether so little is free that one more attempt would most likely be rejected too. */
     public boolean isScarce() {
         return freeConnections < connectionLimits * SCARCE_FRACTION;
     }
 
-    /** Whether a class may have some of what is free. */
+    /** Whether a class may take some of what is free. */
     public boolean admits(int classIndex) {
-        return reservedFraction[classIndex] == 0
-                || !(freeConnections < connectionLimits * reservedFraction[classIndex]);
+        double reservedFraction = reservedFractionByClass[classIndex];
+        boolean reserved = freeConnections < connectionLimits * reservedFraction;
+        return reservedFraction == 0 || !reserved;
     }
 
-    /** Why a request of this class cannot be placed, where waiting would not help; null where it may. */
+    /** Why a request of this class has to be rejected, where waiting would not help; null where it need not be. */
     public RejectionReason rejectionReason(int classIndex) {
-        if (add > 0) {
+        if (admittingCount > 0) {
             return admits(classIndex) ? null : RejectionReason.RESERVED;
         }
-        return fullCount + limitedCount == 0
-                ? null
-                : limitedCount > fullCount ? RejectionReason.SERVER_LIMIT : RejectionReason.FULL;
+        if (fullCount + limitedCount == 0) {
+            return null;
+        }
+        return limitedCount > fullCount ? RejectionReason.SERVER_LIMIT : RejectionReason.FULL;
     }
 }
--- a/src/main/java/sandstack/capacity/CapacityEstimate.java
+++ b/src/main/java/sandstack/capacity/CapacityEstimate.java
@@ -1,227 +1,255 @@
 package sandstack.capacity;
 
 /**
- * What one feed server holds from here and what it can hold, by the evidence of this relay. Two measures are bounded
- * apart: connections, since a server holds only so many, and load, where connections tell theirs. Other relays fill
- * the same server unseen, so a bound is what this relay may have there, not the server's size.
+ * What one server has in use from this relay and how much it can hold, by the evidence that this relay has. Connections and
+ * load have a limit each: a server holds only so many connections and does only so much work. Other relays fill the same
+ * server unseen, so a limit is what this relay may have there and not the size of the server.
  *
- * <p>Owned by the module's record of that server; one thread; every call is O(1) and allocates nothing. Whatever is
- * told, no figure becomes negative or not a number, and a closed server is tried again within 2^8 slots.
+ * <p>Loads are microseconds of work a second on a standard core; ratings are the sizes in the endpoint list.
+ *
+ * <p>Owned by the load balancer's state of that server; used by one thread; every call is O(1) and allocates nothing.
+ * Whatever is reported, no figure becomes negative or not a number, and a closed server is tried again within 2^8 slots.
  */
 public final class CapacityEstimate {
-    /** Loads are cut to this: a peer may tell anything, as often as it likes. */
+    /** Reported loads are cut to this, since a peer may report anything as often as it likes. */
     private static final double MAX_LOAD = 1e9;
-    /** What messages that are late say: so much of what stands there is too much by a little. */
-    private static final double SLOW_MESSAGES_FRACTION = 0.9;
+    /** Ratings from here on are taken for an error in the list. */
+    private static final double MAX_RATING = 1e9;
+
+    private static final double DEFAULT_RATING = 1;
 
     private final CapacityModel model;
+    private final AdaptiveLimit connectionLimit;
+    private final AdaptiveLimit loadLimit;
     private int machineKind;
     private StatedCapacity stated;
-    private double rating = 1;
-    private final AdaptiveLimit adaptiveConnectionLimit;
-    private final AdaptiveLimit adaptiveLoadLimit;
+    private double rating = DEFAULT_RATING;
     private int establishedConnections;
     private int attemptsInFlight;
-    /** Told loads of what stands here, and how many have told none: they count as much as others do by now. */
+    /** Of the established connections that reported a load. */
     private double reportedLoad;
-
+    /** Established connections that reported none; each counts as the mean load at the time of asking. */
     private int connectionsWithoutLoad;
 
     CapacityEstimate(CapacityModel model) {
         this.model = model;
-        this.adaptiveConnectionLimit = new AdaptiveLimit(model.slotMicros());
-        this.adaptiveLoadLimit = new AdaptiveLimit(model.slotMicros());
+        this.connectionLimit = new AdaptiveLimit(model.slotMicros());
+        this.loadLimit = new AdaptiveLimit(model.slotMicros());
         this.stated = model.stated(0);
     }
 
-    /** What the list says of the server. */
-    public void onEndpointListed(int listedKind, double listedRating) {
-        machineKind = listedKind;
-        rating = listedRating > 0 && listedRating < 1e9 ? listedRating : 1;
-        stated = model.stated(listedKind);
-        if (!stated.upperBound()) {
-            adaptiveConnectionLimit.startAt(Math.ceil(stated.connectionsPerRating() * rating / model.relayCount()));
-            adaptiveLoadLimit.startAt(stated.workPerRating() * rating / model.relayCount());
-        }
-    }
-
-    /** A fresh process on the same machine. */
-    public void onRestart() {
-        adaptiveConnectionLimit.reset();
-        adaptiveLoadLimit.reset();
-        onEndpointListed(machineKind, rating);
-    }
+    // ---- what is known ----------------------------------------------------------------------------
 
-    /** Connections that stand here or are being set up. */
+    /** Established connections and attempts to set one up. */
     public int connectionsAndAttempts() {
         return establishedConnections + attemptsInFlight;
     }
 
-    /** Connections that stand here. */
+    /** Established connections. */
     public int establishedConnections() {
         return establishedConnections;
     }
 
-    /** The load of what stands here, in microseconds of work a second; guessed where not told. */
+    /** Load of the established connections; those that reported none count as the mean. */
     public double establishedLoad() {
         return reportedLoad + connectionsWithoutLoad * model.meanLoad();
     }
 
-    /** The connections that fit as far as this relay knows; infinite where nothing speaks against more. */
+    private double loadWithAttempts() {
+        return establishedLoad() + attemptsInFlight * model.meanLoad();
+    }
+
+    /** Limit of connections from this relay; infinite where no evidence speaks against more. */
     public double connectionLimit() {
-        return adaptiveConnectionLimit.limit();
+        return connectionLimit.limit();
     }
 
-    // ---- what is known ----------------------------------------------------------------------------
+    /** Connections that fit below the limit; infinite where no evidence speaks against more. */
+    public double freeConnections() {
+        return Math.max(0, connectionLimit.limit() - establishedConnections - attemptsInFlight);
+    }
 
-    /** Whether one more fits by the evidence, without a trial. */
+    /** Whether one more connection fits below the limits, without a trial. */
     public boolean hasHeadroom() {
-        return establishedConnections + attemptsInFlight + 1 <= adaptiveConnectionLimit.limit()
-                && (!adaptiveLoadLimit.isLimited()
-                        || establishedLoad() + (attemptsInFlight + 1) * model.meanLoad() <= adaptiveLoadLimit.limit());
+        if (connectionsAndAttempts() + 1 > connectionLimit.limit()) {
+            return false;
+        }
+        return !loadLimit.isLimited()
+                || establishedLoad() + (attemptsInFlight + 1) * model.meanLoad() <= loadLimit.limit();
     }
 
-    /** Whether one more may be sent: it fits, or a trial is due. */
+    /** Whether one more connection may be sent: it fits below the limits, or a trial is due. */
     public boolean admits(long nowMicros) {
-        return adaptiveConnectionLimit.admits(establishedConnections + attemptsInFlight, 1, nowMicros)
-                && (!adaptiveLoadLimit.isLimited()
-                        || adaptiveLoadLimit.admits(
-                                establishedLoad() + attemptsInFlight * model.meanLoad(), model.meanLoad(), nowMicros));
+        if (!connectionLimit.admits(connectionsAndAttempts(), 1, nowMicros)) {
+            return false;
+        }
+        return !loadLimit.isLimited() || loadLimit.admits(loadWithAttempts(), model.meanLoad(), nowMicros);
     }
 
     /**
-     * The part of what the operator stated firmly that is used from here; 0 where nothing is.
+     * The fraction in use of a capacity that the operator stated as an upper bound; 0 where none is stated so.
      *
-     * @param groupCount how many groups stand here
-     * @param slowStartFraction the part of its capacity that the server has by now, above 0
+     * @param groupCount groups with a connection at this server, each of which adds an overhead
+     * @param slowStartFraction the fraction of its full capacity that the server has by now, above 0
      */
     public double utilization(int groupCount, double slowStartFraction) {
-        double work = stated.upperBound() ? rating * slowStartFraction * stated.workPerRating() : 0;
-        return work <= 0
-                ? 0
-                : (establishedLoad() + groupCount * stated.groupOverheadConnections() * model.meanLoad()) / work;
+        double availableWork = stated.upperBound() ? rating * slowStartFraction * stated.workPerRating() : 0;
+        if (availableWork <= 0) {
+            return 0;
+        }
+        double groupOverhead = groupCount * stated.groupOverheadConnections() * model.meanLoad();
+        return (establishedLoad() + groupOverhead) / availableWork;
     }
 
-    /** How many usual connections fill this server when it is warm: as stated, or no less than others hold now. */
-    public double capacityInConnections() {
-        double most =
-                stated.workPerRating() > 0 ? stated.workPerRating() / model.meanLoad() : stated.connectionsPerRating();
-        return rating * (model.loadsKnown() && most > 0 ? most : Math.max(most, model.holds()));
+    /** The load that makes up this much utilization of the stated capacity. */
+    public double adaptiveLoadLimit(double utilization) {
+        return utilization * rating * stated.workPerRating();
     }
 
-    /** What so much more use is worth in load. */
-    public double adaptiveLoadLimit(double use) {
-        return use * rating * stated.workPerRating();
+    /**
+     * How many average connections fill this server once it has warmed up: what is stated or, where no loads are known, no
+     * less than other servers hold now.
+     */
+    public double capacityInConnections() {
+        double statedPerRating =
+                stated.workPerRating() > 0 ? stated.workPerRating() / model.meanLoad() : stated.connectionsPerRating();
+        if (model.loadsKnown() && statedPerRating > 0) {
+            return rating * statedPerRating;
+        }
+        return rating * Math.max(statedPerRating, model.observedConnectionsPerRating());
     }
 
     /**
-     * The part that is used of what evidence bounds here, or at servers of this kind; 0 where none does, or where the
-     * use of what is stated firmly says more.
+     * The fraction in use of the limits found here or, where there are none, of what servers of this machine kind usually
+     * hold; at most 1. It is 0 where nothing is known and where {@link #utilization} of a stated upper bound counts instead.
      */
     public double occupancy() {
         if (stated.upperBound()) {
             return 0;
         }
-        double most = adaptiveConnectionLimit.isLimited()
-                ? adaptiveConnectionLimit.limit()
-                : model.usualConnectionsPerRating(machineKind) * rating;
-        double part = most <= 0 ? 1 : establishedConnections / most;
-        return Math.min(
-                1,
-                adaptiveLoadLimit.isLimited()
-                        ? Math.max(part, establishedLoad() / Math.max(adaptiveLoadLimit.limit(), 1))
-                        : part);
+        double occupied = connectionOccupancy();
+        if (loadLimit.isLimited()) {
+            occupied = Math.max(occupied, establishedLoad() / Math.max(loadLimit.limit(), 1));
+        }
+        return Math.min(1, occupied);
     }
 
-    /** How many more fit by evidence; infinite where nothing speaks against more. */
-    public double freeConnections() {
-        return Math.max(0, adaptiveConnectionLimit.limit() - establishedConnections - attemptsInFlight);
+    private double connectionOccupancy() {
+        double limit = connectionLimit.isLimited()
+                ? connectionLimit.limit()
+                : model.usualConnectionsPerRating(machineKind) * rating;
+        return limit <= 0 ? 1 : establishedConnections / limit;
     }
 
     // ---- what happens -----------------------------------------------------------------------------
 
-    /** An attempt to set up one more connection goes out. */
+    /** The endpoint list says this of the server. A rating that makes no sense counts as the default. */
+    public void onEndpointListed(int listedKind, double listedRating) {
+        machineKind = listedKind;
+        rating = listedRating > 0 && listedRating < MAX_RATING ? listedRating : DEFAULT_RATING;
+        stated = model.stated(listedKind);
+        if (!stated.upperBound()) {
+            connectionLimit.startAt(Math.ceil(stated.connectionsPerRating() * rating / model.relayCount()));
+            loadLimit.startAt(stated.workPerRating() * rating / model.relayCount());
+        }
+    }
+
+    /** A new process runs on the same machine: it is limited by nothing that the old one did. */
+    public void onRestart() {
+        connectionLimit.reset();
+        loadLimit.reset();
+        onEndpointListed(machineKind, rating);
+    }
+
+    /** An attempt to set up one more connection was sent. */
     public void onAttemptStarted() {
-        adaptiveConnectionLimit.onSent(establishedConnections + attemptsInFlight, 1);
-        if (adaptiveLoadLimit.isLimited()) {
-            adaptiveLoadLimit.onSent(establishedLoad() + attemptsInFlight * model.meanLoad(), model.meanLoad());
+        connectionLimit.onSent(connectionsAndAttempts(), 1);
+        if (loadLimit.isLimited()) {
+            loadLimit.onSent(loadWithAttempts(), model.meanLoad());
         }
         attemptsInFlight++;
     }
 
-    /** An attempt that was out has ended, in whatever way. */
+    /** An attempt in flight has ended, with whatever outcome. */
     public void onAttemptEnded() {
         attemptsInFlight = Math.max(0, attemptsInFlight - 1);
     }
 
-    /** The attempt said nothing of the server. */
+    /** The outcome of an attempt is no evidence on the server. */
     public void onInconclusiveAttempt() {
-        adaptiveConnectionLimit.onInconclusive();
-        adaptiveLoadLimit.onInconclusive();
+        connectionLimit.onInconclusive();
+        loadLimit.onInconclusive();
     }
 
-    /** A connection stands, with so much load, 0 where it has told none; a number in [0, 1) draws when more is tried. */
+    /**
+     * A connection is established.
+     *
+     * @param load as reported; 0 where it reported none
+     * @param uniformDraw from [0, 1), decides when the next trial is due
+     */
     public void onEstablished(double load, long nowMicros, double uniformDraw) {
         establishedConnections++;
-        addLoad(load, 1);
-        model.holds(establishedConnections, rating);
-        adaptiveConnectionLimit.onEstablished(establishedConnections, 1, nowMicros, uniformDraw);
-        if (adaptiveLoadLimit.isLimited()) {
-            adaptiveLoadLimit.onEstablished(establishedLoad(), model.meanLoad(), nowMicros, uniformDraw);
+        addConnectionLoad(load);
+        model.observeConnections(establishedConnections, rating);
+        connectionLimit.onEstablished(establishedConnections, 1, nowMicros, uniformDraw);
+        if (loadLimit.isLimited()) {
+            loadLimit.onEstablished(establishedLoad(), model.meanLoad(), nowMicros, uniformDraw);
         }
-        model.onConnectionLimit(machineKind, rating, adaptiveConnectionLimit);
+        model.onConnectionLimit(machineKind, rating, connectionLimit);
     }
 
-    /** A load was told; the one before is 0 where none was. */
+    /** An established connection reported a load; each of the two is 0 where there is none. */
     public void onLoadChanged(double before, double after) {
-        addLoad(before, -1);
-        addLoad(after, 1);
+        removeConnectionLoad(before);
+        addConnectionLoad(after);
     }
 
-    /** A standing connection has ended; its load as last told, 0 where it told none. */
+    /**
+     * An established connection has ended.
+     *
+     * @param load as last reported; 0 where it reported none
+     */
     public void onClosed(double load) {
         establishedConnections = Math.max(0, establishedConnections - 1);
-        addLoad(load, -1);
+        removeConnectionLoad(load);
         if (establishedConnections == 0) {
             reportedLoad = 0;
             connectionsWithoutLoad = 0;
         }
     }
 
-    private void addLoad(double load, int sign) {
+    private void addConnectionLoad(double load) {
         if (load > 0) {
-            reportedLoad = Math.max(0, reportedLoad + sign * load);
+            reportedLoad += load;
         } else {
-            connectionsWithoutLoad = Math.max(0, connectionsWithoutLoad + sign);
+            connectionsWithoutLoad++;
         }
     }
 
-    /** The server said that it takes no more. */
-    public void onRejected(long nowMicros, double uniformDraw) {
-        adaptiveConnectionLimit.onFailure(establishedConnections, nowMicros, uniformDraw);
-        model.onConnectionLimit(machineKind, rating, adaptiveConnectionLimit);
+    private void removeConnectionLoad(double load) {
+        if (load > 0) {
+            reportedLoad = Math.max(0, reportedLoad - load);
+        } else {
+            connectionsWithoutLoad = Math.max(0, connectionsWithoutLoad - 1);
+        }
     }
 
-    /** The server dropped a connection that stood; told once that has {@link #onClosed}. */
-    public void onConnectionDropped(long nowMicros, double uniformDraw) {
-        adaptiveConnectionLimit.onFailure(establishedConnections, nowMicros, uniformDraw);
-        if (model.loadsReported()) {
-            adaptiveLoadLimit.onFailure(establishedLoad(), nowMicros, uniformDraw);
-        }
-        model.onConnectionLimit(machineKind, rating, adaptiveConnectionLimit);
+    /** The server rejected a connection. */
+    public void onRejected(long nowMicros, double uniformDraw) {
+        connectionLimit.onFailure(establishedConnections, nowMicros, uniformDraw);
+        model.onConnectionLimit(machineKind, rating, connectionLimit);
     }
 
-    /** Messages of connections here take too long. */
-    public void onSlowMessages(long nowMicros, double uniformDraw) {
+    /** The server dropped an established connection; called after {@link #onClosed} for it. */
+    public void onConnectionDropped(long nowMicros, double uniformDraw) {
+        connectionLimit.onFailure(establishedConnections, nowMicros, uniformDraw);
         if (model.loadsReported()) {
-            adaptiveLoadLimit.onFailure(establishedLoad() * SLOW_MESSAGES_FRACTION, nowMicros, uniformDraw);
-        } else {
-            adaptiveConnectionLimit.onFailure(
-                    Math.floor(establishedConnections * SLOW_MESSAGES_FRACTION), nowMicros, uniformDraw);
+            loadLimit.onFailure(establishedLoad(), nowMicros, uniformDraw);
         }
+        model.onConnectionLimit(machineKind, rating, connectionLimit);
     }
 
-    /** What a load that was told counts for; what makes no sense counts for nothing. */
+    /** The load that a report counts for: at most the largest plausible one, and 0 where it makes no sense. */
     public static double sanitizeLoad(double reported) {
         return reported > 0 ? Math.min(reported, MAX_LOAD) : 0;
     }
--- a/src/main/java/sandstack/capacity/CapacityModel.java
+++ b/src/main/java/sandstack/capacity/CapacityModel.java
@@ -1,26 +1,34 @@
 package sandstack.capacity;
 
 /**
- * What is common to the estimates of one relay: what the operator stated, the mean load of its connections, and what
- * servers of one kind teach about each other. Owned by one decision module; one thread; calls are O(1).
+ * What the estimates of one relay have in common: the capacities that the operator stated, the mean load of the relay's
+ * connections, and what servers of one machine kind usually hold.
+ *
+ * <p>Loads are microseconds of work a second on a standard core. Owned by one load balancer; used by one thread; every call
+ * is O(1).
  */
 public final class CapacityModel {
-    /** A mean begins with so many connections of the stated load: a few that tell theirs are not enough. */
+    /** The mean starts as that of so many connections of the stated load: a few reports are not enough to replace it. */
     private static final int ASSUMED_CONNECTIONS = 8;
-    /** The mean is that of so many connections at the most, the latest ones weighing more. */
+    /** The mean covers at most so many connections, with more weight on the latest. */
     private static final int MEAN_WINDOW_CONNECTIONS = 256;
-    /** What one more estimate of a kind weighs against those before it. */
+    /** Weight of one more observation in the moving average of a machine kind. */
     private static final double KIND_LEARNING_RATE = 0.1;
-    /** Kinds past this share one place, whatever a list says. */
+    /** Kinds from here on share the last entry, whatever numbers a list holds. */
     private static final int MAX_KINDS = 64;
+    /** Smallest sum of ratings, so that a division by it stays finite. */
+    private static final double MIN_READY_RATING = 1e-9;
+    /** Mean load while nothing is known; also the least where no load is stated. */
+    private static final double UNIT_LOAD = 1;
 
     private final StatedCapacities statedCapacities;
+    private final boolean ratingsAreSizes;
+    private final StatedCapacity statedForOthers;
     private final long slotMicros;
     private final int relayCount;
+    /** By machine kind; 0 where nothing was observed. */
     private final double[] usualConnectionsPerRating = new double[MAX_KINDS];
-    private final boolean ratingsAreSizes;
-    private final StatedCapacity statedForOthers;
-    /** The last loads that connections came with or told, also of those that have left: the others are guesses. */
+    /** Latest known loads, also of connections that have ended. */
     private double sumOfKnownLoads;
 
     private int knownLoadCount;
@@ -29,17 +37,18 @@
     private double maxConnectionsPerRating;
     private boolean loadsReported;
 
-    /** Where ratings say nothing of sizes. */
+    /** Creates a model for lists whose ratings say nothing of sizes. */
     public CapacityModel(StatedCapacities statedCapacities, long slotMicros, int relayCount) {
         this(statedCapacities, slotMicros, relayCount, false);
     }
 
     /**
-     * Creates an estimate of what is stated, without evidence.
+     * Creates a model without evidence.
      *
-     * @param slotMicros the length of a slot, in microseconds
-     * @param relayCount how many relays place connections at the same servers
-     * @param ratingsAreSizes ratings are sizes: of servers of which nobody states anything the platform's pages do
+     * @param slotMicros unit of the intervals between trials of a limit
+     * @param relayCount relays that connect to the same servers
+     * @param ratingsAreSizes whether ratings are sizes, which gives servers without a stated capacity
+     *     {@link StatedCapacity#SIZE_BASED}
      */
     public CapacityModel(StatedCapacities statedCapacities, long slotMicros, int relayCount, boolean ratingsAreSizes) {
         this.ratingsAreSizes = ratingsAreSizes;
@@ -49,11 +58,6 @@
         this.relayCount = Math.max(1, relayCount);
     }
 
-    /** What one more group costs a server, in load. */
-    public double groupOverheadLoad() {
-        return statedForOthers.groupOverheadConnections() * meanLoad();
-    }
-
     /** An estimate for a server of which nothing is known. */
     public CapacityEstimate newEstimate() {
         return new CapacityEstimate(this);
@@ -75,9 +79,16 @@
         return ratingsAreSizes && stated.equals(StatedCapacity.NOTHING) ? StatedCapacity.SIZE_BASED : stated;
     }
 
-    /** The ratings of all servers that are ready, together. */
+    /** The load that one more group adds to a server. */
+    public double groupOverheadLoad() {
+        return statedForOthers.groupOverheadConnections() * meanLoad();
+    }
+
+    // ---- connections per rating -------------------------------------------------------------------
+
+    /** The sum of the ratings of all servers that are ready. */
     public void onReadyRating(double ratings) {
-        readyRating = Math.max(ratings, 1e-9);
+        readyRating = Math.max(ratings, MIN_READY_RATING);
     }
 
     /** Connections of this relay for each unit of rating, over all servers that are ready. */
@@ -86,48 +97,76 @@
     }
 
     /**
-     * What a unit of rating holds over all relays, by this one's part of it: what it can hold is no less. As all servers
-     * hold now, or as the one that held most did, less a deviation of what one relay's part of it tells.
+     * A lower bound for the connections of all relays that a unit of rating can hold: as many as all servers hold now, or as
+     * the one that held most did. Both are scaled up from the connections of this relay.
      */
-    double holds() {
+    double observedConnectionsPerRating() {
         return relayCount * Math.max((connectionCount + 1) / readyRating, maxConnectionsPerRating);
     }
 
-    /** So many stand at a server of this rating. */
-    void holds(int standing, double rating) {
-        maxConnectionsPerRating = Math.max(maxConnectionsPerRating, (standing - Math.sqrt(standing)) / rating);
+    /** A server holds so many connections; one standard deviation less counts, since one relay sees a sample only. */
+    void observeConnections(int connections, double rating) {
+        maxConnectionsPerRating = Math.max(maxConnectionsPerRating, (connections - Math.sqrt(connections)) / rating);
     }
 
-    /** Whether a connection came with its load or told it, or an operator stated one: a guess alone closes no server. */
-    public boolean loadsKnown() {
-        return knownLoadCount > 0 || statedCapacities.others().defaultConnectionLoad() > 0;
+    /** The limit of a server's connections may have changed; a finite one counts for its machine kind. */
+    void onConnectionLimit(int machineKind, double rating, AdaptiveLimit connectionLimit) {
+        if (!connectionLimit.isLimited()) {
+            return;
+        }
+        int kindIndex = kindIndex(machineKind);
+        double observed = connectionLimit.limit() / rating;
+        double average = usualConnectionsPerRating[kindIndex];
+        usualConnectionsPerRating[kindIndex] =
+                average <= 0 ? observed : average + (observed - average) * KIND_LEARNING_RATE;
     }
 
-    /** The mean load of what stands here, in microseconds of work a second; 1 a connection while none is known. */
-    public double meanLoad() {
-        double guess = statedForOthers.defaultConnectionLoad();
-        return guess > 0
-                ? (sumOfKnownLoads + ASSUMED_CONNECTIONS * guess) / (knownLoadCount + ASSUMED_CONNECTIONS)
-                : knownLoadCount > 0 ? Math.max(1, sumOfKnownLoads / knownLoadCount) : 1;
+    /** The usual limit for each unit of rating of a machine kind, for this relay; infinite where nothing is known. */
+    double usualConnectionsPerRating(int machineKind) {
+        double observed = usualConnectionsPerRating[kindIndex(machineKind)];
+        return observed > 0 ? observed : Double.POSITIVE_INFINITY;
+    }
+
+    private static int kindIndex(int machineKind) {
+        return Math.min(Math.max(0, machineKind), MAX_KINDS - 1);
     }
 
-    /** Whether a connection of this relay has ever told its load. */
+    // ---- loads ------------------------------------------------------------------------------------
+
+    /**
+     * Whether the mean load rests on more than a default: a connection came with its load or reported it, or the operator
+     * stated one. A default alone closes no server.
+     */
+    public boolean loadsKnown() {
+        return knownLoadCount > 0 || statedCapacities.others().defaultConnectionLoad() > 0;
+    }
+
+    /** Whether a connection of this relay has ever reported its load. */
     public boolean loadsReported() {
         return loadsReported;
     }
 
-    /** A connection stands from now on, with this load; 0 where it is a guess. */
+    /** The mean load of a connection; 1 while none is known or stated. */
+    public double meanLoad() {
+        double assumedLoad = statedForOthers.defaultConnectionLoad();
+        if (assumedLoad > 0) {
+            return (sumOfKnownLoads + ASSUMED_CONNECTIONS * assumedLoad) / (knownLoadCount + ASSUMED_CONNECTIONS);
+        }
+        return knownLoadCount > 0 ? Math.max(UNIT_LOAD, sumOfKnownLoads / knownLoadCount) : UNIT_LOAD;
+    }
+
+    /** A connection was established with this load; 0 where it is not known. */
     public void onEstablished(double load) {
         connectionCount++;
         addKnownLoad(load);
     }
 
-    /** A standing connection has ended. */
+    /** An established connection has ended. */
     public void onClosed() {
         connectionCount = Math.max(0, connectionCount - 1);
     }
 
-    /** A standing connection told its load; the one before is 0 where it was a guess. */
+    /** An established connection reported its load; the one before is 0 where it was not known. */
     public void onLoadReported(double before, double after) {
         loadsReported = true;
         if (before > 0 && after > 0) {
@@ -137,6 +176,7 @@
         }
     }
 
+    /** Adds a load to the mean; halves sum and count at the end of a window, so that older loads weigh less. */
     private void addKnownLoad(double load) {
         if (load > 0) {
             knownLoadCount++;
@@ -147,25 +187,4 @@
             sumOfKnownLoads /= 2;
         }
     }
-
-    void onConnectionLimit(int machineKind, double rating, AdaptiveLimit connections) {
-        if (!connections.isLimited()) {
-            return;
-        }
-        int at = kindIndex(machineKind);
-        double observed = connections.limit() / rating;
-        usualConnectionsPerRating[at] = usualConnectionsPerRating[at] <= 0
-                ? observed
-                : usualConnectionsPerRating[at] + (observed - usualConnectionsPerRating[at]) * KIND_LEARNING_RATE;
-    }
-
-    /** What a unit of rating of this kind usually holds from here; infinite where nothing is known. */
-    double usualConnectionsPerRating(int machineKind) {
-        double observed = usualConnectionsPerRating[kindIndex(machineKind)];
-        return observed > 0 ? observed : Double.POSITIVE_INFINITY;
-    }
-
-    private static int kindIndex(int machineKind) {
-        return Math.min(Math.max(0, machineKind), MAX_KINDS - 1);
-    }
 }
--- a/src/main/java/sandstack/capacity/ConnectionLimiter.java
+++ b/src/main/java/sandstack/capacity/ConnectionLimiter.java
@@ -4,44 +4,62 @@
 import java.util.Map;
 
 /**
- * The requests of one relay that its limits count, from arrival to end, by group where a limit asks for that. One
- * thread; each call is O(1).
+ * Counts the requests of one relay from arrival to end, in all and by group, and holds the counts against the limits of the
+ * installation. Groups are counted only where they are limited. Used by one thread; every call is O(1).
  */
 public final class ConnectionLimiter {
     private final InstallationLimits limits;
     private final Map<String, Integer> countByGroup = new HashMap<>();
     private int totalCount;
 
-    /** Creates counters at 0, held against these limits. */
+    /** Creates a limiter that has counted nothing. */
     public ConnectionLimiter(InstallationLimits limits) {
         this.limits = limits;
     }
 
-    /** The limit that one more would pass; null where there is none. A group of null is of no group. */
+    /**
+     * The limit that one more request would exceed; null where there is none.
+     *
+     * @param group null for a request without a group
+     */
     public RejectionReason reachedLimit(String group) {
         if (InstallationLimits.isReached(limits.maxRelayConnections(), totalCount)) {
             return RejectionReason.RELAY_LIMIT;
         }
-        return group != null
-                        && InstallationLimits.isReached(
-                                limits.maxGroupConnections(), countByGroup.getOrDefault(group, 0))
+        if (group == null) {
+            return null;
+        }
+        int groupCount = countByGroup.getOrDefault(group, 0);
+        return InstallationLimits.isReached(limits.maxGroupConnections(), groupCount)
                 ? RejectionReason.GROUP_LIMIT
                 : null;
     }
 
-    /** One request has arrived; a group of null is of no group. */
+    /**
+     * A request has arrived.
+     *
+     * @param group null for a request without a group
+     */
     public void onArrived(String group) {
         totalCount++;
-        if (group != null && limits.maxGroupConnections() > 0) {
+        if (isCounted(group)) {
             countByGroup.merge(group, 1, Integer::sum);
         }
     }
 
-    /** One request has ended, with the group that it entered with. */
+    /**
+     * A request has ended.
+     *
+     * @param group the one that it arrived with
+     */
     public void onFinished(String group) {
         totalCount--;
-        if (group != null && limits.maxGroupConnections() > 0) {
-            countByGroup.computeIfPresent(group, (g, n) -> n > 1 ? n - 1 : null);
+        if (isCounted(group)) {
+            countByGroup.computeIfPresent(group, (name, count) -> count > 1 ? count - 1 : null);
         }
     }
+
+    private boolean isCounted(String group) {
+        return group != null && limits.maxGroupConnections() > 0;
+    }
 }
--- a/src/main/java/sandstack/capacity/SetupRateLimiter.java
+++ b/src/main/java/sandstack/capacity/SetupRateLimiter.java
@@ -1,39 +1,47 @@
 package sandstack.capacity;
 
 /**
- * Lets so many set-ups a second through to one feed server, as a token bucket that holds a tenth of a second's worth,
- * at least one. Owned by the module's record of the server; one thread; O(1).
+ * Limits the rate at which connections are set up at one server: a token bucket that holds the tokens of a tenth of a
+ * second, at least one. Owned by the load balancer's state of that server; used by one thread; every call is O(1).
  */
 public final class SetupRateLimiter {
+    /** Size of the bucket, as the time in which it fills. */
     private static final double BUCKET_SECONDS = 0.1;
+
+    private static final double MICROS_PER_SECOND = 1e6;
+
     private final double tokensPerMicro;
     private final double bucketSize;
     private double tokens;
     private long refilledAtMicros;
 
     /**
-     * Creates a gate whose bucket is full at {@code now}, in microseconds.
+     * Creates a limiter whose bucket is full.
      *
-     * @param setupsPerSecond set-ups a second; 0 lets everything through
+     * @param setupsPerSecond 0 for no limit
      */
     public SetupRateLimiter(double setupsPerSecond, long nowMicros) {
-        this.tokensPerMicro = setupsPerSecond / 1e6;
+        this.tokensPerMicro = setupsPerSecond / MICROS_PER_SECOND;
         this.bucketSize = Math.max(1, setupsPerSecond * BUCKET_SECONDS);
         this.tokens = bucketSize;
         this.refilledAtMicros = nowMicros;
     }
 
-    /** Whether one set-up may pass at {@code now}, in microseconds; takes nothing from the bucket. */
+    /** Whether there is a token for one set-up; takes none. */
     public boolean hasToken(long nowMicros) {
         if (tokensPerMicro <= 0) {
             return true;
         }
+        refill(nowMicros);
+        return tokens >= 1;
+    }
+
+    private void refill(long nowMicros) {
         tokens = Math.min(bucketSize, tokens + tokensPerMicro * Math.max(0, nowMicros - refilledAtMicros));
         refilledAtMicros = Math.max(refilledAtMicros, nowMicros);
-        return tokens >= 1;
     }
 
-    /** One set-up has passed: takes a token from the bucket. */
+    /** Takes the token of one set-up. */
     public void takeToken() {
         tokens -= 1;
     }
--- a/src/main/java/sandstack/capacity/SheddingPlan.java
+++ b/src/main/java/sandstack/capacity/SheddingPlan.java
@@ -2,60 +2,88 @@
 
 import java.util.Arrays;
 
-/** Who gives up what where not all can be served. Pure arithmetic; O(classes squared) or O(tenants) a call. */
+/** How much each class or tenant gives up where not all load can be served. Pure functions of their arguments. */
 public final class SheddingPlan {
+    /** Marks a class that has not been assigned a fraction yet. */
+    private static final double UNASSIGNED = -1;
+    /** How far a count must exceed its expectation, in standard deviations, before it is taken for excess. */
+    private static final double EXCESS_DEVIATIONS = 2;
+
     private SheddingPlan() {}
 
     /**
-     * The part that each class gives so that a part of the whole is shed, least density first.
+     * The fraction that each class sheds so that a fraction of the whole load goes. Classes of the least density shed first;
+     * only one of them sheds a part of its load. O(classes squared).
      *
-     * @param shedFraction of all load, 0 to 1
-     * @param heldLoads load of each class; where none is known every class gives the same part
-     * @param density worth for its load of each class
+     * @param shedFraction of the whole load, from 0 to 1
+     * @param heldLoads load of each class; where all are 0 every class sheds the same fraction
+     * @param density priority weight for each unit of load, of each class
      */
     public static double[] shedLeastDenseFirst(double shedFraction, double[] heldLoads, double[] density) {
         double[] shedFractions = new double[heldLoads.length];
-        double total = Arrays.stream(heldLoads).sum();
-        if (total <= 0) {
-            // which class is dear for its load is not known: by worth alone a light class was shed whole and the
-            // jam stayed
+        double totalLoad = Arrays.stream(heldLoads).sum();
+        if (totalLoad <= 0) {
+            // without loads the density is the weight alone, and shedding a light class would not end the overload
             Arrays.fill(shedFractions, shedFraction);
             return shedFractions;
         }
+        Arrays.fill(shedFractions, UNASSIGNED);
         double precedingShare = 0;
-        Arrays.fill(shedFractions, -1);
-        for (int i = 0; i < shedFractions.length; i++) {
-            int leastDense = -1;
-            for (int c = 0; c < shedFractions.length; c++) {
-                if (shedFractions[c] < 0 && (leastDense < 0 || density[c] < density[leastDense])) {
-                    leastDense = c;
-                }
-            }
-            double share = heldLoads[leastDense] / total;
-            shedFractions[leastDense] =
-                    share <= 0 ? 0 : Math.max(0, Math.min(1, (shedFraction - precedingShare) / share));
+        for (int rank = 0; rank < shedFractions.length; rank++) {
+            int classIndex = leastDenseUnassigned(shedFractions, density);
+            double share = heldLoads[classIndex] / totalLoad;
+            shedFractions[classIndex] = shedFractionOfClass(shedFraction - precedingShare, share);
             precedingShare += share;
         }
         return shedFractions;
     }
 
+    private static int leastDenseUnassigned(double[] shedFractions, double[] density) {
+        int leastDense = -1;
+        for (int classIndex = 0; classIndex < shedFractions.length; classIndex++) {
+            boolean unassigned = shedFractions[classIndex] < 0;
+            if (unassigned && (leastDense < 0 || density[classIndex] < density[leastDense])) {
+                leastDense = classIndex;
+            }
+        }
+        return leastDense;
+    }
+
+    /**
+     * The fraction of one class.
+     *
+     * @param remaining fraction of the whole load that the classes before this one leave to shed
+     * @param share of this class in the whole load
+     */
+    private static double shedFractionOfClass(double remaining, double share) {
+        return share <= 0 ? 0 : Math.max(0, Math.min(1, remaining / share));
+    }
+
     /**
-     * The part of each tenant's connections that is past its share, judged from one relay's part of them: with few
-     * connections chance alone looks like excess, and with other relays dead so does the part itself, hence also
-     * against what the others ask here.
+     * The fraction of each tenant's connections that is beyond its quota, judged from the connections of one relay. Two
+     * corrections keep tenants within their quota from being taken for excess: a count has to exceed its share by two
+     * standard deviations, and the share is no less than the tenant's part of all connections here, since a relay holds more
+     * than its part while others are down. O(tenants).
      *
-     * @param heldLoads connections of each tenant here
-     * @param quota connections within its share over all relays; 0 where not stated
+     * @param connectionCounts of each tenant on this relay
+     * @param quotas connections of each tenant over all relays; 0 where none is stated
      */
-    public static double[] excessOverQuota(double[] heldLoads, double[] quota, int relayCount) {
-        double all = Arrays.stream(heldLoads).sum();
-        double quotas = Arrays.stream(quota).sum();
-        double[] excess = new double[heldLoads.length];
-        for (int t = 0; t < heldLoads.length; t++) {
-            double asked = heldLoads[t] - 2 * Math.sqrt(heldLoads[t]);
-            double fair = quotas <= 0 ? 0 : Math.max(quota[t] / relayCount, all * quota[t] / quotas);
-            excess[t] = quota[t] <= 0 || asked <= fair ? 0 : 1 - fair / asked;
+    public static double[] excessOverQuota(double[] connectionCounts, double[] quotas, int relayCount) {
+        double totalCount = Arrays.stream(connectionCounts).sum();
+        double totalQuota = Arrays.stream(quotas).sum();
+        double[] excess = new double[connectionCounts.length];
+        for (int tenantIndex = 0; tenantIndex < excess.length; tenantIndex++) {
+            double quota = quotas[tenantIndex];
+            if (quota > 0) {
+                double share = totalQuota <= 0 ? 0 : Math.max(quota / relayCount, totalCount * quota / totalQuota);
+                excess[tenantIndex] = excessOverShare(connectionCounts[tenantIndex], share);
+            }
         }
         return excess;
     }
+
+    private static double excessOverShare(double connectionCount, double share) {
+        double certainCount = connectionCount - EXCESS_DEVIATIONS * Math.sqrt(connectionCount);
+        return certainCount <= share ? 0 : 1 - share / certainCount;
+    }
 }
--- a/src/main/java/sandstack/capacity/SlowStartBudget.java
+++ b/src/main/java/sandstack/capacity/SlowStartBudget.java
@@ -3,71 +3,87 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * What one relay may send a server that is cold, or that has just been late: permits that come at random at this
- * relay's part of the rate that the whole fleet is allowed, hold for a moment and then lapse. Permits of many relays
- * would otherwise gather while nothing is asked for, and be spent together in the first crowd; lapsing keeps what the
- * fleet can spend at once to what it may spend in one such moment, without a word between the relays.
+ * What one relay may send to a server in slow start, or to one that has just been overloaded. Permits come at random, at
+ * this relay's share of the rate that the whole fleet is allowed; each is valid for one window and then expires. Permits of
+ * many relays would otherwise accumulate while there is no demand and be spent together in the first burst. Expiry keeps
+ * what the fleet can spend at once to what it may spend in one window, without communication between the relays.
  *
- * <p>Owned by the module's record of the server; one thread; O(1). The method is our own: a Poisson process thinned by
- * the number of relays, looked at when there is something to send.
+ * <p>The method is our own: a Poisson process, thinned by the number of relays, that is sampled when there is something to
+ * send.
+ *
+ * <p>Owned by the load balancer's state of that server; used by one thread; every call is O(1). The number and order of the
+ * draws that a call makes are part of its contract, since a run is reproduced from its seed.
  */
 public final class SlowStartBudget {
-    /** A cold server falls past N + 2 root N + 2 requests in the window, N being what the settings allow it then. */
-    private static final double ROOT_MARGIN = 2;
-
-    private static final double CONSTANT_MARGIN = 2;
-    /** What relays that do not know of each other send spreads by its root: so many of them have to fit below the fall. */
-    private static final double MARGIN_DEVIATIONS = 3;
-    /** What a permit for a cold server makes it weigh against warm ones: it lapses, and their room does not. */
+    /** Weight of a cold server with a permit against warm ones: the permit expires, and their headroom does not. */
     private static final double PERMIT_SELECTION_WEIGHT = 1_000;
-    /** Sends that one relay counts; past them a server is so large that chance evens out. */
+    /** Sends that one relay counts in a window; a server that takes more is so large that chance evens out. */
     private static final int MAX_COUNTED_SENDS = 32;
-
+    /** Share of a server's budget for the relays of its own zone together. */
     private static final double HOME_ZONE_SHARE = 0.75;
+
+    private static final long NO_PERMIT = Long.MIN_VALUE;
+
     private long permitCheckedAtMicros;
     private long newClientCheckedAtMicros;
-    private long permitValidUntilMicros = Long.MIN_VALUE;
-    /** When this relay last sent, newest last, around; null until a server has been cold. */
+    private long permitValidUntilMicros = NO_PERMIT;
+    /** Ring buffer of the latest sends; null before the first one. */
     private long[] sendTimesMicros;
-
+    /** Sends since the server started. */
     private int sendCount;
 
     /**
-     * What holds of cold servers, by the settings.
+     * The rule of the settings by which a server in slow start is overloaded: in one window it gets more than a multiple of
+     * what it can do then.
      *
-     * @param overloadMultiple of what it can do then, past which a server falls
-     * @param windowMicros in which that counts, in microseconds
-     * @param relayCount all that place connections at it
-     * @param zoneCount over which they are spread
+     * @param overloadMultiple of the present capacity
+     * @param windowMicros length of the window
+     * @param relayCount relays that connect to the server
+     * @param zoneCount zones over which they are spread
      */
     public record Rule(double overloadMultiple, long windowMicros, int relayCount, int zoneCount) {
-        /** Requests a window that push a server over which the settings allow so many. */
+        /** A server is overloaded by N + 2 sqrt(N) + 2 requests in a window, where N of them are allowed. */
+        private static final double OVERLOAD_ROOT_MARGIN = 2;
+
+        private static final double OVERLOAD_CONSTANT_MARGIN = 2;
+        /** How many standard deviations of what all relays send have to fit below the overload. */
+        private static final double SAFETY_DEVIATIONS = 3;
+
+        /** The requests in a window that overload a server, where so many are allowed. */
         double overloadingRequests(double allowedRequests) {
-            return allowedRequests + ROOT_MARGIN * Math.sqrt(allowedRequests) + CONSTANT_MARGIN;
+            return allowedRequests + OVERLOAD_ROOT_MARGIN * Math.sqrt(allowedRequests) + OVERLOAD_CONSTANT_MARGIN;
         }
 
-        /** How many one of so many processes may send in a window: no more than its part of a fall, and one at least. */
+        /** How many requests one process of a relay may send in a window: its share of an overload, at least one. */
         int maxSendsPerWindow(double allowedRequests, int processCount) {
-            return (int) Math.min(
-                    MAX_COUNTED_SENDS, Math.max(1, overloadingRequests(allowedRequests) / (relayCount * processCount)));
+            double share = overloadingRequests(allowedRequests) / (relayCount * processCount);
+            return (int) Math.min(MAX_COUNTED_SENDS, Math.max(1, share));
         }
 
         /**
-         * For how many requests a window all relays together have permits. Relays that draw without knowing of each
-         * other send so many with a spread of its root, but for what each counts of its own: the mean that stays below
-         * the fall by three of those is what may be sent in all, and never more than one such root above what is
-         * allowed. Those who come for the first time are a part of it. The rest has to bear a crowd after a quiet time:
-         * what was permitted and not spent, one at each relay at the most, and on top of that as much as a window
-         * permits.
+         * The permits that all relays together get in a window. What remains of the allowed requests after those of new
+         * clients also has to bear a burst after a quiet time: the unspent permits, at most one at each relay of a zone, and
+         * on top of them those of one window.
          *
-         * @param newClientRequests of what is allowed, how many come for the first time
+         * @param allowedRequests in a window
+         * @param newClientRequests how many of the allowed requests are those of new clients
          */
         double permitsPerWindow(double allowedRequests, double newClientRequests) {
-            double spread = MARGIN_DEVIATIONS * Math.sqrt((relayCount - 1.0) / relayCount);
-            double root = (Math.sqrt(spread * spread + 4 * overloadingRequests(allowedRequests)) - spread) / 2;
-            double remaining = Math.max(
-                    0, Math.min(root * root, allowedRequests + Math.sqrt(allowedRequests) + 1) - newClientRequests);
-            return Math.max(remaining / 2, (remaining - relaysPerZone(relayCount, zoneCount)) / (2 - HOME_ZONE_SHARE));
+            double remaining = Math.max(0, safeRequests(allowedRequests) - newClientRequests);
+            double afterBurst = (remaining - relaysPerZone(relayCount, zoneCount)) / (2 - HOME_ZONE_SHARE);
+            return Math.max(remaining / 2, afterBurst);
+        }
+
+        /**
+         * The mean number of requests in a window that stays below the overload. Relays draw independently of each other, but
+         * each counts its own sends, so their sum varies by sqrt(mean (relays - 1) / relays). The result is the mean m that
+         * solves m + 3 deviations = overload, and at most one root more than what is allowed.
+         */
+        private double safeRequests(double allowedRequests) {
+            double spread = SAFETY_DEVIATIONS * Math.sqrt((relayCount - 1.0) / relayCount);
+            double overload = overloadingRequests(allowedRequests);
+            double rootOfMean = (Math.sqrt(spread * spread + 4 * overload) - spread) / 2;
+            return Math.min(rootOfMean * rootOfMean, allowedRequests + Math.sqrt(allowedRequests) + 1);
         }
     }
 
@@ -75,17 +91,17 @@
     public void onRestart(long nowMicros) {
         permitCheckedAtMicros = nowMicros;
         newClientCheckedAtMicros = nowMicros;
-        permitValidUntilMicros = Long.MIN_VALUE;
+        permitValidUntilMicros = NO_PERMIT;
         sendCount = 0;
     }
 
     /**
-     * Whether a cold server may be sent one more now.
+     * Whether a server in slow start may be sent one more request now.
      *
-     * @param processCount that are this relay together
-     * @param requestsPerMicro what it can take, requests a microsecond
-     * @param homeZone whether it is in this relay's zone
-     * @param newClient whether the client comes for the first time; who comes back does so with others and needs a permit
+     * @param processCount processes that make up this relay
+     * @param requestsPerMicro what the server can take at present, in requests a microsecond
+     * @param homeZone whether the server is in this relay's zone
+     * @param newClient whether the client connects for the first time; those that return do so together and need a permit
      * @param uniformDraws draws from [0, 1)
      */
     public boolean admitsDuringSlowStart(
@@ -104,26 +120,29 @@
         if (newClient && admitsNewClient(requestsPerMicro * relayShare, nowMicros, uniformDraws.getAsDouble())) {
             return true;
         }
-        double permitsPerMicro =
-                rule.permitsPerWindow(allowedRequests, requestsPerMicro * rule.windowMicros) / rule.windowMicros;
+        double newClientRequests = requestsPerMicro * rule.windowMicros;
+        double permitsPerMicro = rule.permitsPerWindow(allowedRequests, newClientRequests) / rule.windowMicros;
         return hasPermit(permitsPerMicro * relayShare, rule.windowMicros, nowMicros, uniformDraws);
     }
 
     private int sendsSince(long sinceMicros) {
+        int countedSends = Math.min(sendCount, MAX_COUNTED_SENDS);
         int count = 0;
-        while (count < Math.min(sendCount, MAX_COUNTED_SENDS)
-                && sendTimesMicros[Math.floorMod(sendCount - 1 - count, MAX_COUNTED_SENDS)] > sinceMicros) {
+        while (count < countedSends && sendTimeMicros(count) > sinceMicros) {
             count++;
         }
         return count;
     }
 
+    /** When the send was that so many others have followed. */
+    private long sendTimeMicros(int laterSends) {
+        return sendTimesMicros[Math.floorMod(sendCount - 1 - laterSends, MAX_COUNTED_SENDS)];
+    }
+
     /**
-     * Whether one that comes for the first time may be sent now. Such requests come to each relay by chance and not to
-     * all together: the draw is as likely as there was time since the one before, so that all relays together send what
-     * their rates add up to, however seldom each is asked.
-     *
-     * @param requestsPerMicro requests a microsecond
+     * Whether the request of a new client may be sent now. New clients come to the relays independently, not in bursts: the
+     * probability grows with the time since the last one asked, so that all relays together send what their rates add up to,
+     * however seldom each is asked.
      */
     private boolean admitsNewClient(double requestsPerMicro, long nowMicros, double uniformDraw) {
         double probability = 1 - Math.exp(-requestsPerMicro * (nowMicros - newClientCheckedAtMicros));
@@ -132,10 +151,10 @@
     }
 
     /**
-     * Whether one may be sent now.
+     * Whether there is a permit now. Whether one came since the last call, and when, is drawn here.
      *
-     * @param permitsPerMicro permits a microsecond
-     * @param validityMicros how long one holds, in microseconds
+     * @param permitsPerMicro rate of this relay's permits
+     * @param validityMicros how long a permit is valid
      * @param uniformDraws draws from [0, 1)
      */
     public boolean hasPermit(double permitsPerMicro, long validityMicros, long nowMicros, DoubleSupplier uniformDraws) {
@@ -145,41 +164,42 @@
             return true;
         }
         if (elapsedMicros > 0 && uniformDraws.getAsDouble() < 1 - Math.exp(-permitsPerMicro * elapsedMicros)) {
-            permitValidUntilMicros = nowMicros + validityMicros - (long) (elapsedMicros * uniformDraws.getAsDouble());
+            long ageMicros = (long) (elapsedMicros * uniformDraws.getAsDouble());
+            permitValidUntilMicros = nowMicros + validityMicros - ageMicros;
         }
         return nowMicros < permitValidUntilMicros;
     }
 
-    /** One has been sent: its permit, if it had one, is used up. */
+    /** A request was sent: its permit, if it needed one, is used up. */
     public void onSent(long nowMicros) {
-        permitValidUntilMicros = Long.MIN_VALUE;
+        permitValidUntilMicros = NO_PERMIT;
         if (sendTimesMicros == null) {
             sendTimesMicros = new long[MAX_COUNTED_SENDS];
         }
         sendTimesMicros[sendCount++ % MAX_COUNTED_SENDS] = nowMicros;
     }
 
-    /** What a server of this warmth weighs in a draw, once there is a permit where it needs one. */
+    /**
+     * The factor of a server's selection weight, once there is a permit where it needs one.
+     *
+     * @param slowStartFraction the fraction of its full capacity that the server has by now
+     */
     public static double selectionWeight(double slowStartFraction) {
         return slowStartFraction < 1 ? PERMIT_SELECTION_WEIGHT : 1;
     }
 
-    /** The part of a server's budget for the relays of its own zone together, or for all others together. */
-    private static double zoneShare(boolean homeZone) {
-        return homeZone ? HOME_ZONE_SHARE : 1 - HOME_ZONE_SHARE;
-    }
-
-    /** How many relays a zone has. */
-    private static double relaysPerZone(int relayCount, int zoneCount) {
-        return Math.max(1, relayCount / (double) Math.max(1, zoneCount));
-    }
-
-    /** The part of a server's budget for one relay, of its own zone or of another. */
+    /** The share of a server's budget for one relay, of the server's own zone or of another. */
     public static double relayShare(boolean homeZone, int relayCount, int zoneCount) {
         double relaysPerZone = relaysPerZone(relayCount, zoneCount);
         if (relaysPerZone >= relayCount) {
             return 1.0 / relayCount;
         }
-        return zoneShare(homeZone) / (homeZone ? relaysPerZone : Math.max(1, relayCount - relaysPerZone));
+        return homeZone
+                ? HOME_ZONE_SHARE / relaysPerZone
+                : (1 - HOME_ZONE_SHARE) / Math.max(1, relayCount - relaysPerZone);
+    }
+
+    private static double relaysPerZone(int relayCount, int zoneCount) {
+        return Math.max(1, relayCount / (double) Math.max(1, zoneCount));
     }
 }
--- a/src/main/java/sandstack/capacity/StatedCapacities.java
+++ b/src/main/java/sandstack/capacity/StatedCapacities.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What is stated for each machine kind and for all others.
+ * What an operator states of each machine kind.
  *
- * @param others for the kinds that are not in the list
- * @param byKind by the position that server lists give as the kind
+ * @param others for kinds that are not in {@code byKind}
+ * @param byKind by the number of the kind in endpoint lists
  */
 public record StatedCapacities(StatedCapacity others, List<StatedCapacity> byKind) {
     /** Nothing is stated of any kind. */
@@ -17,7 +17,7 @@
         byKind = List.copyOf(byKind);
     }
 
-    /** What is stated for this machine kind; {@link #others} for one that is not in the list. */
+    /** What is stated of this machine kind; {@link #others} for one that is not in the list. */
     public StatedCapacity forKind(int machineKind) {
         return machineKind >= 0 && machineKind < byKind.size() ? byKind.get(machineKind) : others;
     }
--- a/src/main/java/sandstack/capacity/TenantQuotas.java
+++ b/src/main/java/sandstack/capacity/TenantQuotas.java
@@ -3,43 +3,47 @@
 import java.util.Arrays;
 
 /**
- * What each tenant holds beyond its share, evened over looks. Owned by the decision module; one thread; a look costs
- * O(tenants), the rest O(1).
+ * The fraction of each tenant's connections that is beyond its quota, as a moving average over evaluations. Owned by the load
+ * balancer; used by one thread; {@link #setQuotas} and {@link #update} are O(tenants), the rest is O(1).
  */
 public final class TenantQuotas {
+    /** Weight of one more evaluation in the moving average, as a divisor. */
+    private static final int SMOOTHING_DIVISOR = 4;
+
     private double[] connectionQuotas = new double[0];
     private double[] connectionCounts = connectionQuotas;
-    private double[] excessFraction = connectionQuotas;
+    private double[] excessFractions = connectionQuotas;
 
     /**
-     * Takes the shares of the tenants, by their positions.
+     * Sets the quotas; tenants that remain keep their averages.
      *
-     * @param quotas within the share of each tenant, over all relays; those before keep what is known of them
+     * @param quotas connections of each tenant over all relays, by its index; 0 where none is stated
      */
     public void setQuotas(double[] quotas) {
         connectionQuotas = quotas.clone();
-        connectionCounts = new double[connectionQuotas.length];
-        excessFraction = Arrays.copyOf(excessFraction, connectionQuotas.length);
+        connectionCounts = new double[quotas.length];
+        excessFractions = Arrays.copyOf(excessFractions, quotas.length);
     }
 
-    /** One connection of this tenant stands at this look; a tenant that is not listed counts for nothing. */
+    /** Counts one connection for this evaluation; none of a tenant that is not listed. */
     public void addConnection(int tenantIndex) {
         if (tenantIndex >= 0 && tenantIndex < connectionCounts.length) {
             connectionCounts[tenantIndex]++;
         }
     }
 
-    /** Ends a look. */
+    /** Ends an evaluation: adds the counts to the averages and clears them. */
     public void update(int relayCount) {
-        double[] currentExcess = SheddingPlan.excessOverQuota(connectionCounts, connectionQuotas, relayCount);
-        for (int t = 0; t < currentExcess.length; t++) {
-            excessFraction[t] += (currentExcess[t] - excessFraction[t]) / 4;
+        double[] excess = SheddingPlan.excessOverQuota(connectionCounts, connectionQuotas, relayCount);
+        for (int tenantIndex = 0; tenantIndex < excess.length; tenantIndex++) {
+            double change = excess[tenantIndex] - excessFractions[tenantIndex];
+            excessFractions[tenantIndex] += change / SMOOTHING_DIVISOR;
         }
         Arrays.fill(connectionCounts, 0);
     }
 
-    /** The part of this tenant's connections that is beyond its share. */
+    /** The fraction of this tenant's connections that is beyond its quota; 0 for a tenant that is not listed. */
     public double excessFraction(int tenantIndex) {
-        return tenantIndex >= 0 && tenantIndex < excessFraction.length ? excessFraction[tenantIndex] : 0;
+        return tenantIndex >= 0 && tenantIndex < excessFractions.length ? excessFractions[tenantIndex] : 0;
     }
 }
--- a/src/main/java/sandstack/capacity/package-info.java
+++ b/src/main/java/sandstack/capacity/package-info.java
@@ -1,6 +1,9 @@
 /**
- * What feed servers can hold, learned from what a relay sees for itself, and the limits that an installation sets.
- * Owns the estimates and their arithmetic; the clock and chance are passed in. Uses the JDK only: the decision module
- * stands on it, and nothing here knows requests, wires or settings files. The method is in docs/server-capacity.md.
+ * Capacity of servers and admission of connections: limits learned from what one relay sees ({@link
+ * sandstack.capacity.CapacityEstimate}), the budget of a server in slow start ({@link sandstack.capacity.SlowStartBudget}),
+ * load shedding, tenant quotas and the limits of an installation. The methods are described in docs/server-capacity.md.
+ *
+ * <p>Plain arithmetic: the clock and random numbers are passed in, and nothing here knows requests, protocols or settings
+ * files. Uses the JDK only; the load balancer builds on it.
  */
 package sandstack.capacity;
