--- a/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
+++ b/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
@@ -6,8 +6,9 @@
 import sandstack.decisions.Tenant;
 
 /**
- * Builds {@link BalancerSettings} by name. What is not set has a value that changes nothing: one instance in one zone, no
- * tenants, no prices, servers that start warm. Not safe for use by several threads.
+ * Builds {@link BalancerSettings}. What is not set has a neutral default: one instance in one zone, no tenants, no costs,
+ * nothing optional allowed, servers that start at full capacity. Values are checked by {@link #build} only. Not safe for use
+ * by several threads.
  */
 public final class BalancerSettingsBuilder {
     private int instanceIndex;
@@ -74,17 +75,17 @@
         ratingsAreSizes = settings.ratingsAreSizes();
     }
 
-    /** Builds settings for these classes. */
+    /** A builder with the defaults and these request classes. */
     public static BalancerSettingsBuilder of(List<RequestClass> classes) {
         return new BalancerSettingsBuilder(classes);
     }
 
-    /** Begins with these settings. */
+    /** A builder that starts with a copy of these settings. */
     public static BalancerSettingsBuilder from(BalancerSettings settings) {
         return new BalancerSettingsBuilder(settings);
     }
 
-    /** Takes number and zone of an instance, and the zones that there are, from its settings. */
+    /** Takes the instance index, home zone and zone count from the settings of that instance. */
     public BalancerSettingsBuilder forInstanceOf(BalancerSettings instance) {
         return instanceIndex(instance.instanceIndex())
                 .homeZone(instance.homeZone())
@@ -260,9 +261,9 @@
     }
 
     /**
-     * The settings as they were set.
+     * Builds the settings.
      *
-     * @throws IllegalArgumentException where they make no sense; names the setting
+     * @throws IllegalArgumentException if a value is out of its range; names the setting
      */
     public BalancerSettings build() {
         return new BalancerSettings(
--- a/src/main/java/sandstack/settings/package-info.java
+++ b/src/main/java/sandstack/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Builds the settings of the decision module by name. */
+/** A builder for the settings of the load balancer. */
 package sandstack.settings;
--- a/src/main/java/sandstack/staleness/EndpointListStaleness.java
+++ b/src/main/java/sandstack/staleness/EndpointListStaleness.java
@@ -1,116 +1,155 @@
 package sandstack.staleness;
 
 /**
- * The one clock for the list of feed servers: how long a watch may say nothing, when to ask again, how long a new process
- * waits for its first list, and from when on a change counts as told, in each of the ways by which lists come. Times are
- * microseconds. A value; O(1). The cases are those of the platform's pages; the pauses are drawn over the whole of an
- * interval that doubles ("Exponential back-off, revisited").
+ * Times of the endpoint list: how long a watch may be silent, the backoff before the next poll, how long a new process waits
+ * for its first list, and from when on a relay counts as notified of a change, for each path by which changes come.
  *
- * @param pushed an agent has each change whether or not it is asked; otherwise a change is told when it is written here
- * @param pollIntervalMicros where lists are asked for: how long a relay may go without asking or a watch; 0 where not stated
+ * <p>A relay that counts as notified is held to the change whether or not it has received it, so the other times are chosen
+ * to have the list before that. The backoff is drawn from the whole of an interval that doubles with each failure ("full
+ * jitter").
+ *
+ * <p>An immutable value without a clock; all times are microseconds; every call is O(1).
+ *
+ * @param pushed whether an agent on this machine has each change without being asked; otherwise lists are polled or watched
+ * @param pollIntervalMicros how long a relay may go without a poll or a watch; 0 where not stated or where lists are pushed
  */
 public record EndpointListStaleness(boolean pushed, long pollIntervalMicros) {
     /**
-     * A sound watch says something every 2 s, and a call that waits longer than that is ended by discovery. A quarter more
-     * is for the way and for a relay that was held up; it leaves time for two more calls before {@link #MISSED_CHANGE_GRACE_MICROS} is over.
+     * A watch that is silent for this long has failed. A sound one sends something every 2 s, and discovery ends a long poll
+     * after 2 s at most; the rest is for the network and a relay that was held up. It leaves time for two more polls before
+     * {@link #MISSED_CHANGE_GRACE_MICROS} is over.
      */
     public static final long WATCH_SILENCE_TIMEOUT_MICROS = 2_500_000;
-    /** What a watch that fell silent has missed counts as told so long after it did, whether it arrived or not. */
+    /** A change missed on a silent watch counts as notified this long after the watch fell silent. */
     public static final long MISSED_CHANGE_GRACE_MICROS = 6_000_000;
-    /** The same, from the end of the time that a call may wait, where that is later. */
+    /** The same for a long poll, from the end of the time that it may wait, where that is later. */
     public static final long MISSED_AFTER_LONG_POLL_MICROS = 2_000_000;
-    /** A call waits no longer than this for its turn: discovery ends it then. */
-    private static final long MAX_CALL_WAIT_MICROS = 2_000_000;
+    /** Discovery ends a long poll after this long. */
+    private static final long MAX_LONG_POLL_MICROS = 2_000_000;
     /**
-     * Whatever has failed before, a change counts as told {@link #MISSED_CHANGE_GRACE_MICROS} after discovery had it and could be reached: a
-     * call that fell silent, the pause after it and the wait of the next call have room in that.
+     * Whatever has failed before, a change counts as notified {@link #MISSED_CHANGE_GRACE_MICROS} after it was made and
+     * discovery could be reached. A poll that falls silent, the backoff after it and the next long poll fit into that.
      */
     public static final long MAX_BACKOFF_MICROS =
-            MISSED_CHANGE_GRACE_MICROS - WATCH_SILENCE_TIMEOUT_MICROS - MAX_CALL_WAIT_MICROS;
-    /** A new configuration where lists are pushed: the other agent's list counts so long after. */
+            MISSED_CHANGE_GRACE_MICROS - WATCH_SILENCE_TIMEOUT_MICROS - MAX_LONG_POLL_MICROS;
+    /** After a new configuration names another agent, the list of that agent counts as notified this much later. */
     public static final long NEW_CONFIGURATION_GRACE_MICROS = 4_000_000;
-    /** A call that failed stands for so many times {@link #pollIntervalMicros}, but for no more than {@link #MISSED_CHANGE_GRACE_MICROS}. */
-    private static final int FAILED_CALL_INTERVALS = 4;
+    /**
+     * A failed poll counts for this many times {@link #pollIntervalMicros}, but for no more than {@link
+     * #MISSED_CHANGE_GRACE_MICROS} after a change.
+     */
+    private static final int FAILED_POLL_INTERVALS = 4;
 
-    /** So many of the first interval fit into {@link #pollIntervalMicros}; the last is half of it. */
-    private static final int FIRST_BACKOFF_DIVISOR = 64;
+    /** The base of the backoff, which each failure doubles, is {@link #pollIntervalMicros} divided by this. */
+    private static final int BASE_BACKOFF_DIVISOR = 64;
+    /** The longest span is {@link #pollIntervalMicros} divided by this, so that the next poll fits into the interval. */
+    private static final int LONGEST_BACKOFF_DIVISOR = 2;
 
     private static final int MAX_BACKOFF_DOUBLINGS = 5;
-    /** The agent is this machine's own and costs nobody anything, but what it has counts at once: no pause is longer. */
-    private static final long MAX_AGENT_BACKOFF_MICROS = 80_000;
-    /** Nobody asks without a pause, whatever the settings say. */
+    /** Least base of the backoff, whatever the settings say, to bound the load on discovery. */
     private static final long MIN_BACKOFF_MICROS = 5_000;
-    /** What the agent has binds a new process from its first moment: it takes no client before, for so long at most. */
+    /** Base of the backoff towards the agent. */
+    private static final long BASE_AGENT_BACKOFF_MICROS = 2 * MIN_BACKOFF_MICROS;
+    /** Longest span towards the agent: a poll of it is cheap, and its changes count as notified at once. */
+    private static final long MAX_AGENT_BACKOFF_MICROS = 80_000;
+    /** How long a new process waits for the agent's list, which counts as notified from its start. */
     private static final long FIRST_LIST_TIMEOUT_MICROS = 1_000_000;
 
-    /** How a change comes to be told. */
+    /** The path by which a relay is notified of a change. */
     public enum NotificationPath {
-        /** Discovery wrote it to this relay, on a watch or as an answer. */
+        /** Discovery sent it to this relay, on a watch or in the response to a poll. */
         DELIVERED,
-        /** The agent has it; whether anybody watches makes no difference. */
+        /** The agent on this machine has it; whether the relay watches makes no difference. */
         CACHED_BY_AGENT,
-        /** The watch had fallen silent before. */
+        /** The watch had fallen silent before the change. */
         SILENT_WATCH,
-        /** The call that was to tell it waits, and has fallen silent. */
+        /** A long poll is open and has fallen silent. */
         SILENT_CALL,
-        /** No watch, and the last call was answered. */
+        /** There is no watch, and the last poll succeeded. */
         NO_WATCH,
-        /** No watch, and the last call failed. */
+        /** There is no watch, and the last poll failed. */
         NO_WATCH_CALL_FAILED,
         /** A new configuration names another agent. */
         NEW_CONFIGURATION
     }
 
     /**
-     * When a change counts as told.
+     * When a relay counts as notified of a change.
      *
-     * @param changedAtMicros when discovery had it (where it was down: when it is back)
-     * @param sinceMicros of silence when it began, of no watch when the last call was made, of a new configuration when it
-     *     came; not looked at otherwise
-     * @param longPollMicros how long the call may wait, 0 where it is none of that kind
+     * @param changedAtMicros when discovery had the change or, if it was down, when it was back
+     * @param sinceMicros when the silence began, the last poll was made or the new configuration came, whichever the path
+     *     refers to; not used for a change that was delivered or cached
+     * @param longPollMicros how long the open poll may wait; 0 where it is no long poll
      */
     public long notifiedAtMicros(NotificationPath path, long changedAtMicros, long sinceMicros, long longPollMicros) {
         return switch (path) {
             case DELIVERED, CACHED_BY_AGENT -> changedAtMicros;
-            case SILENT_WATCH -> Math.max(changedAtMicros, sinceMicros + MISSED_CHANGE_GRACE_MICROS);
-                // whatever is allowed after a call that failed or was given up, this comes before it
-            case SILENT_CALL -> Math.min(
-                    changedAtMicros + MISSED_CHANGE_GRACE_MICROS,
-                    Math.max(
-                            changedAtMicros,
-                            Math.max(
-                                    sinceMicros + MISSED_CHANGE_GRACE_MICROS,
-                                    sinceMicros + longPollMicros + MISSED_AFTER_LONG_POLL_MICROS)));
-                // held to the list it has at first; from then on each change counts so long after it was made
-            case NO_WATCH -> Math.max(changedAtMicros, sinceMicros) + pollIntervalMicros;
-            case NO_WATCH_CALL_FAILED -> Math.min(
-                    changedAtMicros + MISSED_CHANGE_GRACE_MICROS,
-                    Math.max(changedAtMicros, sinceMicros) + FAILED_CALL_INTERVALS * pollIntervalMicros);
-            case NEW_CONFIGURATION -> Math.max(changedAtMicros, sinceMicros + NEW_CONFIGURATION_GRACE_MICROS);
+            case SILENT_WATCH -> notifiedOnSilentWatch(changedAtMicros, sinceMicros);
+            case SILENT_CALL -> notifiedOnSilentPoll(changedAtMicros, sinceMicros, longPollMicros);
+            case NO_WATCH -> notifiedByNextPoll(changedAtMicros, sinceMicros);
+            case NO_WATCH_CALL_FAILED -> notifiedAfterFailedPoll(changedAtMicros, sinceMicros);
+            case NEW_CONFIGURATION -> notifiedByNewConfiguration(changedAtMicros, sinceMicros);
         };
     }
 
+    private static long notifiedOnSilentWatch(long changedAtMicros, long silentSinceMicros) {
+        return Math.max(changedAtMicros, silentSinceMicros + MISSED_CHANGE_GRACE_MICROS);
+    }
+
+    /** As for a silent watch, or later for a long poll; in any case no later than after a failed poll. */
+    private static long notifiedOnSilentPoll(long changedAtMicros, long silentSinceMicros, long longPollMicros) {
+        long graceEndMicros = silentSinceMicros + MISSED_CHANGE_GRACE_MICROS;
+        long longPollGraceEndMicros = silentSinceMicros + longPollMicros + MISSED_AFTER_LONG_POLL_MICROS;
+        long missedAtMicros = Math.max(graceEndMicros, longPollGraceEndMicros);
+        return Math.min(changedAtMicros + MISSED_CHANGE_GRACE_MICROS, Math.max(changedAtMicros, missedAtMicros));
+    }
+
+    /** One poll interval after the change; a change before the last poll counts from that poll. */
+    private long notifiedByNextPoll(long changedAtMicros, long polledAtMicros) {
+        return Math.max(changedAtMicros, polledAtMicros) + pollIntervalMicros;
+    }
+
+    /** Some poll intervals after the change, but no later than the grace after it. */
+    private long notifiedAfterFailedPoll(long changedAtMicros, long polledAtMicros) {
+        return Math.min(
+                changedAtMicros + MISSED_CHANGE_GRACE_MICROS,
+                Math.max(changedAtMicros, polledAtMicros) + FAILED_POLL_INTERVALS * pollIntervalMicros);
+    }
+
+    private static long notifiedByNewConfiguration(long changedAtMicros, long configuredAtMicros) {
+        return Math.max(changedAtMicros, configuredAtMicros + NEW_CONFIGURATION_GRACE_MICROS);
+    }
+
     /**
-     * How long to wait before the next call.
+     * The backoff before the next poll or watch.
      *
-     * @param failures calls and watches that failed one after another, this one included; none: at once
+     * @param failures consecutive failed polls and watches, the latest one included; 0 for no backoff
      * @param uniformDraw from [0, 1)
      */
     public long backoffMicros(int failures, double uniformDraw) {
         if (failures <= 0) {
             return 0;
         }
-        long firstMicros = pushed
-                ? 2 * MIN_BACKOFF_MICROS
-                : Math.max(MIN_BACKOFF_MICROS, pollIntervalMicros / FIRST_BACKOFF_DIVISOR);
-        long longestMicros = pushed
+        long baseMicros = baseBackoffMicros();
+        long doubledMicros = baseMicros << Math.min(failures, MAX_BACKOFF_DOUBLINGS);
+        long spanMicros = Math.min(longestBackoffMicros(baseMicros), doubledMicros);
+        long drawnMicros = (long) (uniformDraw * spanMicros) + 1;
+        return Math.max(pushed ? MIN_BACKOFF_MICROS : 1, drawnMicros);
+    }
+
+    private long baseBackoffMicros() {
+        return pushed
+                ? BASE_AGENT_BACKOFF_MICROS
+                : Math.max(MIN_BACKOFF_MICROS, pollIntervalMicros / BASE_BACKOFF_DIVISOR);
+    }
+
+    private long longestBackoffMicros(long baseMicros) {
+        return pushed
                 ? MAX_AGENT_BACKOFF_MICROS
-                : Math.min(MAX_BACKOFF_MICROS, Math.max(firstMicros, pollIntervalMicros / 2));
-        long spanMicros = Math.min(longestMicros, firstMicros << Math.min(failures, MAX_BACKOFF_DOUBLINGS));
-        return Math.max(pushed ? MIN_BACKOFF_MICROS : 1, (long) (uniformDraw * spanMicros) + 1);
+                : Math.min(MAX_BACKOFF_MICROS, Math.max(baseMicros, pollIntervalMicros / LONGEST_BACKOFF_DIVISOR));
     }
 
-    /** How long a new process waits for a list before it takes clients by the one that it was given. */
+    /** How long a new process waits for its first list before it accepts clients with the one that it was started with. */
     public long firstListTimeoutMicros() {
         return pushed ? FIRST_LIST_TIMEOUT_MICROS : 0;
     }
