--- a/src/main/java/sandstack/simulator/SimulatorSession.java
+++ b/src/main/java/sandstack/simulator/SimulatorSession.java
@@ -3,182 +3,166 @@
 import com.fasterxml.jackson.core.JsonEncoding;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import com.fasterxml.jackson.core.JsonParseException;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonToken;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import sandstack.config.CapacityFile;
 import sandstack.config.InvalidConfigurationException;
-import sandstack.config.SettingsReader;
 import sandstack.decisions.BalancerAction;
 import sandstack.decisions.BalancerEvent;
 import sandstack.decisions.BalancerEvent.EndpointListUpdate;
 import sandstack.decisions.EndpointEntry;
 import sandstack.decisions.EndpointListKind;
-import sandstack.decisions.EndpointState;
 import sandstack.decisions.LoadBalancer;
 
 /**
- * The adapter between the simulator's wire and {@link LoadBalancer}: reads batches of events, hands them to one
- * Brain per instance, writes its actions. It translates and decides nothing.
+ * A session with the simulator: reads batches of events, passes each event to the {@link LoadBalancer} of its instance and
+ * writes the actions of a batch as one reply. It translates and decides nothing. One thread.
  */
 public final class SimulatorSession {
-    private static final int TABLES = 16;
+    /** The type of the event that starts an instance. */
+    static final String START = "Up";
+
+    private static final String STOP = "PowerOff";
+    private static final String ENDPOINT_TABLE = "Catalog";
+    private static final String ENDPOINT_LIST = "Registry";
+
+    /** Endpoint lists are numbered from 0 to one less than this. */
+    private static final int TABLE_COUNT = 16;
+
+    private static final int INPUT_BUFFER_BYTES = 1 << 16;
 
     private final CapacityFile capacity;
-    private final JsonFactory json = new JsonFactory();
-    private final Map<Integer, LoadBalancer> brains = new HashMap<>();
-    private final Map<Integer, SettingsReader> profiles = new HashMap<>();
-    private final List<List<EndpointEntry>> tables = new ArrayList<>();
-    private final BatchReader reader = new BatchReader();
+    private final JsonFactory jsonFactory = new JsonFactory();
+    private final Map<Integer, LoadBalancer> balancerByInstance = new HashMap<>();
+    /** Endpoint lists by number; null where none has been received. */
+    private final List<List<EndpointEntry>> endpointTables = new ArrayList<>(Collections.nCopies(TABLE_COUNT, null));
 
-    /** Creates a link whose instances are told nothing of the servers beforehand. */
+    /** Creates a session in which nothing is stated of the capacity of servers. */
     public SimulatorSession() {
         this(CapacityFile.NONE);
     }
 
     /**
-     * Creates a link whose instances are all told the same of the servers beforehand.
+     * Creates a session.
      *
-     * @param capacity what every instance is told of the servers
+     * @param capacity the stated capacities and limits of every instance
      */
     public SimulatorSession(CapacityFile capacity) {
         this.capacity = capacity;
-        for (int i = 0; i < TABLES; i++) {
-            tables.add(null);
-        }
     }
 
-    /** Plays batches until the input ends. */
+    /**
+     * Replies to batches until the input ends.
+     *
+     * @throws MalformedMessageException if the input breaks the protocol; the reply to that batch is missing or cut short
+     */
     public void run(InputStream input, OutputStream output) throws IOException, MalformedMessageException {
-        JsonParser in = json.createParser(new BufferedInputStream(input, 1 << 16));
-        JsonGenerator out = json.createGenerator(output, JsonEncoding.UTF8);
+        JsonGenerator out = jsonFactory.createGenerator(output, JsonEncoding.UTF8);
         out.setRootValueSeparator(null);
-        try {
-            while (next(in) != null) {
-                batch(in, out);
-                out.writeRaw('\n');
-                out.flush();
+        try (WireInput in =
+                new WireInput(jsonFactory.createParser(new BufferedInputStream(input, INPUT_BUFFER_BYTES)))) {
+            BatchReader batch = new BatchReader(in);
+            while (batch.readNext()) {
+                writeReply(batch, out);
             }
-        } finally {
-            in.close();
         }
     }
 
-    private JsonToken next(JsonParser in) throws IOException, MalformedMessageException {
-        try {
-            return in.nextToken();
-        } catch (JsonParseException e) {
-            throw reader.trouble("not JSON: " + e.getOriginalMessage());
-        }
-    }
-
-    private void batch(JsonParser in, JsonGenerator out) throws IOException, MalformedMessageException {
-        try {
-            reader.batch(in);
-        } catch (JsonParseException e) {
-            throw reader.trouble("not JSON: " + e.getOriginalMessage());
-        }
+    private void writeReply(BatchReader batch, JsonGenerator out) throws IOException, MalformedMessageException {
         out.writeStartObject();
-        out.writeNumberField("serial", reader.serial);
+        out.writeNumberField("serial", batch.serial());
         out.writeArrayFieldStart("parts");
-        for (BatchReader.Part part : reader.parts) {
-            boolean open = false;
-            for (BatchReader.Raw raw : part.events) {
-                List<BalancerAction> actions = play(part.who, raw);
-                if (actions.isEmpty()) {
-                    continue;
-                }
-                if (!open) {
-                    open = true;
-                    out.writeStartObject();
-                    out.writeNumberField("who", part.who);
-                    out.writeArrayFieldStart("steps");
-                }
-                for (BalancerAction a : actions) {
-                    write(a, out);
-                }
-            }
-            if (open) {
-                out.writeEndArray();
-                out.writeEndObject();
-            }
+        for (BatchReader.InstanceEvents part : batch.parts()) {
+            writePart(part, batch.timeMicros(), out);
         }
         out.writeEndArray();
         out.writeEndObject();
+        out.writeRaw('\n');
+        out.flush();
     }
 
-    private List<BalancerAction> play(int who, BatchReader.Raw raw) throws MalformedMessageException {
-        switch (raw.type) {
-            case "Up" -> {
-                SettingsReader profile = raw.profile;
-                try {
-                    brains.put(
-                            who,
-                            new LoadBalancer(
-                                    profile.settings(),
-                                    capacity.statedCapacities(),
-                                    capacity.limits(),
-                                    raw.number("entropy"),
-                                    reader.time));
-                } catch (InvalidConfigurationException | IllegalArgumentException e) {
-                    throw reader.trouble("profile_data: " + e.getMessage());
-                }
-                profiles.put(who, profile);
-                return List.of();
+    /** Writes the actions of one instance; nothing where there are none. */
+    private void writePart(BatchReader.InstanceEvents part, long timeMicros, JsonGenerator out)
+            throws IOException, MalformedMessageException {
+        boolean started = false;
+        for (EventFields event : part.events()) {
+            List<BalancerAction> actions = handle(part.instance(), event, timeMicros);
+            if (!started && !actions.isEmpty()) {
+                started = true;
+                out.writeStartObject();
+                out.writeNumberField("who", part.instance());
+                out.writeArrayFieldStart("steps");
             }
-            case "PowerOff" -> {
-                brains.remove(who);
-                profiles.remove(who);
-                return List.of();
+            for (BalancerAction action : actions) {
+                writeAction(action, out);
             }
-            case "Catalog" -> {
-                int table = raw.tableIndex(TABLES);
-                tables.set(table, raw.items("items"));
-                return List.of();
-            }
-            default -> {}
-        }
-        LoadBalancer brain = brains.get(who);
-        if (brain == null) {
-            throw reader.trouble(raw.type + " for instance " + who + ", which has not started (field who)");
         }
-        BalancerEvent event;
-        if (raw.type.equals("Registry")) {
-            EndpointListKind kind = raw.listKind();
-            List<EndpointEntry> entries = List.of();
-            if (kind != EndpointListKind.FAILED) {
-                entries = tables.get(raw.tableIndex(TABLES));
-                if (entries == null) {
-                    throw reader.trouble("Registry: table names a list that never came");
-                }
-            }
-            event = new EndpointListUpdate(kind, entries);
-        } else {
-            event = raw.event();
+        if (started) {
+            out.writeEndArray();
+            out.writeEndObject();
         }
-        return event == null ? List.of() : brain.handle(event, reader.time);
     }
 
-    private static void write(BalancerAction action, JsonGenerator out) throws IOException {
+    private static void writeAction(BalancerAction action, JsonGenerator out) throws IOException {
         out.writeStartObject();
         action.dispatch(new ActionWriter(out));
         out.writeEndObject();
     }
 
-    static EndpointState phase(String text) {
-        return switch (text) {
-            case "in_service" -> EndpointState.READY;
-            case "terminating" -> EndpointState.DRAINING;
-            case "terminated" -> EndpointState.GONE;
-            default -> null;
-        };
+    private List<BalancerAction> handle(int instance, EventFields event, long timeMicros)
+            throws MalformedMessageException {
+        switch (event.type()) {
+            case START -> balancerByInstance.put(instance, newBalancer(event, timeMicros));
+            case STOP -> balancerByInstance.remove(instance);
+            case ENDPOINT_TABLE -> endpointTables.set(event.tableIndex(TABLE_COUNT), event.entries());
+            default -> {
+                return pass(instance, event, timeMicros);
+            }
+        }
+        return List.of();
+    }
+
+    private LoadBalancer newBalancer(EventFields event, long timeMicros) throws MalformedMessageException {
+        try {
+            return new LoadBalancer(
+                    event.settings().settings(),
+                    capacity.statedCapacities(),
+                    capacity.limits(),
+                    event.integer("entropy"),
+                    timeMicros);
+        } catch (InvalidConfigurationException | IllegalArgumentException e) {
+            throw event.invalidSettings(e);
+        }
+    }
+
+    /** Passes an event to the load balancer of its instance; one of an unknown type has no effect. */
+    private List<BalancerAction> pass(int instance, EventFields event, long timeMicros)
+            throws MalformedMessageException {
+        LoadBalancer balancer = balancerByInstance.get(instance);
+        if (balancer == null) {
+            throw event.malformed(" for instance " + instance + ", which has not started (field who)");
+        }
+        BalancerEvent translated =
+                event.type().equals(ENDPOINT_LIST) ? endpointListUpdate(event) : EventTranslator.translate(event);
+        return translated == null ? List.of() : balancer.handle(translated, timeMicros);
+    }
+
+    private EndpointListUpdate endpointListUpdate(EventFields event) throws MalformedMessageException {
+        EndpointListKind kind = EventTranslator.listKind(event);
+        if (kind == EndpointListKind.FAILED) {
+            return new EndpointListUpdate(kind, List.of());
+        }
+        List<EndpointEntry> entries = endpointTables.get(event.tableIndex(TABLE_COUNT));
+        if (entries == null) {
+            throw event.malformed(": table names a list that never came");
+        }
+        return new EndpointListUpdate(kind, entries);
     }
 }
--- a/src/main/java/sandstack/simulator/package-info.java
+++ b/src/main/java/sandstack/simulator/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The simulator's wire: reads batches of events, hands them to one decision module per instance and writes the actions
- * that come back. Uses {@code decisions}; decides nothing itself and is no part of a running relay.
+ * The adapter to the simulator: reads its batches of events, passes them to one load balancer for each instance and writes
+ * the actions that come back. The simulator's terms end here. Decides nothing and is no part of a running relay; uses {@code
+ * decisions} and the readers of {@code config}.
  */
 package sandstack.simulator;
