--- a/src/main/java/sandstack/capacity/StatedCapacity.java
+++ b/src/main/java/sandstack/capacity/StatedCapacity.java
@@ -21,7 +21,7 @@
 
     /**
      * For servers whose ratings are sizes in cores. A load is work a second on a standard core, so a unit of rating does a
-     * second of work a second; the servers accept at once however delayed their messages are, so evidence may only lower
+     * second of work a second; the servers answer lines at once however delayed their messages are, so evidence may only lower
      * that. The last two are defaults for what nothing reports: a sixteenth of a core for a connection, and three connections
      * for a group.
      */
