--- a/src/test/java/sandstack/capacity/HeadroomWeightTest.java
+++ b/src/test/java/sandstack/capacity/HeadroomWeightTest.java
@@ -7,25 +7,25 @@
 import net.jqwik.api.constraints.DoubleRange;
 import org.junit.jupiter.api.Test;
 
-/** What a server's fullness leaves of its weight: less the fuller it is, and nothing only by evidence. */
+/** The weight falls as a server fills up, and is 0 only where its load is known. */
 class HeadroomWeightTest {
     @Property
-    void weighsNoMoreTheMoreItIsUsed(
-            @ForAll @DoubleRange(max = 2) double use, @ForAll @DoubleRange(max = 2) double more) {
-        assertThat(HeadroomWeight.byUtilization(use + more, true))
-                .isLessThanOrEqualTo(HeadroomWeight.byUtilization(use, true));
-        assertThat(HeadroomWeight.byUtilization(use + more, false))
-                .isLessThanOrEqualTo(HeadroomWeight.byUtilization(use, false));
+    void weightNeverRisesWithUtilization(
+            @ForAll @DoubleRange(max = 2) double utilization, @ForAll @DoubleRange(max = 2) double increase) {
+        assertThat(HeadroomWeight.byUtilization(utilization + increase, true))
+                .isLessThanOrEqualTo(HeadroomWeight.byUtilization(utilization, true));
+        assertThat(HeadroomWeight.byUtilization(utilization + increase, false))
+                .isLessThanOrEqualTo(HeadroomWeight.byUtilization(utilization, false));
     }
 
     @Property
-    void aGuessNeverClosesAServer(@ForAll @DoubleRange(max = 100) double use) {
-        assertThat(HeadroomWeight.byUtilization(use, false)).isPositive();
-        assertThat(HeadroomWeight.byOccupancy(use)).isPositive();
+    void aDefaultLoadNeverClosesAServer(@ForAll @DoubleRange(max = 100) double utilization) {
+        assertThat(HeadroomWeight.byUtilization(utilization, false)).isPositive();
+        assertThat(HeadroomWeight.byOccupancy(utilization)).isPositive();
     }
 
     @Test
-    void knownLoadsCloseAServerAtTheStatedUse() {
+    void knownLoadsCloseAServerAtTheClosedUtilization() {
         assertThat(HeadroomWeight.byUtilization(HeadroomWeight.CLOSED_UTILIZATION, true))
                 .isZero();
         assertThat(HeadroomWeight.byUtilization(Math.nextDown(HeadroomWeight.CLOSED_UTILIZATION), true))
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aDelayFromAThirdOfTheAimTellsAndAtTheAimCloses() {
+    void aDelayIsInformativeFromAThirdOfTheObjectiveAndClosesAtIt() {
         assertThat(HeadroomWeight.isInformative(50, 150)).isFalse();
         assertThat(HeadroomWeight.isInformative(51, 150)).isTrue();
         assertThat(HeadroomWeight.byDelay(149, 150)).isEqualTo(0.3);
--- a/src/test/java/sandstack/capacity/SlowStartBudgetTest.java
+++ b/src/test/java/sandstack/capacity/SlowStartBudgetTest.java
@@ -9,86 +9,89 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many relays fill one cold server without a word, each with a budget of its own: how often the sum pushes it over, by the
- * page's own sentence. All in one clock, in microseconds.
+ * Many relays send to one cold server without communication, each with a budget of its own: how often their sum overloads
+ * the server, by the rule of the settings. All on one simulated clock.
  */
 class SlowStartBudgetTest {
-    private static final long WINDOW = 1_500_000;
-    private static final double MULTIPLE = 3;
-    private static final long LASTS = 15_000_000;
+    private static final long WINDOW_MICROS = 1_500_000;
+    private static final double OVERLOAD_MULTIPLE = 3;
+    private static final long DURATION_MICROS = 15_000_000;
 
-    /** What many starts came to. */
-    private record Sum(int falls, double sentPart, double nearest) {}
+    /** Result of many starts of the server. */
+    private record Result(int overloads, double sentFraction, double worstFraction) {}
 
-    /** Requests that one relay gets: first ones by chance, and a crowd of those who come back, at a moment of all. */
-    private static Sum play(
+    /** Plays many starts: new clients arrive at random, and a burst of returning ones arrives at all relays at once. */
+    private static Result play(
             int starts,
             int relays,
             double allowed,
             double perSecond,
             boolean uneven,
-            int crowd,
-            boolean first,
-            int times) {
-        SplittableRandom chance = new SplittableRandom(relays * 31L + (long) (allowed * 100) + crowd);
-        double fill = allowed / MULTIPLE / WINDOW;
-        SlowStartBudget.Rule rule = new SlowStartBudget.Rule(MULTIPLE, WINDOW, relays / times, 1);
-        int falls = 0;
+            int burst,
+            boolean newClients,
+            int permitMultiple) {
+        SplittableRandom random = new SplittableRandom(relays * 31L + (long) (allowed * 100) + burst);
+        double requestsPerMicro = allowed / OVERLOAD_MULTIPLE / WINDOW_MICROS;
+        SlowStartBudget.Rule rule =
+                new SlowStartBudget.Rule(OVERLOAD_MULTIPLE, WINDOW_MICROS, relays / permitMultiple, 1);
+        int overloads = 0;
         long sent = 0;
-        double nearest = 0;
+        double worstFraction = 0;
         for (int start = 0; start < starts; start++) {
             SlowStartBudget[] budgets = new SlowStartBudget[relays];
-            double[] weight = new double[relays];
-            double all = 0;
+            double[] weights = new double[relays];
+            double totalWeight = 0;
             for (int r = 0; r < relays; r++) {
                 budgets[r] = new SlowStartBudget();
                 budgets[r].onRestart(0);
-                weight[r] = uneven ? Math.pow(chance.nextDouble(), 3) + 0.05 : 1;
-                all += weight[r];
+                weights[r] = uneven ? Math.pow(random.nextDouble(), 3) + 0.05 : 1;
+                totalWeight += weights[r];
             }
-            double[] upTo = new double[relays];
+            double[] cumulativeShare = new double[relays];
             double sum = 0;
             for (int r = 0; r < relays; r++) {
-                sum += weight[r] / all;
-                upTo[r] = sum;
+                sum += weights[r] / totalWeight;
+                cumulativeShare[r] = sum;
             }
             ArrayDeque<Long> window = new ArrayDeque<>();
-            long crowdAt = 3_000_000 + chance.nextLong(6_000_000);
-            int coming = crowd;
+            long burstAtMicros = 3_000_000 + random.nextLong(6_000_000);
+            int pendingBurst = burst;
             double limit = allowed + 2 * Math.sqrt(allowed) + 2;
-            boolean fell = false;
-            for (long now = 0; now < LASTS; ) {
-                long next = now + 1 + (long) (-Math.log(1 - chance.nextDouble()) / perSecond * 1e6);
-                boolean back = coming > 0 && next >= crowdAt;
-                if (back) {
-                    coming--;
-                    now = Math.max(now, crowdAt) + chance.nextLong(WINDOW / Math.max(1, crowd) + 1);
+            boolean overloaded = false;
+            for (long nowMicros = 0; nowMicros < DURATION_MICROS; ) {
+                long nextMicros = nowMicros + 1 + (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e6);
+                boolean returning = pendingBurst > 0 && nextMicros >= burstAtMicros;
+                if (returning) {
+                    pendingBurst--;
+                    nowMicros = Math.max(nowMicros, burstAtMicros)
+                            + random.nextLong(WINDOW_MICROS / Math.max(1, burst) + 1);
                 } else {
-                    now = next;
+                    nowMicros = nextMicros;
                 }
                 int r = 0;
-                double at = chance.nextDouble();
-                while (r < relays - 1 && upTo[r] < at) {
+                double draw = random.nextDouble();
+                while (r < relays - 1 && cumulativeShare[r] < draw) {
                     r++;
                 }
                 SlowStartBudget budget = budgets[r];
-                if (budget.admitsDuringSlowStart(rule, 1, fill, true, first && !back, now, chance::nextDouble)) {
-                    budget.onSent(now);
+                if (budget.admitsDuringSlowStart(
+                        rule, 1, requestsPerMicro, true, newClients && !returning, nowMicros, random::nextDouble)) {
+                    budget.onSent(nowMicros);
                     sent++;
-                    window.addLast(now);
+                    window.addLast(nowMicros);
                 }
-                while (!window.isEmpty() && window.peekFirst() <= now - WINDOW) {
+                while (!window.isEmpty() && window.peekFirst() <= nowMicros - WINDOW_MICROS) {
                     window.pollFirst();
                 }
-                nearest = Math.max(nearest, window.size() / limit);
-                fell |= window.size() > limit;
+                worstFraction = Math.max(worstFraction, window.size() / limit);
+                overloaded |= window.size() > limit;
             }
-            falls += fell ? 1 : 0;
+            overloads += overloaded ? 1 : 0;
         }
-        return new Sum(falls, sent / (starts * allowed * LASTS / WINDOW), nearest);
+        return new Result(overloads, sent / (starts * allowed * DURATION_MICROS / WINDOW_MICROS), worstFraction);
     }
 
-    @ParameterizedTest(name = "{0} relays, {1} allowed, {2} a second, uneven {3}, a crowd of {4}")
+    @ParameterizedTest(name = "{0} relays, {1} allowed, {2} a second, uneven {3}, a burst of {4}")
     @CsvSource({
         "3, 1, 6, true, 40",
         "3, 3, 12, true, 80",
@@ -114,33 +117,33 @@
         "1,   5,  20, false, 100",
         "1,   1,  20, false, 100",
     })
-    void theSumOfAllRelaysPushesNoColdServerOver(
-            int relays, double allowed, double perSecond, boolean uneven, int crowd) {
-        Sum sum = play(2_500, relays, allowed, perSecond, uneven, crowd, true, 1);
+    void theSumOfAllRelaysOverloadsNoColdServer(
+            int relays, double allowed, double perSecond, boolean uneven, int burst) {
+        Result result = play(2_500, relays, allowed, perSecond, uneven, burst, true, 1);
         System.out.printf(
-                "%d relays, %.0f allowed, crowd %d: %d starts fell, %.2f of it sent, nearest %.2f%n",
-                relays, allowed, crowd, sum.falls, sum.sentPart, sum.nearest);
-        assertThat(sum.falls).isLessThanOrEqualTo(5);
+                "%d relays, %.0f allowed, burst %d: %d starts overloaded, %.2f of it sent, worst %.2f%n",
+                relays, allowed, burst, result.overloads, result.sentFraction, result.worstFraction);
+        assertThat(result.overloads).isLessThanOrEqualTo(5);
     }
 
-    /** Where each relay is asked once in a quarter of a minute, permits alone left nine tenths of the budget unused. */
+    /** Each relay gets a request once in a quarter of a minute: permits alone leave nine tenths of the budget unused. */
     @Test
-    void manyRelaysThatAreSeldomAskedFillItAllTheSame() {
-        double permitsAlone = play(500, 100, 1, 6, true, 0, false, 1).sentPart;
-        assertThat(play(500, 100, 1, 6, true, 0, true, 1).sentPart).isGreaterThan(1.5 * permitsAlone);
+    void relaysWithFewRequestsEachSpendTheBudgetTogether() {
+        double permitsAlone = play(500, 100, 1, 6, true, 0, false, 1).sentFraction;
+        assertThat(play(500, 100, 1, 6, true, 0, true, 1).sentFraction).isGreaterThan(1.5 * permitsAlone);
         assertThat(permitsAlone).isLessThan(0.15);
     }
 
-    /** The count above has to see a flood where there is one: relays that take their number for a quarter of what it is. */
-    @ParameterizedTest(name = "{0} relays, {1} allowed, {2} a second, uneven {3}, a crowd of {4}")
+    /** Checks that the play above detects an overload: relays that take their number for a quarter of what it is. */
+    @ParameterizedTest(name = "{0} relays, {1} allowed, {2} a second, uneven {3}, a burst of {4}")
     @CsvSource({
         "100, 5,  20, false, 400",
         "30,  3,  12, true,  120",
         "30,  5,  20, false, 200",
         "30,  15, 60, true,  400",
     })
-    void fourTimesThePermitsAreAFlood(int relays, double allowed, double perSecond, boolean uneven, int crowd) {
-        assertThat(play(200, relays, allowed, perSecond, uneven, crowd, true, 4).falls)
+    void fourTimesThePermitsOverloadTheServer(int relays, double allowed, double perSecond, boolean uneven, int burst) {
+        assertThat(play(200, relays, allowed, perSecond, uneven, burst, true, 4).overloads)
                 .isGreaterThan(20);
     }
 }
--- a/src/test/java/sandstack/settings/TestSettings.java
+++ b/src/test/java/sandstack/settings/TestSettings.java
@@ -6,11 +6,11 @@
 import sandstack.decisions.Idempotency;
 import sandstack.decisions.RequestClass;
 
-/** Settings that tests of a whole relay share. */
+/** Settings that are shared by tests of a complete relay. */
 public final class TestSettings {
     private TestSettings() {}
 
-    /** One relay in one zone, two classes alike, groups that share work, a list that is asked for. */
+    /** One relay in one zone, two equal classes, shared groups, a polled endpoint list. */
     public static BalancerSettings oneRelayWithGroups() {
         RequestClass requestClass =
                 new RequestClass(320_000, 2_000_000, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 100_000);
--- a/src/test/java/sandstack/staleness/EndpointListStalenessTest.java
+++ b/src/test/java/sandstack/staleness/EndpointListStalenessTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sandstack.staleness.EndpointListStaleness.NotificationPath;
 
-/** The cases of the platform's pages, a row each, in milliseconds. */
+/** The notification rules, a row for each case in milliseconds, and the backoff that keeps a relay within them. */
 class EndpointListStalenessTest {
-    @ParameterizedTest(name = "{0}: made {1}, since {2}, waits {3}: told {4}")
+    @ParameterizedTest(name = "{0}: changed {1}, since {2}, long poll {3}: notified {4}")
     @CsvSource({
         "DELIVERED,              9000, 0,    0,    9000",
         "CACHED_BY_AGENT,         9000, 0,    0,    9000",
@@ -29,62 +29,65 @@
         "NEW_CONFIGURATION,    500,  1000, 0,    5000",
         "NEW_CONFIGURATION,    6000, 1000, 0,    6000",
     })
-    void aChangeCountsFromThatMomentOn(NotificationPath way, long made, long since, long wait, long told) {
-        EndpointListStaleness clock = new EndpointListStaleness(way == NotificationPath.CACHED_BY_AGENT, 10_000_000);
-        assertThat(clock.notifiedAtMicros(way, made * 1000, since * 1000, wait * 1000))
-                .isEqualTo(told * 1000);
+    void aChangeCountsAsNotifiedFromThatTimeOn(
+            NotificationPath path, long changedMillis, long sinceMillis, long longPollMillis, long notifiedMillis) {
+        EndpointListStaleness staleness =
+                new EndpointListStaleness(path == NotificationPath.CACHED_BY_AGENT, 10_000_000);
+        assertThat(staleness.notifiedAtMicros(path, changedMillis * 1000, sinceMillis * 1000, longPollMillis * 1000))
+                .isEqualTo(notifiedMillis * 1000);
     }
 
-    /** Two more calls, the first of them as long as discovery lets one wait, before what was missed counts. */
+    /** Two more polls fit in before a missed change counts, the first of them as long as a long poll may be. */
     @Property
-    void aSilentWatchLeavesTimeForTwoCalls(@ForAll boolean pushed, @ForAll @DoubleRange(max = 0.99) double draw) {
-        EndpointListStaleness clock = new EndpointListStaleness(pushed, 10_000_000);
-        long second = EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS
-                + clock.backoffMicros(1, draw)
+    void aSilentWatchLeavesTimeForTwoPolls(
+            @ForAll boolean pushed, @ForAll @DoubleRange(max = 0.99) double uniformDraw) {
+        EndpointListStaleness staleness = new EndpointListStaleness(pushed, 10_000_000);
+        long secondPollEndMicros = EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS
+                + staleness.backoffMicros(1, uniformDraw)
                 + 2_000_000
-                + clock.backoffMicros(2, draw);
-        assertThat(second).isLessThan(EndpointListStaleness.MISSED_CHANGE_GRACE_MICROS - 500_000);
+                + staleness.backoffMicros(2, uniformDraw);
+        assertThat(secondPollEndMicros).isLessThan(EndpointListStaleness.MISSED_CHANGE_GRACE_MICROS - 500_000);
     }
 
     /**
-     * However many calls have failed: the one that was out when discovery came back falls silent, the pause is drawn, the
-     * next call waits as long as discovery lets it, and the list is there before a change made at the return counts.
+     * However many polls have failed: the one that was open when discovery came back falls silent, the backoff is drawn, the
+     * next poll takes as long as a long poll may, and its list arrives before a change made at the return counts.
      */
     @Property
-    void afterAnyFailureTheNextListIsThereBeforeAChangeCounts(
-            @ForAll @LongRange(max = 100_000_000) long within,
+    void afterAnyFailureTheNextListArrivesBeforeAChangeCounts(
+            @ForAll @LongRange(max = 100_000_000) long pollIntervalMicros,
             @ForAll @IntRange(min = 1) int failures,
-            @ForAll @DoubleRange(max = 0.99) double draw) {
-        long there = EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS
-                + new EndpointListStaleness(false, within).backoffMicros(failures, draw)
+            @ForAll @DoubleRange(max = 0.99) double uniformDraw) {
+        long listArrivedMicros = EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS
+                + new EndpointListStaleness(false, pollIntervalMicros).backoffMicros(failures, uniformDraw)
                 + 2_000_000;
-        assertThat(there).isLessThanOrEqualTo(EndpointListStaleness.MISSED_CHANGE_GRACE_MICROS);
+        assertThat(listArrivedMicros).isLessThanOrEqualTo(EndpointListStaleness.MISSED_CHANGE_GRACE_MICROS);
     }
 
     @Property
-    void pausesAreBoundedAndNeverNone(
+    void backoffIsBoundedAndNeverZero(
             @ForAll boolean pushed,
-            @ForAll @LongRange(max = 100_000_000) long within,
+            @ForAll @LongRange(max = 100_000_000) long pollIntervalMicros,
             @ForAll @IntRange(min = 1) int failures,
-            @ForAll @DoubleRange(max = 0.99) double draw) {
-        long pause = new EndpointListStaleness(pushed, within).backoffMicros(failures, draw);
-        assertThat(pause).isBetween(1L, pushed ? 80_000 : Math.max(160_000, within / 2 + 1));
+            @ForAll @DoubleRange(max = 0.99) double uniformDraw) {
+        long backoffMicros = new EndpointListStaleness(pushed, pollIntervalMicros).backoffMicros(failures, uniformDraw);
+        assertThat(backoffMicros).isBetween(1L, pushed ? 80_000 : Math.max(160_000, pollIntervalMicros / 2 + 1));
     }
 
-    /** A relay may not go without a call for longer than the settings say, whatever has failed before. */
+    /** A relay may not go without a poll for longer than the settings say, whatever has failed before. */
     @Property
-    void whereListsAreAskedForNoPauseIsLongerThanAllowed(
-            @ForAll @LongRange(min = 1_000_000, max = 60_000_000) long within,
+    void theBackoffBetweenPollsIsShorterThanThePollInterval(
+            @ForAll @LongRange(min = 1_000_000, max = 60_000_000) long pollIntervalMicros,
             @ForAll @IntRange(min = 1) int failures,
-            @ForAll @DoubleRange(max = 0.99) double draw) {
-        assertThat(new EndpointListStaleness(false, within).backoffMicros(failures, draw))
-                .isLessThan(within);
+            @ForAll @DoubleRange(max = 0.99) double uniformDraw) {
+        assertThat(new EndpointListStaleness(false, pollIntervalMicros).backoffMicros(failures, uniformDraw))
+                .isLessThan(pollIntervalMicros);
     }
 
     @ParameterizedTest
     @CsvSource({"true, 1000000", "false, 0"})
-    void onlyWhatAnAgentHasKeepsANewProcessWaiting(boolean pushed, long waits) {
+    void aNewProcessWaitsForTheListOfAnAgentOnly(boolean pushed, long timeoutMicros) {
         assertThat(new EndpointListStaleness(pushed, 10_000_000).firstListTimeoutMicros())
-                .isEqualTo(waits);
+                .isEqualTo(timeoutMicros);
     }
 }
