--- a/src/main/java/sandstack/capacity/AdaptiveLimit.java
+++ b/src/main/java/sandstack/capacity/AdaptiveLimit.java
@@ -6,9 +6,10 @@
  * one connection past the limit, at a moment drawn uniformly from an interval of 2^n slots.
  *
  * <ul>
- *   <li>A trial that succeeds resets n and raises the limit towards the plateau, the value it had before the failure: by a
- *       quarter of the gap, or by a step that doubles with each success, whichever is more. Past the plateau the steps
- *       begin at one again, as the window of CUBIC does (RFC 9438, 4.1).
+ *   <li>A trial that succeeds resets n to its minimum and raises the limit towards the plateau, the value it had before the
+ *       failure: by a quarter of the gap, or by a step that doubles with each success, whichever is more, but by no more
+ *       than a quarter of the limit. Past the plateau the steps begin at one again, as the window of CUBIC does (RFC 9438,
+ *       4.1).
  *   <li>A trial that fails increments n, and the next interval starts where the current one ends, as in a backoff between
  *       retries.
  * </ul>
--- a/src/main/java/sandstack/staleness/EndpointListStaleness.java
+++ b/src/main/java/sandstack/staleness/EndpointListStaleness.java
@@ -64,11 +64,11 @@
         /** The watch had fallen silent before the change. */
         SILENT_WATCH,
         /** A long poll is open and has fallen silent. */
-        SILENT_CALL,
+        SILENT_POLL,
         /** There is no watch, and the last poll succeeded. */
         NO_WATCH,
         /** There is no watch, and the last poll failed. */
-        NO_WATCH_CALL_FAILED,
+        NO_WATCH_POLL_FAILED,
         /** A new configuration names another agent. */
         NEW_CONFIGURATION
     }
@@ -85,9 +85,9 @@
         return switch (path) {
             case DELIVERED, CACHED_BY_AGENT -> changedAtMicros;
             case SILENT_WATCH -> notifiedOnSilentWatch(changedAtMicros, sinceMicros);
-            case SILENT_CALL -> notifiedOnSilentPoll(changedAtMicros, sinceMicros, longPollMicros);
+            case SILENT_POLL -> notifiedOnSilentPoll(changedAtMicros, sinceMicros, longPollMicros);
             case NO_WATCH -> notifiedByNextPoll(changedAtMicros, sinceMicros);
-            case NO_WATCH_CALL_FAILED -> notifiedAfterFailedPoll(changedAtMicros, sinceMicros);
+            case NO_WATCH_POLL_FAILED -> notifiedAfterFailedPoll(changedAtMicros, sinceMicros);
             case NEW_CONFIGURATION -> notifiedByNewConfiguration(changedAtMicros, sinceMicros);
         };
     }
