--- a/src/main/java/sandstack/decisions/BalancerContext.java
+++ b/src/main/java/sandstack/decisions/BalancerContext.java
@@ -12,29 +12,26 @@
 import sandstack.random.SeededRandom;
 
 /**
- * What the parts of the module share: settings, the time of the event, chance, the actions so far, and the
- * timers that wake requests. Owned by one {@link LoadBalancer}; one thread; all calls O(1).
+ * What the parts of one {@link LoadBalancer} share. It owns the settings and the intervals that follow from them, the
+ * time of the current event, the random generator, the actions of the current event and the timers of requests. The
+ * capacity model is shared by the estimates of all servers. One thread; all calls O(1).
  */
 final class BalancerContext {
-    /** A first interval spans two slots; so many slots fit into the tightest set-up aim. */
-    private static final int SLOTS_IN_AIM = 16;
+    /** A first back-off interval spans two slots; so many slots fit into the shortest set-up latency objective. */
+    private static final int SLOTS_PER_LATENCY_OBJECTIVE = 16;
 
-    BalancerSettings settings;
     final CapacityModel capacity;
     final InstallationLimits limits;
-    final SeededRandom random;
-    long slotMicros;
-    /** Half of the shortest deadline: the unit of marks, and the pace of looks at the whole. */
-    long ejectionUnitMicros;
-
-    double shortestMessageLatencyObjectiveMicros;
-    SlowStartBudget.Rule slowStartRule;
-    long nowMicros;
-    /** Processes that are this instance together: they share what cold servers may be sent. */
-    int processCount = 1;
-
-    List<BalancerAction> actions = new ArrayList<>();
+    private final SeededRandom random;
     private final Map<Long, TrackedRequest> timers = new LinkedHashMap<>();
+    private BalancerSettings settings;
+    private long slotMicros;
+    private long updateIntervalMicros;
+    private double shortestMessageLatencyObjectiveMicros;
+    private SlowStartBudget.Rule slowStartRule;
+    private long nowMicros;
+    private int processCount = 1;
+    private List<BalancerAction> actions = new ArrayList<>();
     private long lastToken;
 
     BalancerContext(
@@ -51,11 +48,11 @@
                 new CapacityModel(statedCapacities, slotMicros, settings.instanceCount(), settings.ratingsAreSizes());
     }
 
-    /** These settings count from now on; what was learned under others stays. */
+    /** Puts new settings into force; estimates and back-off intervals are kept. */
     void applySettings(BalancerSettings newSettings) {
         settings = newSettings;
-        slotMicros = Math.max(1, newSettings.shortestLatencyObjectiveMicros() / SLOTS_IN_AIM);
-        ejectionUnitMicros = Math.max(1, newSettings.shortestDeadlineMicros() / 2);
+        slotMicros = Math.max(1, newSettings.shortestLatencyObjectiveMicros() / SLOTS_PER_LATENCY_OBJECTIVE);
+        updateIntervalMicros = Math.max(1, newSettings.shortestDeadlineMicros() / 2);
         shortestMessageLatencyObjectiveMicros = newSettings.shortestMessageLatencyObjectiveMicros();
         slowStartRule = new SlowStartBudget.Rule(
                 settings.overloadMultiple(),
@@ -64,11 +61,72 @@
                 settings.zoneCount());
     }
 
+    BalancerSettings settings() {
+        return settings;
+    }
+
+    /** Time unit of all back-off intervals, which span 2^n slots. */
+    long slotMicros() {
+        return slotMicros;
+    }
+
+    /**
+     * Half of the shortest deadline: the interval of {@linkplain LoadBalancer periodic updates} and the unit of
+     * ejection times, so that a server's recovery is noticed while a waiting client can still profit.
+     */
+    long updateIntervalMicros() {
+        return updateIntervalMicros;
+    }
+
+    /** The shortest latency objective for messages of any class; very large where no class has one. */
+    double shortestMessageLatencyObjectiveMicros() {
+        return shortestMessageLatencyObjectiveMicros;
+    }
+
+    SlowStartBudget.Rule slowStartRule() {
+        return slowStartRule;
+    }
+
+    /** Processes that share the role of this instance, and with it its part of every slow-start budget. */
+    int processCount() {
+        return processCount;
+    }
+
+    void setProcessCount(int count) {
+        processCount = Math.max(1, count);
+    }
+
+    /** Starts the next event: time never goes back, and there are no actions yet. */
+    void beginEvent(long eventMicros) {
+        nowMicros = Math.max(nowMicros, eventMicros);
+        actions = new ArrayList<>(2);
+    }
+
+    /** Time of the current event. */
+    long nowMicros() {
+        return nowMicros;
+    }
+
+    void addAction(BalancerAction action) {
+        actions.add(action);
+    }
+
+    /** The actions of the current event, in order. */
+    List<BalancerAction> actions() {
+        return actions;
+    }
+
+    /** The next random number, uniform over [0, 1). */
     double uniform() {
         return random.uniform();
     }
 
-    /** Sets the one timer of a request; an older one says nothing any more. */
+    /** The next 64 random bits. */
+    long nextRandom() {
+        return random.next();
+    }
+
+    /** Sets the only timer of a request, in place of an earlier one. */
     void scheduleTimer(TrackedRequest request, long dueMicros) {
         timers.remove(request.timerToken);
         request.timerToken = ++lastToken;
@@ -76,7 +134,7 @@
         actions.add(new SetTimer(Math.max(1, dueMicros - nowMicros), request.timerToken));
     }
 
-    /** The request whose timer this was; null where it has another by now, or is over. */
+    /** The request of an expired timer; null where the timer was replaced or cancelled. */
     TrackedRequest takeExpired(long token) {
         return timers.remove(token);
     }
--- a/src/main/java/sandstack/decisions/ConnectionMigration.java
+++ b/src/main/java/sandstack/decisions/ConnectionMigration.java
@@ -13,8 +13,6 @@
     private final EndpointTable endpoints;
     private final ServerHeadroom headroom;
     private final LoadShedder shedder;
-    private int consecutiveTimeouts;
-    long smoothedSetupMicros;
 
     ConnectionMigration(
             BalancerContext context, EndpointTable endpoints, ServerHeadroom headroom, LoadShedder shedder) {
@@ -24,23 +22,10 @@
         this.shedder = shedder;
     }
 
-    /** A set-up that went well, and what it took. */
-    void recordSetup(long setupMicros) {
-        consecutiveTimeouts = 0;
-        smoothedSetupMicros += (Math.max(0, setupMicros) - smoothedSetupMicros) / 4;
-    }
-
-    /** A set-up that had no answer in time; returns how many such came one after another. */
-    int recordTimeout(TrackedRequest request, long elapsedMicros) {
-        smoothedSetupMicros =
-                Math.max(smoothedSetupMicros, Math.min(elapsedMicros, request.requestClass.deadlineMicros()));
-        return ++consecutiveTimeouts;
-    }
-
     /** The moment of a standing connection has come. */
     void onTimer(TrackedRequest request) {
         if (!request.server.isReady()) {
-            context.actions.add(new Migrate(request.event.requestId()));
+            context.addAction(new Migrate(request.event.requestId()));
         } else if (request.server.consecutiveFailures > 0) {
             request.server.clearFailures();
         }
@@ -49,15 +34,15 @@
     void onDelayReported(ServerState server, double delayMicros) {
         // what is piled up there already works off: moves that go on until it has would empty the server
         boolean delayFalling =
-                3 * delayMicros - 2 * server.messageDelayMicros < context.shortestMessageLatencyObjectiveMicros
-                        && context.nowMicros - server.delayReportedAtMicros <= context.ejectionUnitMicros * 2;
+                3 * delayMicros - 2 * server.messageDelayMicros < context.shortestMessageLatencyObjectiveMicros()
+                        && context.nowMicros() - server.delayReportedAtMicros <= context.updateIntervalMicros() * 2;
         headroom.onDelayReported(server, delayMicros);
-        if (delayMicros < context.shortestMessageLatencyObjectiveMicros) {
+        if (delayMicros < context.shortestMessageLatencyObjectiveMicros()) {
             server.migrationExponent = 0;
             server.migrationEndMicros = 0;
             return;
         }
-        server.lastSlowAtMicros = context.nowMicros;
+        server.lastSlowAtMicros = context.nowMicros();
         if (!delayFalling) {
             migrateFromSlowServer(server);
         }
@@ -81,11 +66,11 @@
      */
     private void migrateFromSlowServer(ServerState server) {
         boolean overloaded = headroom.utilization(server) >= HeadroomWeight.OVERLOADED_UTILIZATION;
-        if (context.nowMicros >= server.migrationEndMicros) {
+        if (context.nowMicros() >= server.migrationEndMicros) {
             server.migrationExponent++;
-            server.migrationStartMicros = context.nowMicros;
-            server.migrationEndMicros = context.nowMicros
-                    + (context.slotMicros << RetryBackoff.MAX_EXPONENT - 1 + Math.min(server.migrationExponent, 4));
+            server.migrationStartMicros = context.nowMicros();
+            server.migrationEndMicros = context.nowMicros()
+                    + (context.slotMicros() << RetryBackoff.MAX_EXPONENT - 1 + Math.min(server.migrationExponent, 4));
             for (TrackedRequest request : server.established.values()) {
                 request.migrationDraw = context.uniform();
             }
@@ -94,12 +79,12 @@
             long dueMicros = server.migrationStartMicros
                     + (long) (request.migrationDraw * (server.migrationEndMicros - server.migrationStartMicros));
             boolean dueAndSlow = request.migrationDraw >= 0
-                    && dueMicros <= context.nowMicros
+                    && dueMicros <= context.nowMicros()
                     && (overloaded
                             || server.messageDelayMicros >= request.requestClass.messageLatencyObjectiveMicros());
             if (shedder.isShedding() ? shedder.shouldShed(request) : dueAndSlow) {
                 request.migrationDraw = -1;
-                context.actions.add(new Migrate(request.event.requestId()));
+                context.addAction(new Migrate(request.event.requestId()));
             }
         }
     }
@@ -128,14 +113,14 @@
         double maxLoad = idlest.estimate.adaptiveLoadLimit(gap / 2);
         TrackedRequest heaviest = null;
         for (TrackedRequest request : busiest.established.values()) {
-            boolean settled = context.nowMicros - request.establishedAtMicros > 2 * context.ejectionUnitMicros;
+            boolean settled = context.nowMicros() - request.establishedAtMicros() > 2 * context.updateIntervalMicros();
             double minLoad = heaviest == null ? context.capacity.groupOverheadLoad() : heaviest.reportedLoad;
             if (settled && request.reportedLoad > minLoad && request.reportedLoad <= maxLoad) {
                 heaviest = request;
             }
         }
         if (heaviest != null) {
-            context.actions.add(new Migrate(heaviest.event.requestId()));
+            context.addAction(new Migrate(heaviest.event.requestId()));
         }
     }
 }
--- a/src/main/java/sandstack/decisions/EndpointTable.java
+++ b/src/main/java/sandstack/decisions/EndpointTable.java
@@ -86,10 +86,11 @@
                 .removeIf(server -> server.state == EndpointState.GONE
                         && server.established.isEmpty()
                         && !server.trialInFlight
-                        && context.nowMicros - server.drainingSinceMicros > context.settings.drainGraceMicros());
+                        && context.nowMicros() - server.drainingSinceMicros
+                                > context.settings().drainGraceMicros());
         rebuild();
         if (update.kind() == EndpointListKind.CACHED) {
-            if (context.settings.endpointListPolled()) {
+            if (context.settings().endpointListPolled()) {
                 schedulePoll();
             }
         } else {
@@ -99,14 +100,14 @@
 
     private void startDraining(ServerState server, EndpointState state) {
         if (server.isReady()) {
-            server.drainingSinceMicros = context.nowMicros;
+            server.drainingSinceMicros = context.nowMicros();
             // it may not send its connections away by itself: each draws a moment of its own to move
             for (TrackedRequest request : server.established.values()) {
                 context.scheduleTimer(
                         request,
-                        context.nowMicros
+                        context.nowMicros()
                                 + 1
-                                + (long) (context.uniform() * (context.slotMicros << DRAIN_MIGRATION_EXPONENT)));
+                                + (long) (context.uniform() * (context.slotMicros() << DRAIN_MIGRATION_EXPONENT)));
             }
         }
         server.state = state;
@@ -131,7 +132,7 @@
     }
 
     boolean isHome(ServerState server) {
-        return server.zone == context.settings.homeZone();
+        return server.zone == context.settings().homeZone();
     }
 
     /** Asks for changes; a failed ask is repeated under the same back-off, in the time the rules allow. */
@@ -144,13 +145,13 @@
             poll();
             return;
         }
-        context.actions.add(new SetTimer(
-                context.settings.endpointListStaleness().backoffMicros(consecutivePollFailures, context.uniform()),
+        context.addAction(new SetTimer(
+                context.settings().endpointListStaleness().backoffMicros(consecutivePollFailures, context.uniform()),
                 POLL_TIMER_TOKEN));
     }
 
     void poll() {
         pollScheduled = false;
-        context.actions.add(new WatchEndpointList());
+        context.addAction(new WatchEndpointList());
     }
 }
--- a/src/main/java/sandstack/decisions/LoadShedder.java
+++ b/src/main/java/sandstack/decisions/LoadShedder.java
@@ -28,8 +28,8 @@
         this.context = context;
         this.endpoints = endpoints;
         this.headroom = headroom;
-        setClassCount(context.settings.classes().size());
-        setTenants(context.settings.tenants());
+        setClassCount(context.settings().classes().size());
+        setTenants(context.settings().tenants());
     }
 
     void setClassCount(int count) {
@@ -88,15 +88,15 @@
                 tenantQuotas.addConnection(request.event.tenantIndex());
             }
         }
-        tenantQuotas.update(context.settings.instanceCount());
+        tenantQuotas.update(context.settings().instanceCount());
         if (!calm) {
             shedFraction = fleetOverloaded
                     ? Math.min(MAX_SHED_FRACTION, shedFraction + SHED_FRACTION_STEP)
                     : Math.max(0, shedFraction - SHED_FRACTION_STEP / 8);
             classLoads.shed(
                     shedFraction,
-                    classIndex -> context.settings.classes().get(classIndex).priorityWeight(),
-                    context.settings.weightPerUnitOfWork());
+                    classIndex -> context.settings().classes().get(classIndex).priorityWeight(),
+                    context.settings().weightPerUnitOfWork());
         }
     }
 
@@ -116,7 +116,7 @@
         }
         // what a tenant holds beyond its share is worth little: that part goes before any class
         double overQuotaFraction =
-                context.settings.overQuotaWeight() < 1 ? tenantQuotas.excessFraction(request.event.tenantIndex()) : 0;
+                context.settings().overQuotaWeight() < 1 ? tenantQuotas.excessFraction(request.event.tenantIndex()) : 0;
         double fraction = Math.max(classLoads.shedFraction(request.event.classIndex()), overQuotaFraction);
         return SeededRandom.unit(SeededRandom.mix(SeededRandom.hash(request.clientKey))) < fraction;
     }
--- /dev/null
+++ b/src/main/java/sandstack/decisions/RequestLifecycle.java
@@ -0,0 +1,226 @@
+package sandstack.decisions;
+
+import java.util.Optional;
+import java.util.OptionalLong;
+import sandstack.capacity.RejectionReason;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerEvent.AttemptEnded;
+import sandstack.decisions.BalancerEvent.ConnectRequested;
+import sandstack.decisions.BalancerEvent.ConnectionAdopted;
+import sandstack.decisions.BalancerEvent.ConnectionEstablished;
+import sandstack.decisions.TrackedRequest.State;
+
+/**
+ * Takes each request through its states: admitted or rejected on arrival, waiting, attempted at a server, established,
+ * ended. The rules themselves are with the classes that it asks: {@link LoadShedder}, {@link ServerPicker}, {@link
+ * RetryPolicy}, {@link AttemptTimeoutPolicy}, {@link CapacityEvidence} and {@link RequestCompletion}. One thread; a
+ * placement costs what the picker does, the rest O(1).
+ */
+final class RequestLifecycle {
+    private final BalancerContext context;
+    private final EndpointTable endpoints;
+    private final ServerHeadroom headroom;
+    private final LoadShedder shedder;
+    private final ServerPicker picker;
+    private final RequestTable requests;
+    private final RetryBackoff retryBackoff;
+    private final RetryPolicy retryPolicy;
+    private final RequestCompletion completion;
+    private final SetupTimeTracker setupTimes = new SetupTimeTracker();
+    private final AttemptTimeoutPolicy attemptTimeoutPolicy;
+    private final CapacityEvidence capacityEvidence;
+
+    RequestLifecycle(
+            BalancerContext context,
+            EndpointTable endpoints,
+            ServerHeadroom headroom,
+            LoadShedder shedder,
+            ServerPicker picker,
+            RequestTable requests) {
+        this.context = context;
+        this.endpoints = endpoints;
+        this.headroom = headroom;
+        this.shedder = shedder;
+        this.picker = picker;
+        this.requests = requests;
+        retryBackoff = new RetryBackoff(context);
+        retryPolicy = new RetryPolicy(context, retryBackoff);
+        completion = new RequestCompletion(context, requests, retryBackoff, retryPolicy);
+        attemptTimeoutPolicy = new AttemptTimeoutPolicy(context, endpoints, setupTimes);
+        capacityEvidence = new CapacityEvidence(context);
+    }
+
+    /** Sheds, rejects, delays or places a new request. */
+    void onArrived(ConnectRequested event) {
+        TrackedRequest request = new TrackedRequest(event, context.settings());
+        RejectionReason reachedLimit = requests.reachedLimit(event.group());
+        requests.add(request);
+        if (shedder.shouldShed(request)) {
+            completion.rejectWithBackoff(request, RejectionReason.SHED);
+            return;
+        }
+        if (reachedLimit != null) {
+            completion.reject(request, reachedLimit);
+            return;
+        }
+        OptionalLong delayEndMicros = retryPolicy.drawArrivalDelayEndMicros(request);
+        if (delayEndMicros.isPresent()) {
+            waitUntil(request, delayEndMicros.getAsLong());
+            return;
+        }
+        place(request);
+    }
+
+    /** Tracks a connection that another instance or process has established. */
+    void onAdopted(ConnectionAdopted event, ServerState server) {
+        TrackedRequest request = new TrackedRequest(event.request(), context.settings());
+        request.onAdopted(server);
+        requests.add(request);
+        markEstablished(request);
+    }
+
+    /** Picks a server and starts an attempt there; where there is none, rejects or retries later. */
+    void place(TrackedRequest request) {
+        request.state = State.WAITING;
+        ServerState server = picker.pick(request);
+        RejectionReason allFull = picker.candidateSummary().rejectionReason(request.event.classIndex());
+        if (server != null) {
+            startAttempt(request, server);
+        } else if (allFull != null) {
+            // a retry would meet the same servers: the client gets its Retry-After at once
+            completion.rejectWithBackoff(request, allFull);
+        } else {
+            retryOrReject(request);
+        }
+    }
+
+    private void startAttempt(TrackedRequest request, ServerState server) {
+        long remainingMicros = request.event.deadlineMicros() - context.nowMicros();
+        if (!retryPolicy.mayRetry(request)) {
+            // the deduplication window may have closed while the retry waited
+            completion.fail(request);
+            return;
+        }
+        request.onAttemptStarted(server, context.nowMicros());
+        server.estimate.onAttemptStarted();
+        server.setupLimiter.takeToken();
+        server.slowStartBudget.onSent(context.nowMicros());
+        if (server.consecutiveFailures > 0) {
+            server.trialInFlight = true;
+        }
+        context.addAction(new StartAttempt(
+                request.event.requestId(), server.id, attemptTimeoutPolicy.timeoutMicros(request, remainingMicros)));
+    }
+
+    private void waitUntil(TrackedRequest request, long dueMicros) {
+        request.state = State.WAITING;
+        context.scheduleTimer(request, dueMicros);
+    }
+
+    private void retryOrReject(TrackedRequest request) {
+        long retryMicros = retryPolicy.drawRetryMicros(request);
+        Optional<RejectionReason> giveUpReason = retryPolicy.giveUpReason(request, retryMicros);
+        if (giveUpReason.isPresent()) {
+            completion.reject(request, giveUpReason.get());
+        } else {
+            waitUntil(request, retryMicros);
+        }
+    }
+
+    void onEstablished(ConnectionEstablished event) {
+        TrackedRequest request = requests.get(event.requestId());
+        if (request == null || request.state != State.ATTEMPTING) {
+            return;
+        }
+        setupTimes.onEstablished(event.setupMicros());
+        request.server.estimate.onAttemptEnded();
+        markEstablished(request);
+        request.server.lastErrorSource = null;
+        request.takeServersWithErrors().forEach(server -> server.recordFailure(context));
+        if (request.server.consecutiveFailures > 0) {
+            // an overloaded server accepts a connection and drops it soon after: the trial succeeds by staying up
+            context.scheduleTimer(request, context.nowMicros() + context.updateIntervalMicros());
+        }
+    }
+
+    private void markEstablished(TrackedRequest request) {
+        request.onEstablished(context.nowMicros());
+        headroom.onEstablished(request, shedder.loadOf(request));
+    }
+
+    void onAttemptEnded(AttemptEnded event) {
+        TrackedRequest request = requests.get(event.requestId());
+        if (request == null || request.server == null || !request.isLatestAttempt(event.attempt())) {
+            onStaleAttemptEnded(event);
+            return;
+        }
+        request.server.trialInFlight = false;
+        if (request.state == State.ESTABLISHED) {
+            onConnectionEnded(request, event);
+        } else {
+            onAttemptFailed(request, event);
+        }
+    }
+
+    private void onStaleAttemptEnded(AttemptEnded event) {
+        ServerState server = endpoints.get(event.serverId());
+        if (server != null) {
+            server.trialInFlight = false;
+            capacityEvidence.onStaleAttemptEnded(server);
+        }
+    }
+
+    private void onConnectionEnded(TrackedRequest request, AttemptEnded event) {
+        retryBackoff.clearAfterLongConnection(request);
+        if (event.outcome() == AttemptOutcome.RESET) {
+            request.server.recordFailure(context);
+            headroom.onClosed(request);
+            capacityEvidence.onConnectionReset(request.server);
+            // counts as a failed placement, or clients of a full fleet would reconnect without a pause
+            retryBackoff.recordFailure(request.clientKey);
+        }
+        if (event.requestFinished()) {
+            requests.remove(request);
+        } else {
+            completion.fail(request);
+        }
+    }
+
+    private void onAttemptFailed(TrackedRequest request, AttemptEnded event) {
+        AttemptOutcome outcome = event.outcome();
+        capacityEvidence.onAttemptFailed(request.server, outcome);
+        if (event.requestFinished()) {
+            blameServer(request, outcome);
+            requests.remove(request);
+            return;
+        }
+        headroom.onClosed(request);
+        if (outcome == AttemptOutcome.TIMEOUT) {
+            setupTimes.onTimeout(event.elapsedMicros(), request.requestClass.deadlineMicros());
+        }
+        if (outcome != AttemptOutcome.TIMEOUT || !setupTimes.isSharedDependencySlow()) {
+            blameServer(request, outcome);
+        }
+        request.duplicateGuard.onAttemptEnded(request.server, outcome, request.attemptStartedAtMicros());
+        request.state = State.WAITING;
+        retryOrAnswer(request, outcome);
+    }
+
+    private void blameServer(TrackedRequest request, AttemptOutcome outcome) {
+        if (outcome == AttemptOutcome.ERROR) {
+            request.server.recordError(request, context);
+        } else if (outcome.failed() && outcome != AttemptOutcome.REJECTED) {
+            request.server.recordFailure(context);
+        }
+    }
+
+    private void retryOrAnswer(TrackedRequest request, AttemptOutcome outcome) {
+        if (outcome == AttemptOutcome.REJECTED && picker.candidateSummary().isScarce()) {
+            completion.rejectWithBackoff(request, RejectionReason.FULL);
+        } else if (!retryPolicy.mayRetry(request)) {
+            completion.fail(request);
+        } else {
+            retryOrReject(request);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/decisions/RequestTable.java
@@ -0,0 +1,54 @@
+package sandstack.decisions;
+
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import sandstack.capacity.ConnectionLimiter;
+import sandstack.capacity.InstallationLimits;
+import sandstack.capacity.RejectionReason;
+
+/**
+ * The requests of this instance from their arrival to their final answer or the end of their connection, in the order
+ * of arrival, and the connection limits of the installation that count them. One thread; all calls O(1).
+ */
+final class RequestTable {
+    private final BalancerContext context;
+    private final ServerHeadroom headroom;
+    private final ConnectionLimiter connectionLimiter;
+    private final Map<String, TrackedRequest> requests = new LinkedHashMap<>();
+
+    RequestTable(BalancerContext context, ServerHeadroom headroom, InstallationLimits limits) {
+        this.context = context;
+        this.headroom = headroom;
+        connectionLimiter = new ConnectionLimiter(limits);
+    }
+
+    /** The request with this id; null where there is none. */
+    TrackedRequest get(String requestId) {
+        return requests.get(requestId);
+    }
+
+    Collection<TrackedRequest> all() {
+        return requests.values();
+    }
+
+    /** The limit that one more request of this group would exceed; null where there is none. */
+    RejectionReason reachedLimit(String group) {
+        return connectionLimiter.reachedLimit(group);
+    }
+
+    void add(TrackedRequest request) {
+        requests.put(request.event.requestId(), request);
+        connectionLimiter.onArrived(request.event.group());
+    }
+
+    /** Releases all that the request holds; without effect for one that was removed already. */
+    void remove(TrackedRequest request) {
+        headroom.onClosed(request);
+        if (requests.remove(request.event.requestId()) != null) {
+            connectionLimiter.onFinished(request.event.group());
+        }
+        context.cancelTimer(request);
+        request.state = TrackedRequest.State.WAITING;
+    }
+}
--- a/src/main/java/sandstack/decisions/RetryBackoff.java
+++ b/src/main/java/sandstack/decisions/RetryBackoff.java
@@ -40,29 +40,29 @@
         stateByClientKey.put(clientKey, state);
         state.exponent = Math.min(state.exponent + 1, MAX_EXPONENT);
         state.intervalEndMicros =
-                Math.max(context.nowMicros, state.intervalEndMicros) + (context.slotMicros << state.exponent);
+                Math.max(context.nowMicros(), state.intervalEndMicros) + (context.slotMicros() << state.exponent);
         return state;
     }
 
     /** A moment drawn over the whole of the current interval. */
     long drawRetryMicros(RetryState state) {
         return state.intervalEndMicros
-                - (context.slotMicros << state.exponent)
-                + (long) (context.uniform() * (context.slotMicros << state.exponent));
+                - (context.slotMicros() << state.exponent)
+                + (long) (context.uniform() * (context.slotMicros() << state.exponent));
     }
 
     /** How long the current interval lasts yet; 0 where there is none. */
     long remainingMicros(String clientKey) {
         RetryState state = stateByClientKey.get(clientKey);
-        return state == null ? 0 : Math.max(0, state.intervalEndMicros - context.nowMicros);
+        return state == null ? 0 : Math.max(0, state.intervalEndMicros - context.nowMicros());
     }
 
     /** A connection that stayed up for long, past its interval, clears the count. */
     void clearAfterLongConnection(TrackedRequest request) {
         RetryState state = stateByClientKey.get(request.clientKey);
         if (state != null
-                && context.nowMicros - request.establishedAtMicros > context.ejectionUnitMicros
-                && context.nowMicros > state.intervalEndMicros) {
+                && context.nowMicros() - request.establishedAtMicros() > context.updateIntervalMicros()
+                && context.nowMicros() > state.intervalEndMicros) {
             stateByClientKey.remove(request.clientKey);
         }
     }
--- a/src/main/java/sandstack/decisions/ServerHeadroom.java
+++ b/src/main/java/sandstack/decisions/ServerHeadroom.java
@@ -21,11 +21,11 @@
 
     /** The same by its delay and its use alone. */
     private double weightByDelayOrUtilization(ServerState server) {
-        boolean fresh = context.nowMicros - server.delayReportedAtMicros <= context.ejectionUnitMicros * 2;
+        boolean fresh = context.nowMicros() - server.delayReportedAtMicros <= context.updateIntervalMicros() * 2;
         if (fresh
                 && HeadroomWeight.isInformative(
-                        server.messageDelayMicros, context.shortestMessageLatencyObjectiveMicros)) {
-            return HeadroomWeight.byDelay(server.messageDelayMicros, context.shortestMessageLatencyObjectiveMicros);
+                        server.messageDelayMicros, context.shortestMessageLatencyObjectiveMicros())) {
+            return HeadroomWeight.byDelay(server.messageDelayMicros, context.shortestMessageLatencyObjectiveMicros());
         }
         return HeadroomWeight.byUtilization(utilization(server), context.capacity.loadsKnown());
     }
@@ -35,7 +35,7 @@
         return delaysReported
                 ? 0
                 : server.estimate.utilization(
-                        context.settings.sharedGroups() ? server.connectionsByGroup.size() : 0,
+                        context.settings().sharedGroups() ? server.connectionsByGroup.size() : 0,
                         server.slowStartFraction(context));
     }
 
@@ -61,7 +61,7 @@
     void onDelayReported(ServerState server, double delayMicros) {
         delaysReported = true;
         server.messageDelayMicros = delayMicros;
-        server.delayReportedAtMicros = context.nowMicros;
+        server.delayReportedAtMicros = context.nowMicros();
     }
 
     /** A connection stands at its server from now on, with this load; 0 where that is not known. */
@@ -69,7 +69,7 @@
         request.server.established.put(request.event.requestId(), request);
         request.assumedLoad = Math.max(0, load);
         context.capacity.onEstablished(request.reportedLoad);
-        request.server.estimate.onEstablished(request.assumedLoad, context.nowMicros, context.uniform());
+        request.server.estimate.onEstablished(request.assumedLoad, context.nowMicros(), context.uniform());
         if (request.event.group() != null) {
             request.server.connectionsByGroup.merge(request.event.group(), 1, Integer::sum);
         }
--- a/src/main/java/sandstack/decisions/ServerPicker.java
+++ b/src/main/java/sandstack/decisions/ServerPicker.java
@@ -47,7 +47,7 @@
         this.endpoints = endpoints;
         this.headroom = headroom;
         this.shedder = shedder;
-        setClasses(context.settings.classes());
+        setClasses(context.settings().classes());
     }
 
     void setClasses(List<RequestClass> classes) {
@@ -61,31 +61,33 @@
      */
     private boolean isWithinStartBudget(TrackedRequest request, ServerState server) {
         double slowStartFraction = server.slowStartFraction(context);
-        long recoveryMicros = context.slotMicros << RetryBackoff.MAX_EXPONENT + 1;
-        if (slowStartFraction >= 1 && context.nowMicros - server.lastSlowAtMicros > recoveryMicros) {
+        long recoveryMicros = context.slotMicros() << RetryBackoff.MAX_EXPONENT + 1;
+        if (slowStartFraction >= 1 && context.nowMicros() - server.lastSlowAtMicros > recoveryMicros) {
             return true;
         }
         double requestsPerMicro = server.estimate.capacityInConnections()
                 * slowStartFraction
-                / (slowStartFraction < 1 ? context.settings.slowStartDurationMicros() : recoveryMicros);
+                / (slowStartFraction < 1 ? context.settings().slowStartDurationMicros() : recoveryMicros);
         if (slowStartFraction < 1) {
-            boolean newClient = !request.event.reconnecting() && request.attemptCount == 0;
+            boolean newClient = !request.event.reconnecting() && request.isFirstAttempt();
             return server.slowStartBudget.admitsDuringSlowStart(
-                    context.slowStartRule,
-                    context.processCount,
+                    context.slowStartRule(),
+                    context.processCount(),
                     requestsPerMicro,
                     endpoints.isHome(server),
                     newClient,
-                    context.nowMicros,
+                    context.nowMicros(),
                     context::uniform);
         }
         double relayShare = SlowStartBudget.relayShare(
-                        endpoints.isHome(server), context.settings.instanceCount(), context.settings.zoneCount())
-                / context.processCount;
+                        endpoints.isHome(server),
+                        context.settings().instanceCount(),
+                        context.settings().zoneCount())
+                / context.processCount();
         return server.slowStartBudget.hasPermit(
                 requestsPerMicro * relayShare,
-                context.settings.overloadWindowMicros(),
-                context.nowMicros,
+                context.settings().overloadWindowMicros(),
+                context.nowMicros(),
                 context::uniform);
     }
 
@@ -100,7 +102,7 @@
     }
 
     private boolean relaysOutnumberServers() {
-        return context.settings.instanceCount() > context.settings.zoneCount() * endpoints.homeServers.length;
+        return context.settings().instanceCount() > context.settings().zoneCount() * endpoints.homeServers.length;
     }
 
     /**
@@ -121,7 +123,7 @@
     /** The server for this request. Null where none can take it. */
     ServerState pick(TrackedRequest request) {
         long seed = request.event.group() == null
-                ? context.random.next()
+                ? context.nextRandom()
                 : SeededRandom.hash(request.event.group()) + groupPlace(request);
         candidateSummary.reset();
         double usableHomeRating = 0;
@@ -166,13 +168,16 @@
         ServerState best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
         for (ServerState server : candidates) {
-            if (!request.isAllowedAt(server) || !server.isSelectable(context)) {
+            if (!server.isReady()
+                    || request.hadErrorAt(server)
+                    || !request.duplicateGuard.allowsServer(server)
+                    || !server.isSelectable(context)) {
                 continue;
             }
             boolean limitReached = InstallationLimits.isReached(
                             context.limits.maxServerConnections(), server.estimate.connectionsAndAttempts())
-                    || !server.setupLimiter.hasToken(context.nowMicros);
-            if (!candidateSummary.add(server.estimate, limitReached, context.nowMicros)) {
+                    || !server.setupLimiter.hasToken(context.nowMicros());
+            if (!candidateSummary.add(server.estimate, limitReached, context.nowMicros())) {
                 continue;
             }
             // no fallback to servers whose messages are late: what is added there serves nobody, and where
--- a/src/main/java/sandstack/decisions/ServerState.java
+++ b/src/main/java/sandstack/decisions/ServerState.java
@@ -45,7 +45,7 @@
         this.id = id;
         this.hash = SeededRandom.hash(id);
         this.estimate = context.capacity.newEstimate();
-        this.setupLimiter = new SetupRateLimiter(context.limits.maxSetupsPerSecond(), context.nowMicros);
+        this.setupLimiter = new SetupRateLimiter(context.limits.maxSetupsPerSecond(), context.nowMicros());
     }
 
     boolean isReady() {
@@ -54,7 +54,7 @@
 
     void recordFailure(BalancerContext context) {
         consecutiveFailures = Math.min(consecutiveFailures + 1, MAX_CONSECUTIVE_FAILURES);
-        ejectedUntilMicros = context.nowMicros + (context.ejectionUnitMicros << consecutiveFailures >> 1);
+        ejectedUntilMicros = context.nowMicros() + (context.updateIntervalMicros() << consecutiveFailures >> 1);
     }
 
     /**
@@ -78,7 +78,7 @@
 
     /** A mark that has run out ends by one trial, not by a crowd. */
     boolean isSelectable(BalancerContext context) {
-        return consecutiveFailures == 0 || (context.nowMicros >= ejectedUntilMicros && !trialInFlight);
+        return consecutiveFailures == 0 || (context.nowMicros() >= ejectedUntilMicros && !trialInFlight);
     }
 
     /**
@@ -86,12 +86,12 @@
      * kept a balancer shedding after the trouble had passed.
      */
     boolean isEjected(BalancerContext context) {
-        return consecutiveFailures > 0 && context.nowMicros < ejectedUntilMicros;
+        return consecutiveFailures > 0 && context.nowMicros() < ejectedUntilMicros;
     }
 
     /** The part of its capacity that it has by now: 1 when it is warm. */
     double slowStartFraction(BalancerContext context) {
-        return context.settings.slowStartFraction(startedAtMicros, context.nowMicros);
+        return context.settings().slowStartFraction(startedAtMicros, context.nowMicros());
     }
 
     /** A fresh process: what was known of the old one says nothing, and it is cold. */
@@ -101,6 +101,6 @@
         ejectedUntilMicros = 0;
         messageDelayMicros = 0;
         estimate.onRestart();
-        slowStartBudget.onRestart(context.nowMicros);
+        slowStartBudget.onRestart(context.nowMicros());
     }
 }
--- a/src/main/java/sandstack/decisions/TrackedRequest.java
+++ b/src/main/java/sandstack/decisions/TrackedRequest.java
@@ -4,77 +4,112 @@
 import java.util.List;
 import sandstack.decisions.BalancerEvent.ConnectRequested;
 
-/** One client connection, from its arrival to its end. */
+/**
+ * The state of one request, from its arrival to its final answer or to the end of its connection. {@link
+ * RequestLifecycle} owns {@link #state}, {@link #server} and the attempt; the other fields name their owners. One
+ * thread.
+ */
 final class TrackedRequest {
-    /** Whether it is held here, out at a server as an attempt, or open. */
+    /** Phase of a request. */
     enum State {
+        /** Held until a timer expires; also the state after its end. */
         WAITING,
+        /** An attempt at {@link #server} is in flight. */
         ATTEMPTING,
+        /** Its connection at {@link #server} is established. */
         ESTABLISHED
     }
 
     final ConnectRequested event;
     final RequestClass requestClass;
+    /** Identifies the client; the request's own id where the client is unknown. */
     final String clientKey;
+
+    final DuplicateExecutionGuard duplicateGuard;
     private final int maxAttempts;
+
     State state = State.WAITING;
-    int attemptCount;
+    /** The server of the latest attempt or of the connection; null before the first attempt. */
     ServerState server;
+
+    private int attemptCount;
+    private long attemptStartedAtMicros;
+    private long establishedAtMicros;
+
+    /** Load as reported, in microseconds of work a second; 0 where unknown. Owner: {@link ServerHeadroom}. */
     double reportedLoad;
-    /** What it is taken for while it stands: its load, or what its class tells; 0 where neither is known. */
+    /** Load that the server's estimate counts: as reported, or the mean of its class. Owner: {@link ServerHeadroom}. */
     double assumedLoad;
-
+    /** Its timer; 0 where it never had one. Owner: {@link BalancerContext#scheduleTimer}. */
     long timerToken;
-    long establishedAtMicros;
+    /** Position in its server's migration interval, in [0, 1); -1 where none is drawn. Owner: the slow-server rule. */
     double migrationDraw = -1;
-    /** Servers that gave it an error. */
-    List<ServerState> serversWithErrors = List.of();
-    // keyed and unsafe classes: the first attempt that may have run
-    ServerState possiblyExecutedAt;
-    long possiblyExecutedSinceMicros;
-    long attemptStartedAtMicros;
+
+    private List<ServerState> serversWithErrors = List.of();
 
     TrackedRequest(ConnectRequested event, BalancerSettings settings) {
         this.event = event;
         this.requestClass = settings.classes().get(event.classIndex());
+        this.duplicateGuard = new DuplicateExecutionGuard(requestClass);
         this.maxAttempts = settings.maxAttempts();
         this.clientKey = event.clientKey() == null ? event.requestId() : event.clientKey();
         this.reportedLoad = event.expectedLoad();
     }
 
-    /** Attempts that it still has: those allowed when it came may be fewer by now, but never more. */
+    /** Attempts left under the lower of the limits at its arrival and now. */
     int remainingAttempts(BalancerSettings settings) {
         return Math.min(maxAttempts, settings.maxAttempts()) - attemptCount;
     }
 
-    void recordErrorAt(ServerState server) {
-        serversWithErrors = new ArrayList<>(serversWithErrors);
-        serversWithErrors.add(server);
+    boolean isFirstAttempt() {
+        return attemptCount == 0;
+    }
+
+    /** Whether this is the number, from 0, of the latest attempt. */
+    boolean isLatestAttempt(int attempt) {
+        return attempt == attemptCount - 1;
+    }
+
+    void onAttemptStarted(ServerState attemptedServer, long nowMicros) {
+        state = State.ATTEMPTING;
+        server = attemptedServer;
+        attemptStartedAtMicros = nowMicros;
+        attemptCount++;
+    }
+
+    /** Its connection was established elsewhere, by what counts as attempt 0. */
+    void onAdopted(ServerState adoptedServer) {
+        server = adoptedServer;
+        attemptCount = 1;
+    }
+
+    void onEstablished(long nowMicros) {
+        state = State.ESTABLISHED;
+        establishedAtMicros = nowMicros;
     }
 
-    /** Whether one more attempt can do no effect twice. */
-    boolean isRetrySafe(long nowMicros) {
-        return possiblyExecutedAt == null
-                || requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || (requestClass.idempotency() == Idempotency.WITH_KEY
-                        && nowMicros - possiblyExecutedSinceMicros < requestClass.deduplicationWindowMicros());
+    long attemptStartedAtMicros() {
+        return attemptStartedAtMicros;
+    }
+
+    long establishedAtMicros() {
+        return establishedAtMicros;
+    }
+
+    /** A server answered it with an error. */
+    void recordErrorAt(ServerState failedServer) {
+        serversWithErrors = new ArrayList<>(serversWithErrors);
+        serversWithErrors.add(failedServer);
     }
 
-    boolean isRejectionTruthful() {
-        return possiblyExecutedAt == null
-                || requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || (requestClass.idempotency() == Idempotency.WITH_KEY
-                        && requestClass.deduplicationScope() == DeduplicationScope.ALL);
+    boolean hadErrorAt(ServerState candidate) {
+        return serversWithErrors.contains(candidate);
     }
 
-    /** Whether an attempt there can do no effect twice, and the server did not err on it. */
-    boolean isAllowedAt(ServerState server) {
-        if (!server.isReady() || serversWithErrors.contains(server)) {
-            return false;
-        }
-        ServerState executedAt = possiblyExecutedAt;
-        boolean anywhere = executedAt == null || requestClass.idempotency() == Idempotency.IDEMPOTENT;
-        return anywhere
-                || requestClass.deduplicationScope().covers(executedAt.zone, executedAt.cell, server.zone, server.cell);
+    /** The servers that answered it with an error, in that order; they are forgotten. */
+    List<ServerState> takeServersWithErrors() {
+        List<ServerState> taken = serversWithErrors;
+        serversWithErrors = List.of();
+        return taken;
     }
 }
