--- a/src/main/java/sandstack/decisions/RequestCompletion.java
+++ b/src/main/java/sandstack/decisions/RequestCompletion.java
@@ -24,7 +24,7 @@
 
     /** Rejects with the rest of the client's back-off interval as Retry-After. */
     void reject(TrackedRequest request, RejectionReason reason) {
-        if (!request.duplicateGuard.allowsRejection()) {
+        if (!DuplicateExecutionGuard.allowsRejection(request)) {
             fail(request);
             return;
         }
--- a/src/main/java/sandstack/decisions/RequestLifecycle.java
+++ b/src/main/java/sandstack/decisions/RequestLifecycle.java
@@ -201,8 +201,7 @@
         if (outcome != AttemptOutcome.TIMEOUT || !setupTimes.isSharedDependencySlow()) {
             blameServer(request, outcome);
         }
-        request.duplicateGuard.onAttemptEnded(request.server, outcome, request.attemptStartedAtMicros());
-        request.state = State.WAITING;
+        request.onAttemptFailed(outcome);
         retryOrAnswer(request, outcome);
     }
 
--- a/src/main/java/sandstack/decisions/RetryPolicy.java
+++ b/src/main/java/sandstack/decisions/RetryPolicy.java
@@ -21,7 +21,7 @@
     /** Whether the client still waits and one more attempt cannot take effect twice. */
     boolean mayRetry(TrackedRequest request) {
         return context.nowMicros() < request.event.deadlineMicros()
-                && request.duplicateGuard.allowsAttempt(context.nowMicros());
+                && DuplicateExecutionGuard.allowsAttempt(request, context.nowMicros());
     }
 
     /** Counts a failed placement and draws the time of the retry, uniformly over the next back-off interval. */
--- a/src/main/java/sandstack/decisions/ServerPicker.java
+++ b/src/main/java/sandstack/decisions/ServerPicker.java
@@ -170,7 +170,7 @@
         for (ServerState server : candidates) {
             if (!server.isReady()
                     || request.hadErrorAt(server)
-                    || !request.duplicateGuard.allowsServer(server)
+                    || !DuplicateExecutionGuard.allowsServer(request, server)
                     || !server.isSelectable(context)) {
                 continue;
             }
--- a/src/main/java/sandstack/decisions/TrackedRequest.java
+++ b/src/main/java/sandstack/decisions/TrackedRequest.java
@@ -25,7 +25,6 @@
     /** Identifies the client; the request's own id where the client is unknown. */
     final String clientKey;
 
-    final DuplicateExecutionGuard duplicateGuard;
     private final int maxAttempts;
 
     State state = State.WAITING;
@@ -35,6 +34,8 @@
     private int attemptCount;
     private long attemptStartedAtMicros;
     private long establishedAtMicros;
+    private ServerState possiblyExecutedAt;
+    private long possiblyExecutedSinceMicros;
 
     /** Load as reported, in microseconds of work a second; 0 where unknown. Owner: {@link ServerHeadroom}. */
     double reportedLoad;
@@ -50,7 +51,6 @@
     TrackedRequest(ConnectRequested event, BalancerSettings settings) {
         this.event = event;
         this.requestClass = settings.classes().get(event.classIndex());
-        this.duplicateGuard = new DuplicateExecutionGuard(requestClass);
         this.maxAttempts = settings.maxAttempts();
         this.clientKey = event.clientKey() == null ? event.requestId() : event.clientKey();
         this.reportedLoad = event.expectedLoad();
@@ -88,8 +88,23 @@
         establishedAtMicros = nowMicros;
     }
 
-    long attemptStartedAtMicros() {
-        return attemptStartedAtMicros;
+    /** The latest attempt ended without a connection; notes the first one that its server may have executed. */
+    void onAttemptFailed(AttemptOutcome outcome) {
+        state = State.WAITING;
+        if (!outcome.notExecuted && possiblyExecutedAt == null) {
+            possiblyExecutedAt = server;
+            possiblyExecutedSinceMicros = attemptStartedAtMicros;
+        }
+    }
+
+    /** Server of the first attempt that may have been executed; null where none may. */
+    ServerState possiblyExecutedAt() {
+        return possiblyExecutedAt;
+    }
+
+    /** Start of that attempt. */
+    long possiblyExecutedSinceMicros() {
+        return possiblyExecutedSinceMicros;
     }
 
     long establishedAtMicros() {
