--- a/src/main/java/sandstack/decisions/ConnectionMigration.java
+++ b/src/main/java/sandstack/decisions/ConnectionMigration.java
@@ -106,7 +106,7 @@
             }
         }
         double gap = busiest == null ? 0 : headroom.utilization(busiest) - headroom.utilization(idlest);
-        if (gap < 2 * ServerPicker.UTILIZATION_GAP
+        if (gap < 2 * SpilloverPolicy.UTILIZATION_GAP
                 || headroom.utilization(busiest) < HeadroomWeight.NEARLY_FULL_UTILIZATION) {
             return;
         }
