--- a/src/main/java/sandstack/decisions/CandidateFilter.java
+++ b/src/main/java/sandstack/decisions/CandidateFilter.java
@@ -46,7 +46,7 @@
         return server.isReady()
                 && !request.hadErrorAt(server)
                 && DuplicateExecutionGuard.allowsServer(request, server)
-                && server.isSelectable(context);
+                && server.outlierDetector.isSelectable();
     }
 
     /** By the limits of the installation and the estimate of the server's capacity. */
--- a/src/main/java/sandstack/decisions/EndpointTable.java
+++ b/src/main/java/sandstack/decisions/EndpointTable.java
@@ -4,115 +4,117 @@
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sandstack.decisions.BalancerAction.SetTimer;
-import sandstack.decisions.BalancerAction.WatchEndpointList;
 import sandstack.decisions.BalancerEvent.EndpointListUpdate;
 
 /**
- * The servers that this instance knows of and the list they come from. One thread; a list costs O(its
- * entries plus the servers known), the rest O(1).
+ * The servers that this instance knows, as the endpoint list names them. One thread; an update costs O(its entries and
+ * the known servers), the rest O(1).
  */
 final class EndpointTable {
-    /** Connections on a server that leaves move within an interval of this n. */
-    private static final int DRAIN_MIGRATION_EXPONENT = 6;
-
-    static final long POLL_TIMER_TOKEN = -1;
+    private static final ServerState[] NO_SERVERS = {};
 
     private final BalancerContext context;
+    private final DrainMigration drainMigration;
+    private final EndpointListPoller poller;
     private final Map<String, ServerState> servers = new LinkedHashMap<>();
-    /** The servers of the home zone and those elsewhere, but for those that are gone. */
-    ServerState[] homeServers = new ServerState[0];
 
-    ServerState[] awayServers = new ServerState[0];
-    ServerState[] listedServers = new ServerState[0];
+    /** All servers that are not gone, in the order in which they were first named. */
+    ServerState[] listedServers = NO_SERVERS;
+    /** Those of the home zone. */
+    ServerState[] homeServers = NO_SERVERS;
+    /** Those of the other zones. */
+    ServerState[] awayServers = NO_SERVERS;
+    /** Sum of the ratings of the home zone's ready servers. */
     double readyHomeRating;
+    /** Mean rating over the home zone's servers, of which only ready ones count; 1 where none is ready. */
     double meanHomeRating = 1;
-    private int consecutivePollFailures;
-    private boolean pollScheduled;
 
-    EndpointTable(BalancerContext context) {
+    EndpointTable(BalancerContext context, DrainMigration drainMigration, EndpointListPoller poller) {
         this.context = context;
+        this.drainMigration = drainMigration;
+        this.poller = poller;
     }
 
+    /** All known servers, also those that are gone while they hold connections or their drain grace runs. */
     Collection<ServerState> all() {
         return servers.values();
     }
 
-    /** Null where no list has named it. */
+    /** The server with this id; null where it is not known. */
     ServerState get(String serverId) {
         return servers.get(serverId);
     }
 
     ServerState getOrAdd(String serverId) {
-        return servers.computeIfAbsent(serverId, name -> new ServerState(name, context));
+        return servers.computeIfAbsent(serverId, id -> new ServerState(id, context));
+    }
+
+    boolean isHome(ServerState server) {
+        return server.zone == context.settings().homeZone();
     }
 
     void onEndpointList(EndpointListUpdate update) {
         if (update.kind() == EndpointListKind.FAILED) {
-            pollScheduled = false;
-            consecutivePollFailures++;
-            schedulePoll();
+            poller.onFailure();
             return;
         }
         if (update.kind() != EndpointListKind.DELTA) {
-            Set<String> listedIds = new HashSet<>();
-            for (EndpointEntry entry : update.entries()) {
-                listedIds.add(entry.serverId());
-            }
-            for (ServerState server : servers.values()) {
-                if (!listedIds.contains(server.id)) {
-                    startDraining(server, EndpointState.GONE);
-                }
-            }
+            drainUnlisted(update.entries());
         }
         for (EndpointEntry entry : update.entries()) {
-            ServerState server = getOrAdd(entry.serverId());
-            server.zone = entry.zone();
-            server.cell = entry.cell();
-            server.rating = entry.rating() > 0 ? entry.rating() : 1;
-            server.estimate.onEndpointListed(entry.machineKind(), server.rating);
-            if (entry.startedAtMicros() != server.startedAtMicros) {
-                server.onRestart(entry.startedAtMicros(), context);
-            }
-            if (entry.state() == EndpointState.READY) {
-                server.state = EndpointState.READY;
-            } else {
-                startDraining(server, entry.state());
-            }
+            apply(entry);
         }
-        servers.values()
-                .removeIf(server -> server.state == EndpointState.GONE
-                        && server.established.isEmpty()
-                        && !server.trialInFlight
-                        && context.nowMicros() - server.drainingSinceMicros
-                                > context.settings().drainGraceMicros());
+        removeGone();
         rebuild();
-        if (update.kind() == EndpointListKind.CACHED) {
-            if (context.settings().endpointListPolled()) {
-                schedulePoll();
+        poller.onList(update.kind());
+    }
+
+    private void drainUnlisted(List<EndpointEntry> entries) {
+        Set<String> listedIds = new HashSet<>();
+        for (EndpointEntry entry : entries) {
+            listedIds.add(entry.serverId());
+        }
+        for (ServerState server : servers.values()) {
+            if (!listedIds.contains(server.id)) {
+                startDraining(server, EndpointState.GONE);
             }
+        }
+    }
+
+    private void apply(EndpointEntry entry) {
+        ServerState server = getOrAdd(entry.serverId());
+        server.zone = entry.zone();
+        server.cell = entry.cell();
+        server.rating = entry.rating() > 0 ? entry.rating() : 1;
+        server.estimate.onEndpointListed(entry.machineKind(), server.rating);
+        server.onStartTime(entry.startedAtMicros(), context);
+        if (entry.state() == EndpointState.READY) {
+            server.state = EndpointState.READY;
         } else {
-            consecutivePollFailures = 0;
+            startDraining(server, entry.state());
         }
     }
 
     private void startDraining(ServerState server, EndpointState state) {
         if (server.isReady()) {
             server.drainingSinceMicros = context.nowMicros();
-            // it may not send its connections away by itself: each draws a moment of its own to move
-            for (TrackedRequest request : server.established.values()) {
-                context.scheduleTimer(
-                        request,
-                        context.nowMicros()
-                                + 1
-                                + (long) (context.uniform() * (context.slotMicros() << DRAIN_MIGRATION_EXPONENT)));
-            }
+            drainMigration.onDraining(server);
         }
         server.state = state;
     }
 
+    private void removeGone() {
+        servers.values()
+                .removeIf(server -> server.state == EndpointState.GONE
+                        && server.established.isEmpty()
+                        && !server.outlierDetector.isTrialInFlight()
+                        && context.nowMicros() - server.drainingSinceMicros
+                                > context.settings().drainGraceMicros());
+    }
+
     private void rebuild() {
         listedServers = servers.values().stream()
                 .filter(server -> server.state != EndpointState.GONE)
@@ -130,28 +132,4 @@
                 .sum());
         meanHomeRating = homeServers.length == 0 || readyHomeRating <= 0 ? 1 : readyHomeRating / homeServers.length;
     }
-
-    boolean isHome(ServerState server) {
-        return server.zone == context.settings().homeZone();
-    }
-
-    /** Asks for changes; a failed ask is repeated under the same back-off, in the time the rules allow. */
-    private void schedulePoll() {
-        if (pollScheduled) {
-            return;
-        }
-        pollScheduled = true;
-        if (consecutivePollFailures == 0) {
-            poll();
-            return;
-        }
-        context.addAction(new SetTimer(
-                context.settings().endpointListStaleness().backoffMicros(consecutivePollFailures, context.uniform()),
-                POLL_TIMER_TOKEN));
-    }
-
-    void poll() {
-        pollScheduled = false;
-        context.addAction(new WatchEndpointList());
-    }
 }
--- a/src/main/java/sandstack/decisions/GroupPlacement.java
+++ b/src/main/java/sandstack/decisions/GroupPlacement.java
@@ -23,12 +23,12 @@
 
     private final BalancerContext context;
     private final EndpointTable endpoints;
-    private final LoadShedder shedder;
+    private final FleetOverloadDetector overloadDetector;
 
-    GroupPlacement(BalancerContext context, EndpointTable endpoints, LoadShedder shedder) {
+    GroupPlacement(BalancerContext context, EndpointTable endpoints, FleetOverloadDetector overloadDetector) {
         this.context = context;
         this.endpoints = endpoints;
-        this.shedder = shedder;
+        this.overloadDetector = overloadDetector;
     }
 
     /**
@@ -37,7 +37,8 @@
      * outnumber servers and each sees too little of a group.
      */
     boolean shouldConsolidate() {
-        return Math.max(shedder.overloadedHomeFraction(), shedder.overloadedAwayFraction()) > CONSOLIDATION_THRESHOLD
+        return Math.max(overloadDetector.overloadedHomeFraction(), overloadDetector.overloadedAwayFraction())
+                        > CONSOLIDATION_THRESHOLD
                 || instancesOutnumberServers();
     }
 
--- a/src/main/java/sandstack/decisions/LoadBalancer.java
+++ b/src/main/java/sandstack/decisions/LoadBalancer.java
@@ -32,10 +32,15 @@
 public final class LoadBalancer {
     private final BalancerContext context;
     private final EndpointTable endpoints;
+    private final EndpointListPoller endpointListPoller;
+    private final ConnectionTracker connections;
     private final ServerHeadroom headroom;
+    private final FleetOverloadDetector overloadDetector;
     private final LoadShedder shedder;
     private final ServerPicker picker;
-    private final ConnectionMigration migration;
+    private final SlowServerMigration slowServerMigration;
+    private final DrainMigration drainMigration;
+    private final LoadRebalancer rebalancer;
     private final RequestTable requests;
     private final RequestLifecycle lifecycle;
     private final BalancerEvent.Handler eventHandler = new EventHandler();
@@ -55,13 +60,18 @@
             long seed,
             long nowMicros) {
         context = new BalancerContext(initialSettings, statedCapacities, limits, seed, nowMicros);
-        endpoints = new EndpointTable(context);
+        drainMigration = new DrainMigration(context);
+        endpointListPoller = new EndpointListPoller(context);
+        endpoints = new EndpointTable(context, drainMigration, endpointListPoller);
         headroom = new ServerHeadroom(context);
-        shedder = new LoadShedder(context, endpoints, headroom);
-        picker = new ServerPicker(context, endpoints, headroom, shedder);
-        migration = new ConnectionMigration(context, endpoints, headroom, shedder);
-        requests = new RequestTable(context, headroom, limits);
-        lifecycle = new RequestLifecycle(context, endpoints, headroom, shedder, picker, requests);
+        connections = new ConnectionTracker(context);
+        overloadDetector = new FleetOverloadDetector(endpoints, headroom);
+        shedder = new LoadShedder(context);
+        picker = new ServerPicker(context, endpoints, headroom, overloadDetector);
+        slowServerMigration = new SlowServerMigration(context, endpoints, headroom, shedder);
+        rebalancer = new LoadRebalancer(context, endpoints, headroom);
+        requests = new RequestTable(context, connections, limits);
+        lifecycle = new RequestLifecycle(context, endpoints, connections, shedder, picker, requests);
         nextUpdateMicros = nowMicros;
     }
 
@@ -85,8 +95,9 @@
             return;
         }
         nextUpdateMicros = context.nowMicros() + context.updateIntervalMicros();
-        boolean fleetOverloaded = shedder.updateFleetOverload();
-        migration.update();
+        boolean fleetOverloaded = overloadDetector.update();
+        slowServerMigration.update();
+        rebalancer.update();
         shedder.update(requests.all(), fleetOverloaded);
     }
 
@@ -124,7 +135,7 @@
             TrackedRequest request = requests.get(event.requestId());
             if (request != null && request.state == State.ESTABLISHED) {
                 double load = CapacityEstimate.sanitizeLoad(event.load());
-                headroom.onLoadReported(request, load);
+                connections.onLoadReported(request, load);
                 shedder.onLoadReported(request, load);
             }
         }
@@ -133,7 +144,7 @@
         public void delayReported(DelayReported event) {
             ServerState server = endpoints.get(event.serverId());
             if (server != null) {
-                migration.onDelayReported(server, event.delayMicros());
+                slowServerMigration.onDelayReported(server, event.delayMicros());
             }
         }
 
@@ -152,8 +163,8 @@
 
         @Override
         public void timerExpired(TimerExpired event) {
-            if (event.token() == EndpointTable.POLL_TIMER_TOKEN) {
-                endpoints.poll();
+            if (event.token() == EndpointListPoller.TIMER_TOKEN) {
+                endpointListPoller.poll();
                 return;
             }
             TrackedRequest request = context.takeExpired(event.token());
@@ -161,12 +172,21 @@
                 return;
             }
             if (request.state == State.ESTABLISHED) {
-                migration.onTimer(request);
+                onConnectionTimer(request);
             } else if (request.state == State.WAITING) {
                 lifecycle.place(request);
             }
         }
 
+        /** A connection's timer ends its server's trial, or its wait for migration where the server is draining. */
+        private void onConnectionTimer(TrackedRequest request) {
+            if (request.server.isReady()) {
+                request.server.outlierDetector.onTrialSucceeded();
+            } else {
+                drainMigration.migrate(request);
+            }
+        }
+
         @Override
         public void healthCheckEnded(HealthCheckEnded event) {
             // attempts are the only health evidence: a health check does not prove that a server serves requests
--- a/src/main/java/sandstack/decisions/LoadShedder.java
+++ b/src/main/java/sandstack/decisions/LoadShedder.java
@@ -3,31 +3,29 @@
 import java.util.Collection;
 import java.util.List;
 import sandstack.capacity.ClassLoads;
-import sandstack.capacity.OverloadCount;
 import sandstack.capacity.TenantQuotas;
 import sandstack.random.SeededRandom;
 
 /**
- * What part of the load is refused where most servers are late. One thread; a look costs O(servers and
- * requests), the rest O(1).
+ * Sheds a fraction of the load while most of the fleet is overloaded, where neither placement nor migration can help.
+ * Load goes in the order of least priority weight per load, and what a tenant has beyond its quota before that. One
+ * thread; an update costs O(requests), the rest O(1).
  */
 final class LoadShedder {
+    /** Fraction of the load that each update sheds in addition while the fleet is overloaded. */
     private static final double SHED_FRACTION_STEP = 0.2;
+    /** Fraction that each update sheds less afterwards: slower, so that the overload does not return at once. */
+    private static final double RECOVERY_FRACTION_STEP = SHED_FRACTION_STEP / 8;
+    /** Some load is always served, as evidence of whether the overload has passed. */
     private static final double MAX_SHED_FRACTION = 0.9;
 
     private final BalancerContext context;
-    private final EndpointTable endpoints;
-    private final ServerHeadroom headroom;
     private final ClassLoads classLoads = new ClassLoads();
     private final TenantQuotas tenantQuotas = new TenantQuotas();
     private double shedFraction;
-    private double overloadedHomeFraction;
-    private double overloadedAwayFraction;
 
-    LoadShedder(BalancerContext context, EndpointTable endpoints, ServerHeadroom headroom) {
+    LoadShedder(BalancerContext context) {
         this.context = context;
-        this.endpoints = endpoints;
-        this.headroom = headroom;
         setClassCount(context.settings().classes().size());
         setTenants(context.settings().tenants());
     }
@@ -45,38 +43,7 @@
         return shedFraction > 0;
     }
 
-    /** Part of the known servers of the home zone that are late, evened out. */
-    double overloadedHomeFraction() {
-        return overloadedHomeFraction;
-    }
-
-    double overloadedAwayFraction() {
-        return overloadedAwayFraction;
-    }
-
-    private OverloadCount countOverloaded(ServerState[] servers) {
-        OverloadCount count = new OverloadCount();
-        for (ServerState server : servers) {
-            if (server.isReady()) {
-                count.add(headroom.isOverloaded(server), headroom.isLocallyFull(server), !server.established.isEmpty());
-            }
-        }
-        return count;
-    }
-
-    /** Whether most of what is known here is late. */
-    boolean updateFleetOverload() {
-        OverloadCount away = countOverloaded(endpoints.awayServers);
-        OverloadCount home = countOverloaded(endpoints.homeServers);
-        overloadedHomeFraction = home.smoothedOverloadedFraction(overloadedHomeFraction, 2);
-        overloadedAwayFraction = away.smoothedOverloadedFraction(overloadedAwayFraction, 1);
-        return OverloadCount.isFleetOverloaded(home, away);
-    }
-
-    /**
-     * Where most servers are late, placing and moving cannot help: all lose together. A part of the load is
-     * refused then, least worth for its load first, more each look until the jam is gone.
-     */
+    /** Adjusts the fraction to shed; while none is shed, also the load by class that it is taken from. */
     void update(Collection<TrackedRequest> requests, boolean fleetOverloaded) {
         boolean calm = shedFraction == 0 && !fleetOverloaded;
         if (calm) {
@@ -90,17 +57,21 @@
         }
         tenantQuotas.update(context.settings().instanceCount());
         if (!calm) {
-            shedFraction = fleetOverloaded
-                    ? Math.min(MAX_SHED_FRACTION, shedFraction + SHED_FRACTION_STEP)
-                    : Math.max(0, shedFraction - SHED_FRACTION_STEP / 8);
-            classLoads.shed(
-                    shedFraction,
-                    classIndex -> context.settings().classes().get(classIndex).priorityWeight(),
-                    context.settings().weightPerUnitOfWork());
+            adjustShedFraction(fleetOverloaded);
         }
     }
 
-    /** The load of a connection, or of its class where it tells none; 0 where neither is known. */
+    private void adjustShedFraction(boolean fleetOverloaded) {
+        shedFraction = fleetOverloaded
+                ? Math.min(MAX_SHED_FRACTION, shedFraction + SHED_FRACTION_STEP)
+                : Math.max(0, shedFraction - RECOVERY_FRACTION_STEP);
+        classLoads.shed(
+                shedFraction,
+                classIndex -> context.settings().classes().get(classIndex).priorityWeight(),
+                context.settings().weightPerUnitOfWork());
+    }
+
+    /** The load of a connection: as reported, else the mean of its class; 0 where neither is known. */
     double loadOf(TrackedRequest request) {
         return request.reportedLoad > 0 ? request.reportedLoad : classLoads.meanLoad(request.event.classIndex());
     }
@@ -109,12 +80,11 @@
         classLoads.onLoadReported(request.event.classIndex(), load);
     }
 
-    /** Drawn by client key, so that the same clients stay away and the others are served whole. */
+    /** Decided by a hash of the client key, so that the same clients are shed and the others served completely. */
     boolean shouldShed(TrackedRequest request) {
         if (shedFraction <= 0) {
             return false;
         }
-        // what a tenant holds beyond its share is worth little: that part goes before any class
         double overQuotaFraction =
                 context.settings().overQuotaWeight() < 1 ? tenantQuotas.excessFraction(request.event.tenantIndex()) : 0;
         double fraction = Math.max(classLoads.shedFraction(request.event.classIndex()), overQuotaFraction);
--- a/src/main/java/sandstack/decisions/RequestLifecycle.java
+++ b/src/main/java/sandstack/decisions/RequestLifecycle.java
@@ -19,7 +19,7 @@
 final class RequestLifecycle {
     private final BalancerContext context;
     private final EndpointTable endpoints;
-    private final ServerHeadroom headroom;
+    private final ConnectionTracker connections;
     private final LoadShedder shedder;
     private final ServerPicker picker;
     private final RequestTable requests;
@@ -33,13 +33,13 @@
     RequestLifecycle(
             BalancerContext context,
             EndpointTable endpoints,
-            ServerHeadroom headroom,
+            ConnectionTracker connections,
             LoadShedder shedder,
             ServerPicker picker,
             RequestTable requests) {
         this.context = context;
         this.endpoints = endpoints;
-        this.headroom = headroom;
+        this.connections = connections;
         this.shedder = shedder;
         this.picker = picker;
         this.requests = requests;
@@ -105,9 +105,7 @@
         server.estimate.onAttemptStarted();
         server.setupLimiter.takeToken();
         server.slowStartBudget.onSent(context.nowMicros());
-        if (server.consecutiveFailures > 0) {
-            server.trialInFlight = true;
-        }
+        server.outlierDetector.onAttemptStarted();
         context.addAction(new StartAttempt(
                 request.event.requestId(), server.id, attemptTimeoutPolicy.timeoutMicros(request, remainingMicros)));
     }
@@ -135,17 +133,16 @@
         setupTimes.onEstablished(event.setupMicros());
         request.server.estimate.onAttemptEnded();
         markEstablished(request);
-        request.server.lastErrorSource = null;
-        request.takeServersWithErrors().forEach(server -> server.recordFailure(context));
-        if (request.server.consecutiveFailures > 0) {
-            // an overloaded server accepts a connection and drops it soon after: the trial succeeds by staying up
-            context.scheduleTimer(request, context.nowMicros() + context.updateIntervalMicros());
+        OutlierDetector outlierDetector = request.server.outlierDetector;
+        outlierDetector.onServed(request);
+        if (outlierDetector.hasFailures()) {
+            context.scheduleTimer(request, outlierDetector.trialEndMicros());
         }
     }
 
     private void markEstablished(TrackedRequest request) {
         request.onEstablished(context.nowMicros());
-        headroom.onEstablished(request, shedder.loadOf(request));
+        connections.onEstablished(request, shedder.loadOf(request));
     }
 
     void onAttemptEnded(AttemptEnded event) {
@@ -154,7 +151,7 @@
             onStaleAttemptEnded(event);
             return;
         }
-        request.server.trialInFlight = false;
+        request.server.outlierDetector.onAttemptEnded();
         if (request.state == State.ESTABLISHED) {
             onConnectionEnded(request, event);
         } else {
@@ -165,7 +162,7 @@
     private void onStaleAttemptEnded(AttemptEnded event) {
         ServerState server = endpoints.get(event.serverId());
         if (server != null) {
-            server.trialInFlight = false;
+            server.outlierDetector.onAttemptEnded();
             capacityEvidence.onStaleAttemptEnded(server);
         }
     }
@@ -173,8 +170,8 @@
     private void onConnectionEnded(TrackedRequest request, AttemptEnded event) {
         retryBackoff.clearAfterLongConnection(request);
         if (event.outcome() == AttemptOutcome.RESET) {
-            request.server.recordFailure(context);
-            headroom.onClosed(request);
+            request.server.outlierDetector.recordFailure();
+            connections.onClosed(request);
             capacityEvidence.onConnectionReset(request.server);
             // counts as a failed placement, or clients of a full fleet would reconnect without a pause
             retryBackoff.recordFailure(request.clientKey);
@@ -190,29 +187,21 @@
         AttemptOutcome outcome = event.outcome();
         capacityEvidence.onAttemptFailed(request.server, outcome);
         if (event.requestFinished()) {
-            blameServer(request, outcome);
+            request.server.outlierDetector.onAttemptFailed(request, outcome);
             requests.remove(request);
             return;
         }
-        headroom.onClosed(request);
+        connections.onClosed(request);
         if (outcome == AttemptOutcome.TIMEOUT) {
             setupTimes.onTimeout(event.elapsedMicros(), request.requestClass.deadlineMicros());
         }
         if (outcome != AttemptOutcome.TIMEOUT || !setupTimes.isSharedDependencySlow()) {
-            blameServer(request, outcome);
+            request.server.outlierDetector.onAttemptFailed(request, outcome);
         }
         request.onAttemptFailed(outcome);
         retryOrAnswer(request, outcome);
     }
 
-    private void blameServer(TrackedRequest request, AttemptOutcome outcome) {
-        if (outcome == AttemptOutcome.ERROR) {
-            request.server.recordError(request, context);
-        } else if (outcome.failed() && outcome != AttemptOutcome.REJECTED) {
-            request.server.recordFailure(context);
-        }
-    }
-
     private void retryOrAnswer(TrackedRequest request, AttemptOutcome outcome) {
         if (outcome == AttemptOutcome.REJECTED && picker.candidateSummary().isScarce()) {
             completion.rejectWithBackoff(request, RejectionReason.FULL);
--- a/src/main/java/sandstack/decisions/RequestTable.java
+++ b/src/main/java/sandstack/decisions/RequestTable.java
@@ -13,13 +13,13 @@
  */
 final class RequestTable {
     private final BalancerContext context;
-    private final ServerHeadroom headroom;
+    private final ConnectionTracker connections;
     private final ConnectionLimiter connectionLimiter;
     private final Map<String, TrackedRequest> requests = new LinkedHashMap<>();
 
-    RequestTable(BalancerContext context, ServerHeadroom headroom, InstallationLimits limits) {
+    RequestTable(BalancerContext context, ConnectionTracker connections, InstallationLimits limits) {
         this.context = context;
-        this.headroom = headroom;
+        this.connections = connections;
         connectionLimiter = new ConnectionLimiter(limits);
     }
 
@@ -44,7 +44,7 @@
 
     /** Releases all that the request holds; without effect for one that was removed already. */
     void remove(TrackedRequest request) {
-        headroom.onClosed(request);
+        connections.onClosed(request);
         if (requests.remove(request.event.requestId()) != null) {
             connectionLimiter.onFinished(request.event.group());
         }
--- a/src/main/java/sandstack/decisions/ServerHeadroom.java
+++ b/src/main/java/sandstack/decisions/ServerHeadroom.java
@@ -3,10 +3,14 @@
 import sandstack.capacity.HeadroomWeight;
 
 /**
- * How much room servers have, as far as it shows from here: by the delay of their messages where it is told,
- * by what stands there of what an operator stated, and by the evidence of their estimates. One thread; O(1).
+ * How much headroom servers have as seen from this instance: by the delay of their messages where it is reported, else
+ * by the utilization that this instance's connections cause, and by the evidence of their capacity estimates. One
+ * thread; all calls O(1) unless noted.
  */
 final class ServerHeadroom {
+    /** A report of the message delay is used for so many update intervals. */
+    private static final int DELAY_VALIDITY_UPDATE_INTERVALS = 2;
+
     private final BalancerContext context;
     private boolean delaysReported;
 
@@ -14,23 +18,23 @@
         this.context = context;
     }
 
-    /** Part of a server's weight left by the evidence; 0 while its messages take too long. */
+    /** The part of a server's weight that its load leaves it, in [0, 1]; 0 while its messages are slow. */
     double weightFactor(ServerState server) {
         return weightByDelayOrUtilization(server) * HeadroomWeight.byOccupancy(server.estimate.occupancy());
     }
 
-    /** The same by its delay and its use alone. */
     private double weightByDelayOrUtilization(ServerState server) {
-        boolean fresh = context.nowMicros() - server.delayReportedAtMicros <= context.updateIntervalMicros() * 2;
-        if (fresh
-                && HeadroomWeight.isInformative(
-                        server.messageDelayMicros, context.shortestMessageLatencyObjectiveMicros())) {
-            return HeadroomWeight.byDelay(server.messageDelayMicros, context.shortestMessageLatencyObjectiveMicros());
+        double objectiveMicros = context.shortestMessageLatencyObjectiveMicros();
+        if (isDelayReportFresh(server) && HeadroomWeight.isInformative(server.messageDelayMicros, objectiveMicros)) {
+            return HeadroomWeight.byDelay(server.messageDelayMicros, objectiveMicros);
         }
         return HeadroomWeight.byUtilization(utilization(server), context.capacity.loadsKnown());
     }
 
-    /** How much of a server what stands there from here uses, by told loads or a guess; others may add. */
+    /**
+     * The fraction of a server's capacity that this instance's connections use, by reported or mean loads; other
+     * instances may add to it. 0 where delays are reported, which say more.
+     */
     double utilization(ServerState server) {
         return delaysReported
                 ? 0
@@ -39,21 +43,25 @@
                         server.slowStartFraction(context));
     }
 
-    /** Late by nothing but what stands there from here. */
+    /** Whether a server is closed by nothing but the utilization that this instance causes. */
     boolean isLocallyFull(ServerState server) {
         return utilization(server) >= HeadroomWeight.CLOSED_UTILIZATION
                 && context.capacity.loadsKnown()
-                && !server.isEjected(context);
+                && !server.outlierDetector.isEjected();
     }
 
+    /** Whether a server is ejected, slow or full. */
     boolean isOverloaded(ServerState server) {
-        return server.isEjected(context) || weightByDelayOrUtilization(server) <= 0;
+        return server.outlierDetector.isEjected() || weightByDelayOrUtilization(server) <= 0;
     }
 
+    /** The lowest utilization of the servers that may be picked; 1 where there are none. Costs O(servers). */
     double lowestUtilization(ServerState[] candidates) {
         double lowest = 1;
         for (ServerState server : candidates) {
-            lowest = server.isReady() && server.isSelectable(context) ? Math.min(lowest, utilization(server)) : lowest;
+            if (server.isReady() && server.outlierDetector.isSelectable()) {
+                lowest = Math.min(lowest, utilization(server));
+            }
         }
         return lowest;
     }
@@ -64,33 +72,9 @@
         server.delayReportedAtMicros = context.nowMicros();
     }
 
-    /** A connection stands at its server from now on, with this load; 0 where that is not known. */
-    void onEstablished(TrackedRequest request, double load) {
-        request.server.established.put(request.event.requestId(), request);
-        request.assumedLoad = Math.max(0, load);
-        context.capacity.onEstablished(request.reportedLoad);
-        request.server.estimate.onEstablished(request.assumedLoad, context.nowMicros(), context.uniform());
-        if (request.event.group() != null) {
-            request.server.connectionsByGroup.merge(request.event.group(), 1, Integer::sum);
-        }
-    }
-
-    void onLoadReported(TrackedRequest request, double load) {
-        request.server.estimate.onLoadChanged(request.assumedLoad, load);
-        context.capacity.onLoadReported(request.reportedLoad, load);
-        request.reportedLoad = load;
-        request.assumedLoad = load;
-    }
-
-    /** A connection stands no longer; nothing happens to one that did not. */
-    void onClosed(TrackedRequest request) {
-        if (request.server != null && request.server.established.remove(request.event.requestId()) != null) {
-            request.server.estimate.onClosed(request.assumedLoad);
-            context.capacity.onClosed();
-            if (request.event.group() != null) {
-                request.server.connectionsByGroup.computeIfPresent(
-                        request.event.group(), (g, n) -> n > 1 ? n - 1 : null);
-            }
-        }
+    /** Whether the last report of the message delay is recent enough to be used. */
+    boolean isDelayReportFresh(ServerState server) {
+        return context.nowMicros() - server.delayReportedAtMicros
+                <= context.updateIntervalMicros() * DELAY_VALIDITY_UPDATE_INTERVALS;
     }
 }
--- a/src/main/java/sandstack/decisions/ServerPicker.java
+++ b/src/main/java/sandstack/decisions/ServerPicker.java
@@ -17,11 +17,15 @@
     private final RendezvousWeight rendezvous;
     private final SlowStartAdmission slowStart;
 
-    ServerPicker(BalancerContext context, EndpointTable endpoints, ServerHeadroom headroom, LoadShedder shedder) {
+    ServerPicker(
+            BalancerContext context,
+            EndpointTable endpoints,
+            ServerHeadroom headroom,
+            FleetOverloadDetector overloadDetector) {
         this.context = context;
         this.endpoints = endpoints;
-        spillover = new SpilloverPolicy(context, endpoints, headroom, shedder);
-        groups = new GroupPlacement(context, endpoints, shedder);
+        spillover = new SpilloverPolicy(context, endpoints, headroom, overloadDetector);
+        groups = new GroupPlacement(context, endpoints, overloadDetector);
         filter = new CandidateFilter(context, headroom);
         rendezvous = new RendezvousWeight(context, endpoints, headroom, groups);
         slowStart = new SlowStartAdmission(context, endpoints);
--- a/src/main/java/sandstack/decisions/SpilloverPolicy.java
+++ b/src/main/java/sandstack/decisions/SpilloverPolicy.java
@@ -19,13 +19,17 @@
     private final BalancerContext context;
     private final EndpointTable endpoints;
     private final ServerHeadroom headroom;
-    private final LoadShedder shedder;
+    private final FleetOverloadDetector overloadDetector;
 
-    SpilloverPolicy(BalancerContext context, EndpointTable endpoints, ServerHeadroom headroom, LoadShedder shedder) {
+    SpilloverPolicy(
+            BalancerContext context,
+            EndpointTable endpoints,
+            ServerHeadroom headroom,
+            FleetOverloadDetector overloadDetector) {
         this.context = context;
         this.endpoints = endpoints;
         this.headroom = headroom;
-        this.shedder = shedder;
+        this.overloadDetector = overloadDetector;
     }
 
     /** Draws whether the next request stays in the home zone; it always does where there is no other zone. */
@@ -38,7 +42,7 @@
     private double byUsableRating() {
         double usableRating = 0;
         for (ServerState server : endpoints.homeServers) {
-            usableRating += server.isReady() && server.isSelectable(context)
+            usableRating += server.isReady() && server.outlierDetector.isSelectable()
                     ? server.rating * server.slowStartFraction(context)
                     : 0;
         }
@@ -50,8 +54,8 @@
     /** Spills over like the overloaded fraction, as far as servers elsewhere are not overloaded themselves. */
     private double byOverloadedFraction() {
         return 1
-                - Math.max(0, shedder.overloadedHomeFraction() - TOLERATED_OVERLOADED_FRACTION)
-                        * (1 - shedder.overloadedAwayFraction());
+                - Math.max(0, overloadDetector.overloadedHomeFraction() - TOLERATED_OVERLOADED_FRACTION)
+                        * (1 - overloadDetector.overloadedAwayFraction());
     }
 
     private double byUtilizationGap() {
--- a/src/main/java/sandstack/decisions/TrackedRequest.java
+++ b/src/main/java/sandstack/decisions/TrackedRequest.java
@@ -37,14 +37,14 @@
     private ServerState possiblyExecutedAt;
     private long possiblyExecutedSinceMicros;
 
-    /** Load as reported, in microseconds of work a second; 0 where unknown. Owner: {@link ServerHeadroom}. */
+    /** Reported load, in microseconds of work a second; 0 where unknown. Owner: {@link ConnectionTracker}. */
     double reportedLoad;
-    /** Load that the server's estimate counts: as reported, or the mean of its class. Owner: {@link ServerHeadroom}. */
+    /** Load that its server's estimate counts: reported, or the mean of its class. Owner: {@link ConnectionTracker}. */
     double assumedLoad;
-    /** Its timer; 0 where it never had one. Owner: {@link BalancerContext#scheduleTimer}. */
+    /** Token of its timer; 0 where it never had one. Owner: {@link BalancerContext#scheduleTimer}. */
     long timerToken;
-    /** Position in its server's migration interval, in [0, 1); -1 where none is drawn. Owner: the slow-server rule. */
-    double migrationDraw = -1;
+    /** Position in its server's migration interval, in [0, 1), or none. Owner: {@link SlowServerMigration}. */
+    double migrationDraw = SlowServerMigration.NO_DRAW;
 
     private List<ServerState> serversWithErrors = List.of();
 
@@ -111,10 +111,10 @@
         return establishedAtMicros;
     }
 
-    /** A server answered it with an error. */
-    void recordErrorAt(ServerState failedServer) {
+    /** The server of the latest attempt answered it with an error. */
+    void recordErrorAtServer() {
         serversWithErrors = new ArrayList<>(serversWithErrors);
-        serversWithErrors.add(failedServer);
+        serversWithErrors.add(server);
     }
 
     boolean hadErrorAt(ServerState candidate) {
