--- a/src/main/java/sandstack/decisions/AttemptOutcome.java
+++ b/src/main/java/sandstack/decisions/AttemptOutcome.java
@@ -1,12 +1,12 @@
 package sandstack.decisions;
 
-/** How an attempt, a standing connection or a probe ended. */
+/** How an attempt, an established connection or a health check ended. */
 public enum AttemptOutcome {
-    /** Served to its end; for a probe: answered. */
+    /** Served to its end; for a health check: answered. */
     OK(false),
-    /** The server gave an error. */
+    /** The server answered with an error. */
     ERROR(false),
-    /** Turned away unseen: no room, or draining. */
+    /** Rejected before it was processed: the server is full or draining. */
     REJECTED(true),
     /** No answer in time. */
     TIMEOUT(false),
@@ -14,12 +14,12 @@
     CONNECT_FAILED(true),
     /** The connection broke. */
     RESET(false),
-    /** Called off, or the client left. */
+    /** Cancelled, or the client disconnected. */
     CANCELLED(false),
-    /** Never sent: the request had ended or had no attempt left. */
+    /** Never sent: the request had ended or had no attempts left. */
     NOT_SENT(true);
 
-    /** Whether this outcome proves that the attempt never ran. */
+    /** Whether this outcome proves that the server did not execute the attempt. */
     public final boolean notExecuted;
 
     AttemptOutcome(boolean notExecuted) {
--- a/src/main/java/sandstack/decisions/BalancerAction.java
+++ b/src/main/java/sandstack/decisions/BalancerAction.java
@@ -2,7 +2,10 @@
 
 import sandstack.capacity.RejectionReason;
 
-/** What the module decides; the balancer carries actions out in order, at once. */
+/**
+ * A decision of the {@link LoadBalancer}. Its host carries the actions of an event out at once and in order; times are
+ * microseconds.
+ */
 public sealed interface BalancerAction {
     /** Calls the handler's method for this kind of action. */
     <E extends Exception> void dispatch(Handler<E> handler) throws E;
@@ -10,29 +13,34 @@
     /**
      * Carries actions out: one method for each kind.
      *
-     * @param <E> what carrying out may throw; {@link RuntimeException} where nothing has to be caught
+     * @param <E> exception that carrying out may throw; {@link RuntimeException} where there is no checked one
      */
     interface Handler<E extends Exception> {
-        /** Starts an attempt. */
+        /** Starts an attempt at a server. */
         void startAttempt(StartAttempt action) throws E;
 
-        /** Refuses a request for good. */
+        /** Rejects a request. */
         void reject(Reject action) throws E;
 
-        /** Answers a request as failed. */
+        /** Fails a request. */
         void fail(Fail action) throws E;
 
-        /** Moves a standing connection. */
+        /** Migrates an established connection. */
         void migrate(Migrate action) throws E;
 
         /** Sets a timer. */
         void setTimer(SetTimer action) throws E;
 
-        /** Asks for changes of the server list. */
+        /** Watches the endpoint list. */
         void watchEndpointList(WatchEndpointList action) throws E;
     }
 
-    /** Try this server. A time-out of 0 lasts until the client stops waiting. */
+    /**
+     * Attempt to establish the request's connection at this server.
+     *
+     * @param timeoutMicros time after which the attempt ends as {@link AttemptOutcome#TIMEOUT}; 0 for the request's
+     *     deadline
+     */
     record StartAttempt(String requestId, String serverId, long timeoutMicros) implements BalancerAction {
         @Override
         public <E extends Exception> void dispatch(Handler<E> handler) throws E {
@@ -40,7 +48,11 @@
         }
     }
 
-    /** Final answer: refused for this cause; trying again does no harm. retryAfter 0 gives no advice. */
+    /**
+     * Final answer: rejected. A retry by the client is harmless.
+     *
+     * @param retryAfterMicros how long the client should wait before it retries; 0 where it is not told
+     */
     record Reject(String requestId, long retryAfterMicros, RejectionReason reason) implements BalancerAction {
         @Override
         public <E extends Exception> void dispatch(Handler<E> handler) throws E {
@@ -48,7 +60,7 @@
         }
     }
 
-    /** Final answer: failed; no claim about effects. */
+    /** Final answer: failed. The request may have taken effect. */
     record Fail(String requestId) implements BalancerAction {
         @Override
         public <E extends Exception> void dispatch(Handler<E> handler) throws E {
@@ -56,7 +68,7 @@
         }
     }
 
-    /** End this standing connection politely; its client comes again as a new request. */
+    /** Close this established connection gracefully; its client reconnects, as a new request. */
     record Migrate(String requestId) implements BalancerAction {
         @Override
         public <E extends Exception> void dispatch(Handler<E> handler) throws E {
@@ -64,7 +76,11 @@
         }
     }
 
-    /** Send {@link TimerExpired} with this token so long from now. */
+    /**
+     * Send {@link BalancerEvent.TimerExpired} with this token after the delay.
+     *
+     * @param delayMicros from the time of the event; above 0
+     */
     record SetTimer(long delayMicros, long token) implements BalancerAction {
         @Override
         public <E extends Exception> void dispatch(Handler<E> handler) throws E {
@@ -72,7 +88,7 @@
         }
     }
 
-    /** Ask for changes of the server list from now on; a {@link EndpointListUpdate} answers. */
+    /** Request the endpoint list and its changes from now on; a {@link BalancerEvent.EndpointListUpdate} answers. */
     record WatchEndpointList() implements BalancerAction {
         @Override
         public <E extends Exception> void dispatch(Handler<E> handler) throws E {
--- a/src/main/java/sandstack/decisions/BalancerContext.java
+++ b/src/main/java/sandstack/decisions/BalancerContext.java
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Half of the shortest deadline: the interval of {@linkplain LoadBalancer periodic updates} and the unit of
-     * ejection times, so that a server's recovery is noticed while a waiting client can still profit.
+     * Interval of the {@linkplain LoadBalancer periodic updates} and unit of ejection times: half of the shortest
+     * deadline, so that at least one falls into the time that a client waits.
      */
     long updateIntervalMicros() {
         return updateIntervalMicros;
--- a/src/main/java/sandstack/decisions/BalancerSettings.java
+++ b/src/main/java/sandstack/decisions/BalancerSettings.java
@@ -4,39 +4,38 @@
 import sandstack.staleness.EndpointListStaleness;
 
 /**
- * All that one balancer instance is set up with. The constructor refuses what makes no sense with an
- * {@link IllegalArgumentException} that names the setting.
+ * The settings of one balancer instance. The constructor rejects values out of range with an {@link
+ * IllegalArgumentException} that names the setting.
  *
  * @param instanceIndex number of this instance, from 0
- * @param instanceCount how many instances there are, this one included
+ * @param instanceCount number of instances, this one included
  * @param homeZone zone of this instance
  * @param zoneCount number of zones
- * @param classes the classes, at least one
+ * @param classes the request classes; at least one
  * @param tenants the tenants; may be empty
- * @param overQuotaWeight worth of traffic past a tenant's share, as a part of the usual
- * @param weightPerUnitOfWork worth is counted per unit of work, not per request
- * @param passThrough packets pass through: when the set of balancers changes, standing connections
- *     arrive mid-flow at another. Otherwise connections end at the balancer
+ * @param overQuotaWeight priority weight of a tenant's traffic beyond its quota, as a fraction of the usual weight
+ * @param weightPerUnitOfWork priority weights count per unit of work, not per request
+ * @param passThrough packets pass through the balancer: when the set of instances changes, established connections
+ *     arrive mid-flow at another instance; otherwise connections are terminated at the balancer
  * @param sharedGroups connections of one group share work on a server
- * @param endpointListPolled the server list comes only when asked for; otherwise changes arrive unasked
- * @param pollIntervalMicros where listOnRequest: how long one may go without asking or a subscription
- * @param maxAttempts attempts allowed for one request, at least 1
- * @param connectTimeoutMicros when a connection that is not up counts as failed
- * @param retryAfterHonored clients are told how long to stay away
- * @param maxRetryAfterMicros the longest such advice that clients follow
- * @param healthChecksAllowed servers may be probed
- * @param healthCheckCost price of one probe per request
+ * @param endpointListPolled the endpoint list has to be polled; otherwise changes are pushed
+ * @param pollIntervalMicros with {@code endpointListPolled}: longest time without a poll or a watch
+ * @param maxAttempts attempts allowed for one request; at least 1
+ * @param connectTimeoutMicros time after which an attempt to connect to a server counts as failed
+ * @param retryAfterHonored clients honour Retry-After
+ * @param maxRetryAfterMicros the longest Retry-After that clients honour
+ * @param healthChecksAllowed servers may be health-checked
+ * @param healthCheckCost cost of one health check per request
  * @param gossipAllowed messages to other instances are allowed
- * @param gossipCost price of 256 bytes delivered per request
- * @param crossZoneCost price of each request crossing zones once
- * @param migrationCost price of each client moved once
- * @param drainGraceMicros how long sends to a draining or gone server may go on after it was told
- * @param slowStartInitialFraction part of its capacity that a starting server has at the least
- * @param slowStartDurationMicros time after which it has all of it
- * @param overloadMultiple work beyond this multiple of its present capacity...
- * @param overloadWindowMicros ...for this long makes a cold server fall over
- * @param ratingsAreSizes a server's rating is its size, as registered or about; otherwise it is 1 or changes with
- *     what it holds
+ * @param gossipCost cost of 256 bytes delivered per request
+ * @param crossZoneCost cost of a request that crosses zones, once
+ * @param migrationCost cost of migrating a client, once
+ * @param drainGraceMicros how long a server may still get attempts after it was listed as draining or gone
+ * @param slowStartInitialFraction fraction of its capacity that a server has when it starts, from 0 to 1
+ * @param slowStartDurationMicros time after which it has all of its capacity
+ * @param overloadMultiple multiple of its present capacity at which a server in slow start becomes overloaded...
+ * @param overloadWindowMicros ...if its load stays there for this long
+ * @param ratingsAreSizes a server's rating is about its size; otherwise ratings are 1 or change with the load
  */
 public record BalancerSettings(
         int instanceIndex,
@@ -99,7 +98,7 @@
         require(overloadWindowMicros >= 0, "tipAfter", "is negative");
     }
 
-    /** When what the list's source has to tell counts as told, and when to ask again. */
+    /** When the endpoint list is stale, and when to poll it again. */
     public EndpointListStaleness endpointListStaleness() {
         return new EndpointListStaleness(!endpointListPolled, pollIntervalMicros);
     }
@@ -109,7 +108,7 @@
         return classIndex >= 0 && classIndex < classes.size();
     }
 
-    /** The least set-up aim of any class. */
+    /** The shortest set-up latency objective of any class. */
     public long shortestLatencyObjectiveMicros() {
         return classes.stream()
                 .mapToLong(RequestClass::latencyObjectiveMicros)
@@ -117,26 +116,26 @@
                 .orElseThrow();
     }
 
-    /** The least deadline of any class, in microseconds. */
+    /** The shortest deadline of any class. */
     public long shortestDeadlineMicros() {
         return classes.stream().mapToLong(RequestClass::deadlineMicros).min().orElseThrow();
     }
 
-    /** The greatest deadline of any class, in microseconds. */
+    /** The longest deadline of any class. */
     public long longestDeadlineMicros() {
         return classes.stream().mapToLong(RequestClass::deadlineMicros).max().orElseThrow();
     }
 
-    /** The least aim for a message of the classes that state one; very large where none does. */
+    /** The shortest message latency objective of the classes that have one; very large where none does. */
     public double shortestMessageLatencyObjectiveMicros() {
         return classes.stream()
                 .mapToDouble(RequestClass::messageLatencyObjectiveMicros)
-                .filter(aim -> aim > 0)
+                .filter(objectiveMicros -> objectiveMicros > 0)
                 .min()
                 .orElse(Double.MAX_VALUE);
     }
 
-    /** The part of its capacity that a server has by now, if it started then; 1 where that is long ago. */
+    /** The fraction of its capacity that a server has reached; 1 after its slow start, or for a start time of 0. */
     public double slowStartFraction(long startedAtMicros, long nowMicros) {
         if (startedAtMicros == 0 || slowStartDurationMicros == 0) {
             return 1;
--- a/src/main/java/sandstack/decisions/DeduplicationScope.java
+++ b/src/main/java/sandstack/decisions/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package sandstack.decisions;
 
-/** For keyed requests: the servers that drop each other's repeats. */
+/** The servers that share idempotency keys and so drop each other's duplicates. */
 public enum DeduplicationScope {
     /** All servers. */
     ALL,
@@ -9,7 +9,7 @@
     /** The servers of one cell of one zone. */
     CELL;
 
-    /** Whether a server of that zone and cell drops what one of this zone and cell has seen. */
+    /** Whether a server of one zone and cell drops duplicates of what one of the other zone and cell has executed. */
     public boolean covers(int zone, int cell, int otherZone, int otherCell) {
         return this == ALL || zone == otherZone && (this == ZONE || cell == otherCell);
     }
--- a/src/main/java/sandstack/decisions/EndpointEntry.java
+++ b/src/main/java/sandstack/decisions/EndpointEntry.java
@@ -1,12 +1,12 @@
 package sandstack.decisions;
 
 /**
- * One line of a server list.
+ * One entry of the endpoint list.
  *
- * @param cell the small group of servers that share remembered keys; with its zone, unique
- * @param machineKind kind of machine
- * @param startedAtMicros when its process last started; 0 means long ago
- * @param rating size to compare with others; above 0
+ * @param cell group of servers that share deduplication keys; unique within its zone
+ * @param machineKind kind of machine; servers of one kind have similar capacity per rating
+ * @param startedAtMicros when its process was last started; 0 means long ago
+ * @param rating size relative to other servers; above 0
  */
 public record EndpointEntry(
         String serverId,
--- a/src/main/java/sandstack/decisions/EndpointListKind.java
+++ b/src/main/java/sandstack/decisions/EndpointListKind.java
@@ -1,13 +1,13 @@
 package sandstack.decisions;
 
-/** What a server list event brings. SAVED is the last list held before a restart; it may be old. */
+/** What an update of the endpoint list contains. */
 public enum EndpointListKind {
-    /** All servers there are; one that is missing is gone. */
+    /** All servers; one that is missing is gone. */
     FULL,
     /** Only the servers that have changed. */
     DELTA,
-    /** The last list held before a restart; it may be old. */
+    /** All servers as cached before a restart; may be stale. */
     CACHED,
-    /** The ask or the watch has failed; there is no list. */
+    /** The poll or the watch has failed; there are no entries. */
     FAILED
 }
--- a/src/main/java/sandstack/decisions/EndpointState.java
+++ b/src/main/java/sandstack/decisions/EndpointState.java
@@ -1,11 +1,11 @@
 package sandstack.decisions;
 
-/** State of a server in the list: takes work, finishes what it has, or taken away. */
+/** State of a server in the endpoint list. */
 public enum EndpointState {
-    /** Takes new work. */
+    /** Takes new connections. */
     READY,
-    /** Finishes what it has and takes nothing new. */
+    /** Serves its connections and takes no new ones. */
     DRAINING,
-    /** Taken away. */
+    /** Removed from the list. */
     GONE
 }
--- a/src/main/java/sandstack/decisions/Idempotency.java
+++ b/src/main/java/sandstack/decisions/Idempotency.java
@@ -1,11 +1,11 @@
 package sandstack.decisions;
 
-/** What repeating a request does. */
+/** Whether a request may be executed more than once. */
 public enum Idempotency {
-    /** Repeats do no harm. */
+    /** Idempotent: executing it again is harmless. */
     IDEMPOTENT,
-    /** Repeats do no harm at servers that drop them by the request's key; see {@link DeduplicationScope}. */
+    /** Has an idempotency key: harmless at servers that drop duplicates by it; see {@link DeduplicationScope}. */
     WITH_KEY,
-    /** A repeat may do harm: never sent again once an attempt may have run. */
+    /** Not idempotent: not attempted again once an attempt may have been executed. */
     NOT_IDEMPOTENT
 }
--- a/src/main/java/sandstack/decisions/LoadShedder.java
+++ b/src/main/java/sandstack/decisions/LoadShedder.java
@@ -14,9 +14,9 @@
 final class LoadShedder {
     /** Fraction of the load that each update sheds in addition while the fleet is overloaded. */
     private static final double SHED_FRACTION_STEP = 0.2;
-    /** Fraction that each update sheds less afterwards: slower, so that the overload does not return at once. */
+    /** Fraction that each update sheds less afterwards: slower, lest the overload returns at once. */
     private static final double RECOVERY_FRACTION_STEP = SHED_FRACTION_STEP / 8;
-    /** Some load is always served, as evidence of whether the overload has passed. */
+    /** The most that is shed: some load is always served. */
     private static final double MAX_SHED_FRACTION = 0.9;
 
     private final BalancerContext context;
--- a/src/main/java/sandstack/decisions/RequestClass.java
+++ b/src/main/java/sandstack/decisions/RequestClass.java
@@ -1,17 +1,18 @@
 package sandstack.decisions;
 
 /**
- * A class of requests.
+ * A class of requests. Times are microseconds.
  *
- * @param latencyObjectiveMicros time in which a connection should stand
+ * @param latencyObjectiveMicros time in which a connection should be established
  * @param deadlineMicros total time a client waits
- * @param priorityWeight worth of one request, or of a unit of work where {@link
+ * @param priorityWeight value of serving one request, or one unit of work with {@link
  *     BalancerSettings#weightPerUnitOfWork}
- * @param idempotency what repeating does
- * @param deduplicationScope with KEYED: which servers drop repeats
- * @param deduplicationWindowMicros with KEYED: how long repeats are dropped, from the first attempt that may have
- *     run
- * @param messageLatencyObjectiveMicros aim for one message on a standing connection; 0 where none is stated
+ * @param idempotency whether a request may be executed more than once
+ * @param deduplicationScope with {@link Idempotency#WITH_KEY}: which servers drop duplicates
+ * @param deduplicationWindowMicros with {@link Idempotency#WITH_KEY}: how long duplicates are dropped, from the first
+ *     attempt that may have been executed
+ * @param messageLatencyObjectiveMicros latency objective for messages on an established connection; 0 where there is
+ *     none
  */
 public record RequestClass(
         long latencyObjectiveMicros,
--- a/src/main/java/sandstack/decisions/RetryBackoff.java
+++ b/src/main/java/sandstack/decisions/RetryBackoff.java
@@ -4,19 +4,21 @@
 import sandstack.random.BoundedMap;
 
 /**
- * The retry number n and the interval of each client key ("Exponential back-off, revisited"). Holds the
- * {@value #MAX_KEYS} keys that failed last; older ones begin at n = 0 again. One thread; all calls O(1).
+ * The retry number n and the back-off interval of each client key: binary exponential back-off with intervals that do
+ * not overlap ("Exponential back-off, revisited"). Keeps the {@value #MAX_KEYS} keys that failed last; others start at
+ * n = 0. One thread; all calls O(1).
  */
 final class RetryBackoff {
-    /** Interval n spans 2^n slots; n stops growing here, when one interval outlasts the usual deadlines. */
+    /** Interval n spans 2^n slots; n stops growing where one interval outlasts usual deadlines. */
     static final int MAX_EXPONENT = 8;
 
+    /** Bounds the memory for client keys. */
     private static final int MAX_KEYS = 4096;
 
     /** Retry state of one client key. */
     static final class RetryState {
-        int exponent;
-        long intervalEndMicros;
+        private int exponent;
+        private long intervalEndMicros;
     }
 
     private final BalancerContext context;
@@ -26,11 +28,6 @@
         this.context = context;
     }
 
-    /** Null where the key has not failed lately. */
-    RetryState get(String clientKey) {
-        return stateByClientKey.get(clientKey);
-    }
-
     /** A failed placement: n rises, and the next interval starts where the current one ends. */
     RetryState recordFailure(String clientKey) {
         RetryState state = stateByClientKey.remove(clientKey);
@@ -44,20 +41,19 @@
         return state;
     }
 
-    /** A moment drawn over the whole of the current interval. */
+    /** Draws a moment, uniformly over the current interval. */
     long drawRetryMicros(RetryState state) {
-        return state.intervalEndMicros
-                - (context.slotMicros() << state.exponent)
-                + (long) (context.uniform() * (context.slotMicros() << state.exponent));
+        long intervalMicros = context.slotMicros() << state.exponent;
+        return state.intervalEndMicros - intervalMicros + (long) (context.uniform() * intervalMicros);
     }
 
-    /** How long the current interval lasts yet; 0 where there is none. */
+    /** Time until the end of the current interval; 0 where there is none. */
     long remainingMicros(String clientKey) {
         RetryState state = stateByClientKey.get(clientKey);
         return state == null ? 0 : Math.max(0, state.intervalEndMicros - context.nowMicros());
     }
 
-    /** A connection that stayed up for long, past its interval, clears the count. */
+    /** A connection has ended: clears the retry number if it lasted an update interval and outlasted the back-off. */
     void clearAfterLongConnection(TrackedRequest request) {
         RetryState state = stateByClientKey.get(request.clientKey);
         if (state != null
--- a/src/main/java/sandstack/decisions/Tenant.java
+++ b/src/main/java/sandstack/decisions/Tenant.java
@@ -3,7 +3,7 @@
 /**
  * A tenant.
  *
- * @param connectionQuota open connections within its share, over all balancers; 0 where not stated
- * @param serviceShare its part of the service
+ * @param connectionQuota connections within its quota, over all instances; 0 where it has none
+ * @param serviceShare its share of the service
  */
 public record Tenant(double connectionQuota, double serviceShare) {}
