--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -316,7 +316,7 @@
             return null;
         }
         try {
-            EndpointRegistry.Update news = form.kept(found.list());
+            EndpointRegistry.Update news = form.readCached(found.list());
             listFromKin = true;
             LOG.info("takes over from another process, whose list has "
                     + news.endpoints().size() + " feed servers");
@@ -343,7 +343,9 @@
             loop.execute(() -> {
                 long number = relay.endpoints().changeCount();
                 own.complete(new SiblingProcesses.Own(
-                        lobby.descriptorsInUse(), number, number == writtenList ? null : form.text(relay.endpoints())));
+                        lobby.descriptorsInUse(),
+                        number,
+                        number == writtenList ? null : form.toJson(relay.endpoints())));
             });
             try {
                 return own.get();
--- a/src/main/java/sandstack/config/EndpointListJson.java
+++ b/src/main/java/sandstack/config/EndpointListJson.java
@@ -34,7 +34,7 @@
      *
      * @param saved the list is one that was kept, and may be old
      */
-    public EndpointRegistry.Update news(JsonNode object, boolean saved) throws InvalidConfigurationException {
+    public EndpointRegistry.Update readUpdate(JsonNode object, boolean saved) throws InvalidConfigurationException {
         List<EndpointRegistry.Endpoint> lines = new ArrayList<>();
         for (JsonNode target : object.path("targets")) {
             lines.add(line(target));
@@ -78,7 +78,7 @@
     }
 
     /** The name table in this form, as one whole list. */
-    public String text(EndpointRegistry names) {
+    public String toJson(EndpointRegistry names) {
         ObjectNode list = JSON.createObjectNode().put("rev", names.version()).put("all", true);
         ArrayNode targets = list.putArray("targets");
         for (EndpointRegistry.Endpoint line : names.endpoints()) {
@@ -96,10 +96,10 @@
         return list.toString();
     }
 
-    /** Reads what {@link #text} gave, as a list that was kept. */
-    public EndpointRegistry.Update kept(String text) throws InvalidConfigurationException {
+    /** Reads what {@link #toJson} gave, as a list that was kept. */
+    public EndpointRegistry.Update readCached(String text) throws InvalidConfigurationException {
         try {
-            return news(JSON.readTree(text), true);
+            return readUpdate(JSON.readTree(text), true);
         } catch (JsonProcessingException e) {
             throw new InvalidConfigurationException("a kept list of feed servers is not JSON");
         }
--- a/src/main/java/sandstack/config/PlatformConfig.java
+++ b/src/main/java/sandstack/config/PlatformConfig.java
@@ -155,7 +155,7 @@
                         classes,
                         settings.path("family_info").path("tells_delay").asBoolean(false)),
                 List.copyOf(zones),
-                known.isObject() ? new EndpointListJson(zones, kinds).news(known, true) : null,
+                known.isObject() ? new EndpointListJson(zones, kinds).readUpdate(known, true) : null,
                 ConfigurationKeys.of(root));
     }
 
--- a/src/main/java/sandstack/front/amqp/AmqpSocket.java
+++ b/src/main/java/sandstack/front/amqp/AmqpSocket.java
@@ -13,7 +13,7 @@
 import sandstack.net.Peer;
 
 /** One AMQP connection: an engine without sockets inside, a socket with its rings outside. */
-final class AmqpSocket implements Peer.Owner {
+final class AmqpSocket implements Peer.Listener {
     private static final Logger LOG = Logger.getLogger("sandstack.amqp");
     /** The protocol header that begins a connection: AMQP, a protocol number and three of version. */
     private static final int HEADER = 8;
@@ -47,7 +47,7 @@
         this.front = front;
         this.peer = peer;
         this.owner = owner;
-        peer.ownedBy(this);
+        peer.setListener(this);
     }
 
     /** Begins a connection of our own; one that a client begins starts with its header. */
@@ -71,25 +71,25 @@
         // what a peer did is told in a line and never as a fault of ours
         LOG.info(() -> "amqp: connection given up: " + cause.getMessage());
         end(cause instanceof IdleTimeoutException ? ConnectionOutcome.UNRESPONSIVE : ConnectionOutcome.CLOSED_EARLY);
-        peer.finish();
+        peer.shutdownOutput();
         linger();
     }
 
     @Override
-    public void received(int count) {
+    public void onBytesReceived(int count) {
         heard = true;
         if (engine == null) {
-            if (peer.in().size() < HEADER) {
+            if (peer.input().size() < HEADER) {
                 return;
             }
-            boolean sasl = peer.in().at(4) == SASL;
+            boolean sasl = peer.input().byteAt(4) == SASL;
             Engine made = sasl ? EngineFactory.PROTON.createEngine() : EngineFactory.PROTON.createNonSaslEngine();
             if (sasl) {
                 made.saslDriver().server().setListener(new AnonymousSasl());
             }
             start(made);
         }
-        byte[] bytes = peer.in().take();
+        byte[] bytes = peer.input().takeAll();
         if (engine.isWritable()) {
             guarded(() -> engine.ingest(ProtonBufferAllocator.defaultAllocator().copy(bytes)));
         }
@@ -129,7 +129,7 @@
         if (engine != null && engine.isWritable() && engine.connection().isLocallyOpen()) {
             guarded(() -> engine.connection().setCondition(why).close());
         }
-        peer.finish();
+        peer.shutdownOutput();
         linger();
     }
 
@@ -162,15 +162,15 @@
     }
 
     @Override
-    public void flushed() {
+    public void onFlushed() {
         owner.flushed();
     }
 
     @Override
-    public void finished() {
+    public void onEndOfInput() {
         end(ConnectionOutcome.CLOSED_EARLY);
-        peer.finish();
-        if (peer.outEnded()) {
+        peer.shutdownOutput();
+        if (peer.isOutputEnded()) {
             peer.close();
         } else {
             linger();
@@ -178,7 +178,7 @@
     }
 
     @Override
-    public void broken() {
+    public void onConnectionLost() {
         end(ConnectionOutcome.RESET);
     }
 
--- a/src/main/java/sandstack/front/amqp/Pipe.java
+++ b/src/main/java/sandstack/front/amqp/Pipe.java
@@ -123,17 +123,17 @@
                 reading = null;
             }
         }
-        if (!backlog.isEmpty() || outSocket.peer().waiting() > MOST_WAITING) {
-            inSocket.peer().pause();
+        if (!backlog.isEmpty() || outSocket.peer().pendingBytes() > MOST_WAITING) {
+            inSocket.peer().pauseReading();
         } else {
-            inSocket.peer().resume();
+            inSocket.peer().resumeReading();
         }
     }
 
     /** What waited has gone out. */
     void roomAgain() {
         if (backlog.isEmpty()) {
-            inSocket.peer().resume();
+            inSocket.peer().resumeReading();
         }
     }
 
--- a/src/main/java/sandstack/front/operators/OperatorDoor.java
+++ b/src/main/java/sandstack/front/operators/OperatorDoor.java
@@ -79,26 +79,26 @@
     }
 
     /** One caller, from its connection to its end. */
-    private final class Caller implements Peer.Owner {
+    private final class Caller implements Peer.Listener {
         private final Peer peer;
         private DeadlineScheduler.Deadline until;
         private boolean answered;
 
         Caller(Peer peer) {
             this.peer = peer;
-            peer.ownedBy(this);
+            peer.setListener(this);
             until = deadlines.schedule(loop.nowMicros() + ASK_WITHIN, () -> say("NAK no call came\r\n"));
         }
 
         @Override
-        public void received(int count) {
-            int end = peer.in().indexOf('\n');
-            if (end >= LONGEST_LINE || end < 0 && peer.in().size() >= LONGEST_LINE) {
+        public void onBytesReceived(int count) {
+            int end = peer.input().indexOf('\n');
+            if (end >= LONGEST_LINE || end < 0 && peer.input().size() >= LONGEST_LINE) {
                 say("NAK the line is longer than 4 KiB\r\n");
             } else if (end >= 0) {
-                String line = peer.in().peek(end);
+                String line = peer.input().peekText(end);
                 say(
-                        peer.in().size() > end + 1
+                        peer.input().size() > end + 1
                                 ? "NAK one call a connection\r\n"
                                 : answer(line.endsWith("\r") ? line.substring(0, end - 1) : line));
             }
@@ -112,9 +112,9 @@
             until.cancel();
             until = deadlines.schedule(loop.nowMicros() + LINGER, this::over);
             // what else comes is thrown away: closed with words unread, the kernel would send a reset after the answer
-            peer.discard();
+            peer.discardInput();
             peer.send(words);
-            peer.finish();
+            peer.shutdownOutput();
         }
 
         /** Whoever ended it, its descriptor is free again. */
@@ -125,24 +125,24 @@
         }
 
         @Override
-        public void finished() {
-            if (!answered && !peer.in().isEmpty()) {
+        public void onEndOfInput() {
+            if (!answered && !peer.input().isEmpty()) {
                 say("NAK the call has no line end\r\n");
             }
-            if (!answered || peer.outEnded()) {
+            if (!answered || peer.isOutputEnded()) {
                 over();
             }
         }
 
         @Override
-        public void flushed() {
-            if (answered && peer.inEnded() && peer.outEnded()) {
+        public void onFlushed() {
+            if (answered && peer.isInputEnded() && peer.isOutputEnded()) {
                 over();
             }
         }
 
         @Override
-        public void broken() {
+        public void onConnectionLost() {
             over();
         }
     }
--- a/src/main/java/sandstack/front/platform/LineTap.java
+++ b/src/main/java/sandstack/front/platform/LineTap.java
@@ -1,7 +1,7 @@
 package sandstack.front.platform;
 
 import java.util.function.Consumer;
-import sandstack.net.Ring;
+import sandstack.net.RingBuffer;
 
 /** Listens to a direction of a standing connection: tells the beginning of each line that has passed. */
 final class LineTap {
@@ -17,9 +17,9 @@
     }
 
     /** Takes the newest bytes of a ring. */
-    void heard(Ring ring, int count) {
+    void heard(RingBuffer ring, int count) {
         for (int i = ring.size() - count; i < ring.size(); i++) {
-            char c = (char) (ring.at(i) & 0xff);
+            char c = (char) (ring.byteAt(i) & 0xff);
             partial++;
             if (c == '\n') {
                 int end = line.length();
--- a/src/main/java/sandstack/front/platform/PlatformClient.java
+++ b/src/main/java/sandstack/front/platform/PlatformClient.java
@@ -9,7 +9,7 @@
 import sandstack.net.Peer;
 
 /** A client's side of the line protocol: its first line, its answer, and the passing of lines after UP. */
-final class PlatformClient extends ClientSession implements Peer.Owner, ConnectionAdmission.AcceptedPeer {
+final class PlatformClient extends ClientSession implements Peer.Listener, ConnectionAdmission.AcceptedPeer {
     private static final int LONGEST_LINE = 4096;
 
     /** How far the client has come. */
@@ -31,14 +31,14 @@
         this.front = front;
         this.relay = front.relay();
         this.peer = peer;
-        peer.ownedBy(this);
+        peer.setListener(this);
         front.lobby().enter(peer, this);
     }
 
     // ---- from the client --------------------------------------------------------------------------
 
     @Override
-    public void received(int count) {
+    public void onBytesReceived(int count) {
         switch (state) {
             case FIRST_LINE -> readLines();
             case WAITING -> {
@@ -54,27 +54,27 @@
 
     private void readLines() {
         while (state == State.FIRST_LINE) {
-            int end = peer.in().indexOf('\n');
+            int end = peer.input().indexOf('\n');
             if (end < 0 || end >= LONGEST_LINE) {
-                if (end >= 0 || peer.in().size() >= LONGEST_LINE) {
+                if (end >= 0 || peer.input().size() >= LONGEST_LINE) {
                     badInput(null);
                 }
                 return;
             }
-            String line = peer.in().peek(end + 1);
-            peer.in().skip(end + 1);
-            if (line.equals("PING\r\n") && peer.waiting() == 0) {
+            String line = peer.input().peekText(end + 1);
+            peer.input().skip(end + 1);
+            if (line.equals("PING\r\n") && peer.pendingBytes() == 0) {
                 peer.send("PONG\r\n");
             } else {
                 request(line.endsWith("\r\n") ? FirstLine.read(line.substring(0, end - 1)) : null);
             }
         }
-        peer.resume();
+        peer.resumeReading();
     }
 
     private void request(FirstLine line) {
         ClientRequest command = line == null ? null : line.command(relay.effectiveSettings(), relay.tenants());
-        if (command == null || !peer.in().isEmpty() || !front.claim(line.id())) {
+        if (command == null || !peer.input().isEmpty() || !front.claim(line.id())) {
             badInput(command);
             return;
         }
@@ -120,7 +120,7 @@
     @Override
     protected void checkConnected() {
         if (state == State.WAITING) {
-            peer.look();
+            peer.readAvailable();
         }
     }
 
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void finished() {
+    public void onEndOfInput() {
         switch (state) {
             case FIRST_LINE -> peer.close();
             case WAITING -> {
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public void broken() {
+    public void onConnectionLost() {
         switch (state) {
             case WAITING -> relay.onClientDisconnected(this);
             case STANDING -> server.clientBroke();
@@ -156,10 +156,10 @@
     }
 
     @Override
-    public void flushed() {
+    public void onFlushed() {
         if (state == State.STANDING) {
             server.roomAgain();
-        } else if (state == State.LEAVING && peer.inEnded()) {
+        } else if (state == State.LEAVING && peer.isInputEnded()) {
             leave();
         }
     }
@@ -193,24 +193,24 @@
     /** From now on lines pass both ways, and the socket writes from the feed server's ring. */
     void stand() {
         state = State.STANDING;
-        peer.writeFrom(server.peer());
+        peer.writeInputOf(server.peer());
     }
 
     /** Says a last word, if any, ends the sending and waits a little for the client to end its own. */
     void end(String lastWord) {
-        if (state == State.LEAVING || peer.closed()) {
+        if (state == State.LEAVING || peer.isClosed()) {
             return;
         }
         state = State.LEAVING;
         // closed with words of the client's unread, the kernel would send a reset after the answer and the
         // client might never read it
-        peer.discard();
+        peer.discardInput();
         release();
         front.lobby().leave(peer);
         if (lastWord != null) {
             peer.send(lastWord);
         }
-        peer.finish();
+        peer.shutdownOutput();
     }
 
     void reset() {
@@ -218,7 +218,7 @@
     }
 
     private void leave() {
-        if (peer.outEnded()) {
+        if (peer.isOutputEnded()) {
             peer.close();
         }
     }
--- a/src/main/java/sandstack/front/platform/ServerWire.java
+++ b/src/main/java/sandstack/front/platform/ServerWire.java
@@ -7,7 +7,7 @@
 import sandstack.net.Peer;
 
 /** The way to the feed server of one execution: its connection, the request's line, its answer and its lines. */
-final class ServerWire implements ConnectionAttempt.Upstream, Peer.Owner, EventLoop.ConnectListener {
+final class ServerWire implements ConnectionAttempt.Upstream, Peer.Listener, EventLoop.ConnectListener {
     private static final Logger LOG = Logger.getLogger("sandstack.platform");
     private static final int LONGEST_LINE = 4096;
     /** A move waits so long for the end of a line that the feed server has half sent. */
@@ -49,7 +49,7 @@
     @Override
     public void connected(Peer made) {
         peer = made;
-        peer.ownedBy(this);
+        peer.setListener(this);
         if (execution.onConnected()) {
             peer.send(firstLine.toServer(execution.remainingMillis()));
         }
@@ -61,19 +61,19 @@
     }
 
     private void answered() {
-        int end = peer.in().indexOf('\n');
+        int end = peer.input().indexOf('\n');
         if (end < 0 || end >= LONGEST_LINE) {
-            if (peer.in().size() >= LONGEST_LINE) {
+            if (peer.input().size() >= LONGEST_LINE) {
                 fail(ConnectionOutcome.SERVER_ERROR);
             }
             return;
         }
-        String line = peer.in().peek(end).trim();
+        String line = peer.input().peekText(end).trim();
         if (line.startsWith("UP ") || line.equals("UP")) {
             standing = true;
             client.stand();
-            peer.writeFrom(client.peer());
-            tap.heard(peer.in(), peer.in().size());
+            peer.writeInputOf(client.peer());
+            tap.heard(peer.input(), peer.input().size());
             execution.onEstablished();
             client.peer().flush();
             peer.flush();
@@ -99,12 +99,12 @@
     // ---- both -------------------------------------------------------------------------------------
 
     @Override
-    public void received(int count) {
+    public void onBytesReceived(int count) {
         if (!standing) {
             answered();
             return;
         }
-        tap.heard(peer.in(), count);
+        tap.heard(peer.input(), count);
         if (moving) {
             moveAtLineEnd();
         } else {
@@ -113,25 +113,25 @@
     }
 
     @Override
-    public void finished() {
+    public void onEndOfInput() {
         if (!standing) {
             fail(
                     !sent
                             ? ConnectionOutcome.NOT_CONNECTED
-                            : peer.in().isEmpty() ? ConnectionOutcome.CLOSED_EARLY : ConnectionOutcome.SERVER_ERROR);
+                            : peer.input().isEmpty() ? ConnectionOutcome.CLOSED_EARLY : ConnectionOutcome.SERVER_ERROR);
             return;
         }
         execution.onEnded(lastWord(ConnectionOutcome.CLOSED_EARLY));
         if (moving) {
             moveNow();
         } else {
-            client.peer().finish();
+            client.peer().shutdownOutput();
             halfOpen();
         }
     }
 
     @Override
-    public void broken() {
+    public void onConnectionLost() {
         if (!standing) {
             // what never had the whole line never ran
             execution.onEnded(sent ? ConnectionOutcome.RESET : ConnectionOutcome.NOT_CONNECTED);
@@ -159,9 +159,9 @@
     }
 
     @Override
-    public void flushed() {
+    public void onFlushed() {
         if (standing) {
-            client.peer().resume();
+            client.peer().resumeReading();
             closeIfBothEnded();
         } else {
             sent = true;
@@ -192,14 +192,14 @@
 
     /** What the feed server sent has gone out to the client: there is room for more. */
     void roomAgain() {
-        peer.resume();
+        peer.resumeReading();
         closeIfBothEnded();
     }
 
     /** The client has ended its sending: so is ours to the feed server, which may still have something to say. */
     void clientFinished() {
         execution.onEnded(ConnectionOutcome.CLIENT_LEFT);
-        peer.finish();
+        peer.shutdownOutput();
         halfOpen();
         closeIfBothEnded();
     }
@@ -214,7 +214,7 @@
     }
 
     private void closeIfBothEnded() {
-        if (peer.outEnded() && client.peer().outEnded()) {
+        if (peer.isOutputEnded() && client.peer().isOutputEnded()) {
             closeBoth();
         }
     }
@@ -245,8 +245,8 @@
 
     /** MOVE goes between two lines: a line that has only begun to go out is waited for. */
     private void moveAtLineEnd() {
-        if (tap.partial() <= peer.in().size()) {
-            peer.in().dropLast(tap.partial());
+        if (tap.partial() <= peer.input().size()) {
+            peer.input().dropLast(tap.partial());
             tap.lineEnded();
             moveNow();
         } else {
@@ -255,11 +255,11 @@
     }
 
     private void moveNow() {
-        if (!client.peer().closed() && moving) {
+        if (!client.peer().isClosed() && moving) {
             moving = false;
             peer.close();
             // a line whose end never came is cut here: MOVE glued to it would not be understood
-            client.end(tap.partial() > peer.in().size() ? "\r\nMOVE\r\n" : "MOVE\r\n");
+            client.end(tap.partial() > peer.input().size() ? "\r\nMOVE\r\n" : "MOVE\r\n");
         }
     }
 }
--- a/src/main/java/sandstack/net/ConnectionAdmission.java
+++ b/src/main/java/sandstack/net/ConnectionAdmission.java
@@ -81,7 +81,7 @@
 
     private void late(Peer peer) {
         // its line may have come while the relay was held up
-        peer.look();
+        peer.readAvailable();
         Stay stay = guests.get(peer);
         if (stay != null) {
             stay.guest.late();
@@ -114,7 +114,7 @@
 
     /** The last word has been said on this socket; it is closed when its peer has closed, or soon. */
     public void leave(Peer peer) {
-        if (peer.closed() || leaving.containsKey(peer)) {
+        if (peer.isClosed() || leaving.containsKey(peer)) {
             return;
         }
         peer.watchedBy(this);
@@ -160,7 +160,7 @@
         while (descriptorsInUse() > most && !guests.isEmpty()) {
             Peer peer = oldest(guests);
             // in a crowd that comes at once, the oldest may be a client whose line has not been looked at yet
-            peer.look();
+            peer.readAvailable();
             Stay stay = guests.get(peer);
             if (stay != null) {
                 stay.guest.turnAway();
--- a/src/main/java/sandstack/net/Peer.java
+++ b/src/main/java/sandstack/net/Peer.java
@@ -16,32 +16,32 @@
  */
 public final class Peer {
     /** How many bytes may wait in one direction. */
-    public static final int RING_LIMIT = 16 * 1024;
+    public static final int BUFFER_LIMIT_BYTES = 16 * 1024;
 
     private static final Attribute<Peer> OF = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(Peer.class.getName());
 
     /** Who is told what a socket does. */
-    public interface Owner {
-        /** More bytes are in {@link Peer#in}, the newest so many. */
-        void received(int count);
+    public interface Listener {
+        /** More bytes are in {@link Peer#input}, the newest so many. */
+        void onBytesReceived(int count);
 
         /** All that was waiting has been written. */
-        void flushed();
+        void onFlushed();
 
         /** The peer has ended its sending; what came before is in the ring. */
-        void finished();
+        void onEndOfInput();
 
         /** The connection broke; the socket is closed. */
-        void broken();
+        void onConnectionLost();
     }
 
     private final NIOConnection connection;
     private final SocketChannel channel;
     private final WritableByteChannel output;
     private final EventLoop loop;
-    private final Ring in = new Ring(RING_LIMIT);
-    private Ring out = new Ring(RING_LIMIT);
-    private Owner owner;
+    private final RingBuffer in = new RingBuffer(BUFFER_LIMIT_BYTES);
+    private RingBuffer out = new RingBuffer(BUFFER_LIMIT_BYTES);
+    private Listener owner;
     private boolean held;
     private boolean reading = true;
     private boolean finishing;
@@ -65,7 +65,7 @@
     }
 
     /** From now on this owner is told what the socket does. */
-    public void ownedBy(Owner newOwner) {
+    public void setListener(Listener newOwner) {
         owner = newOwner;
     }
 
@@ -75,19 +75,19 @@
     }
 
     /** From now on what comes is read and thrown away. */
-    public void discard() {
+    public void discardInput() {
         discarding = true;
         in.skip(in.size());
-        resume();
+        resumeReading();
     }
 
     /** Bytes that came from the peer and were not yet passed on. */
-    public Ring in() {
+    public RingBuffer input() {
         return in;
     }
 
     /** Makes another socket's incoming ring the one that this one writes from: what comes there goes out here. */
-    public void writeFrom(Peer other) {
+    public void writeInputOf(Peer other) {
         out = other.in;
     }
 
@@ -102,7 +102,7 @@
         boolean broke = false;
         try {
             int n = 1;
-            while (n > 0 && !discarding && in.room() > 0) {
+            while (n > 0 && !discarding && in.remainingCapacity() > 0) {
                 n = in.readFrom(channel);
                 came += Math.max(0, n);
             }
@@ -117,7 +117,7 @@
         }
         // first what it said: an answer may have come right before the reset
         if (came > 0) {
-            owner.received(came);
+            owner.onBytesReceived(came);
         }
         if (broke) {
             breakDown();
@@ -126,12 +126,12 @@
         // only now: an owner that takes everything at once has made room in a ring that was full before
         setReading();
         if (inEnded && !closed) {
-            owner.finished();
+            owner.onEndOfInput();
         }
     }
 
     /** Takes what has come by now: whoever is about to act on this peer's being there looks first. */
-    public void look() {
+    public void readAvailable() {
         EventLoop.guarded(this, this::readable);
     }
 
@@ -156,12 +156,12 @@
     }
 
     /** How many bytes wait to be written. */
-    public int waiting() {
+    public int pendingBytes() {
         return out.size();
     }
 
-    /** Stops reading until {@link #resume}: what is read could not be passed on now. */
-    public void pause() {
+    /** Stops reading until {@link #resumeReading}: what is read could not be passed on now. */
+    public void pauseReading() {
         held = true;
         setReading();
     }
@@ -189,17 +189,17 @@
             breakDown();
             return;
         }
-        owner.flushed();
+        owner.onFlushed();
     }
 
     /** Reads on, if there is room. */
-    public void resume() {
+    public void resumeReading() {
         held = false;
         setReading();
     }
 
     private void setReading() {
-        boolean wanted = !inEnded && !held && in.room() > 0;
+        boolean wanted = !inEnded && !held && in.remainingCapacity() > 0;
         if (closed || wanted == reading) {
             return;
         }
@@ -216,7 +216,7 @@
     }
 
     /** Ends the sending, as a FIN, after all that waits has gone out. */
-    public void finish() {
+    public void shutdownOutput() {
         if (!finishing) {
             finishing = true;
             flush();
@@ -224,17 +224,17 @@
     }
 
     /** Whether the peer has ended its sending. */
-    public boolean inEnded() {
+    public boolean isInputEnded() {
         return inEnded;
     }
 
     /** Whether the end of our sending has gone out. */
-    public boolean outEnded() {
+    public boolean isOutputEnded() {
         return outEnded;
     }
 
     /** Whether the socket is closed here. */
-    public boolean closed() {
+    public boolean isClosed() {
         return closed;
     }
 
@@ -264,7 +264,7 @@
     private void breakDown() {
         if (!closed) {
             close();
-            owner.broken();
+            owner.onConnectionLost();
         }
     }
 }
--- a/src/main/java/sandstack/net/Ring.java
+++ b/src/main/java/sandstack/net/RingBuffer.java
@@ -10,7 +10,7 @@
  * The bytes of one direction of a connection, in order. A ring takes memory only while it holds something,
  * and grows up to its limit; a full one takes no more from the channel, which is the back-pressure.
  */
-public final class Ring {
+public final class RingBuffer {
     private static final int LEAST = 512;
     private static final byte[] NONE = new byte[0];
 
@@ -24,13 +24,13 @@
      *
      * @param limit a power of two; {@link #append} alone may go beyond it
      */
-    public Ring(int limit) {
+    public RingBuffer(int limit) {
         this.limit = limit;
     }
 
     /** Reads what the channel has, as far as there is room in one piece. Returns what the channel returned. */
     public int readFrom(ReadableByteChannel channel) throws IOException {
-        if (room() == 0) {
+        if (remainingCapacity() == 0) {
             return 0;
         }
         if (size == bytes.length) {
@@ -38,7 +38,7 @@
         }
         int tail = (head + size) & (bytes.length - 1);
         int piece = tail < head ? head - tail : bytes.length - tail;
-        int n = channel.read(ByteBuffer.wrap(bytes, tail, Math.min(piece, room())));
+        int n = channel.read(ByteBuffer.wrap(bytes, tail, Math.min(piece, remainingCapacity())));
         size += Math.max(0, n);
         release();
         return n;
@@ -79,7 +79,7 @@
         }
         byte[] larger = new byte[capacity];
         for (int i = 0; i < size; i++) {
-            larger[i] = at(i);
+            larger[i] = byteAt(i);
         }
         bytes = larger;
         head = 0;
@@ -93,14 +93,14 @@
     }
 
     /** The byte at this position, from 0 to {@link #size} - 1. */
-    public byte at(int i) {
+    public byte byteAt(int i) {
         return bytes[(head + i) & (bytes.length - 1)];
     }
 
     /** Position of the first such byte; -1 where there is none. */
     public int indexOf(char wanted) {
         for (int i = 0; i < size; i++) {
-            if (at(i) == wanted) {
+            if (byteAt(i) == wanted) {
                 return i;
             }
         }
@@ -108,19 +108,19 @@
     }
 
     /** The first bytes as text, one character a byte; they stay. */
-    public String peek(int count) {
+    public String peekText(int count) {
         StringBuilder text = new StringBuilder(count);
         for (int i = 0; i < count; i++) {
-            text.append((char) (at(i) & 0xff));
+            text.append((char) (byteAt(i) & 0xff));
         }
         return text.toString();
     }
 
     /** Takes all that is there. */
-    public byte[] take() {
+    public byte[] takeAll() {
         byte[] all = new byte[size];
         for (int i = 0; i < all.length; i++) {
-            all[i] = at(i);
+            all[i] = byteAt(i);
         }
         skip(size);
         return all;
@@ -145,7 +145,7 @@
     }
 
     /** How many bytes it takes until its limit; never negative. */
-    public int room() {
+    public int remainingCapacity() {
         return Math.max(0, limit - size);
     }
 
--- a/src/main/java/sandstack/rig/PairLink.java
+++ b/src/main/java/sandstack/rig/PairLink.java
@@ -90,7 +90,7 @@
                 Half there = new Half(far, false);
                 here.other = there;
                 there.other = here;
-                here.received(0);
+                here.onBytesReceived(0);
             }
 
             @Override
@@ -102,7 +102,7 @@
     }
 
     /** What comes from one end of one connection. */
-    private final class Half implements Peer.Owner {
+    private final class Half implements Peer.Listener {
         private final Peer peer;
         private final boolean forth;
         private final Deque<byte[]> held = new ArrayDeque<>();
@@ -117,7 +117,7 @@
             this.peer = peer;
             this.forth = forth;
             halves.add(this);
-            peer.ownedBy(this);
+            peer.setListener(this);
         }
 
         private boolean stopped() {
@@ -143,16 +143,16 @@
         }
 
         @Override
-        public void received(int count) {
-            if (other == null || peer.in().isEmpty()) {
+        public void onBytesReceived(int count) {
+            if (other == null || peer.input().isEmpty()) {
                 return;
             }
-            byte[] piece = peer.in().take();
+            byte[] piece = peer.input().takeAll();
             held.add(piece);
             bytes += piece.length;
             if (bytes > MOST_HELD) {
                 peer.reset();
-                broken();
+                onConnectionLost();
                 return;
             }
             go();
@@ -164,7 +164,7 @@
                 later(piece.length, () -> {
                     bytes -= piece.length;
                     passed += piece.length;
-                    if (!other.peer.closed()) {
+                    if (!other.peer.isClosed()) {
                         other.peer.send(piece);
                     }
                 });
@@ -179,15 +179,15 @@
         }
 
         @Override
-        public void flushed() {}
+        public void onFlushed() {}
 
         @Override
-        public void finished() {
-            ended(() -> other.peer.finish());
+        public void onEndOfInput() {
+            ended(() -> other.peer.shutdownOutput());
         }
 
         @Override
-        public void broken() {
+        public void onConnectionLost() {
             held.clear();
             ended(() -> other.peer.reset());
         }
--- a/src/main/java/sandstack/standin/Discovery.java
+++ b/src/main/java/sandstack/standin/Discovery.java
@@ -98,19 +98,19 @@
     }
 
     /** One call and, where it asked for that, its watch. */
-    private final class Call implements Peer.Owner {
+    private final class Call implements Peer.Listener {
         final Peer peer;
         private long told;
 
         Call(Peer peer) {
             this.peer = peer;
-            peer.ownedBy(this);
+            peer.setListener(this);
             calls.add(this);
         }
 
         @Override
-        public void received(int count) {
-            String text = peer.in().peek(peer.in().size());
+        public void onBytesReceived(int count) {
+            String text = peer.input().peekText(peer.input().size());
             int end = text.indexOf("\r\n\r\n");
             if (end < 0) {
                 if (text.length() > LONGEST_REQUEST) {
@@ -118,7 +118,7 @@
                 }
                 return;
             }
-            peer.in().skip(end + 4);
+            peer.input().skip(end + 4);
             ask(text.substring(0, text.indexOf("\r\n")));
         }
 
@@ -144,7 +144,7 @@
         }
 
         void tell(long from) {
-            if (!peer.closed() && watches.contains(this)) {
+            if (!peer.isClosed() && watches.contains(this)) {
                 chunk(instances.since(Math.min(from, told)) + "\n");
                 told = instances.revision();
             }
@@ -169,16 +169,16 @@
         }
 
         @Override
-        public void flushed() {}
+        public void onFlushed() {}
 
         @Override
-        public void finished() {
+        public void onEndOfInput() {
             over();
             peer.close();
         }
 
         @Override
-        public void broken() {
+        public void onConnectionLost() {
             over();
         }
     }
--- a/src/main/java/sandstack/standin/FeedServer.java
+++ b/src/main/java/sandstack/standin/FeedServer.java
@@ -233,7 +233,7 @@
     }
 
     /** One connection, from its first line to its end. */
-    private final class Session implements Peer.Owner, Subscriber {
+    private final class Session implements Peer.Listener, Subscriber {
         final Peer peer;
         String values;
         long since;
@@ -242,7 +242,7 @@
 
         Session(Peer peer) {
             this.peer = peer;
-            peer.ownedBy(this);
+            peer.setListener(this);
             all.add(this);
             if (dead) {
                 reset();
@@ -250,20 +250,20 @@
         }
 
         @Override
-        public void received(int count) {
-            int end = peer.in().indexOf('\n');
+        public void onBytesReceived(int count) {
+            int end = peer.input().indexOf('\n');
             while (end >= 0 && !over) {
-                String line = peer.in().peek(end + 1);
-                peer.in().skip(end + 1);
+                String line = peer.input().peekText(end + 1);
+                peer.input().skip(end + 1);
                 if (values == null) {
                     first(line.trim());
                 } else {
                     lines++;
                     work(machine.line(), () -> echo(line));
                 }
-                end = peer.in().indexOf('\n');
+                end = peer.input().indexOf('\n');
             }
-            if (peer.in().size() >= LONGEST_LINE) {
+            if (peer.input().size() >= LONGEST_LINE) {
                 end("SYNTAX\r\n");
             }
         }
@@ -322,7 +322,7 @@
             if (!over) {
                 gone();
                 peer.send(word);
-                peer.finish();
+                peer.shutdownOutput();
             }
         }
 
@@ -346,21 +346,21 @@
         }
 
         @Override
-        public void flushed() {
-            if (over && peer.outEnded() && peer.inEnded()) {
+        public void onFlushed() {
+            if (over && peer.isOutputEnded() && peer.isInputEnded()) {
                 peer.close();
             }
         }
 
         @Override
-        public void finished() {
+        public void onEndOfInput() {
             gone();
-            peer.finish();
+            peer.shutdownOutput();
             peer.close();
         }
 
         @Override
-        public void broken() {
+        public void onConnectionLost() {
             gone();
         }
     }
--- a/src/main/java/sandstack/standin/ShopClient.java
+++ b/src/main/java/sandstack/standin/ShopClient.java
@@ -75,7 +75,7 @@
             @Override
             public void connected(Peer made) {
                 peer = made;
-                peer.ownedBy(tap);
+                peer.setListener(tap);
                 peer.send("OPEN " + id + " " + key + " " + values + "\r\n");
             }
 
@@ -151,22 +151,22 @@
                 connecting.cancel();
             }
         } else {
-            peer.finish();
+            peer.shutdownOutput();
             peer.close();
         }
         tells.accept(new Told(this, what, yard.now() - began, comeBack));
     }
 
     /** Reads what the relay sends. */
-    private final class Tap implements Peer.Owner {
+    private final class Tap implements Peer.Listener {
         @Override
-        public void received(int count) {
-            int end = peer.in().indexOf('\n');
+        public void onBytesReceived(int count) {
+            int end = peer.input().indexOf('\n');
             while (end >= 0 && !over) {
-                String line = peer.in().peek(end + 1).trim();
-                peer.in().skip(end + 1);
+                String line = peer.input().peekText(end + 1).trim();
+                peer.input().skip(end + 1);
                 line(line);
-                end = over ? -1 : peer.in().indexOf('\n');
+                end = over ? -1 : peer.input().indexOf('\n');
             }
         }
 
@@ -201,15 +201,15 @@
         }
 
         @Override
-        public void flushed() {}
+        public void onFlushed() {}
 
         @Override
-        public void finished() {
+        public void onEndOfInput() {
             ended(up ? Happened.LOST : Happened.FAILED, 0);
         }
 
         @Override
-        public void broken() {
+        public void onConnectionLost() {
             ended(up ? Happened.LOST : Happened.FAILED, 0);
         }
     }
--- a/src/main/java/sandstack/standin/ZoneLink.java
+++ b/src/main/java/sandstack/standin/ZoneLink.java
@@ -63,7 +63,7 @@
                 End there = new End(far);
                 here.other = there;
                 there.other = here;
-                here.received(0);
+                here.onBytesReceived(0);
             }
 
             @Override
@@ -74,14 +74,14 @@
     }
 
     /** One end of one connection. */
-    private final class End implements Peer.Owner {
+    private final class End implements Peer.Listener {
         private final Peer peer;
         private End other;
         private long lastDue;
 
         End(Peer peer) {
             this.peer = peer;
-            peer.ownedBy(this);
+            peer.setListener(this);
         }
 
         private void later(Runnable what) {
@@ -91,34 +91,34 @@
         }
 
         @Override
-        public void received(int count) {
-            if (other == null || peer.in().isEmpty()) {
+        public void onBytesReceived(int count) {
+            if (other == null || peer.input().isEmpty()) {
                 return;
             }
-            byte[] piece = peer.in().take();
+            byte[] piece = peer.input().takeAll();
             if (!cut) {
                 later(() -> other.write(piece));
             }
         }
 
         private void write(byte[] piece) {
-            if (!peer.closed()) {
+            if (!peer.isClosed()) {
                 peer.send(piece);
             }
         }
 
         @Override
-        public void flushed() {}
+        public void onFlushed() {}
 
         @Override
-        public void finished() {
+        public void onEndOfInput() {
             if (other != null) {
-                later(other.peer::finish);
+                later(other.peer::shutdownOutput);
             }
         }
 
         @Override
-        public void broken() {
+        public void onConnectionLost() {
             if (other != null) {
                 later(other.peer::reset);
             }
