--- a/src/main/java/sandstack/front/amqp/AmqpClient.java
+++ b/src/main/java/sandstack/front/amqp/AmqpClient.java
@@ -44,11 +44,11 @@
     AmqpClient(AmqpFront front, Peer peer) {
         this.front = front;
         this.socket = new AmqpSocket(front, peer, this);
-        front.lobby().enter(peer, this);
+        front.lobby().onAccepted(peer, this);
     }
 
     @Override
-    public void turnAway() {
+    public void reject() {
         leave(null);
         socket.peer().close();
     }
@@ -106,8 +106,8 @@
             return;
         }
         if (!front.lobby().admit(socket.peer())) {
-            front.relay().recordRejection(command, ConnectionAdmission.NO_ROOM);
-            sendRejection(ConnectionAdmission.NO_ROOM);
+            front.relay().recordRejection(command, ConnectionAdmission.NO_CAPACITY);
+            sendRejection(ConnectionAdmission.NO_CAPACITY);
             return;
         }
         id = new LinkId(connection.getRemoteContainerId(), link.getName(), link.isReceiver());
--- a/src/main/java/sandstack/front/amqp/AmqpSocket.java
+++ b/src/main/java/sandstack/front/amqp/AmqpSocket.java
@@ -145,7 +145,7 @@
     }
 
     private void linger() {
-        front.lobby().leave(peer);
+        front.lobby().closeAfterLinger(peer);
     }
 
     private void end(ConnectionOutcome how) {
--- a/src/main/java/sandstack/front/platform/PlatformClient.java
+++ b/src/main/java/sandstack/front/platform/PlatformClient.java
@@ -32,7 +32,7 @@
         this.relay = front.relay();
         this.peer = peer;
         peer.setListener(this);
-        front.lobby().enter(peer, this);
+        front.lobby().onAccepted(peer, this);
     }
 
     // ---- from the client --------------------------------------------------------------------------
@@ -80,8 +80,8 @@
         }
         firstLine = line;
         if (!front.lobby().admit(peer)) {
-            relay.recordRejection(command, ConnectionAdmission.NO_ROOM);
-            sendRejection(ConnectionAdmission.NO_ROOM);
+            relay.recordRejection(command, ConnectionAdmission.NO_CAPACITY);
+            sendRejection(ConnectionAdmission.NO_CAPACITY);
             return;
         }
         state = State.WAITING;
@@ -102,18 +102,18 @@
     }
 
     @Override
-    public void turnAway() {
-        sendRejection(ConnectionAdmission.NO_ROOM);
+    public void reject() {
+        sendRejection(ConnectionAdmission.NO_CAPACITY);
         peer.close();
     }
 
     @Override
-    public void late() {
-        sendRejection(ConnectionAdmission.NO_ROOM);
+    public void onRequestTimeout() {
+        sendRejection(ConnectionAdmission.NO_CAPACITY);
     }
 
     @Override
-    public void gone() {
+    public void onClosed() {
         release();
     }
 
@@ -206,7 +206,7 @@
         // client might never read it
         peer.discardInput();
         release();
-        front.lobby().leave(peer);
+        front.lobby().closeAfterLinger(peer);
         if (lastWord != null) {
             peer.send(lastWord);
         }
--- a/src/main/java/sandstack/front/platform/PlatformFront.java
+++ b/src/main/java/sandstack/front/platform/PlatformFront.java
@@ -12,6 +12,7 @@
 import sandstack.core.Relay;
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.EventLoop;
+import sandstack.net.ListeningSocket;
 
 /** The platform's line protocol: listens for clients and connects to feed servers. */
 public final class PlatformFront {
@@ -20,7 +21,7 @@
     private final ConnectionAdmission lobby;
     private final Set<String> ids = new HashSet<>();
     private final LoadLines loadLines;
-    private EventLoop.ListeningSocket listener;
+    private ListeningSocket listener;
 
     /** Creates a front that does not listen yet. */
     public PlatformFront(EventLoop loop, Relay relay, ConnectionAdmission lobby) {
--- a/src/main/java/sandstack/net/ConnectionAdmission.java
+++ b/src/main/java/sandstack/net/ConnectionAdmission.java
@@ -8,168 +8,173 @@
 import sandstack.core.Rejection;
 
 /**
- * Keeps the descriptors for those who are served. An accepted peer is a guest until it has asked for something
- * that can be served; then it is admitted, with a descriptor more for its way to a feed server. Whoever has had
- * its last word is only waited for. Where descriptors run short, those that are leaving go first, then the
- * guests that have been silent longest: peers that say nothing cannot crowd out clients that ask.
+ * Admission control by file descriptors. An accepted peer is pending until it has sent a valid request; then it is
+ * admitted, with one more descriptor for its connection to a feed server. A peer that has been answered lingers until
+ * it closes. When descriptors run short, lingering peers are closed first, then the pending peers that have been silent
+ * longest, so that idle connections cannot keep clients with requests out. Used on the loop's thread only.
  */
 public final class ConnectionAdmission {
-    /** What a client hears for whom there is no room, or who has not asked in time. */
-    public static final Rejection NO_ROOM = new Rejection(Rejection.Kind.REJECTED, 1000);
-    /** Who connects has to ask by then; an error or a close is due after 3 s, whatever came in between. */
-    private static final long ASK_WITHIN = 2_500_000;
-    /** How long a peer that has had its last word may keep its end open. */
-    private static final long LINGER = 2_000_000;
-    /** The same for one that never asked. */
-    private static final long LINGER_LATE = 400_000;
-    /** Admitted clients take all but so many descriptors, or nobody could be told that there is no room. */
-    private static final int LEAST_GUESTS = 8;
-
-    private static final int ADMITTED_DESCRIPTORS = 2;
-
-    /** What a front knows of one accepted peer. */
+    /** The rejection of a client for which no descriptor is left, or whose request did not arrive in time. */
+    public static final Rejection NO_CAPACITY = new Rejection(Rejection.Kind.REJECTED, 1000);
+    /** How long a request may take to arrive; the platform expects an error or a close within 3 s. */
+    private static final long REQUEST_TIMEOUT_MICROS = 2_500_000;
+    /** How long an answered peer may keep its end open. */
+    private static final long LINGER_MICROS = 2_000_000;
+    /** The same for a peer that never sent a request. */
+    private static final long LINGER_WITHOUT_REQUEST_MICROS = 400_000;
+    /** Descriptors that admitted clients leave free, so that further clients can be rejected with an answer. */
+    private static final int MIN_PENDING_PEERS = 8;
+
+    /** One to the client and one to its feed server. */
+    private static final int DESCRIPTORS_PER_ADMITTED = 2;
+
+    /** A front's session of one accepted peer; called on the loop's thread. */
     public interface AcceptedPeer {
-        /** There is no room: told in a word if there is one, and closed at once. */
-        void turnAway();
+        /** No descriptor is left for it: answers with a rejection where the protocol has one, and closes at once. */
+        void reject();
 
         /**
-         * It has not asked in time. Where that can be told in a word its end is waited for: closed over a request that
-         * comes in this very moment, the connection would be reset and the word lost.
+         * Its request did not arrive in time. A session that answers should then call {@link #closeAfterLinger}: a close
+         * over unread input resets the connection, and the answer is lost.
          */
-        default void late() {
-            turnAway();
+        default void onRequestTimeout() {
+            reject();
         }
 
-        /** Its socket is closed, whoever closed it. */
-        default void gone() {}
+        /** Its socket has been closed by either side. */
+        default void onClosed() {}
     }
 
-    /** A peer's guest and when its time runs out. */
-    private record Stay(AcceptedPeer guest, Deadline until) {}
+    /** A peer's session and the timeout that ends its present state. */
+    private record Entry(AcceptedPeer acceptedPeer, Deadline timeout) {}
 
     private final DeadlineScheduler deadlines;
     private final EventLoop loop;
-    private int most;
-    private final Map<Peer, Stay> guests = new LinkedHashMap<>();
+    private int descriptorLimit;
+    private final Map<Peer, Entry> pending = new LinkedHashMap<>();
     private final Map<Peer, AcceptedPeer> admitted = new LinkedHashMap<>();
-    private final Map<Peer, Stay> leaving = new LinkedHashMap<>();
-    private boolean makingRoom;
+    private final Map<Peer, Entry> lingering = new LinkedHashMap<>();
+    private boolean freeingDescriptors;
 
     /**
      * Creates an admission without peers.
      *
-     * @param most descriptors that sockets of clients and feed servers may take together
+     * @param descriptorLimit descriptors that sockets of clients and feed servers may take together
      */
-    public ConnectionAdmission(EventLoop loop, DeadlineScheduler deadlines, int most) {
+    public ConnectionAdmission(EventLoop loop, DeadlineScheduler deadlines, int descriptorLimit) {
         this.loop = loop;
         this.deadlines = deadlines;
-        this.most = most;
+        this.descriptorLimit = descriptorLimit;
     }
 
-    /** From now on they may take so many together; who is admitted stays. */
-    public void setDescriptorLimit(int descriptors) {
-        most = descriptors;
-        makeRoom();
+    /** Changes the limit; admitted peers stay. */
+    public void setDescriptorLimit(int newLimit) {
+        descriptorLimit = newLimit;
+        freeDescriptors();
     }
 
-    /** A peer has been accepted. It may be turned away before this returns. */
-    public void enter(Peer peer, AcceptedPeer guest) {
-        peer.watchedBy(this);
-        guests.put(peer, new Stay(guest, deadlines.schedule(loop.nowMicros() + ASK_WITHIN, () -> late(peer))));
-        makeRoom();
+    /** A peer has been accepted. It may be rejected before this returns. */
+    public void onAccepted(Peer peer, AcceptedPeer acceptedPeer) {
+        peer.setAdmission(this);
+        pending.put(
+                peer,
+                new Entry(
+                        acceptedPeer,
+                        deadlines.schedule(loop.nowMicros() + REQUEST_TIMEOUT_MICROS, () -> onRequestTimeout(peer))));
+        freeDescriptors();
     }
 
-    private void late(Peer peer) {
-        // its line may have come while the relay was held up
+    private void onRequestTimeout(Peer peer) {
+        // its request may have arrived during a stall of the relay
         peer.readAvailable();
-        Stay stay = guests.get(peer);
-        if (stay != null) {
-            stay.guest.late();
-            if (leaving.containsKey(peer)) {
-                linger(peer, takeOut(peer), LINGER_LATE);
+        Entry entry = pending.get(peer);
+        if (entry != null) {
+            entry.acceptedPeer.onRequestTimeout();
+            if (lingering.containsKey(peer)) {
+                linger(peer, remove(peer), LINGER_WITHOUT_REQUEST_MICROS);
             }
         }
     }
 
-    private void linger(Peer peer, AcceptedPeer guest, long length) {
-        leaving.put(peer, new Stay(guest, deadlines.schedule(loop.nowMicros() + length, peer::close)));
+    private void linger(Peer peer, AcceptedPeer acceptedPeer, long lingerMicros) {
+        lingering.put(peer, new Entry(acceptedPeer, deadlines.schedule(loop.nowMicros() + lingerMicros, peer::close)));
     }
 
-    /** Nobody is waited for any more: whoever has not asked by now is told so. */
+    /** Ends the wait for requests: every pending peer times out now. */
     public void stopWaitingForRequests() {
-        List.copyOf(guests.keySet()).forEach(this::late);
+        List.copyOf(pending.keySet()).forEach(this::onRequestTimeout);
     }
 
-    /** The guest has asked for what can be served; false where there is no room for it and its feed server. */
+    /** The peer has sent a valid request; false if no descriptors are left for it and its feed server. */
     public boolean admit(Peer peer) {
-        if (admitted.size() >= (most - LEAST_GUESTS) / ADMITTED_DESCRIPTORS) {
+        if (admitted.size() >= (descriptorLimit - MIN_PENDING_PEERS) / DESCRIPTORS_PER_ADMITTED) {
             return false;
         }
-        Stay stay = guests.remove(peer);
-        stay.until.cancel();
-        admitted.put(peer, stay.guest);
-        makeRoom();
+        Entry entry = pending.remove(peer);
+        entry.timeout.cancel();
+        admitted.put(peer, entry.acceptedPeer);
+        freeDescriptors();
         return true;
     }
 
-    /** The last word has been said on this socket; it is closed when its peer has closed, or soon. */
-    public void leave(Peer peer) {
-        if (peer.isClosed() || leaving.containsKey(peer)) {
+    /** The peer has been answered; it is closed when its end closes, or after the linger time. */
+    public void closeAfterLinger(Peer peer) {
+        if (peer.isClosed() || lingering.containsKey(peer)) {
             return;
         }
-        peer.watchedBy(this);
-        linger(peer, takeOut(peer), LINGER);
+        peer.setAdmission(this);
+        linger(peer, remove(peer), LINGER_MICROS);
     }
 
-    /** Called once for each socket that was here. */
-    void closed(Peer peer) {
-        AcceptedPeer guest = takeOut(peer);
-        if (guest != null) {
-            guest.gone();
+    /** Called by each socket once, when it is closed. */
+    void onClosed(Peer peer) {
+        AcceptedPeer acceptedPeer = remove(peer);
+        if (acceptedPeer != null) {
+            acceptedPeer.onClosed();
         }
     }
 
-    /** Takes the peer from wherever it is; null for one that is no front's guest. */
-    private AcceptedPeer takeOut(Peer peer) {
-        Stay stay = guests.containsKey(peer) ? guests.remove(peer) : leaving.remove(peer);
-        if (stay == null) {
+    /** Removes the peer from the state it is in; null for one that was not accepted by a front. */
+    private AcceptedPeer remove(Peer peer) {
+        Entry entry = pending.containsKey(peer) ? pending.remove(peer) : lingering.remove(peer);
+        if (entry == null) {
             return admitted.remove(peer);
         }
-        stay.until.cancel();
-        return stay.guest;
+        entry.timeout.cancel();
+        return entry.acceptedPeer;
     }
 
-    /** Peers that have been accepted and not yet asked for anything. */
+    /** Peers that have been accepted and have not sent a request. */
     public int peersWithoutRequest() {
-        return guests.size();
+        return pending.size();
     }
 
-    /** Descriptors that sockets of clients and feed servers take now. */
+    /** Descriptors that sockets of clients and feed servers use now. */
     public int descriptorsInUse() {
-        return guests.size() + leaving.size() + ADMITTED_DESCRIPTORS * admitted.size();
+        return pending.size() + lingering.size() + DESCRIPTORS_PER_ADMITTED * admitted.size();
     }
 
-    private void makeRoom() {
-        if (makingRoom) {
+    private void freeDescriptors() {
+        if (freeingDescriptors) {
             return;
         }
-        makingRoom = true;
-        while (descriptorsInUse() > most && !leaving.isEmpty()) {
-            oldest(leaving).close();
+        freeingDescriptors = true;
+        while (descriptorsInUse() > descriptorLimit && !lingering.isEmpty()) {
+            oldest(lingering).close();
         }
-        while (descriptorsInUse() > most && !guests.isEmpty()) {
-            Peer peer = oldest(guests);
-            // in a crowd that comes at once, the oldest may be a client whose line has not been looked at yet
+        while (descriptorsInUse() > descriptorLimit && !pending.isEmpty()) {
+            Peer peer = oldest(pending);
+            // in a burst of connections the oldest may be a client whose request has not been read yet
             peer.readAvailable();
-            Stay stay = guests.get(peer);
-            if (stay != null) {
-                stay.guest.turnAway();
+            Entry entry = pending.get(peer);
+            if (entry != null) {
+                entry.acceptedPeer.reject();
             }
         }
-        makingRoom = false;
+        freeingDescriptors = false;
     }
 
-    private static Peer oldest(Map<Peer, Stay> among) {
-        return among.keySet().iterator().next();
+    private static Peer oldest(Map<Peer, Entry> peers) {
+        return peers.keySet().iterator().next();
     }
 }
--- a/src/main/java/sandstack/net/Peer.java
+++ b/src/main/java/sandstack/net/Peer.java
@@ -4,6 +4,8 @@
 import java.net.StandardSocketOptions;
 import java.nio.channels.SocketChannel;
 import java.nio.channels.WritableByteChannel;
+import java.util.logging.Level;
+import java.util.logging.Logger;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.Grizzly;
 import org.glassfish.grizzly.IOEvent;
@@ -11,199 +13,197 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * One socket with its two rings. What it hears of its peer it tells its owner; what it writes leaves at once
- * or as soon as the socket takes it.
+ * One non-blocking socket with a buffer for each direction. Input is reported to the {@link Listener}; output is written
+ * at once or as soon as the socket accepts it. A full input buffer stops the reading. Used on the loop's thread only.
  */
 public final class Peer {
-    /** How many bytes may wait in one direction. */
+    /** Bytes that one direction buffers before reading stops. */
     public static final int BUFFER_LIMIT_BYTES = 16 * 1024;
 
-    private static final Attribute<Peer> OF = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(Peer.class.getName());
+    private static final Logger LOG = Logger.getLogger("sandstack.net");
+    private static final Attribute<Peer> PEER_OF_CONNECTION =
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(Peer.class.getName());
 
-    /** Who is told what a socket does. */
+    /** Receives the events of a socket, on the loop's thread. */
     public interface Listener {
-        /** More bytes are in {@link Peer#input}, the newest so many. */
+        /** {@link Peer#input} has grown by this many bytes. */
         void onBytesReceived(int count);
 
-        /** All that was waiting has been written. */
+        /** All buffered output has been written. */
         void onFlushed();
 
-        /** The peer has ended its sending; what came before is in the ring. */
+        /** The peer has shut down its output; what it sent before is in {@link Peer#input}. */
         void onEndOfInput();
 
-        /** The connection broke; the socket is closed. */
+        /** The connection failed; the socket is closed. */
         void onConnectionLost();
     }
 
     private final NIOConnection connection;
     private final SocketChannel channel;
-    private final WritableByteChannel output;
+    private final WritableByteChannel outputChannel;
     private final EventLoop loop;
-    private final RingBuffer in = new RingBuffer(BUFFER_LIMIT_BYTES);
-    private RingBuffer out = new RingBuffer(BUFFER_LIMIT_BYTES);
-    private Listener owner;
-    private boolean held;
-    private boolean reading = true;
-    private boolean finishing;
-    private boolean outEnded;
-    private boolean discarding;
-    private ConnectionAdmission lobby;
-    private boolean inEnded;
-    private boolean outBroken;
+    private final RingBuffer input = new RingBuffer(BUFFER_LIMIT_BYTES);
+    private RingBuffer output = new RingBuffer(BUFFER_LIMIT_BYTES);
+    private Listener listener;
+    private boolean readingPaused;
+    private boolean readInterestSet = true;
+    private boolean outputShutdownRequested;
+    private boolean outputEnded;
+    private boolean discardingInput;
+    private ConnectionAdmission admission;
+    private boolean inputEnded;
+    private boolean writeFailed;
     private boolean closed;
 
     Peer(Connection<?> connection, EventLoop loop) {
         this.connection = (NIOConnection) connection;
         this.channel = (SocketChannel) this.connection.getChannel();
-        this.output = loop.output(channel);
+        this.outputChannel = loop.outputChannel(channel);
         this.loop = loop;
-        OF.set(connection, this);
+        PEER_OF_CONNECTION.set(connection, this);
     }
 
     static Peer of(Connection<?> connection) {
-        return OF.get(connection);
+        return PEER_OF_CONNECTION.get(connection);
     }
 
-    /** From now on this owner is told what the socket does. */
-    public void setListener(Listener newOwner) {
-        owner = newOwner;
+    /** Replaces the listener. */
+    public void setListener(Listener newListener) {
+        listener = newListener;
     }
 
-    /** The lobby hears of this socket's end. */
-    void watchedBy(ConnectionAdmission watching) {
-        lobby = watching;
+    /** Sets the admission that is notified when this socket is closed. */
+    void setAdmission(ConnectionAdmission newAdmission) {
+        admission = newAdmission;
     }
 
-    /** From now on what comes is read and thrown away. */
+    /** Drops buffered input, and from now on reads and drops what arrives. */
     public void discardInput() {
-        discarding = true;
-        in.skip(in.size());
+        discardingInput = true;
+        input.skip(input.size());
         resumeReading();
     }
 
-    /** Bytes that came from the peer and were not yet passed on. */
+    /** Bytes that were received from the peer and not consumed yet. */
     public RingBuffer input() {
-        return in;
+        return input;
     }
 
-    /** Makes another socket's incoming ring the one that this one writes from: what comes there goes out here. */
+    /** Writes from another socket's input buffer: what is received there is sent here, without a copy. */
     public void writeInputOf(Peer other) {
-        out = other.in;
+        output = other.input;
     }
 
-    // ---- what the loop calls ----------------------------------------------------------------------
-
-    /** Takes what has come; stops reading while the ring is full. */
-    void readable() {
-        if (closed || inEnded) {
+    /** Reads what is available; stops reading while the buffer is full. */
+    void onReadable() {
+        if (closed || inputEnded) {
             return;
         }
-        int came = 0;
-        boolean broke = false;
+        int received = 0;
+        boolean failed = false;
         try {
-            int n = 1;
-            while (n > 0 && !discarding && in.remainingCapacity() > 0) {
-                n = in.readFrom(channel);
-                came += Math.max(0, n);
+            int count = 1;
+            while (count > 0 && !discardingInput && input.remainingCapacity() > 0) {
+                count = input.readFrom(channel);
+                received += Math.max(0, count);
             }
-            if (discarding) {
-                // one piece a turn, through one buffer for all: a peer that sends 60 MB costs neither memory
-                // nor the others' turns
-                n = channel.read(loop.scrap());
+            if (discardingInput) {
+                // one read a turn into one shared buffer, so that a flood costs neither memory nor other peers' turns
+                count = channel.read(loop.discardBuffer());
             }
-            inEnded = n < 0;
+            inputEnded = count < 0;
         } catch (IOException e) {
-            broke = true;
+            failed = true;
         }
-        // first what it said: an answer may have come right before the reset
-        if (came > 0) {
-            owner.onBytesReceived(came);
+        // input first: an answer may have been received right before the reset
+        if (received > 0) {
+            listener.onBytesReceived(received);
         }
-        if (broke) {
-            breakDown();
+        if (failed) {
+            closeAfterError();
             return;
         }
-        // only now: an owner that takes everything at once has made room in a ring that was full before
-        setReading();
-        if (inEnded && !closed) {
-            owner.onEndOfInput();
+        // after the callback, which may have consumed a full buffer
+        updateReadInterest();
+        if (inputEnded && !closed) {
+            listener.onEndOfInput();
         }
     }
 
-    /** Takes what has come by now: whoever is about to act on this peer's being there looks first. */
+    /** Reads what is available now, so that a decision about this peer does not rest on an old readiness. */
     public void readAvailable() {
-        EventLoop.guarded(this, this::readable);
+        runGuarded(this::onReadable);
     }
 
-    void writable() {
+    /** Writes buffered output, if any. */
+    void onWritable() {
         if (!closed) {
             flush();
         }
     }
 
-    // ---- what owners call -------------------------------------------------------------------------
-
-    /** Adds words of the relay's own and writes what it can. */
+    /** Buffers text of the relay's own and writes what the socket accepts. */
     public void send(String text) {
-        out.append(text);
+        output.append(text);
         flush();
     }
 
-    /** Adds bytes of the relay's own making and writes what it can. */
+    /** Buffers bytes of the relay's own and writes what the socket accepts. */
     public void send(byte[] bytes) {
-        out.append(bytes, 0, bytes.length);
+        output.append(bytes, 0, bytes.length);
         flush();
     }
 
-    /** How many bytes wait to be written. */
+    /** How many bytes are waiting to be written. */
     public int pendingBytes() {
-        return out.size();
+        return output.size();
     }
 
-    /** Stops reading until {@link #resumeReading}: what is read could not be passed on now. */
+    /** Stops reading until {@link #resumeReading}. */
     public void pauseReading() {
-        held = true;
-        setReading();
+        readingPaused = true;
+        updateReadInterest();
     }
 
-    /** Writes what waits; tells the owner when nothing does. */
+    /** Writes buffered output; notifies the listener once nothing is left. */
     public void flush() {
-        if (closed || outEnded || outBroken) {
+        if (closed || outputEnded || writeFailed) {
             return;
         }
         try {
-            out.writeTo(output);
-            if (!out.isEmpty()) {
+            output.writeTo(outputChannel);
+            if (!output.isEmpty()) {
                 connection.enableIOEvent(IOEvent.WRITE);
                 return;
             }
             connection.disableIOEvent(IOEvent.WRITE);
-            if (finishing) {
-                outEnded = true;
+            if (outputShutdownRequested) {
+                outputEnded = true;
                 channel.shutdownOutput();
             }
         } catch (IOException e) {
-            // a peer that has closed may have answered before: what it said still lies here unread
-            outBroken = true;
-            readable();
-            breakDown();
+            // a peer that has closed may have answered before, and its answer is still unread
+            writeFailed = true;
+            onReadable();
+            closeAfterError();
             return;
         }
-        owner.onFlushed();
+        listener.onFlushed();
     }
 
-    /** Reads on, if there is room. */
+    /** Reads again, as far as the buffer has room. */
     public void resumeReading() {
-        held = false;
-        setReading();
+        readingPaused = false;
+        updateReadInterest();
     }
 
-    private void setReading() {
-        boolean wanted = !inEnded && !held && in.remainingCapacity() > 0;
-        if (closed || wanted == reading) {
+    private void updateReadInterest() {
+        boolean wanted = !inputEnded && !readingPaused && input.remainingCapacity() > 0;
+        if (closed || wanted == readInterestSet) {
             return;
         }
-        reading = wanted;
+        readInterestSet = wanted;
         try {
             if (wanted) {
                 connection.enableIOEvent(IOEvent.READ);
@@ -211,60 +211,70 @@
                 connection.disableIOEvent(IOEvent.READ);
             }
         } catch (IOException e) {
-            breakDown();
+            closeAfterError();
         }
     }
 
-    /** Ends the sending, as a FIN, after all that waits has gone out. */
+    /** Sends a FIN after all buffered output. */
     public void shutdownOutput() {
-        if (!finishing) {
-            finishing = true;
+        if (!outputShutdownRequested) {
+            outputShutdownRequested = true;
             flush();
         }
     }
 
-    /** Whether the peer has ended its sending. */
+    /** Whether the peer has shut down its output. */
     public boolean isInputEnded() {
-        return inEnded;
+        return inputEnded;
     }
 
-    /** Whether the end of our sending has gone out. */
+    /** Whether this side's FIN has been sent. */
     public boolean isOutputEnded() {
-        return outEnded;
+        return outputEnded;
     }
 
-    /** Whether the socket is closed here. */
+    /** Whether this side has closed the socket. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** Closes the socket at once; what has not been written is lost. Without effect where it is closed already. */
+    /** Closes the socket at once and drops unwritten output. No effect on a closed socket. */
     public void close() {
         if (!closed) {
             closed = true;
             connection.terminateSilently();
-            if (lobby != null) {
-                lobby.closed(this);
+            if (admission != null) {
+                admission.onClosed(this);
             }
         }
     }
 
-    /** Ends the connection as a reset. */
+    /** Closes the connection with a TCP reset. */
     public void reset() {
         if (!closed) {
             try {
                 channel.setOption(StandardSocketOptions.SO_LINGER, 0);
             } catch (IOException e) {
-                // it is closed all the same
+                // the socket is closed in any case
             }
             close();
         }
     }
 
-    private void breakDown() {
+    /** Runs a callback of this connection. A fault in it resets this connection and leaves the others alone. */
+    void runGuarded(Runnable task) {
+        try {
+            task.run();
+        } catch (RuntimeException e) {
+            LOG.log(Level.SEVERE, "fault on a connection, which is reset", e);
+            reset();
+        }
+    }
+
+    private void closeAfterError() {
         if (!closed) {
             close();
-            owner.onConnectionLost();
+            listener.onConnectionLost();
         }
     }
 }
--- a/src/main/java/sandstack/net/RingBuffer.java
+++ b/src/main/java/sandstack/net/RingBuffer.java
@@ -7,20 +7,20 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The bytes of one direction of a connection, in order. A ring takes memory only while it holds something,
- * and grows up to its limit; a full one takes no more from the channel, which is the back-pressure.
+ * The bytes of one direction of a connection, first in, first out. Holds memory only while it holds bytes, and grows up
+ * to its limit; a full buffer reads nothing more, which is the back-pressure. Not thread-safe.
  */
 public final class RingBuffer {
-    private static final int LEAST = 512;
-    private static final byte[] NONE = new byte[0];
+    private static final int INITIAL_CAPACITY_BYTES = 512;
+    private static final byte[] EMPTY = new byte[0];
 
     private final int limit;
-    private byte[] bytes = NONE;
+    private byte[] bytes = EMPTY;
     private int head;
     private int size;
 
     /**
-     * Creates an empty ring, which takes no memory yet.
+     * Creates an empty buffer, which holds no memory yet.
      *
      * @param limit a power of two; {@link #append} alone may go beyond it
      */
@@ -28,7 +28,7 @@
         this.limit = limit;
     }
 
-    /** Reads what the channel has, as far as there is room in one piece. Returns what the channel returned. */
+    /** Reads from the channel into the contiguous free space. Returns what the channel returned. */
     public int readFrom(ReadableByteChannel channel) throws IOException {
         if (remainingCapacity() == 0) {
             return 0;
@@ -37,25 +37,25 @@
             grow(size + 1);
         }
         int tail = (head + size) & (bytes.length - 1);
-        int piece = tail < head ? head - tail : bytes.length - tail;
-        int n = channel.read(ByteBuffer.wrap(bytes, tail, Math.min(piece, remainingCapacity())));
-        size += Math.max(0, n);
+        int contiguous = tail < head ? head - tail : bytes.length - tail;
+        int count = channel.read(ByteBuffer.wrap(bytes, tail, Math.min(contiguous, remainingCapacity())));
+        size += Math.max(0, count);
         release();
-        return n;
+        return count;
     }
 
-    /** Writes as much as the channel takes. */
+    /** Writes as much as the channel accepts. */
     public void writeTo(WritableByteChannel channel) throws IOException {
         while (size > 0) {
-            int n = channel.write(ByteBuffer.wrap(bytes, head, Math.min(size, bytes.length - head)));
-            if (n <= 0) {
+            int count = channel.write(ByteBuffer.wrap(bytes, head, Math.min(size, bytes.length - head)));
+            if (count <= 0) {
                 break;
             }
-            skip(n);
+            skip(count);
         }
     }
 
-    /** Adds these bytes, whatever the limit says: for the relay's own words, which are few. */
+    /** Adds these bytes regardless of the limit: for the relay's own messages, which are short. */
     public void append(byte[] more, int from, int count) {
         if (size + count > bytes.length) {
             grow(size + count);
@@ -66,15 +66,15 @@
         size += count;
     }
 
-    /** Adds this text, one byte a character, whatever the limit says. */
+    /** Adds this text in ISO 8859-1, regardless of the limit. */
     public void append(String text) {
         byte[] more = text.getBytes(StandardCharsets.ISO_8859_1);
         append(more, 0, more.length);
     }
 
-    private void grow(int least) {
-        int capacity = Math.max(LEAST, bytes.length);
-        while (capacity < least) {
+    private void grow(int minimumCapacity) {
+        int capacity = Math.max(INITIAL_CAPACITY_BYTES, bytes.length);
+        while (capacity < minimumCapacity) {
             capacity *= 2;
         }
         byte[] larger = new byte[capacity];
@@ -87,17 +87,17 @@
 
     private void release() {
         if (size == 0) {
-            bytes = NONE;
+            bytes = EMPTY;
             head = 0;
         }
     }
 
     /** The byte at this position, from 0 to {@link #size} - 1. */
-    public byte byteAt(int i) {
-        return bytes[(head + i) & (bytes.length - 1)];
+    public byte byteAt(int index) {
+        return bytes[(head + index) & (bytes.length - 1)];
     }
 
-    /** Position of the first such byte; -1 where there is none. */
+    /** Position of the first such byte; -1 if there is none. */
     public int indexOf(char wanted) {
         for (int i = 0; i < size; i++) {
             if (byteAt(i) == wanted) {
@@ -107,7 +107,7 @@
         return -1;
     }
 
-    /** The first bytes as text, one character a byte; they stay. */
+    /** The first bytes as ISO 8859-1 text; does not consume them. */
     public String peekText(int count) {
         StringBuilder text = new StringBuilder(count);
         for (int i = 0; i < count; i++) {
@@ -116,7 +116,7 @@
         return text.toString();
     }
 
-    /** Takes all that is there. */
+    /** Consumes and returns all bytes. */
     public byte[] takeAll() {
         byte[] all = new byte[size];
         for (int i = 0; i < all.length; i++) {
@@ -133,7 +133,7 @@
         release();
     }
 
-    /** Takes back the newest bytes. */
+    /** Drops the newest bytes. */
     public void dropLast(int count) {
         size -= count;
         release();
@@ -144,7 +144,7 @@
         return size;
     }
 
-    /** How many bytes it takes until its limit; never negative. */
+    /** How many more bytes fit until the limit; never negative. */
     public int remainingCapacity() {
         return Math.max(0, limit - size);
     }
--- a/src/main/java/sandstack/net/package-info.java
+++ b/src/main/java/sandstack/net/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Sockets on one thread: the loop, a peer with a ring of bytes for each direction, and how many peers may be open.
- * Built on Grizzly; knows no protocol and no decision. The fronts, {@code discovery} and {@code standin} use it.
+ * Non-blocking sockets on one thread: the event loop, a socket with a buffer for each direction, and admission control by
+ * file descriptors. Built on Grizzly; knows no protocol and takes no balancing decision. The fronts, {@code discovery}
+ * and {@code standin} use it.
  */
 package sandstack.net;
