--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -121,7 +121,7 @@
                 this::askDiscovery);
         this.form = new EndpointListJson(config.zones(), kinds);
         this.watch = new DiscoveryWatch(loop, relay, config.discovery(), form);
-        this.kept = OTHER_DESCRIPTORS + (config.operator() == null ? 0 : OperatorDoor.MOST);
+        this.kept = OTHER_DESCRIPTORS + (config.operator() == null ? 0 : OperatorDoor.MAX_CALLERS);
         this.descriptors = descriptorsWithin(config.maxDescriptors() - kept);
         this.lobby = new ConnectionAdmission(loop, relay.deadlines(), descriptors);
         this.platform = new PlatformFront(loop, relay, lobby);
--- a/src/main/java/sandstack/console/Console.java
+++ b/src/main/java/sandstack/console/Console.java
@@ -26,31 +26,31 @@
     /** Reads and answers until the input ends or somebody quits. */
     public void run() throws IOException {
         if (System.console() == null) {
-            plain(System.in, System.out);
+            runPlain(System.in, System.out);
         } else {
-            terminal();
+            runTerminal();
         }
     }
 
     /** Without a terminal: a command a line in, its answer out, and no decoration. */
-    void plain(InputStream input, PrintStream output) throws IOException {
+    void runPlain(InputStream input, PrintStream output) throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8));
-        for (String line = in.readLine(); line != null && !quits(line); line = in.readLine()) {
+        for (String line = in.readLine(); line != null && !isQuit(line); line = in.readLine()) {
             commands.answer(line).forEach(output::println);
             output.flush();
         }
     }
 
-    private void terminal() throws IOException {
+    private void runTerminal() throws IOException {
         try (Terminal terminal = TerminalBuilder.builder().system(true).build()) {
             LineReader reader = LineReaderBuilder.builder()
                     .terminal(terminal)
-                    .completer(new StringsCompleter(commands.words()))
+                    .completer(new StringsCompleter(commands.completions()))
                     .build();
             terminal.writer().println("sandstack console; help lists the commands");
             while (true) {
                 String line = reader.readLine("sandstack> ");
-                if (quits(line)) {
+                if (isQuit(line)) {
                     return;
                 }
                 commands.answer(line).forEach(terminal.writer()::println);
@@ -61,7 +61,7 @@
         }
     }
 
-    private static boolean quits(String line) {
+    private static boolean isQuit(String line) {
         return line.trim().equals("quit");
     }
 }
--- a/src/main/java/sandstack/console/ConsoleCommands.java
+++ b/src/main/java/sandstack/console/ConsoleCommands.java
@@ -28,7 +28,7 @@
     private final Runnable drain;
     private final Map<String, Supplier<List<String>>> commands = new LinkedHashMap<>();
     /** Commands that are followed by one more word. */
-    private final Map<String, Function<String, List<String>>> withWord = new LinkedHashMap<>();
+    private final Map<String, Function<String, List<String>>> commandsWithArgument = new LinkedHashMap<>();
 
     /**
      * Creates the commands of this relay.
@@ -36,59 +36,61 @@
      * @param loop runs what is given on the relay's thread
      * @param listeners a line for each address at which the relay listens
      * @param drain begins to take the relay out of service
-     * @param more commands of parts that are on
-     * @param moreWithWord the same for commands that are followed by one more word; on the caller's thread, and bounded
+     * @param additionalCommands commands of parts that are on
+     * @param additionalCommandsWithArgument the same for commands that are followed by one more word; on the caller's thread, and bounded
      */
     public ConsoleCommands(
             Relay relay,
             Executor loop,
             Supplier<List<String>> listeners,
             Runnable drain,
-            Map<String, Supplier<List<String>>> more,
-            Map<String, Function<String, List<String>>> moreWithWord) {
+            Map<String, Supplier<List<String>>> additionalCommands,
+            Map<String, Function<String, List<String>>> additionalCommandsWithArgument) {
         this.relay = relay;
         this.loop = loop;
         this.listeners = listeners;
         this.drain = drain;
-        commands.put("listeners", this::listeners);
-        commands.put("names", this::names);
-        commands.put("standing", this::standing);
-        commands.put("endings", this::endings);
-        commands.put("tenants", this::tenants);
+        commands.put("listeners", this::listenerLines);
+        commands.put("names", this::endpointLines);
+        commands.put("standing", this::connectionLines);
+        commands.put("endings", this::outcomeLines);
+        commands.put("tenants", this::tenantLines);
         commands.put("figures", relay::metricLines);
-        commands.put("drain", this::drain);
-        commands.putAll(more);
+        commands.put("drain", this::startDrain);
+        commands.putAll(additionalCommands);
         commands.put(
                 "help",
                 () -> List.of("commands: " + String.join(", ", commands.keySet())
-                        + withWord.keySet().stream()
-                                .map(w -> ", " + w + " NAME")
-                                .collect(Collectors.joining()) + ", quit"));
-        withWord.putAll(moreWithWord);
+                        + commandsWithArgument.keySet().stream()
+                                .map(name -> ", " + name + " NAME")
+                                .collect(Collectors.joining())
+                        + ", quit"));
+        commandsWithArgument.putAll(additionalCommandsWithArgument);
     }
 
     /** The words it understands. */
-    Set<String> words() {
-        Set<String> words = new LinkedHashSet<>(commands.keySet());
-        words.addAll(withWord.keySet());
-        return words;
+    Set<String> completions() {
+        Set<String> completions = new LinkedHashSet<>(commands.keySet());
+        completions.addAll(commandsWithArgument.keySet());
+        return completions;
     }
 
     /** The answer to one line, as lines of text. */
     public List<String> answer(String line) {
-        String word = line.trim();
-        if (word.isEmpty()) {
+        String text = line.trim();
+        if (text.isEmpty()) {
             return List.of();
         }
-        int last = word.lastIndexOf(' ');
-        Function<String, List<String>> named =
-                last < 0 ? null : withWord.get(word.substring(0, last).trim());
-        if (named != null) {
-            return named.apply(word.substring(last + 1));
+        int lastSpace = text.lastIndexOf(' ');
+        Function<String, List<String>> commandWithArgument = lastSpace < 0
+                ? null
+                : commandsWithArgument.get(text.substring(0, lastSpace).trim());
+        if (commandWithArgument != null) {
+            return commandWithArgument.apply(text.substring(lastSpace + 1));
         }
-        Supplier<List<String>> command = commands.get(word);
+        Supplier<List<String>> command = commands.get(text);
         if (command == null) {
-            return List.of("no such command: " + word + "; try help");
+            return List.of("no such command: " + text + "; try help");
         }
         CompletableFuture<List<String>> answer = new CompletableFuture<>();
         loop.execute(() -> answer.complete(command.get()));
@@ -102,49 +104,49 @@
         }
     }
 
-    private List<String> listeners() {
+    private List<String> listenerLines() {
         return listeners.get();
     }
 
-    private List<String> names() {
+    private List<String> endpointLines() {
         List<String> lines = new ArrayList<>();
         lines.add("version " + relay.endpoints().version());
-        for (EndpointRegistry.Endpoint line : relay.endpoints().endpoints()) {
+        for (EndpointRegistry.Endpoint endpoint : relay.endpoints().endpoints()) {
             lines.add(String.format(
                     "%-16s %-22s zone %d  %s",
-                    line.entry().serverId(),
-                    line.host() + ":" + line.port(),
-                    line.entry().zone(),
-                    line.entry().state()));
+                    endpoint.entry().serverId(),
+                    endpoint.host() + ":" + endpoint.port(),
+                    endpoint.entry().zone(),
+                    endpoint.entry().state()));
         }
         return lines;
     }
 
-    private List<String> standing() {
-        Map<String, Integer> at = new LinkedHashMap<>();
+    private List<String> connectionLines() {
+        Map<String, Integer> connectionsByServer = new LinkedHashMap<>();
         int waiting = 0;
         for (ClientSession client : relay.clients()) {
-            ConnectionAttempt execution = client.attempt();
-            if (execution != null && execution.isEstablished()) {
-                at.merge(execution.endpoint().entry().serverId(), 1, Integer::sum);
+            ConnectionAttempt attempt = client.attempt();
+            if (attempt != null && attempt.isEstablished()) {
+                connectionsByServer.merge(attempt.endpoint().entry().serverId(), 1, Integer::sum);
             } else {
                 waiting++;
             }
         }
         List<String> lines = new ArrayList<>();
-        at.forEach((server, count) -> lines.add(String.format("%-16s %d standing", server, count)));
+        connectionsByServer.forEach((server, count) -> lines.add(String.format("%-16s %d standing", server, count)));
         lines.add(waiting + " waiting for a feed server");
         return lines;
     }
 
-    private List<String> endings() {
+    private List<String> outcomeLines() {
         List<String> lines = new ArrayList<>();
-        relay.outcomeCounts().forEach((ending, count) -> lines.add(String.format("%-16s %d", ending, count)));
+        relay.outcomeCounts().forEach((outcome, count) -> lines.add(String.format("%-16s %d", outcome, count)));
         relay.rejectionCounts().forEach((cause, count) -> lines.add(String.format("refused: %-12s %d", cause, count)));
         return lines.isEmpty() ? List.of("nothing has ended yet") : lines;
     }
 
-    private List<String> tenants() {
+    private List<String> tenantLines() {
         List<String> lines = new ArrayList<>();
         for (TenantRegistry.Entry tenant : relay.tenants().entries()) {
             lines.add(String.format(
@@ -154,7 +156,7 @@
         return lines.isEmpty() ? List.of("no tenants") : lines;
     }
 
-    private List<String> drain() {
+    private List<String> startDrain() {
         if (relay.isDraining()) {
             return List.of("draining already");
         }
--- a/src/main/java/sandstack/directory/TenantDirectory.java
+++ b/src/main/java/sandstack/directory/TenantDirectory.java
@@ -24,7 +24,7 @@
  */
 public final class TenantDirectory implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("sandstack.directory");
-    private static final int PATIENCE_MILLIS = 3_000;
+    private static final int LDAP_TIMEOUT_MILLIS = 3_000;
     private static final String FILE = "directory.toml";
 
     /**
@@ -62,43 +62,43 @@
         }
     }
 
-    private final DirectoryLocation where;
-    private final Consumer<List<TenantRegistry.Entry>> told;
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
-        Thread made = new Thread(task, "directory");
-        made.setDaemon(true);
-        return made;
+    private final DirectoryLocation location;
+    private final Consumer<List<TenantRegistry.Entry>> listener;
+    private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor(task -> {
+        Thread newThread = new Thread(task, "directory");
+        newThread.setDaemon(true);
+        return newThread;
     });
-    private boolean reached = true;
+    private boolean reachable = true;
 
     /**
      * Creates a reader, which reads nothing before {@link #start}.
      *
-     * @param told takes each list that was read, on the directory's thread
+     * @param listener takes each list that was read, on the directory's thread
      */
-    public TenantDirectory(DirectoryLocation where, Consumer<List<TenantRegistry.Entry>> told) {
-        this.where = where;
-        this.told = told;
+    public TenantDirectory(DirectoryLocation location, Consumer<List<TenantRegistry.Entry>> listener) {
+        this.location = location;
+        this.listener = listener;
     }
 
     /** Reads the directory at once and then at its refresh interval, until it is closed. */
     public void start() {
-        thread.scheduleWithFixedDelay(this::refresh, 0, where.refreshMillis(), TimeUnit.MILLISECONDS);
+        scheduler.scheduleWithFixedDelay(this::refresh, 0, location.refreshMillis(), TimeUnit.MILLISECONDS);
     }
 
     private void refresh() {
         try {
-            told.accept(read());
-            if (!reached) {
-                LOG.info("the directory at " + where.server() + " answers again");
+            listener.accept(read());
+            if (!reachable) {
+                LOG.info("the directory at " + location.server() + " answers again");
             }
-            reached = true;
+            reachable = true;
         } catch (LDAPException e) {
-            if (reached) {
-                LOG.warning("the directory at " + where.server() + " cannot be read, the last tenants stay: "
+            if (reachable) {
+                LOG.warning("the directory at " + location.server() + " cannot be read, the last tenants stay: "
                         + e.getResultCode().getName());
             }
-            reached = false;
+            reachable = false;
         } catch (RuntimeException e) {
             // thrown further, it would end the refreshing without a word
             LOG.warning("fault while reading the directory: " + e);
@@ -108,24 +108,24 @@
     /** Reads the list once. */
     List<TenantRegistry.Entry> read() throws LDAPException {
         LDAPConnectionOptions options = new LDAPConnectionOptions();
-        options.setConnectTimeoutMillis(PATIENCE_MILLIS);
-        options.setResponseTimeoutMillis(PATIENCE_MILLIS);
+        options.setConnectTimeoutMillis(LDAP_TIMEOUT_MILLIS);
+        options.setResponseTimeoutMillis(LDAP_TIMEOUT_MILLIS);
         try (LDAPConnection connection = new LDAPConnection(
-                options, where.server().host(), where.server().port())) {
-            if (!where.user().isEmpty()) {
-                connection.bind(where.user(), where.password());
+                options, location.server().host(), location.server().port())) {
+            if (!location.user().isEmpty()) {
+                connection.bind(location.user(), location.password());
             }
             List<TenantRegistry.Entry> entries = new ArrayList<>();
             for (SearchResultEntry found : connection
                     .search(
-                            where.base(),
+                            location.base(),
                             SearchScope.SUB,
-                            where.filter(),
-                            where.name(),
-                            where.share(),
-                            where.connections())
+                            location.filter(),
+                            location.name(),
+                            location.share(),
+                            location.connections())
                     .getSearchEntries()) {
-                TenantRegistry.Entry entry = entry(found);
+                TenantRegistry.Entry entry = toTenant(found);
                 if (entry != null) {
                     entries.add(entry);
                 }
@@ -135,11 +135,11 @@
     }
 
     /** One tenant; null where the directory has no sense of it, which must not cost the others theirs. */
-    private TenantRegistry.Entry entry(SearchResultEntry found) {
+    private TenantRegistry.Entry toTenant(SearchResultEntry found) {
         try {
-            String name = found.getAttributeValue(where.name());
-            double share = Double.parseDouble(found.getAttributeValue(where.share()));
-            double connections = Double.parseDouble(found.getAttributeValue(where.connections()));
+            String name = found.getAttributeValue(location.name());
+            double share = Double.parseDouble(found.getAttributeValue(location.share()));
+            double connections = Double.parseDouble(found.getAttributeValue(location.connections()));
             if (name != null && share >= 0 && connections >= 0 && share <= 1) {
                 return new TenantRegistry.Entry(name, share, connections);
             }
@@ -152,6 +152,6 @@
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        scheduler.shutdownNow();
     }
 }
--- /dev/null
+++ b/src/main/java/sandstack/front/amqp/AmqpClientSession.java
@@ -0,0 +1,303 @@
+package sandstack.front.amqp;
+
+import java.util.Map;
+import org.apache.qpid.protonj2.engine.Connection;
+import org.apache.qpid.protonj2.engine.Engine;
+import org.apache.qpid.protonj2.engine.EngineHandler;
+import org.apache.qpid.protonj2.engine.EngineHandlerContext;
+import org.apache.qpid.protonj2.engine.IncomingAMQPEnvelope;
+import org.apache.qpid.protonj2.engine.Link;
+import org.apache.qpid.protonj2.engine.OutgoingAMQPEnvelope;
+import org.apache.qpid.protonj2.engine.Receiver;
+import org.apache.qpid.protonj2.engine.Sender;
+import org.apache.qpid.protonj2.engine.Session;
+import org.apache.qpid.protonj2.engine.impl.ProtonConstants;
+import org.apache.qpid.protonj2.types.Binary;
+import org.apache.qpid.protonj2.types.messaging.Target;
+import org.apache.qpid.protonj2.types.transport.AmqpError;
+import org.apache.qpid.protonj2.types.transport.Attach;
+import org.apache.qpid.protonj2.types.transport.DeliveryState;
+import org.apache.qpid.protonj2.types.transport.ErrorCondition;
+import org.apache.qpid.protonj2.types.transport.LinkError;
+import sandstack.core.ClientRequest;
+import sandstack.core.ClientSession;
+import sandstack.core.ConnectionAttempt;
+import sandstack.core.ConnectionOutcome;
+import sandstack.core.Rejection;
+import sandstack.net.ConnectionAdmission;
+import sandstack.net.Peer;
+
+/**
+ * The client side of one AMQP connection, whose single link is one request. Used on the loop's thread only.
+ */
+final class AmqpClientSession extends ClientSession
+        implements AmqpConnection.Listener, ConnectionAdmission.AcceptedPeer {
+    private final AmqpFront front;
+    private final AmqpConnection amqpConnection;
+    private Connection protonConnection;
+    private Session session;
+    private Link<?> link;
+    private LinkId linkId;
+    private final DeliveryTracker tracker = new DeliveryTracker();
+    private DeliveryTracker earlierDeliveries;
+    private Map<Binary, DeliveryState> clientUnsettled;
+    private AmqpUpstream upstream;
+    private boolean ended;
+
+    AmqpClientSession(AmqpFront front, Peer peer) {
+        this.front = front;
+        this.amqpConnection = new AmqpConnection(front, peer, this);
+        front.admission().onAccepted(peer, this);
+    }
+
+    @Override
+    public void reject() {
+        onGone(null);
+        amqpConnection.peer().close();
+    }
+
+    // Events of the client's connection
+
+    /** Inserts a handler between the wire and the engine's performative handler, which consumes what it reads. */
+    @Override
+    public void onEngineCreated(Engine engine) {
+        EngineHandler performatives = engine.pipeline().first();
+        engine.pipeline()
+                .removeFirst()
+                .addFirst("resuming", new UnsettledMapHandler())
+                .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
+    }
+
+    @Override
+    public void onEngineStarted(Connection newConnection) {
+        protonConnection = newConnection;
+        newConnection.setContainerId(front.containerId());
+        newConnection.setIdleTimeout(AmqpFront.CLIENT_IDLE_TIMEOUT_MILLIS);
+        newConnection.setMaxFrameSize(AmqpFront.MAX_FRAME_BYTES);
+        newConnection.openHandler(c -> {
+            c.open();
+            amqpConnection.tickIdle();
+        });
+        newConnection.sessionOpenHandler(s -> {
+            s.setIncomingCapacity(AmqpFront.SESSION_WINDOW_BYTES);
+            if (session == null) {
+                session = s;
+                s.closeHandler(x -> onClientClosed());
+            }
+            s.open();
+        });
+        newConnection.senderOpenHandler(this::onAttached);
+        newConnection.receiverOpenHandler(this::onAttached);
+        newConnection.closeHandler(c -> onClientClosed());
+    }
+
+    private void onAttached(Link<?> newLink) {
+        if (link != null) {
+            // one connection is one request: further links are rejected
+            detach(newLink, new ErrorCondition(AmqpError.NOT_ALLOWED, "one link a connection"));
+            return;
+        }
+        link = newLink;
+        link.closeHandler(l -> onClientClosed());
+        link.detachHandler(l -> onClientClosed());
+        ClientRequest request = AmqpMapping.toClientRequest(
+                link.getRemoteProperties(),
+                front.relay().effectiveSettings(),
+                front.relay().tenants());
+        if (request == null) {
+            sendRejection(new Rejection(Rejection.Kind.MALFORMED, 0));
+            return;
+        }
+        if (!front.admission().admit(amqpConnection.peer())) {
+            front.relay().recordRejection(request, ConnectionAdmission.NO_CAPACITY);
+            sendRejection(ConnectionAdmission.NO_CAPACITY);
+            return;
+        }
+        linkId = new LinkId(protonConnection.getRemoteContainerId(), link.getName(), link.isReceiver());
+        front.claimLink(linkId, this, () -> {
+            if (!ended) {
+                earlierDeliveries = front.takeUnsettled(linkId, clientUnsettled);
+                front.relay().accept(this, request);
+            }
+        });
+    }
+
+    /** The client has detached its link, or ended its session or connection. */
+    private void onClientClosed() {
+        onGone(null);
+    }
+
+    @Override
+    public void onEnded(ConnectionOutcome outcome) {
+        onGone(outcome);
+    }
+
+    /** Ends the session; {@code failure} is null if the client has closed cleanly. */
+    private void onGone(ConnectionOutcome failure) {
+        if (ended) {
+            return;
+        }
+        boolean clean = failure == null;
+        releaseLink(clean);
+        if (upstream != null && upstream.isEstablished()) {
+            if (clean) {
+                upstream.onClientClosed();
+            } else {
+                upstream.onClientConnectionLost();
+            }
+        } else {
+            front.relay().onClientDisconnected(this);
+        }
+        if (clean) {
+            closeLink(null);
+            amqpConnection.close(null);
+        }
+    }
+
+    /** Another connection has attached the same link: closes this session, then runs the callback. */
+    void superseded(Runnable whenClosed) {
+        AmqpUpstream oldUpstream = upstream;
+        if (!ended) {
+            releaseLink(false);
+            front.relay().onClientDisconnected(this);
+            closeLink(new ErrorCondition(LinkError.STOLEN, "the link was attached by another connection"));
+            amqpConnection.close(null);
+        }
+        if (oldUpstream == null) {
+            whenClosed.run();
+        } else {
+            oldUpstream.whenClosed(whenClosed);
+        }
+    }
+
+    /** Ends the session and releases its link; unsettled deliveries are kept unless it ended cleanly. */
+    private void releaseLink(boolean clean) {
+        ended = true;
+        if (linkId != null) {
+            front.releaseLink(linkId, this, clean || tracker.isEmpty() ? null : tracker);
+        }
+    }
+
+    @Override
+    public void onFlushed() {
+        if (upstream != null) {
+            upstream.onClientFlushed();
+        }
+    }
+
+    // Calls of the relay core
+
+    @Override
+    protected ConnectionAttempt.Upstream startAttempt(ConnectionAttempt attempt) {
+        upstream = new AmqpUpstream(front, this, attempt);
+        upstream.start();
+        return upstream;
+    }
+
+    @Override
+    protected void sendRejection(Rejection rejection) {
+        releaseLink(true);
+        closeLink(AmqpMapping.rejectionError(rejection));
+        amqpConnection.close(null);
+    }
+
+    // Calls of the upstream connection
+
+    AmqpConnection amqpConnection() {
+        return amqpConnection;
+    }
+
+    Connection protonConnection() {
+        return protonConnection;
+    }
+
+    Link<?> link() {
+        return link;
+    }
+
+    /** The feed server has attached: attaches the client's link, and returns the relay of its transfers. */
+    TransferRelay establish(Link<?> upstreamLink) {
+        link.setSource(upstreamLink.getRemoteSource());
+        link.setTarget(upstreamLink.<Target>getRemoteTarget());
+        link.setSenderSettleMode(upstreamLink.getRemoteSenderSettleMode());
+        link.setReceiverSettleMode(upstreamLink.getRemoteReceiverSettleMode());
+        link.setProperties(upstreamLink.getRemoteProperties());
+        link.open();
+        return link instanceof Receiver receiver
+                ? new TransferRelay(
+                        receiver,
+                        amqpConnection,
+                        (Sender) upstreamLink,
+                        upstream.amqpConnection(),
+                        tracker,
+                        earlierDeliveries)
+                : new TransferRelay(
+                        (Receiver) upstreamLink, upstream.amqpConnection(), (Sender) link, amqpConnection, null, null);
+    }
+
+    /** Closes the connection with {@code connectionError}, or, if that is null, detaches the link first with {@code linkError}. */
+    void close(ErrorCondition linkError, ErrorCondition connectionError) {
+        if (ended) {
+            return;
+        }
+        releaseLink(connectionError == null && linkError == null);
+        if (connectionError == null) {
+            closeLink(linkError);
+        }
+        amqpConnection.close(connectionError);
+    }
+
+    /** Resets the client's connection. */
+    void reset() {
+        if (!ended) {
+            releaseLink(false);
+            amqpConnection.reset();
+        }
+    }
+
+    private void closeLink(ErrorCondition error) {
+        if (link != null) {
+            detach(link, error);
+        }
+    }
+
+    /** Detaches a link. A rejected one is attached first without termini, as the protocol requires. */
+    private void detach(Link<?> target, ErrorCondition error) {
+        if (!protonConnection.isLocallyOpen() || protonConnection.isRemotelyClosed()) {
+            return;
+        }
+        amqpConnection.runGuarded(() -> {
+            if (!target.isLocallyOpen() && !target.isLocallyClosed()) {
+                target.open();
+            }
+            if (target.isLocallyOpen()) {
+                target.setCondition(error);
+                target.close();
+            }
+        });
+    }
+
+    /**
+     * Handles the unsettled maps of attaches, which the engine does not expose: reads the client's, and writes the
+     * states of its earlier deliveries into the answer.
+     */
+    private final class UnsettledMapHandler implements EngineHandler {
+        @Override
+        public void handleRead(EngineHandlerContext context, IncomingAMQPEnvelope envelope) {
+            if (envelope.getBody() instanceof Attach attach && attach.getUnsettled() != null) {
+                clientUnsettled = attach.getUnsettled();
+            }
+            context.fireRead(envelope);
+        }
+
+        @Override
+        public void handleWrite(EngineHandlerContext context, OutgoingAMQPEnvelope envelope) {
+            if (envelope.getBody() instanceof Attach attach
+                    && earlierDeliveries != null
+                    && !earlierDeliveries.isEmpty()) {
+                attach.setUnsettled(earlierDeliveries.unsettledStates());
+            }
+            context.fireWrite(envelope);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/sandstack/front/amqp/AmqpConnection.java
@@ -0,0 +1,206 @@
+package sandstack.front.amqp;
+
+import java.util.logging.Logger;
+import org.apache.qpid.protonj2.buffer.ProtonBufferAllocator;
+import org.apache.qpid.protonj2.engine.Connection;
+import org.apache.qpid.protonj2.engine.Engine;
+import org.apache.qpid.protonj2.engine.EngineFactory;
+import org.apache.qpid.protonj2.engine.exceptions.EngineStateException;
+import org.apache.qpid.protonj2.engine.exceptions.IdleTimeoutException;
+import org.apache.qpid.protonj2.types.transport.ErrorCondition;
+import sandstack.core.ConnectionOutcome;
+import sandstack.core.DeadlineScheduler;
+import sandstack.net.Peer;
+
+/**
+ * One AMQP connection: moves bytes between a socket and a protocol engine, and maps their failures to outcomes. Used on
+ * the loop's thread only.
+ */
+final class AmqpConnection implements Peer.Listener {
+    private static final Logger LOG = Logger.getLogger("sandstack.amqp");
+    /** The protocol header: "AMQP", the protocol id and three bytes of version. */
+    private static final int HEADER_BYTES = 8;
+
+    private static final int PROTOCOL_ID_INDEX = 4;
+    private static final int SASL_PROTOCOL_ID = 3;
+
+    private static final int MICROS_PER_MILLI = 1000;
+
+    /** Receives the events of the connection; those of the protocol come from the engine's handlers. */
+    interface Listener {
+        /** The engine has been created and not started. */
+        default void onEngineCreated(Engine engine) {}
+
+        /** The engine has been started; its handlers can be set. */
+        void onEngineStarted(Connection connection);
+
+        /** The connection has failed or was closed by the other side. Called at most once. */
+        void onEnded(ConnectionOutcome outcome);
+
+        /** All buffered output has been written. */
+        void onFlushed();
+    }
+
+    private final AmqpFront front;
+    private final Peer peer;
+    private final Listener listener;
+    private Engine engine;
+    private DeadlineScheduler.Deadline idleTick;
+    private boolean hasReceived;
+    private boolean ended;
+
+    AmqpConnection(AmqpFront front, Peer peer, Listener listener) {
+        this.front = front;
+        this.peer = peer;
+        this.listener = listener;
+        peer.setListener(this);
+    }
+
+    /** Starts the engine of an outbound connection; that of an accepted one starts with the client's header. */
+    void start() {
+        start(EngineFactory.PROTON.createNonSaslEngine());
+    }
+
+    private void start(Engine newEngine) {
+        engine = newEngine;
+        engine.outputConsumer(buffer -> {
+            byte[] bytes = new byte[buffer.getReadableBytes()];
+            buffer.readBytes(bytes, 0, bytes.length);
+            peer.send(bytes);
+        });
+        engine.errorHandler(failed -> onEngineFailed(failed.failureCause()));
+        listener.onEngineCreated(engine);
+        listener.onEngineStarted(engine.start());
+    }
+
+    private void onEngineFailed(Throwable cause) {
+        // a protocol error of the peer is logged in one line and not as a fault of the relay
+        LOG.info(() -> "amqp: connection given up: " + cause.getMessage());
+        notifyEnded(
+                cause instanceof IdleTimeoutException
+                        ? ConnectionOutcome.UNRESPONSIVE
+                        : ConnectionOutcome.CLOSED_EARLY);
+        peer.shutdownOutput();
+        closeAfterLinger();
+    }
+
+    @Override
+    public void onBytesReceived(int count) {
+        hasReceived = true;
+        if (engine == null) {
+            if (peer.input().size() < HEADER_BYTES) {
+                return;
+            }
+            boolean sasl = peer.input().byteAt(PROTOCOL_ID_INDEX) == SASL_PROTOCOL_ID;
+            Engine newEngine = sasl ? EngineFactory.PROTON.createEngine() : EngineFactory.PROTON.createNonSaslEngine();
+            if (sasl) {
+                newEngine.saslDriver().server().setListener(new AnonymousSaslListener());
+            }
+            start(newEngine);
+        }
+        byte[] bytes = peer.input().takeAll();
+        if (engine.isWritable()) {
+            runGuarded(
+                    () -> engine.ingest(ProtonBufferAllocator.defaultAllocator().copy(bytes)));
+        }
+    }
+
+    /** Runs a call of the engine. A failed engine has notified its error handler already. */
+    void runGuarded(Runnable work) {
+        try {
+            work.run();
+        } catch (EngineStateException | IllegalStateException e) {
+            LOG.fine(() -> "amqp: " + e.getMessage());
+            if (engine.isFailed()) {
+                return;
+            }
+            notifyEnded(ConnectionOutcome.CLOSED_EARLY);
+            peer.reset();
+        }
+    }
+
+    /** Sends heartbeats when due, checks the idle timeout of the other side, and schedules itself again. */
+    void tickIdle() {
+        if (ended || !engine.isWritable() || !engine.connection().isLocallyOpen()) {
+            return;
+        }
+        runGuarded(() -> {
+            long nowMillis = front.nowMicros() / MICROS_PER_MILLI;
+            long nextMillis = engine.tick(nowMillis);
+            if (nextMillis > 0) {
+                idleTick = front.relay()
+                        .deadlines()
+                        .schedule(Math.max(nextMillis, nowMillis + 1) * MICROS_PER_MILLI, this::tickIdle);
+            }
+        });
+    }
+
+    /** Closes the connection with this error, or without one if null, and lingers until the other side closes. */
+    void close(ErrorCondition error) {
+        notifyEnded(null);
+        if (engine != null && engine.isWritable() && engine.connection().isLocallyOpen()) {
+            runGuarded(() -> engine.connection().setCondition(error).close());
+        }
+        peer.shutdownOutput();
+        closeAfterLinger();
+    }
+
+    /** Closes the socket without a close performative. */
+    void closeAbruptly() {
+        notifyEnded(null);
+        peer.close();
+    }
+
+    /** Closes the socket with a TCP reset. */
+    void reset() {
+        notifyEnded(null);
+        peer.reset();
+    }
+
+    private void closeAfterLinger() {
+        front.admission().closeAfterLinger(peer);
+    }
+
+    private void notifyEnded(ConnectionOutcome outcome) {
+        if (ended) {
+            return;
+        }
+        ended = true;
+        if (idleTick != null) {
+            idleTick.cancel();
+        }
+        if (outcome != null) {
+            listener.onEnded(outcome);
+        }
+    }
+
+    @Override
+    public void onFlushed() {
+        listener.onFlushed();
+    }
+
+    @Override
+    public void onEndOfInput() {
+        notifyEnded(ConnectionOutcome.CLOSED_EARLY);
+        peer.shutdownOutput();
+        if (peer.isOutputEnded()) {
+            peer.close();
+        } else {
+            closeAfterLinger();
+        }
+    }
+
+    @Override
+    public void onConnectionLost() {
+        notifyEnded(ConnectionOutcome.RESET);
+    }
+
+    Peer peer() {
+        return peer;
+    }
+
+    /** Whether any byte has been received. */
+    boolean hasReceived() {
+        return hasReceived;
+    }
+}
--- a/src/main/java/sandstack/front/amqp/AmqpFront.java
+++ b/src/main/java/sandstack/front/amqp/AmqpFront.java
@@ -14,33 +14,36 @@
 import sandstack.net.EventLoop;
 import sandstack.random.BoundedMap;
 
-/** AMQP 1.0: listens for clients, connects to feed servers and knows which link is whose. */
+/**
+ * AMQP 1.0: listens for clients, connects to feed servers and assigns each link to one client session. Used on the
+ * loop's thread, apart from listening before the loop has clients.
+ */
 public final class AmqpFront {
-    static final int FRAME = 64 * 1024;
-    static final int WINDOW = 256 * 1024;
-    static final int CLIENT_IDLE_MILLIS = 20_000;
-    /** A feed server that says nothing for so long is as good as gone. */
-    static final int SERVER_IDLE_MILLIS = 4_500;
-    /** So many broken links are remembered for clients that come again. */
-    private static final int MOST_REMEMBERED = 1024;
+    static final int MAX_FRAME_BYTES = 64 * 1024;
+    static final int SESSION_WINDOW_BYTES = 256 * 1024;
+    static final int CLIENT_IDLE_TIMEOUT_MILLIS = 20_000;
+    /** A feed server that is silent for so long is unresponsive. */
+    static final int SERVER_IDLE_TIMEOUT_MILLIS = 4_500;
+    /** Links with unsettled deliveries that are remembered for clients which attach again. */
+    private static final int MAX_REMEMBERED_LINKS = 1024;
 
     private final EventLoop loop;
     private final Relay relay;
-    private final String container;
-    private final ConnectionAdmission lobby;
-    private final Map<LinkId, AmqpClient> holders = new HashMap<>();
-    private final Map<LinkId, Deliveries> broken = new BoundedMap<>(MOST_REMEMBERED);
+    private final String containerId;
+    private final ConnectionAdmission admission;
+    private final Map<LinkId, AmqpClientSession> sessions = new HashMap<>();
+    private final Map<LinkId, DeliveryTracker> unsettledByLink = new BoundedMap<>(MAX_REMEMBERED_LINKS);
 
     /**
      * Creates a front that does not listen yet.
      *
-     * @param container what the relay calls itself to clients
+     * @param containerId the container id that the relay sends to clients
      */
-    public AmqpFront(EventLoop loop, Relay relay, ConnectionAdmission lobby, String container) {
+    public AmqpFront(EventLoop loop, Relay relay, ConnectionAdmission admission, String containerId) {
         this.loop = loop;
         this.relay = relay;
-        this.container = container;
-        this.lobby = lobby;
+        this.containerId = containerId;
+        this.admission = admission;
     }
 
     /** Listens; returns the port. */
@@ -48,63 +51,63 @@
         return loop.listen(host, port, loop.chain(new BaseFilter() {
                     @Override
                     public NextAction handleAccept(FilterChainContext context) {
-                        new AmqpClient(AmqpFront.this, EventLoop.peer(context));
+                        new AmqpClientSession(AmqpFront.this, EventLoop.peer(context));
                         return context.getStopAction();
                     }
                 }))
                 .port();
     }
 
-    EventLoop.PendingConnect connect(EndpointRegistry.Endpoint server, EventLoop.ConnectListener told) {
-        return loop.connect(server.host(), server.port(), told);
+    EventLoop.PendingConnect connect(EndpointRegistry.Endpoint server, EventLoop.ConnectListener listener) {
+        return loop.connect(server.host(), server.port(), listener);
     }
 
-    /** Makes this client the holder of its link; what the earlier holder had out is over before it goes on. */
-    void claim(LinkId id, AmqpClient client, Runnable goOn) {
-        AmqpClient earlier = holders.put(id, client);
+    /** Assigns the link to this session; the callback runs once an earlier session's attempt is closed. */
+    void claimLink(LinkId id, AmqpClientSession client, Runnable whenClaimed) {
+        AmqpClientSession earlier = sessions.put(id, client);
         if (earlier == null) {
-            goOn.run();
+            whenClaimed.run();
         } else {
-            earlier.superseded(goOn);
+            earlier.superseded(whenClaimed);
         }
     }
 
-    /** The client holds its link no more; what it left unsettled is kept, if anything. */
-    void released(LinkId id, AmqpClient client, Deliveries unsettled) {
-        holders.remove(id, client);
+    /** Releases the link of this session and keeps its unsettled deliveries, if not null. */
+    void releaseLink(LinkId id, AmqpClientSession client, DeliveryTracker unsettled) {
+        sessions.remove(id, client);
         if (unsettled != null) {
-            broken.remove(id);
-            broken.put(id, unsettled);
+            unsettledByLink.remove(id);
+            unsettledByLink.put(id, unsettled);
         }
     }
 
     /**
-     * What became of the deliveries that an earlier connection of this link left; null where it left none. A
-     * client that says which deliveries it still holds is taken at its word.
+     * Removes and returns the deliveries that an earlier connection of this link left unsettled; null if there are none.
+     * If the client has sent its unsettled map, only the deliveries in it count.
      */
-    Deliveries remembered(LinkId id, Map<Binary, DeliveryState> stillHeld) {
-        Deliveries left = broken.remove(id);
-        if (left != null && stillHeld != null) {
-            left.unsettled().keySet().stream()
+    DeliveryTracker takeUnsettled(LinkId id, Map<Binary, DeliveryState> stillHeld) {
+        DeliveryTracker unsettled = unsettledByLink.remove(id);
+        if (unsettled != null && stillHeld != null) {
+            unsettled.unsettledStates().keySet().stream()
                     .filter(tag -> !stillHeld.containsKey(tag))
-                    .forEach(left::forget);
+                    .forEach(unsettled::forget);
         }
-        return left;
+        return unsettled;
     }
 
-    ConnectionAdmission lobby() {
-        return lobby;
+    ConnectionAdmission admission() {
+        return admission;
     }
 
     Relay relay() {
         return relay;
     }
 
-    String container() {
-        return container;
+    String containerId() {
+        return containerId;
     }
 
-    long now() {
+    long nowMicros() {
         return loop.nowMicros();
     }
 }
--- a/src/main/java/sandstack/front/amqp/Words.java
+++ b/src/main/java/sandstack/front/amqp/AmqpMapping.java
@@ -14,32 +14,33 @@
 import sandstack.core.Rejection;
 import sandstack.core.TenantRegistry;
 
-/** How commands, nacks and endings are said in AMQP. */
-final class Words {
+/** Maps requests, rejections and outcomes between the terms of the core and those of AMQP. */
+final class AmqpMapping {
     static final Symbol CLASS = Symbol.valueOf("sandstack:class");
     static final Symbol KEY = Symbol.valueOf("sandstack:key");
     static final Symbol GROUP = Symbol.valueOf("sandstack:group");
-    static final Symbol DEADLINE = Symbol.valueOf("sandstack:deadline-ms");
+    static final Symbol DEADLINE_MILLIS = Symbol.valueOf("sandstack:deadline-ms");
     static final Symbol TENANT = Symbol.valueOf("sandstack:tenant");
-    static final Symbol AGAIN = Symbol.valueOf("sandstack:again");
-    static final Symbol COME_BACK = Symbol.valueOf("sandstack:come-back-ms");
-    private static final int LONGEST = 256;
+    static final Symbol RETURNING = Symbol.valueOf("sandstack:again");
+    static final Symbol RETRY_AFTER_MILLIS = Symbol.valueOf("sandstack:come-back-ms");
+    private static final int MAX_TEXT_CHARS = 256;
 
-    private Words() {}
+    private AmqpMapping() {}
 
-    /** The command that a link's properties ask for; null where they make no sense. */
-    static ClientRequest command(Map<Symbol, Object> properties, EffectiveSettings terms, TenantRegistry tenants) {
+    /** The request in a link's properties; null if they are invalid. */
+    static ClientRequest toClientRequest(
+            Map<Symbol, Object> properties, EffectiveSettings effectiveSettings, TenantRegistry tenants) {
         if (properties == null) {
             return null;
         }
-        int requestClass = terms.indexOf(text(properties, CLASS));
+        int requestClass = effectiveSettings.indexOf(text(properties, CLASS));
         String key = text(properties, KEY);
-        boolean groupless = properties.get(GROUP) == null;
+        boolean withoutGroup = properties.get(GROUP) == null;
         String group = text(properties, GROUP);
         if (requestClass < 0
                 || key == null
-                || (!groupless && group == null)
-                || !(properties.get(DEADLINE) instanceof Number deadline)
+                || (!withoutGroup && group == null)
+                || !(properties.get(DEADLINE_MILLIS) instanceof Number deadline)
                 || deadline.longValue() <= 0
                 || deadline.longValue() > Integer.MAX_VALUE) {
             return null;
@@ -52,52 +53,53 @@
                 group,
                 deadline.longValue() * 1000,
                 0,
-                Boolean.TRUE.equals(properties.get(AGAIN)),
+                Boolean.TRUE.equals(properties.get(RETURNING)),
                 null);
     }
 
     private static String text(Map<Symbol, Object> properties, Symbol name) {
         Object value = properties.get(name);
         String text = value instanceof String || value instanceof Symbol ? value.toString() : null;
-        return text == null || text.isEmpty() || text.length() > LONGEST ? null : text;
+        return text == null || text.isEmpty() || text.length() > MAX_TEXT_CHARS ? null : text;
     }
 
-    /** The properties as they go on to a feed server: unchanged, but with the time that the relay will wait. */
-    static Map<Symbol, Object> toServer(Map<Symbol, Object> properties, long patienceMillis) {
-        Map<Symbol, Object> passed = new HashMap<>(properties);
-        passed.put(DEADLINE, UnsignedInteger.valueOf(patienceMillis));
-        return passed;
+    /** The properties as they are forwarded to a feed server: unchanged but for the deadline, which is the attempt's remaining time. */
+    static Map<Symbol, Object> toUpstreamProperties(Map<Symbol, Object> properties, long remainingMillis) {
+        Map<Symbol, Object> forwarded = new HashMap<>(properties);
+        forwarded.put(DEADLINE_MILLIS, UnsignedInteger.valueOf(remainingMillis));
+        return forwarded;
     }
 
-    static ErrorCondition error(Rejection nack) {
-        return switch (nack.kind()) {
+    /** The error with which a rejected client's link is detached. */
+    static ErrorCondition rejectionError(Rejection rejection) {
+        return switch (rejection.kind()) {
             case REJECTED -> new ErrorCondition(
                     AmqpError.RESOURCE_LIMIT_EXCEEDED,
                     "refused; trying again is harmless",
-                    nack.retryAfterMillis() <= 0
+                    rejection.retryAfterMillis() <= 0
                             ? null
-                            : Map.of(COME_BACK, UnsignedInteger.valueOf(nack.retryAfterMillis())));
+                            : Map.of(RETRY_AFTER_MILLIS, UnsignedInteger.valueOf(rejection.retryAfterMillis())));
             case FAILED -> new ErrorCondition(AmqpError.INTERNAL_ERROR, "failed");
             case MALFORMED -> new ErrorCondition(AmqpError.INVALID_FIELD, "the link's properties make no sense");
         };
     }
 
-    /** What a client is told that has to come again elsewhere. */
-    static ErrorCondition move() {
+    /** The error with which the connection of a client is closed that has to reconnect. */
+    static ErrorCondition migrationError() {
         return new ErrorCondition(ConnectionError.CONNECTION_FORCED, "move: come again");
     }
 
-    /** How an execution ended whose feed server detached or closed with this error, if any. */
-    static ConnectionOutcome ending(ErrorCondition error, boolean standing) {
+    /** The outcome of an attempt whose feed server detached or closed with this error; null for none. */
+    static ConnectionOutcome outcome(ErrorCondition error, boolean established) {
         Symbol condition = error == null ? null : error.getCondition();
-        boolean leaving =
+        boolean draining =
                 ConnectionError.CONNECTION_FORCED.equals(condition) || LinkError.DETACH_FORCED.equals(condition);
-        if (standing) {
+        if (established) {
             return condition == null
                     ? ConnectionOutcome.SERVED
-                    : leaving ? ConnectionOutcome.SERVER_DRAINING : ConnectionOutcome.SERVER_ERROR;
+                    : draining ? ConnectionOutcome.SERVER_DRAINING : ConnectionOutcome.SERVER_ERROR;
         }
-        return leaving || AmqpError.RESOURCE_LIMIT_EXCEEDED.equals(condition)
+        return draining || AmqpError.RESOURCE_LIMIT_EXCEEDED.equals(condition)
                 ? ConnectionOutcome.REJECTED
                 : ConnectionOutcome.SERVER_ERROR;
     }
--- /dev/null
+++ b/src/main/java/sandstack/front/amqp/AmqpUpstream.java
@@ -0,0 +1,239 @@
+package sandstack.front.amqp;
+
+import org.apache.qpid.protonj2.engine.Connection;
+import org.apache.qpid.protonj2.engine.Link;
+import org.apache.qpid.protonj2.engine.Receiver;
+import org.apache.qpid.protonj2.engine.Session;
+import org.apache.qpid.protonj2.types.messaging.Source;
+import org.apache.qpid.protonj2.types.messaging.Target;
+import org.apache.qpid.protonj2.types.transport.ErrorCondition;
+import sandstack.core.ConnectionAttempt;
+import sandstack.core.ConnectionOutcome;
+import sandstack.core.DeadlineScheduler;
+import sandstack.net.EventLoop;
+import sandstack.net.Peer;
+
+/**
+ * The connection to the feed server of one attempt, with the link that corresponds to the client's. Used on the loop's
+ * thread only.
+ */
+final class AmqpUpstream implements ConnectionAttempt.Upstream, AmqpConnection.Listener, EventLoop.ConnectListener {
+    /** How long a superseded attempt waits for the feed server's close. */
+    private static final long CLOSE_TIMEOUT_MICROS = 500_000;
+
+    private final AmqpFront front;
+    private final AmqpClientSession client;
+    private final ConnectionAttempt attempt;
+    private EventLoop.PendingConnect connecting;
+    private AmqpConnection amqpConnection;
+    private Link<?> link;
+    private TransferRelay transferRelay;
+    private Runnable whenClosed;
+    private DeadlineScheduler.Deadline closeTimeout;
+    private boolean closed;
+
+    AmqpUpstream(AmqpFront front, AmqpClientSession client, ConnectionAttempt attempt) {
+        this.front = front;
+        this.client = client;
+        this.attempt = attempt;
+    }
+
+    void start() {
+        connecting = front.connect(attempt.endpoint(), this);
+    }
+
+    // Until the feed server has attached
+
+    @Override
+    public void connected(Peer peer) {
+        if (!attempt.onConnected()) {
+            peer.close();
+            return;
+        }
+        amqpConnection = new AmqpConnection(front, peer, this);
+        amqpConnection.start();
+    }
+
+    @Override
+    public void failed() {
+        attempt.onEnded(ConnectionOutcome.NOT_CONNECTED);
+        notifyClosed();
+    }
+
+    /** Attaches the client's link at the feed server, with the attempt's remaining time as its deadline. */
+    @Override
+    public void onEngineStarted(Connection connection) {
+        Link<?> clientLink = client.link();
+        connection.setContainerId(client.protonConnection().getRemoteContainerId());
+        connection.setHostname(client.protonConnection().getRemoteHostname());
+        connection.setIdleTimeout(AmqpFront.SERVER_IDLE_TIMEOUT_MILLIS);
+        connection.setMaxFrameSize(AmqpFront.MAX_FRAME_BYTES);
+        connection.openHandler(c -> amqpConnection.tickIdle());
+        connection.closeHandler(c -> onRemoteClosed(c.getRemoteCondition()));
+        connection.open();
+        Session session = connection.session();
+        session.setIncomingCapacity(AmqpFront.SESSION_WINDOW_BYTES);
+        session.closeHandler(s -> onRemoteClosed(s.getRemoteCondition()));
+        session.open();
+        link = clientLink.isReceiver() ? session.sender(clientLink.getName()) : session.receiver(clientLink.getName());
+        link.setSource(clientLink.getRemoteSource() == null ? new Source() : clientLink.getRemoteSource());
+        Target target = clientLink.getRemoteTarget();
+        link.setTarget(target == null ? new Target() : target);
+        link.setSenderSettleMode(clientLink.getRemoteSenderSettleMode());
+        link.setReceiverSettleMode(clientLink.getRemoteReceiverSettleMode());
+        link.setProperties(
+                AmqpMapping.toUpstreamProperties(clientLink.getRemoteProperties(), attempt.remainingMillis()));
+        link.openHandler(l -> onAttached());
+        link.closeHandler(l -> onRemoteClosed(l.getRemoteCondition()));
+        link.detachHandler(l -> onRemoteClosed(l.getRemoteCondition()));
+        link.open();
+    }
+
+    private void onAttached() {
+        Object terminus = link instanceof Receiver ? link.getRemoteSource() : link.<Target>getRemoteTarget();
+        if (attempt.hasEnded() || terminus == null) {
+            // an attach without a terminus is a rejection; the detach with its error follows
+            return;
+        }
+        client.amqpConnection().runGuarded(() -> {
+            transferRelay = client.establish(link);
+            attempt.onEstablished();
+            transferRelay.start();
+        });
+    }
+
+    // While the connection is established
+
+    boolean isEstablished() {
+        return attempt.isEstablished();
+    }
+
+    AmqpConnection amqpConnection() {
+        return amqpConnection;
+    }
+
+    /** All pending output to the client has been written. */
+    void onClientFlushed() {
+        if (transferRelay != null) {
+            transferRelay.onFlushed();
+        }
+    }
+
+    @Override
+    public void onFlushed() {
+        if (link != null && amqpConnection.hasReceived()) {
+            attempt.onRequestWritten();
+        }
+        onClientFlushed();
+    }
+
+    /** The feed server has detached or closed; {@code error} is null if it gave none. */
+    private void onRemoteClosed(ErrorCondition error) {
+        if (closed) {
+            notifyClosed();
+            return;
+        }
+        ConnectionOutcome outcome = AmqpMapping.outcome(error, attempt.isEstablished());
+        boolean wasEstablished = attempt.isEstablished();
+        detachAndClose();
+        attempt.onEnded(outcome);
+        if (wasEstablished) {
+            client.close(
+                    outcome == ConnectionOutcome.SERVER_DRAINING ? null : error,
+                    outcome == ConnectionOutcome.SERVER_DRAINING ? AmqpMapping.migrationError() : null);
+        }
+    }
+
+    @Override
+    public void onEnded(ConnectionOutcome outcome) {
+        boolean wasEstablished = attempt.isEstablished();
+        closed = true;
+        // until the feed server has sent its header, the attach has not been written
+        attempt.onEnded(wasEstablished || amqpConnection.hasReceived() ? outcome : ConnectionOutcome.NOT_CONNECTED);
+        notifyClosed();
+        if (wasEstablished) {
+            if (outcome == ConnectionOutcome.UNRESPONSIVE) {
+                client.close(null, AmqpMapping.migrationError());
+            } else {
+                client.reset();
+            }
+        }
+    }
+
+    /** The client has detached or closed. */
+    void onClientClosed() {
+        attempt.onEnded(ConnectionOutcome.CLIENT_LEFT);
+        detachAndClose();
+    }
+
+    /** The client's connection has failed. */
+    void onClientConnectionLost() {
+        attempt.onEnded(ConnectionOutcome.CLIENT_LEFT);
+        closed = true;
+        amqpConnection.reset();
+        notifyClosed();
+    }
+
+    // Calls of the relay core
+
+    @Override
+    public void abandon() {
+        detachAndClose();
+    }
+
+    @Override
+    public void migrate() {
+        detachAndClose();
+        client.close(null, AmqpMapping.migrationError());
+    }
+
+    /** Detaches the link and closes the connection, or cancels a pending connect. */
+    private void detachAndClose() {
+        if (closed) {
+            return;
+        }
+        closed = true;
+        if (amqpConnection == null) {
+            connecting.cancel();
+            notifyClosed();
+        } else if (!amqpConnection.hasReceived()) {
+            amqpConnection.closeAbruptly();
+            notifyClosed();
+        } else {
+            amqpConnection.runGuarded(() -> {
+                if (link != null && link.isLocallyOpen() && !link.isRemotelyClosed()) {
+                    link.close();
+                }
+            });
+            amqpConnection.close(null);
+            closeTimeout =
+                    front.relay().deadlines().schedule(front.nowMicros() + CLOSE_TIMEOUT_MICROS, this::onCloseTimeout);
+        }
+    }
+
+    /** Runs the callback once this attempt is closed at its feed server. */
+    void whenClosed(Runnable callback) {
+        if (closed && closeTimeout == null) {
+            callback.run();
+        } else {
+            whenClosed = callback;
+        }
+    }
+
+    private void onCloseTimeout() {
+        amqpConnection.closeAbruptly();
+        notifyClosed();
+    }
+
+    private void notifyClosed() {
+        if (closeTimeout != null) {
+            closeTimeout.cancel();
+            closeTimeout = null;
+        }
+        if (whenClosed != null) {
+            Runnable callback = whenClosed;
+            whenClosed = null;
+            callback.run();
+        }
+    }
+}
--- a/src/main/java/sandstack/front/amqp/AnonymousSasl.java
+++ b/src/main/java/sandstack/front/amqp/AnonymousSaslListener.java
@@ -7,8 +7,8 @@
 import org.apache.qpid.protonj2.types.Symbol;
 import org.apache.qpid.protonj2.types.transport.AMQPHeader;
 
-/** Clients that begin with a security layer are let in without a name, as those of the line protocol are. */
-final class AnonymousSasl implements SaslServerListener {
+/** Accepts SASL ANONYMOUS and no other mechanism: clients are not authenticated, as in the line protocol. */
+final class AnonymousSaslListener implements SaslServerListener {
     private static final Symbol ANONYMOUS = Symbol.valueOf("ANONYMOUS");
 
     @Override
--- a/src/main/java/sandstack/front/amqp/LinkId.java
+++ b/src/main/java/sandstack/front/amqp/LinkId.java
@@ -1,4 +1,4 @@
 package sandstack.front.amqp;
 
-/** What makes two links the same: the client's container, the link's name and its direction. */
-record LinkId(String container, String name, boolean fromClient) {}
+/** Identity of a client's link: the client's container id, the link's name and its direction. */
+record LinkId(String containerId, String name, boolean fromClient) {}
--- /dev/null
+++ b/src/main/java/sandstack/front/amqp/TransferRelay.java
@@ -0,0 +1,218 @@
+package sandstack.front.amqp;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+import org.apache.qpid.protonj2.buffer.ProtonBuffer;
+import org.apache.qpid.protonj2.buffer.ProtonBufferAllocator;
+import org.apache.qpid.protonj2.engine.IncomingDelivery;
+import org.apache.qpid.protonj2.engine.OutgoingDelivery;
+import org.apache.qpid.protonj2.engine.Receiver;
+import org.apache.qpid.protonj2.engine.Sender;
+import org.apache.qpid.protonj2.types.Binary;
+import org.apache.qpid.protonj2.types.messaging.Modified;
+import org.apache.qpid.protonj2.types.transport.DeliveryState;
+
+/**
+ * Forwards transfers from a receiver to a sender, and credit and dispositions in both directions. Settles nothing by
+ * itself: a delivery is settled when both ends have settled it. Used on the loop's thread only.
+ */
+final class TransferRelay {
+    /** Bytes that may be pending at the sender before the receiver's connection stops reading. */
+    private static final int MAX_PENDING_BYTES = 64 * 1024;
+
+    private final Receiver receiver;
+    private final AmqpConnection receiverConnection;
+    private final Sender sender;
+    private final AmqpConnection senderConnection;
+    private final DeliveryTracker tracker;
+    private final DeliveryTracker earlierDeliveries;
+    private final Deque<ProtonBuffer> backlog = new ArrayDeque<>();
+    private OutgoingDelivery outgoing;
+    private IncomingDelivery incoming;
+
+    /**
+     * Creates a relay from the receiver to the sender; {@link #start} sets the handlers.
+     *
+     * @param tracker records the state of each delivery; null if the client is the receiving end
+     * @param earlierDeliveries those of an earlier connection of this link; null if there are none
+     */
+    TransferRelay(
+            Receiver receiver,
+            AmqpConnection receiverConnection,
+            Sender sender,
+            AmqpConnection senderConnection,
+            DeliveryTracker tracker,
+            DeliveryTracker earlierDeliveries) {
+        this.receiver = receiver;
+        this.receiverConnection = receiverConnection;
+        this.sender = sender;
+        this.senderConnection = senderConnection;
+        this.tracker = tracker;
+        this.earlierDeliveries = earlierDeliveries;
+    }
+
+    void start() {
+        receiver.deliveryReadHandler(delivery -> senderConnection.runGuarded(() -> onDelivery(delivery)));
+        receiver.deliveryAbortedHandler(delivery -> senderConnection.runGuarded(() -> onAborted(delivery)));
+        receiver.creditStateUpdateHandler(r -> senderConnection.runGuarded(this::onCreditUsed));
+        sender.creditStateUpdateHandler(s -> receiverConnection.runGuarded(this::updateCredit));
+        updateCredit();
+    }
+
+    /** Grants the receiver the credit of the sender: credit is forwarded and never created. */
+    private void updateCredit() {
+        senderConnection.runGuarded(this::sendBacklog);
+        int additional = sender.getCredit() - receiver.getCredit();
+        if (additional > 0) {
+            receiver.addCredit(additional);
+        }
+        if (sender.isDraining() && !receiver.isDraining()) {
+            if (receiver.getCredit() > 0) {
+                receiver.drain();
+            } else {
+                senderConnection.runGuarded(sender::drained);
+            }
+        }
+    }
+
+    private void onCreditUsed() {
+        if (sender.isDraining() && receiver.getCredit() == 0) {
+            sender.drained();
+        }
+    }
+
+    private void onDelivery(IncomingDelivery delivery) {
+        OutgoingDelivery forwarded = delivery.getLinkedResource(OutgoingDelivery.class);
+        Binary tag = tagOf(delivery);
+        if (forwarded == null) {
+            if (earlierDeliveries != null && earlierDeliveries.contains(tag)) {
+                repeatOutcome(delivery, tag);
+                return;
+            }
+            forwarded = createForwarded(delivery, tag);
+        }
+        ProtonBuffer bytes = delivery.readAll();
+        if (bytes != null) {
+            backlog.add(bytes);
+        }
+        outgoing = forwarded;
+        incoming = delivery;
+        if (!delivery.isPartial() && tracker != null && !delivery.isRemotelySettled()) {
+            tracker.onForwarded(tag);
+        }
+        sendBacklog();
+    }
+
+    private OutgoingDelivery createForwarded(IncomingDelivery delivery, Binary tag) {
+        OutgoingDelivery forwarded = sender.next();
+        forwarded.setTag(delivery.getTag().tagBytes());
+        forwarded.setMessageFormat(delivery.getMessageFormat());
+        delivery.setLinkedResource(forwarded);
+        forwarded.deliveryStateUpdatedHandler(
+                updated -> receiverConnection.runGuarded(() -> onReceiverDisposition(delivery, forwarded, tag)));
+        delivery.deliveryStateUpdatedHandler(
+                updated -> senderConnection.runGuarded(() -> onSenderDisposition(delivery, forwarded, tag)));
+        return forwarded;
+    }
+
+    private void sendBacklog() {
+        while (outgoing != null) {
+            ProtonBuffer next = backlog.peek();
+            boolean last = !incoming.isPartial() && backlog.size() <= 1;
+            if (next == null && !last) {
+                break;
+            }
+            if (last && incoming.isRemotelySettled() && !outgoing.isSettled()) {
+                outgoing.settle();
+            }
+            outgoing.streamBytes(next == null ? empty() : next, last);
+            if (next != null && next.isReadable()) {
+                // the session window is full: the rest is sent when it opens
+                break;
+            }
+            backlog.poll();
+            if (last) {
+                outgoing = null;
+                incoming = null;
+            }
+        }
+        updateReading();
+    }
+
+    private void updateReading() {
+        if (!backlog.isEmpty() || senderConnection.peer().pendingBytes() > MAX_PENDING_BYTES) {
+            receiverConnection.peer().pauseReading();
+        } else {
+            receiverConnection.peer().resumeReading();
+        }
+    }
+
+    /** All pending output of the sender has been written. */
+    void onFlushed() {
+        if (backlog.isEmpty()) {
+            receiverConnection.peer().resumeReading();
+        }
+    }
+
+    private static ProtonBuffer empty() {
+        return ProtonBufferAllocator.defaultAllocator().allocate(0);
+    }
+
+    private void onAborted(IncomingDelivery delivery) {
+        OutgoingDelivery forwarded = delivery.getLinkedResource(OutgoingDelivery.class);
+        backlog.clear();
+        outgoing = null;
+        incoming = null;
+        if (forwarded != null) {
+            forwarded.abort();
+        }
+        delivery.settle();
+    }
+
+    /** Answers a delivery that an earlier attempt of this link has forwarded, instead of forwarding it again. */
+    private void repeatOutcome(IncomingDelivery delivery, Binary tag) {
+        delivery.readAll();
+        if (delivery.isPartial()) {
+            return;
+        }
+        DeliveryState state = earlierDeliveries.state(tag);
+        earlierDeliveries.forget(tag);
+        if (!delivery.isRemotelySettled()) {
+            // whether that feed server accepted it is unknown: the client decides, under a new tag
+            delivery.disposition(state != null ? state : new Modified().setDeliveryFailed(true), true);
+        } else {
+            delivery.settle();
+        }
+        receiverConnection.runGuarded(this::updateCredit);
+    }
+
+    /** The receiving end has sent a disposition. */
+    private void onReceiverDisposition(IncomingDelivery delivery, OutgoingDelivery forwarded, Binary tag) {
+        if (tracker != null) {
+            tracker.onState(tag, forwarded.getRemoteState());
+        }
+        if (!delivery.isSettled()) {
+            delivery.disposition(forwarded.getRemoteState(), forwarded.isRemotelySettled());
+        }
+        if (forwarded.isRemotelySettled() && !forwarded.isSettled()) {
+            forwarded.settle();
+        }
+    }
+
+    /** The sending end has sent a disposition. */
+    private void onSenderDisposition(IncomingDelivery delivery, OutgoingDelivery forwarded, Binary tag) {
+        if (tracker != null && delivery.isRemotelySettled()) {
+            tracker.forget(tag);
+        }
+        if (!forwarded.isSettled()) {
+            forwarded.disposition(delivery.getRemoteState(), delivery.isRemotelySettled());
+        }
+        if (delivery.isRemotelySettled() && !delivery.isSettled()) {
+            delivery.settle();
+        }
+    }
+
+    private static Binary tagOf(IncomingDelivery delivery) {
+        return new Binary(delivery.getTag().tagBytes());
+    }
+}
--- a/src/main/java/sandstack/front/operators/OperatorDoor.java
+++ b/src/main/java/sandstack/front/operators/OperatorDoor.java
@@ -13,38 +13,41 @@
 import sandstack.net.Peer;
 
 /**
- * Listens for operators: each connection carries one call, a line, and gets one answer that begins with {@code ACK} or
- * {@code NAK}. Owns its callers, at most {@value #MOST} of them, whose descriptors no client draws on. Lives on the
- * loop's thread; an accepted caller, a call and an eviction cost O(1), {@code INFO} O(classes and feed servers).
+ * The operators' port: each connection carries one command, a line, and gets one answer that begins with {@code ACK} or
+ * {@code NAK}. Holds at most {@value #MAX_CALLERS} connections, which do not count towards the admission of clients. Runs
+ * on the loop's thread; an accept, a command and an eviction cost O(1), {@code INFO} O(classes and feed servers).
  */
 public final class OperatorDoor {
-    /** Callers at one time; of more, the one that came first goes. */
-    public static final int MOST = 24;
+    /** Connections at one time; beyond that the oldest is closed. */
+    public static final int MAX_CALLERS = 24;
 
-    private static final int LONGEST_LINE = 4096;
-    /** Who calls has to have said it by then: long enough for a person at a keyboard. */
-    private static final long ASK_WITHIN = 10_000_000;
-    /** How long a caller that has been answered may keep its end open. */
-    private static final long LINGER = 1_000_000;
+    private static final int MAX_LINE_BYTES = 4096;
+    /** How long a command may take to arrive: enough for a person at a keyboard. */
+    private static final long REQUEST_TIMEOUT_MICROS = 10_000_000;
+    /** How long an answered caller may keep its end open. */
+    private static final long LINGER_MICROS = 1_000_000;
 
     private final EventLoop loop;
     private final DeadlineScheduler deadlines;
-    private final Supplier<String> hindrance;
-    private final Supplier<List<String>> figures;
+    private final Supplier<String> notReadyReason;
+    private final Supplier<List<String>> metricLines;
     private final Set<Caller> callers = new LinkedHashSet<>();
 
     /**
-     * Creates a door that does not listen yet.
+     * Creates a port that does not listen yet.
      *
-     * @param hindrance why this process cannot serve; null once it can
-     * @param figures the figures, a line each
+     * @param notReadyReason why this process cannot serve; supplies null once it can
+     * @param metricLines the metrics, a line each
      */
     public OperatorDoor(
-            EventLoop loop, DeadlineScheduler deadlines, Supplier<String> hindrance, Supplier<List<String>> figures) {
+            EventLoop loop,
+            DeadlineScheduler deadlines,
+            Supplier<String> notReadyReason,
+            Supplier<List<String>> metricLines) {
         this.loop = loop;
         this.deadlines = deadlines;
-        this.hindrance = hindrance;
-        this.figures = figures;
+        this.notReadyReason = notReadyReason;
+        this.metricLines = metricLines;
     }
 
     /** Listens; returns the port. */
@@ -52,74 +55,80 @@
         return loop.listen(host, port, loop.chain(new BaseFilter() {
                     @Override
                     public NextAction handleAccept(FilterChainContext context) {
-                        entered(new Caller(EventLoop.peer(context)));
+                        onAccepted(new Caller(EventLoop.peer(context)));
                         return context.getStopAction();
                     }
                 }))
                 .port();
     }
 
-    private void entered(Caller caller) {
+    private void onAccepted(Caller caller) {
         callers.add(caller);
-        if (callers.size() > MOST) {
-            callers.iterator().next().over();
+        if (callers.size() > MAX_CALLERS) {
+            callers.iterator().next().close();
         }
     }
 
-    private String answer(String line) {
-        switch (line) {
+    private String answer(String command) {
+        switch (command) {
             case "PING":
-                String why = hindrance.get();
-                return why == null ? "ACK\r\n" : "NAK " + why + "\r\n";
+                String reason = notReadyReason.get();
+                return reason == null ? "ACK\r\n" : "NAK " + reason + "\r\n";
             case "INFO":
-                return "ACK\r\n" + String.join("\r\n", figures.get()) + "\r\n--\r\n";
+                return "ACK\r\n" + String.join("\r\n", metricLines.get()) + "\r\n--\r\n";
             default:
                 return "NAK no such call; there are PING and INFO\r\n";
         }
     }
 
-    /** One caller, from its connection to its end. */
+    /** The connection of one caller. */
     private final class Caller implements Peer.Listener {
         private final Peer peer;
-        private DeadlineScheduler.Deadline until;
+        private DeadlineScheduler.Deadline timeout;
         private boolean answered;
 
         Caller(Peer peer) {
             this.peer = peer;
             peer.setListener(this);
-            until = deadlines.schedule(loop.nowMicros() + ASK_WITHIN, () -> say("NAK no call came\r\n"));
+            timeout = deadlines.schedule(
+                    loop.nowMicros() + REQUEST_TIMEOUT_MICROS, () -> sendAnswer("NAK no call came\r\n"));
         }
 
         @Override
         public void onBytesReceived(int count) {
             int end = peer.input().indexOf('\n');
-            if (end >= LONGEST_LINE || end < 0 && peer.input().size() >= LONGEST_LINE) {
-                say("NAK the line is longer than 4 KiB\r\n");
+            if (end >= MAX_LINE_BYTES || end < 0 && peer.input().size() >= MAX_LINE_BYTES) {
+                sendAnswer("NAK the line is longer than 4 KiB\r\n");
             } else if (end >= 0) {
-                String line = peer.input().peekText(end);
-                say(
-                        peer.input().size() > end + 1
-                                ? "NAK one call a connection\r\n"
-                                : answer(line.endsWith("\r") ? line.substring(0, end - 1) : line));
+                onLine(end);
             }
         }
 
-        private void say(String words) {
+        private void onLine(int end) {
+            if (peer.input().size() > end + 1) {
+                sendAnswer("NAK one call a connection\r\n");
+                return;
+            }
+            String line = peer.input().peekText(end);
+            sendAnswer(answer(line.endsWith("\r") ? line.substring(0, end - 1) : line));
+        }
+
+        private void sendAnswer(String answer) {
             if (answered) {
                 return;
             }
             answered = true;
-            until.cancel();
-            until = deadlines.schedule(loop.nowMicros() + LINGER, this::over);
-            // what else comes is thrown away: closed with words unread, the kernel would send a reset after the answer
+            timeout.cancel();
+            timeout = deadlines.schedule(loop.nowMicros() + LINGER_MICROS, this::close);
+            // a close over unread input makes the kernel send a reset, which can overtake the answer
             peer.discardInput();
-            peer.send(words);
+            peer.send(answer);
             peer.shutdownOutput();
         }
 
-        /** Whoever ended it, its descriptor is free again. */
-        private void over() {
-            until.cancel();
+        /** Closes the connection and frees its descriptor. */
+        private void close() {
+            timeout.cancel();
             callers.remove(this);
             peer.close();
         }
@@ -127,23 +136,23 @@
         @Override
         public void onEndOfInput() {
             if (!answered && !peer.input().isEmpty()) {
-                say("NAK the call has no line end\r\n");
+                sendAnswer("NAK the call has no line end\r\n");
             }
             if (!answered || peer.isOutputEnded()) {
-                over();
+                close();
             }
         }
 
         @Override
         public void onFlushed() {
             if (answered && peer.isInputEnded() && peer.isOutputEnded()) {
-                over();
+                close();
             }
         }
 
         @Override
         public void onConnectionLost() {
-            over();
+            close();
         }
     }
 }
--- a/src/main/java/sandstack/front/operators/package-info.java
+++ b/src/main/java/sandstack/front/operators/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' door: one line a connection, answered from what the relay holds. May use the core and the net; nothing
- * below it knows of it.
+ * The operators' port: one command per connection, answered from the state of the relay. Uses {@code core} and
+ * {@code net}, which do not depend on it.
  */
 package sandstack.front.operators;
--- /dev/null
+++ b/src/main/java/sandstack/front/platform/LineScanner.java
@@ -0,0 +1,51 @@
+package sandstack.front.platform;
+
+import java.util.function.Consumer;
+import sandstack.net.RingBuffer;
+
+/**
+ * Scans one direction of an established connection and reports the beginning of each complete line. It copies no bytes
+ * beyond that prefix. Used on the loop's thread only.
+ */
+final class LineScanner {
+    /** Longer than any line that the relay evaluates. */
+    private static final int MAX_PREFIX_CHARS = 64;
+
+    private final StringBuilder prefix = new StringBuilder();
+    private final Consumer<String> listener;
+    private int partialLineBytes;
+
+    LineScanner(Consumer<String> listener) {
+        this.listener = listener;
+    }
+
+    /** Scans the newest bytes of a buffer. */
+    void onBytes(RingBuffer buffer, int count) {
+        for (int i = buffer.size() - count; i < buffer.size(); i++) {
+            char c = (char) (buffer.byteAt(i) & 0xff);
+            partialLineBytes++;
+            if (c == '\n') {
+                int length = prefix.length();
+                if (length > 0 && prefix.charAt(length - 1) == '\r') {
+                    prefix.setLength(length - 1);
+                }
+                String completed = prefix.toString();
+                prefix.setLength(0);
+                partialLineBytes = 0;
+                listener.accept(completed);
+            } else if (prefix.length() < MAX_PREFIX_CHARS) {
+                prefix.append(c);
+            }
+        }
+    }
+
+    /** The received part of the incomplete line has been dropped from the buffer. */
+    void dropPartialLine() {
+        partialLineBytes = 0;
+    }
+
+    /** Bytes received of a line whose end has not been received. */
+    int partialLineBytes() {
+        return partialLineBytes;
+    }
+}
--- a/src/main/java/sandstack/front/platform/PlatformFront.java
+++ b/src/main/java/sandstack/front/platform/PlatformFront.java
@@ -14,81 +14,87 @@
 import sandstack.net.EventLoop;
 import sandstack.net.ListeningSocket;
 
-/** The platform's line protocol: listens for clients and connects to feed servers. */
+/**
+ * The platform's line protocol: listens for clients and connects to feed servers. Used on the loop's thread, apart from
+ * listening before the loop has clients.
+ */
 public final class PlatformFront {
+    private static final int MICROS_PER_MILLI = 1000;
+
     private final EventLoop loop;
     private final Relay relay;
-    private final ConnectionAdmission lobby;
-    private final Set<String> ids = new HashSet<>();
-    private final LoadLines loadLines;
-    private ListeningSocket listener;
+    private final ConnectionAdmission admission;
+    private final Set<String> openRequestIds = new HashSet<>();
+    private final LoadReportClassifier loadReports;
+    private ListeningSocket listeningSocket;
 
     /** Creates a front that does not listen yet. */
-    public PlatformFront(EventLoop loop, Relay relay, ConnectionAdmission lobby) {
+    public PlatformFront(EventLoop loop, Relay relay, ConnectionAdmission admission) {
         this.loop = loop;
         this.relay = relay;
-        this.lobby = lobby;
-        this.loadLines = new LoadLines(() -> relay.effectiveSettings().delaysReported());
+        this.admission = admission;
+        this.loadReports =
+                new LoadReportClassifier(() -> relay.effectiveSettings().delaysReported());
     }
 
     /** Listens; returns the port. */
     public int listen(String host, int port) throws IOException {
-        listener = loop.listen(host, port, chain());
-        return listener.port();
+        listeningSocket = loop.listen(host, port, chain());
+        return listeningSocket.port();
     }
 
     /** Accepts clients at the listening socket that this process has inherited; returns its port. */
     public int listenOnInheritedSocket() throws IOException {
-        listener = loop.listenOnInheritedSocket(chain());
-        return listener.port();
+        listeningSocket = loop.listenOnInheritedSocket(chain());
+        return listeningSocket.port();
     }
 
-    /** Accepts nobody any more; a socket that others have too stays as it is. */
+    /** Stops accepting; a socket that other processes share stays open. */
     public void pauseAccepting() throws IOException {
-        listener.pause();
+        listeningSocket.pause();
     }
 
     private FilterChain chain() {
         return loop.chain(new BaseFilter() {
             @Override
             public NextAction handleAccept(FilterChainContext context) {
-                new PlatformClient(PlatformFront.this, EventLoop.peer(context));
+                new PlatformClientSession(PlatformFront.this, EventLoop.peer(context));
                 return context.getStopAction();
             }
         });
     }
 
-    /** Takes this id for a request; false where an open one has it. */
-    boolean claim(String id) {
-        return ids.add(id);
+    /** Claims this id for a request; false if an open request has it. */
+    boolean claimRequestId(String id) {
+        return openRequestIds.add(id);
     }
 
-    void released(String id) {
-        ids.remove(id);
+    void releaseRequestId(String id) {
+        openRequestIds.remove(id);
     }
 
-    /** A feed server has told this figure of a standing execution. */
-    void loadTold(ConnectionAttempt execution, double told) {
-        if (loadLines.isDelay(execution.endpoint().entry().serverId(), told, now())) {
-            execution.onDelayReported(told * 1000);
+    /** A feed server has reported this value, a load or a delay, on an established connection. */
+    void onLoadReport(ConnectionAttempt attempt, double value) {
+        if (loadReports.isDelay(attempt.endpoint().entry().serverId(), value, nowMicros())) {
+            attempt.onDelayReported(value * MICROS_PER_MILLI);
         } else {
-            execution.onLoadReported(told);
+            attempt.onLoadReported(value);
         }
     }
 
-    EventLoop.PendingConnect connect(EndpointRegistry.Endpoint server, EventLoop.ConnectListener told) {
-        return loop.connect(server.host(), server.port(), told);
+    EventLoop.PendingConnect connect(EndpointRegistry.Endpoint server, EventLoop.ConnectListener listener) {
+        return loop.connect(server.host(), server.port(), listener);
     }
 
-    ConnectionAdmission lobby() {
-        return lobby;
+    ConnectionAdmission admission() {
+        return admission;
     }
 
     Relay relay() {
         return relay;
     }
 
-    long now() {
+    long nowMicros() {
         return loop.nowMicros();
     }
 }
--- /dev/null
+++ b/src/main/java/sandstack/front/platform/UpstreamConnection.java
@@ -0,0 +1,282 @@
+package sandstack.front.platform;
+
+import java.util.logging.Logger;
+import sandstack.core.ConnectionAttempt;
+import sandstack.core.ConnectionOutcome;
+import sandstack.net.EventLoop;
+import sandstack.net.Peer;
+
+/**
+ * The connection to the feed server of one attempt: sends the request, evaluates the answer and, once established,
+ * forwards lines to the client and scans them for reports. Used on the loop's thread only.
+ */
+final class UpstreamConnection implements ConnectionAttempt.Upstream, Peer.Listener, EventLoop.ConnectListener {
+    private static final Logger LOG = Logger.getLogger("sandstack.platform");
+    /** How long a migration waits for the end of a line that the feed server has sent in part. */
+    private static final long LINE_END_TIMEOUT_MICROS = 500_000;
+    /** How long a connection may stay half-closed. */
+    private static final long HALF_CLOSED_TIMEOUT_MICROS = 10_000_000;
+
+    private static final String MOVE_LINE = PlatformProtocol.MOVE + PlatformProtocol.LINE_END;
+
+    private final PlatformFront front;
+    private final PlatformClientSession client;
+    private final ConnectionAttempt attempt;
+    private final OpenRequest openRequest;
+    private final LineScanner scanner = new LineScanner(this::onLine);
+    private EventLoop.PendingConnect connecting;
+    private Peer peer;
+    private boolean established;
+    private boolean migrating;
+    /** Whether the request has been written completely. */
+    private boolean requestSent;
+
+    private String lastLine = "";
+
+    UpstreamConnection(
+            PlatformFront front, PlatformClientSession client, ConnectionAttempt attempt, OpenRequest openRequest) {
+        this.front = front;
+        this.client = client;
+        this.attempt = attempt;
+        this.openRequest = openRequest;
+    }
+
+    void start() {
+        connecting = front.connect(attempt.endpoint(), this);
+    }
+
+    Peer peer() {
+        return peer;
+    }
+
+    // Until the feed server has answered
+
+    @Override
+    public void connected(Peer newPeer) {
+        peer = newPeer;
+        peer.setListener(this);
+        if (attempt.onConnected()) {
+            peer.send(openRequest.toUpstreamLine(attempt.remainingMillis()));
+        }
+    }
+
+    @Override
+    public void failed() {
+        attempt.onEnded(ConnectionOutcome.NOT_CONNECTED);
+    }
+
+    private void onAnswer() {
+        int end = peer.input().indexOf('\n');
+        if (end < 0 || end >= PlatformProtocol.MAX_LINE_BYTES) {
+            if (peer.input().size() >= PlatformProtocol.MAX_LINE_BYTES) {
+                failAttempt(ConnectionOutcome.SERVER_ERROR);
+            }
+            return;
+        }
+        String line = peer.input().peekText(end).trim();
+        if (line.startsWith(PlatformProtocol.UP + " ") || line.equals(PlatformProtocol.UP)) {
+            establish();
+            return;
+        }
+        if (line.equals(PlatformProtocol.SYNTAX)) {
+            LOG.warning("a feed server did not understand a first line");
+        }
+        failAttempt(outcomeOfAnswer(line));
+    }
+
+    private void establish() {
+        established = true;
+        client.onEstablished();
+        peer.writeInputOf(client.peer());
+        scanner.onBytes(peer.input(), peer.input().size());
+        attempt.onEstablished();
+        client.peer().flush();
+        peer.flush();
+    }
+
+    private static ConnectionOutcome outcomeOfAnswer(String line) {
+        return switch (line) {
+            case PlatformProtocol.BUSY -> ConnectionOutcome.REJECTED;
+            case PlatformProtocol.MOVE -> ConnectionOutcome.SERVER_DRAINING;
+            case PlatformProtocol.BYE -> ConnectionOutcome.CLOSED_EARLY;
+            default -> line.startsWith(PlatformProtocol.BUSY + " ")
+                    ? ConnectionOutcome.REJECTED
+                    : ConnectionOutcome.SERVER_ERROR;
+        };
+    }
+
+    private void failAttempt(ConnectionOutcome outcome) {
+        abandon();
+        attempt.onEnded(outcome);
+    }
+
+    // Events of the feed server's socket, before and after its answer
+
+    @Override
+    public void onBytesReceived(int count) {
+        if (!established) {
+            onAnswer();
+            return;
+        }
+        scanner.onBytes(peer.input(), count);
+        if (migrating) {
+            migrateAtLineEnd();
+        } else {
+            client.peer().flush();
+        }
+    }
+
+    @Override
+    public void onEndOfInput() {
+        if (!established) {
+            failAttempt(
+                    !requestSent
+                            ? ConnectionOutcome.NOT_CONNECTED
+                            : peer.input().isEmpty() ? ConnectionOutcome.CLOSED_EARLY : ConnectionOutcome.SERVER_ERROR);
+            return;
+        }
+        attempt.onEnded(outcomeOfLastLine(ConnectionOutcome.CLOSED_EARLY));
+        if (migrating) {
+            migrateNow();
+        } else {
+            client.peer().shutdownOutput();
+            scheduleHalfClosedTimeout();
+        }
+    }
+
+    @Override
+    public void onConnectionLost() {
+        if (!established) {
+            // a feed server that has not received the complete request has not run it
+            attempt.onEnded(requestSent ? ConnectionOutcome.RESET : ConnectionOutcome.NOT_CONNECTED);
+            return;
+        }
+        ConnectionOutcome outcome = outcomeOfLastLine(ConnectionOutcome.RESET);
+        attempt.onEnded(outcome);
+        if (migrating) {
+            migrateNow();
+        } else if (outcome == ConnectionOutcome.RESET) {
+            client.reset();
+        } else {
+            // its last line was a proper end, and a reset here could keep that line from the client
+            client.closeAfterLastLine(null);
+        }
+    }
+
+    /** The outcome of an established connection by the feed server's last line. */
+    private ConnectionOutcome outcomeOfLastLine(ConnectionOutcome otherwise) {
+        return switch (lastLine) {
+            case PlatformProtocol.BYE -> ConnectionOutcome.SERVED;
+            case PlatformProtocol.MOVE -> ConnectionOutcome.SERVER_DRAINING;
+            default -> otherwise;
+        };
+    }
+
+    @Override
+    public void onFlushed() {
+        if (established) {
+            client.peer().resumeReading();
+            closeIfBothEnded();
+        } else {
+            requestSent = true;
+            attempt.onRequestWritten();
+        }
+    }
+
+    // While the connection is established
+
+    private void onLine(String line) {
+        lastLine = line;
+        if (line.startsWith(PlatformProtocol.LOAD_PREFIX)) {
+            try {
+                front.onLoadReport(attempt, Double.parseDouble(line.substring(PlatformProtocol.LOAD_PREFIX.length())));
+            } catch (NumberFormatException e) {
+                LOG.fine("a load that is no number");
+            }
+        } else {
+            attempt.onServerMessage();
+        }
+    }
+
+    /** Forwards what the client has sent to the feed server. */
+    void forwardClientBytes() {
+        attempt.onClientMessage();
+        peer.flush();
+    }
+
+    /** All forwarded bytes have been written to the client, so that more can be read from the feed server. */
+    void onClientFlushed() {
+        peer.resumeReading();
+        closeIfBothEnded();
+    }
+
+    /** The client has shut down its output: forwards that, and leaves the feed server's direction open. */
+    void onClientEndOfInput() {
+        attempt.onEnded(ConnectionOutcome.CLIENT_LEFT);
+        peer.shutdownOutput();
+        scheduleHalfClosedTimeout();
+        closeIfBothEnded();
+    }
+
+    void onClientConnectionLost() {
+        attempt.onEnded(ConnectionOutcome.CLIENT_LEFT);
+        peer.reset();
+    }
+
+    private void scheduleHalfClosedTimeout() {
+        front.relay().deadlines().schedule(front.nowMicros() + HALF_CLOSED_TIMEOUT_MICROS, this::closeBoth);
+    }
+
+    private void closeIfBothEnded() {
+        if (peer.isOutputEnded() && client.peer().isOutputEnded()) {
+            closeBoth();
+        }
+    }
+
+    private void closeBoth() {
+        peer.close();
+        client.peer().close();
+    }
+
+    // Calls of the relay core
+
+    @Override
+    public void abandon() {
+        if (connecting != null) {
+            connecting.cancel();
+        }
+        if (peer != null) {
+            peer.close();
+        }
+    }
+
+    @Override
+    public void migrate() {
+        migrating = true;
+        front.relay().deadlines().schedule(front.nowMicros() + LINE_END_TIMEOUT_MICROS, this::migrateNow);
+        migrateAtLineEnd();
+    }
+
+    /** MOVE is sent between two lines: waits for the end of a line whose beginning has been written already. */
+    private void migrateAtLineEnd() {
+        if (scanner.partialLineBytes() <= peer.input().size()) {
+            peer.input().dropLast(scanner.partialLineBytes());
+            scanner.dropPartialLine();
+            migrateNow();
+        } else {
+            client.peer().flush();
+        }
+    }
+
+    private void migrateNow() {
+        if (!client.peer().isClosed() && migrating) {
+            migrating = false;
+            peer.close();
+            // ends a line that the feed server left incomplete, so that MOVE is a line of its own
+            client.closeAfterLastLine(
+                    scanner.partialLineBytes() > peer.input().size()
+                            ? PlatformProtocol.LINE_END + MOVE_LINE
+                            : MOVE_LINE);
+        }
+    }
+}
--- a/src/main/java/sandstack/front/platform/package-info.java
+++ b/src/main/java/sandstack/front/platform/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The platform's line protocol: clients that ask with one line, the connections to feed servers, and the passing of
- * bytes between the two. Lives on the loop's thread; uses {@code net} and {@code core} and decides nothing.
+ * The platform's line protocol: client sessions, connections to feed servers, and the forwarding of bytes between the
+ * two. Maps the protocol's keywords to the terms of {@code core}, and takes no balancing decision. Runs on the loop's
+ * thread.
  */
 package sandstack.front.platform;
--- a/src/test/java/sandstack/console/ConsoleTest.java
+++ b/src/test/java/sandstack/console/ConsoleTest.java
@@ -67,7 +67,7 @@
                         () -> drained.set(true),
                         Map.of("fleet json", () -> List.of("{}")),
                         Map.of("fleet take-out", name -> List.of(name + " is out"))))
-                .plain(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), new PrintStream(out, true));
+                .runPlain(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), new PrintStream(out, true));
         return out.toString(StandardCharsets.UTF_8);
     }
 
--- a/src/test/java/sandstack/front/platform/LoadLinesTest.java
+++ b/src/test/java/sandstack/front/platform/LoadReportClassifierTest.java
@@ -5,9 +5,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Which figure of a feed server is a delay and which a load. */
-class LoadLinesTest {
+class LoadReportClassifierTest {
     private static final long SECOND = 1_000_000;
-    private final LoadLines lines = new LoadLines(() -> true);
+    private final LoadReportClassifier lines = new LoadReportClassifier(() -> true);
 
     @Test
     void aFewHundredIsAMessageThatTakesLongAndNotAConnectionThatDoesNothing() {
@@ -37,7 +37,7 @@
 
     @Test
     void whereNoDelaysAreToldAllAreLoadsAndNonsenseIsNeverADelay() {
-        assertThat(new LoadLines(() -> false).isDelay("a", 273, 0)).isFalse();
+        assertThat(new LoadReportClassifier(() -> false).isDelay("a", 273, 0)).isFalse();
         assertThat(lines.isDelay("a", Double.NaN, 0)).isFalse();
         assertThat(lines.isDelay("a", -5, 0)).isFalse();
         assertThat(lines.isDelay("a", Double.POSITIVE_INFINITY, 0)).isFalse();
