--- a/src/test/java/sandstack/config/ConfigurationErrorLinesTest.java
+++ b/src/test/java/sandstack/config/ConfigurationErrorLinesTest.java
@@ -41,7 +41,7 @@
 
     static Stream<InvalidFile> invalidFiles() throws IOException {
         List<String> rows = Files.readAllLines(CASES.resolve("error-lines.tsv"));
-        assertThat(rows).hasSize(117);
+        assertThat(rows).hasSize(136);
         return rows.stream().map(InvalidFile::parse);
     }
 
