--- a/src/main/java/sandstack/config/CapacityFile.java
+++ b/src/main/java/sandstack/config/CapacityFile.java
@@ -12,108 +12,121 @@
 import sandstack.capacity.StatedCapacity;
 
 /**
- * What an operator states of the feed servers, and the limits of the installation: {@code deploy/capacity.toml}, which
- * states nothing as shipped, or the file that a command names. One installation's figures bound another's feed servers
- * at random, so they count only where they are asked for.
+ * The capacities that an operator states for the feed servers, and the limits of the installation:
+ * {@code deploy/capacity.toml}, which states nothing as shipped, or the file that a command names. The figures of one
+ * installation do not hold for another, so they apply only where a command asks for them.
  *
- * @param kinds names of the machine kinds, in the order of the book
+ * @param statedCapacities the stated capacities, by machine kind
+ * @param kinds names of the machine kinds, in the order of {@code statedCapacities}
+ * @param limits the limits of the installation
  */
 public record CapacityFile(StatedCapacities statedCapacities, List<String> kinds, InstallationLimits limits) {
-    /** Nothing stated, no limits. */
+    /** No capacities stated and no limits. */
     public static final CapacityFile NONE = new CapacityFile(StatedCapacities.NONE, List.of(), InstallationLimits.NONE);
 
     private static final String FILE = "capacity.toml";
-    private static final Set<String> TABLES = Set.of("enabled", "servers", "kinds", "limits");
-    private static final Set<String> STATED = Set.of("work", "connections", "firm", "load", "group");
-    private static final Set<String> LIMITS = Set.of("relay", "server", "group", "setups");
-    private static final int MOST_KINDS = 64;
+    private static final Set<String> ROOT_KEYS = Set.of("enabled", "servers", "kinds", "limits");
+    private static final Set<String> CAPACITY_KEYS = Set.of("work", "connections", "firm", "load", "group");
+    private static final Set<String> LIMIT_KEYS = Set.of("relay", "server", "group", "setups");
+    private static final double MAX_WORK = 1e15;
+    private static final double MAX_CONNECTIONS = 1e9;
+    private static final double MAX_GROUP_OVERHEAD = 1e6;
+    private static final double MAX_SETUPS = 1e6;
+    private static final int MAX_KINDS = 64;
 
     /**
-     * Reads the file; {@link #NONE} where it is off, or where none is named and ours is missing.
+     * Reads the file; {@link #NONE} if it is switched off, or if no file is named and the one in the folder is missing.
      *
-     * @param named by the command; null where it names none
+     * @param namedFile the file that the command names; null if it names none
      */
-    public static CapacityFile read(DeployFiles files, Path named) throws InvalidConfigurationException {
-        JsonNode root = named == null ? files.enabled(FILE) : DeployFiles.enabled(named);
-        return root == null ? NONE : new Reader(named == null ? FILE : named.toString()).read(root);
+    public static CapacityFile read(DeployFiles files, Path namedFile) throws InvalidConfigurationException {
+        JsonNode root = namedFile == null ? files.enabled(FILE) : DeployFiles.enabled(namedFile);
+        return root == null ? NONE : new Reader(namedFile == null ? FILE : namedFile.toString()).read(root);
     }
 
     /** Reads one file; errors name it. */
     private record Reader(String file) {
         CapacityFile read(JsonNode root) throws InvalidConfigurationException {
-            known(root, "", TABLES);
-            StatedCapacity other = stated(root.path("servers"), "servers", StatedCapacity.NOTHING);
-            List<String> names = new ArrayList<>();
+            requireKnownKeys(root, "", ROOT_KEYS);
+            StatedCapacity defaults = readCapacity(root.path("servers"), "servers", StatedCapacity.NOTHING);
+            List<String> keys = new ArrayList<>();
             List<StatedCapacity> kinds = new ArrayList<>();
-            table(root.path("kinds"), "kinds");
+            requireTable(root.path("kinds"), "kinds");
             for (Iterator<Map.Entry<String, JsonNode>> i = root.path("kinds").fields(); i.hasNext(); ) {
                 Map.Entry<String, JsonNode> kind = i.next();
-                names.add(kind.getKey());
-                kinds.add(stated(kind.getValue(), "kinds." + kind.getKey(), other));
+                keys.add(kind.getKey());
+                kinds.add(readCapacity(kind.getValue(), "kinds." + kind.getKey(), defaults));
             }
-            if (names.size() > MOST_KINDS) {
+            if (keys.size() > MAX_KINDS) {
                 throw new InvalidConfigurationException(
-                        file + ": kinds has " + names.size() + " tables, " + MOST_KINDS + " at most");
+                        file + ": kinds has " + keys.size() + " tables, " + MAX_KINDS + " at most");
             }
-            JsonNode l = root.path("limits");
-            known(l, "limits", LIMITS);
-            InstallationLimits limits = new InstallationLimits(
-                    count(l, "relay"), count(l, "server"), count(l, "group"), number(l, "limits", "setups", 0, 1e6));
-            return new CapacityFile(new StatedCapacities(other, kinds), List.copyOf(names), limits);
+            InstallationLimits limits = readLimits(root.path("limits"));
+            return new CapacityFile(new StatedCapacities(defaults, kinds), List.copyOf(keys), limits);
         }
 
-        /** What a kind's table leaves out is as for all servers. */
-        private StatedCapacity stated(JsonNode of, String where, StatedCapacity other)
+        private InstallationLimits readLimits(JsonNode table) throws InvalidConfigurationException {
+            requireKnownKeys(table, "limits", LIMIT_KEYS);
+            return new InstallationLimits(
+                    count(table, "relay"),
+                    count(table, "server"),
+                    count(table, "group"),
+                    number(table, "limits", "setups", 0, MAX_SETUPS));
+        }
+
+        /** Reads one table; values that it leaves out are those of {@code defaults}. */
+        private StatedCapacity readCapacity(JsonNode table, String path, StatedCapacity defaults)
                 throws InvalidConfigurationException {
-            known(of, where, STATED);
-            if (of.has("firm") && !of.path("firm").isBoolean()) {
+            requireKnownKeys(table, path, CAPACITY_KEYS);
+            if (table.has("firm") && !table.path("firm").isBoolean()) {
                 throw new InvalidConfigurationException(
-                        file + ": " + where + ".firm is neither true nor false: " + of.path("firm"));
+                        file + ": " + path + ".firm is neither true nor false: " + table.path("firm"));
             }
             return new StatedCapacity(
-                    number(of, where, "work", other.workPerRating(), 1e15),
-                    number(of, where, "connections", other.connectionsPerRating(), 1e9),
-                    of.path("firm").asBoolean(other.upperBound()),
-                    number(of, where, "load", other.defaultConnectionLoad(), 1e15),
-                    number(of, where, "group", other.groupOverheadConnections(), 1e6));
+                    number(table, path, "work", defaults.workPerRating(), MAX_WORK),
+                    number(table, path, "connections", defaults.connectionsPerRating(), MAX_CONNECTIONS),
+                    table.path("firm").asBoolean(defaults.upperBound()),
+                    number(table, path, "load", defaults.defaultConnectionLoad(), MAX_WORK),
+                    number(table, path, "group", defaults.groupOverheadConnections(), MAX_GROUP_OVERHEAD));
         }
 
-        private int count(JsonNode of, String name) throws InvalidConfigurationException {
-            double value = number(of, "limits", name, 0, 1e9);
+        private int count(JsonNode table, String name) throws InvalidConfigurationException {
+            double value = number(table, "limits", name, 0, MAX_CONNECTIONS);
             if (value != Math.rint(value)) {
                 throw new InvalidConfigurationException(
-                        FILE + ": limits." + name + " is not a whole number: " + of.path(name));
+                        FILE + ": limits." + name + " is not a whole number: " + table.path(name));
             }
             return (int) value;
         }
 
-        private double number(JsonNode of, String where, String name, double missing, double most)
+        private double number(JsonNode table, String path, String name, double defaultValue, double maximum)
                 throws InvalidConfigurationException {
-            JsonNode value = of.path(name);
+            JsonNode value = table.path(name);
             if (value.isMissingNode()) {
-                return missing;
+                return defaultValue;
             }
-            if (!value.isNumber() || !(value.asDouble() >= 0 && value.asDouble() <= most)) {
-                throw new InvalidConfigurationException(
-                        file + ": " + where + "." + name + " must be a number from 0 to " + (long) most + ": " + value);
+            if (!value.isNumber() || !(value.asDouble() >= 0 && value.asDouble() <= maximum)) {
+                throw new InvalidConfigurationException(file + ": " + path + "." + name + " must be a number from 0 to "
+                        + (long) maximum + ": " + value);
             }
             return value.asDouble();
         }
 
-        private void table(JsonNode of, String where) throws InvalidConfigurationException {
-            if (!of.isMissingNode() && !of.isObject()) {
-                throw new InvalidConfigurationException(file + ": " + where + " is not a table: " + of);
+        private void requireTable(JsonNode table, String path) throws InvalidConfigurationException {
+            if (!table.isMissingNode() && !table.isObject()) {
+                throw new InvalidConfigurationException(file + ": " + path + " is not a table: " + table);
             }
         }
 
-        private void known(JsonNode of, String where, Set<String> names) throws InvalidConfigurationException {
-            table(of, where);
-            for (Iterator<String> i = of.fieldNames(); i.hasNext(); ) {
+        private void requireKnownKeys(JsonNode table, String path, Set<String> keys)
+                throws InvalidConfigurationException {
+            requireTable(table, path);
+            for (Iterator<String> i = table.fieldNames(); i.hasNext(); ) {
                 String name = i.next();
-                if (!names.contains(name)) {
+                if (!keys.contains(name)) {
                     throw new InvalidConfigurationException(
-                            file + ": " + (where.isEmpty() ? "" : where + ".") + name + " is not known here; known are "
-                                    + String.join(", ", names.stream().sorted().toList()));
+                            file + ": " + (path.isEmpty() ? "" : path + ".") + name + " is not known here; known are "
+                                    + String.join(", ", keys.stream().sorted().toList()));
                 }
             }
         }
--- a/src/main/java/sandstack/config/ConfigurationKeys.java
+++ b/src/main/java/sandstack/config/ConfigurationKeys.java
@@ -7,17 +7,19 @@
 import java.util.TreeSet;
 
 /**
- * The keys of a configuration, as dotted paths. Of an array's objects only the keys count that all of them have, as
- * {@code classes[].name}; the list of feed servers counts as one value, for what it holds changes by itself.
+ * The keys of a configuration, as dotted paths. Of an array's elements only the keys count that all of them have, as
+ * {@code classes[].name}; the endpoint list counts as one value, since its content changes without an operator.
+ *
+ * @param paths the dotted paths
  */
 record ConfigurationKeys(Set<String> paths) {
-    private static final String LIST = "known";
+    private static final String ENDPOINT_LIST_KEY = "known";
 
     static ConfigurationKeys of(JsonNode root) {
         Set<String> paths = new TreeSet<>();
         root.fields().forEachRemaining(field -> {
-            if (field.getKey().equals(LIST)) {
-                paths.add(LIST);
+            if (field.getKey().equals(ENDPOINT_LIST_KEY)) {
+                paths.add(ENDPOINT_LIST_KEY);
             } else {
                 collect(field.getKey(), field.getValue(), paths);
             }
@@ -33,24 +35,24 @@
                 collect(path + "." + field.getKey(), field.getValue(), paths);
             }
         } else if (value.isArray() && !value.isEmpty()) {
-            Set<String> common = null;
+            Set<String> commonPaths = null;
             for (JsonNode element : value) {
-                Set<String> own = new TreeSet<>();
-                collect(path + "[]", element, own);
-                if (common == null) {
-                    common = own;
+                Set<String> elementPaths = new TreeSet<>();
+                collect(path + "[]", element, elementPaths);
+                if (commonPaths == null) {
+                    commonPaths = elementPaths;
                 } else {
-                    common.retainAll(own);
+                    commonPaths.retainAll(elementPaths);
                 }
             }
-            paths.addAll(common);
+            paths.addAll(commonPaths);
         }
     }
 
-    /** Refuses a file that lacks a key which these have. */
-    void requireAllIn(ConfigurationKeys later) throws InvalidConfigurationException {
+    /** Rejects a configuration that lacks one of these keys. */
+    void requireAllIn(ConfigurationKeys next) throws InvalidConfigurationException {
         for (String path : paths) {
-            if (!later.paths.contains(path)) {
+            if (!next.paths.contains(path)) {
                 throw new InvalidConfigurationException(path + " is missing");
             }
         }
--- a/src/main/java/sandstack/config/DeployFiles.java
+++ b/src/main/java/sandstack/config/DeployFiles.java
@@ -9,22 +9,22 @@
 import java.util.Iterator;
 import java.util.Set;
 
-/** The files of our own under deploy/: each switches one part on or off. A part without a file is off. */
+/** The relay's own files under {@code deploy/}, each of which switches one part on or off; without its file, a part is off. */
 public final class DeployFiles {
     private final Path folder;
 
-    /** Creates a view of the files in this folder; each is read when it is asked for. */
+    /** Creates a view of the files in this folder; each is read on request. */
     public DeployFiles(Path folder) {
         this.folder = folder;
     }
 
-    /** The file's values; null where the part is off. */
+    /** The file's values; null if the part is off. */
     public JsonNode enabled(String name) throws InvalidConfigurationException {
         Path file = folder.resolve(name);
         return Files.isRegularFile(file) ? enabled(file) : null;
     }
 
-    /** The values of a file that a command names, which has to be there; null where it says that it is off. */
+    /** The values of a file that has to exist; null if it switches its part off. */
     static JsonNode enabled(Path file) throws InvalidConfigurationException {
         try {
             JsonNode values = new TomlMapper().readTree(Files.readString(file));
@@ -40,18 +40,19 @@
         }
     }
 
-    /** Refuses keys that are none of these; where says what the line begins with. */
-    public static void onlyKnown(JsonNode values, Set<String> keys, String where) throws InvalidConfigurationException {
-        for (Iterator<String> i = values.fieldNames(); i.hasNext(); ) {
-            String key = i.next();
+    /** Rejects keys that are none of these; {@code prefix} begins the error line. */
+    public static void onlyKnown(JsonNode values, Set<String> keys, String prefix)
+            throws InvalidConfigurationException {
+        for (Iterator<String> names = values.fieldNames(); names.hasNext(); ) {
+            String key = names.next();
             if (!keys.contains(key)) {
-                throw new InvalidConfigurationException(where + key + " is not known here; known are "
+                throw new InvalidConfigurationException(prefix + key + " is not known here; known are "
                         + String.join(", ", keys.stream().sorted().toList()));
             }
         }
     }
 
-    /** A value that the file must have. */
+    /** A text that the file must have; {@code file} begins the error line. */
     public static String text(JsonNode values, String name, String file) throws InvalidConfigurationException {
         if (!values.path(name).isTextual() || values.path(name).asText().isEmpty()) {
             throw new InvalidConfigurationException(file + ": " + name + " is missing");
--- a/src/main/java/sandstack/config/EndpointListJson.java
+++ b/src/main/java/sandstack/config/EndpointListJson.java
@@ -12,15 +12,22 @@
 import sandstack.decisions.EndpointListKind;
 import sandstack.decisions.EndpointState;
 
-/** Discovery's form of the name table, as it comes from discovery and in the configuration. */
+/**
+ * Reads and writes the endpoint list in discovery's JSON form, which the configuration has too. Not thread-safe, as it
+ * adds to the machine kinds.
+ */
 public final class EndpointListJson {
+    private static final String STATE_READY = "ready";
+    private static final String STATE_DRAINING = "draining";
+    private static final String STATE_GONE = "gone";
+    private static final int MICROS_PER_MILLI = 1000;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final List<String> zones;
     private final MachineKinds kinds;
 
     /**
-     * Creates a reader for these zones; machine kinds that it meets are added to {@code kinds}.
+     * Creates a reader for these zones; machine kinds that it reads are added to {@code kinds}.
      *
      * @param zones names of the settings' zones, in their order
      */
@@ -29,85 +36,95 @@
         this.kinds = kinds;
     }
 
-    /**
-     * Reads one object of the list.
-     *
-     * @param saved the list is one that was kept, and may be old
-     */
-    public EndpointRegistry.Update readUpdate(JsonNode object, boolean saved) throws InvalidConfigurationException {
-        List<EndpointRegistry.Endpoint> lines = new ArrayList<>();
+    /** Reads one update of discovery, a full list or a delta. */
+    public EndpointRegistry.Update readUpdate(JsonNode object) throws InvalidConfigurationException {
+        return read(object, object.path("all").asBoolean() ? EndpointListKind.FULL : EndpointListKind.DELTA);
+    }
+
+    /** Reads a cached list, which may be stale. */
+    EndpointRegistry.Update readCached(JsonNode object) throws InvalidConfigurationException {
+        return read(object, EndpointListKind.CACHED);
+    }
+
+    private EndpointRegistry.Update read(JsonNode object, EndpointListKind kind) throws InvalidConfigurationException {
+        List<EndpointRegistry.Endpoint> endpoints = new ArrayList<>();
         for (JsonNode target : object.path("targets")) {
-            lines.add(line(target));
+            endpoints.add(endpoint(target));
         }
         if (!object.path("rev").isNumber()) {
             throw new InvalidConfigurationException("the list of feed servers has no rev");
         }
-        EndpointListKind kind = saved
-                ? EndpointListKind.CACHED
-                : object.path("all").asBoolean() ? EndpointListKind.FULL : EndpointListKind.DELTA;
-        return new EndpointRegistry.Update(kind, object.path("rev").asLong(), lines);
+        return new EndpointRegistry.Update(kind, object.path("rev").asLong(), endpoints);
     }
 
-    private EndpointRegistry.Endpoint line(JsonNode target) throws InvalidConfigurationException {
+    private EndpointRegistry.Endpoint endpoint(JsonNode target) throws InvalidConfigurationException {
         String uid = target.path("uid").asText("");
-        EndpointState phase =
-                switch (target.path("state").asText()) {
-                    case "ready" -> EndpointState.READY;
-                    case "draining" -> EndpointState.DRAINING;
-                    case "gone" -> EndpointState.GONE;
-                    default -> throw new InvalidConfigurationException("feed server " + uid + " has no known state");
-                };
+        EndpointState state = state(target, uid);
         if (uid.isEmpty()) {
             throw new InvalidConfigurationException("a feed server has no uid");
         }
-        String endpoint = target.path("endpoint").asText("");
-        PlatformConfig.Address address = phase == EndpointState.GONE && endpoint.isEmpty()
+        PlatformConfig.Address address = address(target, state, uid);
+        EndpointEntry entry = new EndpointEntry(
+                uid,
+                zone(target.path("az")),
+                target.path("pod_group").asInt(),
+                kinds.indexOf(target.path("model").asText("")),
+                target.path("boot_ms").asLong() * MICROS_PER_MILLI,
+                state,
+                target.path("capacity_hint").asDouble(1));
+        return new EndpointRegistry.Endpoint(entry, address.host(), address.port());
+    }
+
+    private static EndpointState state(JsonNode target, String uid) throws InvalidConfigurationException {
+        return switch (target.path("state").asText()) {
+            case STATE_READY -> EndpointState.READY;
+            case STATE_DRAINING -> EndpointState.DRAINING;
+            case STATE_GONE -> EndpointState.GONE;
+            default -> throw new InvalidConfigurationException("feed server " + uid + " has no known state");
+        };
+    }
+
+    /** A server that is gone may have no address. */
+    private static PlatformConfig.Address address(JsonNode target, EndpointState state, String uid)
+            throws InvalidConfigurationException {
+        String text = target.path("endpoint").asText("");
+        return state == EndpointState.GONE && text.isEmpty()
                 ? new PlatformConfig.Address("", 0)
-                : PlatformConfig.Address.parse(endpoint, "endpoint of " + uid);
-        return new EndpointRegistry.Endpoint(
-                new EndpointEntry(
-                        uid,
-                        zone(target.path("az")),
-                        target.path("pod_group").asInt(),
-                        kinds.of(target.path("model").asText("")),
-                        target.path("boot_ms").asLong() * 1000,
-                        phase,
-                        target.path("capacity_hint").asDouble(1)),
-                address.host(),
-                address.port());
+                : PlatformConfig.Address.parse(text, "endpoint of " + uid);
     }
 
-    /** The name table in this form, as one whole list. */
-    public String toJson(EndpointRegistry names) {
-        ObjectNode list = JSON.createObjectNode().put("rev", names.version()).put("all", true);
+    /** The endpoint list in this form, as one full list. */
+    public String toJson(EndpointRegistry endpoints) {
+        ObjectNode list =
+                JSON.createObjectNode().put("rev", endpoints.version()).put("all", true);
         ArrayNode targets = list.putArray("targets");
-        for (EndpointRegistry.Endpoint line : names.endpoints()) {
-            EndpointEntry e = line.entry();
+        for (EndpointRegistry.Endpoint endpoint : endpoints.endpoints()) {
+            EndpointEntry entry = endpoint.entry();
             targets.addObject()
-                    .put("uid", e.serverId())
-                    .put("endpoint", line.host() + ":" + line.port())
-                    .put("az", e.zone() < zones.size() ? zones.get(e.zone()) : "")
-                    .put("model", kinds.name(e.machineKind()))
-                    .put("pod_group", e.cell())
-                    .put("state", e.state() == EndpointState.READY ? "ready" : "draining")
-                    .put("capacity_hint", e.rating())
-                    .put("boot_ms", e.startedAtMicros() / 1000);
+                    .put("uid", entry.serverId())
+                    .put("endpoint", endpoint.host() + ":" + endpoint.port())
+                    .put("az", entry.zone() < zones.size() ? zones.get(entry.zone()) : "")
+                    .put("model", kinds.name(entry.machineKind()))
+                    .put("pod_group", entry.cell())
+                    .put("state", entry.state() == EndpointState.READY ? STATE_READY : STATE_DRAINING)
+                    .put("capacity_hint", entry.rating())
+                    .put("boot_ms", entry.startedAtMicros() / MICROS_PER_MILLI);
         }
         return list.toString();
     }
 
-    /** Reads what {@link #toJson} gave, as a list that was kept. */
+    /** Reads the text of {@link #toJson} as a cached list. */
     public EndpointRegistry.Update readCached(String text) throws InvalidConfigurationException {
         try {
-            return readUpdate(JSON.readTree(text), true);
+            return readCached(JSON.readTree(text));
         } catch (JsonProcessingException e) {
             throw new InvalidConfigurationException("a kept list of feed servers is not JSON");
         }
     }
 
-    /** A zone that the settings do not name is no relay's home: it stands behind all others. */
-    private int zone(JsonNode az) {
-        int zone = zones.indexOf(az.asText());
-        return zone < 0 ? zones.size() : zone;
+    /** A zone that the settings do not name gets the position after all others. */
+    private int zone(JsonNode zoneName) {
+        int index = zones.indexOf(zoneName.asText());
+        return index < 0 ? zones.size() : index;
     }
 }
--- a/src/main/java/sandstack/config/FleetFile.java
+++ b/src/main/java/sandstack/config/FleetFile.java
@@ -11,15 +11,15 @@
 import sandstack.config.PlatformConfig.Address;
 
 /**
- * {@code deploy/fleet.toml}: where the members of this relay's fleet are. It counts only where the command says
+ * {@code deploy/fleet.toml}: the addresses of the members of this relay's fleet. Applies only if the command has
  * {@code --fleet} too.
  *
- * @param installation members of others are not talked to
- * @param listen where this member is reached
- * @param machine what this one shares with whatever fails with it
- * @param members addresses by which the fleet is found; some of them may be gone
- * @param relays names of all relays that there are, as staff state them; empty where they do not say
- * @param via where to dial a member that is not reached at its own address
+ * @param installation name of the installation; members of others are ignored
+ * @param listen address of this member
+ * @param machine name of the failure domain of this member
+ * @param members seed addresses of the fleet, some of which may be gone
+ * @param relays names of all relays, as operators state them; empty if they are not stated
+ * @param via addresses to connect to in place of a member's own, by that address
  */
 public record FleetFile(
         String installation,
@@ -28,74 +28,87 @@
         List<String> members,
         Set<String> relays,
         Map<String, String> via) {
-    /** The file's name in the folder of our own files. */
+    /** The file's name under {@code deploy/}. */
     public static final String FILE = "fleet.toml";
 
     private static final Set<String> KEYS =
             Set.of("enabled", "installation", "listen", "machine", "members", "relays", "via");
-    private static final int MOST_MEMBERS = 1_000;
-    private static final int LONGEST = 100;
+    private static final int MAX_MEMBERS = 1_000;
+    private static final int MAX_NAME_CHARS = 100;
 
-    /** Reads the file; null where it is missing or off. */
+    /** Reads the file; null if it is missing or switched off. */
     public static FleetFile read(DeployFiles files) throws InvalidConfigurationException {
         JsonNode root = files.enabled(FILE);
         return root == null ? null : read(root);
     }
 
     static FleetFile read(JsonNode root) throws InvalidConfigurationException {
+        // in this order: of several invalid values, the first one is reported
         DeployFiles.onlyKnown(root, KEYS, FILE + ": ");
         Address listen = Address.parse(DeployFiles.text(root, "listen", FILE), FILE + ": listen");
-        List<String> members = new ArrayList<>();
-        JsonNode listed = root.path("members");
-        if (!listed.isArray() || listed.isEmpty() || listed.size() > MOST_MEMBERS) {
-            throw new InvalidConfigurationException(FILE + ": members must be a list of 1 to " + MOST_MEMBERS
+        List<String> members = members(root.path("members"));
+        Set<String> relays = relays(root.path("relays"));
+        Map<String, String> via = via(root);
+        String machine = root.has("machine") ? requireName(root, "machine") : listen.host();
+        return new FleetFile(requireName(root, "installation"), listen, machine, members, relays, via);
+    }
+
+    private static List<String> members(JsonNode listed) throws InvalidConfigurationException {
+        if (!listed.isArray() || listed.isEmpty() || listed.size() > MAX_MEMBERS) {
+            throw new InvalidConfigurationException(FILE + ": members must be a list of 1 to " + MAX_MEMBERS
                     + " addresses: "
                     + (listed.isArray() ? listed.size() + " of them" : listed.isMissingNode() ? "missing" : listed));
         }
+        List<String> members = new ArrayList<>();
         for (JsonNode member : listed) {
             members.add(address(member, "members"));
         }
-        Set<String> relays = new TreeSet<>();
-        JsonNode named = root.path("relays");
-        if (!named.isMissingNode() && (!named.isArray() || named.isEmpty() || named.size() > MOST_MEMBERS)) {
-            throw new InvalidConfigurationException(FILE + ": relays must be a list of 1 to " + MOST_MEMBERS
-                    + " names: " + (named.isArray() ? named.size() + " of them" : named));
+        return List.copyOf(members);
+    }
+
+    private static Set<String> relays(JsonNode listed) throws InvalidConfigurationException {
+        if (!listed.isMissingNode() && (!listed.isArray() || listed.isEmpty() || listed.size() > MAX_MEMBERS)) {
+            throw new InvalidConfigurationException(FILE + ": relays must be a list of 1 to " + MAX_MEMBERS + " names: "
+                    + (listed.isArray() ? listed.size() + " of them" : listed));
         }
-        for (JsonNode relay : named) {
-            if (!relay.isTextual() || !relays.add(word(relay.asText(), "relays"))) {
+        Set<String> relays = new TreeSet<>();
+        for (JsonNode relay : listed) {
+            if (!relay.isTextual() || !relays.add(requireName(relay.asText(), "relays"))) {
                 throw new InvalidConfigurationException(
                         FILE + ": relays: " + relay + (relay.isTextual() ? " is there twice" : " is no name"));
             }
         }
-        Map<String, String> via = new HashMap<>();
+        return Set.copyOf(relays);
+    }
+
+    private static Map<String, String> via(JsonNode root) throws InvalidConfigurationException {
         if (root.has("via") && !root.path("via").isObject()) {
             throw new InvalidConfigurationException(FILE + ": via is not a table: " + root.path("via"));
         }
+        Map<String, String> via = new HashMap<>();
         for (Iterator<Map.Entry<String, JsonNode>> i = root.path("via").fields(); i.hasNext(); ) {
-            Map.Entry<String, JsonNode> way = i.next();
-            Address.parse(way.getKey(), FILE + ": via");
-            via.put(way.getKey(), address(way.getValue(), "via.\"" + way.getKey() + "\""));
+            Map.Entry<String, JsonNode> entry = i.next();
+            Address.parse(entry.getKey(), FILE + ": via");
+            via.put(entry.getKey(), address(entry.getValue(), "via.\"" + entry.getKey() + "\""));
         }
-        String machine = root.has("machine") ? word(root, "machine") : listen.host();
-        return new FleetFile(
-                word(root, "installation"), listen, machine, List.copyOf(members), Set.copyOf(relays), Map.copyOf(via));
+        return Map.copyOf(via);
     }
 
-    private static String address(JsonNode of, String where) throws InvalidConfigurationException {
-        if (!of.isTextual()) {
-            throw new InvalidConfigurationException(FILE + ": " + where + " is no address HOST:PORT: " + of);
+    private static String address(JsonNode value, String path) throws InvalidConfigurationException {
+        if (!value.isTextual()) {
+            throw new InvalidConfigurationException(FILE + ": " + path + " is no address HOST:PORT: " + value);
         }
-        return Address.parse(of.asText(), FILE + ": " + where).toString();
+        return Address.parse(value.asText(), FILE + ": " + path).toString();
     }
 
-    /** Names go into log lines and onto the wire as they are; the library takes none of one letter. */
-    private static String word(JsonNode root, String key) throws InvalidConfigurationException {
-        return word(DeployFiles.text(root, key, FILE), key);
+    /** Names are written to logs and to the wire without escapes; the cluster library rejects names of one letter. */
+    private static String requireName(JsonNode root, String key) throws InvalidConfigurationException {
+        return requireName(DeployFiles.text(root, key, FILE), key);
     }
 
-    private static String word(String value, String key) throws InvalidConfigurationException {
-        if (value.length() > LONGEST || !value.matches("[A-Za-z0-9][A-Za-z0-9._-]*[A-Za-z0-9]")) {
-            throw new InvalidConfigurationException(FILE + ": " + key + " must be 2 to " + LONGEST
+    private static String requireName(String value, String key) throws InvalidConfigurationException {
+        if (value.length() > MAX_NAME_CHARS || !value.matches("[A-Za-z0-9][A-Za-z0-9._-]*[A-Za-z0-9]")) {
+            throw new InvalidConfigurationException(FILE + ": " + key + " must be 2 to " + MAX_NAME_CHARS
                     + " letters and digits, with dots, hyphens and underscores between: " + value);
         }
         return value;
--- a/src/main/java/sandstack/config/InvalidConfigurationException.java
+++ b/src/main/java/sandstack/config/InvalidConfigurationException.java
@@ -1,10 +1,10 @@
 package sandstack.config;
 
-/** Settings or a configuration that cannot be used; the message is one line that names what is wrong. */
+/** An invalid setting or configuration file; the message is one line for the operator. */
 public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the error; its message is one line that names file, key and value. */
+    /** Creates the exception with a message of one line that names file, key and value. */
     public InvalidConfigurationException(String message) {
         super(message);
     }
--- a/src/main/java/sandstack/config/MachineKinds.java
+++ b/src/main/java/sandstack/config/MachineKinds.java
@@ -4,33 +4,35 @@
 import java.util.List;
 
 /**
- * The positions of machine kinds: those that the operator names come first, others as lists bring them. One thread at
- * a time; O(kinds) a call, and those past {@value #MOST} share the last place, whatever discovery tells.
+ * Assigns positions to machine kinds: first to those that the operator names, then to others in the order in which
+ * endpoint lists bring them. Kinds beyond {@value #MAX_KINDS} share the last position. O(kinds) per call; not
+ * thread-safe.
  */
 public final class MachineKinds {
-    private static final int MOST = 64;
+    private static final int MAX_KINDS = 64;
     private final List<String> names;
 
     /**
-     * Creates a list of kinds whose first positions are given, in this order.
+     * Creates the positions, the first of which are given.
      *
-     * @param named the kinds that the operator has named
+     * @param statedNames the kinds that the operator has named
      */
-    public MachineKinds(List<String> named) {
-        names = new ArrayList<>(named);
+    public MachineKinds(List<String> statedNames) {
+        names = new ArrayList<>(statedNames);
     }
 
-    /** The kind at this position. */
-    String name(int kind) {
-        return kind >= 0 && kind < names.size() ? names.get(kind) : "";
+    /** The kind at this position; empty if there is none. */
+    String name(int index) {
+        return index >= 0 && index < names.size() ? names.get(index) : "";
     }
 
-    int of(String model) {
-        int kind = names.indexOf(model);
-        if (kind >= 0) {
-            return kind;
+    /** The position of this kind, which is added if it is new. */
+    int indexOf(String model) {
+        int index = names.indexOf(model);
+        if (index >= 0) {
+            return index;
         }
-        if (names.size() < MOST) {
+        if (names.size() < MAX_KINDS) {
             names.add(model);
         }
         return names.size() - 1;
--- a/src/main/java/sandstack/config/PlatformConfig.java
+++ b/src/main/java/sandstack/config/PlatformConfig.java
@@ -18,14 +18,20 @@
 import sandstack.core.EndpointRegistry;
 
 /**
- * What the platform tells a relay: the file that PROXY_CONFIG names, and the variables beside it, which come
- * before the file.
+ * The platform's configuration of one relay: the file that {@code PROXY_CONFIG} names, and the environment variables,
+ * which take precedence over it.
  *
- * @param operator where operators are answered; null where they are not
- * @param socketInherited clients come at a listening socket that the process has inherited as descriptor 0
- * @param cachedEndpoints the name table as this relay last had it; null where there is none
- * @param keys that the file has
+ * @param name the relay's name
+ * @param listen address of the port for clients
+ * @param discovery address of discovery
+ * @param operator address of the operators' port; null if there is none
+ * @param socketInherited clients are accepted at a listening socket that the process has inherited as descriptor 0
+ * @param seed of the relay's random numbers
  * @param maxDescriptors file descriptors that the process may hold
+ * @param effectiveSettings the settings of the load balancer
+ * @param zones names of the settings' zones, in their order
+ * @param cachedEndpoints the endpoint list as this relay last had it; null if there is none
+ * @param keys the keys of the file
  */
 public record PlatformConfig(
         String name,
@@ -40,20 +46,22 @@
         EndpointRegistry.Update cachedEndpoints,
         ConfigurationKeys keys) {
 
+    private static final int MAX_PORT = 65_535;
+    private static final int DEFAULT_MAX_DESCRIPTORS = 4096;
     private static final ObjectMapper JSON = new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
     /** A host and a port. */
     public record Address(String host, int port) {
-        /** Reads {@code HOST:PORT}. */
+        /** Parses {@code HOST:PORT}; {@code what} names the value in the error. */
         public static Address parse(String text, String what) throws InvalidConfigurationException {
             int colon = text.lastIndexOf(':');
             try {
                 int port = Integer.parseInt(text.substring(colon + 1));
-                if (colon > 0 && port >= 0 && port < 65536) {
+                if (colon > 0 && port >= 0 && port <= MAX_PORT) {
                     return new Address(text.substring(0, colon), port);
                 }
             } catch (NumberFormatException e) {
-                // told below
+                // reported below
             }
             throw new InvalidConfigurationException(what + " is not HOST:PORT: " + text);
         }
@@ -67,7 +75,7 @@
     /**
      * Reads the configuration that these environment variables name.
      *
-     * @param kinds learns the machine kinds that it tells of
+     * @param kinds receives the machine kinds of the endpoint list
      */
     public static PlatformConfig load(Map<String, String> env, MachineKinds kinds)
             throws InvalidConfigurationException {
@@ -89,32 +97,32 @@
     }
 
     /**
-     * Reads the configuration once more, after its file was replaced: from then on the file says where discovery
-     * is, as the variable still has the address of the start. A file that lacks a key of the one before is refused:
-     * it was cut, or written by somebody who did not know all of it.
+     * Reads the configuration again after its file was replaced. The file now overrides the variable for discovery, as
+     * the variable still has the address of the start. A file that lacks a key of the previous one is rejected: it may
+     * be truncated or incomplete.
      */
     public PlatformConfig reload(Map<String, String> env) throws InvalidConfigurationException {
-        Map<String, String> rest = new HashMap<>(env);
-        rest.remove("PROXY_DISCOVERY");
-        PlatformConfig next = load(rest, new MachineKinds(List.of()));
+        Map<String, String> fileFirst = new HashMap<>(env);
+        fileFirst.remove("PROXY_DISCOVERY");
+        PlatformConfig next = load(fileFirst, new MachineKinds(List.of()));
         keys.requireAllIn(next.keys);
         return next;
     }
 
-    /** What this and the next differ in that counts only from the next start; empty where nothing. */
+    /** The changes in the next configuration that need a restart, a line each. */
     public List<String> changesThatNeedRestart(PlatformConfig next) {
-        List<String> differing = new ArrayList<>();
-        for (Function<PlatformConfig, Object> part : List.<Function<PlatformConfig, Object>>of(
+        List<String> changes = new ArrayList<>();
+        for (Function<PlatformConfig, Object> component : List.<Function<PlatformConfig, Object>>of(
                 PlatformConfig::name,
                 PlatformConfig::listen,
                 PlatformConfig::operator,
                 PlatformConfig::maxDescriptors,
                 PlatformConfig::zones)) {
-            if (!Objects.equals(part.apply(this), part.apply(next))) {
-                differing.add(part.apply(this) + " stays, not " + part.apply(next));
+            if (!Objects.equals(component.apply(this), component.apply(next))) {
+                changes.add(component.apply(this) + " stays, not " + component.apply(next));
             }
         }
-        return differing;
+        return changes;
     }
 
     private static PlatformConfig read(JsonNode root, Map<String, String> env, MachineKinds kinds)
@@ -128,38 +136,43 @@
             in.nextToken();
             reader.read(in);
         }
-        List<String> classes = new ArrayList<>();
-        for (JsonNode c : settings.path("classes")) {
-            String name = c.path("name").asText("");
-            if (name.isEmpty() || classes.contains(name)) {
-                throw new InvalidConfigurationException("settings.classes." + classes.size() + ".name "
-                        + (name.isEmpty() ? "is missing" : "is there twice"));
-            }
-            classes.add(name);
-        }
+        List<String> classNames = classNames(settings);
         List<String> zones = new ArrayList<>();
-        settings.path("zones").forEach(z -> zones.add(z.asText()));
+        settings.path("zones").forEach(zone -> zones.add(zone.asText()));
         JsonNode known = root.path("known");
         String operator =
                 env.getOrDefault("PROXY_OPERATOR", root.path("operator").asText(""));
         return new PlatformConfig(
                 env.getOrDefault("PROXY_NAME", root.path("name").asText("relay")),
-                Address.parse(value(root, env, "listen", "PROXY_LISTEN"), "listen"),
-                Address.parse(value(root, env, "discovery", "PROXY_DISCOVERY"), "discovery"),
+                Address.parse(requiredValue(root, env, "listen", "PROXY_LISTEN"), "listen"),
+                Address.parse(requiredValue(root, env, "discovery", "PROXY_DISCOVERY"), "discovery"),
                 operator.isEmpty() ? null : Address.parse(operator, "operator"),
                 socketInherited(env.get("PROXY_SOCKET_FD")),
                 seed(root.path("seed")),
-                root.path("limits").path("sockets").asInt(4096),
+                root.path("limits").path("sockets").asInt(DEFAULT_MAX_DESCRIPTORS),
                 new EffectiveSettings(
                         reader.settings(),
-                        classes,
+                        classNames,
                         settings.path("family_info").path("tells_delay").asBoolean(false)),
                 List.copyOf(zones),
-                known.isObject() ? new EndpointListJson(zones, kinds).readUpdate(known, true) : null,
+                known.isObject() ? new EndpointListJson(zones, kinds).readCached(known) : null,
                 ConfigurationKeys.of(root));
     }
 
-    /** The virtual machine can take descriptor 0 and no other. */
+    private static List<String> classNames(JsonNode settings) throws InvalidConfigurationException {
+        List<String> names = new ArrayList<>();
+        for (JsonNode requestClass : settings.path("classes")) {
+            String name = requestClass.path("name").asText("");
+            if (name.isEmpty() || names.contains(name)) {
+                throw new InvalidConfigurationException("settings.classes." + names.size() + ".name "
+                        + (name.isEmpty() ? "is missing" : "is there twice"));
+            }
+            names.add(name);
+        }
+        return names;
+    }
+
+    /** The virtual machine can inherit descriptor 0 and no other. */
     private static boolean socketInherited(String descriptor) throws InvalidConfigurationException {
         if (descriptor == null || descriptor.isEmpty()) {
             return false;
@@ -171,7 +184,7 @@
         return true;
     }
 
-    private static String value(JsonNode root, Map<String, String> env, String field, String variable)
+    private static String requiredValue(JsonNode root, Map<String, String> env, String field, String variable)
             throws InvalidConfigurationException {
         String text = env.getOrDefault(variable, root.path(field).asText(""));
         if (text.isEmpty()) {
--- a/src/main/java/sandstack/discovery/DiscoveryWatch.java
+++ b/src/main/java/sandstack/discovery/DiscoveryWatch.java
@@ -171,7 +171,7 @@
                     if (over) {
                         return;
                     }
-                    EndpointRegistry.Update news = form.readUpdate(object, false);
+                    EndpointRegistry.Update news = form.readUpdate(object);
                     if (this == watch) {
                         versionKnownHere = true;
                         dropEarlier();
--- a/src/main/java/sandstack/measure/scale/ListProbe.java
+++ b/src/main/java/sandstack/measure/scale/ListProbe.java
@@ -87,7 +87,7 @@
         for (int from = 0; from < bytes.length; from += PIECE) {
             byte[] piece = Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + PIECE));
             for (JsonNode object : stream.heard(piece)) {
-                relay.onEndpointList(form.readUpdate(object, false));
+                relay.onEndpointList(form.readUpdate(object));
             }
         }
         relay.runTurn();
