--- a/src/main/java/sandstack/Service.java
+++ b/src/main/java/sandstack/Service.java
@@ -121,7 +121,7 @@
                 this::askDiscovery);
         this.form = new EndpointListJson(config.zones(), kinds);
         this.watch = new DiscoveryWatch(loop, relay, config.discovery(), form);
-        this.kept = OTHER_DESCRIPTORS + (config.operator() == null ? 0 : OperatorDoor.MOST);
+        this.kept = OTHER_DESCRIPTORS + (config.operator() == null ? 0 : OperatorDoor.MAX_CALLERS);
         this.descriptors = descriptorsWithin(config.maxDescriptors() - kept);
         this.lobby = new ConnectionAdmission(loop, relay.deadlines(), descriptors);
         this.platform = new PlatformFront(loop, relay, lobby);
@@ -316,7 +316,7 @@
             return null;
         }
         try {
-            EndpointRegistry.Update news = form.kept(found.list());
+            EndpointRegistry.Update news = form.readCached(found.list());
             listFromKin = true;
             LOG.info("takes over from another process, whose list has "
                     + news.endpoints().size() + " feed servers");
@@ -343,7 +343,9 @@
             loop.execute(() -> {
                 long number = relay.endpoints().changeCount();
                 own.complete(new SiblingProcesses.Own(
-                        lobby.descriptorsInUse(), number, number == writtenList ? null : form.text(relay.endpoints())));
+                        lobby.descriptorsInUse(),
+                        number,
+                        number == writtenList ? null : form.toJson(relay.endpoints())));
             });
             try {
                 return own.get();
--- a/src/main/java/sandstack/net/Ring.java
+++ b/src/main/java/sandstack/net/RingBuffer.java
@@ -7,55 +7,55 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The bytes of one direction of a connection, in order. A ring takes memory only while it holds something,
- * and grows up to its limit; a full one takes no more from the channel, which is the back-pressure.
+ * The bytes of one direction of a connection, first in, first out. Holds memory only while it holds bytes, and grows up
+ * to its limit; a full buffer reads nothing more, which is the back-pressure. Not thread-safe.
  */
-public final class Ring {
-    private static final int LEAST = 512;
-    private static final byte[] NONE = new byte[0];
+public final class RingBuffer {
+    private static final int INITIAL_CAPACITY_BYTES = 512;
+    private static final byte[] EMPTY = new byte[0];
 
     private final int limit;
-    private byte[] bytes = NONE;
+    private byte[] bytes = EMPTY;
     private int head;
     private int size;
 
     /**
-     * Creates an empty ring, which takes no memory yet.
+     * Creates an empty buffer, which holds no memory yet.
      *
      * @param limit a power of two; {@link #append} alone may go beyond it
      */
-    public Ring(int limit) {
+    public RingBuffer(int limit) {
         this.limit = limit;
     }
 
-    /** Reads what the channel has, as far as there is room in one piece. Returns what the channel returned. */
+    /** Reads from the channel into the contiguous free space. Returns what the channel returned. */
     public int readFrom(ReadableByteChannel channel) throws IOException {
-        if (room() == 0) {
+        if (remainingCapacity() == 0) {
             return 0;
         }
         if (size == bytes.length) {
             grow(size + 1);
         }
         int tail = (head + size) & (bytes.length - 1);
-        int piece = tail < head ? head - tail : bytes.length - tail;
-        int n = channel.read(ByteBuffer.wrap(bytes, tail, Math.min(piece, room())));
-        size += Math.max(0, n);
+        int contiguous = tail < head ? head - tail : bytes.length - tail;
+        int count = channel.read(ByteBuffer.wrap(bytes, tail, Math.min(contiguous, remainingCapacity())));
+        size += Math.max(0, count);
         release();
-        return n;
+        return count;
     }
 
-    /** Writes as much as the channel takes. */
+    /** Writes as much as the channel accepts. */
     public void writeTo(WritableByteChannel channel) throws IOException {
         while (size > 0) {
-            int n = channel.write(ByteBuffer.wrap(bytes, head, Math.min(size, bytes.length - head)));
-            if (n <= 0) {
+            int count = channel.write(ByteBuffer.wrap(bytes, head, Math.min(size, bytes.length - head)));
+            if (count <= 0) {
                 break;
             }
-            skip(n);
+            skip(count);
         }
     }
 
-    /** Adds these bytes, whatever the limit says: for the relay's own words, which are few. */
+    /** Adds these bytes regardless of the limit: for the relay's own messages, which are short. */
     public void append(byte[] more, int from, int count) {
         if (size + count > bytes.length) {
             grow(size + count);
@@ -66,20 +66,20 @@
         size += count;
     }
 
-    /** Adds this text, one byte a character, whatever the limit says. */
+    /** Adds this text in ISO 8859-1, regardless of the limit. */
     public void append(String text) {
         byte[] more = text.getBytes(StandardCharsets.ISO_8859_1);
         append(more, 0, more.length);
     }
 
-    private void grow(int least) {
-        int capacity = Math.max(LEAST, bytes.length);
-        while (capacity < least) {
+    private void grow(int minimumCapacity) {
+        int capacity = Math.max(INITIAL_CAPACITY_BYTES, bytes.length);
+        while (capacity < minimumCapacity) {
             capacity *= 2;
         }
         byte[] larger = new byte[capacity];
         for (int i = 0; i < size; i++) {
-            larger[i] = at(i);
+            larger[i] = byteAt(i);
         }
         bytes = larger;
         head = 0;
@@ -87,40 +87,40 @@
 
     private void release() {
         if (size == 0) {
-            bytes = NONE;
+            bytes = EMPTY;
             head = 0;
         }
     }
 
     /** The byte at this position, from 0 to {@link #size} - 1. */
-    public byte at(int i) {
-        return bytes[(head + i) & (bytes.length - 1)];
+    public byte byteAt(int index) {
+        return bytes[(head + index) & (bytes.length - 1)];
     }
 
-    /** Position of the first such byte; -1 where there is none. */
+    /** Position of the first such byte; -1 if there is none. */
     public int indexOf(char wanted) {
         for (int i = 0; i < size; i++) {
-            if (at(i) == wanted) {
+            if (byteAt(i) == wanted) {
                 return i;
             }
         }
         return -1;
     }
 
-    /** The first bytes as text, one character a byte; they stay. */
-    public String peek(int count) {
+    /** The first bytes as ISO 8859-1 text; does not consume them. */
+    public String peekText(int count) {
         StringBuilder text = new StringBuilder(count);
         for (int i = 0; i < count; i++) {
-            text.append((char) (at(i) & 0xff));
+            text.append((char) (byteAt(i) & 0xff));
         }
         return text.toString();
     }
 
-    /** Takes all that is there. */
-    public byte[] take() {
+    /** Consumes and returns all bytes. */
+    public byte[] takeAll() {
         byte[] all = new byte[size];
         for (int i = 0; i < all.length; i++) {
-            all[i] = at(i);
+            all[i] = byteAt(i);
         }
         skip(size);
         return all;
@@ -133,7 +133,7 @@
         release();
     }
 
-    /** Takes back the newest bytes. */
+    /** Drops the newest bytes. */
     public void dropLast(int count) {
         size -= count;
         release();
@@ -144,8 +144,8 @@
         return size;
     }
 
-    /** How many bytes it takes until its limit; never negative. */
-    public int room() {
+    /** How many more bytes fit until the limit; never negative. */
+    public int remainingCapacity() {
         return Math.max(0, limit - size);
     }
 
