--- /dev/null
+++ b/src/test/java/sandstack/handover/HandoverFormatTest.java
@@ -0,0 +1,108 @@
+package sandstack.handover;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import sandstack.config.EndpointListJson;
+import sandstack.config.InvalidConfigurationException;
+import sandstack.config.MachineKinds;
+import sandstack.core.EndpointRegistry;
+import sandstack.core.Relay;
+import sandstack.decisions.BalancerSettings;
+import sandstack.decisions.DeduplicationScope;
+import sandstack.decisions.EndpointListKind;
+import sandstack.decisions.EndpointState;
+import sandstack.decisions.Idempotency;
+import sandstack.decisions.RequestClass;
+import sandstack.settings.BalancerSettingsBuilder;
+
+/** Files that an earlier build wrote for its sibling processes: read here, and written again byte for byte. */
+class HandoverFormatTest {
+    private static final Path FIXTURES = Path.of("src/test/resources/handover");
+    private static final String RELAY = "edge 1/ä";
+
+    private final EndpointListJson form =
+            new EndpointListJson(List.of("zone-1", "zone-2"), new MachineKinds(List.of("small")));
+
+    private static String fixture(String name) throws IOException {
+        return Files.readString(FIXTURES.resolve(name));
+    }
+
+    private static ProcessMarker marker(String content) {
+        return new ProcessMarker(RELAY, "1f2e3d4c", 1_700_000_000_123_456L, 73, content);
+    }
+
+    @Test
+    void markersOfAnEarlierBuildAreReadAndWrittenAlike() throws IOException {
+        assertThat(marker("").file()).isEqualTo(fixture("marker.kin"));
+        assertThat(ProcessMarker.read(fixture("marker.kin"), RELAY)).isEqualTo(marker(""));
+        ProcessMarker withList = marker(fixture("endpoints.json"));
+        assertThat(withList.file()).isEqualTo(fixture("marker.list"));
+        assertThat(ProcessMarker.read(fixture("marker.list"), RELAY)).isEqualTo(withList);
+    }
+
+    @Test
+    void theEndpointListOfAnEarlierBuildIsReadAndWrittenAlike() throws IOException, InvalidConfigurationException {
+        EndpointRegistry.Update update = form.news(new ObjectMapper().readTree(fixture("endpoints.json")), false);
+        assertThat(update.kind()).isEqualTo(EndpointListKind.FULL);
+        assertThat(update.version()).isEqualTo(41);
+        assertThat(update.endpoints()).hasSize(2);
+        EndpointRegistry.Endpoint second = update.endpoints().get(1);
+        assertThat(second.entry().state()).isEqualTo(EndpointState.DRAINING);
+        assertThat(second.host() + ":" + second.port()).isEqualTo("127.0.0.1:9002");
+        assertThat(form.kept(fixture("endpoints.json")).endpoints()).isEqualTo(update.endpoints());
+
+        BalancerSettings settings = BalancerSettingsBuilder.of(List.of(
+                        new RequestClass(300_000, 2_000_000, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 0)))
+                .build();
+        Relay relay = new Relay(settings, 1, () -> 0, () -> {});
+        relay.onEndpointList(update);
+        // a zone that the settings do not name is written as an empty text, by the earlier build as well
+        assertThat(form.text(relay.endpoints())).isEqualTo(fixture("endpoints.json"));
+    }
+
+    @Test
+    void filesOfAnEarlierBuildAreFoundByTheirNames(@TempDir Path folder) throws IOException {
+        Files.copy(FIXTURES.resolve("marker.kin"), folder.resolve("sandstack-1f2e3d4c.kin"));
+        Files.copy(FIXTURES.resolve("marker.list"), folder.resolve("sandstack-1f2e3d4c.list"));
+        SiblingProcesses siblings = new SiblingProcesses(folder, RELAY, () -> 1_700_000_001_000_000L);
+        assertThat(siblings.find()).isEqualTo(new SiblingProcesses.Found(1, fixture("endpoints.json")));
+    }
+
+    @Test
+    void filesHaveTheNamesOfAnEarlierBuild(@TempDir Path folder) throws Exception {
+        CountDownLatch listWritten = new CountDownLatch(2);
+        try (SiblingProcesses siblings = new SiblingProcesses(folder, RELAY, () -> 1_700_000_001_000_000L)) {
+            siblings.start(new SiblingProcesses.Relay() {
+                @Override
+                public SiblingProcesses.Own own(long writtenList) {
+                    return new SiblingProcesses.Own(5, 7, writtenList == 7 ? null : "{}");
+                }
+
+                @Override
+                public void others(List<Integer> used) {
+                    listWritten.countDown();
+                }
+            });
+            assertThat(listWritten.await(15, TimeUnit.SECONDS)).isTrue();
+            try (Stream<Path> files = Files.list(folder)) {
+                List<String> names =
+                        files.map(file -> file.getFileName().toString()).toList();
+                assertThat(names)
+                        .hasSizeGreaterThanOrEqualTo(2)
+                        .allMatch(name -> name.matches("sandstack-[0-9a-f]+\\.(kin|list|aside)"))
+                        .anyMatch(name -> name.endsWith(".kin"))
+                        .anyMatch(name -> name.endsWith(".list"));
+            }
+        }
+    }
+}
