--- /dev/null
+++ b/src/main/java/sandstack/core/AttemptCoordinator.java
@@ -0,0 +1,228 @@
+package sandstack.core;
+
+import java.util.function.LongSupplier;
+import java.util.logging.Logger;
+import sandstack.decisions.BalancerAction.StartAttempt;
+import sandstack.decisions.BalancerEvent.AttemptEnded;
+import sandstack.decisions.BalancerEvent.ConnectionAdopted;
+import sandstack.decisions.BalancerEvent.ConnectionEstablished;
+import sandstack.decisions.BalancerEvent.DelayReported;
+import sandstack.decisions.BalancerEvent.LoadReported;
+import sandstack.decisions.EndpointState;
+
+/**
+ * Starts connection attempts as the load balancer decides, and notifies it of what becomes of them. Used on the event
+ * loop's thread only.
+ */
+final class AttemptCoordinator {
+    private static final long ADOPTION_RETRY_DELAY_MICROS = 250_000;
+    /** The load balancer counts the attempt of an adopted connection as its first. */
+    private static final int ADOPTED_ATTEMPT_NUMBER = 0;
+
+    private static final Logger LOG = Logger.getLogger("sandstack.relay");
+
+    private final LongSupplier clock;
+    private final DeadlineScheduler deadlines;
+    private final ActiveSettings settings;
+    private final BalancerDriver balancer;
+    private final RelayMetrics metrics;
+    private final RequestRegistry requests;
+    private final EndpointRegistry endpoints;
+    private final EndpointListUpdater endpointListUpdater;
+    private final GracefulShutdown shutdown;
+
+    AttemptCoordinator(
+            LongSupplier clock,
+            DeadlineScheduler deadlines,
+            ActiveSettings settings,
+            BalancerDriver balancer,
+            RelayMetrics metrics,
+            RequestRegistry requests,
+            EndpointRegistry endpoints,
+            EndpointListUpdater endpointListUpdater,
+            GracefulShutdown shutdown) {
+        this.clock = clock;
+        this.deadlines = deadlines;
+        this.settings = settings;
+        this.balancer = balancer;
+        this.metrics = metrics;
+        this.requests = requests;
+        this.endpoints = endpoints;
+        this.endpointListUpdater = endpointListUpdater;
+        this.shutdown = shutdown;
+    }
+
+    // ---- start ------------------------------------------------------------------------------------
+
+    /** Starts the attempt, or reports at once that it was not sent. */
+    void start(StartAttempt action) {
+        ClientSession client = requests.get(action.requestId());
+        if (client != null) {
+            client.checkConnected();
+        }
+        if (client == null || client.isFinished()) {
+            // the load balancer counts the attempt as in flight until it is reported as ended
+            balancer.enqueue(notSent(action, 0, true));
+            return;
+        }
+        long remainingMicros = client.deadlineMicros() - clock.getAsLong();
+        EndpointRegistry.Endpoint endpoint = endpoints.get(action.serverId());
+        if (client.attempt() != null
+                || endpoint == null
+                || remainingMicros <= 0
+                || !client.hasAttemptsLeft(settings.maxAttempts())) {
+            balancer.enqueue(notSent(action, client.nextAttemptNumber(), false));
+            return;
+        }
+        long timeoutMicros =
+                action.timeoutMicros() <= 0 ? remainingMicros : Math.min(remainingMicros, action.timeoutMicros());
+        start(client, endpoint, timeoutMicros);
+    }
+
+    private static AttemptEnded notSent(StartAttempt action, int attemptNumber, boolean requestFinished) {
+        return new AttemptEnded(
+                action.requestId(),
+                attemptNumber,
+                action.serverId(),
+                ConnectionOutcome.NOT_SENT.outcome(),
+                requestFinished,
+                0,
+                null);
+    }
+
+    /** Connects a client whose connection was established before the relay started to its own feed server only. */
+    void adopt(ClientSession client) {
+        if (client.isFinished() || client.attempt() != null) {
+            return;
+        }
+        EndpointRegistry.Endpoint endpoint = endpoints.get(client.request().adoptedFrom());
+        long remainingMicros = client.deadlineMicros() - clock.getAsLong();
+        if (endpoint == null || remainingMicros <= 0 || !client.hasAttemptsLeft(settings.maxAttempts())) {
+            requests.answer(client, Rejection.FAILED);
+            return;
+        }
+        start(client, endpoint, remainingMicros);
+    }
+
+    private void start(ClientSession client, EndpointRegistry.Endpoint endpoint, long timeoutMicros) {
+        ConnectionAttempt attempt =
+                new ConnectionAttempt(this, client, endpoint, client.nextAttemptNumber(), timeoutMicros);
+        client.attemptStarted(attempt);
+        LOG.fine(() -> {
+            ClientRequest request = client.request();
+            return "execution " + client.id() + "/" + attempt.number() + " of " + request.clientKey() + " class "
+                    + request.classIndex() + " group " + request.group() + " begins at "
+                    + endpoint.entry().serverId() + (request.isAdopted() ? ", where it stood" : "");
+        });
+        attempt.start();
+    }
+
+    // ---- what an attempt reports ------------------------------------------------------------------
+
+    long nowMicros() {
+        return clock.getAsLong();
+    }
+
+    DeadlineScheduler deadlines() {
+        return deadlines;
+    }
+
+    long connectTimeoutMicros() {
+        return settings.connectTimeoutMicros();
+    }
+
+    /** Whether the attempt's feed server accepts no new clients any more; adopted connections are still accepted. */
+    boolean isServerDraining(ConnectionAttempt attempt) {
+        EndpointRegistry.Endpoint endpoint = endpoints.get(serverId(attempt));
+        return !attempt.client().request().isAdopted()
+                && (endpoint == null || endpoint.entry().state() != EndpointState.READY);
+    }
+
+    /** The request's last byte has been written to the feed server. */
+    void requestWritten(ConnectionAttempt attempt) {
+        metrics.requestWritten(settings.className(attempt.client().request()));
+    }
+
+    void established(ConnectionAttempt attempt) {
+        ClientSession client = attempt.client();
+        client.cancelAnswerTimer();
+        metrics.connectionEstablished(settings.className(client.request()));
+        LOG.fine(() -> "execution " + client.id() + "/" + attempt.number() + " stands at " + serverId(attempt)
+                + " after " + elapsedMicros(attempt) + " us");
+        if (client.request().isAdopted()) {
+            balancer.enqueue(new ConnectionAdopted(RequestRegistry.connectRequested(client), serverId(attempt)));
+        } else {
+            balancer.enqueue(new ConnectionEstablished(
+                    client.id(), attempt.number(), serverId(attempt), elapsedMicros(attempt)));
+        }
+        if (shutdown.hasBegun()) {
+            shutdown.scheduleMigration(client);
+        }
+    }
+
+    /** An attempt has ended without an established connection. */
+    void attemptFailed(ConnectionAttempt attempt, ConnectionOutcome outcome) {
+        ClientSession client = attempt.client();
+        detach(attempt, outcome);
+        if (!client.request().isAdopted()) {
+            reportEnded(attempt, outcome, client.isFinished());
+        } else if (!client.isFinished()) {
+            // the load balancer has not been notified of an adopted connection before it is established
+            deadlines.schedule(clock.getAsLong() + ADOPTION_RETRY_DELAY_MICROS, () -> adopt(client));
+        }
+    }
+
+    /** An established connection has ended. */
+    void connectionEnded(ConnectionAttempt attempt, ConnectionOutcome outcome) {
+        detach(attempt, outcome);
+        reportEnded(attempt, outcome, true);
+        requests.finish(attempt.client());
+    }
+
+    private void detach(ConnectionAttempt attempt, ConnectionOutcome outcome) {
+        ClientSession client = attempt.client();
+        client.attemptEnded();
+        metrics.attemptEnded(outcome);
+        LOG.fine(() -> "execution " + client.id() + "/" + attempt.number() + " at " + serverId(attempt) + " ended: "
+                + outcome);
+    }
+
+    private void reportEnded(ConnectionAttempt attempt, ConnectionOutcome outcome, boolean requestFinished) {
+        if (outcome == ConnectionOutcome.SERVER_DRAINING) {
+            endpointListUpdater.serverSentClientAway(attempt.endpoint());
+        }
+        balancer.enqueue(new AttemptEnded(
+                attempt.client().id(),
+                balancerAttemptNumber(attempt),
+                serverId(attempt),
+                outcome.outcome(),
+                requestFinished,
+                elapsedMicros(attempt),
+                null));
+    }
+
+    void loadReported(ConnectionAttempt attempt, double load) {
+        String requestId = attempt.client().id();
+        LOG.finer(() ->
+                "execution " + requestId + "/" + attempt.number() + " loads " + serverId(attempt) + " by " + load);
+        balancer.enqueue(new LoadReported(requestId, balancerAttemptNumber(attempt), serverId(attempt), load));
+    }
+
+    void delayReported(ConnectionAttempt attempt, double delayMicros) {
+        LOG.fine(() -> "lines at " + serverId(attempt) + " take " + Math.round(delayMicros) + " us, as it tells");
+        balancer.enqueue(new DelayReported(
+                attempt.client().id(), balancerAttemptNumber(attempt), serverId(attempt), delayMicros));
+    }
+
+    private static int balancerAttemptNumber(ConnectionAttempt attempt) {
+        return attempt.client().request().isAdopted() ? ADOPTED_ATTEMPT_NUMBER : attempt.number();
+    }
+
+    private static String serverId(ConnectionAttempt attempt) {
+        return attempt.endpoint().entry().serverId();
+    }
+
+    private long elapsedMicros(ConnectionAttempt attempt) {
+        return clock.getAsLong() - attempt.startedAtMicros();
+    }
+}
--- a/src/main/java/sandstack/core/ConnectionAttempt.java
+++ b/src/main/java/sandstack/core/ConnectionAttempt.java
@@ -1,197 +1,219 @@
 package sandstack.core;
 
 /**
- * One attempt to serve a command at one feed server, and the standing connection that comes of it. The front
- * reports what its wire sees; the first ending counts and later reports change nothing.
+ * One attempt to serve a request at one feed server, and the established connection that comes of it. The front reports
+ * what its wire sees; the first end counts and later reports change nothing. Used on the event loop's thread only.
  */
 public final class ConnectionAttempt {
-    /** The front's half: the way to the feed server. */
+    /** The front's half: the connection to the feed server. */
     public interface Upstream {
-        /** Ends the way to the feed server; the client stays. */
+        /** Ends the connection to the feed server; the client stays. */
         void abandon();
 
-        /** Tells the client to move, then ends both sides. */
+        /** Sends the client its request to migrate, then ends both sides. */
         void migrate();
     }
 
-    private static final long LAST_LOOK = 1_000;
+    /** A connection on which the feed server leaves a client's message unanswered for so long is migrated. */
+    private static final long UNRESPONSIVE_TIMEOUT_MICROS = 4_500_000;
+    /** One more turn of the event loop after the connect timeout. */
+    private static final long CONNECT_RECHECK_MICROS = 1_000;
+
+    private static final long MICROS_PER_MILLI = 1000;
 
-    /** Whether the connection is being made, stands, or has ended. */
     private enum State {
-        OUT,
-        STANDING,
-        OVER
+        CONNECTING,
+        ESTABLISHED,
+        ENDED
     }
 
-    private final Relay relay;
+    private final AttemptCoordinator coordinator;
     private final ClientSession client;
     private final EndpointRegistry.Endpoint endpoint;
     private final int number;
     private final long startedAtMicros;
     private final long timeoutMicros;
-    private State state = State.OUT;
-    private Upstream wire;
-    private DeadlineScheduler.Deadline connecting;
-    private DeadlineScheduler.Deadline waiting;
-    private DeadlineScheduler.Deadline silence;
-    private long spokeAt;
-    private boolean onRequestWritten;
+    private State state = State.CONNECTING;
+    private Upstream upstream;
+    private DeadlineScheduler.Deadline connectTimer;
+    private DeadlineScheduler.Deadline attemptTimer;
+    private DeadlineScheduler.Deadline unresponsiveTimer;
+    /** When the client sent the message that has no answer yet; 0 where there is none. */
+    private long unansweredSinceMicros;
+
+    private boolean requestWritten;
 
     ConnectionAttempt(
-            Relay relay, ClientSession client, EndpointRegistry.Endpoint endpoint, int number, long timeoutMicros) {
-        this.relay = relay;
+            AttemptCoordinator coordinator,
+            ClientSession client,
+            EndpointRegistry.Endpoint endpoint,
+            int number,
+            long timeoutMicros) {
+        this.coordinator = coordinator;
         this.client = client;
         this.endpoint = endpoint;
         this.number = number;
         this.timeoutMicros = timeoutMicros;
-        this.startedAtMicros = relay.now();
+        this.startedAtMicros = coordinator.nowMicros();
     }
 
     void start() {
-        waiting = relay.deadlines().schedule(startedAtMicros + timeoutMicros, this::outOfTime);
-        // a machine that has vanished never refuses: without this the whole patience would go on its silence
-        connecting = relay.deadlines()
-                .schedule(startedAtMicros + Math.min(timeoutMicros, relay.connectTimeout()), this::connectLate);
+        attemptTimer = coordinator.deadlines().schedule(startedAtMicros + timeoutMicros, this::timedOut);
+        // a machine that has vanished never refuses: without this the complete timeout would go on its silence
+        connectTimer = coordinator
+                .deadlines()
+                .schedule(
+                        startedAtMicros + Math.min(timeoutMicros, coordinator.connectTimeoutMicros()),
+                        this::connectTimedOut);
         Upstream opened = client.startAttempt(this);
-        if (state == State.OVER) {
+        if (state == State.ENDED) {
             opened.abandon();
         } else {
-            wire = opened;
+            upstream = opened;
         }
     }
 
-    /** What the feed server was never sent whole cannot have run, however long it was waited for. */
-    private void outOfTime() {
-        giveUp(onRequestWritten ? ConnectionOutcome.TIMED_OUT : ConnectionOutcome.NOT_CONNECTED);
+    /** A request that was not written completely cannot have been executed, however long it was waited for. */
+    private void timedOut() {
+        cancel(requestWritten ? ConnectionOutcome.TIMED_OUT : ConnectionOutcome.NOT_CONNECTED);
     }
 
     /**
-     * A relay that was held up itself finds the deadline past before it has looked at its sockets: a connection
-     * that has come up meanwhile is not taken for a failed one, as it gets one more look.
+     * A relay that was suspended itself finds the deadline past before it has polled its sockets: a connection that has
+     * come up meanwhile is not a failed one, so it is polled once more.
      */
-    private void connectLate() {
-        connecting = relay.deadlines().schedule(relay.now() + LAST_LOOK, () -> giveUp(ConnectionOutcome.NOT_CONNECTED));
+    private void connectTimedOut() {
+        connectTimer = coordinator
+                .deadlines()
+                .schedule(
+                        coordinator.nowMicros() + CONNECT_RECHECK_MICROS,
+                        () -> cancel(ConnectionOutcome.NOT_CONNECTED));
     }
 
     /**
-     * The way to the feed server is open; returns whether the request may be written. A way that came up late may lead
-     * to one that drains or is gone by now, and its client may have left meanwhile: it is given up then, and nothing has
-     * been sent.
+     * The connection to the feed server is open; returns whether the request may be written. The feed server may be
+     * draining or gone by now, and the client may have left: the attempt is cancelled then, and nothing has been sent.
      */
     public boolean onConnected() {
         client.checkConnected();
-        if (state == State.OVER) {
+        if (state == State.ENDED) {
             return false;
         }
-        if (relay.isServerDraining(this)) {
-            giveUp(ConnectionOutcome.NOT_SENT);
+        if (coordinator.isServerDraining(this)) {
+            cancel(ConnectionOutcome.NOT_SENT);
             return false;
         }
-        connectEnded();
+        cancelConnectTimer();
         return true;
     }
 
-    private void connectEnded() {
-        if (connecting != null) {
-            connecting.cancel();
+    private void cancelConnectTimer() {
+        if (connectTimer != null) {
+            connectTimer.cancel();
         }
     }
 
-    /** The request's last byte has been written to the feed server; told more than once, it counts once. */
+    /** The request's last byte has been written to the feed server; counts once, however often it is called. */
     public void onRequestWritten() {
-        if (!onRequestWritten) {
-            onRequestWritten = true;
-            relay.written(this);
+        if (!requestWritten) {
+            requestWritten = true;
+            coordinator.requestWritten(this);
         }
     }
 
-    /** The feed server has taken the connection: from now on it owns it. */
+    /** The feed server has accepted the connection: from now on it owns it. */
     public void onEstablished() {
-        if (state == State.OUT) {
-            state = State.STANDING;
-            connectEnded();
-            waiting.cancel();
-            relay.established(this);
+        if (state == State.CONNECTING) {
+            state = State.ESTABLISHED;
+            cancelConnectTimer();
+            attemptTimer.cancel();
+            coordinator.established(this);
         }
     }
 
-    /** The feed server's way has ended, or the client's. */
-    public void onEnded(ConnectionOutcome ending) {
-        if (state == State.OVER) {
+    /** The feed server's side has ended, or the client's. */
+    public void onEnded(ConnectionOutcome outcome) {
+        if (state == State.ENDED) {
             return;
         }
-        boolean stood = state == State.STANDING;
-        state = State.OVER;
-        connectEnded();
-        waiting.cancel();
-        if (silence != null) {
-            silence.cancel();
+        boolean wasEstablished = state == State.ESTABLISHED;
+        state = State.ENDED;
+        cancelConnectTimer();
+        attemptTimer.cancel();
+        if (unresponsiveTimer != null) {
+            unresponsiveTimer.cancel();
+        }
+        if (wasEstablished) {
+            coordinator.connectionEnded(this, outcome);
+        } else {
+            coordinator.attemptFailed(this, outcome);
         }
-        relay.ended(this, ending, stood);
     }
 
-    /** The feed server told the connection's load. */
+    /** The feed server reported the connection's load. */
     public void onLoadReported(double load) {
-        if (state == State.STANDING) {
-            relay.loadTold(this, load);
+        if (state == State.ESTABLISHED) {
+            coordinator.loadReported(this, load);
         }
     }
 
-    /** The feed server told how long a message takes there now, in microseconds. */
-    public void onDelayReported(double delay) {
-        if (state == State.STANDING) {
-            relay.delayTold(this, delay);
+    /** The feed server reported how long a message takes there now, in microseconds. */
+    public void onDelayReported(double delayMicros) {
+        if (state == State.ESTABLISHED) {
+            coordinator.delayReported(this, delayMicros);
         }
     }
 
-    /** The client sent something that the feed server answers at once if it is well. */
+    /** The client sent a message that a healthy feed server answers at once. */
     public void onClientMessage() {
-        if (state == State.STANDING && spokeAt == 0) {
-            spokeAt = relay.now();
-            silence = relay.deadlines().schedule(spokeAt + Relay.SILENCE, this::fellSilent);
+        if (state == State.ESTABLISHED && unansweredSinceMicros == 0) {
+            unansweredSinceMicros = coordinator.nowMicros();
+            unresponsiveTimer = coordinator
+                    .deadlines()
+                    .schedule(unansweredSinceMicros + UNRESPONSIVE_TIMEOUT_MICROS, this::serverUnresponsive);
         }
     }
 
     /** The feed server answered what the client sent. */
     public void onServerMessage() {
-        if (state == State.STANDING && spokeAt != 0) {
-            // what the answer took says nothing: feed servers bring a line back at once, and the rest is our own time
-            spokeAt = 0;
-            silence.cancel();
+        if (state == State.ESTABLISHED && unansweredSinceMicros != 0) {
+            // the time it took is not used: feed servers answer at once, so the rest is the relay's own time
+            unansweredSinceMicros = 0;
+            unresponsiveTimer.cancel();
         }
     }
 
-    private void fellSilent() {
-        Upstream open = wire;
+    private void serverUnresponsive() {
+        Upstream open = upstream;
         onEnded(ConnectionOutcome.UNRESPONSIVE);
         open.migrate();
     }
 
-    /** Gives the execution up; the feed server's side is closed before anything else may be sent. */
-    void giveUp(ConnectionOutcome ending) {
-        Upstream open = wire;
-        if (state != State.OVER && open != null) {
+    /** Cancels the attempt; the feed server's side is closed before anything else may be sent. */
+    void cancel(ConnectionOutcome outcome) {
+        Upstream open = upstream;
+        if (state != State.ENDED && open != null) {
             open.abandon();
         }
-        onEnded(ending);
+        onEnded(outcome);
     }
 
-    void migrate(ConnectionOutcome ending) {
-        if (state == State.STANDING) {
-            Upstream open = wire;
-            onEnded(ending);
+    void migrate(ConnectionOutcome outcome) {
+        if (state == State.ESTABLISHED) {
+            Upstream open = upstream;
+            onEnded(outcome);
             open.migrate();
         }
     }
 
-    /** Whether the connection stands. */
+    /** Whether the connection is established and has not ended. */
     public boolean isEstablished() {
-        return state == State.STANDING;
+        return state == State.ESTABLISHED;
     }
 
     /** Whether it has ended, in whatever way. */
     public boolean hasEnded() {
-        return state == State.OVER;
+        return state == State.ENDED;
     }
 
     /** The client that it serves. */
@@ -199,23 +221,23 @@
         return client;
     }
 
-    /** The feed server, as it was listed when the execution began. */
+    /** The feed server, as it was listed when the attempt started. */
     public EndpointRegistry.Endpoint endpoint() {
         return endpoint;
     }
 
-    /** Which attempt of its command this is, from 0. */
+    /** Which attempt of its request this is, from 0. */
     public int number() {
         return number;
     }
 
-    /** When it began, in microseconds of the relay's clock. */
+    /** When it started, in microseconds of the relay's clock. */
     public long startedAtMicros() {
         return startedAtMicros;
     }
 
-    /** How long the relay still waits for this execution, in whole milliseconds. */
+    /** How long the relay still waits for this attempt, in complete milliseconds; at least 1. */
     public long remainingMillis() {
-        return Math.max(1, (startedAtMicros + timeoutMicros - relay.now()) / 1000);
+        return Math.max(1, (startedAtMicros + timeoutMicros - coordinator.nowMicros()) / MICROS_PER_MILLI);
     }
 }
--- a/src/main/java/sandstack/core/ConnectionOutcome.java
+++ b/src/main/java/sandstack/core/ConnectionOutcome.java
@@ -2,31 +2,31 @@
 
 import sandstack.decisions.AttemptOutcome;
 
-/** Every way in which an execution, standing or not, can end, and what each is to the module. */
+/** Every way in which an attempt or an established connection can end, and the outcome that the load balancer counts. */
 public enum ConnectionOutcome {
-    /** The feed server said good-bye: served to its end. */
+    /** The feed server closed the connection in order. */
     SERVED(AttemptOutcome.OK),
     /** The feed server sent its client away, as it does while it drains. */
     SERVER_DRAINING(AttemptOutcome.CANCELLED),
-    /** The client ended it, or left before it stood. */
+    /** The client ended it, or left before it was established. */
     CLIENT_LEFT(AttemptOutcome.CANCELLED),
-    /** The relay told the client to move. */
+    /** The relay told the client to migrate. */
     MIGRATED(AttemptOutcome.CANCELLED),
-    /** The feed server gave an error. */
+    /** The feed server answered with an error. */
     SERVER_ERROR(AttemptOutcome.ERROR),
-    /** The feed server turned it away unseen. */
+    /** The feed server rejected the request without executing it. */
     REJECTED(AttemptOutcome.REJECTED),
-    /** No connection came up, or it broke or was given up before the whole request was written. */
+    /** No connection came up, or it broke or was cancelled before the complete request was written. */
     NOT_CONNECTED(AttemptOutcome.CONNECT_FAILED),
-    /** The connection ended without a word. */
+    /** The connection was closed without a message. */
     CLOSED_EARLY(AttemptOutcome.RESET),
     /** The connection was reset. */
     RESET(AttemptOutcome.RESET),
-    /** A standing connection on which the feed server no longer answers. */
+    /** An established connection on which the feed server no longer answers. */
     UNRESPONSIVE(AttemptOutcome.RESET),
-    /** The whole request was written, and no answer came while the relay was willing to wait. */
+    /** The complete request was written, and no answer came within the timeout. */
     TIMED_OUT(AttemptOutcome.TIMEOUT),
-    /** Never sent: the client had gone, its time was up or the server has no address. */
+    /** Never sent: the client had left, its deadline had passed or the server has no address. */
     NOT_SENT(AttemptOutcome.NOT_SENT);
 
     private final AttemptOutcome outcome;
@@ -35,7 +35,7 @@
         this.outcome = outcome;
     }
 
-    /** What the module is told. */
+    /** The outcome that the load balancer counts. */
     public AttemptOutcome outcome() {
         return outcome;
     }
--- a/src/main/java/sandstack/core/DeadlineScheduler.java
+++ b/src/main/java/sandstack/core/DeadlineScheduler.java
@@ -2,12 +2,12 @@
 
 import java.util.TreeSet;
 
-/** Every deadline of the relay in one sorted structure, swept each turn. */
+/** Every deadline of the relay in one sorted set, run in each turn of the event loop. Used on that loop's thread only. */
 public final class DeadlineScheduler {
     private final TreeSet<Deadline> sorted = new TreeSet<>();
     private long lastNumber;
 
-    /** Something to do at a time, unless it is called off before. */
+    /** A task that is due at a time, unless it is cancelled before. */
     public final class Deadline implements Comparable<Deadline> {
         private final long dueMicros;
         private final long number = ++lastNumber;
@@ -18,7 +18,7 @@
             this.task = task;
         }
 
-        /** Calls it off; without effect once it has run or was called off before. */
+        /** Cancels the task; without effect once it has run or was cancelled before. */
         public void cancel() {
             sorted.remove(this);
         }
@@ -30,14 +30,14 @@
         }
     }
 
-    /** Runs the task in the first sweep at or after this time. */
+    /** Runs the task in the first turn at or after this time. */
     public Deadline schedule(long dueMicros, Runnable task) {
         Deadline deadline = new Deadline(dueMicros, task);
         sorted.add(deadline);
         return deadline;
     }
 
-    /** Runs all that is due, in order of time. What is set meanwhile for a time not after now runs too. */
+    /** Runs all tasks that are due, in order of time; tasks that these schedule for a time not after now run too. */
     public void runExpired(long nowMicros) {
         while (!sorted.isEmpty() && sorted.first().dueMicros <= nowMicros) {
             sorted.pollFirst().task.run();
@@ -49,7 +49,7 @@
         return sorted.isEmpty() ? Long.MAX_VALUE : sorted.first().dueMicros;
     }
 
-    /** How many are set. */
+    /** How many tasks are scheduled. */
     public int size() {
         return sorted.size();
     }
--- a/src/main/java/sandstack/core/EffectiveSettings.java
+++ b/src/main/java/sandstack/core/EffectiveSettings.java
@@ -9,18 +9,18 @@
 import sandstack.settings.BalancerSettingsBuilder;
 
 /**
- * What counts for the commands that come now: the settings, and the names of their classes. A value; new ones follow at
- * a reload and are swapped in whole. A class keeps its position for good, so that what counts by position stays right:
- * one that has vanished keeps its last terms there, for the commands under way, and is not offered.
+ * The settings that apply to the requests that come now, and the names of their classes. Immutable; a reload replaces the
+ * complete value. A class keeps its position for the life of the process, as state is kept by position: one that is
+ * removed keeps its last settings there, for the requests in flight, and is not offered.
  *
- * @param settings of all classes, vanished ones included
+ * @param settings of all classes, removed ones included
  * @param classNames names of the classes, in the settings' order
- * @param offeredClasses the classes that a command may ask for
- * @param delaysReported whether feed servers tell how long a message takes
+ * @param offeredClasses the classes that a request may name
+ * @param delaysReported whether feed servers report how long a message takes
  */
 public record EffectiveSettings(
         BalancerSettings settings, List<String> classNames, Set<String> offeredClasses, boolean delaysReported) {
-    /** Classes that ever were, over all reloads of one process: each costs memory for as long as it runs. */
+    /** Limit on the classes over all reloads of one process, as each keeps its memory. */
     public static final int MAX_CLASSES = 256;
 
     /** Copies the collections. */
@@ -29,12 +29,12 @@
         offeredClasses = Set.copyOf(offeredClasses);
     }
 
-    /** Terms to start with. */
-    public EffectiveSettings(BalancerSettings settings, List<String> classes, boolean delaysTold) {
-        this(settings, classes, Set.copyOf(classes), delaysTold);
+    /** The settings of a start, before any reload. */
+    public EffectiveSettings(BalancerSettings settings, List<String> classNames, boolean delaysReported) {
+        this(settings, classNames, Set.copyOf(classNames), delaysReported);
     }
 
-    /** Terms of classes that have no names but their numbers. */
+    /** Settings whose classes are named by their positions. */
     static EffectiveSettings numbered(BalancerSettings settings) {
         return new EffectiveSettings(
                 settings,
@@ -44,32 +44,36 @@
                 true);
     }
 
-    /** The position of a class that a command may ask for; -1 for any other name. */
+    /** The position of a class that a request may name; -1 for any other name. */
     public int indexOf(String name) {
         return name != null && offeredClasses.contains(name) ? classNames.indexOf(name) : -1;
     }
 
-    /** Next terms as they count after these. */
+    /**
+     * The next settings with the classes of these at their positions.
+     *
+     * @throws IllegalArgumentException where there are more than {@value #MAX_CLASSES} classes over all reloads
+     */
     public EffectiveSettings mergedWith(EffectiveSettings next) {
-        List<String> names = new ArrayList<>(classNames);
-        List<RequestClass> all = new ArrayList<>(settings.classes());
+        List<String> mergedNames = new ArrayList<>(classNames);
+        List<RequestClass> requestClasses = new ArrayList<>(settings.classes());
         for (int i = 0; i < next.classNames.size(); i++) {
-            int at = names.indexOf(next.classNames.get(i));
-            if (at < 0) {
-                names.add(next.classNames.get(i));
-                all.add(next.settings.classes().get(i));
+            int position = mergedNames.indexOf(next.classNames.get(i));
+            if (position < 0) {
+                mergedNames.add(next.classNames.get(i));
+                requestClasses.add(next.settings.classes().get(i));
             } else {
-                all.set(at, next.settings.classes().get(i));
+                requestClasses.set(position, next.settings.classes().get(i));
             }
         }
-        if (names.size() > MAX_CLASSES) {
+        if (mergedNames.size() > MAX_CLASSES) {
             throw new IllegalArgumentException(
                     "setting classes has more than " + MAX_CLASSES + " names over all reloads");
         }
-        BalancerSettings settingsOfAll = BalancerSettingsBuilder.from(next.settings)
+        BalancerSettings mergedSettings = BalancerSettingsBuilder.from(next.settings)
                 .forInstanceOf(settings)
-                .classes(all)
+                .classes(requestClasses)
                 .build();
-        return new EffectiveSettings(settingsOfAll, names, next.offeredClasses, next.delaysReported);
+        return new EffectiveSettings(mergedSettings, mergedNames, next.offeredClasses, next.delaysReported);
     }
 }
--- a/src/main/java/sandstack/core/EndpointRegistry.java
+++ b/src/main/java/sandstack/core/EndpointRegistry.java
@@ -8,11 +8,12 @@
 import sandstack.decisions.EndpointListKind;
 import sandstack.decisions.EndpointState;
 
-/** Discovery's list of feed servers as this relay last heard it, with their addresses. */
+/** The feed servers as discovery last listed them to this relay, with their addresses. Used on the event loop's thread
+ * only. */
 public final class EndpointRegistry {
-    /** One feed server: what the module is told of it, and where it listens for this relay. */
+    /** One feed server: its entry for the load balancer, and the address at which it accepts this relay. */
     public record Endpoint(EndpointEntry entry, String host, int port) {
-        /** The same feed server in another phase. */
+        /** The same feed server in another state. */
         Endpoint withState(EndpointState state) {
             return new Endpoint(
                     new EndpointEntry(
@@ -28,7 +29,7 @@
         }
     }
 
-    /** News from discovery: the whole list or what changed, and the version that it leads to. */
+    /** An update from discovery: the complete list or what changed, and the version that results. */
     public record Update(EndpointListKind kind, long version, List<Endpoint> endpoints) {
         List<EndpointEntry> entries() {
             return endpoints.stream().map(Endpoint::entry).toList();
@@ -56,17 +57,17 @@
         }
     }
 
-    /** The line of this feed server; null where it is not listed. */
+    /** The endpoint of this feed server; null where it is not listed. */
     public Endpoint get(String serverId) {
         return endpoints.get(serverId);
     }
 
-    /** The lines of all listed feed servers; a view that follows the table. */
+    /** The endpoints of all listed feed servers; a live view. */
     public Collection<Endpoint> endpoints() {
         return endpoints.values();
     }
 
-    /** Whether discovery has told anything since the start. */
+    /** Whether discovery has sent a list since the start. */
     public boolean hasDiscoveryList() {
         return hasDiscoveryList;
     }
@@ -76,12 +77,12 @@
         return changeCount;
     }
 
-    /** Whether a feed server is listed that takes clients. */
+    /** Whether a feed server is listed that accepts clients. */
     public boolean hasReadyServer() {
-        return endpoints.values().stream().anyMatch(line -> line.entry().state() == EndpointState.READY);
+        return endpoints.values().stream().anyMatch(endpoint -> endpoint.entry().state() == EndpointState.READY);
     }
 
-    /** Version of the list; -1 before any has come. */
+    /** Version of the list; -1 before any has been received. */
     public long version() {
         return version;
     }
--- a/src/main/java/sandstack/core/GracefulShutdown.java
+++ b/src/main/java/sandstack/core/GracefulShutdown.java
@@ -3,107 +3,120 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.IntSupplier;
+import java.util.function.LongSupplier;
 import java.util.logging.Logger;
 
 /**
- * Takes a relay out of service: moves its standing clients away over a span of time, answers what is left before the
- * platform kills the process, and calls back once nobody is there any more. Used by the relay's one thread only.
+ * Takes a relay out of service: migrates its established clients over a span of time, answers the other requests before
+ * the platform kills the process, and calls back once nothing is in flight. Used on the event loop's thread only.
  */
 final class GracefulShutdown {
-    /** The front goes on sending clients for a moment: moves begin after it. */
-    private static final long MOVES_BEGIN = 500_000;
-    /** The platform waits for the longest deadline before it kills, but not for more of it than this. */
-    private static final long LONGEST = 3_000_000;
+    /** The platform goes on sending clients for a moment: migrations start after it. */
+    private static final long MIGRATION_DELAY_MICROS = 500_000;
+    /** The platform waits for the longest deadline before it kills, but no longer than this. */
+    private static final long MAX_DRAIN_MICROS = 3_000_000;
     /**
-     * Moves are drawn over this span, so that clients do not come back as a crowd. It ends as late as the platform
-     * allows: where relays are restarted one after another, those that go early come to one that is next, or to none.
+     * Migrations are drawn over this span, so that clients do not reconnect all at once. It ends as late as the platform
+     * allows: where relays are restarted one after another, clients that leave early reach one that is next, or none.
      */
-    private static final long SPAN = 1_200_000;
-    /** What is left is answered so long after the last move. */
-    private static final long LEFT = 200_000;
-    /** Who asks a relay that has drained already is spread over so many milliseconds. */
-    private static final long LATE_COME_AGAIN_MILLIS = 500;
+    private static final long MIGRATION_SPAN_MICROS = 1_200_000;
+    /** Requests that are still in flight are answered so long after the last migration. */
+    private static final long FINAL_ANSWER_DELAY_MICROS = 200_000;
+    /** Retries of requests that a drained relay rejects are spread over this span. */
+    private static final long MAX_RETRY_AFTER_MILLIS = 500;
 
     private static final Logger LOG = Logger.getLogger("sandstack.relay");
 
-    private final Relay relay;
+    private final LongSupplier clock;
+    private final DeadlineScheduler deadlines;
+    private final ActiveSettings settings;
+    private final RequestRegistry requests;
     private final SplittableRandom random;
     private boolean begun;
-    private long start;
-    /** When the last client is moved: the platform kills by the settings of the moment at which it said stop. */
-    private long lastMove;
+    private long startedAtMicros;
+    /** Fixed at the start: the platform kills by the settings of the moment at which it sent SIGTERM. */
+    private long lastMigrationMicros;
 
     private IntSupplier unheardPeers = () -> 0;
-    /** Called once nobody is there any more; null before draining and after that call. */
+    /** Called once nothing is in flight; null before the shutdown and after that call. */
     private Runnable whenDrained;
 
-    GracefulShutdown(Relay relay, SplittableRandom random) {
-        this.relay = relay;
+    GracefulShutdown(
+            LongSupplier clock,
+            DeadlineScheduler deadlines,
+            ActiveSettings settings,
+            RequestRegistry requests,
+            SplittableRandom random) {
+        this.clock = clock;
+        this.deadlines = deadlines;
+        this.settings = settings;
+        this.requests = requests;
         this.random = random;
     }
 
-    boolean begun() {
+    boolean hasBegun() {
         return begun;
     }
 
-    /** Whether the process ends in a moment: what was sent on now would be lost with it. */
-    boolean finished() {
+    /** Whether the process is about to end: a request that was forwarded now would be lost with it. */
+    boolean isComplete() {
         return begun && whenDrained == null;
     }
 
-    /** A refusal for who comes once draining has finished. */
-    Rejection refusalOfLateCommand() {
-        return new Rejection(Rejection.Kind.REJECTED, random.nextLong(LATE_COME_AGAIN_MILLIS) + 1);
+    /** The answer to a request that comes once the shutdown is complete. */
+    Rejection rejectionAfterDrain() {
+        return new Rejection(Rejection.Kind.REJECTED, random.nextLong(MAX_RETRY_AFTER_MILLIS) + 1);
     }
 
     /** Begins; a second call changes nothing. */
-    void begin(IntSupplier unheard, Runnable drained) {
+    void begin(IntSupplier peersWithoutRequest, Runnable callback) {
         if (begun) {
             return;
         }
         begun = true;
-        unheardPeers = unheard;
-        LOG.info("draining: " + relay.clients().size() + " clients to move or answer");
-        whenDrained = drained;
-        start = relay.now();
-        lastMove = start + Math.max(MOVES_BEGIN + LEFT, Math.min(relay.longestDeadline(), LONGEST));
-        relay.clients().forEach(this::move);
-        // a relay without clients that stopped at once would lose those who are still being sent to it
-        relay.deadlines().schedule(start + MOVES_BEGIN, () -> {});
-        relay.deadlines().schedule(lastMove + LEFT, this::endTheRest);
+        unheardPeers = peersWithoutRequest;
+        LOG.info("draining: " + requests.clients().size() + " clients to move or answer");
+        whenDrained = callback;
+        startedAtMicros = clock.getAsLong();
+        lastMigrationMicros = startedAtMicros
+                + Math.max(
+                        MIGRATION_DELAY_MICROS + FINAL_ANSWER_DELAY_MICROS,
+                        Math.min(settings.longestDeadlineMicros(), MAX_DRAIN_MICROS));
+        requests.clients().forEach(this::scheduleMigration);
+        // wakes the loop: a relay without clients that stopped at once would lose those still being sent to it
+        deadlines.schedule(startedAtMicros + MIGRATION_DELAY_MICROS, () -> {});
+        deadlines.schedule(lastMigrationMicros + FINAL_ANSWER_DELAY_MICROS, this::endRemaining);
     }
 
-    /** Moves a client at a moment drawn over the span; one that comes later is moved as well. */
-    void move(ClientSession client) {
-        long earliest = Math.max(relay.now(), Math.max(start + MOVES_BEGIN, lastMove - SPAN));
-        long latest = Math.max(earliest + 1, lastMove);
-        relay.deadlines().schedule(random.nextLong(earliest, latest), () -> {
-            if (client.attempt != null) {
-                client.attempt.migrate(ConnectionOutcome.MIGRATED);
-            }
-        });
+    /** Migrates a client at a moment drawn over the span, also one that is established after the shutdown has begun. */
+    void scheduleMigration(ClientSession client) {
+        long earliest = Math.max(
+                clock.getAsLong(),
+                Math.max(startedAtMicros + MIGRATION_DELAY_MICROS, lastMigrationMicros - MIGRATION_SPAN_MICROS));
+        long latest = Math.max(earliest + 1, lastMigrationMicros);
+        deadlines.schedule(random.nextLong(earliest, latest), client::migrate);
     }
 
-    /** Calls back where nobody is there any more, once. */
-    void turn(long now) {
+    /** Calls back, once, where nothing is in flight any more. */
+    void runTurn(long nowMicros) {
         if (whenDrained == null) {
             return;
         }
-        boolean heardOut = unheardPeers.getAsInt() == 0 || now >= lastMove + LEFT;
-        if (relay.clients().isEmpty() && now >= start + MOVES_BEGIN && heardOut) {
+        boolean allHeard = unheardPeers.getAsInt() == 0 || nowMicros >= lastMigrationMicros + FINAL_ANSWER_DELAY_MICROS;
+        if (requests.clients().isEmpty() && nowMicros >= startedAtMicros + MIGRATION_DELAY_MICROS && allHeard) {
             Runnable callback = whenDrained;
             whenDrained = null;
             callback.run();
         }
     }
 
-    /** Whoever is still there has to be told before the process is killed. */
-    private void endTheRest() {
-        for (ClientSession client : List.copyOf(relay.clients())) {
-            if (client.attempt != null && client.attempt.isEstablished()) {
-                client.attempt.migrate(ConnectionOutcome.MIGRATED);
+    /** Every client gets its answer before the process is killed. */
+    private void endRemaining() {
+        for (ClientSession client : List.copyOf(requests.clients())) {
+            if (client.isEstablished()) {
+                client.migrate();
             } else {
-                relay.failUnanswered(client);
+                requests.failWithoutBalancer(client);
             }
         }
     }
--- a/src/main/java/sandstack/core/Rejection.java
+++ b/src/main/java/sandstack/core/Rejection.java
@@ -3,31 +3,31 @@
 import sandstack.capacity.RejectionReason;
 
 /**
- * The final answer to a command that is not served.
+ * The final answer to a request that is not served.
  *
- * @param kind what the client is told
- * @param retryAfterMillis with REFUSED: when to come again; 0 gives no advice
- * @param reason why the module refused it; null where it was not the module that did
+ * @param kind what the client is notified of
+ * @param retryAfterMillis with REJECTED: when the client should retry; 0 gives no advice
+ * @param reason why the load balancer rejected it; null where something else did
  */
 public record Rejection(Kind kind, long retryAfterMillis, RejectionReason reason) {
-    /** What a nack says; each front has words of its own for them. */
+    /** The kind of the answer; each front has its own form on the wire. */
     public enum Kind {
-        /** Nothing has happened and trying again is harmless. */
+        /** The request was not executed, and a retry is harmless. */
         REJECTED,
-        /** The command failed; no claim about effects. */
+        /** The request failed; no claim about effects. */
         FAILED,
-        /** What the client sent makes no sense to this relay. */
+        /** The request could not be read or names what this relay does not know. */
         MALFORMED
     }
 
     static final Rejection FAILED = new Rejection(Kind.FAILED, 0);
 
-    /** An answer that the module had no part in. */
+    /** An answer without a decision of the load balancer. */
     public Rejection(Kind kind, long retryAfterMillis) {
         this(kind, retryAfterMillis, null);
     }
 
-    /** Rounds up, so that nobody comes back before the interval has ended. */
+    /** Rounds up, so that no client retries before the interval has ended. */
     static Rejection rejected(long retryAfterMicros, RejectionReason reason) {
         return new Rejection(Kind.REJECTED, (retryAfterMicros + 999) / 1000, reason);
     }
--- a/src/main/java/sandstack/core/RelayMetrics.java
+++ b/src/main/java/sandstack/core/RelayMetrics.java
@@ -1,91 +1,117 @@
 package sandstack.core;
 
 import java.util.ArrayList;
+import java.util.Collections;
+import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import sandstack.capacity.RejectionReason;
 
 /**
- * All that a process counts of itself, from 0. Owned by the {@link Relay} and raised on its thread, where a thing
- * happens; O(1) each. Classes go by name, so that one that vanishes keeps its counts.
+ * All counters of the process, from 0. Owned by the {@link Relay} and incremented on the event loop's thread, where a
+ * thing happens; O(1) each. Classes are counted by name, so that one that is removed keeps its counts.
  */
 public final class RelayMetrics {
     private static final String PREFIX = "edge_proxy.";
 
-    /** What became of the connections of one class. */
-    private static final class OfClass {
+    /** The counters of one class. */
+    private static final class ClassCounters {
         long ok;
         long shed;
         long errors;
         long tries;
     }
 
-    private final Map<String, OfClass> classes = new LinkedHashMap<>();
-    private long applied;
-    private long rejected;
+    private final Map<String, ClassCounters> countersByClass = new LinkedHashMap<>();
+    private final Map<ConnectionOutcome, Long> outcomeCounts = new EnumMap<>(ConnectionOutcome.class);
+    private final Map<RejectionReason, Long> rejectionCounts = new EnumMap<>(RejectionReason.class);
+    private long configsApplied;
+    private long configsRejected;
 
-    private OfClass of(String name) {
-        return classes.computeIfAbsent(name, n -> new OfClass());
+    private ClassCounters counters(String className) {
+        return countersByClass.computeIfAbsent(className, name -> new ClassCounters());
     }
 
-    /** From now on this class is shown, if only with zeros. */
-    void offered(Iterable<String> names) {
-        names.forEach(this::of);
+    /** From now on these classes are shown, if only with zeros. */
+    void classesOffered(Iterable<String> classNames) {
+        classNames.forEach(this::counters);
     }
 
-    void up(String name) {
-        of(name).ok++;
+    /** A connection of this class was established. */
+    void connectionEstablished(String className) {
+        counters(className).ok++;
     }
 
-    /** A command of this class had this final answer. */
-    void answered(String name, Rejection.Kind kind) {
+    /** A request of this class got this final answer. */
+    void requestRejected(String className, Rejection.Kind kind) {
         if (kind == Rejection.Kind.REJECTED) {
-            of(name).shed++;
+            counters(className).shed++;
         } else {
-            of(name).errors++;
+            counters(className).errors++;
         }
     }
 
-    /** An attempt's last byte has been written to a feed server. */
-    void tried(String name) {
-        of(name).tries++;
+    /** A request of this class was written completely to a feed server. */
+    void requestWritten(String className) {
+        counters(className).tries++;
     }
 
-    /** A configuration was taken at a reload. */
+    /** The load balancer rejected a request. */
+    void rejectedByBalancer(RejectionReason reason) {
+        rejectionCounts.merge(reason, 1L, Long::sum);
+    }
+
+    /** An attempt or an established connection ended. */
+    void attemptEnded(ConnectionOutcome outcome) {
+        outcomeCounts.merge(outcome, 1L, Long::sum);
+    }
+
+    /** A configuration was applied at a reload. */
     void configApplied() {
-        applied++;
+        configsApplied++;
     }
 
-    /** A configuration was turned down at a reload. */
+    /** A configuration was rejected at a reload. */
     void configRejected() {
-        rejected++;
+        configsRejected++;
+    }
+
+    /** A view of how many requests were rejected for each reason. */
+    Map<RejectionReason, Long> rejectionCounts() {
+        return Collections.unmodifiableMap(rejectionCounts);
+    }
+
+    /** A view of how many attempts and connections ended in each way. */
+    Map<ConnectionOutcome, Long> outcomeCounts() {
+        return Collections.unmodifiableMap(outcomeCounts);
     }
 
     /**
-     * All figures, a line each.
+     * All metrics, a line each.
      *
-     * @param active commands taken and not ended
-     * @param pool feed servers in the list
-     * @param ejected those of them that are avoided now
+     * @param active requests and connections in flight
+     * @param poolSize feed servers in the list
+     * @param ejected those of them that are ejected now
      */
-    List<String> lines(int active, int pool, int ejected) {
+    List<String> lines(int active, int poolSize, int ejected) {
         List<String> lines = new ArrayList<>();
         long tries = 0;
-        for (Map.Entry<String, OfClass> entry : classes.entrySet()) {
-            String name = PREFIX + "responses." + entry.getKey() + ".";
-            OfClass c = entry.getValue();
-            lines.add(name + "ok=" + c.ok);
-            lines.add(name + "shed=" + c.shed);
-            lines.add(name + "errors=" + c.errors);
-            lines.add(name + "tries=" + c.tries);
-            tries += c.tries;
+        for (Map.Entry<String, ClassCounters> entry : countersByClass.entrySet()) {
+            String prefix = PREFIX + "responses." + entry.getKey() + ".";
+            ClassCounters counters = entry.getValue();
+            lines.add(prefix + "ok=" + counters.ok);
+            lines.add(prefix + "shed=" + counters.shed);
+            lines.add(prefix + "errors=" + counters.errors);
+            lines.add(prefix + "tries=" + counters.tries);
+            tries += counters.tries;
         }
         lines.add(PREFIX + "tries=" + tries);
         lines.add(PREFIX + "active=" + active);
-        lines.add(PREFIX + "pool_size=" + pool);
+        lines.add(PREFIX + "pool_size=" + poolSize);
         lines.add(PREFIX + "pool_ejected=" + ejected);
-        lines.add(PREFIX + "config_applied=" + applied);
-        lines.add(PREFIX + "config_rejected=" + rejected);
+        lines.add(PREFIX + "config_applied=" + configsApplied);
+        lines.add(PREFIX + "config_rejected=" + configsRejected);
         return lines;
     }
 }
--- a/src/main/java/sandstack/core/TenantRegistry.java
+++ b/src/main/java/sandstack/core/TenantRegistry.java
@@ -4,28 +4,29 @@
 import java.util.List;
 import sandstack.decisions.Tenant;
 
-/** The tenants by name. A tenant keeps its position for good, so that what the module holds of it stays right. */
+/** The tenants by name. A tenant keeps its position for the life of the process, as the load balancer keeps its state by
+ * position. Used on the event loop's thread only. */
 public final class TenantRegistry {
     /**
-     * One tenant as its directory has it.
+     * One tenant as its directory lists it.
      *
-     * @param serviceShare its part of the service
-     * @param connectionQuota open connections within its share, over all relays
+     * @param serviceShare its quota of the service
+     * @param connectionQuota open connections within its quota, over all relays
      */
     public record Entry(String name, double serviceShare, double connectionQuota) {}
 
     private final List<Entry> entries = new ArrayList<>();
 
-    /** Takes a new list. Who is no longer on it has no share left. Returns whether anything changed. */
-    boolean replace(List<Entry> listed) {
+    /** Replaces the list; a tenant that is no longer listed has a quota of 0. Returns whether anything changed. */
+    boolean replace(List<Entry> listedEntries) {
         List<Entry> before = List.copyOf(entries);
-        entries.replaceAll(old -> new Entry(old.name(), 0, 0));
-        for (Entry entry : listed) {
-            int at = indexOf(entry.name());
-            if (at < 0) {
+        entries.replaceAll(entry -> new Entry(entry.name(), 0, 0));
+        for (Entry entry : listedEntries) {
+            int position = indexOf(entry.name());
+            if (position < 0) {
                 entries.add(entry);
             } else {
-                entries.set(at, entry);
+                entries.set(position, entry);
             }
         }
         return !before.equals(entries);
@@ -41,14 +42,14 @@
         return -1;
     }
 
-    /** A copy of all tenants, by position; one that is no longer listed has a share of 0. */
+    /** A copy of all tenants, by position; one that is no longer listed has a quota of 0. */
     public List<Entry> entries() {
         return List.copyOf(entries);
     }
 
     List<Tenant> forBalancer() {
         return entries.stream()
-                .map(e -> new Tenant(e.connectionQuota(), e.serviceShare()))
+                .map(entry -> new Tenant(entry.connectionQuota(), entry.serviceShare()))
                 .toList();
     }
 }
--- a/src/main/java/sandstack/core/package-info.java
+++ b/src/main/java/sandstack/core/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The relay without sockets: the commands taken, the executions out and standing, the deadlines, the feed servers and
- * the tenants. Hands events to the module in {@code decisions} and carries out its actions. One thread; the clock is
- * passed in, and the fronts and the watch on discovery use it.
+ * The relay without sockets: the requests in flight, the connection attempts and established connections, the deadlines,
+ * the feed servers and the tenants. Hands events to the load balancer in {@code decisions} and carries out its actions.
+ * {@link sandstack.core.Relay} is the facade for the fronts and the watch on discovery. Everything runs on the event
+ * loop's thread; the clock is passed in.
  */
 package sandstack.core;
--- a/src/test/java/sandstack/core/DeadlineSchedulerTest.java
+++ b/src/test/java/sandstack/core/DeadlineSchedulerTest.java
@@ -12,12 +12,12 @@
     private final List<String> ran = new ArrayList<>();
 
     @Test
-    void runsWhatIsDueInOrderAndKeepsTheRest() {
+    void runsDueTasksInOrderAndKeepsTheOthers() {
         deadlines.schedule(30, () -> ran.add("c"));
         deadlines.schedule(10, () -> ran.add("a"));
         deadlines.schedule(10, () -> ran.add("b"));
-        DeadlineScheduler.Deadline off = deadlines.schedule(5, () -> ran.add("called off"));
-        off.cancel();
+        DeadlineScheduler.Deadline cancelled = deadlines.schedule(5, () -> ran.add("cancelled"));
+        cancelled.cancel();
         deadlines.runExpired(20);
         assertThat(ran).containsExactly("a", "b");
         assertThat(deadlines.nextMicros()).isEqualTo(30);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void whatIsSetInASweepForNowRunsInIt() {
+    void aTaskScheduledForNowDuringATurnRunsInIt() {
         deadlines.schedule(1, () -> deadlines.schedule(1, () -> ran.add("second")));
         deadlines.runExpired(1);
         assertThat(ran).containsExactly("second");
--- a/src/test/java/sandstack/core/RelayMetricsTest.java
+++ b/src/test/java/sandstack/core/RelayMetricsTest.java
@@ -13,13 +13,13 @@
     @Test
     void linesAreThoseOfAnEarlierBuild() throws IOException {
         RelayMetrics metrics = new RelayMetrics();
-        metrics.offered(List.of("interactive", "batch"));
-        metrics.up("interactive");
-        metrics.tried("interactive");
-        metrics.tried("interactive");
-        metrics.answered("interactive", Rejection.Kind.REJECTED);
-        metrics.answered("batch", Rejection.Kind.FAILED);
-        metrics.answered("batch", Rejection.Kind.MALFORMED);
+        metrics.classesOffered(List.of("interactive", "batch"));
+        metrics.connectionEstablished("interactive");
+        metrics.requestWritten("interactive");
+        metrics.requestWritten("interactive");
+        metrics.requestRejected("interactive", Rejection.Kind.REJECTED);
+        metrics.requestRejected("batch", Rejection.Kind.FAILED);
+        metrics.requestRejected("batch", Rejection.Kind.MALFORMED);
         metrics.configApplied();
         metrics.configRejected();
         metrics.configRejected();
