--- a/src/main/java/sandstack/core/AttemptCoordinator.java
+++ b/src/main/java/sandstack/core/AttemptCoordinator.java
@@ -27,7 +27,6 @@
     private final BalancerDriver balancer;
     private final RelayMetrics metrics;
     private final RequestRegistry requests;
-    private final EndpointRegistry endpoints;
     private final EndpointListUpdater endpointListUpdater;
     private final GracefulShutdown shutdown;
 
@@ -38,7 +37,6 @@
             BalancerDriver balancer,
             RelayMetrics metrics,
             RequestRegistry requests,
-            EndpointRegistry endpoints,
             EndpointListUpdater endpointListUpdater,
             GracefulShutdown shutdown) {
         this.clock = clock;
@@ -47,7 +45,6 @@
         this.balancer = balancer;
         this.metrics = metrics;
         this.requests = requests;
-        this.endpoints = endpoints;
         this.endpointListUpdater = endpointListUpdater;
         this.shutdown = shutdown;
     }
@@ -66,7 +63,7 @@
             return;
         }
         long remainingMicros = client.deadlineMicros() - clock.getAsLong();
-        EndpointRegistry.Endpoint endpoint = endpoints.get(action.serverId());
+        EndpointRegistry.Endpoint endpoint = endpointListUpdater.endpoint(action.serverId());
         if (client.attempt() != null
                 || endpoint == null
                 || remainingMicros <= 0
@@ -95,7 +92,8 @@
         if (client.isFinished() || client.attempt() != null) {
             return;
         }
-        EndpointRegistry.Endpoint endpoint = endpoints.get(client.request().adoptedFrom());
+        EndpointRegistry.Endpoint endpoint =
+                endpointListUpdater.endpoint(client.request().adoptedFrom());
         long remainingMicros = client.deadlineMicros() - clock.getAsLong();
         if (endpoint == null || remainingMicros <= 0 || !client.hasAttemptsLeft(settings.maxAttempts())) {
             requests.answer(client, Rejection.FAILED);
@@ -133,7 +131,7 @@
 
     /** Whether the attempt's feed server accepts no new clients any more; adopted connections are still accepted. */
     boolean isServerDraining(ConnectionAttempt attempt) {
-        EndpointRegistry.Endpoint endpoint = endpoints.get(serverId(attempt));
+        EndpointRegistry.Endpoint endpoint = endpointListUpdater.endpoint(serverId(attempt));
         return !attempt.client().request().isAdopted()
                 && (endpoint == null || endpoint.entry().state() != EndpointState.READY);
     }
--- a/src/main/java/sandstack/core/ConnectionAttempt.java
+++ b/src/main/java/sandstack/core/ConnectionAttempt.java
@@ -21,6 +21,7 @@
 
     private static final long MICROS_PER_MILLI = 1000;
 
+    /** How far the attempt is. */
     private enum State {
         CONNECTING,
         ESTABLISHED,
--- a/src/main/java/sandstack/core/EndpointListUpdater.java
+++ b/src/main/java/sandstack/core/EndpointListUpdater.java
@@ -34,6 +34,11 @@
         this.balancer = balancer;
     }
 
+    /** The feed server as it is listed now; null where it is not. */
+    EndpointRegistry.Endpoint endpoint(String serverId) {
+        return endpoints.get(serverId);
+    }
+
     void apply(EndpointRegistry.Update update) {
         endpoints.apply(update);
         loggedFailures.clear();
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -80,7 +80,7 @@
         endpointListUpdater = new EndpointListUpdater(clock, deadlines, endpoints, balancer);
         shutdown = new GracefulShutdown(clock, deadlines, settings, requests, new SplittableRandom(seed));
         attempts = new AttemptCoordinator(
-                clock, deadlines, settings, balancer, metrics, requests, endpoints, endpointListUpdater, shutdown);
+                clock, deadlines, settings, balancer, metrics, requests, endpointListUpdater, shutdown);
     }
 
     // ---- the turn ---------------------------------------------------------------------------------
