--- a/src/main/java/sandstack/CommandLineOfAll.java
+++ b/src/main/java/sandstack/cli/SandstackCommand.java
@@ -1,4 +1,4 @@
-package sandstack;
+package sandstack.cli;
 
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
@@ -27,25 +27,26 @@
 import sandstack.measure.OpenCommand;
 import sandstack.measure.StandInCommand;
 import sandstack.rig.FaultsCommand;
+import sandstack.service.RelayService;
+import sandstack.service.RelayServiceLoader;
 
-/** The commands of the program, their help and their exit codes: 2 for wrong usage or settings, told in one line. */
+/** The commands of the program, their help and their exit codes; a wrong usage is reported in one line. */
 @Command(
         name = "sandstack",
         description = "A relay for long-lived connections.",
         mixinStandardHelpOptions = true,
-        versionProvider = CommandLineOfAll.Version.class,
+        versionProvider = SandstackCommand.Version.class,
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {FaultsCommand.class, MeasureCommand.class, OpenCommand.class, StandInCommand.class})
-public final class CommandLineOfAll implements Callable<Integer> {
-    private static final int WRONG = 2;
-    private static final long ANSWERS_SECONDS = 5;
-    private static final String FLEET = "Be a member of the fleet that deploy/fleet.toml describes and enables.";
+public final class SandstackCommand implements Callable<Integer> {
+    private static final long FLEET_REPLY_TIMEOUT_SECONDS = 5;
+    private static final String FLEET_HELP = "Be a member of the fleet that deploy/fleet.toml describes and enables.";
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    /** What commands take that decide by what is known of the feed servers. */
-    static final class Known {
+    /** The option of commands whose decisions depend on what is known of the feed servers. */
+    static final class CapacityOption {
         @Option(
                 names = "--capacity",
                 paramLabel = "FILE",
@@ -58,38 +59,38 @@
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
-            String built = CommandLineOfAll.class.getPackage().getImplementationVersion();
-            return new String[] {"sandstack " + (built == null ? "(not from a jar)" : built)};
+            String version = SandstackCommand.class.getPackage().getImplementationVersion();
+            return new String[] {"sandstack " + (version == null ? "(not from a jar)" : version)};
         }
     }
 
     /** Runs a command; returns the exit code. */
     public static int run(String... args) {
-        if (!FleetPath.isNeeded(args)) {
-            return line().execute(args);
+        if (!FleetClassPath.isNeeded(args)) {
+            return commandLine().execute(args);
         }
         try {
-            return FleetPath.run(args);
+            return FleetClassPath.run(args);
         } catch (IOException e) {
             System.err.println(args[0] + ": " + e.getMessage());
-            return 1;
+            return ExitCode.FAILURE;
         }
     }
 
-    static CommandLine line() {
-        return new CommandLine(new CommandLineOfAll())
-                .setParameterExceptionHandler((e, wrong) -> {
+    static CommandLine commandLine() {
+        return new CommandLine(new SandstackCommand())
+                .setParameterExceptionHandler((e, args) -> {
                     e.getCommandLine()
                             .getErr()
                             .println(e.getCommandLine().getCommandSpec().qualifiedName() + ": "
                                     + e.getMessage().lines().findFirst().orElse("wrong usage") + "; try --help");
-                    return WRONG;
+                    return ExitCode.USAGE;
                 })
-                .setExecutionExceptionHandler((e, line, parsed) -> {
-                    line.getErr()
-                            .println(line.getCommandSpec().name() + ": "
+                .setExecutionExceptionHandler((e, command, parsed) -> {
+                    command.getErr()
+                            .println(command.getCommandSpec().name() + ": "
                                     + (e instanceof IOException ? "input or output failed: " : "") + e.getMessage());
-                    return e instanceof InvalidConfigurationException ? WRONG : 1;
+                    return e instanceof InvalidConfigurationException ? ExitCode.USAGE : ExitCode.FAILURE;
                 });
     }
 
@@ -99,35 +100,41 @@
     }
 
     @Command(description = "A relay, as PROXY_CONFIG says.", mixinStandardHelpOptions = true)
-    int serve(@Mixin Known known, @Option(names = "--fleet", description = FLEET) boolean fleet)
+    int serve(@Mixin CapacityOption capacity, @Option(names = "--fleet", description = FLEET_HELP) boolean fleet)
             throws InvalidConfigurationException, IOException {
-        Service service = Main.service(known.file, fleet);
-        member(service, fleet);
-        service.serve();
+        if (fleet) {
+            RelayService service = RelayServiceLoader.loadFleetMember(capacity.file);
+            joinFleet(service);
+            service.serve();
+        } else {
+            RelayServiceLoader.load(capacity.file).serve();
+        }
         return 0;
     }
 
     @Command(description = "A relay with a console on this terminal.", mixinStandardHelpOptions = true)
-    int console(@Mixin Known known, @Option(names = "--fleet", description = FLEET) boolean fleet)
+    int console(@Mixin CapacityOption capacity, @Option(names = "--fleet", description = FLEET_HELP) boolean fleet)
             throws InvalidConfigurationException, IOException {
-        Service service = Main.service(known.file, fleet);
-        FleetMember link = member(service, fleet);
+        if (!fleet) {
+            RelayServiceLoader.load(capacity.file).console(Map.of(), Map.of());
+            return 0;
+        }
+        RelayService service = RelayServiceLoader.loadFleetMember(capacity.file);
+        FleetMember member = joinFleet(service);
         service.console(
-                link == null
-                        ? Map.of()
-                        : Map.of(
-                                "fleet",
-                                () -> FleetViewFormatter.lines(link.view()),
-                                "fleet json",
-                                () -> List.of(FleetViewFormatter.json(link.view()))),
-                link == null ? Map.of() : Map.of("fleet take-out", name -> takeOut(link, name)));
+                Map.of(
+                        "fleet",
+                        () -> FleetViewFormatter.lines(member.view()),
+                        "fleet json",
+                        () -> List.of(FleetViewFormatter.json(member.view()))),
+                Map.of("fleet take-out", name -> decommission(member, name)));
         return 0;
     }
 
-    private static List<String> takeOut(FleetMember link, String name) {
+    private static List<String> decommission(FleetMember member, String name) {
         try {
             return FleetViewFormatter.decommissionOutcome(
-                    name, link.decommission(name).get(ANSWERS_SECONDS, TimeUnit.SECONDS));
+                    name, member.decommission(name).get(FLEET_REPLY_TIMEOUT_SECONDS, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return List.of("interrupted");
@@ -136,32 +143,30 @@
         }
     }
 
-    /** Joins the fleet before the relay serves, so that a second process of its name never does; null where it is off. */
-    private static FleetMember member(Service service, boolean fleet) throws InvalidConfigurationException {
-        if (!fleet) {
-            return null;
-        }
-        FleetMember link = new FleetMember(FleetFile.read(Main.files()), service.name(), service.zone());
-        if (service.inherits()) {
-            link.startWhenAddressFree();
+    /** Joins the fleet before the relay serves, so that a second process of its name never does. */
+    private static FleetMember joinFleet(RelayService service) throws InvalidConfigurationException {
+        FleetFile fleetFile = FleetFile.read(RelayServiceLoader.deployFiles());
+        FleetMember member = new FleetMember(fleetFile, service.name(), service.zone());
+        if (service.inheritsSocket()) {
+            member.startWhenAddressFree();
         } else {
-            link.start();
+            member.start();
         }
-        Runtime.getRuntime().addShutdownHook(new Thread(link::close, "leave"));
-        return link;
+        Runtime.getRuntime().addShutdownHook(new Thread(member::close, "leave"));
+        return member;
     }
 
     @Command(description = "Starts, asks itself once and ends; for the build.", mixinStandardHelpOptions = true)
-    int rehearse(@Mixin Known known) throws InvalidConfigurationException, IOException {
-        Main.service(known.file, false).rehearse();
+    int rehearse(@Mixin CapacityOption capacity) throws InvalidConfigurationException, IOException {
+        RelayServiceLoader.load(capacity.file).rehearse();
         return 0;
     }
 
     @Command(
             description = "The decisions on the simulator's wire, on standard input and output.",
             mixinStandardHelpOptions = true)
-    int simhost(@Mixin Known known) throws InvalidConfigurationException, IOException, WireException {
-        new Link(CapacityFile.read(Main.files(), known.file))
+    int simhost(@Mixin CapacityOption capacity) throws InvalidConfigurationException, IOException, WireException {
+        new Link(CapacityFile.read(RelayServiceLoader.deployFiles(), capacity.file))
                 .run(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out));
         return 0;
     }
--- /dev/null
+++ b/src/main/java/sandstack/service/SiblingHandover.java
@@ -0,0 +1,136 @@
+package sandstack.service;
+
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.logging.Logger;
+import sandstack.config.EndpointListJson;
+import sandstack.config.InvalidConfigurationException;
+import sandstack.core.EndpointRegistry;
+import sandstack.core.Relay;
+import sandstack.handover.ResourceShares;
+import sandstack.handover.SiblingProcesses;
+import sandstack.net.ConnectionAdmission;
+import sandstack.net.EventLoop;
+
+/**
+ * This process among the processes of the same relay, while one takes over from another: exchanges endpoint lists and
+ * divides the descriptors. Joined on the starting thread before the event loop runs; its state is the loop's after that.
+ */
+final class SiblingHandover {
+    private static final Logger LOG = Logger.getLogger("sandstack.service");
+
+    private final EventLoop loop;
+    private final Relay relay;
+    private final ConnectionAdmission admission;
+    private final EndpointListJson listFormat;
+    /** For connections, of all processes of this relay together. */
+    private final int totalDescriptors;
+    /** What each further process needs besides its connections. */
+    private final int reservedDescriptors;
+
+    private final SiblingProcesses siblings;
+    private boolean hasSiblingList;
+    private int processCount = 1;
+
+    SiblingHandover(
+            String relayName,
+            Map<String, String> environment,
+            EventLoop loop,
+            Relay relay,
+            ConnectionAdmission admission,
+            EndpointListJson listFormat,
+            int totalDescriptors,
+            int reservedDescriptors) {
+        this.loop = loop;
+        this.relay = relay;
+        this.admission = admission;
+        this.listFormat = listFormat;
+        this.totalDescriptors = totalDescriptors;
+        this.reservedDescriptors = reservedDescriptors;
+        this.siblings = new SiblingProcesses(
+                Path.of(environment.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"))),
+                relayName,
+                loop::nowMicros);
+    }
+
+    /** Counts the sibling processes; returns the endpoint list of one that serves, if there is any. */
+    Optional<EndpointRegistry.Update> join() {
+        SiblingProcesses.Found found = siblings.find();
+        setProcessCount(found.count() + 1);
+        if (found.list() == null) {
+            return Optional.empty();
+        }
+        try {
+            EndpointRegistry.Update update = listFormat.kept(found.list());
+            hasSiblingList = true;
+            LOG.info("takes over from another process, whose list has "
+                    + update.endpoints().size() + " feed servers");
+            return Optional.of(update);
+        } catch (InvalidConfigurationException e) {
+            LOG.warning("the list of another process cannot be used: " + e.getMessage());
+            return Optional.empty();
+        }
+    }
+
+    /** Starts to publish this process's state to the others. */
+    void start() {
+        siblings.start(new LocalProcess());
+    }
+
+    void close() {
+        siblings.close();
+    }
+
+    /** Whether the endpoint list came from a sibling process at the start. */
+    boolean hasSiblingList() {
+        return hasSiblingList;
+    }
+
+    int processCount() {
+        return processCount;
+    }
+
+    private void setProcessCount(int count) {
+        if (count != processCount) {
+            processCount = count;
+            relay.onProcessCount(count);
+            LOG.info("processes of this relay: " + count);
+        }
+    }
+
+    /** What the other processes are notified of, and what follows here from their state. Called on the siblings' thread. */
+    private final class LocalProcess implements SiblingProcesses.Relay {
+        @Override
+        public SiblingProcesses.Own own(long writtenList) throws InterruptedException {
+            CompletableFuture<SiblingProcesses.Own> own = new CompletableFuture<>();
+            loop.execute(() -> {
+                long changeCount = relay.endpoints().changeCount();
+                own.complete(new SiblingProcesses.Own(
+                        admission.descriptorsInUse(),
+                        changeCount,
+                        changeCount == writtenList ? null : listFormat.text(relay.endpoints())));
+            });
+            try {
+                return own.get();
+            } catch (ExecutionException e) {
+                throw new IllegalStateException(e);
+            }
+        }
+
+        @Override
+        public void others(List<Integer> used) {
+            loop.execute(() -> {
+                if (used.isEmpty() && processCount == 1) {
+                    return;
+                }
+                setProcessCount(used.size() + 1);
+                admission.setDescriptorLimit(ResourceShares.descriptors(
+                        totalDescriptors - reservedDescriptors * used.size(), admission.descriptorsInUse(), used));
+            });
+        }
+    }
+}
--- a/src/test/java/sandstack/Program.java
+++ b/src/test/java/sandstack/Program.java
@@ -16,6 +16,7 @@
 import java.util.jar.JarOutputStream;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
+import sandstack.service.RelayService;
 
 /**
  * The program as {@code run} of deploy/balancer.toml starts it, from a jar and a class archive made of the classes under
@@ -31,7 +32,7 @@
     Program(Path folder) throws Exception {
         this.folder = folder;
         Path jar = folder.resolve("program.jar");
-        Path classes = Path.of(Service.class
+        Path classes = Path.of(RelayService.class
                 .getProtectionDomain()
                 .getCodeSource()
                 .getLocation()
--- a/src/test/java/sandstack/CommandLineTest.java
+++ b/src/test/java/sandstack/cli/SandstackCommandTest.java
@@ -1,4 +1,4 @@
-package sandstack;
+package sandstack.cli;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,11 +10,11 @@
 import picocli.CommandLine;
 
 /** The command line: wrong usage, help and version. */
-class CommandLineTest {
+class SandstackCommandTest {
     private final StringWriter said = new StringWriter();
 
     private int run(String... args) {
-        CommandLine line = CommandLineOfAll.line();
+        CommandLine line = SandstackCommand.commandLine();
         line.setOut(new PrintWriter(said)).setErr(new PrintWriter(said));
         return line.execute(args);
     }
