--- a/src/main/java/sandstack/service/ServiceLifecycle.java
+++ b/src/main/java/sandstack/service/ServiceLifecycle.java
@@ -8,6 +8,7 @@
  * stop. Safe for use from any thread.
  */
 final class ServiceLifecycle {
+    /** How far the process is. */
     private enum Phase {
         /** No listener has been opened: told to stop, the process just ends. */
         STARTING,
