--- a/src/main/java/sandstack/measure/CheckedOutCommit.java
+++ b/src/main/java/sandstack/measure/CheckedOutCommit.java
@@ -7,7 +7,7 @@
 /** Names the commit that is checked out in the working directory, as git says. */
 final class CheckedOutCommit {
     private static final String UNKNOWN = "unknown";
-    private static final long PATIENCE_SECONDS = 5;
+    private static final long GIT_TIMEOUT_SECONDS = 5;
 
     private CheckedOutCommit() {}
 
@@ -17,12 +17,12 @@
             Process git = new ProcessBuilder("git", "describe", "--always", "--dirty", "--exclude", "*")
                     .redirectError(ProcessBuilder.Redirect.DISCARD)
                     .start();
-            if (!git.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS)) {
+            if (!git.waitFor(GIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 git.destroyForcibly();
                 return UNKNOWN;
             }
-            String said = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
-            return git.exitValue() == 0 && !said.isEmpty() ? said : UNKNOWN;
+            String description = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
+            return git.exitValue() == 0 && !description.isEmpty() ? description : UNKNOWN;
         } catch (IOException e) {
             return UNKNOWN;
         }
--- a/src/main/java/sandstack/measure/MeasureCommand.java
+++ b/src/main/java/sandstack/measure/MeasureCommand.java
@@ -24,8 +24,13 @@
         mixinStandardHelpOptions = true,
         subcommands = {ScaleCommand.class, CapacityPageCommand.class})
 public final class MeasureCommand implements Callable<Integer> {
-    private static final Map<String, Measurement> ALL = new TreeMap<>(Map.of(
-            "capacity", new MeasureCapacity(), "estimators", new MeasureEstimators(), "fleet", new MeasureFleet()));
+    private static final Map<String, Measurement> MEASUREMENTS = new TreeMap<>(Map.of(
+            "capacity",
+            new CapacityMeasurement(),
+            "estimators",
+            new EstimatorMeasurement(),
+            "fleet",
+            new FleetMeasurement()));
 
     @Spec
     private CommandSpec spec;
@@ -51,7 +56,7 @@
     private Path jar;
 
     @Option(names = "--against", paramLabel = "JAR", description = "Another build to compare with on the same seeds.")
-    private Path against;
+    private Path baselineJar;
 
     @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Of all arrivals.")
     private long seed;
@@ -61,55 +66,58 @@
         if (name == null) {
             throw new ParameterException(spec.commandLine(), "what to measure is missing: " + names());
         }
-        Measurement measurement = ALL.get(name);
+        Measurement measurement = MEASUREMENTS.get(name);
         if (measurement == null) {
             throw new ParameterException(
                     spec.commandLine(), "no measurement is called " + name + "; there are " + names());
         }
-        for (Path needed : against == null ? List.of(jar) : List.of(jar, against)) {
+        for (Path needed : baselineJar == null ? List.of(jar) : List.of(jar, baselineJar)) {
             if (!Files.isRegularFile(needed)) {
                 throw new ParameterException(spec.commandLine(), "there is no " + needed + "; build the program first");
             }
         }
-        List<Aim> aims = measurement.run(new Measurement.Way(quick, jar, against, seed), line -> {
+        List<MetricResult> results = measurement.run(new Measurement.Options(quick, jar, baselineJar, seed), line -> {
             spec.commandLine().getErr().println(line);
             spec.commandLine().getErr().flush();
         });
-        print(aims);
+        print(results);
         if (json != null) {
-            write(aims);
+            write(results);
         }
-        return aims.stream().allMatch(Aim::held) ? 0 : 1;
+        return results.stream().allMatch(MetricResult::met) ? 0 : 1;
     }
 
     private static String names() {
-        return String.join(", ", ALL.keySet());
+        return String.join(", ", MEASUREMENTS.keySet());
     }
 
-    private void print(List<Aim> aims) {
-        int width = aims.stream().mapToInt(a -> a.name().length()).max().orElse(0);
-        for (Aim aim : aims) {
+    private void print(List<MetricResult> results) {
+        int width = results.stream()
+                .mapToInt(result -> result.name().length())
+                .max()
+                .orElse(0);
+        for (MetricResult result : results) {
             spec.commandLine()
                     .getOut()
                     .printf(
                             "%-" + width + "s  %12s  %-12s %s%n",
-                            aim.name(),
-                            Aim.plain(aim.value()),
-                            aim.aim(),
-                            aim.aim().isEmpty() ? "" : aim.held() ? "held" : "MISSED");
+                            result.name(),
+                            MetricResult.format(result.value()),
+                            result.target(),
+                            result.target().isEmpty() ? "" : result.met() ? "held" : "MISSED");
         }
         spec.commandLine().getOut().flush();
     }
 
-    private void write(List<Aim> aims) throws IOException {
+    private void write(List<MetricResult> results) throws IOException {
         ObjectNode root = new ObjectMapper().createObjectNode().put("name", name);
-        for (Aim aim : aims) {
+        for (MetricResult result : results) {
             root.withArray("aims")
                     .addObject()
-                    .put("name", aim.name())
-                    .put("value", aim.value())
-                    .put("aim", aim.aim())
-                    .put("held", aim.held());
+                    .put("name", result.name())
+                    .put("value", result.value())
+                    .put("aim", result.target())
+                    .put("held", result.met());
         }
         Files.writeString(json, root + System.lineSeparator());
     }
--- a/src/main/java/sandstack/measure/Measurement.java
+++ b/src/main/java/sandstack/measure/Measurement.java
@@ -3,22 +3,24 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** One measurement. */
+/** A measurement of {@code measure NAME}. */
 interface Measurement {
     /**
-     * How it is run.
+     * Options of a run.
      *
-     * @param quick it ends within 40 s
-     * @param jar the program that relays are started from
-     * @param against another build to compare with; null where there is none
+     * @param quick whether the run has to end within 40 s
+     * @param jar the build that relays are started from
+     * @param baselineJar another build to compare with; null for none
+     * @param seed of all random draws
      */
-    record Way(boolean quick, Path jar, Path against, long seed) {}
+    record Options(boolean quick, Path jar, Path baselineJar, long seed) {}
 
-    /** Measures; what goes on is told line by line. */
-    List<Aim> run(Way way, Progress progress) throws Exception;
+    /** Measures and returns the metrics in the order in which they are printed. */
+    List<MetricResult> run(Options options, ProgressListener progress) throws Exception;
 
-    /** Where a measurement says what it is at. */
-    interface Progress {
-        void say(String line);
+    /** Receives progress messages during a run. */
+    interface ProgressListener {
+        /** Called with one line of text, on the measuring thread. */
+        void onProgress(String message);
     }
 }
--- a/src/main/java/sandstack/measure/OpenCommand.java
+++ b/src/main/java/sandstack/measure/OpenCommand.java
@@ -29,9 +29,9 @@
         mixinStandardHelpOptions = true)
 public final class OpenCommand implements Callable<Integer> {
     /** Longer lines are not the protocol's. */
-    private static final int LONGEST = 4096;
+    private static final int MAX_LINE_BYTES = 4096;
     /** What a feed server tells of a connection's load is no answer; one that tells nothing else is not listened to. */
-    private static final int MOST_LOADS = 100;
+    private static final int MAX_LOAD_REPORTS = 100;
 
     @Spec
     private CommandSpec spec;
@@ -68,39 +68,41 @@
             paramLabel = "MS",
             defaultValue = "2000",
             description = "How long to wait for each answer (default: ${DEFAULT-VALUE}).")
-    private int within;
+    private int timeoutMillis;
 
     @Override
     public Integer call() throws InvalidConfigurationException, IOException {
-        if (within <= 0) {
-            throw new ParameterException(spec.commandLine(), "--within must be above 0: " + within);
+        if (timeoutMillis <= 0) {
+            throw new ParameterException(spec.commandLine(), "--within must be above 0: " + timeoutMillis);
         }
-        Address at = Address.parse(relay, "the relay's address");
-        String first = "OPEN " + Long.toHexString(System.nanoTime()) + " " + key + " c=" + requestClass + ",d=" + within
-                + ",g=" + group;
+        Address address = Address.parse(relay, "the relay's address");
+        String openLine = "OPEN " + Long.toHexString(System.nanoTime()) + " " + key + " c=" + requestClass + ",d="
+                + timeoutMillis + ",g=" + group;
         try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress(at.host(), at.port()), within);
+            socket.connect(new InetSocketAddress(address.host(), address.port()), timeoutMillis);
             // the relay answers within the client's time; this end waits a little longer to hear it
-            socket.setSoTimeout(within + 500);
+            socket.setSoTimeout(timeoutMillis + 500);
             BufferedReader in = new BufferedReader(
-                    new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1), LONGEST);
-            String answer = say(socket, in, first);
-            boolean stands = answer != null && (answer.equals("UP") || answer.startsWith("UP "));
+                    new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1), MAX_LINE_BYTES);
+            String answer = exchange(socket, in, openLine);
+            boolean established = answer != null && (answer.equals("UP") || answer.startsWith("UP "));
             for (String line : lines) {
-                stands = stands && say(socket, in, line) != null;
+                established = established && exchange(socket, in, line) != null;
             }
-            return stands ? 0 : 1;
+            return established ? 0 : 1;
         } catch (SocketTimeoutException e) {
-            spec.commandLine().getErr().println("open: no answer from " + relay + " within " + within + " ms");
+            spec.commandLine().getErr().println("open: no answer from " + relay + " within " + timeoutMillis + " ms");
             return 1;
         }
     }
 
     /** Sends a line and prints the one that comes back; null where the connection ended, or is to move. */
-    private String say(Socket socket, BufferedReader in, String line) throws IOException {
+    private String exchange(Socket socket, BufferedReader in, String line) throws IOException {
         socket.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.UTF_8));
         String answer = in.readLine();
-        for (int told = 0; answer != null && answer.startsWith("LOAD ") && told < MOST_LOADS; told++) {
+        for (int loadReports = 0;
+                answer != null && answer.startsWith("LOAD ") && loadReports < MAX_LOAD_REPORTS;
+                loadReports++) {
             answer = in.readLine();
         }
         spec.commandLine().getOut().println(answer == null ? "(the connection ended)" : answer);
--- a/src/main/java/sandstack/measure/OpenLoopLoad.java
+++ b/src/main/java/sandstack/measure/OpenLoopLoad.java
@@ -10,134 +10,151 @@
 import sandstack.standin.StandInLoop;
 
 /**
- * Stand-in clients that arrive at random, stay for a while and leave: a load that does not wait for answers. Lives on
- * its loop's thread; its counts are read there.
+ * Open-loop load: clients arrive as a Poisson process, whether or not earlier ones were answered, and close their
+ * connections after exponentially distributed lifetimes. All methods run on the thread of the event loop.
  */
 final class OpenLoopLoad {
-    private static final long PATIENCE = 3_000_000;
-    private static final long MOST_MICROS = 60_000_000;
+    private static final long DEADLINE_MICROS = 3_000_000;
+    private static final long MAX_RECORDED_MICROS = 60_000_000;
 
-    private final StandInLoop yard;
-    private final SplittableRandom chance;
+    private final StandInLoop loop;
+    private final SplittableRandom random;
     private final List<Integer> ports;
     private final int groups;
-    private final Set<ShopClient> standing = new LinkedHashSet<>();
-    private final Histogram refusedAfter = new Histogram(MOST_MICROS, 3);
-    private final Histogram setUp = new Histogram(MOST_MICROS, 3);
-    private final Histogram lines = new Histogram(MOST_MICROS, 3);
-    private double perSecond;
-    private double life;
-    private long talkEvery;
-    private long lateAfter = Long.MAX_VALUE;
+    private final Set<ShopClient> established = new LinkedHashSet<>();
+    private final Histogram rejectionMicros = new Histogram(MAX_RECORDED_MICROS, 3);
+    private final Histogram setupMicros = new Histogram(MAX_RECORDED_MICROS, 3);
+    private final Histogram lineMicros = new Histogram(MAX_RECORDED_MICROS, 3);
+    private double arrivalsPerSecond;
+    private double meanLifetimeSeconds;
+    private long lineIntervalMicros;
+    private long lateThresholdMicros = Long.MAX_VALUE;
     private boolean arriving;
-    private long asked;
-    private long served;
-    private long refused;
+    private long attempts;
+    private long accepted;
+    private long rejected;
     private long failed;
     private long lost;
-    private long moved;
-    private long late;
+    private long migrated;
+    private long lateLines;
 
     /**
-     * Creates a load without clients.
+     * Creates a load without arrivals.
      *
-     * @param groups how many groups clients belong to; the first is the largest
+     * @param ports relays that clients connect to in turn
+     * @param groups number of client groups; the first is the largest
      */
-    OpenLoopLoad(StandInLoop yard, long seed, List<Integer> ports, int groups) {
-        this.yard = yard;
-        this.chance = new SplittableRandom(seed);
+    OpenLoopLoad(StandInLoop loop, long seed, List<Integer> ports, int groups) {
+        this.loop = loop;
+        this.random = new SplittableRandom(seed);
         this.ports = ports;
         this.groups = groups;
     }
 
-    /** What was counted until now. */
-    record Count(
-            long asked,
-            long served,
-            long refused,
+    /**
+     * Counters since the start of the load.
+     *
+     * @param accepted connections that were established
+     * @param failed attempts without an answer
+     * @param lost established connections that the other side broke
+     * @param migrated connections that the relay asked to reconnect elsewhere
+     * @param established connections that are open now
+     * @param rejectionP99Micros 99th percentile of the time to a rejection since the last reset
+     * @param lines answered lines
+     * @param lateLines answered lines that took longer than the threshold
+     */
+    record Counts(
+            long attempts,
+            long accepted,
+            long rejected,
             long failed,
             long lost,
-            long moved,
-            int standing,
-            long refusedP99,
-            long refusedMost,
-            long setUpP99,
+            long migrated,
+            int established,
+            long rejectionP99Micros,
+            long rejectionMaxMicros,
+            long setupP99Micros,
             long lines,
-            long late) {
-        Count since(Count before) {
-            return new Count(
-                    asked - before.asked,
-                    served - before.served,
-                    refused - before.refused,
+            long lateLines) {
+        /** The increase since earlier counts; latencies and open connections stay as they are. */
+        Counts since(Counts before) {
+            return new Counts(
+                    attempts - before.attempts,
+                    accepted - before.accepted,
+                    rejected - before.rejected,
                     failed - before.failed,
                     lost - before.lost,
-                    moved - before.moved,
-                    standing,
-                    refusedP99,
-                    refusedMost,
-                    setUpP99,
+                    migrated - before.migrated,
+                    established,
+                    rejectionP99Micros,
+                    rejectionMaxMicros,
+                    setupP99Micros,
                     lines - before.lines,
-                    late - before.late);
+                    lateLines - before.lateLines);
         }
     }
 
-    Count count() {
-        return new Count(
-                asked,
-                served,
-                refused,
+    Counts counts() {
+        return new Counts(
+                attempts,
+                accepted,
+                rejected,
                 failed,
                 lost,
-                moved,
-                standing.size(),
-                refusedAfter.getValueAtPercentile(99),
-                refusedAfter.getMaxValue(),
-                setUp.getValueAtPercentile(99),
-                lines.getTotalCount(),
-                late);
+                migrated,
+                established.size(),
+                rejectionMicros.getValueAtPercentile(99),
+                rejectionMicros.getMaxValue(),
+                setupMicros.getValueAtPercentile(99),
+                lineMicros.getTotalCount(),
+                lateLines);
     }
 
-    /** Times of refusals from now on alone. */
-    void forgetTimes() {
-        refusedAfter.reset();
-        setUp.reset();
+    /** Discards the recorded rejection and setup latencies. */
+    void resetLatencies() {
+        rejectionMicros.reset();
+        setupMicros.reset();
     }
 
-    /** Clients talk so often, and a line that takes longer than this is late. */
-    void talks(long every, long lateFrom) {
-        talkEvery = every;
-        lateAfter = lateFrom;
+    /** Clients that connect from now on send a line at this interval; an answer after the threshold is late. */
+    void sendLines(long intervalMicros, long thresholdMicros) {
+        lineIntervalMicros = intervalMicros;
+        lateThresholdMicros = thresholdMicros;
     }
 
-    /** From now on so many arrive a second and stay so many seconds in the mean; 0 stays for good. */
-    void arrive(double rate, double meanLife) {
-        perSecond = rate;
-        life = meanLife;
-        if (!arriving && rate > 0) {
+    /**
+     * Sets the arrival rate; 0 stops arrivals.
+     *
+     * @param lifetimeSeconds mean lifetime of a connection; 0 for connections that stay open
+     */
+    void setArrivals(double perSecond, double lifetimeSeconds) {
+        arrivalsPerSecond = perSecond;
+        meanLifetimeSeconds = lifetimeSeconds;
+        if (!arriving && perSecond > 0) {
             arriving = true;
-            next();
+            scheduleNext();
         }
     }
 
     private double exponential() {
-        return -Math.log(1 - chance.nextDouble());
+        return -Math.log(1 - random.nextDouble());
     }
 
-    private void next() {
-        if (perSecond <= 0) {
+    private void scheduleNext() {
+        if (arrivalsPerSecond <= 0) {
             arriving = false;
             return;
         }
-        yard.after(Math.max(1, (long) (exponential() / perSecond * 1e6)), () -> {
-            next();
-            one();
+        loop.after(Math.max(1, (long) (exponential() / arrivalsPerSecond * 1e6)), () -> {
+            scheduleNext();
+            connectOne();
         });
     }
 
-    /** One more client asks. */
-    void one() {
-        long number = ++asked;
-        int group = (int) (groups * Math.pow(chance.nextDouble(), 2));
+    /** Connects one more client now. */
+    void connectOne() {
+        long number = ++attempts;
+        int group = (int) (groups * Math.pow(random.nextDouble(), 2));
         String name =
                 switch ((int) (number % 4)) {
                     case 0 -> "stock-check";
@@ -145,51 +162,46 @@
                     default -> "order-status";
                 };
         new ShopClient(
-                yard,
+                loop,
                 ports.get((int) (number % ports.size())),
                 "i" + number,
                 "k" + number,
-                "c=" + name + ",d=" + PATIENCE / 1000 + ",g=g" + group,
-                PATIENCE,
-                this::told);
+                "c=" + name + ",d=" + DEADLINE_MICROS / 1000 + ",g=g" + group,
+                DEADLINE_MICROS,
+                this::onClientEvent);
     }
 
-    private void told(ShopClient.Told told) {
-        ShopClient client = told.client();
-        if (told.what() != Happened.UP) {
-            standing.remove(client);
+    private void onClientEvent(ShopClient.Told event) {
+        ShopClient client = event.client();
+        if (event.what() != Happened.UP) {
+            established.remove(client);
         }
-        switch (told.what()) {
-            case UP -> up(client, told.after());
+        switch (event.what()) {
+            case UP -> onEstablished(client, event.after());
             case BUSY -> {
-                refused++;
-                refusedAfter.recordValue(Math.min(told.after(), MOST_MICROS));
+                rejected++;
+                rejectionMicros.recordValue(Math.min(event.after(), MAX_RECORDED_MICROS));
             }
             case FAILED, SILENT -> failed++;
-            case MOVED -> moved++;
+            case MOVED -> migrated++;
             case LOST -> lost++;
             case LEFT -> {}
-            default -> throw new IllegalStateException();
+            default -> throw new IllegalStateException("unexpected client event: " + event.what());
         }
     }
 
-    private void up(ShopClient client, long took) {
-        served++;
-        setUp.recordValue(Math.min(took, MOST_MICROS));
-        standing.add(client);
-        if (life > 0) {
-            yard.after((long) (exponential() * life * 1e6), client::leave);
+    private void onEstablished(ShopClient client, long elapsedMicros) {
+        accepted++;
+        setupMicros.recordValue(Math.min(elapsedMicros, MAX_RECORDED_MICROS));
+        established.add(client);
+        if (meanLifetimeSeconds > 0) {
+            loop.after((long) (exponential() * meanLifetimeSeconds * 1e6), client::leave);
         }
-        if (talkEvery > 0) {
-            client.talk(talkEvery, lasted -> {
-                lines.recordValue(Math.min(lasted, MOST_MICROS));
-                late += lasted > lateAfter ? 1 : 0;
+        if (lineIntervalMicros > 0) {
+            client.talk(lineIntervalMicros, lasted -> {
+                lineMicros.recordValue(Math.min(lasted, MAX_RECORDED_MICROS));
+                lateLines += lasted > lateThresholdMicros ? 1 : 0;
             });
         }
     }
-
-    /** All that stand leave. */
-    void leave() {
-        Set.copyOf(standing).forEach(ShopClient::leave);
-    }
 }
--- a/src/main/java/sandstack/measure/RelayProcess.java
+++ b/src/main/java/sandstack/measure/RelayProcess.java
@@ -28,30 +28,30 @@
  */
 public final class RelayProcess implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Pattern LISTENS = Pattern.compile("listens for lines at [^ ]*:([0-9]+)$");
-    private static final long START_SECONDS = 20;
-    private static final List<String> CLASSES = List.of("order-status", "catalogue-feed", "stock-check");
+    private static final Pattern LISTENING_LINE = Pattern.compile("listens for lines at [^ ]*:([0-9]+)$");
+    private static final long START_TIMEOUT_SECONDS = 20;
+    private static final List<String> REQUEST_CLASSES = List.of("order-status", "catalogue-feed", "stock-check");
 
     /**
      * What a relay is told.
      *
      * @param zones names of all zones
-     * @param home position of its own
-     * @param known the list of feed servers that it starts with
-     * @param files the files of its deploy folder: names and texts
-     * @param options of the virtual machine, after those of {@code run}
+     * @param homeZone position of its own
+     * @param knownEndpoints the list of feed servers that it starts with
+     * @param deployFiles the files of its deploy folder: names and texts
+     * @param jvmOptions of the virtual machine, after those of {@code run}
      */
     public record Setup(
             String name,
-            int me,
-            int relays,
+            int index,
+            int relayCount,
             List<String> zones,
-            int home,
-            int discovery,
-            ObjectNode known,
-            int sockets,
-            Map<String, String> files,
-            List<String> options) {}
+            int homeZone,
+            int discoveryPort,
+            ObjectNode knownEndpoints,
+            int maxDescriptors,
+            Map<String, String> deployFiles,
+            List<String> jvmOptions) {}
 
     private final Process process;
     private final Path folder;
@@ -62,13 +62,13 @@
     public RelayProcess(Path jar, Setup setup) throws IOException {
         folder = Files.createTempDirectory("sandstack-relay");
         Path deploy = Files.createDirectory(folder.resolve("deploy"));
-        for (Map.Entry<String, String> file : setup.files().entrySet()) {
+        for (Map.Entry<String, String> file : setup.deployFiles().entrySet()) {
             Files.writeString(deploy.resolve(file.getKey()), file.getValue());
         }
         Path config =
                 Files.writeString(folder.resolve("config.json"), config(setup).toString());
         String run = RunCommand.read();
-        String options = "-Dsandstack.deploy=" + deploy + " " + String.join(" ", setup.options());
+        String options = "-Dsandstack.deploy=" + deploy + " " + String.join(" ", setup.jvmOptions());
         run = run.replaceFirst(" --capacity \\S+", ""); // it goes by its own folder
         // the class archive belongs to one jar; without it the relay only starts later
         ProcessBuilder builder = new ProcessBuilder(
@@ -80,32 +80,32 @@
         builder.redirectErrorStream(true)
                 .redirectInput(ProcessBuilder.Redirect.from(Path.of("/dev/null").toFile()));
         process = builder.start();
-        CompletableFuture<Integer> listens = new CompletableFuture<>();
-        Thread reader = new Thread(() -> read(listens), setup.name() + "-log");
+        CompletableFuture<Integer> listeningPort = new CompletableFuture<>();
+        Thread reader = new Thread(() -> readLog(listeningPort), setup.name() + "-log");
         reader.setDaemon(true);
         reader.start();
         try {
-            port = listens.get(START_SECONDS, TimeUnit.SECONDS);
+            port = listeningPort.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
             close();
             throw new IOException("a relay did not start; it said: " + String.join(" | ", log), e);
         }
     }
 
-    private void read(CompletableFuture<Integer> listens) {
+    private void readLog(CompletableFuture<Integer> listeningPort) {
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 log.add(line);
-                Matcher m = LISTENS.matcher(line);
-                if (m.find()) {
-                    listens.complete(Integer.parseInt(m.group(1)));
+                Matcher matcher = LISTENING_LINE.matcher(line);
+                if (matcher.find()) {
+                    listeningPort.complete(Integer.parseInt(matcher.group(1)));
                 }
             }
         } catch (IOException e) {
             log.add("its log broke off: " + e.getMessage());
         }
-        listens.completeExceptionally(new IOException("it ended"));
+        listeningPort.completeExceptionally(new IOException("it ended"));
     }
 
     private static ObjectNode config(Setup setup) throws IOException {
@@ -117,10 +117,10 @@
         ObjectNode root = JSON.createObjectNode()
                 .put("name", setup.name())
                 .put("listen", "127.0.0.1:" + free)
-                .put("discovery", "127.0.0.1:" + setup.discovery())
-                .put("seed", Long.toHexString(7919L * setup.me() + 11));
-        root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", setup.sockets());
-        root.set("known", setup.known());
+                .put("discovery", "127.0.0.1:" + setup.discoveryPort())
+                .put("seed", Long.toHexString(7919L * setup.index() + 11));
+        root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", setup.maxDescriptors());
+        root.set("known", setup.knownEndpoints());
         ObjectNode settings = root.putObject("settings");
         settings.putObject("caps")
                 .put("cancelling", true)
@@ -129,12 +129,12 @@
                 .put("max_retry_after_us", 1_500_000)
                 .put("retry_after", false);
         ArrayNode classes = settings.putArray("classes");
-        for (String name : CLASSES) {
-            boolean tight = name.equals("stock-check");
+        for (String name : REQUEST_CLASSES) {
+            boolean lowLatency = name.equals("stock-check");
             classes.addObject()
                     .put("name", name)
-                    .put("deadline_us", tight ? 1_800_000 : 3_000_000)
-                    .put("goal_time_us", tight ? 300_000 : 500_000)
+                    .put("deadline_us", lowLatency ? 1_800_000 : 3_000_000)
+                    .put("goal_time_us", lowLatency ? 300_000 : 500_000)
                     .put("gain", name.startsWith("cat") ? 1.0 : 5.0)
                     .put("idempotency", "safe")
                     .put("group", "all");
@@ -149,11 +149,11 @@
         settings.putObject("costs").put("cross_zone", 0.1).put("moves", 0.012);
         ObjectNode family =
                 settings.putObject("family_info").put("groups", true).put("mode", "proxy");
-        CLASSES.forEach(name -> family.withArray("message_aim_us").add(150_000.0));
-        settings.put("locality", setup.home())
-                .put("me", setup.me())
+        REQUEST_CLASSES.forEach(name -> family.withArray("message_aim_us").add(150_000.0));
+        settings.put("locality", setup.homeZone())
+                .put("me", setup.index())
                 .put("membership_mode", "on_request")
-                .put("siblings", setup.relays());
+                .put("siblings", setup.relayCount());
         setup.zones().forEach(settings.putArray("zones")::add);
         return root;
     }
@@ -174,7 +174,7 @@
     }
 
     /** Whether its process is there yet. */
-    public boolean alive() {
+    public boolean isAlive() {
         return process.isAlive();
     }
 
@@ -184,8 +184,8 @@
     }
 
     /** Waits until it has ended; false where it has not by then. */
-    public boolean ended(long seconds) throws InterruptedException {
-        return process.waitFor(seconds, TimeUnit.SECONDS);
+    public boolean awaitExit(long timeoutSeconds) throws InterruptedException {
+        return process.waitFor(timeoutSeconds, TimeUnit.SECONDS);
     }
 
     @Override
--- a/src/main/java/sandstack/measure/ScaleCommand.java
+++ b/src/main/java/sandstack/measure/ScaleCommand.java
@@ -63,24 +63,24 @@
 
     @Override
     public Integer call() throws InvalidConfigurationException, IOException, InterruptedException {
-        List<ScaleMeasurement> chosen = chosen();
-        Plan sizes = CapacityFiles.readPlan(plan);
-        long began = System.nanoTime();
-        ScaleRun run = new ScaleRun(quick ? Effort.QUICK : Effort.FULL, this::say);
-        for (ScaleMeasurement measurement : chosen) {
+        List<ScaleMeasurement> selection = selected();
+        Plan plannedSizes = CapacityFiles.readPlan(plan);
+        long startNanos = System.nanoTime();
+        ScaleRun run = new ScaleRun(quick ? Effort.QUICK : Effort.FULL, this::printProgress);
+        for (ScaleMeasurement measurement : selection) {
             run.measure(measurement);
         }
-        ScaleReport report = report(run, (System.nanoTime() - began) / 1e9);
+        ScaleReport report = report(run, (System.nanoTime() - startNanos) / 1e9);
         if (json != null) {
             new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValue(json.toFile(), report);
         }
         PrintWriter out = spec.commandLine().getOut();
-        ScaleTable.lines(report, sizes).forEach(out::println);
+        ScaleTable.lines(report, plannedSizes).forEach(out::println);
         out.flush();
         return report.failures().isEmpty() ? 0 : 1;
     }
 
-    private List<ScaleMeasurement> chosen() {
+    private List<ScaleMeasurement> selected() {
         Path folder = json == null ? null : json.toAbsolutePath().getParent();
         if (folder != null && !Files.isDirectory(folder)) {
             throw new ParameterException(spec.commandLine(), "there is no folder " + folder + " to write to");
@@ -88,14 +88,14 @@
         if (only == null) {
             return measurements;
         }
-        List<ScaleMeasurement> named =
+        List<ScaleMeasurement> matching =
                 measurements.stream().filter(m -> m.name().equals(only)).toList();
-        if (named.isEmpty()) {
+        if (matching.isEmpty()) {
             String names = measurements.stream().map(ScaleMeasurement::name).collect(Collectors.joining(", "));
             throw new ParameterException(
                     spec.commandLine(), "no scale measurement is called " + only + "; there are " + names);
         }
-        return named;
+        return matching;
     }
 
     private ScaleReport report(ScaleRun run, double seconds) throws InterruptedException {
@@ -111,7 +111,7 @@
                 run.failures());
     }
 
-    private void say(String line) {
+    private void printProgress(String line) {
         spec.commandLine().getErr().println(line);
         spec.commandLine().getErr().flush();
     }
--- a/src/main/java/sandstack/measure/ScaleTable.java
+++ b/src/main/java/sandstack/measure/ScaleTable.java
@@ -14,16 +14,16 @@
 
 /** A report as lines for a terminal: each series with its shape, residual and value at the planned size. */
 final class ScaleTable {
-    private static final String LINE = "%-44s %-12s %9s %18s  %s";
+    private static final String ROW_FORMAT = "%-44s %-12s %9s %18s  %s";
 
     private ScaleTable() {}
 
     static List<String> lines(ScaleReport report, Plan plan) {
         List<String> lines = new ArrayList<>();
-        lines.add(String.format(LINE, "series", "shape", "residual", "at planned size", "measured")
+        lines.add(String.format(ROW_FORMAT, "series", "shape", "residual", "at planned size", "measured")
                 .stripTrailing());
         for (Result result : report.results()) {
-            lines.add(line(result, plan));
+            lines.add(row(result, plan));
         }
         for (Failure failure : report.failures()) {
             lines.add("FAILED " + failure.measurement() + ": " + failure.cause());
@@ -37,15 +37,16 @@
         return lines;
     }
 
-    private static String line(Result result, Plan plan) {
+    private static String row(Result result, Plan plan) {
         Series series = result.series();
         Fit fit = result.fit();
-        OptionalDouble planned = plan.sizeOf(series.per());
+        OptionalDouble plannedSize = plan.sizeOf(series.per());
         String shape = fit == null ? "not fitted" : fit.shape().name();
         String residual = fit == null ? "-" : String.format(Locale.ROOT, "%.2f%%", fit.residual() * 100);
-        String figure =
-                fit == null || planned.isEmpty() ? "-" : Quantity.text(fit.at(planned.getAsDouble()), series.unit());
-        return String.format(LINE, series.id(), shape, residual, figure, points(series));
+        String extrapolated = fit == null || plannedSize.isEmpty()
+                ? "-"
+                : Quantity.text(fit.at(plannedSize.getAsDouble()), series.unit());
+        return String.format(ROW_FORMAT, series.id(), shape, residual, extrapolated, points(series));
     }
 
     private static String points(Series series) {
--- a/src/main/java/sandstack/measure/StandInCommand.java
+++ b/src/main/java/sandstack/measure/StandInCommand.java
@@ -42,12 +42,12 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        try (StandInLoop yard = new StandInLoop()) {
-            Discovery discovery = new Discovery(yard, discoveryPort);
+        try (StandInLoop loop = new StandInLoop()) {
+            Discovery discovery = new Discovery(loop, discoveryPort);
             for (int i = 0; i < servers; i++) {
                 FeedServer server =
-                        new FeedServer(yard, "toy-" + (i + 1), "home", Machine.IDLE.holding(cap, false), firstPort + i);
-                yard.run(() -> discovery.list(server, "box", 1, "ready"));
+                        new FeedServer(loop, "toy-" + (i + 1), "home", Machine.IDLE.holding(cap, false), firstPort + i);
+                loop.run(() -> discovery.list(server, "box", 1, "ready"));
             }
             System.out.println(servers + " feed servers from port " + firstPort + ", discovery at " + discoveryPort);
             new CountDownLatch(1).await();
--- a/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
@@ -127,7 +127,7 @@
                             .filter(line -> line.contains("OutOfMemoryError"))
                             .count(),
                     servedAgain,
-                    load.relay().alive());
+                    load.relay().isAlive());
         }
     }
 
@@ -139,7 +139,7 @@
     }
 
     private static long servedAgain(RelayUnderLoad load, ClientPool.Count before) throws InterruptedException {
-        if (!load.relay().alive()) {
+        if (!load.relay().isAlive()) {
             return 0;
         }
         load.yard().run(() -> load.clients().abort(COME_AGAIN));
--- a/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
+++ b/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import sandstack.measure.RelayProcess;
-import sandstack.measure.Site;
+import sandstack.measure.Testbed;
 import sandstack.standin.FeedServer;
 import sandstack.standin.Machine;
 import sandstack.standin.StandInLoop;
@@ -27,7 +27,7 @@
     private static final long POLL_MILLIS = 5;
     private static final long RESET_MILLIS = 200;
 
-    private final Site site;
+    private final Testbed site;
     private final RelayProcess relay;
     private final ClientPool clients;
 
@@ -37,21 +37,21 @@
      * @param options of the relay's virtual machine, after those of {@code run}
      */
     RelayUnderLoad(Path jar, List<String> options) throws IOException {
-        site = new Site(DESCRIPTORS);
+        site = new Testbed(DESCRIPTORS);
         try {
-            site.server("box", 1, Machine.IDLE);
-            site.server("box", 1, Machine.IDLE);
-            site.relays(jar, 1, Map.of(), options);
+            site.addFeedServer("box", 1, Machine.IDLE);
+            site.addFeedServer("box", 1, Machine.IDLE);
+            site.startRelays(jar, 1, Map.of(), options);
         } catch (IOException | RuntimeException e) {
             site.close();
             throw e;
         }
         relay = site.relays().get(0);
-        clients = new ClientPool(site.yard(), relay.port());
+        clients = new ClientPool(site.loop(), relay.port());
     }
 
     StandInLoop yard() {
-        return site.yard();
+        return site.loop();
     }
 
     RelayProcess relay() {
--- a/src/test/java/sandstack/measure/MeasureEstimatorsTest.java
+++ b/src/test/java/sandstack/measure/EstimatorMeasurementTest.java
@@ -8,16 +8,16 @@
 import org.junit.jupiter.api.Test;
 
 /** The comparison of estimators is in simulated time, so it is a test as well. */
-class MeasureEstimatorsTest {
-    private static List<Aim> run(long seed, List<String> said) {
-        return new MeasureEstimators().run(new Measurement.Way(true, Path.of("x.jar"), null, seed), said::add);
+class EstimatorMeasurementTest {
+    private static List<MetricResult> run(long seed, List<String> said) {
+        return new EstimatorMeasurement().run(new Measurement.Options(true, Path.of("x.jar"), null, seed), said::add);
     }
 
     @Test
     void oursKeepsItsAimsAndTheFiguresRepeat() {
         List<String> said = new ArrayList<>();
-        List<Aim> aims = run(1, said);
-        assertThat(aims).as(String.join("\n", said)).allMatch(Aim::held);
+        List<MetricResult> aims = run(1, said);
+        assertThat(aims).as(String.join("\n", said)).allMatch(MetricResult::met);
         List<String> again = new ArrayList<>();
         assertThat(run(1, again)).isEqualTo(aims);
         assertThat(again).isEqualTo(said);
