--- a/src/main/java/sandstack/measure/CheckedOutCommit.java
+++ b/src/main/java/sandstack/measure/CheckedOutCommit.java
@@ -4,14 +4,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** Names the commit that is checked out in the working directory, as git says. */
+/** The commit that is checked out in the working directory, by {@code git describe}. */
 final class CheckedOutCommit {
     private static final String UNKNOWN = "unknown";
     private static final long GIT_TIMEOUT_SECONDS = 5;
 
     private CheckedOutCommit() {}
 
-    /** Such as {@code 6d4714b}, with {@code -dirty} behind it where files differ; {@code unknown} outside a checkout. */
+    /** Such as {@code 6d4714b}, with suffix {@code -dirty} for local changes; {@code unknown} outside a checkout. */
     static String name() throws InterruptedException {
         try {
             Process git = new ProcessBuilder("git", "describe", "--always", "--dirty", "--exclude", "*")
--- a/src/main/java/sandstack/measure/FleetMeasurement.java
+++ b/src/main/java/sandstack/measure/FleetMeasurement.java
@@ -12,24 +12,41 @@
 import sandstack.rig.FleetRig;
 
 /**
- * {@code measure fleet}: how fast members of a fleet of twelve real processes notice that one is killed, cut off or
- * paused, how soon all see the same again, whether anyone is doubted who lives, and what a member costs at several sizes.
- * One thread; a view is asked for each member in turn, so a moment is known to about a tenth of a second.
+ * {@code measure fleet}: failure detection in a fleet of twelve real processes. Measures how fast members detect that one
+ * is killed, partitioned or paused, how soon all views converge again, false suspicions, and the cost of a member at
+ * several fleet sizes. Views are polled member by member on one thread, so times are accurate to about 0.1 s.
  */
 final class FleetMeasurement implements Measurement {
     private static final int MEMBERS = 12;
     private static final double TIMEOUT_SECONDS = 40;
-    /** Clock ticks of the system's process table a second. */
+    /** USER_HZ, the unit of processor times in {@code /proc/PID/stat}. */
     private static final double TICKS_PER_SECOND = 100;
 
-    /** What is done to a member. */
+    /** Fields of {@code /proc/PID/stat} after the command name: time in user mode and in kernel mode. */
+    private static final int USER_TIME = 11;
+
+    private static final int SYSTEM_TIME = 12;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final int ZONES = 3;
+    private static final int ROUNDS = 17;
+    private static final double STEADY_SECONDS = 600;
+    private static final double STEADY_SECONDS_QUICK = 5;
+    private static final long BUSY_NANOS = 1_000_000_000L;
+    private static final long BUSY_PAUSE_MILLIS = 500;
+    private static final long START_UP_MILLIS = 3_000;
+    private static final long COST_MILLIS = 5_000;
+    private static final String ALIVE = "ALIVE";
+    private static final String LOST = "LOST";
+
+    /** The injected fault of a member; CUT partitions it from all others. */
     private enum Fault {
         KILL,
         CUT,
         PAUSE
     }
 
-    /** Times that were measured, in seconds. */
+    /** Measured durations in seconds. */
     private static final class DurationSamples {
         private final List<Double> seconds = new ArrayList<>();
 
@@ -51,33 +68,13 @@
         List<String> program = List.of("-jar", options.jar().toString());
         List<MetricResult> results = new ArrayList<>();
         SplittableRandom random = new SplittableRandom(options.seed());
-        int rounds = options.quick() ? 1 : 17;
-        double observedSeconds = options.quick() ? 5 : 600;
         try (FleetRig rig = startFleet(program, MEMBERS)) {
             for (Fault fault : Fault.values()) {
-                DurationSamples detectionTimes = new DurationSamples();
-                DurationSamples convergenceTimes = new DurationSamples();
-                for (int i = 0; i < rounds; i++) {
-                    convergenceTimes.add(
-                            injectFault(rig, fault, random.nextInt(MEMBERS), detectionTimes, !options.quick()));
-                    progress.onProgress(String.format(
-                            Locale.ROOT,
-                            "%s %d: noticed after %.1f s, equal again after %.1f s",
-                            fault,
-                            i + 1,
-                            detectionTimes.percentile(0.5),
-                            convergenceTimes.seconds.get(i)));
-                }
-                String name = fault.name().toLowerCase(Locale.ROOT);
-                results.add(MetricResult.atMost(name + " noticed, s, p50", detectionTimes.percentile(0.5), 5));
-                results.add(MetricResult.atMost(name + " noticed, s, p99", detectionTimes.percentile(0.99), 8));
-                if (fault != Fault.KILL) {
-                    results.add(MetricResult.atMost(
-                            name + " healed, all equal, s, max", convergenceTimes.percentile(1), 5));
-                }
+                results.addAll(measureFault(rig, fault, random, options.quick(), progress));
             }
+            double seconds = options.quick() ? STEADY_SECONDS_QUICK : STEADY_SECONDS;
             results.add(MetricResult.atMost(
-                    "views that doubt a member that lives", countFalseSuspicions(rig, observedSeconds, progress), 0));
+                    "views that doubt a member that lives", countFalseSuspicions(rig, seconds, progress), 0));
         }
         for (int size : options.quick() ? new int[] {5} : new int[] {5, 20, 100}) {
             progress.onProgress("cost at " + size + " members");
@@ -86,21 +83,49 @@
         return results;
     }
 
+    private static List<MetricResult> measureFault(
+            FleetRig rig, Fault fault, SplittableRandom random, boolean quick, ProgressListener progress)
+            throws IOException {
+        DurationSamples detectionTimes = new DurationSamples();
+        DurationSamples convergenceTimes = new DurationSamples();
+        for (int i = 0; i < (quick ? 1 : ROUNDS); i++) {
+            double convergence = injectFault(rig, fault, random.nextInt(MEMBERS), detectionTimes, !quick);
+            convergenceTimes.add(convergence);
+            progress.onProgress(String.format(
+                    Locale.ROOT,
+                    "%s %d: noticed after %.1f s, equal again after %.1f s",
+                    fault,
+                    i + 1,
+                    detectionTimes.percentile(0.5),
+                    convergence));
+        }
+        String name = fault.name().toLowerCase(Locale.ROOT);
+        List<MetricResult> results = new ArrayList<>();
+        results.add(MetricResult.atMost(name + " noticed, s, p50", detectionTimes.percentile(0.5), 5));
+        results.add(MetricResult.atMost(name + " noticed, s, p99", detectionTimes.percentile(0.99), 8));
+        if (fault != Fault.KILL) {
+            results.add(MetricResult.atMost(name + " healed, all equal, s, max", convergenceTimes.percentile(1), 5));
+        }
+        return results;
+    }
+
     private static FleetRig startFleet(List<String> program, int size) throws IOException {
-        FleetRig rig = new FleetRig(program, size, 3);
+        FleetRig rig = new FleetRig(program, size, ZONES);
         rig.startAll();
         if (FleetRig.until(rig::allAlive, TIMEOUT_SECONDS + size) < 0) {
             String logs = rig.logs();
             rig.close();
-            throw new IOException("a fleet of " + size + " did not see itself whole; it said: " + logs);
+            throw new IOException("a fleet of " + size + " did not form a complete view; its logs: " + logs);
         }
         return rig;
     }
 
     /**
-     * One fault of one member; returns the seconds from its end until all see all alive.
+     * Injects a fault, waits for its detection, ends it and waits until all members see all others alive.
      *
-     * @param untilLost it lasts until the member is given up, and not only until it is noticed
+     * @param detectionTimes receives the time until detection at each other member
+     * @param untilLost whether the fault lasts until the member is declared lost, not only until it is suspected
+     * @return seconds from the end of the fault until convergence; infinite after a timeout
      */
     private static double injectFault(
             FleetRig rig, Fault fault, int victim, DurationSamples detectionTimes, boolean untilLost)
@@ -110,6 +135,20 @@
             case PAUSE -> rig.pause(victim);
             default -> setPartitioned(rig, victim, true);
         }
+        awaitDetection(rig, victim, detectionTimes);
+        int observer = (victim + 1) % rig.size();
+        FleetRig.until(
+                () -> !untilLost || LOST.equals(rig.standings(observer).get(FleetRig.name(victim))), TIMEOUT_SECONDS);
+        switch (fault) {
+            case KILL -> rig.start(victim);
+            case PAUSE -> rig.resume(victim);
+            default -> setPartitioned(rig, victim, false);
+        }
+        long micros = FleetRig.until(rig::allAlive, TIMEOUT_SECONDS);
+        return micros < 0 ? Double.POSITIVE_INFINITY : micros / MICROS_PER_SECOND;
+    }
+
+    private static void awaitDetection(FleetRig rig, int victim, DurationSamples detectionTimes) {
         long startNanos = System.nanoTime();
         boolean[] detected = new boolean[rig.size()];
         detected[victim] = true;
@@ -117,30 +156,20 @@
                 () -> {
                     boolean all = true;
                     for (int i = 0; i < rig.size(); i++) {
-                        if (!detected[i]) {
-                            Map<String, String> statuses = rig.standings(i);
-                            detected[i] = statuses != null && !"ALIVE".equals(statuses.get(FleetRig.name(victim)));
-                            if (detected[i]) {
-                                detectionTimes.add((System.nanoTime() - startNanos) / 1e9);
-                            }
+                        if (!detected[i] && detects(rig, i, victim)) {
+                            detected[i] = true;
+                            detectionTimes.add((System.nanoTime() - startNanos) / NANOS_PER_SECOND);
                         }
                         all &= detected[i];
                     }
                     return all;
                 },
                 TIMEOUT_SECONDS);
-        FleetRig.until(
-                () -> !untilLost
-                        || "LOST"
-                                .equals(rig.standings((victim + 1) % rig.size()).get(FleetRig.name(victim))),
-                TIMEOUT_SECONDS);
-        switch (fault) {
-            case KILL -> rig.start(victim);
-            case PAUSE -> rig.resume(victim);
-            default -> setPartitioned(rig, victim, false);
-        }
-        long micros = FleetRig.until(rig::allAlive, TIMEOUT_SECONDS);
-        return micros < 0 ? Double.POSITIVE_INFINITY : micros / 1e6;
+    }
+
+    private static boolean detects(FleetRig rig, int observer, int victim) {
+        Map<String, String> statuses = rig.standings(observer);
+        return statuses != null && !ALIVE.equals(statuses.get(FleetRig.name(victim)));
     }
 
     private static void setPartitioned(FleetRig rig, int member, boolean partitioned) {
@@ -153,44 +182,48 @@
         }
     }
 
-    /** Counts views that call anyone other than alive while nobody is harmed, and a core is taken now and then. */
+    /** Counts entries of views that are not alive, while no fault is injected but one core is kept busy at times. */
     private static double countFalseSuspicions(FleetRig rig, double seconds, ProgressListener progress)
             throws InterruptedException {
-        long endNanos = System.nanoTime() + (long) (seconds * 1e9);
+        long endNanos = System.nanoTime() + (long) (seconds * NANOS_PER_SECOND);
         int suspicions = 0;
         while (System.nanoTime() < endNanos) {
-            Thread busyThread = new Thread(() -> {
-                long end = System.nanoTime() + 1_000_000_000L;
-                while (System.nanoTime() < end) {
-                    Thread.onSpinWait();
-                }
-            });
+            Thread busyThread = new Thread(FleetMeasurement::spin);
             busyThread.start();
             for (int i = 0; i < rig.size(); i++) {
                 Map<String, String> statuses = rig.standings(i);
-                suspicions += statuses == null
-                        ? 0
-                        : (int) statuses.values().stream()
-                                .filter(s -> !s.equals("ALIVE"))
-                                .count();
+                suspicions += statuses == null ? 0 : countNotAlive(statuses);
             }
             busyThread.join();
-            Thread.sleep(500);
+            Thread.sleep(BUSY_PAUSE_MILLIS);
         }
         progress.onProgress(suspicions + " doubts in " + seconds + " s");
         return suspicions;
     }
 
+    private static void spin() {
+        long end = System.nanoTime() + BUSY_NANOS;
+        while (System.nanoTime() < end) {
+            Thread.onSpinWait();
+        }
+    }
+
+    private static int countNotAlive(Map<String, String> statuses) {
+        return (int) statuses.values().stream()
+                .filter(status -> !status.equals(ALIVE))
+                .count();
+    }
+
     private static void measureMemberCost(List<String> program, int size, List<MetricResult> results)
             throws IOException, InterruptedException {
         try (FleetRig rig = startFleet(program, size)) {
-            // what a start costs is over
-            Thread.sleep(3_000);
+            // lets the load of the start pass
+            Thread.sleep(START_UP_MILLIS);
             long bytesBefore = rig.bytes();
             double processorSecondsBefore = processorSeconds(rig);
             long startNanos = System.nanoTime();
-            Thread.sleep(5_000);
-            double seconds = (System.nanoTime() - startNanos) / 1e9;
+            Thread.sleep(COST_MILLIS);
+            double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
             String suffix = ", " + size + " members";
             results.add(MetricResult.informational(
                     "bytes sent a second and member" + suffix, (rig.bytes() - bytesBefore) / seconds / size));
@@ -203,18 +236,18 @@
         }
     }
 
-    /** Processor seconds of all members so far. */
+    /** Processor time of all members since their starts, in seconds. */
     private static double processorSeconds(FleetRig rig) throws IOException {
         double ticks = 0;
         for (int i = 0; i < rig.size(); i++) {
             String stat = Files.readString(Path.of("/proc/" + rig.pid(i) + "/stat"));
-            String[] words = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            ticks += Long.parseLong(words[11]) + Long.parseLong(words[12]);
+            String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+            ticks += Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]);
         }
         return ticks / TICKS_PER_SECOND;
     }
 
-    /** The mean of one line of the system's figures of a process. */
+    /** The mean over all members of a field of {@code /proc/PID/status}. */
     private static double meanOfStatusField(FleetRig rig, String field) throws IOException {
         double sum = 0;
         for (int i = 0; i < rig.size(); i++) {
--- a/src/main/java/sandstack/measure/MeasureCommand.java
+++ b/src/main/java/sandstack/measure/MeasureCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Spec;
 import sandstack.measure.page.CapacityPageCommand;
 
-/** {@code measure NAME}: exits 0 only if all aims hold. */
+/** {@code measure NAME}: prints the metrics of one measurement; exits 0 only if all targets are met. */
 @Command(
         name = "measure",
         description = "Starts real relays and stand-ins on loopback and measures one matter.",
--- a/src/main/java/sandstack/measure/OpenCommand.java
+++ b/src/main/java/sandstack/measure/OpenCommand.java
@@ -19,20 +19,21 @@
 import sandstack.config.PlatformConfig.Address;
 
 /**
- * {@code open}: one connection by hand. Asks a relay as a client does, waits for the answer before it says a word, then
- * sends each word as a line and prints what comes back. Blocks on one socket; ends when every word is answered, with 0
- * where the connection stood, 1 where it was refused, failed or broke off.
+ * {@code open}: opens one connection through a relay as a client does, sends each argument as a line and prints the
+ * answers. Blocks on one socket. Exits 0 after all lines were answered, 1 if the connection was rejected, failed or closed.
  */
 @Command(
         name = "open",
         description = "Opens one connection through a relay, sends lines and prints the answers.",
         mixinStandardHelpOptions = true)
 public final class OpenCommand implements Callable<Integer> {
-    /** Longer lines are not the protocol's. */
+    /** The longest line of the protocol. */
     private static final int MAX_LINE_BYTES = 4096;
-    /** What a feed server tells of a connection's load is no answer; one that tells nothing else is not listened to. */
+    /** Load reports are skipped while an answer is awaited, up to this many. */
     private static final int MAX_LOAD_REPORTS = 100;
 
+    private static final int ANSWER_MARGIN_MILLIS = 500;
+
     @Spec
     private CommandSpec spec;
 
@@ -80,8 +81,8 @@
                 + timeoutMillis + ",g=" + group;
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress(address.host(), address.port()), timeoutMillis);
-            // the relay answers within the client's time; this end waits a little longer to hear it
-            socket.setSoTimeout(timeoutMillis + 500);
+            // the relay answers within the deadline; the margin covers the way back
+            socket.setSoTimeout(timeoutMillis + ANSWER_MARGIN_MILLIS);
             BufferedReader in = new BufferedReader(
                     new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1), MAX_LINE_BYTES);
             String answer = exchange(socket, in, openLine);
@@ -96,7 +97,7 @@
         }
     }
 
-    /** Sends a line and prints the one that comes back; null where the connection ended, or is to move. */
+    /** Sends a line and prints the answer; returns null if the connection was closed or the relay asked to migrate. */
     private String exchange(Socket socket, BufferedReader in, String line) throws IOException {
         socket.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.UTF_8));
         String answer = in.readLine();
--- a/src/main/java/sandstack/measure/RelayProcess.java
+++ b/src/main/java/sandstack/measure/RelayProcess.java
@@ -6,6 +6,8 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
+import java.net.InetAddress;
+import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -23,8 +25,8 @@
 import java.util.stream.Stream;
 
 /**
- * A real relay in a process of its own, started as {@code run} of deploy/balancer.toml says, with a configuration and
- * a deploy folder of its own in a temporary folder. One thread reads what it logs.
+ * A relay in a process of its own, started with the command {@code run} of deploy/balancer.toml, with its configuration
+ * and its deploy folder in a temporary folder. A daemon thread reads its log.
  */
 public final class RelayProcess implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -33,13 +35,16 @@
     private static final List<String> REQUEST_CLASSES = List.of("order-status", "catalogue-feed", "stock-check");
 
     /**
-     * What a relay is told.
+     * The configuration of a relay.
      *
+     * @param index among the relays, from zero
+     * @param relayCount number of relays
      * @param zones names of all zones
-     * @param homeZone position of its own
-     * @param knownEndpoints the list of feed servers that it starts with
-     * @param deployFiles the files of its deploy folder: names and texts
-     * @param jvmOptions of the virtual machine, after those of {@code run}
+     * @param homeZone index of the relay's own zone
+     * @param knownEndpoints the endpoint list that it starts with
+     * @param maxDescriptors limit of file descriptors in its configuration
+     * @param deployFiles names and contents of the files in its deploy folder
+     * @param jvmOptions appended to those of {@code run}
      */
     public record Setup(
             String name,
@@ -61,35 +66,41 @@
     /** Starts a relay from this jar and waits until it listens. */
     public RelayProcess(Path jar, Setup setup) throws IOException {
         folder = Files.createTempDirectory("sandstack-relay");
+        process = processBuilder(jar, setup).start();
+        CompletableFuture<Integer> listeningPort = new CompletableFuture<>();
+        Thread reader = new Thread(() -> readLog(listeningPort), setup.name() + "-log");
+        reader.setDaemon(true);
+        reader.start();
+        try {
+            port = listeningPort.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        } catch (InterruptedException | ExecutionException | TimeoutException e) {
+            close();
+            throw new IOException("a relay did not start; it logged: " + String.join(" | ", log), e);
+        }
+    }
+
+    private ProcessBuilder processBuilder(Path jar, Setup setup) throws IOException {
         Path deploy = Files.createDirectory(folder.resolve("deploy"));
         for (Map.Entry<String, String> file : setup.deployFiles().entrySet()) {
             Files.writeString(deploy.resolve(file.getKey()), file.getValue());
         }
         Path config =
                 Files.writeString(folder.resolve("config.json"), config(setup).toString());
-        String run = RunCommand.read();
-        String options = "-Dsandstack.deploy=" + deploy + " " + String.join(" ", setup.jvmOptions());
-        run = run.replaceFirst(" --capacity \\S+", ""); // it goes by its own folder
-        // the class archive belongs to one jar; without it the relay only starts later
-        ProcessBuilder builder = new ProcessBuilder(
-                "/bin/sh", "-c", run.replace("-jar target/sandstack.jar", options + " -jar " + jar.toAbsolutePath()));
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command(jar, deploy, setup));
         builder.environment().put("PROXY_CONFIG", config.toString());
         for (String variable : List.of("PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY")) {
             builder.environment().remove(variable);
         }
-        builder.redirectErrorStream(true)
+        return builder.redirectErrorStream(true)
                 .redirectInput(ProcessBuilder.Redirect.from(Path.of("/dev/null").toFile()));
-        process = builder.start();
-        CompletableFuture<Integer> listeningPort = new CompletableFuture<>();
-        Thread reader = new Thread(() -> readLog(listeningPort), setup.name() + "-log");
-        reader.setDaemon(true);
-        reader.start();
-        try {
-            port = listeningPort.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        } catch (InterruptedException | ExecutionException | TimeoutException e) {
-            close();
-            throw new IOException("a relay did not start; it said: " + String.join(" | ", log), e);
-        }
+    }
+
+    private static String command(Path jar, Path deploy, Setup setup) throws IOException {
+        String options = "-Dsandstack.deploy=" + deploy + " " + String.join(" ", setup.jvmOptions());
+        // the relay reads stated capacities from its own deploy folder
+        String run = RunCommand.read().replaceFirst(" --capacity \\S+", "");
+        // the class data archive fits one jar only; a relay of another jar starts without it
+        return run.replace("-jar target/sandstack.jar", options + " -jar " + jar.toAbsolutePath());
     }
 
     private void readLog(CompletableFuture<Integer> listeningPort) {
@@ -103,25 +114,32 @@
                 }
             }
         } catch (IOException e) {
-            log.add("its log broke off: " + e.getMessage());
+            log.add("reading the log failed: " + e.getMessage());
         }
-        listeningPort.completeExceptionally(new IOException("it ended"));
+        listeningPort.completeExceptionally(new IOException("the relay exited"));
     }
 
     private static ObjectNode config(Setup setup) throws IOException {
-        // a free port of the system's choice; builds that cannot say which they got are told one
-        int free;
-        try (java.net.ServerSocket probe = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
-            free = probe.getLocalPort();
-        }
         ObjectNode root = JSON.createObjectNode()
                 .put("name", setup.name())
-                .put("listen", "127.0.0.1:" + free)
+                .put("listen", "127.0.0.1:" + freePort())
                 .put("discovery", "127.0.0.1:" + setup.discoveryPort())
                 .put("seed", Long.toHexString(7919L * setup.index() + 11));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", setup.maxDescriptors());
         root.set("known", setup.knownEndpoints());
-        ObjectNode settings = root.putObject("settings");
+        root.set("settings", settings(setup));
+        return root;
+    }
+
+    /** A free port of the system's choice; older builds cannot report which port they got for port 0. */
+    private static int freePort() throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
+        }
+    }
+
+    private static ObjectNode settings(Setup setup) {
+        ObjectNode settings = JSON.createObjectNode();
         settings.putObject("caps")
                 .put("cancelling", true)
                 .put("connect_timeout_us", 100_000)
@@ -129,16 +147,7 @@
                 .put("max_retry_after_us", 1_500_000)
                 .put("retry_after", false);
         ArrayNode classes = settings.putArray("classes");
-        for (String name : REQUEST_CLASSES) {
-            boolean lowLatency = name.equals("stock-check");
-            classes.addObject()
-                    .put("name", name)
-                    .put("deadline_us", lowLatency ? 1_800_000 : 3_000_000)
-                    .put("goal_time_us", lowLatency ? 300_000 : 500_000)
-                    .put("gain", name.startsWith("cat") ? 1.0 : 5.0)
-                    .put("idempotency", "safe")
-                    .put("group", "all");
-        }
+        REQUEST_CLASSES.forEach(name -> addRequestClass(classes, name));
         settings.putObject("contract")
                 .put("ask_every_us", 10_000_000)
                 .put("cold_from", 0.13)
@@ -155,35 +164,46 @@
                 .put("membership_mode", "on_request")
                 .put("siblings", setup.relayCount());
         setup.zones().forEach(settings.putArray("zones")::add);
-        return root;
+        return settings;
+    }
+
+    private static void addRequestClass(ArrayNode classes, String name) {
+        boolean lowLatency = name.equals("stock-check");
+        classes.addObject()
+                .put("name", name)
+                .put("deadline_us", lowLatency ? 1_800_000 : 3_000_000)
+                .put("goal_time_us", lowLatency ? 300_000 : 500_000)
+                .put("gain", name.startsWith("cat") ? 1.0 : 5.0)
+                .put("idempotency", "safe")
+                .put("group", "all");
     }
 
-    /** The port at which it listens for lines. */
+    /** The port on which it accepts clients. */
     public int port() {
         return port;
     }
 
-    /** What it has logged, oldest first. */
+    /** Its log lines so far, oldest first. */
     public List<String> log() {
         return List.copyOf(log);
     }
 
-    /** The number of its process. */
+    /** The id of its process. */
     public long pid() {
         return process.pid();
     }
 
-    /** Whether its process is there yet. */
+    /** Whether its process is running. */
     public boolean isAlive() {
         return process.isAlive();
     }
 
-    /** Asks it to stop, as the platform does. */
+    /** Sends SIGTERM, as the platform does. */
     public void stop() {
         process.destroy();
     }
 
-    /** Waits until it has ended; false where it has not by then. */
+    /** Waits for the process to exit; returns false after the timeout. */
     public boolean awaitExit(long timeoutSeconds) throws InterruptedException {
         return process.waitFor(timeoutSeconds, TimeUnit.SECONDS);
     }
@@ -195,7 +215,7 @@
             files.sorted(Comparator.reverseOrder())
                     .forEach(file -> file.toFile().delete());
         } catch (IOException e) {
-            // a temporary folder that stays does no harm
+            // a leftover temporary folder is harmless
         }
     }
 }
--- a/src/main/java/sandstack/measure/ScaleCommand.java
+++ b/src/main/java/sandstack/measure/ScaleCommand.java
@@ -24,7 +24,7 @@
 import sandstack.measure.scale.ScaleReport;
 import sandstack.measure.scale.ScaleRun;
 
-/** {@code measure scale}: how costs grow with size; exits 0 only if every measurement could be made. */
+/** {@code measure scale}: measures how costs grow with size; exits 0 only if no measurement failed. */
 @Command(
         name = "scale",
         description = "Measures how costs grow with size, fits a shape to each series and tells what it comes to at the"
@@ -52,7 +52,7 @@
             description = "The planned sizes (default: ${DEFAULT-VALUE}).")
     private Path plan;
 
-    /** Runs all measurements that there are. */
+    /** Runs all measurements. */
     public ScaleCommand() {
         this(ScaleMeasurements.all());
     }
--- a/src/main/java/sandstack/measure/ScaleMeasurements.java
+++ b/src/main/java/sandstack/measure/ScaleMeasurements.java
@@ -14,11 +14,11 @@
 import sandstack.measure.scale.hollow.RealFleetScale;
 import sandstack.measure.scale.storm.StormScale;
 
-/** All measurements that {@code measure scale} runs, in this order; a new one is added here. */
+/** The measurements of {@code measure scale}, in the order in which they run. */
 final class ScaleMeasurements {
     private ScaleMeasurements() {}
 
-    /** One of each; cheap to make, as nothing starts before it measures. */
+    /** New instances of all measurements; none starts anything before it measures. */
     static List<ScaleMeasurement> all() {
         return List.of(
                 new DecisionScale(),
--- a/src/main/java/sandstack/measure/StandInCommand.java
+++ b/src/main/java/sandstack/measure/StandInCommand.java
@@ -10,7 +10,7 @@
 import sandstack.standin.Machine;
 import sandstack.standin.StandInLoop;
 
-/** {@code standin}: feed servers and a discovery on this terminal, to try a relay by hand. Ends at an interrupt. */
+/** {@code standin}: runs stand-in feed servers and a stand-in discovery on loopback until interrupted. */
 @Command(
         name = "standin",
         description = "Stand-in feed servers and a discovery on loopback, to try a relay by hand.",
--- a/src/main/java/sandstack/measure/package-info.java
+++ b/src/main/java/sandstack/measure/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Measurements that are commands: each starts real relays and stand-ins, prints a table and says whether its aims
- * hold. The commands to try a relay by hand are here too: stand-ins on this terminal, and one connection. Owns the relay
- * processes that it starts; uses {@code standin} and {@code config}, and nothing uses it but the command line.
+ * Benchmarks as commands. Each starts relay processes and stand-ins on loopback, measures, prints the metrics and checks
+ * them against targets. Also the commands that run stand-ins or one connection by hand. Owns the relay processes that it
+ * starts; only the command line depends on this package.
  */
 package sandstack.measure;
