--- a/src/main/java/sandstack/measure/ScaleTable.java
+++ b/src/main/java/sandstack/measure/ScaleTable.java
@@ -45,14 +45,14 @@
         String residual = fit == null ? "-" : String.format(Locale.ROOT, "%.2f%%", fit.residual() * 100);
         String extrapolated = fit == null || plannedSize.isEmpty()
                 ? "-"
-                : Quantity.text(fit.at(plannedSize.getAsDouble()), series.unit());
+                : Quantity.format(fit.at(plannedSize.getAsDouble()), series.unit());
         return String.format(ROW_FORMAT, series.id(), shape, residual, extrapolated, points(series));
     }
 
     private static String points(Series series) {
         List<String> points = new ArrayList<>();
         for (Series.Point point : series.points()) {
-            points.add(Quantity.plain(point.size()) + ": " + Quantity.text(point.value(), series.unit()));
+            points.add(Quantity.formatNumber(point.size()) + ": " + Quantity.format(point.value(), series.unit()));
         }
         return String.join(", ", points) + " by " + series.per();
     }
--- a/src/main/java/sandstack/measure/page/BreakingPoint.java
+++ b/src/main/java/sandstack/measure/page/BreakingPoint.java
@@ -3,28 +3,28 @@
 import java.util.OptionalDouble;
 import sandstack.config.InvalidConfigurationException;
 
-/** The smallest size at which a cost exceeds its budget at some occasion, all other numbers as planned. */
+/** Finds the size from which a cost exceeds its budget in some scenario, with all other numbers as planned. */
 final class BreakingPoint {
-    private static final int HALVINGS = 40;
+    private static final int BISECTION_STEPS = 40;
 
     private final Plan plan;
-    private final Slopes slopes;
+    private final CostModels costModels;
 
-    BreakingPoint(Plan plan, Slopes slopes) {
+    BreakingPoint(Plan plan, CostModels costModels) {
         this.plan = plan;
-        this.slopes = slopes;
+        this.costModels = costModels;
     }
 
-    /** Empty where the planned size is within the budget, or a size of one exceeds it already. */
-    OptionalDouble of(Slope slope) throws InvalidConfigurationException {
+    /** The largest size within the budget; empty if the planned size is within it, or a size of one exceeds it. */
+    OptionalDouble find(CostModel costModel) throws InvalidConfigurationException {
         double within = 1;
-        double beyond = slope.size();
-        if (exceeds(slope, within) || !exceeds(slope, beyond)) {
+        double beyond = costModel.size();
+        if (exceeds(costModel, within) || !exceeds(costModel, beyond)) {
             return OptionalDouble.empty();
         }
-        for (int i = 0; i < HALVINGS; i++) {
+        for (int i = 0; i < BISECTION_STEPS; i++) {
             double middle = Math.sqrt(within * beyond);
-            if (exceeds(slope, middle)) {
+            if (exceeds(costModel, middle)) {
                 beyond = middle;
             } else {
                 within = middle;
@@ -33,9 +33,9 @@
         return OptionalDouble.of(within);
     }
 
-    private boolean exceeds(Slope slope, double size) throws InvalidConfigurationException {
-        Plan other = plan.withSize(slope.per(), size);
-        Slopes reckoned = Reckoning.of("at another size", other, slopes);
-        return reckoned.find(slope.id()).orElseThrow().worstNeedOverHave() > 1;
+    private boolean exceeds(CostModel costModel, double size) throws InvalidConfigurationException {
+        Plan other = plan.withSize(costModel.per(), size);
+        CostModels evaluated = CostModelEvaluator.evaluateAll("at another size", other, costModels);
+        return evaluated.find(costModel.id()).orElseThrow().maxUtilization() > 1;
     }
 }
--- a/src/main/java/sandstack/measure/page/CapacityFiles.java
+++ b/src/main/java/sandstack/measure/page/CapacityFiles.java
@@ -16,19 +16,19 @@
 import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.scale.ScaleReport;
 
-/** Reads and writes the JSON files behind the page; what is wrong is told in one line: file, key, value. */
+/** Reads and writes the JSON files of the capacity page; errors state file, key and value in one line. */
 public final class CapacityFiles {
-    /** Where the planning numbers are, from the root of the repository. */
+    /** The planning numbers, relative to the root of the repository. */
     public static final String PLAN = "docs/capacity/plan.json";
 
-    /** Where the slopes are. */
-    static final String SLOPES = "docs/capacity/slopes.json";
+    /** The cost models. */
+    static final String COST_MODELS = "docs/capacity/slopes.json";
 
-    /** The page. */
+    /** The page whose tables are generated. */
     static final String PAGE = "docs/CAPACITY.md";
 
-    private static final long LARGEST = 4_000_000;
-    private static final int LONGEST_VALUE = 80;
+    private static final long MAX_FILE_BYTES = 4_000_000;
+    private static final int MAX_VALUE_CHARACTERS = 80;
     private static final ObjectMapper JSON = JsonMapper.builder()
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
@@ -36,37 +36,38 @@
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
             .build();
 
-    /** Keys may be missing where the checks behind it allow that. */
-    private static final ObjectMapper KEYS_MAY_MISS =
+    /** Accepts missing keys; the validators report those that are required. */
+    private static final ObjectMapper LENIENT_JSON =
             JSON.copy().disable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
 
     private CapacityFiles() {}
 
-    /** Reads planning numbers and checks them. */
+    /** Reads and validates the planning numbers. */
     public static Plan readPlan(Path file) throws InvalidConfigurationException {
-        Plan plan = read(KEYS_MAY_MISS, file, Plan.class);
-        PlanCheck.check(file.toString(), plan);
+        Plan plan = read(LENIENT_JSON, file, Plan.class);
+        PlanValidator.validate(file.toString(), plan);
         return plan;
     }
 
-    /** Reads slopes; that they agree with themselves is {@link SlopeCheck}'s. */
-    static Slopes readSlopes(Path file) throws InvalidConfigurationException {
-        return read(KEYS_MAY_MISS, file, Slopes.class);
+    /** Reads cost models without validating them; see {@link CostModelValidator}. */
+    static CostModels readCostModels(Path file) throws InvalidConfigurationException {
+        return read(LENIENT_JSON, file, CostModels.class);
     }
 
-    /** Reads what a run of {@code measure scale} wrote. */
+    /** Reads a report of {@code measure scale}. */
     static ScaleReport readReport(Path file) throws InvalidConfigurationException {
         return read(JSON, file, ScaleReport.class);
     }
 
-    static void writeSlopes(Path file, Slopes slopes) throws IOException {
+    /** Writes cost models in the format of the repository. */
+    static void writeCostModels(Path file, CostModels costModels) throws IOException {
         DefaultPrettyPrinter printer = new DefaultPrettyPrinter();
         printer.indentObjectsWith(new DefaultIndenter("  ", "\n"));
-        Files.writeString(file, JSON.writer(printer).writeValueAsString(slopes) + "\n");
+        Files.writeString(file, JSON.writer(printer).writeValueAsString(costModels) + "\n");
     }
 
     private static <T> T read(ObjectMapper mapper, Path file, Class<T> type) throws InvalidConfigurationException {
-        JsonNode tree = tree(file);
+        JsonNode tree = readTree(file);
         try {
             T read = mapper.treeToValue(tree, type);
             if (read == null) {
@@ -74,21 +75,21 @@
             }
             return read;
         } catch (JsonMappingException e) {
-            throw new InvalidConfigurationException(
-                    file + ": " + key(e) + ": " + shortened(value(tree, e)) + ": " + firstLine(e.getOriginalMessage()));
+            throw new InvalidConfigurationException(file + ": " + keyPath(e) + ": " + abbreviated(valueAt(tree, e))
+                    + ": " + firstLine(e.getOriginalMessage()));
         } catch (JsonProcessingException e) {
             throw new InvalidConfigurationException(file + ": " + firstLine(e.getOriginalMessage()));
         }
     }
 
-    /** Reads the page as it is. */
+    /** Reads the page. */
     static String readPage(Path file) throws InvalidConfigurationException {
-        return new String(bytes(file), StandardCharsets.UTF_8);
+        return new String(readBytes(file), StandardCharsets.UTF_8);
     }
 
-    private static JsonNode tree(Path file) throws InvalidConfigurationException {
+    private static JsonNode readTree(Path file) throws InvalidConfigurationException {
         try {
-            return JSON.readTree(bytes(file));
+            return JSON.readTree(readBytes(file));
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
             throw new InvalidConfigurationException(file + ": line " + line + ": " + firstLine(e.getOriginalMessage()));
@@ -97,14 +98,14 @@
         }
     }
 
-    private static byte[] bytes(Path file) throws InvalidConfigurationException {
+    private static byte[] readBytes(Path file) throws InvalidConfigurationException {
         try {
             if (!Files.isRegularFile(file)) {
                 throw new InvalidConfigurationException(file + ": there is no such file");
             }
-            if (Files.size(file) > LARGEST) {
+            if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new InvalidConfigurationException(
-                        file + ": has " + Files.size(file) + " bytes, " + LARGEST + " at most");
+                        file + ": has " + Files.size(file) + " bytes, " + MAX_FILE_BYTES + " at most");
             }
             return Files.readAllBytes(file);
         } catch (IOException e) {
@@ -113,29 +114,31 @@
     }
 
     /** Such as {@code slopes[3].shape}. */
-    private static String key(JsonMappingException wrong) {
+    private static String keyPath(JsonMappingException exception) {
         StringBuilder key = new StringBuilder();
-        for (JsonMappingException.Reference step : wrong.getPath()) {
-            if (step.getFieldName() == null) {
-                key.append('[').append(step.getIndex()).append(']');
+        for (JsonMappingException.Reference reference : exception.getPath()) {
+            if (reference.getFieldName() == null) {
+                key.append('[').append(reference.getIndex()).append(']');
             } else {
-                key.append(key.length() == 0 ? "" : ".").append(step.getFieldName());
+                key.append(key.length() == 0 ? "" : ".").append(reference.getFieldName());
             }
         }
         return key.length() == 0 ? "(root)" : key.toString();
     }
 
-    private static JsonNode value(JsonNode tree, JsonMappingException wrong) {
-        JsonNode at = tree;
-        for (JsonMappingException.Reference step : wrong.getPath()) {
-            at = step.getFieldName() == null ? at.path(step.getIndex()) : at.path(step.getFieldName());
+    private static JsonNode valueAt(JsonNode tree, JsonMappingException exception) {
+        JsonNode node = tree;
+        for (JsonMappingException.Reference reference : exception.getPath()) {
+            node = reference.getFieldName() == null
+                    ? node.path(reference.getIndex())
+                    : node.path(reference.getFieldName());
         }
-        return at;
+        return node;
     }
 
-    private static String shortened(JsonNode value) {
+    private static String abbreviated(JsonNode value) {
         String text = value.isMissingNode() ? "missing" : value.toString();
-        return text.length() <= LONGEST_VALUE ? text : text.substring(0, LONGEST_VALUE) + "...";
+        return text.length() <= MAX_VALUE_CHARACTERS ? text : text.substring(0, MAX_VALUE_CHARACTERS) + "...";
     }
 
     private static String firstLine(String text) {
--- a/src/main/java/sandstack/measure/page/CapacityPageCommand.java
+++ b/src/main/java/sandstack/measure/page/CapacityPageCommand.java
@@ -13,10 +13,11 @@
 import picocli.CommandLine.Spec;
 import sandstack.config.InvalidConfigurationException;
 
-/** {@code measure capacity-page}: writes the tables of the page, or checks them; exits 1 where they differ. */
+/** {@code measure capacity-page}: writes or checks the generated tables of the page; exits 1 if a check finds a difference. */
 @Command(
         name = "capacity-page",
-        description = "Writes the tables of docs/CAPACITY.md from the planning numbers and slopes in docs/capacity.",
+        description =
+                "Writes the tables of docs/CAPACITY.md from the planning numbers and cost models in docs/capacity.",
         mixinStandardHelpOptions = true)
 public final class CapacityPageCommand implements Callable<Integer> {
     @Spec
@@ -28,11 +29,12 @@
     @Option(
             names = "--take",
             paramLabel = "FILE",
-            description = "First put the series of this file of measure scale into the slopes; may be given again.")
-    private List<Path> taken = new ArrayList<>();
+            description =
+                    "First put the series of this file of measure scale into the cost models; may be given again.")
+    private List<Path> reports = new ArrayList<>();
 
-    @Option(names = "--reckon", description = "First work out anew the figures of the slopes that follow from others.")
-    private boolean reckon;
+    @Option(names = "--reckon", description = "First evaluate all derived figures of the cost models anew.")
+    private boolean evaluate;
 
     @Option(
             names = "--root",
@@ -43,38 +45,40 @@
 
     @Override
     public Integer call() throws InvalidConfigurationException, IOException {
-        if (check && (reckon || !taken.isEmpty())) {
+        if (check && (evaluate || !reports.isEmpty())) {
             throw new ParameterException(spec.commandLine(), "--check writes nothing; --take and --reckon do");
         }
         Plan plan = CapacityFiles.readPlan(root.resolve(CapacityFiles.PLAN));
-        Path slopesFile = root.resolve(CapacityFiles.SLOPES);
-        Slopes slopes = CapacityFiles.readSlopes(slopesFile);
-        if (reckon || !taken.isEmpty()) {
-            slopes = renewed(slopesFile, plan, slopes);
+        Path costModelFile = root.resolve(CapacityFiles.COST_MODELS);
+        CostModels costModels = CapacityFiles.readCostModels(costModelFile);
+        if (evaluate || !reports.isEmpty()) {
+            costModels = updated(costModelFile, plan, costModels);
         }
-        SlopeCheck.check(slopesFile.toString(), plan, slopes);
-        return page(plan, slopes);
+        CostModelValidator.validate(costModelFile.toString(), plan, costModels);
+        return writeOrCheckPage(plan, costModels);
     }
 
-    private Slopes renewed(Path file, Plan plan, Slopes before) throws InvalidConfigurationException, IOException {
-        Slopes slopes = before;
-        for (Path report : taken) {
-            TakenReport put = TakenReport.of(plan, slopes, CapacityFiles.readReport(report));
-            slopes = put.slopes();
-            put.passedOver().forEach(id -> say("not on the page: " + id));
+    private CostModels updated(Path file, Plan plan, CostModels before)
+            throws InvalidConfigurationException, IOException {
+        CostModels costModels = before;
+        for (Path report : reports) {
+            ReportMerge merge = ReportMerge.merge(plan, costModels, CapacityFiles.readReport(report));
+            costModels = merge.costModels();
+            merge.ignoredSeries().forEach(id -> printError("not on the page: " + id));
         }
-        slopes = Reckoning.of(file.toString(), plan, slopes);
-        CapacityFiles.writeSlopes(file, slopes);
-        return slopes;
+        costModels = CostModelEvaluator.evaluateAll(file.toString(), plan, costModels);
+        CapacityFiles.writeCostModels(file, costModels);
+        return costModels;
     }
 
-    private int page(Plan plan, Slopes slopes) throws InvalidConfigurationException, IOException {
+    private int writeOrCheckPage(Plan plan, CostModels costModels) throws InvalidConfigurationException, IOException {
         Path file = root.resolve(CapacityFiles.PAGE);
         String before = CapacityFiles.readPage(file);
-        String after = new MarkedPage(file.toString(), before).with(new CapacityTables(plan, slopes).all());
-        int line = MarkedPage.firstDifference(before, after);
+        String after =
+                new PageWithTables(file.toString(), before).replaceTables(new CapacityTables(plan, costModels).all());
+        int line = PageWithTables.firstDifference(before, after);
         if (check && line > 0) {
-            say(file + ": line " + line + " is not what the JSON gives; run measure capacity-page");
+            printError(file + ": line " + line + " is not what the JSON gives; run measure capacity-page");
             return 1;
         }
         if (line > 0) {
@@ -83,7 +87,7 @@
         return 0;
     }
 
-    private void say(String line) {
+    private void printError(String line) {
         spec.commandLine().getErr().println(line);
         spec.commandLine().getErr().flush();
     }
--- a/src/main/java/sandstack/measure/page/CapacityTables.java
+++ b/src/main/java/sandstack/measure/page/CapacityTables.java
@@ -13,78 +13,80 @@
 import sandstack.measure.scale.Resource;
 import sandstack.measure.scale.Role;
 
-/** The tables of the page, by the names of their markers. */
+/** Generates the tables of the page, by the names of their markers. */
 final class CapacityTables {
-    private static final String RECKONED = " (r)";
-    private static final String FAR = " (x)";
+    private static final String DERIVED_SUFFIX = " (r)";
+    private static final String EXTRAPOLATED_SUFFIX = " (x)";
     private static final String NONE = "-";
     private static final String MISSING = "missing";
 
-    /** What the page answers for each role; bytes on the network count as messages. */
-    private static final Set<Resource> ANSWERED =
+    /** Resources that the page reports for each role; bytes on the network cover messages. */
+    private static final Set<Resource> REPORTED_RESOURCES =
             EnumSet.of(Resource.STATE, Resource.MESSAGES, Resource.PROCESSOR, Resource.MEMORY, Resource.DISK);
 
     private final Plan plan;
-    private final Slopes slopes;
+    private final CostModels costModels;
 
-    CapacityTables(Plan plan, Slopes slopes) {
+    CapacityTables(Plan plan, CostModels costModels) {
         this.plan = plan;
-        this.slopes = slopes;
+        this.costModels = costModels;
     }
 
-    /** All tables; each role has two, one of its slopes and one of its needs at each occasion. */
+    /** All tables; each role has one of its costs and one of its costs in each scenario. */
     Map<String, String> all() throws InvalidConfigurationException {
         Map<String, String> tables = new LinkedHashMap<>();
-        tables.put("plan", planningNumbers());
+        tables.put("plan", planTable());
         for (Role role : Role.values()) {
             String name = role.name().toLowerCase(Locale.ROOT).replace('_', '-');
-            List<Slope> own =
-                    slopes.slopes().stream().filter(s -> s.role() == role).toList();
-            tables.put(name, slopesOf(own));
-            tables.put(name + "-occasions", occasionsOf(own));
+            List<CostModel> ofRole =
+                    costModels.models().stream().filter(s -> s.role() == role).toList();
+            tables.put(name, costTable(ofRole));
+            tables.put(name + "-occasions", scenarioTable(ofRole));
         }
-        tables.put("order", order());
-        tables.put("methods", methods());
+        tables.put("order", breakingPointTable());
+        tables.put("methods", methodTable());
         return tables;
     }
 
-    private String planningNumbers() {
+    private String planTable() {
         MarkdownTable table = new MarkdownTable("number", "value", "from");
         for (PlanNumber number : plan.numbers()) {
             String from = number.source().name().toLowerCase(Locale.ROOT);
             table.row(
                     number.meaning(),
-                    Quantity.text(number.value(), number.unit()),
+                    Quantity.format(number.value(), number.unit()),
                     number.arithmetic() == null ? from : from + ": `" + number.arithmetic() + "`");
         }
         return table.text();
     }
 
-    private static String slopesOf(List<Slope> slopes) {
+    private static String costTable(List<CostModel> costModels) {
         MarkdownTable table =
                 new MarkdownTable("cost", "slope", "shape", "at the size", "budget", "need over have", "carried by");
-        for (Slope slope : slopes) {
+        for (CostModel costModel : costModels) {
             table.row(
-                    what(slope),
-                    curve(slope),
-                    shape(slope),
-                    figure(slope),
-                    slope.budget() == null ? NONE : Quantity.text(slope.budget().value(), slope.unit()),
-                    slope.needOverHave() == null ? NONE : ratio(slope.needOverHave()),
-                    mechanism(slope));
+                    costName(costModel),
+                    formula(costModel),
+                    shape(costModel),
+                    figure(costModel),
+                    costModel.budget() == null
+                            ? NONE
+                            : Quantity.format(costModel.budget().value(), costModel.unit()),
+                    costModel.utilization() == null ? NONE : ratio(costModel.utilization()),
+                    mechanism(costModel));
         }
-        for (String unknown : unknown(slopes)) {
+        for (String unknown : resourcesWithoutModel(costModels)) {
             table.row(unknown, "not measured, not reckoned", NONE, NONE, NONE, NONE, NONE);
         }
         return table.text();
     }
 
-    /** What a role has no slope of. */
-    private static List<String> unknown(List<Slope> slopes) {
+    /** Reported resources of which a role has no cost model. */
+    private static List<String> resourcesWithoutModel(List<CostModel> costModels) {
         Set<Resource> known = EnumSet.noneOf(Resource.class);
-        slopes.forEach(s -> known.add(s.resource()));
+        costModels.forEach(s -> known.add(s.resource()));
         List<String> unknown = new ArrayList<>();
-        for (Resource resource : ANSWERED) {
+        for (Resource resource : REPORTED_RESOURCES) {
             boolean throughBytes = resource == Resource.MESSAGES && known.contains(Resource.NETWORK);
             if (!known.contains(resource) && !throughBytes) {
                 unknown.add(label(resource));
@@ -97,163 +99,168 @@
         return resource.name().toLowerCase(Locale.ROOT);
     }
 
-    private static String what(Slope slope) {
-        return label(slope.resource()) + ": " + slope.title();
+    private static String costName(CostModel costModel) {
+        return label(costModel.resource()) + ": " + costModel.title();
     }
 
-    private static String mark(Slope slope) {
-        if (!slope.isMeasured()) {
-            return RECKONED;
+    private static String suffix(CostModel costModel) {
+        if (!costModel.isMeasured()) {
+            return DERIVED_SUFFIX;
         }
-        return slope.isFarBeyondPoints() ? FAR : "";
+        return costModel.isExtrapolatedFar() ? EXTRAPOLATED_SUFFIX : "";
     }
 
-    private static String mechanism(Slope slope) {
-        return slope.mechanism().equals(MISSING) ? "**" + MISSING + "**" : slope.mechanism();
+    private static String mechanism(CostModel costModel) {
+        return costModel.mechanism().equals(MISSING) ? "**" + MISSING + "**" : costModel.mechanism();
     }
 
-    /** The figure at the planned size, marked where nothing was measured. */
-    private static String figure(Slope slope) {
-        return Quantity.text(slope.figure(), slope.unit()) + mark(slope);
+    /** The figure at the planned size, with a suffix if it was derived or extrapolated far. */
+    private static String figure(CostModel costModel) {
+        return Quantity.format(costModel.figure(), costModel.unit()) + suffix(costModel);
     }
 
-    private static String shape(Slope slope) {
-        String name = slope.shape().name().toLowerCase(Locale.ROOT).replace('_', ' ');
-        return slope.origin().hasRun()
-                ? name + String.format(Locale.ROOT, ", residual %.1f%%, to ", slope.residual() * 100) + largest(slope)
+    private static String shape(CostModel costModel) {
+        String name = costModel.shape().name().toLowerCase(Locale.ROOT).replace('_', ' ');
+        return costModel.origin().hasRun()
+                ? name
+                        + String.format(Locale.ROOT, ", residual %.1f%%, to ", costModel.residual() * 100)
+                        + largestMeasuredSize(costModel)
                 : name;
     }
 
-    private static String largest(Slope slope) {
-        return Quantity.plain(
-                slope.sizes().stream().mapToDouble(Double::doubleValue).max().orElse(0));
+    private static String largestMeasuredSize(CostModel costModel) {
+        return Quantity.formatNumber(costModel.sizes().stream()
+                .mapToDouble(Double::doubleValue)
+                .max()
+                .orElse(0));
     }
 
-    private static String curve(Slope slope) {
-        if (!slope.origin().hasRun()) {
-            return "`" + slope.arithmetic() + "`";
+    private static String formula(CostModel costModel) {
+        if (!costModel.origin().hasRun()) {
+            return "`" + costModel.arithmetic() + "`";
         }
-        String base = Quantity.text(slope.coefficients().get(0), slope.unit());
-        String rise = Quantity.text(slope.coefficients().get(1), slope.unit());
-        return switch (slope.shape()) {
+        String base = Quantity.format(costModel.coefficients().get(0), costModel.unit());
+        String slope = Quantity.format(costModel.coefficients().get(1), costModel.unit());
+        return switch (costModel.shape()) {
             case CONSTANT -> base;
-            case LOGARITHMIC -> base + " + " + rise + " x ln(" + slope.per() + ")";
-            case LINEAR -> base + " + " + rise + " x " + slope.per();
-            case N_LOG_N -> base + " + " + rise + " x " + slope.per() + " x ln(" + slope.per() + ")";
-            case SQUARE -> base + " + " + rise + " x " + slope.per() + " squared";
+            case LOGARITHMIC -> base + " + " + slope + " x ln(" + costModel.per() + ")";
+            case LINEAR -> base + " + " + slope + " x " + costModel.per();
+            case N_LOG_N -> base + " + " + slope + " x " + costModel.per() + " x ln(" + costModel.per() + ")";
+            case SQUARE -> base + " + " + slope + " x " + costModel.per() + " squared";
         };
     }
 
-    private static String ratio(double needOverHave) {
-        return Quantity.plain(needOverHave);
+    private static String ratio(double utilization) {
+        return Quantity.formatNumber(utilization);
     }
 
-    private static String occasionsOf(List<Slope> slopes) {
-        List<String> heads = new ArrayList<>(List.of("cost"));
-        for (Occasion occasion : Occasion.values()) {
-            heads.add(occasion.title());
+    private static String scenarioTable(List<CostModel> costModels) {
+        List<String> headers = new ArrayList<>(List.of("cost"));
+        for (Scenario scenario : Scenario.values()) {
+            headers.add(scenario.title());
         }
-        MarkdownTable table = new MarkdownTable(heads.toArray(String[]::new));
-        for (Slope slope : slopes) {
-            List<String> cells = new ArrayList<>(List.of(what(slope)));
-            for (Occasion occasion : Occasion.values()) {
-                cells.add(need(slope, slope.occasions().get(occasion)));
+        MarkdownTable table = new MarkdownTable(headers.toArray(String[]::new));
+        for (CostModel costModel : costModels) {
+            List<String> cells = new ArrayList<>(List.of(costName(costModel)));
+            for (Scenario scenario : Scenario.values()) {
+                cells.add(demand(costModel, costModel.scenarios().get(scenario)));
             }
             table.row(cells.toArray(String[]::new));
         }
         return table.text();
     }
 
-    /** A need, and in bold over its budget where it is more than that. */
-    private static String need(Slope slope, Reckoned need) {
-        if (need == null) {
+    /** The cost in a scenario, and in bold its multiple of the budget if it exceeds that. */
+    private static String demand(CostModel costModel, DerivedValue demand) {
+        if (demand == null) {
             return NONE;
         }
-        boolean asMeasured = slope.isMeasured() && need.arithmetic().equals("figure");
-        String text = Quantity.text(need.value(), slope.unit()) + (asMeasured ? mark(slope) : RECKONED);
-        if (slope.budget() == null || need.value() <= slope.budget().value()) {
+        boolean asMeasured = costModel.isMeasured() && demand.arithmetic().equals("figure");
+        String text =
+                Quantity.format(demand.value(), costModel.unit()) + (asMeasured ? suffix(costModel) : DERIVED_SUFFIX);
+        if (costModel.budget() == null || demand.value() <= costModel.budget().value()) {
             return text;
         }
-        return text + ", **" + ratio(need.value() / slope.budget().value()) + " times the budget**";
+        return text + ", **" + ratio(demand.value() / costModel.budget().value()) + " times the budget**";
     }
 
     /**
      * A cost that exceeds its budget.
      *
-     * @param size from which on it does; empty where the smallest already does
+     * @param size from which it does; empty if every size does
      */
-    private record Breaking(Slope slope, OptionalDouble size) {
-        /** The part of the planned size at which it breaks. */
-        double part() {
-            return size.orElse(0) / slope.size();
+    private record ExceededBudget(CostModel costModel, OptionalDouble size) {
+        /** The size divided by the planned size. */
+        double fractionOfPlan() {
+            return size.orElse(0) / costModel.size();
         }
     }
 
-    /** Costs that exceed their budget at some occasion; first those that do at the smallest part of the planned size. */
-    private String order() throws InvalidConfigurationException {
-        BreakingPoint point = new BreakingPoint(plan, slopes);
-        List<Breaking> breaking = new ArrayList<>();
-        for (Slope slope : slopes.slopes()) {
-            if (slope.worstNeedOverHave() > 1) {
-                breaking.add(new Breaking(slope, point.of(slope)));
+    /** Costs that exceed their budget in some scenario, ordered by the fraction of the planned size at which they do. */
+    private String breakingPointTable() throws InvalidConfigurationException {
+        BreakingPoint point = new BreakingPoint(plan, costModels);
+        List<ExceededBudget> exceeded = new ArrayList<>();
+        for (CostModel costModel : costModels.models()) {
+            if (costModel.maxUtilization() > 1) {
+                exceeded.add(new ExceededBudget(costModel, point.find(costModel)));
             }
         }
-        breaking.sort(Comparator.comparing(Breaking::part));
+        exceeded.sort(Comparator.comparing(ExceededBudget::fractionOfPlan));
         MarkdownTable table =
                 new MarkdownTable("", "cost", "breaks at", "planned", "worst at", "need over have", "carried by");
-        for (int i = 0; i < breaking.size(); i++) {
-            Slope slope = breaking.get(i).slope();
+        for (int i = 0; i < exceeded.size(); i++) {
+            CostModel costModel = exceeded.get(i).costModel();
             table.row(
                     Integer.toString(i + 1),
-                    slope.role().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ", " + what(slope),
-                    breaksAt(breaking.get(i)),
-                    Quantity.plain(slope.size()) + " " + slope.per(),
-                    worst(slope),
-                    ratio(slope.worstNeedOverHave()) + mark(slope),
-                    mechanism(slope));
+                    costModel.role().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ", " + costName(costModel),
+                    breaksAt(exceeded.get(i)),
+                    Quantity.formatNumber(costModel.size()) + " " + costModel.per(),
+                    worstScenario(costModel),
+                    ratio(costModel.maxUtilization()) + suffix(costModel),
+                    mechanism(costModel));
         }
         return table.text();
     }
 
-    private static String breaksAt(Breaking breaking) {
-        if (breaking.size().isEmpty()) {
-            return "the first" + mark(breaking.slope());
+    private static String breaksAt(ExceededBudget exceeded) {
+        if (exceeded.size().isEmpty()) {
+            return "the first" + suffix(exceeded.costModel());
         }
-        double size = Math.floor(breaking.size().getAsDouble());
-        return Quantity.plain(size) + " " + breaking.slope().per() + mark(breaking.slope());
+        double size = Math.floor(exceeded.size().getAsDouble());
+        return Quantity.formatNumber(size) + " " + exceeded.costModel().per() + suffix(exceeded.costModel());
     }
 
-    private static String worst(Slope slope) {
-        double most = slope.figure();
+    private static String worstScenario(CostModel costModel) {
+        double most = costModel.figure();
         String at = "always";
-        for (Occasion occasion : Occasion.values()) {
-            Reckoned need = slope.occasions().get(occasion);
-            if (need != null && need.value() > most) {
-                most = need.value();
-                at = occasion.title();
+        for (Scenario scenario : Scenario.values()) {
+            DerivedValue demand = costModel.scenarios().get(scenario);
+            if (demand != null && demand.value() > most) {
+                most = demand.value();
+                at = scenario.title();
             }
         }
         return at;
     }
 
-    private String methods() {
+    private String methodTable() {
         MarkdownTable table = new MarkdownTable("series", "how", "command", "sizes and values", "run");
-        for (Slope slope : slopes.slopes()) {
+        for (CostModel costModel : costModels.models()) {
             table.row(
-                    "`" + slope.id() + "`",
-                    slope.method(),
-                    slope.origin().hasRun() ? "`" + slope.command() + "`" : "reckoned",
-                    slope.origin().hasRun() ? points(slope) : NONE,
-                    slope.origin().hasRun() ? slope.date() + ", " + slope.commit() : NONE);
+                    "`" + costModel.id() + "`",
+                    costModel.method(),
+                    costModel.origin().hasRun() ? "`" + costModel.command() + "`" : "reckoned",
+                    costModel.origin().hasRun() ? points(costModel) : NONE,
+                    costModel.origin().hasRun() ? costModel.date() + ", " + costModel.commit() : NONE);
         }
         return table.text();
     }
 
-    private static String points(Slope slope) {
+    private static String points(CostModel costModel) {
         List<String> points = new ArrayList<>();
-        for (int i = 0; i < slope.sizes().size(); i++) {
-            points.add(Quantity.plain(slope.sizes().get(i)) + ": "
-                    + Quantity.text(slope.values().get(i), slope.unit()));
+        for (int i = 0; i < costModel.sizes().size(); i++) {
+            points.add(Quantity.formatNumber(costModel.sizes().get(i)) + ": "
+                    + Quantity.format(costModel.values().get(i), costModel.unit()));
         }
         return String.join("; ", points);
     }
--- /dev/null
+++ b/src/main/java/sandstack/measure/page/CostModel.java
@@ -0,0 +1,208 @@
+package sandstack.measure.page;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonPropertyOrder;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import sandstack.measure.scale.Fit;
+import sandstack.measure.scale.Resource;
+import sandstack.measure.scale.Role;
+import sandstack.measure.scale.Series;
+import sandstack.measure.scale.Series.Point;
+import sandstack.measure.scale.Shape;
+
+/**
+ * How one cost of one role grows with size, its extrapolation to the planned size, and the mechanism that bears it. Either
+ * fitted to the points of a run, or derived by a formula.
+ *
+ * @param id id of the measured series
+ * @param title name of the cost on the page
+ * @param unit of the values
+ * @param per what the sizes count
+ * @param shape fitted growth; for a derived model, for the page only
+ * @param coefficients base and slope of the shape; empty for a derived model
+ * @param residual relative residual of the fit; null for a derived model
+ * @param sizes measured sizes; empty for a derived model
+ * @param values at these sizes
+ * @param method how the values were obtained, in one sentence
+ * @param command of the run; null for a derived model
+ * @param date of the run; null for a derived model
+ * @param commit that was measured; null for a derived model
+ * @param arithmetic {@link Formula} of a derived model's figure; null for a fitted one
+ * @param size planned size
+ * @param figure cost at the planned size; null until evaluated
+ * @param budget available amount; null for no bound
+ * @param utilization figure divided by budget; null without a budget
+ * @param mechanism that bears the cost at the planned size, or {@code missing}
+ * @param scenarios cost in each scenario; a missing scenario was not evaluated
+ */
+@JsonPropertyOrder({
+    "id",
+    "role",
+    "resource",
+    "title",
+    "unit",
+    "per",
+    "origin",
+    "shape",
+    "coefficients",
+    "residual",
+    "sizes",
+    "values",
+    "method",
+    "command",
+    "date",
+    "commit",
+    "arithmetic",
+    "size",
+    "figure",
+    "budget",
+    "needOverHave",
+    "mechanism",
+    "occasions"
+})
+public record CostModel(
+        String id,
+        Role role,
+        Resource resource,
+        String title,
+        String unit,
+        String per,
+        Origin origin,
+        Shape shape,
+        List<Double> coefficients,
+        Double residual,
+        List<Double> sizes,
+        List<Double> values,
+        String method,
+        String command,
+        String date,
+        String commit,
+        String arithmetic,
+        double size,
+        Double figure,
+        DerivedValue budget,
+        @JsonProperty("needOverHave") Double utilization,
+        String mechanism,
+        @JsonProperty("occasions") Map<Scenario, DerivedValue> scenarios) {
+
+    /** Beyond this multiple of the largest measured size, an extrapolation is marked on the page. */
+    private static final double MAX_EXTRAPOLATION_FACTOR = 10;
+
+    /** Copies lists and map; null becomes empty. */
+    public CostModel {
+        coefficients = coefficients == null ? List.of() : List.copyOf(coefficients);
+        sizes = sizes == null ? List.of() : List.copyOf(sizes);
+        values = values == null ? List.of() : List.copyOf(values);
+        scenarios = scenarios == null ? Map.of() : new TreeMap<>(scenarios);
+    }
+
+    /** The largest cost of all scenarios divided by the budget; zero without a budget. */
+    double maxUtilization() {
+        if (budget == null) {
+            return 0;
+        }
+        double maxDemand = scenarios.values().stream()
+                .mapToDouble(DerivedValue::value)
+                .max()
+                .orElse(figure);
+        return Math.max(maxDemand, figure) / budget.value();
+    }
+
+    /** Whether the planned size is more than ten times the largest measured one. */
+    boolean isExtrapolatedFar() {
+        return size
+                > MAX_EXTRAPOLATION_FACTOR
+                        * sizes.stream().mapToDouble(Double::doubleValue).max().orElse(size);
+    }
+
+    /** The measured points. */
+    List<Point> points() {
+        List<Point> points = new ArrayList<>();
+        for (int i = 0; i < sizes.size(); i++) {
+            points.add(new Point(sizes.get(i), values.get(i)));
+        }
+        return points;
+    }
+
+    /** Whether the figure is based on a measurement, not on a simulation or formula. */
+    boolean isMeasured() {
+        return origin == Origin.MEASURED;
+    }
+
+    /** A copy for another planned size; the figures are to be evaluated anew. */
+    CostModel withSize(double newSize) {
+        return with(newSize, figure, budget, utilization, scenarios);
+    }
+
+    /** A copy with evaluated figures. */
+    CostModel withFigures(double newFigure, DerivedValue newBudget, Map<Scenario, DerivedValue> newScenarios) {
+        Double newUtilization = newBudget == null ? null : newFigure / newBudget.value();
+        return with(size, newFigure, newBudget, newUtilization, newScenarios);
+    }
+
+    private CostModel with(
+            double newSize,
+            Double newFigure,
+            DerivedValue newBudget,
+            Double newUtilization,
+            Map<Scenario, DerivedValue> newScenarios) {
+        return new CostModel(
+                id,
+                role,
+                resource,
+                title,
+                unit,
+                per,
+                origin,
+                shape,
+                coefficients,
+                residual,
+                sizes,
+                values,
+                method,
+                command,
+                date,
+                commit,
+                arithmetic,
+                newSize,
+                newFigure,
+                newBudget,
+                newUtilization,
+                mechanism,
+                newScenarios);
+    }
+
+    /** A copy with the results of a run; the figures are to be evaluated anew. */
+    CostModel measuredBy(Run run, Series series, Fit fit, double plannedSize) {
+        return new CostModel(
+                id,
+                series.role(),
+                series.resource(),
+                title,
+                series.unit(),
+                series.per(),
+                series.isModelled() ? Origin.MODELLED : Origin.MEASURED,
+                fit.shape(),
+                List.of(fit.base(), fit.slope()),
+                fit.residual(),
+                series.points().stream().map(Point::size).toList(),
+                series.points().stream().map(Point::value).toList(),
+                series.method(),
+                run.command(),
+                run.date(),
+                run.commit(),
+                null,
+                plannedSize,
+                null,
+                budget,
+                null,
+                mechanism,
+                scenarios);
+    }
+
+    /** The run that measured the points. */
+    record Run(String command, String date, String commit) {}
+}
--- a/src/main/java/sandstack/measure/page/MarkdownTable.java
+++ b/src/main/java/sandstack/measure/page/MarkdownTable.java
@@ -4,17 +4,18 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A table of a Markdown page. */
+/** Builds a Markdown table. */
 final class MarkdownTable {
     private final List<String> lines = new ArrayList<>();
     private final int columns;
 
-    MarkdownTable(String... heads) {
-        columns = heads.length;
-        row(heads);
+    MarkdownTable(String... headers) {
+        columns = headers.length;
+        row(headers);
         lines.add("|" + " --- |".repeat(columns));
     }
 
+    /** Adds a row and returns this table; there have to be as many cells as columns. */
     MarkdownTable row(String... cells) {
         if (cells.length != columns) {
             throw new IllegalArgumentException(cells.length + " cells in a table of " + columns);
@@ -25,6 +26,7 @@
         return this;
     }
 
+    /** The table without a line break at its end. */
     String text() {
         return String.join("\n", lines);
     }
--- a/src/main/java/sandstack/measure/page/Origin.java
+++ b/src/main/java/sandstack/measure/page/Origin.java
@@ -1,15 +1,15 @@
 package sandstack.measure.page;
 
-/** Where a slope comes from. */
+/** The source of a cost model. */
 public enum Origin {
-    /** A run gave the points. */
+    /** Points were measured by a run. */
     MEASURED,
-    /** A run worked the points out by a model; nothing real was measured. */
+    /** Points were computed by a run of a simulation or model. */
     MODELLED,
-    /** Nothing was run; the figure follows from arithmetic. */
+    /** The figure is derived by a formula, without a run. */
     RECKONED;
 
-    /** Whether there are points, a command, a date and a commit. */
+    /** Whether the model has points, command, date and commit. */
     boolean hasRun() {
         return this != RECKONED;
     }
--- a/src/main/java/sandstack/measure/page/MarkedPage.java
+++ b/src/main/java/sandstack/measure/page/PageWithTables.java
@@ -7,52 +7,53 @@
 import java.util.regex.Pattern;
 import sandstack.config.InvalidConfigurationException;
 
-/** A page whose tables stand between {@code <!-- table: NAME -->} and {@code <!-- end: NAME -->}. */
-final class MarkedPage {
-    private static final Pattern BEGIN = Pattern.compile("^<!-- table: ([a-z-]+) -->$", Pattern.MULTILINE);
+/** A page with generated tables between {@code <!-- table: NAME -->} and {@code <!-- end: NAME -->}. */
+final class PageWithTables {
+    private static final Pattern START_MARKER = Pattern.compile("^<!-- table: ([a-z-]+) -->$", Pattern.MULTILINE);
 
     private final String file;
     private final String text;
 
-    MarkedPage(String file, String text) {
+    PageWithTables(String file, String text) {
         this.file = file;
         this.text = text;
     }
 
-    /** The page with these tables; each has to have its place, once, and each place its table. */
-    String with(Map<String, String> tables) throws InvalidConfigurationException {
+    /** Returns the page with these tables; markers and tables have to match one to one. */
+    String replaceTables(Map<String, String> tables) throws InvalidConfigurationException {
         StringBuilder page = new StringBuilder();
         Set<String> placed = new LinkedHashSet<>();
-        Matcher begin = BEGIN.matcher(text);
-        int copied = 0;
-        while (begin.find(copied)) {
-            String name = begin.group(1);
+        Matcher startMarker = START_MARKER.matcher(text);
+        int copiedUntil = 0;
+        while (startMarker.find(copiedUntil)) {
+            String name = startMarker.group(1);
             String table = tables.get(name);
             if (table == null || !placed.add(name)) {
                 throw new InvalidConfigurationException(
-                        file + ": table: " + name + ": " + (table == null ? "not known" : "stands twice"));
+                        file + ": table: " + name + ": " + (table == null ? "not known" : "duplicate"));
             }
-            String end = "<!-- end: " + name + " -->";
-            int ends = text.indexOf(end, begin.end());
-            if (ends < 0) {
-                throw new InvalidConfigurationException(file + ": table: " + name + ": its end is missing: " + end);
+            String endMarker = "<!-- end: " + name + " -->";
+            int endIndex = text.indexOf(endMarker, startMarker.end());
+            if (endIndex < 0) {
+                throw new InvalidConfigurationException(
+                        file + ": table: " + name + ": its end is missing: " + endMarker);
             }
-            page.append(text, copied, begin.end())
+            page.append(text, copiedUntil, startMarker.end())
                     .append("\n\n")
                     .append(table)
                     .append("\n\n")
-                    .append(end);
-            copied = ends + end.length();
+                    .append(endMarker);
+            copiedUntil = endIndex + endMarker.length();
         }
         for (String name : tables.keySet()) {
             if (!placed.contains(name)) {
                 throw new InvalidConfigurationException(file + ": table: " + name + ": missing");
             }
         }
-        return page.append(text.substring(copied)).toString();
+        return page.append(text.substring(copiedUntil)).toString();
     }
 
-    /** The first line in which two pages differ, counted from one; 0 where they are the same. */
+    /** The first line that differs, counted from one; 0 for equal texts. */
     static int firstDifference(String one, String other) {
         if (one.equals(other)) {
             return 0;
--- a/src/main/java/sandstack/measure/page/Plan.java
+++ b/src/main/java/sandstack/measure/page/Plan.java
@@ -7,14 +7,14 @@
 import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.page.PlanNumber.Source;
 
-/** The numbers to plan with. */
+/** The capacity plan: all planning numbers, derived ones after those that they depend on. */
 public record Plan(List<PlanNumber> numbers) {
-    /** Keeps a copy of the list. */
+    /** Copies the list. */
     public Plan {
         numbers = List.copyOf(Objects.requireNonNull(numbers, "numbers: missing"));
     }
 
-    /** The planned size of what a series counts, such as {@code relays}. */
+    /** The planned size for series by this quantity, such as {@code relays}. */
     public OptionalDouble sizeOf(String per) {
         return numbers.stream()
                 .filter(n -> n.sizeOf().contains(per))
@@ -23,9 +23,9 @@
     }
 
     /**
-     * The same plan with another size, and with what is derived from it.
+     * A copy with another size and with all derived numbers evaluated anew.
      *
-     * @param per what a series counts
+     * @param per quantity whose size changes
      */
     Plan withSize(String per, double size) throws InvalidConfigurationException {
         List<PlanNumber> changed = new ArrayList<>();
@@ -41,16 +41,16 @@
         return new Plan(changed);
     }
 
-    private static double derived(PlanNumber number, Plan before) throws InvalidConfigurationException {
+    private static double derived(PlanNumber number, Plan previous) throws InvalidConfigurationException {
         try {
-            return Arithmetic.evaluate(number.arithmetic(), before::valueOf);
-        } catch (Arithmetic.Malformed e) {
+            return Formula.evaluate(number.arithmetic(), previous::valueOf);
+        } catch (Formula.MalformedFormulaException e) {
             throw new InvalidConfigurationException(
                     number.name() + ".arithmetic: " + number.arithmetic() + ": " + e.getMessage());
         }
     }
 
-    /** The value of a number; null where there is none of that name. */
+    /** The value of the number with this name; null if there is none. */
     Double valueOf(String name) {
         return numbers.stream()
                 .filter(n -> n.name().equals(name))
--- a/src/main/java/sandstack/measure/page/PlanNumber.java
+++ b/src/main/java/sandstack/measure/page/PlanNumber.java
@@ -3,34 +3,35 @@
 import java.util.List;
 
 /**
- * A number to plan with.
+ * A planning number.
  *
- * @param name by which arithmetic goes by it
- * @param meaning in words, for the page
- * @param arithmetic by which a {@link Source#DERIVED} number follows from the ones before it; null for others
- * @param sizeOf what series may count whose planned size this is; empty where it is no size
+ * @param name variable in a {@link Formula}
+ * @param value in the unit
+ * @param meaning text on the page
+ * @param arithmetic formula of a {@link Source#DERIVED} number, over numbers before it; null for others
+ * @param sizeOf quantities of series of which this is the planned size; may be empty
  */
 public record PlanNumber(
         String name, double value, String unit, Source source, String meaning, String arithmetic, List<String> sizeOf) {
 
-    /** Where a number comes from. */
+    /** The source of a planning number. */
     public enum Source {
-        /** The operators state it. */
+        /** Stated by the operators. */
         STATED,
-        /** The program or its machine is set to it today. */
+        /** Current setting of the program or its machine. */
         SETTING,
-        /** Nobody states it; taken so that something can be reckoned, to be replaced once it is known. */
+        /** Placeholder until the number is known. */
         ASSUMED,
-        /** It follows from numbers before it. */
+        /** Derived from numbers before it. */
         DERIVED
     }
 
-    /** Keeps a copy of the list; one that is missing is empty. */
+    /** Copies the list; null becomes empty. */
     public PlanNumber {
         sizeOf = sizeOf == null ? List.of() : List.copyOf(sizeOf);
     }
 
-    PlanNumber withValue(double other) {
-        return new PlanNumber(name, other, unit, source, meaning, arithmetic, sizeOf);
+    PlanNumber withValue(double newValue) {
+        return new PlanNumber(name, newValue, unit, source, meaning, arithmetic, sizeOf);
     }
 }
--- a/src/main/java/sandstack/measure/page/Quantity.java
+++ b/src/main/java/sandstack/measure/page/Quantity.java
@@ -6,14 +6,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Values as people read them: three digits, and a prefix where the unit has one. */
+/** Formats quantities for people: three significant digits, scaled units for bytes and seconds. */
 public final class Quantity {
-    private static final int DIGITS = 3;
-    private static final double STEP = 1000;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final double PREFIX_FACTOR = 1000;
     private static final List<String> BYTES = List.of("B", "KB", "MB", "GB", "TB", "PB");
     private static final List<String> SECONDS = List.of("ns", "us", "ms", "s");
 
-    /** Units that are scaled, and which of the prefixed ones each is. */
+    /** Units that are scaled, and the position of each in its series of prefixed units. */
     private static final Map<String, Scale> SCALED = Map.of(
             "bytes", new Scale(BYTES, 0),
             "megabytes", new Scale(BYTES, 2),
@@ -26,53 +26,55 @@
 
     private static final Pattern FIRST_WORD = Pattern.compile("^[a-z]+");
 
-    /** Prefixed units, and which of them a unit is. */
-    private record Scale(List<String> units, int at) {}
+    /** A series of prefixed units, and the index of one of them. */
+    private record Scale(List<String> units, int index) {}
 
     private Quantity() {}
 
     /**
-     * A value with its unit, such as {@code 470 MB a second} of {@code 4.7e8} and {@code bytes a second}: a first word of
-     * bytes or seconds is scaled, other units stand behind the number as they are.
+     * Formats a value with its unit, such as {@code 470 MB a second} for {@code 4.7e8} and {@code bytes a second}. Scales
+     * units that begin with bytes or seconds; appends others unchanged.
      */
-    public static String text(double value, String unit) {
-        Matcher first = FIRST_WORD.matcher(unit);
-        Scale scale = first.find() ? SCALED.get(first.group()) : null;
-        return scale == null ? plain(value) + " " + unit : scaled(value, scale) + unit.substring(first.end());
+    public static String format(double value, String unit) {
+        Matcher unitMatcher = FIRST_WORD.matcher(unit);
+        Scale scale = unitMatcher.find() ? SCALED.get(unitMatcher.group()) : null;
+        return scale == null
+                ? formatNumber(value) + " " + unit
+                : scaled(value, scale) + unit.substring(unitMatcher.end());
     }
 
     private static String scaled(double value, Scale scale) {
-        int at = scale.at;
+        int index = scale.index;
         double scaled = value;
-        while (Math.abs(scaled) >= STEP && at < scale.units.size() - 1) {
-            scaled /= STEP;
-            at++;
+        while (Math.abs(scaled) >= PREFIX_FACTOR && index < scale.units.size() - 1) {
+            scaled /= PREFIX_FACTOR;
+            index++;
         }
-        while (scaled != 0 && Math.abs(scaled) < 1 && at > 0) {
-            scaled *= STEP;
-            at--;
+        while (scaled != 0 && Math.abs(scaled) < 1 && index > 0) {
+            scaled *= PREFIX_FACTOR;
+            index--;
         }
-        return plain(scaled) + " " + scale.units.get(at);
+        return formatNumber(scaled) + " " + scale.units.get(index);
     }
 
-    /** A number with three digits that count; whole numbers in full up to a million, with words beyond. */
-    public static String plain(double value) {
+    /** Formats a number with three significant digits; whole numbers in full below a million, in millions above. */
+    public static String formatNumber(double value) {
         double size = Math.abs(value);
         if (size >= 1e9) {
-            return digits(value / 1e9) + " billion";
+            return roundToSignificant(value / 1e9) + " billion";
         }
         if (size >= 1e6) {
-            return digits(value / 1e6) + " million";
+            return roundToSignificant(value / 1e6) + " million";
         }
-        return value == Math.rint(value) ? String.format(Locale.ROOT, "%,d", (long) value) : digits(value);
+        return value == Math.rint(value) ? String.format(Locale.ROOT, "%,d", (long) value) : roundToSignificant(value);
     }
 
-    private static String digits(double value) {
-        int before = (int) Math.floor(Math.log10(Math.abs(value))) + 1;
-        if (before < -DIGITS) {
+    private static String roundToSignificant(double value) {
+        int integerDigits = (int) Math.floor(Math.log10(Math.abs(value))) + 1;
+        if (integerDigits < -SIGNIFICANT_DIGITS) {
             return String.format(Locale.ROOT, "%.2e", value);
         }
-        String text = String.format(Locale.ROOT, "%,." + Math.max(0, DIGITS - before) + "f", value);
+        String text = String.format(Locale.ROOT, "%,." + Math.max(0, SIGNIFICANT_DIGITS - integerDigits) + "f", value);
         return text.contains(".") ? text.replaceAll("0+$", "").replaceAll("\\.$", "") : text;
     }
 }
--- a/src/main/java/sandstack/measure/page/package-info.java
+++ b/src/main/java/sandstack/measure/page/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the planned size needs of each part, role by role: the planning numbers and the slopes are kept in JSON, and the
- * tables of {@code docs/CAPACITY.md} are made from them. Nothing here measures.
+ * The capacity plan: planning numbers and cost models in JSON, validated and extrapolated to the planned size, and the
+ * tables of {@code docs/CAPACITY.md} that are generated from them. Measures nothing.
  */
 package sandstack.measure.page;
--- a/src/test/java/sandstack/measure/StoredFormsTest.java
+++ b/src/test/java/sandstack/measure/StoredFormsTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 import sandstack.measure.page.CapacityPageCommand;
-import sandstack.measure.page.Occasion;
 import sandstack.measure.page.Origin;
 import sandstack.measure.page.PlanNumber;
+import sandstack.measure.page.Scenario;
 import sandstack.measure.scale.Resource;
 import sandstack.measure.scale.Role;
 import sandstack.measure.scale.ScaleMeasurement.Effort;
@@ -148,7 +148,7 @@
         assertThat(names(Resource.values())).isEqualTo("STATE MESSAGES NETWORK PROCESSOR MEMORY DISK LATENCY");
         assertThat(names(Shape.values())).isEqualTo("CONSTANT LOGARITHMIC LINEAR N_LOG_N SQUARE");
         assertThat(names(Origin.values())).isEqualTo("MEASURED MODELLED RECKONED");
-        assertThat(names(Occasion.values())).isEqualTo("ORDINARY_DAY RACK_LOST ZONE_LOST REGIONS_APART ROLLOUT");
+        assertThat(names(Scenario.values())).isEqualTo("ORDINARY_DAY RACK_LOST ZONE_LOST REGIONS_APART ROLLOUT");
         assertThat(names(PlanNumber.Source.values())).isEqualTo("STATED SETTING ASSUMED DERIVED");
         assertThat(names(ClientBehaviour.values())).isEqualTo("AT_ONCE SPREAD SPREAD_THEN_ADVICE AT_ONCE_THEN_ADVICE");
     }
--- a/src/test/java/sandstack/measure/page/CapacityFilesTest.java
+++ b/src/test/java/sandstack/measure/page/CapacityFilesTest.java
@@ -39,7 +39,7 @@
 
     private void check(String text) throws IOException, InvalidConfigurationException {
         Plan plan = plan(NUMBER);
-        SlopeCheck.check("f.json", plan, CapacityFiles.readSlopes(file(text)));
+        CostModelValidator.validate("f.json", plan, CapacityFiles.readCostModels(file(text)));
     }
 
     @Test
--- a/src/test/java/sandstack/measure/page/CapacityPageTest.java
+++ b/src/test/java/sandstack/measure/page/CapacityPageTest.java
@@ -43,7 +43,7 @@
     @BeforeEach
     void copyOfAll() throws IOException {
         Files.createDirectories(copy.resolve("docs/capacity"));
-        for (String file : List.of(CapacityFiles.PAGE, CapacityFiles.PLAN, CapacityFiles.SLOPES)) {
+        for (String file : List.of(CapacityFiles.PAGE, CapacityFiles.PLAN, CapacityFiles.COST_MODELS)) {
             Files.copy(REPOSITORY.resolve(file), copy.resolve(file));
         }
     }
@@ -69,7 +69,7 @@
     }
 
     private JsonNode slopes() throws IOException {
-        return JSON.readTree(read(CapacityFiles.SLOPES));
+        return JSON.readTree(read(CapacityFiles.COST_MODELS));
     }
 
     @Test
@@ -100,12 +100,12 @@
             JsonNode slopes = slopes();
             ObjectNode slope = (ObjectNode) slopes.path("slopes").get(i);
             slope.put("figure", slope.path("figure").asDouble() * 1.01 + 1);
-            String before = read(CapacityFiles.SLOPES);
-            write(CapacityFiles.SLOPES, slopes.toString());
+            String before = read(CapacityFiles.COST_MODELS);
+            write(CapacityFiles.COST_MODELS, slopes.toString());
 
             assertThat(run("--check")).as(slope.path("id").asText()).isEqualTo(2);
 
-            write(CapacityFiles.SLOPES, before);
+            write(CapacityFiles.COST_MODELS, before);
         }
         assertThat(count).isGreaterThan(30);
         assertThat(said.toString()).contains(".figure: ");
@@ -116,7 +116,7 @@
     void wordsChangedInTheJsonAreFound(String key, String words) throws IOException {
         JsonNode slopes = slopes();
         ((ObjectNode) slopes.path("slopes").get(0)).put(key, words);
-        write(CapacityFiles.SLOPES, slopes.toString());
+        write(CapacityFiles.COST_MODELS, slopes.toString());
 
         assertThat(run("--check")).isEqualTo(1);
         assertThat(said.toString()).contains("is not what the JSON gives");
@@ -136,12 +136,12 @@
     @Test
     void writingThePageTwiceChangesNothing() throws IOException {
         String page = read(CapacityFiles.PAGE);
-        String json = read(CapacityFiles.SLOPES);
+        String json = read(CapacityFiles.COST_MODELS);
 
         assertThat(run("--reckon")).as(said.toString()).isZero();
 
         assertThat(read(CapacityFiles.PAGE)).isEqualTo(page);
-        assertThat(read(CapacityFiles.SLOPES)).isEqualTo(json);
+        assertThat(read(CapacityFiles.COST_MODELS)).isEqualTo(json);
     }
 
     private static Series series(String id, String per, double... values) {
@@ -184,12 +184,12 @@
     @Test
     void aRunWhoseSizesAreNotPlannedIsToldInOneLine() throws IOException {
         String report = report(series("relay.memory.heap", "cups", 2e6, 3e6, 4e6));
-        String before = read(CapacityFiles.SLOPES);
+        String before = read(CapacityFiles.COST_MODELS);
 
         assertThat(run("--take", report)).isEqualTo(2);
 
         assertThat(said.toString().trim()).isEqualTo("relay.memory.heap.per: cups: the plan has no size of it");
-        assertThat(read(CapacityFiles.SLOPES)).isEqualTo(before);
+        assertThat(read(CapacityFiles.COST_MODELS)).isEqualTo(before);
     }
 
     @Test
--- a/src/test/java/sandstack/measure/page/ArithmeticTest.java
+++ b/src/test/java/sandstack/measure/page/FormulaTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Expressions of numbers and names, and what is told of those that are none. */
-class ArithmeticTest {
+class FormulaTest {
     private static final Map<String, Double> NAMES =
             Map.of("relays", 5_600.0, "zones", 8.0, "[relay.memory-per.x]", 5.0);
 
-    private static double value(String text) throws Arithmetic.Malformed {
-        return Arithmetic.evaluate(text, NAMES::get);
+    private static double value(String text) throws Formula.MalformedFormulaException {
+        return Formula.evaluate(text, NAMES::get);
     }
 
     @ParameterizedTest
@@ -32,7 +32,7 @@
         "relays * (zones - 1) / zones, 4900",
         "[relay.memory-per.x] * 2 - 1, 9"
     })
-    void expressionsAreReadAsOnPaper(String text, double expected) throws Arithmetic.Malformed {
+    void expressionsAreReadAsOnPaper(String text, double expected) throws Formula.MalformedFormulaException {
         assertThat(value(text)).isCloseTo(expected, within(1e-12));
     }
 
@@ -52,13 +52,13 @@
             })
     void whatIsWrongIsTold(String text, String why) {
         assertThatThrownBy(() -> value(text))
-                .isInstanceOf(Arithmetic.Malformed.class)
+                .isInstanceOf(Formula.MalformedFormulaException.class)
                 .hasMessage(why);
     }
 
     @Test
     void depthIsBounded() {
-        assertThatThrownBy(() -> value("(".repeat(100_000))).isInstanceOf(Arithmetic.Malformed.class);
+        assertThatThrownBy(() -> value("(".repeat(100_000))).isInstanceOf(Formula.MalformedFormulaException.class);
     }
 
     @Property
@@ -67,7 +67,7 @@
             @ForAll @IntRange(min = 0, max = 1_000) int b,
             @ForAll @IntRange(min = 1, max = 1_000) int c,
             @ForAll @IntRange(min = 0, max = 1_000) int d)
-            throws Arithmetic.Malformed {
+            throws Formula.MalformedFormulaException {
         String text = a + " - " + b + "/" + c + "*" + d + " + " + a;
 
         assertThat(value(text)).isCloseTo(a - (double) b / c * d + a, within(1e-6));
--- a/src/test/java/sandstack/measure/page/QuantityTest.java
+++ b/src/test/java/sandstack/measure/page/QuantityTest.java
@@ -35,6 +35,6 @@
                 "0.0000123;cores;1.23e-05 cores"
             })
     void valuesAreReadable(double value, String unit, String text) {
-        assertThat(Quantity.text(value, unit)).isEqualTo(text);
+        assertThat(Quantity.format(value, unit)).isEqualTo(text);
     }
 }
