--- a/src/main/java/sandstack/measure/ScaleMeasurements.java
+++ b/src/main/java/sandstack/measure/ScaleMeasurements.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import sandstack.measure.configuration.ConfigurationScale;
-import sandstack.measure.scale.DecisionScale;
-import sandstack.measure.scale.DiscoveryListScale;
+import sandstack.measure.scale.EndpointListScale;
+import sandstack.measure.scale.LoadBalancerScale;
 import sandstack.measure.scale.RelayDeliveryScale;
 import sandstack.measure.scale.RelayHeapLimitScale;
 import sandstack.measure.scale.RelayMemoryScale;
@@ -21,8 +21,8 @@
     /** New instances of all measurements; none starts anything before it measures. */
     static List<ScaleMeasurement> all() {
         return List.of(
-                new DecisionScale(),
-                new DiscoveryListScale(),
+                new LoadBalancerScale(),
+                new EndpointListScale(),
                 new RelayMemoryScale(),
                 new RelayHeapLimitScale(),
                 new RelaySetupScale(),
--- a/src/main/java/sandstack/measure/ScaleTable.java
+++ b/src/main/java/sandstack/measure/ScaleTable.java
@@ -6,7 +6,7 @@
 import java.util.OptionalDouble;
 import sandstack.measure.page.Plan;
 import sandstack.measure.page.Quantity;
-import sandstack.measure.scale.Fit;
+import sandstack.measure.scale.FittedModel;
 import sandstack.measure.scale.ScaleReport;
 import sandstack.measure.scale.ScaleReport.Failure;
 import sandstack.measure.scale.ScaleReport.Result;
@@ -39,13 +39,13 @@
 
     private static String row(Result result, Plan plan) {
         Series series = result.series();
-        Fit fit = result.fit();
+        FittedModel fit = result.fit();
         OptionalDouble plannedSize = plan.sizeOf(series.per());
         String shape = fit == null ? "not fitted" : fit.shape().name();
         String residual = fit == null ? "-" : String.format(Locale.ROOT, "%.2f%%", fit.residual() * 100);
         String extrapolated = fit == null || plannedSize.isEmpty()
                 ? "-"
-                : Quantity.format(fit.at(plannedSize.getAsDouble()), series.unit());
+                : Quantity.format(fit.valueAt(plannedSize.getAsDouble()), series.unit());
         return String.format(ROW_FORMAT, series.id(), shape, residual, extrapolated, points(series));
     }
 
--- a/src/main/java/sandstack/measure/page/CostModel.java
+++ b/src/main/java/sandstack/measure/page/CostModel.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import sandstack.measure.scale.Fit;
+import sandstack.measure.scale.FittedModel;
 import sandstack.measure.scale.Resource;
 import sandstack.measure.scale.Role;
 import sandstack.measure.scale.Series;
@@ -176,7 +176,7 @@
     }
 
     /** A copy with the results of a run; the figures are to be evaluated anew. */
-    CostModel measuredBy(Run run, Series series, Fit fit, double plannedSize) {
+    CostModel measuredBy(Run run, Series series, FittedModel fit, double plannedSize) {
         return new CostModel(
                 id,
                 series.role(),
--- a/src/main/java/sandstack/measure/page/CostModelEvaluator.java
+++ b/src/main/java/sandstack/measure/page/CostModelEvaluator.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import sandstack.config.InvalidConfigurationException;
-import sandstack.measure.scale.Fit;
+import sandstack.measure.scale.FittedModel;
 
 /**
  * Evaluates all derived figures of cost models: the planned size, the figure at that size, the budget, the utilization and
@@ -77,7 +77,8 @@
         }
         variables.put("base", costModel.coefficients().get(0));
         variables.put("slope", costModel.coefficients().get(1));
-        return new Fit(costModel.shape(), variables.get("base"), variables.get("slope"), 0).at(costModel.size());
+        return new FittedModel(costModel.shape(), variables.get("base"), variables.get("slope"), 0)
+                .valueAt(costModel.size());
     }
 
     private double evaluateFormula(String key, String arithmetic, Map<String, Double> variables)
--- a/src/main/java/sandstack/measure/page/CostModelValidator.java
+++ b/src/main/java/sandstack/measure/page/CostModelValidator.java
@@ -7,7 +7,7 @@
 import java.util.OptionalDouble;
 import java.util.Set;
 import sandstack.config.InvalidConfigurationException;
-import sandstack.measure.scale.Fit;
+import sandstack.measure.scale.FittedModel;
 
 /** Validates that cost models agree with the plan and that all their figures follow from their inputs. */
 final class CostModelValidator {
@@ -78,8 +78,9 @@
         if (costModel.sizes().size() != costModel.values().size()) {
             throw invalid(costModel, "values", costModel.values(), "not as many as sizes");
         }
-        Fit fit = Fit.best(costModel.points())
-                .orElseThrow(() -> invalid(costModel, "sizes", costModel.sizes(), "fewer than " + Fit.LEAST_SIZES));
+        FittedModel fit = FittedModel.selectBest(costModel.points())
+                .orElseThrow(() ->
+                        invalid(costModel, "sizes", costModel.sizes(), "fewer than " + FittedModel.MIN_DISTINCT_SIZES));
         if (fit.shape() != costModel.shape()) {
             throw invalid(costModel, "shape", costModel.shape(), "its points give " + fit.shape());
         }
--- a/src/main/java/sandstack/measure/page/ReportMerge.java
+++ b/src/main/java/sandstack/measure/page/ReportMerge.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import sandstack.config.InvalidConfigurationException;
-import sandstack.measure.scale.Fit;
+import sandstack.measure.scale.FittedModel;
 import sandstack.measure.scale.ScaleReport;
 import sandstack.measure.scale.ScaleReport.Result;
 import sandstack.measure.scale.Series;
@@ -29,7 +29,7 @@
         List<CostModel> merged = new ArrayList<>();
         for (CostModel costModel : costModels.models()) {
             Series measured = seriesById.get(costModel.id());
-            Optional<Fit> fit = measured == null ? Optional.empty() : Fit.best(measured.points());
+            Optional<FittedModel> fit = measured == null ? Optional.empty() : FittedModel.selectBest(measured.points());
             if (fit.isPresent()) {
                 seriesById.remove(costModel.id());
                 merged.add(costModel.measuredBy(run, measured, fit.get(), plannedSize(plan, measured)));
--- a/src/main/java/sandstack/measure/scale/ClientPool.java
+++ b/src/main/java/sandstack/measure/scale/ClientPool.java
@@ -13,45 +13,45 @@
  */
 final class ClientPool {
     /** More that fail are no accident: the relay takes no more. */
-    static final int MOST_UNSERVED = 32;
+    static final int MAX_UNSERVED = 32;
 
-    private static final long PATIENCE_MICROS = 3_000_000;
-    private static final int CLIENTS_IN_GROUP = 40;
-    private static final String[] CLASSES = {"order-status", "order-status", "catalogue-feed", "stock-check"};
+    private static final long DEADLINE_MICROS = 3_000_000;
+    private static final int CLIENTS_PER_GROUP = 40;
+    private static final String[] REQUEST_CLASSES = {"order-status", "order-status", "catalogue-feed", "stock-check"};
 
-    private final StandInLoop yard;
+    private final StandInLoop loop;
     private final int port;
-    private final Set<ShopClient> standing = new LinkedHashSet<>();
+    private final Set<ShopClient> established = new LinkedHashSet<>();
     private Consumer<String> onDelivery = line -> {};
     private int target;
     private int inFlight;
     private int unservedBefore;
-    private long asked;
-    private long served;
-    private long refused;
+    private long attempts;
+    private long accepted;
+    private long rejected;
     private long failed;
     private long lost;
 
-    ClientPool(StandInLoop yard, int port) {
-        this.yard = yard;
+    ClientPool(StandInLoop loop, int port) {
+        this.loop = loop;
         this.port = port;
     }
 
     /**
      * What has happened until now.
      *
-     * @param refused told so by the relay
+     * @param rejected told so by the relay
      * @param failed without an answer, or with one that says nothing
      * @param lost ended by the other side while they stood
      */
-    record Count(int standing, int inFlight, long asked, long served, long refused, long failed, long lost) {
+    record Counts(int established, int inFlight, long attempts, long accepted, long rejected, long failed, long lost) {
         long unserved() {
-            return refused + failed;
+            return rejected + failed;
         }
     }
 
-    Count count() {
-        return new Count(standing.size(), inFlight, asked, served, refused, failed, lost);
+    Counts counts() {
+        return new Counts(established.size(), inFlight, attempts, accepted, rejected, failed, lost);
     }
 
     /** Each line that a feed server sends to one of them is handed on. */
@@ -60,65 +60,65 @@
     }
 
     /** Connects until so many stand, with at most so many set-ups in flight. */
-    void growTo(int connections, int mostInFlight) {
+    void growTo(int connections, int maxInFlight) {
         target = connections;
-        unservedBefore = (int) (refused + failed);
-        for (int i = inFlight; i < mostInFlight; i++) {
-            next();
+        unservedBefore = (int) (rejected + failed);
+        for (int i = inFlight; i < maxInFlight; i++) {
+            connectNext();
         }
     }
 
     /** Whether nothing is in flight: the target is reached, or too many have not come up. */
-    boolean settled() {
+    boolean isSettled() {
         return inFlight == 0;
     }
 
     /** So many of the oldest end their connections by a reset. */
-    void abort(int count) {
-        standing.stream().limit(count).toList().forEach(ShopClient::abort);
+    void resetOldest(int count) {
+        established.stream().limit(count).toList().forEach(ShopClient::abort);
     }
 
-    private void next() {
-        boolean gaveUp = refused + failed - unservedBefore >= MOST_UNSERVED;
-        if (gaveUp || standing.size() + inFlight >= target) {
+    private void connectNext() {
+        boolean givenUp = rejected + failed - unservedBefore >= MAX_UNSERVED;
+        if (givenUp || established.size() + inFlight >= target) {
             return;
         }
         inFlight++;
-        long number = ++asked;
+        long number = ++attempts;
         new ShopClient(
-                yard,
+                loop,
                 port,
                 "i" + number,
                 "k" + number,
-                "c=" + CLASSES[(int) (number % CLASSES.length)] + ",d=" + PATIENCE_MICROS / 1000 + ",g=g"
-                        + number / CLIENTS_IN_GROUP,
-                PATIENCE_MICROS,
-                this::told);
+                "c=" + REQUEST_CLASSES[(int) (number % REQUEST_CLASSES.length)] + ",d=" + DEADLINE_MICROS / 1000
+                        + ",g=g" + number / CLIENTS_PER_GROUP,
+                DEADLINE_MICROS,
+                this::onClientEvent);
     }
 
-    private void told(ShopClient.Told told) {
-        ShopClient client = told.client();
-        boolean stood = standing.remove(client);
-        if (told.what() == Happened.UP) {
-            served++;
-            standing.add(client);
+    private void onClientEvent(ShopClient.Told event) {
+        ShopClient client = event.client();
+        boolean wasEstablished = established.remove(client);
+        if (event.what() == Happened.UP) {
+            accepted++;
+            established.add(client);
             client.onDelivery(onDelivery);
-        } else if (told.what() == Happened.BUSY) {
-            refused++;
-        } else if (stood) {
-            lost += told.what() == Happened.LEFT ? 0 : 1;
+        } else if (event.what() == Happened.BUSY) {
+            rejected++;
+        } else if (wasEstablished) {
+            lost += event.what() == Happened.LEFT ? 0 : 1;
         } else {
             failed++;
         }
-        if (!stood) {
+        if (!wasEstablished) {
             // not from within: a connection that fails at once would otherwise recurse
-            yard.after(0, this::replace);
+            loop.after(0, this::onAttemptEnded);
         }
     }
 
     /** Until here the one before counts as in flight, so that the pool never looks settled between two. */
-    private void replace() {
+    private void onAttemptEnded() {
         inFlight--;
-        next();
+        connectNext();
     }
 }
--- a/src/main/java/sandstack/measure/scale/DeliveryLoad.java
+++ b/src/main/java/sandstack/measure/scale/DeliveryLoad.java
@@ -16,27 +16,27 @@
     static final int LINE_BYTES = 100;
 
     private static final long TICK_MICROS = 1_000;
-    private static final long MOST_MICROS = 10_000_000;
-    private static final String WORD = "push ";
+    private static final long MAX_RECORDED_MICROS = 10_000_000;
+    private static final String LINE_PREFIX = "push ";
     private static final String PADDING = ".".repeat(LINE_BYTES);
 
-    private final StandInLoop yard;
+    private final StandInLoop loop;
     private final List<Subscriber> subscribers = new ArrayList<>();
-    private final Histogram delays = new Histogram(MOST_MICROS, 3);
-    private int next;
+    private final Histogram delayMicros = new Histogram(MAX_RECORDED_MICROS, 3);
+    private int nextSubscriber;
     private long sent;
-    private long perSecond;
-    private long began;
-    private long sentBefore;
+    private long linesPerSecond;
+    private long startMicros;
+    private long sentAtStart;
     private boolean sending;
 
-    DeliveryLoad(StandInLoop yard, ClientPool clients) {
-        this.yard = yard;
-        clients.onDelivery(this::arrived);
+    DeliveryLoad(StandInLoop loop, ClientPool clients) {
+        this.loop = loop;
+        clients.onDelivery(this::onDelivery);
     }
 
     /** What has been sent and what of it has arrived, with the delays in microseconds. */
-    record Result(long sent, long arrived, long median, long ninetyNinth) {}
+    record Result(long sent, long arrived, long medianMicros, long p99Micros) {}
 
     /** Sends one line to each connection that these servers have now. */
     void sendOneToEach(List<FeedServer> servers) {
@@ -49,14 +49,14 @@
     }
 
     /** Sends so many lines a second to the connections that these servers have now, until {@link #stop}. */
-    void start(List<FeedServer> servers, long linesPerSecond) {
+    void start(List<FeedServer> servers, long rate) {
         subscribers.clear();
         servers.forEach(server -> subscribers.addAll(server.subscribers()));
-        perSecond = linesPerSecond;
-        began = yard.now();
-        sentBefore = sent;
+        linesPerSecond = rate;
+        startMicros = loop.now();
+        sentAtStart = sent;
         sending = true;
-        tick();
+        sendDue();
     }
 
     void stop() {
@@ -65,38 +65,42 @@
 
     /** Forgets the delays and what has been sent. */
     void reset() {
-        delays.reset();
+        delayMicros.reset();
         sent = 0;
-        sentBefore = 0;
-        began = yard.now();
+        sentAtStart = 0;
+        startMicros = loop.now();
     }
 
     Result result() {
         return new Result(
-                sent, delays.getTotalCount(), delays.getValueAtPercentile(50), delays.getValueAtPercentile(99));
+                sent,
+                delayMicros.getTotalCount(),
+                delayMicros.getValueAtPercentile(50),
+                delayMicros.getValueAtPercentile(99));
     }
 
-    private void tick() {
+    private void sendDue() {
         if (!sending) {
             return;
         }
-        long due = sentBefore + (yard.now() - began) * perSecond / 1_000_000;
+        long due = sentAtStart + (loop.now() - startMicros) * linesPerSecond / 1_000_000;
         while (sent < due) {
-            subscribers.get(next++ % subscribers.size()).send(line());
+            subscribers.get(nextSubscriber++ % subscribers.size()).send(line());
             sent++;
         }
-        yard.after(TICK_MICROS, this::tick);
+        loop.after(TICK_MICROS, this::sendDue);
     }
 
     private String line() {
-        String stamped = WORD + yard.now() + " ";
+        String stamped = LINE_PREFIX + loop.now() + " ";
         return stamped + PADDING.substring(stamped.length() + 1) + "\n";
     }
 
-    private void arrived(String line) {
-        if (line.startsWith(WORD)) {
-            long at = Long.parseLong(line.substring(WORD.length(), line.indexOf(' ', WORD.length())));
-            delays.recordValue(Math.min(MOST_MICROS, Math.max(0, yard.now() - at)));
+    private void onDelivery(String line) {
+        if (line.startsWith(LINE_PREFIX)) {
+            long sentAtMicros =
+                    Long.parseLong(line.substring(LINE_PREFIX.length(), line.indexOf(' ', LINE_PREFIX.length())));
+            delayMicros.recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, loop.now() - sentAtMicros)));
         }
     }
 }
--- a/src/main/java/sandstack/measure/scale/DiscoveryListScale.java
+++ b/src/main/java/sandstack/measure/scale/EndpointListScale.java
@@ -8,7 +8,7 @@
  * What discovery's list costs: its bytes, the relay's work with it, and, reckoned, what all relays ask of one discovery.
  * With {@link Effort#SMALL} no time and no heap is measured.
  */
-public final class DiscoveryListScale implements ScaleMeasurement {
+public final class EndpointListScale implements ScaleMeasurement {
     private static final String SERVERS = "feed servers";
     private static final String RELAYS = "relays";
     private static final int[] SERVERS_SMALL = {100, 200, 400};
@@ -18,18 +18,19 @@
     private static final int[] RELAYS_ALL = {50, 200, 800, 2_400, 5_600};
     private static final int SERVERS_IN_CHANGE = 1_000;
 
-    private static final long OUTAGE = 10_000_000;
+    private static final long OUTAGE_MICROS = 10_000_000;
     private static final long SEED = 1;
     /** A watch tells an empty line so often, as a chunk of six bytes. */
-    private static final double KEEPALIVES_A_SECOND = 0.5;
+    private static final double KEEPALIVES_PER_SECOND = 0.5;
 
     private static final int KEEPALIVE_BYTES = 6;
 
-    private static final String BYTES = "the list as the stand-in discovery writes it, counted";
-    private static final String TIME = "bytes in pieces of 8 KB through parser, name table and decision module, in a "
-            + "process of its own with compiler and collector of run; median of five rounds, processor time of its thread; ";
-    private static final String PROBE = "the same process; ";
-    private static final String RECKONED_CALLS =
+    private static final String BYTES_METHOD = "the list as the stand-in discovery writes it, counted";
+    private static final String TIME_METHOD =
+            "bytes in pieces of 8 KB through parser, name table and decision module, in a "
+                    + "process of its own with compiler and collector of run; median of five rounds, processor time of its thread; ";
+    private static final String PROBE_METHOD = "the same process; ";
+    private static final String CALLS_METHOD =
             "reckoned: the pauses of ListClock with ask_every_us of 10 s, drawn for each "
                     + "relay, after all watches broke at once and discovery was away for 10 s; ";
 
@@ -46,41 +47,48 @@
                     case QUICK -> SERVERS_QUICK;
                     case FULL -> SERVERS_FULL;
                 };
-        List<Series> all = new ArrayList<>(bytes(servers));
-        all.addAll(reckoned(effort == Effort.SMALL ? RELAYS_SMALL : RELAYS_ALL));
+        List<Series> all = new ArrayList<>(sizeSeries(servers));
+        all.addAll(computedSeries(effort == Effort.SMALL ? RELAYS_SMALL : RELAYS_ALL));
         if (effort != Effort.SMALL) {
-            all.addAll(inRelay(servers));
+            all.addAll(relaySeries(servers));
         }
         return all;
     }
 
-    private static List<Series> bytes(int[] sizes) {
+    private static List<Series> sizeSeries(int[] sizes) {
         List<Point> whole = new ArrayList<>();
         List<Point> change = new ArrayList<>();
         for (int servers : sizes) {
-            SampleList list = new SampleList(servers);
-            whole.add(new Point(servers, list.whole().length));
-            list.change(0, SampleList.DRAINING);
-            change.add(new Point(servers, list.lastChange().length));
+            SampleEndpointList list = new SampleEndpointList(servers);
+            whole.add(new Point(servers, list.fullList().length));
+            list.setState(0, SampleEndpointList.DRAINING);
+            change.add(new Point(servers, list.lastDelta().length));
         }
         return List.of(
-                discovery("whole-list", Resource.NETWORK, "bytes", SERVERS, BYTES + ", whole", whole),
-                discovery("change", Resource.NETWORK, "bytes", SERVERS, BYTES + ", one feed server changed", change));
+                discovery("whole-list", Resource.NETWORK, "bytes", SERVERS, BYTES_METHOD + ", whole", whole),
+                discovery(
+                        "change",
+                        Resource.NETWORK,
+                        "bytes",
+                        SERVERS,
+                        BYTES_METHOD + ", one feed server changed",
+                        change));
     }
 
-    private static List<Series> reckoned(int[] sizes) {
-        SampleList list = new SampleList(SERVERS_IN_CHANGE);
-        list.change(0, SampleList.DRAINING);
-        int changeBytes = list.lastChange().length;
+    private static List<Series> computedSeries(int[] sizes) {
+        SampleEndpointList list = new SampleEndpointList(SERVERS_IN_CHANGE);
+        list.setState(0, SampleEndpointList.DRAINING);
+        int changeBytes = list.lastDelta().length;
         List<Point> fanOut = new ArrayList<>();
         List<Point> keepalive = new ArrayList<>();
         List<Point> whileDown = new ArrayList<>();
         List<Point> firstSecond = new ArrayList<>();
         for (int relays : sizes) {
             fanOut.add(new Point(relays, (double) changeBytes * relays));
-            keepalive.add(new Point(relays, KEEPALIVES_A_SECOND * KEEPALIVE_BYTES * relays));
-            WatchOutage.Calls calls = new WatchOutage(DecisionDriver.ASK_WITHIN, OUTAGE, SEED).play(relays);
-            whileDown.add(new Point(relays, calls.perSecondWhileDown()));
+            keepalive.add(new Point(relays, KEEPALIVES_PER_SECOND * KEEPALIVE_BYTES * relays));
+            WatchOutage.Calls calls =
+                    new WatchOutage(LoadBalancerDriver.POLL_INTERVAL_MICROS, OUTAGE_MICROS, SEED).simulate(relays);
+            whileDown.add(new Point(relays, calls.perSecondDuringOutage()));
             firstSecond.add(new Point(relays, calls.inFirstSecond()));
         }
         return List.of(
@@ -104,14 +112,14 @@
                         Resource.MESSAGES,
                         "calls a second",
                         RELAYS,
-                        RECKONED_CALLS + "calls in that time, which all fail",
+                        CALLS_METHOD + "calls in that time, which all fail",
                         whileDown),
                 discovery(
                         "calls-after-outage",
                         Resource.MESSAGES,
                         "calls",
                         RELAYS,
-                        RECKONED_CALLS + "calls in the first second after it",
+                        CALLS_METHOD + "calls in the first second after it",
                         firstSecond));
     }
 
@@ -120,37 +128,37 @@
         return new Series("discovery." + id, Role.DISCOVERY, resource, unit, per, method, points);
     }
 
-    private static List<Series> inRelay(int[] sizes) throws Exception {
-        ProbeOutput output = ProbeProcess.run(ListProbe.class, sizes);
+    private static List<Series> relaySeries(int[] sizes) throws Exception {
+        ProbeOutput output = ProbeProcess.run(EndpointListProbe.class, sizes);
         return List.of(
                 relay(
                         "whole-time",
                         Resource.PROCESSOR,
                         "microseconds",
-                        TIME + "the whole list",
+                        TIME_METHOD + "the whole list",
                         output,
-                        ListProbe.WHOLE),
+                        EndpointListProbe.FULL_LIST),
                 relay(
                         "change-time",
                         Resource.PROCESSOR,
                         "microseconds",
-                        TIME + "a change of one",
+                        TIME_METHOD + "a change of one",
                         output,
-                        ListProbe.CHANGE),
+                        EndpointListProbe.DELTA),
                 relay(
                         "heap",
                         Resource.MEMORY,
                         "bytes",
-                        PROBE + "heap of name table and decision module after a full collection",
+                        PROBE_METHOD + "heap of name table and decision module after a full collection",
                         output,
-                        ListProbe.HEAP),
+                        EndpointListProbe.HEAP),
                 relay(
                         "allocated",
                         Resource.MEMORY,
                         "bytes",
-                        PROBE + "bytes allocated while one whole list is read for the first time",
+                        PROBE_METHOD + "bytes allocated while one whole list is read for the first time",
                         output,
-                        ListProbe.ALLOCATED));
+                        EndpointListProbe.ALLOCATED));
     }
 
     private static Series relay(
--- a/src/main/java/sandstack/measure/scale/Fit.java
+++ b/src/main/java/sandstack/measure/scale/FittedModel.java
@@ -13,60 +13,60 @@
  *
  * <p>The residual is the root of the mean squared deviation over the mean magnitude of the values. To choose a shape, the
  * residuals of all are compared, none taken for less than {@link #NOISE_FLOOR}: a trend has to be significant against the
- * constant (F test at 5 in 100), and a trend that is one step more complex than another needs at most {@link #STEP} times
+ * constant (F test at 5 in 100), and a trend that is one step more complex than another needs at most {@link #COMPLEXITY_FACTOR} times
  * its residual.
  *
  * @param base value at basis zero
  * @param slope of the shape's basis; zero for a constant
  * @param residual relative, zero for a fit that passes through every point
  */
-public record Fit(Shape shape, double base, double slope, double residual) {
+public record FittedModel(Shape shape, double base, double slope, double residual) {
     /** Differences below this share of the values say nothing about a shape. */
     public static final double NOISE_FLOOR = 0.005;
 
     /** So many different sizes are needed to choose a shape. */
-    public static final int LEAST_SIZES = 3;
+    public static final int MIN_DISTINCT_SIZES = 3;
 
     /** How much smaller a residual must be for a trend that is one step more complex. */
-    private static final double STEP = 0.75;
+    private static final double COMPLEXITY_FACTOR = 0.75;
 
     /** The F distribution's 95th percentile with one degree of freedom over 1, 2, 3 and so on. */
-    private static final double[] F_95 = {161.4, 18.51, 10.13, 7.71, 6.61, 5.99, 5.59, 5.32, 5.12, 4.96};
+    private static final double[] F_95TH_PERCENTILE = {161.4, 18.51, 10.13, 7.71, 6.61, 5.99, 5.59, 5.32, 5.12, 4.96};
 
     /** The shape that explains the points best for its complexity; empty with fewer than three sizes. */
-    public static Optional<Fit> best(List<Point> points) {
-        if (points.stream().mapToDouble(Point::size).distinct().count() < LEAST_SIZES) {
+    public static Optional<FittedModel> selectBest(List<Point> points) {
+        if (points.stream().mapToDouble(Point::size).distinct().count() < MIN_DISTINCT_SIZES) {
             return Optional.empty();
         }
-        Fit constant = of(Shape.CONSTANT, points);
-        Fit trend = bestTrend(points);
+        FittedModel constant = leastSquares(Shape.CONSTANT, points);
+        FittedModel trend = bestTrend(points);
         return Optional.of(isSignificant(trend, constant, points.size()) ? trend : constant);
     }
 
-    private static Fit bestTrend(List<Point> points) {
-        List<Fit> trends = new ArrayList<>();
+    private static FittedModel bestTrend(List<Point> points) {
+        List<FittedModel> trends = new ArrayList<>();
         for (Shape shape : Shape.values()) {
             if (shape != Shape.CONSTANT) {
-                trends.add(of(shape, points));
+                trends.add(leastSquares(shape, points));
             }
         }
-        return Collections.min(trends, Comparator.comparing(Fit::penalised));
+        return Collections.min(trends, Comparator.comparing(FittedModel::penalizedResidual));
     }
 
     /** The residual, made larger with each step of complexity. */
-    private double penalised() {
-        return floored() / Math.pow(STEP, shape.ordinal());
+    private double penalizedResidual() {
+        return residualWithNoise() / Math.pow(COMPLEXITY_FACTOR, shape.ordinal());
     }
 
-    private static boolean isSignificant(Fit trend, Fit constant, int points) {
-        int freedom = points - 2;
-        double critical = F_95[Math.min(freedom, F_95.length) - 1];
-        double unexplained = trend.floored() * trend.floored();
-        double explained = constant.floored() * constant.floored() - unexplained;
-        return explained * freedom > critical * unexplained;
+    private static boolean isSignificant(FittedModel trend, FittedModel constant, int points) {
+        int degreesOfFreedom = points - 2;
+        double critical = F_95TH_PERCENTILE[Math.min(degreesOfFreedom, F_95TH_PERCENTILE.length) - 1];
+        double unexplained = trend.residualWithNoise() * trend.residualWithNoise();
+        double explained = constant.residualWithNoise() * constant.residualWithNoise() - unexplained;
+        return explained * degreesOfFreedom > critical * unexplained;
     }
 
-    private double floored() {
+    private double residualWithNoise() {
         return Math.hypot(residual, NOISE_FLOOR);
     }
 
@@ -75,7 +75,7 @@
      *
      * @throws IllegalArgumentException without points, or where one is not finite
      */
-    public static Fit of(Shape shape, List<Point> points) {
+    public static FittedModel leastSquares(Shape shape, List<Point> points) {
         if (points.isEmpty()) {
             throw new IllegalArgumentException("a fit needs points");
         }
@@ -86,17 +86,17 @@
         }
         double meanBasis = mean(points.stream().mapToDouble(p -> shape.basis(p.size())));
         double meanValue = mean(points.stream().mapToDouble(Point::value));
-        double together = 0;
-        double alone = 0;
+        double covariance = 0;
+        double variance = 0;
         for (Point point : points) {
             double offset = shape.basis(point.size()) - meanBasis;
-            together += offset * (point.value() - meanValue);
-            alone += offset * offset;
+            covariance += offset * (point.value() - meanValue);
+            variance += offset * offset;
         }
-        double slope = alone == 0 ? 0 : together / alone;
+        double slope = variance == 0 ? 0 : covariance / variance;
         double base = meanValue - slope * meanBasis;
-        Fit exact = new Fit(shape, base, slope, 0);
-        return new Fit(shape, base, slope, exact.residualOver(points));
+        FittedModel exact = new FittedModel(shape, base, slope, 0);
+        return new FittedModel(shape, base, slope, exact.residualOver(points));
     }
 
     /** The relative residual of this curve over points. */
@@ -105,7 +105,7 @@
         if (magnitude == 0) {
             return 0;
         }
-        double squared = mean(points.stream().mapToDouble(p -> Math.pow(p.value() - at(p.size()), 2)));
+        double squared = mean(points.stream().mapToDouble(p -> Math.pow(p.value() - valueAt(p.size()), 2)));
         return Math.sqrt(squared) / magnitude;
     }
 
@@ -114,7 +114,7 @@
     }
 
     /** The value at a size, also beyond those that were measured. */
-    public double at(double size) {
+    public double valueAt(double size) {
         return base + slope * shape.basis(size);
     }
 }
--- a/src/main/java/sandstack/measure/scale/LiveHeap.java
+++ b/src/main/java/sandstack/measure/scale/LiveHeap.java
@@ -10,8 +10,8 @@
     /** The serial collector otherwise leaves a twentieth of the heap as it was in three of four full collections. */
     static final String COMPACT_ALWAYS = "-XX:MarkSweepAlwaysCompactCount=1";
 
-    private static final long WITHIN_SECONDS = 20;
-    private static final String TOTAL = "Total ";
+    private static final long TIMEOUT_SECONDS = 20;
+    private static final String TOTAL_LINE_PREFIX = "Total ";
 
     private LiveHeap() {}
 
@@ -22,11 +22,11 @@
                 .redirectErrorStream(true)
                 .start();
         try {
-            String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            if (!process.waitFor(WITHIN_SECONDS, TimeUnit.SECONDS)) {
+            String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 throw new IOException("jcmd did not end");
             }
-            return total(said);
+            return total(output);
         } finally {
             process.destroyForcibly();
         }
@@ -35,9 +35,9 @@
     /** The last line has the instances and the bytes of all classes. */
     static long total(String histogram) throws IOException {
         for (String line : histogram.lines().toList()) {
-            if (line.startsWith(TOTAL)) {
-                String[] words = line.trim().split("\\s+");
-                return Long.parseLong(words[2]);
+            if (line.startsWith(TOTAL_LINE_PREFIX)) {
+                String[] columns = line.trim().split("\\s+");
+                return Long.parseLong(columns[2]);
             }
         }
         throw new IOException(
--- a/src/main/java/sandstack/measure/scale/DecisionScale.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerScale.java
@@ -10,7 +10,7 @@
  * What the decision module alone keeps and takes, by standing connections and by feed servers. With {@link Effort#SMALL}
  * it counts the entries that it keeps, in this process.
  */
-public final class DecisionScale implements ScaleMeasurement {
+public final class LoadBalancerScale implements ScaleMeasurement {
     private static final String CONNECTIONS = "connections";
     private static final String SERVERS = "feed servers";
     private static final String METHOD =
@@ -22,9 +22,9 @@
     private static final int[] CONNECTIONS_QUICK = {2_000, 8_000, 16_000};
     private static final int[] CONNECTIONS_FULL = {8_000, 20_000, 40_000, 80_400};
     private static final int[] SERVERS_QUICK = {100, 200};
-    private static final int MOST_SERVERS_QUICK = 300;
+    private static final int MAX_SERVERS_QUICK = 300;
     private static final int[] SERVERS_FULL = {100, 250, 500};
-    private static final int MOST_SERVERS_FULL = 1_000;
+    private static final int MAX_SERVERS_FULL = 1_000;
     private static final int FEW_SERVERS = 10;
 
     @Override
@@ -35,18 +35,18 @@
     @Override
     public List<Series> measure(Effort effort) throws Exception {
         if (effort == Effort.SMALL) {
-            return counts();
+            return stateSeries();
         }
         boolean full = effort == Effort.FULL;
-        int most = full ? MOST_SERVERS_FULL : MOST_SERVERS_QUICK;
+        int maxServers = full ? MAX_SERVERS_FULL : MAX_SERVERS_QUICK;
         int[] connections = full ? CONNECTIONS_FULL : CONNECTIONS_QUICK;
         SortedMap<Integer, ProbeOutput> outputs = new TreeMap<>();
         for (int count : full ? SERVERS_FULL : SERVERS_QUICK) {
-            outputs.put(count, ProbeProcess.run(DecisionProbe.class, count, connections[0]));
+            outputs.put(count, ProbeProcess.run(LoadBalancerProbe.class, count, connections[0]));
         }
-        ProbeOutput largest = ProbeProcess.run(DecisionProbe.class, joined(most, connections));
-        outputs.put(most, largest);
-        List<Series> all = new ArrayList<>(byConnections(most, largest));
+        ProbeOutput largest = ProbeProcess.run(LoadBalancerProbe.class, arguments(maxServers, connections));
+        outputs.put(maxServers, largest);
+        List<Series> all = new ArrayList<>(byConnections(maxServers, largest));
         all.addAll(byServers(outputs, connections[0]));
         return all;
     }
@@ -61,7 +61,7 @@
                         "bytes",
                         CONNECTIONS,
                         fixed + "heap after a full collection, with the names of connections, keys and groups",
-                        output.points(DecisionProbe.HEAP)),
+                        output.points(LoadBalancerProbe.HEAP)),
                 time(
                         "decision.placement",
                         Role.RELAY_PLACEMENT,
@@ -69,7 +69,7 @@
                         fixed,
                         "a placement",
                         output,
-                        DecisionProbe.PLACEMENT),
+                        LoadBalancerProbe.PLACEMENT),
                 time(
                         "decision.list-change",
                         Role.RELAY_CONTROL,
@@ -77,7 +77,7 @@
                         fixed,
                         "a list that changes one feed server",
                         output,
-                        DecisionProbe.CHANGE),
+                        LoadBalancerProbe.DELTA),
                 time(
                         "decision.whole-list",
                         Role.RELAY_CONTROL,
@@ -85,19 +85,19 @@
                         fixed,
                         "a whole list with nothing new",
                         output,
-                        DecisionProbe.WHOLE_LIST),
+                        LoadBalancerProbe.FULL_LIST),
                 time(
                         "decision.look",
                         Role.RELAY_PLACEMENT,
                         CONNECTIONS,
                         fixed,
-                        lookName(),
+                        sweepName(),
                         output,
-                        DecisionProbe.LOOK));
+                        LoadBalancerProbe.SWEEP));
     }
 
-    private static String lookName() {
-        return "a look at the whole, due each " + DecisionDriver.LOOK_MICROS / 1000 + " ms";
+    private static String sweepName() {
+        return "a look at the whole, due each " + LoadBalancerDriver.SWEEP_INTERVAL_MICROS / 1000 + " ms";
     }
 
     private static List<Series> byServers(SortedMap<Integer, ProbeOutput> outputs, int connections) {
@@ -107,11 +107,11 @@
         List<Point> whole = new ArrayList<>();
         List<Point> look = new ArrayList<>();
         outputs.forEach((servers, output) -> {
-            heap.add(at(servers, output, DecisionProbe.HEAP));
-            placement.add(at(servers, output, DecisionProbe.PLACEMENT));
-            change.add(at(servers, output, DecisionProbe.CHANGE));
-            whole.add(at(servers, output, DecisionProbe.WHOLE_LIST));
-            look.add(at(servers, output, DecisionProbe.LOOK));
+            heap.add(pointAt(servers, output, LoadBalancerProbe.HEAP));
+            placement.add(pointAt(servers, output, LoadBalancerProbe.PLACEMENT));
+            change.add(pointAt(servers, output, LoadBalancerProbe.DELTA));
+            whole.add(pointAt(servers, output, LoadBalancerProbe.FULL_LIST));
+            look.add(pointAt(servers, output, LoadBalancerProbe.SWEEP));
         });
         String fixed = METHOD + connections + " connections; ";
         return List.of(
@@ -136,10 +136,10 @@
                         fixed,
                         "a whole list with nothing new",
                         whole),
-                time("decision.look-by-servers", Role.RELAY_PLACEMENT, fixed, lookName(), look));
+                time("decision.look-by-servers", Role.RELAY_PLACEMENT, fixed, sweepName(), look));
     }
 
-    private static Point at(int servers, ProbeOutput output, String curve) {
+    private static Point pointAt(int servers, ProbeOutput output, String curve) {
         return new Point(servers, output.points(curve).get(0).value());
     }
 
@@ -152,21 +152,21 @@
         return new Series(id, role, Resource.PROCESSOR, "microseconds", SERVERS, fixed + TIME + what, points);
     }
 
-    private static int[] joined(int first, int[] others) {
+    private static int[] arguments(int first, int[] others) {
         int[] all = new int[others.length + 1];
         all[0] = first;
         System.arraycopy(others, 0, all, 1, others.length);
         return all;
     }
 
-    private static List<Series> counts() {
+    private static List<Series> stateSeries() {
         List<Point> byConnections = new ArrayList<>();
         for (int connections : CONNECTIONS_SMALL) {
-            byConnections.add(new Point(connections, kept(FEW_SERVERS, connections)));
+            byConnections.add(new Point(connections, reachableState(FEW_SERVERS, connections)));
         }
         List<Point> byServers = new ArrayList<>();
         for (int servers : SERVERS_SMALL) {
-            byServers.add(new Point(servers, kept(servers, 0)));
+            byServers.add(new Point(servers, reachableState(servers, 0)));
         }
         String how = "the decision module alone: its objects and the entries of its maps and lists, counted; ";
         return List.of(
@@ -188,10 +188,10 @@
                         byServers));
     }
 
-    private static long kept(int servers, int connections) {
-        DecisionDriver driver = new DecisionDriver(servers);
-        driver.standUp(connections);
-        ReachableObjects.Count count = ReachableObjects.from(driver.brain());
+    private static long reachableState(int servers, int connections) {
+        LoadBalancerDriver driver = new LoadBalancerDriver(servers);
+        driver.establishAll(connections);
+        ReachableObjects.Count count = ReachableObjects.countFrom(driver.loadBalancer());
         return count.objects() + count.entries();
     }
 }
--- a/src/main/java/sandstack/measure/scale/ProbeClock.java
+++ b/src/main/java/sandstack/measure/scale/ProbeClock.java
@@ -9,32 +9,32 @@
 final class ProbeClock {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final MemoryMXBean MEMORY = ManagementFactory.getMemoryMXBean();
-    private static final double NANOS_IN_MICRO = 1_000;
+    private static final double NANOS_PER_MICRO = 1_000;
 
     private ProbeClock() {}
 
     /** What is measured. */
-    interface Work {
+    interface Task {
         void run() throws Exception;
     }
 
     /** Processor time of the calling thread since its start. */
-    static double threadMicros() {
-        return THREADS.getCurrentThreadCpuTime() / NANOS_IN_MICRO;
+    static double threadCpuMicros() {
+        return THREADS.getCurrentThreadCpuTime() / NANOS_PER_MICRO;
     }
 
     /** Microseconds of processor time that one of these took: the median of some rounds of so many. */
-    static double microsEach(int rounds, int timesARound, Work work) throws Exception {
-        double[] each = new double[rounds];
+    static double medianMicros(int rounds, int iterationsPerRound, Task work) throws Exception {
+        double[] microsPerIteration = new double[rounds];
         for (int round = 0; round < rounds; round++) {
-            double before = threadMicros();
-            for (int i = 0; i < timesARound; i++) {
+            double before = threadCpuMicros();
+            for (int i = 0; i < iterationsPerRound; i++) {
                 work.run();
             }
-            each[round] = (threadMicros() - before) / timesARound;
+            microsPerIteration[round] = (threadCpuMicros() - before) / iterationsPerRound;
         }
-        Arrays.sort(each);
-        return each[rounds / 2];
+        Arrays.sort(microsPerIteration);
+        return microsPerIteration[rounds / 2];
     }
 
     /** Bytes that all objects take which are still needed. The first call in a process tells some that it takes itself. */
--- a/src/main/java/sandstack/measure/scale/ProbeOutput.java
+++ b/src/main/java/sandstack/measure/scale/ProbeOutput.java
@@ -19,9 +19,9 @@
     static ProbeOutput read(List<String> lines) {
         ProbeOutput output = new ProbeOutput();
         for (String line : lines) {
-            String[] words = line.split(" ");
-            Point point = new Point(Double.parseDouble(words[1]), Double.parseDouble(words[2]));
-            output.curves.computeIfAbsent(words[0], name -> new ArrayList<>()).add(point);
+            String[] fields = line.split(" ");
+            Point point = new Point(Double.parseDouble(fields[1]), Double.parseDouble(fields[2]));
+            output.curves.computeIfAbsent(fields[0], name -> new ArrayList<>()).add(point);
         }
         return output;
     }
--- a/src/main/java/sandstack/measure/scale/ProbeProcess.java
+++ b/src/main/java/sandstack/measure/scale/ProbeProcess.java
@@ -14,8 +14,8 @@
  * has them: times and heaps are those of a relay, and nothing else uses the heap.
  */
 final class ProbeProcess {
-    private static final List<String> HEAP = List.of("-Xmx1g", LiveHeap.COMPACT_ALWAYS);
-    private static final long WITHIN_SECONDS = 120;
+    private static final List<String> HEAP_OPTIONS = List.of("-Xmx1g", LiveHeap.COMPACT_ALWAYS);
+    private static final long TIMEOUT_SECONDS = 120;
 
     private ProbeProcess() {}
 
@@ -24,18 +24,18 @@
      *
      * @throws IOException where it fails; the message has the last line that it said
      */
-    static ProbeOutput run(Class<?> probe, int... sizes) throws IOException, InterruptedException {
+    static ProbeOutput run(Class<?> probe, int... arguments) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(RunCommand.compilerAndCollector());
-        command.addAll(HEAP);
+        command.addAll(HEAP_OPTIONS);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), probe.getName()));
-        Arrays.stream(sizes).mapToObj(Integer::toString).forEach(command::add);
+        Arrays.stream(arguments).mapToObj(Integer::toString).forEach(command::add);
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
         try {
-            String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            List<String> lines = said.lines().toList();
-            if (!process.waitFor(WITHIN_SECONDS, TimeUnit.SECONDS) || process.exitValue() != 0) {
+            String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            List<String> lines = output.lines().toList();
+            if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS) || process.exitValue() != 0) {
                 throw new IOException(probe.getSimpleName() + " failed: " + (lines.isEmpty() ? "" : lines.get(0)));
             }
             return ProbeOutput.read(lines);
--- a/src/main/java/sandstack/measure/scale/ProcessUsage.java
+++ b/src/main/java/sandstack/measure/scale/ProcessUsage.java
@@ -17,9 +17,9 @@
  * @param descriptors open descriptors
  */
 record ProcessUsage(Map<String, Long> threadNanos, long residentBytes, int descriptors) {
-    private static final String RESIDENT = "VmRSS:";
-    private static final long KIB = 1024;
-    private static final double NANOS_IN_MICRO = 1000;
+    private static final String RESIDENT_FIELD = "VmRSS:";
+    private static final long BYTES_PER_KIB = 1024;
+    private static final double NANOS_PER_MICRO = 1000;
 
     /** Reads what the process uses now. */
     static ProcessUsage of(long pid) throws IOException {
@@ -39,7 +39,7 @@
         for (Map.Entry<String, Long> thread : threadNanos.entrySet()) {
             micros += thread.getValue() - before.threadNanos.getOrDefault(thread.getKey(), 0L);
         }
-        return micros / NANOS_IN_MICRO;
+        return micros / NANOS_PER_MICRO;
     }
 
     /** The first field of {@code schedstat} counts nanoseconds, where {@code stat} has ticks of ten milliseconds. */
@@ -59,8 +59,8 @@
 
     private static long residentBytes(Path status) throws IOException {
         for (String line : Files.readAllLines(status)) {
-            if (line.startsWith(RESIDENT)) {
-                return KIB * Long.parseLong(line.replaceAll("[^0-9]", ""));
+            if (line.startsWith(RESIDENT_FIELD)) {
+                return BYTES_PER_KIB * Long.parseLong(line.replaceAll("[^0-9]", ""));
             }
         }
         throw new IOException("no resident memory in " + status);
--- a/src/main/java/sandstack/measure/scale/ReachableObjects.java
+++ b/src/main/java/sandstack/measure/scale/ReachableObjects.java
@@ -17,10 +17,10 @@
  * strings, count as parts of what holds them. Time and memory are linear in the objects.
  */
 final class ReachableObjects {
-    private static final String OWN = "sandstack.";
+    private static final String OWN_PACKAGE_PREFIX = "sandstack.";
 
-    private final Set<Object> seen = Collections.newSetFromMap(new IdentityHashMap<>());
-    private final Deque<Object> open = new ArrayDeque<>();
+    private final Set<Object> visited = Collections.newSetFromMap(new IdentityHashMap<>());
+    private final Deque<Object> pending = new ArrayDeque<>();
     private long objects;
     private long entries;
 
@@ -35,61 +35,61 @@
     record Count(long objects, long entries) {}
 
     /** Counts what can be reached from this object. */
-    static Count from(Object root) {
+    static Count countFrom(Object root) {
         ReachableObjects counter = new ReachableObjects();
-        counter.meet(root);
-        while (!counter.open.isEmpty()) {
-            counter.look(counter.open.pop());
+        counter.enqueue(root);
+        while (!counter.pending.isEmpty()) {
+            counter.visit(counter.pending.pop());
         }
         return new Count(counter.objects, counter.entries);
     }
 
-    private void meet(Object object) {
-        if (object != null && holdsOthers(object) && seen.add(object)) {
-            open.push(object);
+    private void enqueue(Object object) {
+        if (object != null && isTraversed(object) && visited.add(object)) {
+            pending.push(object);
         }
     }
 
-    private static boolean holdsOthers(Object object) {
-        return object instanceof Map || object instanceof Collection || object instanceof Object[] || own(object);
+    private static boolean isTraversed(Object object) {
+        return object instanceof Map || object instanceof Collection || object instanceof Object[] || isOwnType(object);
     }
 
-    private static boolean own(Object object) {
+    private static boolean isOwnType(Object object) {
         Class<?> type = object.getClass();
-        return type.getName().startsWith(OWN) && !type.isHidden() && !(object instanceof Enum);
+        return type.getName().startsWith(OWN_PACKAGE_PREFIX) && !type.isHidden() && !(object instanceof Enum);
     }
 
-    private void look(Object object) {
+    private void visit(Object object) {
         if (object instanceof Map<?, ?> map) {
             entries += map.size();
             map.forEach((key, value) -> {
-                meet(key);
-                meet(value);
+                enqueue(key);
+                enqueue(value);
             });
         } else if (object instanceof Collection<?> collection) {
             entries += collection.size();
-            collection.forEach(this::meet);
+            collection.forEach(this::enqueue);
         } else if (object instanceof Object[] array) {
             entries += Array.getLength(array);
             for (Object element : array) {
-                meet(element);
+                enqueue(element);
             }
         } else {
             objects++;
             for (Class<?> type = object.getClass(); type != Object.class; type = type.getSuperclass()) {
-                lookAtFields(type, object);
+                visitFields(type, object);
             }
         }
     }
 
-    private void lookAtFields(Class<?> type, Object object) {
+    private void visitFields(Class<?> type, Object object) {
         for (Field field : type.getDeclaredFields()) {
             if (Modifier.isStatic(field.getModifiers()) || field.getType().isPrimitive()) {
                 continue;
             }
             field.setAccessible(true);
             try {
-                meet(field.get(object));
+                enqueue(field.get(object));
             } catch (IllegalAccessException e) {
                 throw new IllegalStateException("an accessible field cannot be read: " + field, e);
             }
--- a/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
@@ -15,23 +15,24 @@
             "one relay process as run starts it but with a heap of 512 MB, two stand-in feed "
                     + "servers that send lines of " + DeliveryLoad.LINE_BYTES
                     + " bytes to their clients in turn on loopback, ";
-    private static final String PROCESSOR_TIME =
+    private static final String PROCESSOR_METHOD =
             "processor time of the relay's threads less that of an idle relay, over the lines that arrived";
-    private static final String DELAY = "from the feed server's writing to the client's reading, by HdrHistogram; both "
-            + "share one thread, whose hold-ups are in it";
-    private static final int[] QUICK = {500, 1_000, 2_000};
-    private static final int[] FULL = {1_000, 4_000, 9_000};
+    private static final String DELAY_METHOD =
+            "from the feed server's writing to the client's reading, by HdrHistogram; both "
+                    + "share one thread, whose hold-ups are in it";
+    private static final int[] CONNECTIONS_QUICK = {500, 1_000, 2_000};
+    private static final int[] CONNECTIONS_FULL = {1_000, 4_000, 9_000};
     private static final long[] RATES_QUICK = {1_000, 4_000};
     private static final long[] RATES_FULL = {1_000, 2_000, 4_000, 8_750};
     /** The rate at which the number of connections varies. */
-    private static final long RATE = 2_000;
+    private static final long LINES_PER_SECOND = 2_000;
 
     private static final long WARM_UP_MILLIS = 400;
     private static final long DELIVER_MILLIS_QUICK = 400;
     private static final long DELIVER_MILLIS_FULL = 5_000;
     private static final long IDLE_MILLIS_QUICK = 300;
     private static final long IDLE_MILLIS_FULL = 4_000;
-    private static final long ARRIVE_WITHIN_MILLIS = 100;
+    private static final long ARRIVAL_TIMEOUT_MILLIS = 100;
 
     private final Path jar;
 
@@ -55,40 +56,40 @@
     }
 
     /** Points of the series that vary with one size. */
-    private static final class Curves {
+    private static final class PointsBySize {
         final List<Point> processor = new ArrayList<>();
         final List<Point> median = new ArrayList<>();
-        final List<Point> ninetyNinth = new ArrayList<>();
+        final List<Point> p99 = new ArrayList<>();
 
         void add(double size, Sample sample) {
             processor.add(new Point(size, sample.microsPerLine()));
-            median.add(new Point(size, sample.delays().median()));
-            ninetyNinth.add(new Point(size, sample.delays().ninetyNinth()));
+            median.add(new Point(size, sample.delays().medianMicros()));
+            p99.add(new Point(size, sample.delays().p99Micros()));
         }
 
-        List<Series> series(String by, String per, String method) {
+        List<Series> series(String idSuffix, String per, String method) {
             return List.of(
-                    one(
-                            "processor" + by,
+                    deliverySeries(
+                            "processor" + idSuffix,
                             Resource.PROCESSOR,
                             "microseconds a delivery",
                             per,
-                            method + PROCESSOR_TIME,
+                            method + PROCESSOR_METHOD,
                             processor),
-                    one(
-                            "delay-median" + by,
+                    deliverySeries(
+                            "delay-median" + idSuffix,
                             Resource.LATENCY,
                             "microseconds",
                             per,
-                            method + "half of all: " + DELAY,
+                            method + "half of all: " + DELAY_METHOD,
                             median),
-                    one(
-                            "delay-99th" + by,
+                    deliverySeries(
+                            "delay-99th" + idSuffix,
                             Resource.LATENCY,
                             "microseconds",
                             per,
-                            method + "99 in 100: " + DELAY,
-                            ninetyNinth));
+                            method + "99 in 100: " + DELAY_METHOD,
+                            p99));
         }
     }
 
@@ -104,49 +105,51 @@
         boolean full = effort == Effort.FULL;
         long millis = full ? DELIVER_MILLIS_FULL : DELIVER_MILLIS_QUICK;
         List<Point> idle = new ArrayList<>();
-        Curves byConnections = new Curves();
-        Curves byRate = new Curves();
-        try (RelayUnderLoad load = new RelayUnderLoad(jar, RelayUnderLoad.ROOMY)) {
-            DeliveryLoad deliveries = load.yard().on(() -> new DeliveryLoad(load.yard(), load.clients()));
+        PointsBySize byConnections = new PointsBySize();
+        PointsBySize byRate = new PointsBySize();
+        try (RelayUnderLoad load = new RelayUnderLoad(jar, RelayUnderLoad.LARGE_MEMORY_OPTIONS)) {
+            DeliveryLoad deliveries = load.loop().on(() -> new DeliveryLoad(load.loop(), load.clients()));
             double idleMicros = 0;
-            for (int connections : full ? FULL : QUICK) {
-                load.standUp(connections);
+            for (int connections : full ? CONNECTIONS_FULL : CONNECTIONS_QUICK) {
+                load.establish(connections);
                 if (full || idle.isEmpty()) {
-                    deliver(load, deliveries, RATE, WARM_UP_MILLIS, 0);
+                    deliver(load, deliveries, LINES_PER_SECOND, WARM_UP_MILLIS, 0);
                 }
-                idleMicros = idle(load, full ? IDLE_MILLIS_FULL : IDLE_MILLIS_QUICK);
+                idleMicros = idleCpuMicrosPerSecond(load, full ? IDLE_MILLIS_FULL : IDLE_MILLIS_QUICK);
                 idle.add(new Point(connections, idleMicros));
-                byConnections.add(connections, deliver(load, deliveries, RATE, millis, idleMicros));
+                byConnections.add(connections, deliver(load, deliveries, LINES_PER_SECOND, millis, idleMicros));
             }
             for (long rate : full ? RATES_FULL : RATES_QUICK) {
                 byRate.add(rate, deliver(load, deliveries, rate, millis, idleMicros));
             }
         }
         List<Series> all = new ArrayList<>();
-        all.add(one(
+        all.add(deliverySeries(
                 "idle-processor",
                 Resource.PROCESSOR,
                 "microseconds a second",
                 "connections",
                 METHOD + "processor time of the relay's threads while nothing passes",
                 idle));
-        all.addAll(byConnections.series("", "connections", METHOD + RATE + " lines a second; "));
-        int most = full ? FULL[FULL.length - 1] : QUICK[QUICK.length - 1];
-        all.addAll(byRate.series("-by-rate", "deliveries a second", METHOD + most + " connections; "));
+        all.addAll(byConnections.series("", "connections", METHOD + LINES_PER_SECOND + " lines a second; "));
+        int maxConnections =
+                full ? CONNECTIONS_FULL[CONNECTIONS_FULL.length - 1] : CONNECTIONS_QUICK[CONNECTIONS_QUICK.length - 1];
+        all.addAll(byRate.series("-by-rate", "deliveries a second", METHOD + maxConnections + " connections; "));
         return all;
     }
 
-    private static Series one(
+    private static Series deliverySeries(
             String id, Resource resource, String unit, String per, String method, List<Point> points) {
         return new Series("relay.delivery." + id, Role.RELAY_CONNECTIONS, resource, unit, per, method, points);
     }
 
     /** Processor time a second of a relay to which nothing happens, in microseconds. */
-    private static double idle(RelayUnderLoad load, long millis) throws IOException, InterruptedException {
+    private static double idleCpuMicrosPerSecond(RelayUnderLoad load, long millis)
+            throws IOException, InterruptedException {
         ProcessUsage before = load.usage();
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         RelayUnderLoad.pause(millis);
-        double seconds = (System.nanoTime() - began) / 1e9;
+        double seconds = (System.nanoTime() - startNanos) / 1e9;
         return load.usage().processorMicrosSince(before) / seconds;
     }
 
@@ -158,19 +161,19 @@
     private static Sample deliver(
             RelayUnderLoad load, DeliveryLoad deliveries, long rate, long millis, double idleMicros)
             throws IOException, InterruptedException {
-        load.yard().run(deliveries::reset);
+        load.loop().run(deliveries::reset);
         ProcessUsage before = load.usage();
-        long began = System.nanoTime();
-        load.yard().run(() -> deliveries.start(load.feedServers(), rate));
+        long startNanos = System.nanoTime();
+        load.loop().run(() -> deliveries.start(load.feedServers(), rate));
         RelayUnderLoad.pause(millis);
-        load.yard().run(deliveries::stop);
-        RelayUnderLoad.pause(ARRIVE_WITHIN_MILLIS);
-        double idle = idleMicros * (System.nanoTime() - began) / 1e9;
-        double used = load.usage().processorMicrosSince(before) - idle;
-        DeliveryLoad.Result result = load.yard().on(deliveries::result);
+        load.loop().run(deliveries::stop);
+        RelayUnderLoad.pause(ARRIVAL_TIMEOUT_MILLIS);
+        double idle = idleMicros * (System.nanoTime() - startNanos) / 1e9;
+        double busyMicros = load.usage().processorMicrosSince(before) - idle;
+        DeliveryLoad.Result result = load.loop().on(deliveries::result);
         if (result.arrived() < result.sent()) {
             throw new IllegalStateException("deliveries that have not arrived: " + result);
         }
-        return new Sample(used / result.arrived(), result);
+        return new Sample(busyMicros / result.arrived(), result);
     }
 }
--- a/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
@@ -13,13 +13,13 @@
     private static final String METHOD =
             "one relay process as run starts it with this heap, two stand-in feed servers, "
                     + "clients that come until the relay takes no more of them or its descriptors are used up; ";
-    private static final int[] HEAPS_MB = {24, 32, 48};
+    private static final int[] HEAP_MEGABYTES = {24, 32, 48};
     /** More than the descriptors that the relay is told of allow. */
-    private static final int MORE_THAN_FIT = 9_900;
+    private static final int CONNECTION_TARGET = 9_900;
 
-    private static final long AFTERMATH_MILLIS = 1_500;
+    private static final long SETTLE_MILLIS = 1_500;
     /** So many leave after the stop, and as many come again: does the relay serve on? */
-    private static final int COME_AGAIN = 200;
+    private static final int RECONNECTING_CLIENTS = 200;
 
     private final Path jar;
 
@@ -45,22 +45,22 @@
     /**
      * How it ended with one heap.
      *
-     * @param standing connections when it took no more
-     * @param refused told so by the relay
+     * @param established connections when it took no more
+     * @param rejected told so by the relay
      * @param failed that came without an answer
      * @param lost of those that stood
-     * @param mute of those that still stand, those whose client does not hear a line that the feed server sends
-     * @param outOfMemory lines of its log that name an OutOfMemoryError
-     * @param servedAgain of {@value #COME_AGAIN} that came after as many had left
+     * @param unresponsive of those that still stand, those whose client does not hear a line that the feed server sends
+     * @param outOfMemoryLogLines lines of its log that name an OutOfMemoryError
+     * @param reconnected of {@value #RECONNECTING_CLIENTS} that came after as many had left
      */
-    record Stop(
-            int standing,
-            long refused,
+    record Exhaustion(
+            int established,
+            long rejected,
             long failed,
             long lost,
-            long mute,
-            long outOfMemory,
-            long servedAgain,
+            long unresponsive,
+            long outOfMemoryLogLines,
+            long reconnected,
             boolean alive) {}
 
     @Override
@@ -75,15 +75,15 @@
         List<Point> mute = new ArrayList<>();
         List<Point> errors = new ArrayList<>();
         List<Point> again = new ArrayList<>();
-        for (int megabytes : HEAPS_MB) {
-            Stop stop = fill(megabytes);
-            standing.add(new Point(megabytes, stop.standing()));
-            refused.add(new Point(megabytes, stop.refused()));
+        for (int megabytes : HEAP_MEGABYTES) {
+            Exhaustion stop = fill(megabytes);
+            standing.add(new Point(megabytes, stop.established()));
+            refused.add(new Point(megabytes, stop.rejected()));
             failed.add(new Point(megabytes, stop.failed()));
             lost.add(new Point(megabytes, stop.lost()));
-            mute.add(new Point(megabytes, stop.mute()));
-            errors.add(new Point(megabytes, stop.outOfMemory()));
-            again.add(new Point(megabytes, stop.servedAgain()));
+            mute.add(new Point(megabytes, stop.unresponsive()));
+            errors.add(new Point(megabytes, stop.outOfMemoryLogLines()));
+            again.add(new Point(megabytes, stop.reconnected()));
         }
         return List.of(
                 series("relay.heap-limit.standing", "connections", "those that stood then", standing),
@@ -99,52 +99,54 @@
                 series(
                         "relay.heap-limit.served-again",
                         "connections",
-                        "of " + COME_AGAIN + " that came after as many had left, those that stood",
+                        "of " + RECONNECTING_CLIENTS + " that came after as many had left, those that stood",
                         again));
     }
 
-    private static Series series(String id, String unit, String how, List<Point> points) {
-        return new Series(id, Role.RELAY_CONNECTIONS, Resource.STATE, unit, "megabytes of heap", METHOD + how, points);
+    private static Series series(String id, String unit, String detail, List<Point> points) {
+        return new Series(
+                id, Role.RELAY_CONNECTIONS, Resource.STATE, unit, "megabytes of heap", METHOD + detail, points);
     }
 
     /** Fills one relay until it stops. */
-    Stop fill(int megabytes) throws Exception {
+    Exhaustion fill(int megabytes) throws Exception {
         List<String> heap = List.of("-Xms" + Math.min(32, megabytes) + "m", "-Xmx" + megabytes + "m");
         try (RelayUnderLoad load = new RelayUnderLoad(jar, heap)) {
-            DeliveryLoad deliveries = load.yard().on(() -> new DeliveryLoad(load.yard(), load.clients()));
-            ClientPool.Count full = load.growTo(MORE_THAN_FIT);
-            RelayUnderLoad.pause(AFTERMATH_MILLIS);
-            ClientPool.Count after = load.yard().on(load.clients()::count);
-            long mute = mute(load, deliveries);
-            long servedAgain = servedAgain(load, after);
-            return new Stop(
-                    full.standing(),
-                    after.refused(),
+            DeliveryLoad deliveries = load.loop().on(() -> new DeliveryLoad(load.loop(), load.clients()));
+            ClientPool.Counts atLimit = load.growTo(CONNECTION_TARGET);
+            RelayUnderLoad.pause(SETTLE_MILLIS);
+            ClientPool.Counts after = load.loop().on(load.clients()::counts);
+            long unresponsive = unresponsiveConnections(load, deliveries);
+            long reconnectedClients = reconnected(load, after);
+            return new Exhaustion(
+                    atLimit.established(),
+                    after.rejected(),
                     after.failed(),
                     after.lost(),
-                    mute,
+                    unresponsive,
                     load.relay().log().stream()
                             .filter(line -> line.contains("OutOfMemoryError"))
                             .count(),
-                    servedAgain,
+                    reconnectedClients,
                     load.relay().isAlive());
         }
     }
 
-    private static long mute(RelayUnderLoad load, DeliveryLoad deliveries) throws InterruptedException {
-        load.yard().run(() -> deliveries.sendOneToEach(load.feedServers()));
-        RelayUnderLoad.pause(AFTERMATH_MILLIS);
-        DeliveryLoad.Result result = load.yard().on(deliveries::result);
+    private static long unresponsiveConnections(RelayUnderLoad load, DeliveryLoad deliveries)
+            throws InterruptedException {
+        load.loop().run(() -> deliveries.sendOneToEach(load.feedServers()));
+        RelayUnderLoad.pause(SETTLE_MILLIS);
+        DeliveryLoad.Result result = load.loop().on(deliveries::result);
         return result.sent() - result.arrived();
     }
 
-    private static long servedAgain(RelayUnderLoad load, ClientPool.Count before) throws InterruptedException {
+    private static long reconnected(RelayUnderLoad load, ClientPool.Counts before) throws InterruptedException {
         if (!load.relay().isAlive()) {
             return 0;
         }
-        load.yard().run(() -> load.clients().abort(COME_AGAIN));
-        RelayUnderLoad.pause(AFTERMATH_MILLIS);
-        int stay = load.yard().on(load.clients()::count).standing();
-        return load.growTo(stay + COME_AGAIN).served() - before.served();
+        load.loop().run(() -> load.clients().resetOldest(RECONNECTING_CLIENTS));
+        RelayUnderLoad.pause(SETTLE_MILLIS);
+        int remaining = load.loop().on(load.clients()::counts).established();
+        return load.growTo(remaining + RECONNECTING_CLIENTS).accepted() - before.accepted();
     }
 }
--- a/src/main/java/sandstack/measure/scale/RelayMemoryScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayMemoryScale.java
@@ -11,8 +11,8 @@
     private static final String METHOD =
             "one relay process as run starts it but with a heap of 512 MB, two stand-in feed "
                     + "servers and idle clients on loopback, ";
-    private static final int[] QUICK = {200, 1_000, 2_000};
-    private static final int[] FULL = {200, 1_000, 4_000, 9_000};
+    private static final int[] CONNECTIONS_QUICK = {200, 1_000, 2_000};
+    private static final int[] CONNECTIONS_FULL = {200, 1_000, 4_000, 9_000};
     private static final long SETTLE_MILLIS = 100;
 
     private final Path jar;
@@ -45,9 +45,9 @@
         List<Point> resident = new ArrayList<>();
         List<Point> heap = new ArrayList<>();
         List<Point> descriptors = new ArrayList<>();
-        try (RelayUnderLoad load = new RelayUnderLoad(jar, RelayUnderLoad.ROOMY)) {
-            for (int connections : effort == Effort.FULL ? FULL : QUICK) {
-                load.standUp(connections);
+        try (RelayUnderLoad load = new RelayUnderLoad(jar, RelayUnderLoad.LARGE_MEMORY_OPTIONS)) {
+            for (int connections : effort == Effort.FULL ? CONNECTIONS_FULL : CONNECTIONS_QUICK) {
+                load.establish(connections);
                 RelayUnderLoad.pause(SETTLE_MILLIS);
                 heap.add(new Point(connections, LiveHeap.bytesOf(load.relay().pid())));
                 ProcessUsage usage = load.usage();
@@ -71,7 +71,7 @@
                 series("relay.descriptors", Resource.STATE, "descriptors", "entries of /proc/PID/fd", descriptors));
     }
 
-    private static Series series(String id, Resource resource, String unit, String how, List<Point> points) {
-        return new Series(id, Role.RELAY_CONNECTIONS, resource, unit, PER, METHOD + how, points);
+    private static Series series(String id, Resource resource, String unit, String detail, List<Point> points) {
+        return new Series(id, Role.RELAY_CONNECTIONS, resource, unit, PER, METHOD + detail, points);
     }
 }
--- a/src/main/java/sandstack/measure/scale/RelaySetupScale.java
+++ b/src/main/java/sandstack/measure/scale/RelaySetupScale.java
@@ -11,13 +11,13 @@
     private static final String METHOD =
             "one relay process as run starts it but with a heap of 512 MB, two stand-in feed "
                     + "servers on loopback, clients in a closed loop of 32 that connect, send their line, hear UP and stay; ";
-    private static final int[] QUICK = {200, 900, 1_600};
-    private static final int[] FULL = {500, 2_500, 5_000, 7_500};
+    private static final int[] CONNECTIONS_QUICK = {200, 900, 1_600};
+    private static final int[] CONNECTIONS_FULL = {500, 2_500, 5_000, 7_500};
     private static final int WARM_UP_QUICK = 300;
     private static final int WARM_UP_FULL = 2_000;
-    private static final int MEASURED_QUICK = 400;
-    private static final int MEASURED_FULL = 1_500;
-    private static final double NANOS_IN_SECOND = 1e9;
+    private static final int SETUPS_QUICK = 400;
+    private static final int SETUPS_FULL = 1_500;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final Path jar;
 
@@ -47,20 +47,20 @@
             return List.of();
         }
         boolean full = effort == Effort.FULL;
-        int measured = full ? MEASURED_FULL : MEASURED_QUICK;
+        int setups = full ? SETUPS_FULL : SETUPS_QUICK;
         List<Point> processor = new ArrayList<>();
         List<Point> rate = new ArrayList<>();
-        try (RelayUnderLoad load = new RelayUnderLoad(jar, RelayUnderLoad.ROOMY)) {
+        try (RelayUnderLoad load = new RelayUnderLoad(jar, RelayUnderLoad.LARGE_MEMORY_OPTIONS)) {
             load.warmUp(full ? WARM_UP_FULL : WARM_UP_QUICK);
-            for (int connections : full ? FULL : QUICK) {
-                load.standUp(connections);
+            for (int connections : full ? CONNECTIONS_FULL : CONNECTIONS_QUICK) {
+                load.establish(connections);
                 ProcessUsage before = load.usage();
-                long began = System.nanoTime();
-                load.standUp(connections + measured);
-                double seconds = (System.nanoTime() - began) / NANOS_IN_SECOND;
-                double used = load.usage().processorMicrosSince(before);
-                processor.add(new Point(connections, used / measured));
-                rate.add(new Point(connections, measured / seconds));
+                long startNanos = System.nanoTime();
+                load.establish(connections + setups);
+                double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
+                double processorMicros = load.usage().processorMicrosSince(before);
+                processor.add(new Point(connections, processorMicros / setups));
+                rate.add(new Point(connections, setups / seconds));
             }
         }
         return List.of(
@@ -70,7 +70,7 @@
                         Resource.PROCESSOR,
                         "microseconds a set-up",
                         PER,
-                        METHOD + "processor time of the relay's threads over the next " + measured + " set-ups",
+                        METHOD + "processor time of the relay's threads over the next " + setups + " set-ups",
                         processor),
                 new Series(
                         "relay.setup.rate",
@@ -78,7 +78,7 @@
                         Resource.MESSAGES,
                         "set-ups a second",
                         PER,
-                        METHOD + "the next " + measured
+                        METHOD + "the next " + setups
                                 + " set-ups by wall clock; clients and feed servers share one thread",
                         rate));
     }
--- a/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
+++ b/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
@@ -17,17 +17,18 @@
  */
 final class RelayUnderLoad implements AutoCloseable {
     /** A heap that no measured number of connections fills; compiler and collector are those of {@code run}. */
-    static final List<String> ROOMY = List.of("-Xmx512m", "-XX:MaxDirectMemorySize=64m", LiveHeap.COMPACT_ALWAYS);
+    static final List<String> LARGE_MEMORY_OPTIONS =
+            List.of("-Xmx512m", "-XX:MaxDirectMemorySize=64m", LiveHeap.COMPACT_ALWAYS);
 
     /** Descriptors that the relay is told it has; each client takes two, and the clients' process has two as well. */
-    private static final int DESCRIPTORS = 19_000;
+    private static final int MAX_DESCRIPTORS = 19_000;
 
-    private static final int IN_FLIGHT = 32;
-    private static final long SETTLES_WITHIN_MILLIS = 90_000;
+    private static final int MAX_SETUPS_IN_FLIGHT = 32;
+    private static final long SETTLE_TIMEOUT_MILLIS = 90_000;
     private static final long POLL_MILLIS = 5;
     private static final long RESET_MILLIS = 200;
 
-    private final Testbed site;
+    private final Testbed testbed;
     private final RelayProcess relay;
     private final ClientPool clients;
 
@@ -37,21 +38,21 @@
      * @param options of the relay's virtual machine, after those of {@code run}
      */
     RelayUnderLoad(Path jar, List<String> options) throws IOException {
-        site = new Testbed(DESCRIPTORS);
+        testbed = new Testbed(MAX_DESCRIPTORS);
         try {
-            site.addFeedServer("box", 1, Machine.IDLE);
-            site.addFeedServer("box", 1, Machine.IDLE);
-            site.startRelays(jar, 1, Map.of(), options);
+            testbed.addFeedServer("box", 1, Machine.IDLE);
+            testbed.addFeedServer("box", 1, Machine.IDLE);
+            testbed.startRelays(jar, 1, Map.of(), options);
         } catch (IOException | RuntimeException e) {
-            site.close();
+            testbed.close();
             throw e;
         }
-        relay = site.relays().get(0);
-        clients = new ClientPool(site.loop(), relay.port());
+        relay = testbed.relays().get(0);
+        clients = new ClientPool(testbed.loop(), relay.port());
     }
 
-    StandInLoop yard() {
-        return site.loop();
+    StandInLoop loop() {
+        return testbed.loop();
     }
 
     RelayProcess relay() {
@@ -63,7 +64,7 @@
     }
 
     List<FeedServer> feedServers() {
-        return site.servers();
+        return testbed.servers();
     }
 
     ProcessUsage usage() throws IOException {
@@ -73,18 +74,18 @@
     /** Connects and disconnects so many once, so that the relay's code is compiled before anything is measured. */
     void warmUp(int connections) throws InterruptedException {
         growTo(connections);
-        yard().run(() -> clients.abort(connections));
+        loop().run(() -> clients.resetOldest(connections));
         pause(RESET_MILLIS);
     }
 
     /** Grows until so many stand or the relay takes no more; returns what had happened by then. */
-    ClientPool.Count growTo(int connections) throws InterruptedException {
-        yard().run(() -> clients.growTo(connections, IN_FLIGHT));
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLES_WITHIN_MILLIS);
-        while (!yard().on(clients::settled) && System.nanoTime() < until) {
+    ClientPool.Counts growTo(int connections) throws InterruptedException {
+        loop().run(() -> clients.growTo(connections, MAX_SETUPS_IN_FLIGHT));
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLE_TIMEOUT_MILLIS);
+        while (!loop().on(clients::isSettled) && System.nanoTime() < deadlineNanos) {
             pause(POLL_MILLIS);
         }
-        return yard().on(clients::count);
+        return loop().on(clients::counts);
     }
 
     /**
@@ -92,10 +93,10 @@
      *
      * @throws IllegalStateException where they do not: nothing measured with fewer would be true of so many
      */
-    void standUp(int connections) throws InterruptedException {
-        ClientPool.Count count = growTo(connections);
-        if (count.standing() < connections) {
-            throw new IllegalStateException("of " + connections + " connections there are " + count);
+    void establish(int connections) throws InterruptedException {
+        ClientPool.Counts counts = growTo(connections);
+        if (counts.established() < connections) {
+            throw new IllegalStateException("of " + connections + " connections there are " + counts);
         }
     }
 
@@ -106,12 +107,12 @@
     @Override
     public void close() {
         try {
-            yard().run(() -> feedServers().forEach(FeedServer::kill));
+            loop().run(() -> feedServers().forEach(FeedServer::kill));
             pause(RESET_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            site.close();
+            testbed.close();
         }
     }
 }
--- a/src/main/java/sandstack/measure/scale/SampleList.java
+++ b/src/main/java/sandstack/measure/scale/SampleEndpointList.java
@@ -8,26 +8,26 @@
 import sandstack.standin.InstanceList.Instance;
 
 /** A discovery's list with so many feed servers in four zones, in the form in which relays are told it. */
-final class SampleList {
+final class SampleEndpointList {
     static final List<String> ZONES = List.of("zone-a", "zone-b", "zone-c", "zone-d");
     static final String READY = "ready";
     static final String DRAINING = "draining";
 
-    private static final long BOOTED = 1_750_000_000_000L;
+    private static final long FIRST_BOOT_MILLIS = 1_750_000_000_000L;
     private static final int FIRST_PORT = 3_000;
-    private static final int SERVERS_IN_NETWORK = 250;
+    private static final int SERVERS_PER_SUBNET = 250;
 
     private final InstanceList list = new InstanceList();
 
-    SampleList(int servers) {
+    SampleEndpointList(int servers) {
         for (int i = 0; i < servers; i++) {
-            change(i, READY);
+            setState(i, READY);
         }
     }
 
     /** This feed server has another state. */
-    void change(int server, String state) {
-        String host = "10.1." + server / SERVERS_IN_NETWORK + "." + server % SERVERS_IN_NETWORK;
+    void setState(int server, String state) {
+        String host = "10.1." + server / SERVERS_PER_SUBNET + "." + server % SERVERS_PER_SUBNET;
         list.put(new Instance(
                 String.format(Locale.ROOT, "feed-%05d", server),
                 host + ":" + (FIRST_PORT + server % ZONES.size()),
@@ -35,16 +35,16 @@
                 "box-" + server % 2,
                 1,
                 state,
-                BOOTED + server));
+                FIRST_BOOT_MILLIS + server));
     }
 
     /** The whole list as one line. */
-    byte[] whole() {
+    byte[] fullList() {
         return line(list.whole());
     }
 
     /** The last change as one line. */
-    byte[] lastChange() {
+    byte[] lastDelta() {
         return line(list.since(list.revision() - 1));
     }
 
--- a/src/main/java/sandstack/measure/scale/ScaleReport.java
+++ b/src/main/java/sandstack/measure/scale/ScaleReport.java
@@ -32,7 +32,7 @@
      * @param measurement that yielded it
      * @param fit null where the series has fewer than three sizes
      */
-    public record Result(String measurement, Series series, Fit fit) {}
+    public record Result(String measurement, Series series, FittedModel fit) {}
 
     /**
      * A measurement that could not be made.
--- a/src/main/java/sandstack/measure/scale/ScaleRun.java
+++ b/src/main/java/sandstack/measure/scale/ScaleRun.java
@@ -16,7 +16,7 @@
     private final Consumer<String> progress;
     private final List<Result> results = new ArrayList<>();
     private final List<Failure> failures = new ArrayList<>();
-    private final Set<String> ids = new HashSet<>();
+    private final Set<String> seriesIds = new HashSet<>();
 
     /**
      * Prepares a run.
@@ -32,17 +32,18 @@
     public void measure(ScaleMeasurement measurement) throws InterruptedException {
         String name = measurement.name();
         progress.accept(name + " ...");
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         try {
-            List<Result> own = new ArrayList<>();
+            List<Result> measured = new ArrayList<>();
             for (Series series : measurement.measure(effort)) {
-                if (!ids.add(series.id())) {
+                if (!seriesIds.add(series.id())) {
                     throw new IllegalStateException("two series are called " + series.id());
                 }
-                own.add(new Result(name, series, Fit.best(series.points()).orElse(null)));
+                measured.add(new Result(
+                        name, series, FittedModel.selectBest(series.points()).orElse(null)));
             }
-            results.addAll(own);
-            progress.accept(String.format(Locale.ROOT, "%s took %.1f s", name, (System.nanoTime() - began) / 1e9));
+            results.addAll(measured);
+            progress.accept(String.format(Locale.ROOT, "%s took %.1f s", name, (System.nanoTime() - startNanos) / 1e9));
         } catch (InterruptedException e) {
             throw e;
         } catch (Exception e) {
--- a/src/main/java/sandstack/measure/scale/Series.java
+++ b/src/main/java/sandstack/measure/scale/Series.java
@@ -9,15 +9,15 @@
  * @param id unique and stable, in lower case with dots and dashes, such as {@code relay.memory-per-connection}
  * @param unit of the values, such as {@code bytes}
  * @param per what the sizes count, such as {@code connections}
- * @param method how the values were got, in one sentence; begins with {@value #RECKONED} or {@value #SIMULATED}
+ * @param method how the values were got, in one sentence; begins with {@value #COMPUTED_PREFIX} or {@value #SIMULATED_PREFIX}
  *     where a model gave them
  */
 public record Series(
         String id, Role role, Resource resource, String unit, String per, String method, List<Point> points) {
 
-    private static final String RECKONED = "reckoned";
+    private static final String COMPUTED_PREFIX = "reckoned";
 
-    private static final String SIMULATED = "simulated";
+    private static final String SIMULATED_PREFIX = "simulated";
 
     /**
      * A value at a size.
@@ -35,6 +35,6 @@
     /** Whether the values were worked out by a model, with nothing real measured. */
     @JsonIgnore
     public boolean isModelled() {
-        return method.startsWith(RECKONED) || method.startsWith(SIMULATED);
+        return method.startsWith(COMPUTED_PREFIX) || method.startsWith(SIMULATED_PREFIX);
     }
 }
--- a/src/main/java/sandstack/measure/scale/WatchOutage.java
+++ b/src/main/java/sandstack/measure/scale/WatchOutage.java
@@ -8,21 +8,21 @@
  * again by the pauses of {@link EndpointListStaleness}. No process, clock or socket; the same seed gives the same figures.
  */
 final class WatchOutage {
-    private static final long SECOND = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    private final EndpointListStaleness clock;
+    private final EndpointListStaleness staleness;
     private final long downMicros;
     private final SplittableRandom random;
-    private long callsWhileDown;
+    private long callsDuringOutage;
     private long callsInFirstSecond;
 
     /**
      * An outage of discovery.
      *
-     * @param askWithin the pace that relays are told, in microseconds
+     * @param pollIntervalMicros the pace that relays are told, in microseconds
      */
-    WatchOutage(long askWithin, long downMicros, long seed) {
-        this.clock = new EndpointListStaleness(false, askWithin);
+    WatchOutage(long pollIntervalMicros, long downMicros, long seed) {
+        this.staleness = new EndpointListStaleness(false, pollIntervalMicros);
         this.downMicros = downMicros;
         this.random = new SplittableRandom(seed);
     }
@@ -30,29 +30,29 @@
     /**
      * What was counted.
      *
-     * @param perSecondWhileDown calls a second in the mean of the outage, each of which fails
+     * @param perSecondDuringOutage calls a second in the mean of the outage, each of which fails
      * @param inFirstSecond calls in the first second after it; each makes a watch
      */
-    record Calls(double perSecondWhileDown, long inFirstSecond) {}
+    record Calls(double perSecondDuringOutage, long inFirstSecond) {}
 
     /** Plays one outage with so many relays. */
-    Calls play(int relays) {
-        callsWhileDown = 0;
+    Calls simulate(int relays) {
+        callsDuringOutage = 0;
         callsInFirstSecond = 0;
         for (int i = 0; i < relays; i++) {
-            playOne();
+            simulateRelay();
         }
-        return new Calls(callsWhileDown / (downMicros / (double) SECOND), callsInFirstSecond);
+        return new Calls(callsDuringOutage / (downMicros / (double) MICROS_PER_SECOND), callsInFirstSecond);
     }
 
-    private void playOne() {
+    private void simulateRelay() {
         int failures = 1;
-        long at = clock.backoffMicros(failures, random.nextDouble());
-        while (at < downMicros) {
-            callsWhileDown++;
+        long atMicros = staleness.backoffMicros(failures, random.nextDouble());
+        while (atMicros < downMicros) {
+            callsDuringOutage++;
             failures++;
-            at += clock.backoffMicros(failures, random.nextDouble());
+            atMicros += staleness.backoffMicros(failures, random.nextDouble());
         }
-        callsInFirstSecond += at < downMicros + SECOND ? 1 : 0;
+        callsInFirstSecond += atMicros < downMicros + MICROS_PER_SECOND ? 1 : 0;
     }
 }
--- a/src/test/java/sandstack/measure/scale/ClientPoolTest.java
+++ b/src/test/java/sandstack/measure/scale/ClientPoolTest.java
@@ -37,10 +37,10 @@
         return yard.on(() -> new ClientPool(yard, server.port()));
     }
 
-    private ClientPool.Count grow(ClientPool pool, int connections) throws InterruptedException {
+    private ClientPool.Counts grow(ClientPool pool, int connections) throws InterruptedException {
         yard.run(() -> pool.growTo(connections, 8));
-        await(pool::settled);
-        return yard.on(pool::count);
+        await(pool::isSettled);
+        return yard.on(pool::counts);
     }
 
     private void await(BooleanSupplier holds) throws InterruptedException {
@@ -55,17 +55,17 @@
         FeedServer server = server(Machine.IDLE);
         ClientPool pool = pool(server);
 
-        assertThat(grow(pool, 30)).isEqualTo(new ClientPool.Count(30, 0, 30, 30, 0, 0, 0));
-        assertThat(grow(pool, 45)).isEqualTo(new ClientPool.Count(45, 0, 45, 45, 0, 0, 0));
+        assertThat(grow(pool, 30)).isEqualTo(new ClientPool.Counts(30, 0, 30, 30, 0, 0, 0));
+        assertThat(grow(pool, 45)).isEqualTo(new ClientPool.Counts(45, 0, 45, 45, 0, 0, 0));
         assertThat(yard.on(server::books).standing()).isEqualTo(45);
     }
 
     @Test
     void givesUpWhereTheServerIsFullAndCountsTheRefused() throws InterruptedException {
-        ClientPool.Count count = grow(pool(server(Machine.IDLE.holding(CAP, false))), 500);
+        ClientPool.Counts count = grow(pool(server(Machine.IDLE.holding(CAP, false))), 500);
 
-        assertThat(count.standing()).isEqualTo(CAP);
-        assertThat(count.refused()).isBetween((long) ClientPool.MOST_UNSERVED, ClientPool.MOST_UNSERVED + 8L);
+        assertThat(count.established()).isEqualTo(CAP);
+        assertThat(count.rejected()).isBetween((long) ClientPool.MAX_UNSERVED, ClientPool.MAX_UNSERVED + 8L);
         assertThat(count.failed() + count.lost()).isZero();
     }
 
@@ -74,10 +74,10 @@
         FeedServer server = server(Machine.IDLE);
         yard.run(server::kill);
 
-        ClientPool.Count count = grow(pool(server), 500);
+        ClientPool.Counts count = grow(pool(server), 500);
 
-        assertThat(count.standing()).isZero();
-        assertThat(count.failed()).isBetween((long) ClientPool.MOST_UNSERVED, ClientPool.MOST_UNSERVED + 8L);
+        assertThat(count.established()).isZero();
+        assertThat(count.failed()).isBetween((long) ClientPool.MAX_UNSERVED, ClientPool.MAX_UNSERVED + 8L);
     }
 
     @Test
@@ -86,14 +86,14 @@
         ClientPool pool = pool(server);
         grow(pool, 30);
 
-        yard.run(() -> pool.abort(10));
+        yard.run(() -> pool.resetOldest(10));
         await(() -> server.books().standing() == 20);
-        assertThat(yard.on(pool::count).lost()).isZero();
-        assertThat(yard.on(pool::count).standing()).isEqualTo(20);
+        assertThat(yard.on(pool::counts).lost()).isZero();
+        assertThat(yard.on(pool::counts).established()).isEqualTo(20);
 
         yard.run(server::kill);
-        await(() -> pool.count().standing() == 0);
-        assertThat(yard.on(pool::count).lost()).isEqualTo(20);
+        await(() -> pool.counts().established() == 0);
+        assertThat(yard.on(pool::counts).lost()).isEqualTo(20);
     }
 
     @Test
@@ -122,7 +122,7 @@
 
         DeliveryLoad.Result result = yard.on(deliveries::result);
         assertThat(result.sent()).isBetween(400L, 700L);
-        assertThat(result.median()).isBetween(1L, result.ninetyNinth());
+        assertThat(result.medianMicros()).isBetween(1L, result.p99Micros());
         yard.run(deliveries::reset);
         assertThat(yard.on(deliveries::result).sent()
                         + yard.on(deliveries::result).arrived())
--- a/src/test/java/sandstack/measure/scale/FitTest.java
+++ b/src/test/java/sandstack/measure/scale/FittedModelTest.java
@@ -16,7 +16,7 @@
 import sandstack.measure.scale.Series.Point;
 
 /** Shapes are recognised, and fits are those of least squares. */
-class FitTest {
+class FittedModelTest {
     /** The sizes that hollow relays are measured at. */
     private static final double[] RELAYS = {50, 200, 800, 2_400, 5_600};
 
@@ -33,8 +33,8 @@
         return points;
     }
 
-    private static Fit best(List<Point> points) {
-        return Fit.best(points).orElseThrow();
+    private static FittedModel best(List<Point> points) {
+        return FittedModel.selectBest(points).orElseThrow();
     }
 
     /** The base is no more than the rise over all sizes, else the noise of the base hides the shape. */
@@ -48,13 +48,13 @@
         double slope = constant ? 0 : rise / shape.basis(RELAYS[RELAYS.length - 1]);
         List<Point> points = series(shape, constant ? rise : base * rise, slope, NOISE, seed, RELAYS);
 
-        Fit fit = best(points);
+        FittedModel fit = best(points);
 
         assertThat(fit.shape()).isEqualTo(shape);
         assertThat(fit.residual()).isLessThan(2 * NOISE);
         double largest = RELAYS[RELAYS.length - 1];
         double made = (constant ? rise : base * rise) + slope * shape.basis(largest);
-        assertThat(fit.at(largest)).isCloseTo(made, within(made * 2 * NOISE));
+        assertThat(fit.valueAt(largest)).isCloseTo(made, within(made * 2 * NOISE));
     }
 
     @Property
@@ -67,7 +67,7 @@
             doubled[i] = 50 << i;
         }
 
-        assertThat(best(series(Shape.CONSTANT, value, 0, Fit.NOISE_FLOOR, seed, doubled))
+        assertThat(best(series(Shape.CONSTANT, value, 0, FittedModel.NOISE_FLOOR, seed, doubled))
                         .shape())
                 .isEqualTo(Shape.CONSTANT);
     }
@@ -77,13 +77,14 @@
             @ForAll @DoubleRange(min = 0, max = 1e6) double base,
             @ForAll @DoubleRange(min = 1, max = 1e4) double slope,
             @ForAll @DoubleRange(min = 1, max = 1e8) double planned) {
-        Fit fit = best(series(Shape.LINEAR, base, slope, 0, 0, 1_000, 4_000, 9_000));
-        Fit line = Fit.of(Shape.LINEAR, series(Shape.LINEAR, base, slope, 0, 0, 1_000, 4_000, 9_000));
+        FittedModel fit = best(series(Shape.LINEAR, base, slope, 0, 0, 1_000, 4_000, 9_000));
+        FittedModel line =
+                FittedModel.leastSquares(Shape.LINEAR, series(Shape.LINEAR, base, slope, 0, 0, 1_000, 4_000, 9_000));
 
         assertThat(line.slope()).isCloseTo(slope, within(slope * 1e-9));
         assertThat(line.base()).isCloseTo(base, within((base + slope * 9_000) * 1e-9));
         assertThat(line.residual()).isLessThan(1e-9);
-        assertThat(line.at(planned)).isCloseTo(base + slope * planned, within((base + slope * planned) * 1e-8));
+        assertThat(line.valueAt(planned)).isCloseTo(base + slope * planned, within((base + slope * planned) * 1e-8));
         if (slope * 9_000 > base) {
             assertThat(fit).isEqualTo(line);
         }
@@ -96,21 +97,21 @@
             @ForAll @DoubleRange(min = -0.1, max = 0.1) double off,
             @ForAll @DoubleRange(min = -0.1, max = 0.1) double tilt) {
         List<Point> points = series(Shape.LINEAR, 10, 0.5, 0.2, seed, RELAYS);
-        Fit fit = Fit.of(shape, points);
-        Fit other = new Fit(shape, fit.base() * (1 + off), fit.slope() * (1 + tilt), 0);
+        FittedModel fit = FittedModel.leastSquares(shape, points);
+        FittedModel other = new FittedModel(shape, fit.base() * (1 + off), fit.slope() * (1 + tilt), 0);
 
         assertThat(squares(fit, points)).isLessThanOrEqualTo(squares(other, points) * (1 + 1e-9));
     }
 
-    private static double squares(Fit fit, List<Point> points) {
+    private static double squares(FittedModel fit, List<Point> points) {
         return points.stream()
-                .mapToDouble(p -> Math.pow(p.value() - fit.at(p.size()), 2))
+                .mapToDouble(p -> Math.pow(p.value() - fit.valueAt(p.size()), 2))
                 .sum();
     }
 
     @Test
     void residentMemoryThatWasMeasuredBeforeIsLinear() {
-        Fit fit = best(
+        FittedModel fit = best(
                 List.of(new Point(200, 63.3), new Point(1_000, 68.2), new Point(2_000, 72.1), new Point(4_000, 83.8)));
 
         assertThat(fit.shape()).isEqualTo(Shape.LINEAR);
@@ -121,7 +122,8 @@
     /** Steeper than any shape that there is: the steepest is nearest. */
     @Test
     void whatGrowsFasterThanTheSquareIsNoConstant() {
-        Fit fit = best(List.of(new Point(50, 5.08), new Point(100, 5.68), new Point(200, 22.2), new Point(400, 215.9)));
+        FittedModel fit =
+                best(List.of(new Point(50, 5.08), new Point(100, 5.68), new Point(200, 22.2), new Point(400, 215.9)));
 
         assertThat(fit.shape()).isEqualTo(Shape.SQUARE);
         assertThat(fit.residual()).isBetween(0.1, 0.5);
@@ -130,7 +132,7 @@
     /** Noise of a tenth does not turn a line into something simpler. */
     @Test
     void timesThatWereMeasuredRoughlyAreStillLinear() {
-        Fit fit = best(List.of(
+        FittedModel fit = best(List.of(
                 new Point(100, 1_185),
                 new Point(500, 3_524),
                 new Point(1_000, 5_676),
@@ -143,19 +145,20 @@
     @Test
     void zeroEverywhereIsAConstantWithoutResidual() {
         assertThat(best(List.of(new Point(0, 0), new Point(10, 0), new Point(100, 0))))
-                .isEqualTo(new Fit(Shape.CONSTANT, 0, 0, 0));
+                .isEqualTo(new FittedModel(Shape.CONSTANT, 0, 0, 0));
     }
 
     @Test
     void aShapeNeedsThreeSizes() {
-        assertThat(Fit.best(List.of(new Point(20, 1), new Point(20, 2), new Point(50, 3))))
+        assertThat(FittedModel.selectBest(List.of(new Point(20, 1), new Point(20, 2), new Point(50, 3))))
                 .isEmpty();
     }
 
     @Test
     void whatIsNoNumberIsRefused() {
-        assertThatThrownBy(() -> Fit.of(Shape.LINEAR, List.of(new Point(1, Double.NaN))))
+        assertThatThrownBy(() -> FittedModel.leastSquares(Shape.LINEAR, List.of(new Point(1, Double.NaN))))
+                .isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> FittedModel.leastSquares(Shape.LINEAR, List.of()))
                 .isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> Fit.of(Shape.LINEAR, List.of())).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/sandstack/measure/scale/ProcessUsageTest.java
+++ b/src/test/java/sandstack/measure/scale/ProcessUsageTest.java
@@ -19,8 +19,8 @@
     void processorTimeGrowsByWhatAThreadWorks() throws IOException {
         long micros = 200_000;
         ProcessUsage before = ProcessUsage.of(OWN);
-        double began = ProbeClock.threadMicros();
-        while (ProbeClock.threadMicros() - began < micros) {
+        double began = ProbeClock.threadCpuMicros();
+        while (ProbeClock.threadCpuMicros() - began < micros) {
             Thread.onSpinWait();
         }
         // the kernel brings the figure up to date at its ticks
--- a/src/test/java/sandstack/measure/scale/ReachableObjectsTest.java
+++ b/src/test/java/sandstack/measure/scale/ReachableObjectsTest.java
@@ -36,7 +36,7 @@
         root.byName.put("text", "text");
         root.array = new Node[] {shared, null};
 
-        assertThat(ReachableObjects.from(root)).isEqualTo(new ReachableObjects.Count(2, 1 + 2 + 2));
+        assertThat(ReachableObjects.countFrom(root)).isEqualTo(new ReachableObjects.Count(2, 1 + 2 + 2));
     }
 
     @Test
@@ -46,7 +46,7 @@
         one.next.add(other);
         other.next.add(one);
 
-        assertThat(ReachableObjects.from(one)).isEqualTo(new ReachableObjects.Count(2, 2));
+        assertThat(ReachableObjects.countFrom(one)).isEqualTo(new ReachableObjects.Count(2, 2));
     }
 
     @Test
@@ -54,6 +54,6 @@
         Leaf leaf = new Leaf();
         leaf.next.add(new Node());
 
-        assertThat(ReachableObjects.from(leaf)).isEqualTo(new ReachableObjects.Count(2, 1));
+        assertThat(ReachableObjects.countFrom(leaf)).isEqualTo(new ReachableObjects.Count(2, 1));
     }
 }
--- a/src/test/java/sandstack/measure/scale/ScaleShapesTest.java
+++ b/src/test/java/sandstack/measure/scale/ScaleShapesTest.java
@@ -20,7 +20,7 @@
     private static final double TOLERANCE = 0.05;
 
     private static List<ScaleMeasurement> countable() {
-        return List.of(new DecisionScale(), new DiscoveryListScale());
+        return List.of(new LoadBalancerScale(), new EndpointListScale());
     }
 
     private static List<ScaleMeasurement> needProcesses() {
@@ -30,8 +30,8 @@
 
     private static Map<String, Series> small() throws Exception {
         return Stream.concat(
-                        new DecisionScale().measure(Effort.SMALL).stream(),
-                        new DiscoveryListScale().measure(Effort.SMALL).stream())
+                        new LoadBalancerScale().measure(Effort.SMALL).stream(),
+                        new EndpointListScale().measure(Effort.SMALL).stream())
                 .collect(Collectors.toMap(Series::id, Function.identity()));
     }
 
@@ -124,7 +124,7 @@
 
     @Test
     void whatIsReckonedForAllRelaysIsMarkedSo() throws Exception {
-        List<Series> perRelay = new DiscoveryListScale()
+        List<Series> perRelay = new EndpointListScale()
                 .measure(Effort.SMALL).stream()
                         .filter(series -> series.per().equals("relays"))
                         .toList();
--- a/src/test/java/sandstack/measure/scale/WatchOutageTest.java
+++ b/src/test/java/sandstack/measure/scale/WatchOutageTest.java
@@ -10,18 +10,18 @@
 
     @Test
     void withoutAnOutageEachRelayCallsOnceWithinItsFirstPause() {
-        WatchOutage.Calls calls = new WatchOutage(ASK_WITHIN, 1, 3).play(1_000);
+        WatchOutage.Calls calls = new WatchOutage(ASK_WITHIN, 1, 3).simulate(1_000);
 
-        assertThat(calls.perSecondWhileDown()).isZero();
+        assertThat(calls.perSecondDuringOutage()).isZero();
         assertThat(calls.inFirstSecond()).isEqualTo(1_000);
     }
 
     @Test
     void pausesSpreadTheCallsOfALongOutage() {
-        WatchOutage.Calls calls = new WatchOutage(ASK_WITHIN, 60_000_000, 3).play(1_000);
+        WatchOutage.Calls calls = new WatchOutage(ASK_WITHIN, 60_000_000, 3).simulate(1_000);
 
         // drawn over 1.5 s at the most: three quarters of a second in the mean
-        assertThat(calls.perSecondWhileDown()).isBetween(1_200.0, 1_600.0);
+        assertThat(calls.perSecondDuringOutage()).isBetween(1_200.0, 1_600.0);
         assertThat(calls.inFirstSecond()).isBetween(800L, 999L);
     }
 }
