--- a/src/main/java/sandstack/measure/RelayProcess.java
+++ b/src/main/java/sandstack/measure/RelayProcess.java
@@ -29,6 +29,9 @@
  * and its deploy folder in a temporary folder. A daemon thread reads its log.
  */
 public final class RelayProcess implements AutoCloseable {
+    /** The build of the working directory. */
+    public static final Path BUILT_JAR = Path.of("target/sandstack.jar");
+
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Pattern LISTENING_LINE = Pattern.compile("listens for lines at [^ ]*:([0-9]+)$");
     private static final long START_TIMEOUT_SECONDS = 20;
--- a/src/main/java/sandstack/measure/scale/ClientPool.java
+++ b/src/main/java/sandstack/measure/scale/ClientPool.java
@@ -8,11 +8,11 @@
 import sandstack.standin.StandInLoop;
 
 /**
- * Clients that connect to one relay and stay: a closed loop with a bounded number of set-ups in flight. Stops by itself
- * once too many have not come up. Lives on its loop's thread.
+ * Closed-loop load: clients that connect to one relay and stay, with a bounded number of setups in flight. Gives up after
+ * too many unserved attempts. All methods run on the thread of the event loop.
  */
 final class ClientPool {
-    /** More that fail are no accident: the relay takes no more. */
+    /** After this many rejected or failed attempts the relay counts as full. */
     static final int MAX_UNSERVED = 32;
 
     private static final long DEADLINE_MICROS = 3_000_000;
@@ -38,11 +38,13 @@
     }
 
     /**
-     * What has happened until now.
+     * Counters since the start of the pool.
      *
-     * @param rejected told so by the relay
-     * @param failed without an answer, or with one that says nothing
-     * @param lost ended by the other side while they stood
+     * @param established connections that are open now
+     * @param inFlight setups without an answer
+     * @param rejected attempts that the relay rejected
+     * @param failed attempts without an answer, or with an invalid one
+     * @param lost established connections that the other side closed
      */
     record Counts(int established, int inFlight, long attempts, long accepted, long rejected, long failed, long lost) {
         long unserved() {
@@ -54,12 +56,12 @@
         return new Counts(established.size(), inFlight, attempts, accepted, rejected, failed, lost);
     }
 
-    /** Each line that a feed server sends to one of them is handed on. */
+    /** Sets the listener for lines that feed servers send to established clients. */
     void onDelivery(Consumer<String> listener) {
         onDelivery = listener;
     }
 
-    /** Connects until so many stand, with at most so many set-ups in flight. */
+    /** Connects clients until this many are established, with at most this many setups in flight. */
     void growTo(int connections, int maxInFlight) {
         target = connections;
         unservedBefore = (int) (rejected + failed);
@@ -68,12 +70,12 @@
         }
     }
 
-    /** Whether nothing is in flight: the target is reached, or too many have not come up. */
+    /** Whether no setup is in flight: the target is reached, or the pool gave up. */
     boolean isSettled() {
         return inFlight == 0;
     }
 
-    /** So many of the oldest end their connections by a reset. */
+    /** Resets this many of the oldest connections. */
     void resetOldest(int count) {
         established.stream().limit(count).toList().forEach(ShopClient::abort);
     }
@@ -111,12 +113,12 @@
             failed++;
         }
         if (!wasEstablished) {
-            // not from within: a connection that fails at once would otherwise recurse
+            // deferred, as a connection that fails at once would recurse
             loop.after(0, this::onAttemptEnded);
         }
     }
 
-    /** Until here the one before counts as in flight, so that the pool never looks settled between two. */
+    /** Counts the attempt as in flight until here, so that the pool never seems settled between two attempts. */
     private void onAttemptEnded() {
         inFlight--;
         connectNext();
--- a/src/main/java/sandstack/measure/scale/DeliveryLoad.java
+++ b/src/main/java/sandstack/measure/scale/DeliveryLoad.java
@@ -8,11 +8,11 @@
 import sandstack.standin.StandInLoop;
 
 /**
- * Feed servers that send lines to all their clients in turn at a given rate, whatever comes back; each line carries the
- * time of its sending, and what it took to arrive is recorded. Lives on its loop's thread.
+ * Open-loop load of deliveries: feed servers send lines to their clients in turn at a fixed rate. Each line carries its
+ * send time, from which its delay is recorded. All methods run on the thread of the event loop.
  */
 final class DeliveryLoad {
-    /** Bytes of one line with its line feed. */
+    /** Length of a line with its line feed, in bytes. */
     static final int LINE_BYTES = 100;
 
     private static final long TICK_MICROS = 1_000;
@@ -35,10 +35,10 @@
         clients.onDelivery(this::onDelivery);
     }
 
-    /** What has been sent and what of it has arrived, with the delays in microseconds. */
+    /** Lines sent and arrived, and percentiles of their delays. */
     record Result(long sent, long arrived, long medianMicros, long p99Micros) {}
 
-    /** Sends one line to each connection that these servers have now. */
+    /** Sends one line to each current connection of these servers. */
     void sendOneToEach(List<FeedServer> servers) {
         for (FeedServer server : servers) {
             for (Subscriber subscriber : server.subscribers()) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Sends so many lines a second to the connections that these servers have now, until {@link #stop}. */
+    /** Sends lines at a rate per second to the current connections of these servers, until {@link #stop}. */
     void start(List<FeedServer> servers, long rate) {
         subscribers.clear();
         servers.forEach(server -> subscribers.addAll(server.subscribers()));
@@ -63,7 +63,7 @@
         sending = false;
     }
 
-    /** Forgets the delays and what has been sent. */
+    /** Resets the counters and delays. */
     void reset() {
         delayMicros.reset();
         sent = 0;
--- a/src/main/java/sandstack/measure/scale/EndpointListProbe.java
+++ b/src/main/java/sandstack/measure/scale/EndpointListProbe.java
@@ -15,8 +15,8 @@
 import sandstack.discovery.JsonObjectStream;
 
 /**
- * Measures what a relay does with discovery's list, from the bytes to the decision module, without sockets. The arguments
- * are numbers of feed servers.
+ * Main class of a probe process that measures how a relay handles an endpoint list, from its bytes to the load balancer,
+ * without sockets. Arguments: numbers of feed servers.
  */
 final class EndpointListProbe {
     static final String HEAP = "heap";
@@ -30,7 +30,7 @@
     private static final int WARM_UP_LISTS = 40;
     private static final int DELTAS_PER_ROUND = 20;
     private static final long SEED = 7;
-    /** Without it each change would be told on the standard error. */
+    /** Switched off, as each change would be logged. Held, as loggers are weakly reachable. */
     private static final Logger LOG = Logger.getLogger("sandstack");
 
     private final Relay relay = new Relay(LoadBalancerDriver.settings(), SEED, System::nanoTime, () -> {});
@@ -39,7 +39,7 @@
 
     private EndpointListProbe() {}
 
-    /** Prints a point of each curve for each number of feed servers. */
+    /** Prints one point of each curve for each number of feed servers. */
     public static void main(String[] sizes) throws Exception {
         LOG.setLevel(Level.OFF);
         warmUp();
@@ -85,7 +85,7 @@
         receive(second);
     }
 
-    /** Takes bytes as they come from the watch, in pieces, and lets the relay take its turn. */
+    /** Handles bytes in chunks as they arrive from the watch, then runs the relay's turn. */
     private void receive(byte[] bytes) throws IOException, InvalidConfigurationException {
         for (int from = 0; from < bytes.length; from += CHUNK_BYTES) {
             byte[] chunk = Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + CHUNK_BYTES));
--- a/src/main/java/sandstack/measure/scale/EndpointListScale.java
+++ b/src/main/java/sandstack/measure/scale/EndpointListScale.java
@@ -5,8 +5,8 @@
 import sandstack.measure.scale.Series.Point;
 
 /**
- * What discovery's list costs: its bytes, the relay's work with it, and, reckoned, what all relays ask of one discovery.
- * With {@link Effort#SMALL} no time and no heap is measured.
+ * Cost of the endpoint list: its bytes, a relay's processor time and memory for it, and the computed load of all relays on
+ * one discovery. With {@link Effort#SMALL} no time and no heap is measured.
  */
 public final class EndpointListScale implements ScaleMeasurement {
     private static final String SERVERS = "feed servers";
@@ -20,7 +20,7 @@
 
     private static final long OUTAGE_MICROS = 10_000_000;
     private static final long SEED = 1;
-    /** A watch tells an empty line so often, as a chunk of six bytes. */
+    /** A watch sends an empty line as keepalive, as an HTTP chunk of six bytes. */
     private static final double KEEPALIVES_PER_SECOND = 0.5;
 
     private static final int KEEPALIVE_BYTES = 6;
@@ -48,7 +48,9 @@
                     case FULL -> SERVERS_FULL;
                 };
         List<Series> all = new ArrayList<>(sizeSeries(servers));
-        all.addAll(computedSeries(effort == Effort.SMALL ? RELAYS_SMALL : RELAYS_ALL));
+        int[] relays = effort == Effort.SMALL ? RELAYS_SMALL : RELAYS_ALL;
+        all.addAll(fanOutSeries(relays));
+        all.addAll(outageSeries(relays));
         if (effort != Effort.SMALL) {
             all.addAll(relaySeries(servers));
         }
@@ -75,21 +77,15 @@
                         change));
     }
 
-    private static List<Series> computedSeries(int[] sizes) {
+    private static List<Series> fanOutSeries(int[] sizes) {
         SampleEndpointList list = new SampleEndpointList(SERVERS_IN_CHANGE);
         list.setState(0, SampleEndpointList.DRAINING);
         int changeBytes = list.lastDelta().length;
         List<Point> fanOut = new ArrayList<>();
         List<Point> keepalive = new ArrayList<>();
-        List<Point> whileDown = new ArrayList<>();
-        List<Point> firstSecond = new ArrayList<>();
         for (int relays : sizes) {
             fanOut.add(new Point(relays, (double) changeBytes * relays));
             keepalive.add(new Point(relays, KEEPALIVES_PER_SECOND * KEEPALIVE_BYTES * relays));
-            WatchOutage.Calls calls =
-                    new WatchOutage(LoadBalancerDriver.POLL_INTERVAL_MICROS, OUTAGE_MICROS, SEED).simulate(relays);
-            whileDown.add(new Point(relays, calls.perSecondDuringOutage()));
-            firstSecond.add(new Point(relays, calls.inFirstSecond()));
         }
         return List.of(
                 discovery(
@@ -98,7 +94,7 @@
                         "bytes a change",
                         RELAYS,
                         "reckoned: the bytes of a change among " + SERVERS_IN_CHANGE
-                                + " feed servers times the relays, each " + "of which has a watch",
+                                + " feed servers times the relays, each of which has a watch",
                         fanOut),
                 discovery(
                         "keepalive",
@@ -106,14 +102,26 @@
                         "bytes a second",
                         RELAYS,
                         "reckoned: an empty line each 2 s on each watch; nothing else passes while nothing changes",
-                        keepalive),
+                        keepalive));
+    }
+
+    private static List<Series> outageSeries(int[] sizes) {
+        List<Point> duringOutage = new ArrayList<>();
+        List<Point> firstSecond = new ArrayList<>();
+        for (int relays : sizes) {
+            WatchOutage.Calls calls =
+                    new WatchOutage(LoadBalancerDriver.POLL_INTERVAL_MICROS, OUTAGE_MICROS, SEED).simulate(relays);
+            duringOutage.add(new Point(relays, calls.perSecondDuringOutage()));
+            firstSecond.add(new Point(relays, calls.inFirstSecond()));
+        }
+        return List.of(
                 discovery(
                         "calls-while-down",
                         Resource.MESSAGES,
                         "calls a second",
                         RELAYS,
                         CALLS_METHOD + "calls in that time, which all fail",
-                        whileDown),
+                        duringOutage),
                 discovery(
                         "calls-after-outage",
                         Resource.MESSAGES,
--- a/src/main/java/sandstack/measure/scale/FittedModel.java
+++ b/src/main/java/sandstack/measure/scale/FittedModel.java
@@ -9,31 +9,31 @@
 import sandstack.measure.scale.Series.Point;
 
 /**
- * A shape laid through measured points by least squares.
+ * A model {@code base + slope * basis(size)} of one shape, fitted to measured points by least squares.
  *
- * <p>The residual is the root of the mean squared deviation over the mean magnitude of the values. To choose a shape, the
- * residuals of all are compared, none taken for less than {@link #NOISE_FLOOR}: a trend has to be significant against the
- * constant (F test at 5 in 100), and a trend that is one step more complex than another needs at most {@link #COMPLEXITY_FACTOR} times
- * its residual.
+ * <p>The residual is the root mean square deviation divided by the mean magnitude of the values. Model selection compares
+ * residuals with a lower bound of {@link #NOISE_FLOOR}: a trend has to be significant against the constant (F-test at the
+ * 5% level), and a trend that is one step more complex than another needs at most {@link #COMPLEXITY_FACTOR} times its
+ * residual.
  *
  * @param base value at basis zero
  * @param slope of the shape's basis; zero for a constant
  * @param residual relative, zero for a fit that passes through every point
  */
 public record FittedModel(Shape shape, double base, double slope, double residual) {
-    /** Differences below this share of the values say nothing about a shape. */
+    /** Assumed relative measurement noise. */
     public static final double NOISE_FLOOR = 0.005;
 
-    /** So many different sizes are needed to choose a shape. */
+    /** The number of distinct sizes that model selection needs. */
     public static final int MIN_DISTINCT_SIZES = 3;
 
-    /** How much smaller a residual must be for a trend that is one step more complex. */
+    /** The ratio of residuals that justifies one step of complexity. */
     private static final double COMPLEXITY_FACTOR = 0.75;
 
-    /** The F distribution's 95th percentile with one degree of freedom over 1, 2, 3 and so on. */
+    /** 95th percentile of the F distribution with 1 and 1, 2, 3, ... degrees of freedom. */
     private static final double[] F_95TH_PERCENTILE = {161.4, 18.51, 10.13, 7.71, 6.61, 5.99, 5.59, 5.32, 5.12, 4.96};
 
-    /** The shape that explains the points best for its complexity; empty with fewer than three sizes. */
+    /** Selects the model with the best residual for its complexity; empty with fewer than three distinct sizes. */
     public static Optional<FittedModel> selectBest(List<Point> points) {
         if (points.stream().mapToDouble(Point::size).distinct().count() < MIN_DISTINCT_SIZES) {
             return Optional.empty();
@@ -53,7 +53,7 @@
         return Collections.min(trends, Comparator.comparing(FittedModel::penalizedResidual));
     }
 
-    /** The residual, made larger with each step of complexity. */
+    /** The residual with a penalty for each step of complexity. */
     private double penalizedResidual() {
         return residualWithNoise() / Math.pow(COMPLEXITY_FACTOR, shape.ordinal());
     }
@@ -71,13 +71,13 @@
     }
 
     /**
-     * The best fit of one shape.
+     * Fits a model of one shape.
      *
-     * @throws IllegalArgumentException without points, or where one is not finite
+     * @throws IllegalArgumentException without points, or if one is not finite
      */
     public static FittedModel leastSquares(Shape shape, List<Point> points) {
         if (points.isEmpty()) {
-            throw new IllegalArgumentException("a fit needs points");
+            throw new IllegalArgumentException("points are missing");
         }
         for (Point point : points) {
             if (!Double.isFinite(point.size()) || point.size() < 0 || !Double.isFinite(point.value())) {
@@ -86,20 +86,20 @@
         }
         double meanBasis = mean(points.stream().mapToDouble(p -> shape.basis(p.size())));
         double meanValue = mean(points.stream().mapToDouble(Point::value));
-        double covariance = 0;
-        double variance = 0;
+        double sumOfProducts = 0;
+        double sumOfSquares = 0;
         for (Point point : points) {
             double offset = shape.basis(point.size()) - meanBasis;
-            covariance += offset * (point.value() - meanValue);
-            variance += offset * offset;
+            sumOfProducts += offset * (point.value() - meanValue);
+            sumOfSquares += offset * offset;
         }
-        double slope = variance == 0 ? 0 : covariance / variance;
+        double slope = sumOfSquares == 0 ? 0 : sumOfProducts / sumOfSquares;
         double base = meanValue - slope * meanBasis;
         FittedModel exact = new FittedModel(shape, base, slope, 0);
         return new FittedModel(shape, base, slope, exact.residualOver(points));
     }
 
-    /** The relative residual of this curve over points. */
+    /** The relative residual of this model over points. */
     private double residualOver(List<Point> points) {
         double magnitude = mean(points.stream().mapToDouble(p -> Math.abs(p.value())));
         if (magnitude == 0) {
@@ -113,7 +113,7 @@
         return values.average().orElseThrow();
     }
 
-    /** The value at a size, also beyond those that were measured. */
+    /** The value at a size; extrapolates beyond the measured ones. */
     public double valueAt(double size) {
         return base + slope * shape.basis(size);
     }
--- a/src/main/java/sandstack/measure/scale/LiveHeap.java
+++ b/src/main/java/sandstack/measure/scale/LiveHeap.java
@@ -5,9 +5,9 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 
-/** The heap that a virtual machine needs after a full collection, as its own {@code jcmd} counts it. */
+/** The size of all live objects of another virtual machine, by {@code jcmd GC.class_histogram}. */
 final class LiveHeap {
-    /** The serial collector otherwise leaves a twentieth of the heap as it was in three of four full collections. */
+    /** By default the serial collector leaves 5% of the heap uncompacted in three of four full collections. */
     static final String COMPACT_ALWAYS = "-XX:MarkSweepAlwaysCompactCount=1";
 
     private static final long TIMEOUT_SECONDS = 20;
@@ -15,7 +15,7 @@
 
     private LiveHeap() {}
 
-    /** Lets the process collect once and returns the bytes of the objects that remain. */
+    /** Runs a full collection in the process and returns the bytes of the live objects. */
     static long bytesOf(long pid) throws IOException, InterruptedException {
         Path jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd");
         Process process = new ProcessBuilder(jcmd.toString(), Long.toString(pid), "GC.class_histogram")
@@ -24,7 +24,7 @@
         try {
             String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-                throw new IOException("jcmd did not end");
+                throw new IOException("jcmd did not exit");
             }
             return total(output);
         } finally {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** The last line has the instances and the bytes of all classes. */
+    /** Parses instances and bytes of all classes from the last line. */
     static long total(String histogram) throws IOException {
         for (String line : histogram.lines().toList()) {
             if (line.startsWith(TOTAL_LINE_PREFIX)) {
@@ -41,6 +41,6 @@
             }
         }
         throw new IOException(
-                "jcmd told no total: " + histogram.lines().findFirst().orElse("(nothing)"));
+                "jcmd printed no total: " + histogram.lines().findFirst().orElse("(nothing)"));
     }
 }
--- a/src/main/java/sandstack/measure/scale/LoadBalancerDriver.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerDriver.java
@@ -23,14 +23,14 @@
 import sandstack.settings.BalancerSettingsBuilder;
 
 /**
- * Drives one decision module as a relay does: each connection asks, is placed, stands and ends. No I/O and no clock of
- * its own; time goes on only where a method says so. One thread.
+ * Drives one load balancer as a relay does, with connection requests, established and ended attempts and endpoint lists.
+ * No I/O; simulated time advances only in the methods that state it. Not thread-safe.
  */
 final class LoadBalancerDriver {
-    /** Half of the shortest deadline: at this pace the module looks at the whole. */
+    /** Interval of the load balancer's sweep over all servers and connections: half of the shortest deadline. */
     static final long SWEEP_INTERVAL_MICROS = 900_000;
 
-    /** The pace at which relays are told to ask for the list. */
+    /** Interval at which relays poll the endpoint list. */
     static final long POLL_INTERVAL_MICROS = 10_000_000;
 
     private static final long SHORT_DEADLINE_MICROS = 2 * SWEEP_INTERVAL_MICROS;
@@ -50,10 +50,10 @@
     private long requests;
     private int established;
 
-    /** A connection that stands. */
+    /** An established connection and its server. */
     record Connection(String id, String server) {}
 
-    /** With a list of so many servers that the module has been told. */
+    /** Creates a load balancer with an endpoint list of this many servers. */
     LoadBalancerDriver(int servers) {
         loadBalancer = new LoadBalancer(settings(), StatedCapacities.NONE, InstallationLimits.NONE, SEED, nowMicros);
         for (int i = 0; i < servers; i++) {
@@ -95,7 +95,7 @@
         return established;
     }
 
-    /** Places connections until so many stand, a hundred microseconds apart. */
+    /** Establishes connections until there are this many, 100 microseconds apart. */
     void establishAll(int connections) {
         while (established < connections) {
             nowMicros += 100;
@@ -104,9 +104,9 @@
     }
 
     /**
-     * One more connection asks and stands, at the same moment.
+     * Establishes one more connection without advancing the time.
      *
-     * @throws IllegalStateException where the module does not place it at once
+     * @throws IllegalStateException if the load balancer does not place it at once
      */
     Connection establish() {
         String id = "r" + ++requests;
@@ -126,7 +126,7 @@
         return new Connection(id, attempt.serverId());
     }
 
-    /** One that stands is served to its end. */
+    /** Ends an established connection successfully. */
     void close(Connection connection) {
         loadBalancer.handle(
                 new AttemptEnded(connection.id(), 0, connection.server(), AttemptOutcome.OK, true, SETUP_MICROS, null),
@@ -134,17 +134,17 @@
         established--;
     }
 
-    /** The whole list comes, with nothing new in it. */
+    /** Delivers a full endpoint list without changes. */
     void sendFullEndpointList() {
         loadBalancer.handle(new EndpointListUpdate(EndpointListKind.FULL, endpoints), nowMicros);
     }
 
-    /** One server is told to have changed. */
+    /** Delivers a delta with one server. */
     void sendEndpointDelta(int server) {
         loadBalancer.handle(new EndpointListUpdate(EndpointListKind.DELTA, List.of(endpoints.get(server))), nowMicros);
     }
 
-    /** Lets the time pass after which the module looks at all servers and connections, and has it look. */
+    /** Advances the time by one sweep interval and runs the sweep. */
     void runSweep() {
         nowMicros += SWEEP_INTERVAL_MICROS;
         loadBalancer.handle(new TimerExpired(NO_TIMER_TOKEN), nowMicros);
--- a/src/main/java/sandstack/measure/scale/LoadBalancerProbe.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerProbe.java
@@ -5,8 +5,8 @@
 import sandstack.measure.scale.LoadBalancerDriver.Connection;
 
 /**
- * Measures the decision module alone, at one number of servers and rising numbers of connections. The arguments are the
- * servers, then the connections. The size that is printed is that of the connections.
+ * Main class of a probe process that measures the load balancer alone. Arguments: the number of servers, then increasing
+ * numbers of connections, which are the sizes of the printed points.
  */
 final class LoadBalancerProbe {
     static final String HEAP = "heap";
@@ -25,7 +25,7 @@
 
     private LoadBalancerProbe() {}
 
-    /** Prints a point of each curve for each number of connections. */
+    /** Prints one point of each curve for each number of connections. */
     public static void main(String[] arguments) throws Exception {
         int servers = Integer.parseInt(arguments[0]);
         warmUp(servers);
@@ -58,7 +58,7 @@
         ProbeClock.liveBytes();
     }
 
-    /** Microseconds a placement; those that were placed for it end afterwards. */
+    /** Microseconds per placement; closes the connections afterwards. */
     private static double microsPerPlacement(LoadBalancerDriver driver) throws Exception {
         Deque<Connection> connections = new ArrayDeque<>();
         double micros =
--- a/src/main/java/sandstack/measure/scale/LoadBalancerScale.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerScale.java
@@ -7,8 +7,8 @@
 import sandstack.measure.scale.Series.Point;
 
 /**
- * What the decision module alone keeps and takes, by standing connections and by feed servers. With {@link Effort#SMALL}
- * it counts the entries that it keeps, in this process.
+ * Memory and processor time of the load balancer alone, by established connections and by feed servers. With
+ * {@link Effort#SMALL} counts the entries of its state, in this process.
  */
 public final class LoadBalancerScale implements ScaleMeasurement {
     private static final String CONNECTIONS = "connections";
@@ -27,6 +27,27 @@
     private static final int MAX_SERVERS_FULL = 1_000;
     private static final int FEW_SERVERS = 10;
 
+    /** Operations of the load balancer whose processor time is measured. */
+    private enum Operation {
+        PLACEMENT("placement", Role.RELAY_PLACEMENT, "a placement"),
+        LIST_DELTA("list-change", Role.RELAY_CONTROL, "a list that changes one feed server"),
+        FULL_LIST("whole-list", Role.RELAY_CONTROL, "a whole list with nothing new"),
+        SWEEP(
+                "look",
+                Role.RELAY_PLACEMENT,
+                "a look at the whole, due each " + LoadBalancerDriver.SWEEP_INTERVAL_MICROS / 1000 + " ms");
+
+        private final String id;
+        private final Role role;
+        private final String description;
+
+        Operation(String id, Role role, String description) {
+            this.id = id;
+            this.role = role;
+            this.description = description;
+        }
+    }
+
     @Override
     public String name() {
         return "decision";
@@ -62,57 +83,13 @@
                         CONNECTIONS,
                         fixed + "heap after a full collection, with the names of connections, keys and groups",
                         output.points(LoadBalancerProbe.HEAP)),
-                time(
-                        "decision.placement",
-                        Role.RELAY_PLACEMENT,
-                        CONNECTIONS,
-                        fixed,
-                        "a placement",
-                        output,
-                        LoadBalancerProbe.PLACEMENT),
-                time(
-                        "decision.list-change",
-                        Role.RELAY_CONTROL,
-                        CONNECTIONS,
-                        fixed,
-                        "a list that changes one feed server",
-                        output,
-                        LoadBalancerProbe.DELTA),
-                time(
-                        "decision.whole-list",
-                        Role.RELAY_CONTROL,
-                        CONNECTIONS,
-                        fixed,
-                        "a whole list with nothing new",
-                        output,
-                        LoadBalancerProbe.FULL_LIST),
-                time(
-                        "decision.look",
-                        Role.RELAY_PLACEMENT,
-                        CONNECTIONS,
-                        fixed,
-                        sweepName(),
-                        output,
-                        LoadBalancerProbe.SWEEP));
-    }
-
-    private static String sweepName() {
-        return "a look at the whole, due each " + LoadBalancerDriver.SWEEP_INTERVAL_MICROS / 1000 + " ms";
+                time(Operation.PLACEMENT, "", CONNECTIONS, fixed, output.points(LoadBalancerProbe.PLACEMENT)),
+                time(Operation.LIST_DELTA, "", CONNECTIONS, fixed, output.points(LoadBalancerProbe.DELTA)),
+                time(Operation.FULL_LIST, "", CONNECTIONS, fixed, output.points(LoadBalancerProbe.FULL_LIST)),
+                time(Operation.SWEEP, "", CONNECTIONS, fixed, output.points(LoadBalancerProbe.SWEEP)));
     }
 
     private static List<Series> byServers(SortedMap<Integer, ProbeOutput> outputs, int connections) {
-        List<Point> heap = new ArrayList<>();
-        List<Point> placement = new ArrayList<>();
-        List<Point> change = new ArrayList<>();
-        List<Point> whole = new ArrayList<>();
-        List<Point> look = new ArrayList<>();
-        outputs.forEach((servers, output) -> {
-            heap.add(pointAt(servers, output, LoadBalancerProbe.HEAP));
-            placement.add(pointAt(servers, output, LoadBalancerProbe.PLACEMENT));
-            change.add(pointAt(servers, output, LoadBalancerProbe.DELTA));
-            whole.add(pointAt(servers, output, LoadBalancerProbe.FULL_LIST));
-            look.add(pointAt(servers, output, LoadBalancerProbe.SWEEP));
-        });
         String fixed = METHOD + connections + " connections; ";
         return List.of(
                 new Series(
@@ -122,34 +99,35 @@
                         "bytes",
                         SERVERS,
                         fixed + "heap after a full collection",
-                        heap),
-                time("decision.placement-by-servers", Role.RELAY_PLACEMENT, fixed, "a placement", placement),
-                time(
-                        "decision.list-change-by-servers",
-                        Role.RELAY_CONTROL,
-                        fixed,
-                        "a list that changes one feed server",
-                        change),
-                time(
-                        "decision.whole-list-by-servers",
-                        Role.RELAY_CONTROL,
-                        fixed,
-                        "a whole list with nothing new",
-                        whole),
-                time("decision.look-by-servers", Role.RELAY_PLACEMENT, fixed, sweepName(), look));
+                        pointsByServers(outputs, LoadBalancerProbe.HEAP)),
+                timeByServers(Operation.PLACEMENT, fixed, outputs, LoadBalancerProbe.PLACEMENT),
+                timeByServers(Operation.LIST_DELTA, fixed, outputs, LoadBalancerProbe.DELTA),
+                timeByServers(Operation.FULL_LIST, fixed, outputs, LoadBalancerProbe.FULL_LIST),
+                timeByServers(Operation.SWEEP, fixed, outputs, LoadBalancerProbe.SWEEP));
     }
 
-    private static Point pointAt(int servers, ProbeOutput output, String curve) {
-        return new Point(servers, output.points(curve).get(0).value());
+    private static Series timeByServers(
+            Operation operation, String fixed, SortedMap<Integer, ProbeOutput> outputs, String curve) {
+        return time(operation, "-by-servers", SERVERS, fixed, pointsByServers(outputs, curve));
     }
 
-    private static Series time(
-            String id, Role role, String per, String fixed, String what, ProbeOutput output, String curve) {
-        return new Series(id, role, Resource.PROCESSOR, "microseconds", per, fixed + TIME + what, output.points(curve));
+    /** The first point of a curve at each number of servers. */
+    private static List<Point> pointsByServers(SortedMap<Integer, ProbeOutput> outputs, String curve) {
+        List<Point> points = new ArrayList<>();
+        outputs.forEach((servers, output) ->
+                points.add(new Point(servers, output.points(curve).get(0).value())));
+        return points;
     }
 
-    private static Series time(String id, Role role, String fixed, String what, List<Point> points) {
-        return new Series(id, role, Resource.PROCESSOR, "microseconds", SERVERS, fixed + TIME + what, points);
+    private static Series time(Operation operation, String idSuffix, String per, String fixed, List<Point> points) {
+        return new Series(
+                "decision." + operation.id + idSuffix,
+                operation.role,
+                Resource.PROCESSOR,
+                "microseconds",
+                per,
+                fixed + TIME + operation.description,
+                points);
     }
 
     private static int[] arguments(int first, int[] others) {
--- a/src/main/java/sandstack/measure/scale/ProbeClock.java
+++ b/src/main/java/sandstack/measure/scale/ProbeClock.java
@@ -5,7 +5,7 @@
 import java.lang.management.ThreadMXBean;
 import java.util.Arrays;
 
-/** Processor time of the calling thread and the heap of this process, for a probe that has both for itself. */
+/** Processor time of the calling thread and live heap of this process, for a probe process. */
 final class ProbeClock {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final MemoryMXBean MEMORY = ManagementFactory.getMemoryMXBean();
@@ -13,17 +13,17 @@
 
     private ProbeClock() {}
 
-    /** What is measured. */
+    /** A task to measure. */
     interface Task {
         void run() throws Exception;
     }
 
-    /** Processor time of the calling thread since its start. */
+    /** Processor time of the calling thread since its start, in microseconds. */
     static double threadCpuMicros() {
         return THREADS.getCurrentThreadCpuTime() / NANOS_PER_MICRO;
     }
 
-    /** Microseconds of processor time that one of these took: the median of some rounds of so many. */
+    /** Processor time per iteration in microseconds: the median of several rounds. */
     static double medianMicros(int rounds, int iterationsPerRound, Task work) throws Exception {
         double[] microsPerIteration = new double[rounds];
         for (int round = 0; round < rounds; round++) {
@@ -37,7 +37,7 @@
         return microsPerIteration[rounds / 2];
     }
 
-    /** Bytes that all objects take which are still needed. The first call in a process tells some that it takes itself. */
+    /** Bytes of live objects after a collection. The first call includes objects that it allocates itself. */
     static long liveBytes() {
         System.gc();
         return MEMORY.getHeapMemoryUsage().getUsed();
--- a/src/main/java/sandstack/measure/scale/ProbeOutput.java
+++ b/src/main/java/sandstack/measure/scale/ProbeOutput.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import sandstack.measure.scale.Series.Point;
 
-/** What a probe in a process of its own prints: a line for each point, with the name of its curve, its size and value. */
+/** Output of a probe process: one line per point with the name of its curve, its size and its value. */
 final class ProbeOutput {
     private final Map<String, List<Point>> curves = new LinkedHashMap<>();
 
@@ -15,7 +15,7 @@
         System.out.println(curve + " " + size + " " + value);
     }
 
-    /** Reads what was printed. */
+    /** Parses printed lines. */
     static ProbeOutput read(List<String> lines) {
         ProbeOutput output = new ProbeOutput();
         for (String line : lines) {
@@ -27,9 +27,9 @@
     }
 
     /**
-     * The points of this curve.
+     * The points of a curve.
      *
-     * @throws IllegalStateException where there are none
+     * @throws IllegalStateException if there are none
      */
     List<Point> points(String curve) {
         List<Point> points = curves.get(curve);
--- a/src/main/java/sandstack/measure/scale/ProbeProcess.java
+++ b/src/main/java/sandstack/measure/scale/ProbeProcess.java
@@ -10,8 +10,8 @@
 import sandstack.measure.RunCommand;
 
 /**
- * Runs the main method of a class of this program in a process of its own, with compiler and collector as {@code run}
- * has them: times and heaps are those of a relay, and nothing else uses the heap.
+ * Runs the main method of a probe class in its own process, with the compiler and collector options of {@code run}, so that
+ * times and heap sizes are those of a relay.
  */
 final class ProbeProcess {
     private static final List<String> HEAP_OPTIONS = List.of("-Xmx1g", LiveHeap.COMPACT_ALWAYS);
@@ -20,9 +20,9 @@
     private ProbeProcess() {}
 
     /**
-     * Runs it to its end.
+     * Runs the probe until it exits.
      *
-     * @throws IOException where it fails; the message has the last line that it said
+     * @throws IOException if it fails; the message has the first line of its output
      */
     static ProbeOutput run(Class<?> probe, int... arguments) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>();
--- a/src/main/java/sandstack/measure/scale/ProcessUsage.java
+++ b/src/main/java/sandstack/measure/scale/ProcessUsage.java
@@ -10,18 +10,18 @@
 import java.util.stream.Stream;
 
 /**
- * What one process of this machine uses, as Linux tells it under {@code /proc}; reading it does not disturb the process.
+ * Resource usage of a process, from Linux's {@code /proc}; reading it does not affect the process.
  *
- * @param threadNanos processor time of each of its threads since that began, by the number of the thread
+ * @param threadNanos processor time of each thread since its start, by thread id
  * @param residentBytes resident memory
- * @param descriptors open descriptors
+ * @param descriptors open file descriptors
  */
 record ProcessUsage(Map<String, Long> threadNanos, long residentBytes, int descriptors) {
     private static final String RESIDENT_FIELD = "VmRSS:";
     private static final long BYTES_PER_KIB = 1024;
     private static final double NANOS_PER_MICRO = 1000;
 
-    /** Reads what the process uses now. */
+    /** Reads the current usage of a process. */
     static ProcessUsage of(long pid) throws IOException {
         Path process = Path.of("/proc", Long.toString(pid));
         return new ProcessUsage(
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Processor time since an earlier look, of the threads that are still there: the virtual machine ends idle threads of
-     * its compiler, and what those took goes with them.
+     * Processor time since an earlier usage, in microseconds. Excludes threads that ended in between, such as idle compiler
+     * threads.
      */
     double processorMicrosSince(ProcessUsage before) {
         double micros = 0;
@@ -42,7 +42,7 @@
         return micros / NANOS_PER_MICRO;
     }
 
-    /** The first field of {@code schedstat} counts nanoseconds, where {@code stat} has ticks of ten milliseconds. */
+    /** Uses {@code schedstat}, whose first field is in nanoseconds; {@code stat} has ticks of ten milliseconds. */
     private static Map<String, Long> threadNanos(Path threads) throws IOException {
         Map<String, Long> nanos = new HashMap<>();
         for (Path thread : entries(threads)) {
@@ -50,7 +50,7 @@
                 String text = Files.readString(thread.resolve("schedstat"));
                 nanos.put(thread.getFileName().toString(), Long.parseLong(text.substring(0, text.indexOf(' '))));
             } catch (NoSuchFileException e) {
-                // this thread has ended since its folder was listed
+                // the thread ended after the directory was listed
                 continue;
             }
         }
--- a/src/main/java/sandstack/measure/scale/ReachableObjects.java
+++ b/src/main/java/sandstack/measure/scale/ReachableObjects.java
@@ -12,9 +12,9 @@
 import java.util.Set;
 
 /**
- * Counts the objects that one object keeps: those of this program, by their fields, and the entries of maps, collections
- * and arrays. The same state gives the same count on every machine, unlike bytes. Values of the class library, such as
- * strings, count as parts of what holds them. Time and memory are linear in the objects.
+ * Counts the objects that are reachable from one object: those of this program's classes, through their fields, and the
+ * entries of maps, collections and arrays. Unlike bytes, the count is the same on every machine. Other objects of the class
+ * library, such as strings, are not counted. Linear in time and memory.
  */
 final class ReachableObjects {
     private static final String OWN_PACKAGE_PREFIX = "sandstack.";
@@ -27,14 +27,14 @@
     private ReachableObjects() {}
 
     /**
-     * What was counted.
+     * Result of a traversal.
      *
-     * @param objects of this program's classes, the first one included
+     * @param objects of this program's classes, including the root
      * @param entries of maps, collections and arrays
      */
     record Count(long objects, long entries) {}
 
-    /** Counts what can be reached from this object. */
+    /** Counts the objects that are reachable from a root. */
     static Count countFrom(Object root) {
         ReachableObjects counter = new ReachableObjects();
         counter.enqueue(root);
--- a/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
@@ -4,11 +4,12 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import sandstack.measure.RelayProcess;
 import sandstack.measure.scale.Series.Point;
 
 /**
- * What it costs a real relay to pass one line from a feed server on to its client, how long that takes, and what
- * connections cost while nothing passes.
+ * Cost and delay of one line that a relay forwards from a feed server to its client, and the processor time of idle
+ * connections.
  */
 public final class RelayDeliveryScale implements ScaleMeasurement {
     private static final String METHOD =
@@ -24,7 +25,7 @@
     private static final int[] CONNECTIONS_FULL = {1_000, 4_000, 9_000};
     private static final long[] RATES_QUICK = {1_000, 4_000};
     private static final long[] RATES_FULL = {1_000, 2_000, 4_000, 8_750};
-    /** The rate at which the number of connections varies. */
+    /** Rate of the points by connections. */
     private static final long LINES_PER_SECOND = 2_000;
 
     private static final long WARM_UP_MILLIS = 400;
@@ -36,15 +37,15 @@
 
     private final Path jar;
 
-    /** Measures the program that was built in the working directory. */
+    /** Measures the build of the working directory. */
     public RelayDeliveryScale() {
-        this(Path.of("target/sandstack.jar"));
+        this(RelayProcess.BUILT_JAR);
     }
 
     /**
-     * Measures relays of this program.
+     * Measures another build.
      *
-     * @param jar the program that the relay is started from
+     * @param jar build that the relay is started from
      */
     public RelayDeliveryScale(Path jar) {
         this.jar = jar;
@@ -55,7 +56,7 @@
         return "relay-delivery";
     }
 
-    /** Points of the series that vary with one size. */
+    /** Points of all series by one size. */
     private static final class PointsBySize {
         final List<Point> processor = new ArrayList<>();
         final List<Point> median = new ArrayList<>();
@@ -93,10 +94,10 @@
         }
     }
 
-    /** Processor time a line and the delays of one period. */
+    /** Processor time per line and the delays of one period. */
     private record Sample(double microsPerLine, DeliveryLoad.Result delays) {}
 
-    /** Needs a process: with {@link Effort#SMALL} there is nothing that could be measured. */
+    /** Starts a process, so returns no series with {@link Effort#SMALL}. */
     @Override
     public List<Series> measure(Effort effort) throws Exception {
         if (effort == Effort.SMALL) {
@@ -143,7 +144,7 @@
         return new Series("relay.delivery." + id, Role.RELAY_CONNECTIONS, resource, unit, per, method, points);
     }
 
-    /** Processor time a second of a relay to which nothing happens, in microseconds. */
+    /** Processor time of an idle relay, in microseconds per second. */
     private static double idleCpuMicrosPerSecond(RelayUnderLoad load, long millis)
             throws IOException, InterruptedException {
         ProcessUsage before = load.usage();
@@ -156,7 +157,7 @@
     /**
      * Delivers lines at a rate for a period.
      *
-     * @param idleMicros processor time a second that counts for no line
+     * @param idleMicros processor time of the idle relay per second, which is subtracted
      */
     private static Sample deliver(
             RelayUnderLoad load, DeliveryLoad deliveries, long rate, long millis, double idleMicros)
@@ -172,7 +173,7 @@
         double busyMicros = load.usage().processorMicrosSince(before) - idle;
         DeliveryLoad.Result result = load.loop().on(deliveries::result);
         if (result.arrived() < result.sent()) {
-            throw new IllegalStateException("deliveries that have not arrived: " + result);
+            throw new IllegalStateException("lost deliveries: " + result);
         }
         return new Sample(busyMicros / result.arrived(), result);
     }
--- a/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
@@ -3,35 +3,36 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import sandstack.measure.scale.Series.Point;
+import java.util.function.ToDoubleFunction;
+import sandstack.measure.RelayProcess;
 
 /**
- * How many connections one real relay takes with the flags of {@code run} and how it stops there, by the size of its
- * heap. Only with {@link ScaleMeasurement.Effort#FULL}.
+ * Fills the heap of one relay with the options of {@code run} and measures how it behaves at its limit, by heap size. Runs
+ * with {@link ScaleMeasurement.Effort#FULL} only.
  */
 public final class RelayHeapLimitScale implements ScaleMeasurement {
     private static final String METHOD =
             "one relay process as run starts it with this heap, two stand-in feed servers, "
                     + "clients that come until the relay takes no more of them or its descriptors are used up; ";
     private static final int[] HEAP_MEGABYTES = {24, 32, 48};
-    /** More than the descriptors that the relay is told of allow. */
+    /** More connections than the configured file descriptors allow. */
     private static final int CONNECTION_TARGET = 9_900;
 
     private static final long SETTLE_MILLIS = 1_500;
-    /** So many leave after the stop, and as many come again: does the relay serve on? */
+    /** Clients that disconnect at the limit and are replaced by as many new ones. */
     private static final int RECONNECTING_CLIENTS = 200;
 
     private final Path jar;
 
-    /** Measures the program that was built in the working directory. */
+    /** Measures the build of the working directory. */
     public RelayHeapLimitScale() {
-        this(Path.of("target/sandstack.jar"));
+        this(RelayProcess.BUILT_JAR);
     }
 
     /**
-     * Measures relays of this program.
+     * Measures another build.
      *
-     * @param jar the program that the relay is started from
+     * @param jar build that the relay is started from
      */
     public RelayHeapLimitScale(Path jar) {
         this.jar = jar;
@@ -43,17 +44,20 @@
     }
 
     /**
-     * How it ended with one heap.
+     * State of a relay at its limit.
      *
-     * @param established connections when it took no more
-     * @param rejected told so by the relay
-     * @param failed that came without an answer
-     * @param lost of those that stood
-     * @param unresponsive of those that still stand, those whose client does not hear a line that the feed server sends
-     * @param outOfMemoryLogLines lines of its log that name an OutOfMemoryError
-     * @param reconnected of {@value #RECONNECTING_CLIENTS} that came after as many had left
+     * @param heapMegabytes size of its heap
+     * @param established connections when it accepted no more
+     * @param rejected attempts that it rejected
+     * @param failed attempts without an answer
+     * @param lost established connections that broke
+     * @param unresponsive established connections through which a line of the feed server did not arrive
+     * @param outOfMemoryLogLines log lines with OutOfMemoryError
+     * @param reconnected accepted of {@value #RECONNECTING_CLIENTS} clients that came after as many had left
+     * @param alive whether its process was still running
      */
     record Exhaustion(
+            int heapMegabytes,
             int established,
             long rejected,
             long failed,
@@ -68,47 +72,48 @@
         if (effort != Effort.FULL) {
             return List.of();
         }
-        List<Point> standing = new ArrayList<>();
-        List<Point> refused = new ArrayList<>();
-        List<Point> failed = new ArrayList<>();
-        List<Point> lost = new ArrayList<>();
-        List<Point> mute = new ArrayList<>();
-        List<Point> errors = new ArrayList<>();
-        List<Point> again = new ArrayList<>();
+        List<Exhaustion> results = new ArrayList<>();
         for (int megabytes : HEAP_MEGABYTES) {
-            Exhaustion stop = fill(megabytes);
-            standing.add(new Point(megabytes, stop.established()));
-            refused.add(new Point(megabytes, stop.rejected()));
-            failed.add(new Point(megabytes, stop.failed()));
-            lost.add(new Point(megabytes, stop.lost()));
-            mute.add(new Point(megabytes, stop.unresponsive()));
-            errors.add(new Point(megabytes, stop.outOfMemoryLogLines()));
-            again.add(new Point(megabytes, stop.reconnected()));
+            results.add(fill(megabytes));
         }
         return List.of(
-                series("relay.heap-limit.standing", "connections", "those that stood then", standing),
-                series("relay.heap-limit.refused", "requests", "those that the relay refused in a word", refused),
-                series("relay.heap-limit.failed", "requests", "those that had no answer", failed),
-                series("relay.heap-limit.lost", "connections", "those that had stood and broke", lost),
+                series("standing", "connections", "those that stood then", results, Exhaustion::established),
+                series("refused", "requests", "those that the relay refused in a word", results, Exhaustion::rejected),
+                series("failed", "requests", "those that had no answer", results, Exhaustion::failed),
+                series("lost", "connections", "those that had stood and broke", results, Exhaustion::lost),
                 series(
-                        "relay.heap-limit.mute",
+                        "mute",
                         "connections",
                         "those that still stood and through which a line of the feed server did not pass any more",
-                        mute),
-                series("relay.heap-limit.out-of-memory", "lines", "lines of its log with OutOfMemoryError", errors),
+                        results,
+                        Exhaustion::unresponsive),
                 series(
-                        "relay.heap-limit.served-again",
+                        "out-of-memory",
+                        "lines",
+                        "lines of its log with OutOfMemoryError",
+                        results,
+                        Exhaustion::outOfMemoryLogLines),
+                series(
+                        "served-again",
                         "connections",
                         "of " + RECONNECTING_CLIENTS + " that came after as many had left, those that stood",
-                        again));
+                        results,
+                        Exhaustion::reconnected));
     }
 
-    private static Series series(String id, String unit, String detail, List<Point> points) {
+    private static Series series(
+            String id, String unit, String detail, List<Exhaustion> results, ToDoubleFunction<Exhaustion> value) {
         return new Series(
-                id, Role.RELAY_CONNECTIONS, Resource.STATE, unit, "megabytes of heap", METHOD + detail, points);
+                "relay.heap-limit." + id,
+                Role.RELAY_CONNECTIONS,
+                Resource.STATE,
+                unit,
+                "megabytes of heap",
+                METHOD + detail,
+                Series.points(results, Exhaustion::heapMegabytes, value));
     }
 
-    /** Fills one relay until it stops. */
+    /** Connects clients to one relay until it accepts no more. */
     Exhaustion fill(int megabytes) throws Exception {
         List<String> heap = List.of("-Xms" + Math.min(32, megabytes) + "m", "-Xmx" + megabytes + "m");
         try (RelayUnderLoad load = new RelayUnderLoad(jar, heap)) {
@@ -119,6 +124,7 @@
             long unresponsive = unresponsiveConnections(load, deliveries);
             long reconnectedClients = reconnected(load, after);
             return new Exhaustion(
+                    megabytes,
                     atLimit.established(),
                     after.rejected(),
                     after.failed(),
--- a/src/main/java/sandstack/measure/scale/RelayMemoryScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayMemoryScale.java
@@ -3,9 +3,10 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import sandstack.measure.RelayProcess;
 import sandstack.measure.scale.Series.Point;
 
-/** The memory and the descriptors of one real relay by the number of idle connections that stand there. */
+/** Memory and file descriptors of one relay by the number of its idle connections. */
 public final class RelayMemoryScale implements ScaleMeasurement {
     private static final String PER = "connections";
     private static final String METHOD =
@@ -17,15 +18,15 @@
 
     private final Path jar;
 
-    /** Measures the program that was built in the working directory. */
+    /** Measures the build of the working directory. */
     public RelayMemoryScale() {
-        this(Path.of("target/sandstack.jar"));
+        this(RelayProcess.BUILT_JAR);
     }
 
     /**
-     * Measures relays of this program.
+     * Measures another build.
      *
-     * @param jar the program that the relay is started from
+     * @param jar build that the relay is started from
      */
     public RelayMemoryScale(Path jar) {
         this.jar = jar;
@@ -36,7 +37,7 @@
         return "relay-memory";
     }
 
-    /** Needs a process: with {@link Effort#SMALL} there is nothing that could be measured. */
+    /** Starts a process, so returns no series with {@link Effort#SMALL}. */
     @Override
     public List<Series> measure(Effort effort) throws Exception {
         if (effort == Effort.SMALL) {
--- a/src/main/java/sandstack/measure/scale/RelaySetupScale.java
+++ b/src/main/java/sandstack/measure/scale/RelaySetupScale.java
@@ -3,9 +3,10 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import sandstack.measure.RelayProcess;
 import sandstack.measure.scale.Series.Point;
 
-/** What setting up one connection costs a real relay by the number of connections that stand there already. */
+/** Cost of setting up a connection at a relay, by the number of its established connections. */
 public final class RelaySetupScale implements ScaleMeasurement {
     private static final String PER = "connections";
     private static final String METHOD =
@@ -21,15 +22,15 @@
 
     private final Path jar;
 
-    /** Measures the program that was built in the working directory. */
+    /** Measures the build of the working directory. */
     public RelaySetupScale() {
-        this(Path.of("target/sandstack.jar"));
+        this(RelayProcess.BUILT_JAR);
     }
 
     /**
-     * Measures relays of this program.
+     * Measures another build.
      *
-     * @param jar the program that the relay is started from
+     * @param jar build that the relay is started from
      */
     public RelaySetupScale(Path jar) {
         this.jar = jar;
@@ -40,7 +41,7 @@
         return "relay-setup";
     }
 
-    /** Needs a process: with {@link Effort#SMALL} there is nothing that could be measured. */
+    /** Starts a process, so returns no series with {@link Effort#SMALL}. */
     @Override
     public List<Series> measure(Effort effort) throws Exception {
         if (effort == Effort.SMALL) {
--- a/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
+++ b/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
@@ -12,15 +12,15 @@
 import sandstack.standin.StandInLoop;
 
 /**
- * One real relay process with two stand-in feed servers and a pool of clients; the stand-ins share one thread of this
- * process. Closing it resets all connections first, so that no port stays busy for a minute.
+ * One relay process with two stand-in feed servers and a pool of clients, which share one thread of this process. Closing
+ * resets all connections, so that no port stays in TIME_WAIT.
  */
 final class RelayUnderLoad implements AutoCloseable {
-    /** A heap that no measured number of connections fills; compiler and collector are those of {@code run}. */
+    /** A heap that no measured number of connections fills. */
     static final List<String> LARGE_MEMORY_OPTIONS =
             List.of("-Xmx512m", "-XX:MaxDirectMemorySize=64m", LiveHeap.COMPACT_ALWAYS);
 
-    /** Descriptors that the relay is told it has; each client takes two, and the clients' process has two as well. */
+    /** Limit in the relay's configuration; each connection takes two, here and in the relay. */
     private static final int MAX_DESCRIPTORS = 19_000;
 
     private static final int MAX_SETUPS_IN_FLIGHT = 32;
@@ -33,9 +33,9 @@
     private final ClientPool clients;
 
     /**
-     * Starts a relay and one feed server.
+     * Starts a relay and two feed servers.
      *
-     * @param options of the relay's virtual machine, after those of {@code run}
+     * @param options of the virtual machine, appended to those of {@code run}
      */
     RelayUnderLoad(Path jar, List<String> options) throws IOException {
         testbed = new Testbed(MAX_DESCRIPTORS);
@@ -71,14 +71,14 @@
         return ProcessUsage.of(relay.pid());
     }
 
-    /** Connects and disconnects so many once, so that the relay's code is compiled before anything is measured. */
+    /** Connects and resets this many clients, so that the relay's code is compiled before measurements. */
     void warmUp(int connections) throws InterruptedException {
         growTo(connections);
         loop().run(() -> clients.resetOldest(connections));
         pause(RESET_MILLIS);
     }
 
-    /** Grows until so many stand or the relay takes no more; returns what had happened by then. */
+    /** Connects clients until this many are established or the relay accepts no more; returns the counters. */
     ClientPool.Counts growTo(int connections) throws InterruptedException {
         loop().run(() -> clients.growTo(connections, MAX_SETUPS_IN_FLIGHT));
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLE_TIMEOUT_MILLIS);
@@ -89,14 +89,14 @@
     }
 
     /**
-     * The same where all have to stand.
+     * Connects clients until this many are established.
      *
-     * @throws IllegalStateException where they do not: nothing measured with fewer would be true of so many
+     * @throws IllegalStateException if the relay accepts fewer
      */
     void establish(int connections) throws InterruptedException {
         ClientPool.Counts counts = growTo(connections);
         if (counts.established() < connections) {
-            throw new IllegalStateException("of " + connections + " connections there are " + counts);
+            throw new IllegalStateException("expected " + connections + " established connections: " + counts);
         }
     }
 
--- a/src/main/java/sandstack/measure/scale/Resource.java
+++ b/src/main/java/sandstack/measure/scale/Resource.java
@@ -1,8 +1,8 @@
 package sandstack.measure.scale;
 
-/** What a cost is paid in. */
+/** Kinds of costs. */
 public enum Resource {
-    /** Entries that are kept. */
+    /** Entries in memory. */
     STATE,
     /** Messages sent and received. */
     MESSAGES,
@@ -14,6 +14,6 @@
     MEMORY,
     /** Disk in bytes. */
     DISK,
-    /** Time until something holds everywhere. */
+    /** Time until a change is complete. */
     LATENCY
 }
--- a/src/main/java/sandstack/measure/scale/Role.java
+++ b/src/main/java/sandstack/measure/scale/Role.java
@@ -1,20 +1,20 @@
 package sandstack.measure.scale;
 
-/** The part of the system that bears a cost. */
+/** Parts of the system that bear costs. */
 public enum Role {
     /** A relay, for the connections that it holds. */
     RELAY_CONNECTIONS,
-    /** A relay, for deciding where connections go. */
+    /** A relay, for load balancing. */
     RELAY_PLACEMENT,
-    /** A relay, for back-offs and retries. */
+    /** A relay, for backoff and retries. */
     RELAY_RETRIES,
     /** A relay, for membership and configuration. */
     RELAY_CONTROL,
-    /** One of the machines set aside for control. */
+    /** A control machine. */
     CONTROL_MACHINE,
-    /** The discovery service and the list that it tells. */
+    /** The discovery service with its endpoint list. */
     DISCOVERY,
-    /** Whatever finds the shards of a topic and their listeners. */
+    /** The directory of shards and their listeners. */
     SHARD_DIRECTORY,
     /** The tools that operators use. */
     OPERATOR_TOOLS
--- a/src/main/java/sandstack/measure/scale/SampleEndpointList.java
+++ b/src/main/java/sandstack/measure/scale/SampleEndpointList.java
@@ -7,7 +7,7 @@
 import sandstack.standin.InstanceList;
 import sandstack.standin.InstanceList.Instance;
 
-/** A discovery's list with so many feed servers in four zones, in the form in which relays are told it. */
+/** A discovery's endpoint list with feed servers in four zones, in its wire format. */
 final class SampleEndpointList {
     static final List<String> ZONES = List.of("zone-a", "zone-b", "zone-c", "zone-d");
     static final String READY = "ready";
@@ -25,7 +25,7 @@
         }
     }
 
-    /** This feed server has another state. */
+    /** Changes the state of a feed server. */
     void setState(int server, String state) {
         String host = "10.1." + server / SERVERS_PER_SUBNET + "." + server % SERVERS_PER_SUBNET;
         list.put(new Instance(
@@ -38,12 +38,12 @@
                 FIRST_BOOT_MILLIS + server));
     }
 
-    /** The whole list as one line. */
+    /** The full list as one line. */
     byte[] fullList() {
         return line(list.whole());
     }
 
-    /** The last change as one line. */
+    /** The last change as one line, in the format of a delta. */
     byte[] lastDelta() {
         return line(list.since(list.revision() - 1));
     }
--- a/src/main/java/sandstack/measure/scale/ScaleMeasurement.java
+++ b/src/main/java/sandstack/measure/scale/ScaleMeasurement.java
@@ -2,25 +2,25 @@
 
 import java.util.List;
 
-/** A measurement that yields one or more series. */
+/** A measurement of costs at several sizes. */
 public interface ScaleMeasurement {
-    /** How much time a measurement may take. */
+    /** The time that measurements may take. */
     enum Effort {
-        /** For the build: counts and shapes that come out alike every time, no wall-clock times. */
+        /** For tests: deterministic counts only, no times. */
         SMALL,
-        /** All measurements together take less than 45 s. */
+        /** Less than 45 s for all measurements together. */
         QUICK,
-        /** All measurements together take less than ten minutes. */
+        /** Less than ten minutes for all measurements together. */
         FULL
     }
 
-    /** A short name for logs and for choosing this measurement alone. */
+    /** Unique short name, for {@code --only} and progress messages. */
     String name();
 
     /**
-     * Measures.
+     * Measures and returns the series; empty if there is nothing to measure with this effort.
      *
-     * @throws Exception where the measurement could not be made; nothing of it counts then
+     * @throws Exception if the measurement failed; it has no partial result
      */
     List<Series> measure(Effort effort) throws Exception;
 }
--- a/src/main/java/sandstack/measure/scale/ScaleReport.java
+++ b/src/main/java/sandstack/measure/scale/ScaleReport.java
@@ -4,12 +4,12 @@
 import sandstack.measure.scale.ScaleMeasurement.Effort;
 
 /**
- * What one run of {@code measure scale} found.
+ * Report of a run of {@code measure scale}, as written with {@code --json}.
  *
- * @param command that was given
- * @param date of the run, as {@code 2026-12-02}
- * @param commit that was checked out, {@code unknown} outside a checkout
- * @param seconds that the whole run took
+ * @param command command line without paths
+ * @param date UTC date of the run, such as {@code 2026-12-02}
+ * @param commit checked-out commit, {@code unknown} outside a checkout
+ * @param seconds duration of the run
  */
 public record ScaleReport(
         String command,
@@ -20,24 +20,25 @@
         List<Result> results,
         List<Failure> failures) {
 
-    /** Keeps copies. */
+    /** Copies the lists. */
     public ScaleReport {
         results = List.copyOf(results);
         failures = List.copyOf(failures);
     }
 
     /**
-     * One series and what was made of it.
+     * A series and its fitted model.
      *
-     * @param measurement that yielded it
-     * @param fit null where the series has fewer than three sizes
+     * @param measurement name of the measurement
+     * @param fit null for a series with fewer than three sizes
      */
     public record Result(String measurement, Series series, FittedModel fit) {}
 
     /**
-     * A measurement that could not be made.
+     * A failed measurement.
      *
-     * @param cause in one line
+     * @param measurement name of the measurement
+     * @param cause error message in one line
      */
     public record Failure(String measurement, String cause) {}
 }
--- a/src/main/java/sandstack/measure/scale/ScaleRun.java
+++ b/src/main/java/sandstack/measure/scale/ScaleRun.java
@@ -10,7 +10,7 @@
 import sandstack.measure.scale.ScaleReport.Failure;
 import sandstack.measure.scale.ScaleReport.Result;
 
-/** Runs measurements one after another and fits their series; one that fails does not stop the others. */
+/** Runs measurements one after another and fits models to their series; a failed one does not stop the others. */
 public final class ScaleRun {
     private final Effort effort;
     private final Consumer<String> progress;
@@ -19,16 +19,16 @@
     private final Set<String> seriesIds = new HashSet<>();
 
     /**
-     * Prepares a run.
+     * Creates a run without results.
      *
-     * @param progress is told a line before and after each measurement
+     * @param progress receives a line before and after each measurement
      */
     public ScaleRun(Effort effort, Consumer<String> progress) {
         this.effort = effort;
         this.progress = progress;
     }
 
-    /** Makes one measurement; of one that fails no series is kept. */
+    /** Runs one measurement; a failed one adds no series. */
     public void measure(ScaleMeasurement measurement) throws InterruptedException {
         String name = measurement.name();
         progress.accept(name + " ...");
@@ -53,12 +53,12 @@
         }
     }
 
-    /** The series of all measurements that were made so far. */
+    /** The results of successful measurements so far. */
     public List<Result> results() {
         return List.copyOf(results);
     }
 
-    /** The measurements that could not be made so far. */
+    /** The failed measurements so far. */
     public List<Failure> failures() {
         return List.copyOf(failures);
     }
--- a/src/main/java/sandstack/measure/scale/Series.java
+++ b/src/main/java/sandstack/measure/scale/Series.java
@@ -2,15 +2,18 @@
 
 import com.fasterxml.jackson.annotation.JsonIgnore;
 import java.util.List;
+import java.util.function.ToDoubleFunction;
 
 /**
- * One quantity, measured at several sizes.
+ * A quantity measured at several sizes.
  *
  * @param id unique and stable, in lower case with dots and dashes, such as {@code relay.memory-per-connection}
+ * @param role part of the system that bears the cost
+ * @param resource kind of cost
  * @param unit of the values, such as {@code bytes}
  * @param per what the sizes count, such as {@code connections}
- * @param method how the values were got, in one sentence; begins with {@value #COMPUTED_PREFIX} or {@value #SIMULATED_PREFIX}
- *     where a model gave them
+ * @param method how the values were obtained, in one sentence; begins with {@value #COMPUTED_PREFIX} or {@value #SIMULATED_PREFIX}
+ *     for values of a model
  */
 public record Series(
         String id, Role role, Resource resource, String unit, String per, String method, List<Point> points) {
@@ -22,17 +25,24 @@
     /**
      * A value at a size.
      *
-     * @param size how many of what the series counts
+     * @param size number of what the series counts
      * @param value in the unit of the series
      */
     public record Point(double size, double value) {}
 
-    /** Keeps a copy of the points. */
+    /** Copies the points. */
     public Series {
         points = List.copyOf(points);
     }
 
-    /** Whether the values were worked out by a model, with nothing real measured. */
+    /** Converts samples to points. */
+    public static <T> List<Point> points(List<T> samples, ToDoubleFunction<T> size, ToDoubleFunction<T> value) {
+        return samples.stream()
+                .map(sample -> new Point(size.applyAsDouble(sample), value.applyAsDouble(sample)))
+                .toList();
+    }
+
+    /** Whether a model or simulation computed the values. */
     @JsonIgnore
     public boolean isModelled() {
         return method.startsWith(COMPUTED_PREFIX) || method.startsWith(SIMULATED_PREFIX);
--- a/src/main/java/sandstack/measure/scale/Shape.java
+++ b/src/main/java/sandstack/measure/scale/Shape.java
@@ -1,6 +1,6 @@
 package sandstack.measure.scale;
 
-/** How a cost grows with size, from the simplest shape to the most complex one: {@code base + slope * basis(size)}. */
+/** Growth of a cost with size, {@code base + slope * basis(size)}; ordered by complexity, which model selection uses. */
 public enum Shape {
     /** The same at every size. */
     CONSTANT {
@@ -38,6 +38,6 @@
         }
     };
 
-    /** What the slope is multiplied by at a size. */
+    /** The factor of the slope at a size. */
     public abstract double basis(double size);
 }
--- a/src/main/java/sandstack/measure/scale/WatchOutage.java
+++ b/src/main/java/sandstack/measure/scale/WatchOutage.java
@@ -4,8 +4,8 @@
 import sandstack.staleness.EndpointListStaleness;
 
 /**
- * Reckons the calls that reach a discovery which was away for a while: each relay has lost its watch at once and asks
- * again by the pauses of {@link EndpointListStaleness}. No process, clock or socket; the same seed gives the same figures.
+ * Simulates the calls that reach a discovery during and after an outage: all relays lose their watches at once and retry
+ * with the backoff of {@link EndpointListStaleness}. Deterministic for a seed.
  */
 final class WatchOutage {
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -17,9 +17,10 @@
     private long callsInFirstSecond;
 
     /**
-     * An outage of discovery.
+     * Creates an outage.
      *
-     * @param pollIntervalMicros the pace that relays are told, in microseconds
+     * @param pollIntervalMicros poll interval of the relays
+     * @param downMicros duration of the outage
      */
     WatchOutage(long pollIntervalMicros, long downMicros, long seed) {
         this.staleness = new EndpointListStaleness(false, pollIntervalMicros);
@@ -28,14 +29,14 @@
     }
 
     /**
-     * What was counted.
+     * Counted calls.
      *
-     * @param perSecondDuringOutage calls a second in the mean of the outage, each of which fails
-     * @param inFirstSecond calls in the first second after it; each makes a watch
+     * @param perSecondDuringOutage mean rate during the outage, when all calls fail
+     * @param inFirstSecond calls in the first second after it, each of which opens a watch
      */
     record Calls(double perSecondDuringOutage, long inFirstSecond) {}
 
-    /** Plays one outage with so many relays. */
+    /** Simulates the outage with this many relays. */
     Calls simulate(int relays) {
         callsDuringOutage = 0;
         callsInFirstSecond = 0;
--- a/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
@@ -9,6 +9,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
+import sandstack.measure.RelayProcess;
 import sandstack.measure.scale.Resource;
 import sandstack.measure.scale.Role;
 import sandstack.measure.scale.ScaleMeasurement;
@@ -42,15 +43,15 @@
 
     private final Path jar;
 
-    /** Measures the program that was built in the working directory. */
+    /** Measures the build of the working directory. */
     public RealFleetScale() {
-        this(Path.of("target/sandstack.jar"));
+        this(RelayProcess.BUILT_JAR);
     }
 
     /**
      * Measures another build.
      *
-     * @param jar the program that members are started from
+     * @param jar build that members are started from
      */
     public RealFleetScale(Path jar) {
         this.jar = jar;
--- a/src/main/java/sandstack/measure/scale/package-info.java
+++ b/src/main/java/sandstack/measure/scale/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measures how the cost of a fleet grows with its size: the same quantity at several sizes, a fit through them, and what
- * that comes to at the planned size.
+ * Scalability measurements: series of the same quantity at several sizes, and models fitted to them for extrapolation to
+ * the planned size.
  */
 package sandstack.measure.scale;
