--- a/src/main/java/sandstack/measure/ScaleMeasurements.java
+++ b/src/main/java/sandstack/measure/ScaleMeasurements.java
@@ -12,7 +12,7 @@
 import sandstack.measure.scale.hollow.HollowFleetScale;
 import sandstack.measure.scale.hollow.MembershipCostScale;
 import sandstack.measure.scale.hollow.RealFleetScale;
-import sandstack.measure.scale.storm.StormScale;
+import sandstack.measure.scale.storm.RetryStormScale;
 
 /** The measurements of {@code measure scale}, in the order in which they run. */
 final class ScaleMeasurements {
@@ -30,7 +30,7 @@
                 new MembershipCostScale(),
                 new HollowFleetScale(),
                 new RealFleetScale(),
-                new StormScale(),
+                new RetryStormScale(),
                 new ConfigurationScale());
     }
 }
--- a/src/main/java/sandstack/measure/scale/storm/ClientBehaviour.java
+++ b/src/main/java/sandstack/measure/scale/storm/ClientBehaviour.java
@@ -1,13 +1,13 @@
 package sandstack.measure.scale.storm;
 
-/** When a client that lost its relay, or was refused, comes again. */
+/** When a client retries after it lost its relay or was rejected. The names are part of the ids of series. */
 public enum ClientBehaviour {
-    /** At once, and after each refusal one connect timeout later. */
+    /** At once; after each rejection, one connect timeout later. */
     AT_ONCE,
-    /** A drawn while after the loss, and after each refusal. */
+    /** After a random delay, after the loss and after each rejection. */
     SPREAD,
-    /** A drawn while after the loss; after a refusal, when the advice says. */
+    /** After a random delay; after a rejection, at the Retry-After of the relay. */
     SPREAD_THEN_ADVICE,
-    /** At once after the loss; after a refusal, when the advice says. */
+    /** At once; after a rejection, at the Retry-After of the relay. */
     AT_ONCE_THEN_ADVICE
 }
--- a/src/main/java/sandstack/measure/scale/storm/StepBuckets.java
+++ b/src/main/java/sandstack/measure/scale/storm/StepBuckets.java
@@ -2,35 +2,35 @@
 
 import java.util.Arrays;
 
-/** Clients by the step at which each comes next. One thread; O(1) a client. */
+/** A calendar queue: clients by the step of their next attempt. O(1) per client; not thread-safe. */
 final class StepBuckets {
     private static final int[] NONE = {};
-    private static final int FIRST_ROOM = 16;
+    private static final int INITIAL_CAPACITY = 16;
 
     private final int[][] clients;
     private final int[] counts;
 
-    /** What is due later than the last step is forgotten. */
+    /** Creates buckets for this many steps; later attempts are dropped. */
     StepBuckets(int steps) {
         clients = new int[steps][];
         counts = new int[steps];
     }
 
-    /** The client comes at this step, but not before the earliest. */
+    /** Schedules a client's attempt at a step, but not before the earliest one. */
     void add(int earliest, int step, int client) {
-        int at = Math.max(earliest, step);
-        if (at >= clients.length) {
+        int dueStep = Math.max(earliest, step);
+        if (dueStep >= clients.length) {
             return;
         }
-        if (clients[at] == null) {
-            clients[at] = new int[FIRST_ROOM];
-        } else if (counts[at] == clients[at].length) {
-            clients[at] = Arrays.copyOf(clients[at], 2 * counts[at]);
+        if (clients[dueStep] == null) {
+            clients[dueStep] = new int[INITIAL_CAPACITY];
+        } else if (counts[dueStep] == clients[dueStep].length) {
+            clients[dueStep] = Arrays.copyOf(clients[dueStep], 2 * counts[dueStep]);
         }
-        clients[at][counts[at]++] = client;
+        clients[dueStep][counts[dueStep]++] = client;
     }
 
-    /** Who comes at this step; the caller's to keep. */
+    /** Removes and returns the clients that are due at a step. */
     int[] take(int step) {
         int[] taken = clients[step] == null ? NONE : Arrays.copyOf(clients[step], counts[step]);
         clients[step] = null;
--- a/src/main/java/sandstack/measure/scale/storm/package-info.java
+++ b/src/main/java/sandstack/measure/scale/storm/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The return of clients whose zone was lost, on a simulated clock: how many attempts each remaining relay and feed server
- * sees, and for how long these are more than relays accept.
+ * Simulated retry storm after the loss of a zone: the attempts at each remaining relay and feed server, and for how long
+ * they exceed the capacity.
  */
 package sandstack.measure.scale.storm;
--- a/src/test/java/sandstack/measure/StoredFormsTest.java
+++ b/src/test/java/sandstack/measure/StoredFormsTest.java
@@ -25,7 +25,7 @@
 import sandstack.measure.scale.ScaleReport;
 import sandstack.measure.scale.Shape;
 import sandstack.measure.scale.storm.ClientBehaviour;
-import sandstack.measure.scale.storm.StormScale;
+import sandstack.measure.scale.storm.RetryStormScale;
 
 /** The forms of files and of printed tables that earlier builds wrote; a renamed class or field must not change them. */
 class StoredFormsTest {
@@ -74,7 +74,7 @@
         Path json = folder.resolve("report.json");
 
         assertThat(run(
-                        new ScaleCommand(List.of(new StormScale())),
+                        new ScaleCommand(List.of(new RetryStormScale())),
                         "--quick",
                         "--only",
                         "storm",
--- a/src/test/java/sandstack/measure/scale/storm/StormSimulationTest.java
+++ b/src/test/java/sandstack/measure/scale/storm/RetryStormSimulationTest.java
@@ -11,82 +11,83 @@
 import sandstack.measure.scale.Series;
 
 /** The return of a lost zone's clients: the same seed, the same figures. */
-class StormSimulationTest {
-    private static final StormSetting PLANNED = StormSetting.planned();
+class RetryStormSimulationTest {
+    private static final RetryStormSettings PLANNED = RetryStormSettings.planned();
 
-    private static StormResult play(StormSetting setting, ClientBehaviour behaviour) {
-        return new StormSimulation(setting, behaviour, 2, 11).run();
+    private static RetryStormResult play(RetryStormSettings setting, ClientBehaviour behaviour) {
+        return new RetryStormSimulation(setting, behaviour, 2, 11).run();
     }
 
     @Test
     void thePlannedFleetLosesFiftySixMillionClientsOfWhomEachRelayHasToTakeElevenThousand() {
         assertThat(PLANNED.lostClients()).isEqualTo(56_280_000);
-        assertThat(PLANNED.remaining()).isEqualTo(4_900);
-        assertThat(PLANNED.leastSeconds()).isBetween(20.1, 20.2);
+        assertThat(PLANNED.remainingRelays()).isEqualTo(4_900);
+        assertThat(PLANNED.minSeconds()).isBetween(20.1, 20.2);
     }
 
     @ParameterizedTest
     @EnumSource(ClientBehaviour.class)
     void allComeBackWhereRefusalsCostNothingAndNoSoonerThanRelaysCanSetThemUp(ClientBehaviour behaviour) {
-        StormResult result = play(PLANNED, behaviour);
-        assertThat(result.secondsAll())
-                .isBetween(PLANNED.leastSeconds() - PLANNED.admission().patience() / 1e6, 60.0);
-        assertThat(result.attemptsEach()).isCloseTo(1 + result.refusalsEach(), within(1e-9));
+        RetryStormResult result = play(PLANNED, behaviour);
+        assertThat(result.secondsUntilAll())
+                .isBetween(PLANNED.minSeconds() - PLANNED.admission().maxQueueMicros() / 1e6, 60.0);
+        assertThat(result.attemptsPerClient()).isCloseTo(1 + result.rejectionsPerClient(), within(1e-9));
         double attempts = 0;
-        for (double second : result.attemptsBySecond()) {
+        for (double second : result.attemptsPerSecond()) {
             attempts += second;
         }
-        double clientsEach = PLANNED.lostClients() / (double) PLANNED.remaining();
-        assertThat(attempts / clientsEach).isBetween(0.999 * result.attemptsEach(), 1.001 * result.attemptsEach());
-        double mostSetUps = PLANNED.admission().setUps()
-                * PLANNED.remaining()
+        double clientsEach = PLANNED.lostClients() / (double) PLANNED.remainingRelays();
+        assertThat(attempts / clientsEach)
+                .isBetween(0.999 * result.attemptsPerClient(), 1.001 * result.attemptsPerClient());
+        double mostSetUps = PLANNED.admission().setupsPerSecond()
+                * PLANNED.remainingRelays()
                 / PLANNED.fleet().feedServers();
         assertThat(result.peakAtFeedServer()).isBetween(0.9 * mostSetUps, 1.001 * mostSetUps);
     }
 
     @Test
     void whoHeedsTheAdviceComesAtAFallingRateAndWhoDoesNotComesInCrowds() {
-        double[] advised = play(PLANNED, ClientBehaviour.AT_ONCE_THEN_ADVICE).attemptsBySecond();
+        double[] advised = play(PLANNED, ClientBehaviour.AT_ONCE_THEN_ADVICE).attemptsPerSecond();
         for (int second = 1; second < advised.length; second++) {
             // generations do not overlap: but for chance no second sees more than the one before
             assertThat(advised[second]).isLessThan(1.05 * advised[second - 1] + 20);
         }
-        StormResult crowd = play(PLANNED, ClientBehaviour.AT_ONCE);
+        RetryStormResult crowd = play(PLANNED, ClientBehaviour.AT_ONCE);
         assertThat(crowd.peakAttempts())
                 .isGreaterThan(
                         1.5 * play(PLANNED, ClientBehaviour.AT_ONCE_THEN_ADVICE).peakAttempts());
-        assertThat(crowd.attemptsEach())
-                .isGreaterThan(5 * play(PLANNED, ClientBehaviour.SPREAD).attemptsEach());
+        assertThat(crowd.attemptsPerClient())
+                .isGreaterThan(5 * play(PLANNED, ClientBehaviour.SPREAD).attemptsPerClient());
     }
 
     @Test
     void longerIntervalsEndTheFrontSoonerAndWasteFewerAttempts() {
-        StormResult present = play(PLANNED, ClientBehaviour.SPREAD_THEN_ADVICE);
-        StormResult longer = play(PLANNED.withLongestInterval(11), ClientBehaviour.SPREAD_THEN_ADVICE);
-        assertThat(longer.secondsOver()).isLessThan(present.secondsOver());
-        assertThat(longer.attemptsEach()).isLessThan(present.attemptsEach());
+        RetryStormResult present = play(PLANNED, ClientBehaviour.SPREAD_THEN_ADVICE);
+        RetryStormResult longer = play(PLANNED.withLastInterval(11), ClientBehaviour.SPREAD_THEN_ADVICE);
+        assertThat(longer.overloadedSeconds()).isLessThan(present.overloadedSeconds());
+        assertThat(longer.attemptsPerClient()).isLessThan(present.attemptsPerClient());
     }
 
     @Test
     void adviceThatBeginsAsWideAsTheCrowdEndsTheFrontAfterTheFirstAttempts() {
-        StormResult doubling = play(PLANNED, ClientBehaviour.SPREAD_THEN_ADVICE);
-        StormResult wide = play(PLANNED.withFirstInterval(11), ClientBehaviour.SPREAD_THEN_ADVICE);
-        assertThat(wide.secondsOver()).isLessThanOrEqualTo(2).isLessThan(doubling.secondsOver());
-        assertThat(wide.attemptsEach()).isLessThan(doubling.attemptsEach() / 3);
+        RetryStormResult doubling = play(PLANNED, ClientBehaviour.SPREAD_THEN_ADVICE);
+        RetryStormResult wide = play(PLANNED.withFirstInterval(11), ClientBehaviour.SPREAD_THEN_ADVICE);
+        assertThat(wide.overloadedSeconds()).isLessThanOrEqualTo(2).isLessThan(doubling.overloadedSeconds());
+        assertThat(wide.attemptsPerClient()).isLessThan(doubling.attemptsPerClient() / 3);
     }
 
     @Test
     void whereARefusalCostsATenthOfASetUpAnUnadvisedCrowdNeverGetsIn() {
-        StormResult crowd = play(PLANNED.withRefusalCost(0.1), ClientBehaviour.SPREAD);
-        assertThat(crowd.secondsNearlyAll()).isEqualTo(-1);
-        StormResult advised = play(PLANNED.withRefusalCost(0.1), ClientBehaviour.SPREAD_THEN_ADVICE);
-        assertThat(advised.secondsAll()).isPositive();
+        RetryStormResult crowd = play(PLANNED.withRejectionCost(0.1), ClientBehaviour.SPREAD);
+        assertThat(crowd.secondsUntil99Percent()).isEqualTo(-1);
+        RetryStormResult advised = play(PLANNED.withRejectionCost(0.1), ClientBehaviour.SPREAD_THEN_ADVICE);
+        assertThat(advised.secondsUntilAll()).isPositive();
     }
 
     @Test
     void whatARelaySeesDoesNotGrowWithTheFleetButWhatAFeedServerSeesDoes() {
-        List<Series> all = new StormScale().measure(Effort.SMALL);
-        assertThat(new StormScale().measure(Effort.SMALL)).isEqualTo(all);
+        List<Series> all = new RetryStormScale().measure(Effort.SMALL);
+        assertThat(new RetryStormScale().measure(Effort.SMALL)).isEqualTo(all);
         assertThat(growth(all, "storm.spread.attempts-at-relay")).isBetween(0.9, 1.1);
         assertThat(growth(all, "storm.spread.attempts-at-feed-server")).isBetween(80.0, 120.0);
     }
