--- a/src/main/java/sandstack/measure/scale/hollow/EventQueue.java
+++ b/src/main/java/sandstack/measure/scale/hollow/EventQueue.java
@@ -6,42 +6,42 @@
 /** A simulated clock, in microseconds, and what is due on it. One thread; O(log events) an event. */
 final class EventQueue {
     /** What is due at a moment; of two at one moment the one with the lower order is first. */
-    private record Event(long at, long order, Runnable action) {}
+    private record Event(long dueMicros, long sequence, Runnable action) {}
 
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-    private long now;
-    private long lastOrder;
+            new PriorityQueue<>(Comparator.comparingLong(Event::dueMicros).thenComparingLong(Event::sequence));
+    private long nowMicros;
+    private long lastSequence;
 
     EventQueue(long now) {
-        this.now = now;
+        this.nowMicros = now;
     }
 
-    long now() {
-        return now;
+    long nowMicros() {
+        return nowMicros;
     }
 
     /** Runs this once so many microseconds have passed; what is due at one moment runs in the order of the calls. */
-    void after(long micros, Runnable action) {
-        events.add(new Event(now + micros, ++lastOrder, action));
+    void schedule(long delayMicros, Runnable action) {
+        events.add(new Event(nowMicros + delayMicros, ++lastSequence, action));
     }
 
     /** Runs this again and again, first after {@code first} microseconds, until the queue is dropped. */
-    void every(long first, long period, Runnable action) {
-        after(first, () -> {
+    void scheduleRepeatedly(long initialDelayMicros, long periodMicros, Runnable action) {
+        schedule(initialDelayMicros, () -> {
             action.run();
-            every(period, period, action);
+            scheduleRepeatedly(periodMicros, periodMicros, action);
         });
     }
 
     /** Runs all that is due within the next so many microseconds. */
     void advance(long micros) {
-        long until = now + micros;
-        while (!events.isEmpty() && events.peek().at() <= until) {
+        long endMicros = nowMicros + micros;
+        while (!events.isEmpty() && events.peek().dueMicros() <= endMicros) {
             Event event = events.remove();
-            now = event.at();
+            nowMicros = event.dueMicros();
             event.action().run();
         }
-        now = until;
+        nowMicros = endMicros;
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
@@ -22,185 +22,193 @@
  * is shown of it, which costs most, is worked out for a few relays alone, as it changes nothing of what a relay sends.
  * States are shared between relays in memory, so their size is measured elsewhere ({@link MembershipCost}).
  *
- * <p>The same seed gives the same messages. One thread, but for {@link #meet}, which works on several.
+ * <p>The same seed gives the same messages. One thread, but for {@link #formFullMembership}, which works on several.
  */
 final class HollowFleet {
     /** An answer that has not come by then does not come. */
-    static final long ANSWER_WITHIN = 400_000;
+    static final long PROBE_TIMEOUT_MICROS = 400_000;
     /** How often a relay works out what it shows. */
-    static final long VIEW_EVERY = 200_000;
+    static final long VIEW_INTERVAL_MICROS = 200_000;
 
-    private static final int VIEWERS = 8;
-    private static final long START = 1_000_000;
+    private static final int OBSERVED_RELAYS = 8;
+    private static final long START_MICROS = 1_000_000;
 
-    private final FleetPlan plan;
-    private final WireSizes sizes;
-    private final EventQueue clock = new EventQueue(START);
+    private final FleetLayout layout;
+    private final WireSizes wireSizes;
+    private final EventQueue clock = new EventQueue(START_MICROS);
     private final Network network = new Network();
     private final Traffic traffic = new Traffic();
     private final SplittableRandom random;
     private final List<HollowRelay> relays = new ArrayList<>();
     private final Map<String, HollowRelay> byId = new HashMap<>();
     private final GossipModel gossip = new GossipModel(clock, network, traffic, relays);
-    private final LibraryModel library;
+    private final SwimProtocolModel protocol;
     private final Map<HollowRelay, Membership.View> views = new HashMap<>();
-    private final ThreadTime membershipTime = new ThreadTime();
-    private final ThreadTime viewTime = new ThreadTime();
+    private final ThreadCpuTime membershipCpuTime = new ThreadCpuTime();
+    private final ThreadCpuTime viewCpuTime = new ThreadCpuTime();
 
     /**
      * Makes the fleet; nobody knows anybody yet.
      *
      * @param size relays at the start
-     * @param spare how many may be added later
+     * @param joiningRelays how many may be added later
      */
-    HollowFleet(int size, int spare, long seed) {
-        plan = new FleetPlan(size + spare);
-        sizes = plan.sizes();
+    HollowFleet(int size, int joiningRelays, long seed) {
+        layout = new FleetLayout(size + joiningRelays);
+        wireSizes = layout.wireSizes();
         random = new SplittableRandom(seed);
-        library = new LibraryModel(
-                clock, network, traffic, sizes, relays, gossip, random.split(), new LibraryModel.Listener() {
+        protocol = new SwimProtocolModel(
+                clock, network, traffic, wireSizes, relays, gossip, random.split(), new SwimProtocolModel.Listener() {
                     @Override
-                    public void added(HollowRelay at, HollowRelay member) {
-                        timed(() -> at.membership().memberAdded(member.life(), clock.now()));
+                    public void memberAdded(HollowRelay at, HollowRelay member) {
+                        timed(() -> at.membership().memberAdded(member.incarnation(), clock.nowMicros()));
                     }
 
                     @Override
-                    public void removed(HollowRelay at, HollowRelay member) {
-                        timed(() -> at.membership().memberRemoved(member.life().id(), clock.now()));
+                    public void memberRemoved(HollowRelay at, HollowRelay member) {
+                        timed(() -> at.membership()
+                                .memberRemoved(member.incarnation().id(), clock.nowMicros()));
                     }
                 });
         IntStream.range(0, size).forEach(i -> add());
     }
 
     private HollowRelay add() {
-        HollowRelay relay = new HollowRelay(relays.size(), plan, plan.size(), clock.now(), random);
+        HollowRelay relay = new HollowRelay(relays.size(), layout, layout.size(), clock.nowMicros(), random);
         relays.add(relay);
-        byId.put(relay.life().id(), relay);
+        byId.put(relay.incarnation().id(), relay);
         network.add();
         return relay;
     }
 
     private void timed(Runnable work) {
-        membershipTime.run(work);
+        membershipCpuTime.run(work);
     }
 
     /** All meet at once, reach each other and hold each other's state, as after a long while without change. */
-    void meet() {
-        long now = clock.now();
+    void formFullMembership() {
+        long atMicros = clock.nowMicros();
         relays.parallelStream()
                 .forEach(relay -> relays.forEach(other -> {
                     if (other != relay) {
-                        relay.learn(other.index());
-                        relay.membership().memberAdded(other.life(), now);
+                        relay.addMember(other.index());
+                        relay.membership().memberAdded(other.incarnation(), atMicros);
                     }
                 }));
         relays.parallelStream()
                 .forEach(relay -> relays.forEach(other -> {
                     if (other != relay) {
-                        relay.membership().probeAnswered(other.life(), answer(other, null), now);
+                        relay.membership().probeAnswered(other.incarnation(), answer(other, null), atMicros);
                     }
                 }));
         List<MemberState> states =
-                relays.stream().map(relay -> state(relay, now)).toList();
+                relays.stream().map(relay -> state(relay, atMicros)).toList();
         relays.parallelStream()
-                .forEach(relay -> relays.forEach(
-                        other -> relay.membership().stateReceived(other.life().id(), states.get(other.index()), now)));
+                .forEach(relay -> relays.forEach(other -> relay.membership()
+                        .stateReceived(other.incarnation().id(), states.get(other.index()), atMicros)));
         relays.forEach(this::start);
-        relays.forEach(relay -> relay.membership().stateToGossip(now));
+        relays.forEach(relay -> relay.membership().stateToGossip(atMicros));
     }
 
-    private static ProbeResponse answer(HollowRelay relay, MemberState news) {
+    private static ProbeResponse answer(HollowRelay relay, MemberState state) {
         return new ProbeResponse(
-                FleetMessages.PROTOCOL_VERSION, relay.life().id(), relay.life().name(), news, true);
+                FleetMessages.PROTOCOL_VERSION,
+                relay.incarnation().id(),
+                relay.incarnation().name(),
+                state,
+                true);
     }
 
-    private static MemberState state(HollowRelay relay, long now) {
+    private static MemberState state(HollowRelay relay, long atMicros) {
         return relay.membership()
-                .handleProbe(new ProbeRequest(FleetMessages.PROTOCOL_VERSION, "nobody", "nobody", -1, false), now)
+                .handleProbe(new ProbeRequest(FleetMessages.PROTOCOL_VERSION, "nobody", "nobody", -1, false), atMicros)
                 .state();
     }
 
     private void start(HollowRelay relay) {
-        begin(relay);
-        library.start(relay);
+        scheduleTurns(relay);
+        protocol.start(relay);
     }
 
-    private void begin(HollowRelay relay) {
-        clock.every(random.nextLong(Membership.TICK_MICROS), Membership.TICK_MICROS, () -> turn(relay));
-        int step = Math.max(1, relays.size() / VIEWERS);
+    private void scheduleTurns(HollowRelay relay) {
+        clock.scheduleRepeatedly(random.nextLong(Membership.TICK_MICROS), Membership.TICK_MICROS, () -> runTurn(relay));
+        int step = Math.max(1, relays.size() / OBSERVED_RELAYS);
         if (relay.index() % step == 0) {
-            clock.every(random.nextLong(VIEW_EVERY), VIEW_EVERY, () -> show(relay));
+            clock.scheduleRepeatedly(
+                    random.nextLong(VIEW_INTERVAL_MICROS), VIEW_INTERVAL_MICROS, () -> updateView(relay));
         }
     }
 
-    private void turn(HollowRelay relay) {
-        if (!network.up(relay.index())) {
+    private void runTurn(HollowRelay relay) {
+        if (!network.isUp(relay.index())) {
             return;
         }
-        List<Incarnation> due = new ArrayList<>();
-        timed(() -> due.addAll(relay.membership().tick(clock.now())));
-        due.forEach(life -> probe(relay, byId.get(life.id())));
-        MemberState news = relay.membership().stateToGossip(clock.now());
-        if (news != null) {
-            spread(relay, news);
+        List<Incarnation> probeTargets = new ArrayList<>();
+        timed(() -> probeTargets.addAll(relay.membership().tick(clock.nowMicros())));
+        probeTargets.forEach(incarnation -> sendProbe(relay, byId.get(incarnation.id())));
+        MemberState state = relay.membership().stateToGossip(clock.nowMicros());
+        if (state != null) {
+            gossipState(relay, state);
         }
     }
 
-    private void spread(HollowRelay relay, MemberState news) {
-        String id = relay.life().id();
-        int bytes = sizes.stateGossip(
-                WireSizes.body(new StateGossip(FleetMessages.PROTOCOL_VERSION, id, news, relay.life())));
+    private void gossipState(HollowRelay relay, MemberState state) {
+        String id = relay.incarnation().id();
+        int bytes = wireSizes.stateGossip(
+                WireSizes.jsonBytes(new StateGossip(FleetMessages.PROTOCOL_VERSION, id, state, relay.incarnation())));
         gossip.spread(
                 relay.index(),
                 MessageKind.STATE_GOSSIP,
                 bytes,
-                at -> timed(() -> {
-                    relays.get(at).membership().memberDiscovered(id, relay.life(), clock.now());
-                    relays.get(at).membership().stateReceived(id, news, clock.now());
+                receiver -> timed(() -> {
+                    relays.get(receiver).membership().memberDiscovered(id, relay.incarnation(), clock.nowMicros());
+                    relays.get(receiver).membership().stateReceived(id, state, clock.nowMicros());
                 }));
     }
 
-    private void probe(HollowRelay from, HollowRelay to) {
-        ProbeRequest question = from.membership().probeRequest(to.life());
-        if (!network.passes(from.index(), to.index())) {
-            clock.after(ANSWER_WITHIN, () -> missed(from, to));
+    private void sendProbe(HollowRelay from, HollowRelay to) {
+        ProbeRequest request = from.membership().probeRequest(to.incarnation());
+        if (!network.canReach(from.index(), to.index())) {
+            clock.schedule(PROBE_TIMEOUT_MICROS, () -> onProbeTimedOut(from, to));
             return;
         }
-        traffic.sent(MessageKind.PROBE, 1, sizes.probe(WireSizes.body(question)));
-        clock.after(network.delay(from.index(), to.index()), () -> {
-            if (!network.passes(from.index(), to.index())) {
-                clock.after(ANSWER_WITHIN - network.delay(from.index(), to.index()), () -> missed(from, to));
+        traffic.record(MessageKind.PROBE, 1, wireSizes.probe(WireSizes.jsonBytes(request)));
+        clock.schedule(network.delayMicros(from.index(), to.index()), () -> {
+            if (!network.canReach(from.index(), to.index())) {
+                clock.schedule(
+                        PROBE_TIMEOUT_MICROS - network.delayMicros(from.index(), to.index()),
+                        () -> onProbeTimedOut(from, to));
                 return;
             }
-            ProbeResponse answer = to.membership().handleProbe(question, clock.now());
-            traffic.sent(MessageKind.PROBE_ANSWER, 1, sizes.probeAnswer(WireSizes.body(answer)));
-            clock.after(network.delay(to.index(), from.index()), () -> answered(from, to, answer));
+            ProbeResponse response = to.membership().handleProbe(request, clock.nowMicros());
+            traffic.record(MessageKind.PROBE_ANSWER, 1, wireSizes.probeAnswer(WireSizes.jsonBytes(response)));
+            clock.schedule(network.delayMicros(to.index(), from.index()), () -> onProbeAnswered(from, to, response));
         });
     }
 
-    private void answered(HollowRelay from, HollowRelay to, ProbeResponse answer) {
-        if (network.up(from.index())) {
-            timed(() -> from.membership().probeAnswered(to.life(), answer, clock.now()));
+    private void onProbeAnswered(HollowRelay from, HollowRelay to, ProbeResponse response) {
+        if (network.isUp(from.index())) {
+            timed(() -> from.membership().probeAnswered(to.incarnation(), response, clock.nowMicros()));
         }
     }
 
-    private void missed(HollowRelay from, HollowRelay to) {
-        if (network.up(from.index())) {
-            timed(() -> from.membership().probeTimedOut(to.life()));
+    private void onProbeTimedOut(HollowRelay from, HollowRelay to) {
+        if (network.isUp(from.index())) {
+            timed(() -> from.membership().probeTimedOut(to.incarnation()));
         }
     }
 
-    private void show(HollowRelay relay) {
-        if (network.up(relay.index())) {
-            viewTime.run(() -> views.put(relay, relay.membership().view(clock.now())));
+    private void updateView(HollowRelay relay) {
+        if (network.isUp(relay.index())) {
+            viewCpuTime.run(() -> views.put(relay, relay.membership().view(clock.nowMicros())));
         }
     }
 
     /** One more relay starts, and asks the seeds; returns it. */
     HollowRelay join() {
         HollowRelay relay = add();
-        library.join(relay);
-        begin(relay);
+        protocol.join(relay);
+        scheduleTurns(relay);
         return relay;
     }
 
@@ -210,8 +218,8 @@
         views.remove(relay);
     }
 
-    void regionsApart(boolean apart) {
-        network.regionsApart(apart);
+    void setPartitioned(boolean partitioned) {
+        network.setPartitioned(partitioned);
     }
 
     void advance(long micros) {
@@ -221,22 +229,22 @@
     /**
      * Goes on until this holds of all views that are looked at, but no longer than so long; returns the microseconds, or -1.
      *
-     * @param heldUp whether more work is allowed; where it says no, nothing was found out
+     * @param isOverdue whether more work is allowed; where it says no, nothing was found out
      */
-    long until(Predicate<Membership.View> holds, long atMost, BooleanSupplier heldUp) {
-        long began = clock.now();
-        while (clock.now() - began < atMost && !heldUp.getAsBoolean()) {
-            clock.advance(VIEW_EVERY / 2);
-            if (views.values().stream().allMatch(holds)) {
-                return clock.now() - began;
+    long advanceUntil(Predicate<Membership.View> condition, long timeoutMicros, BooleanSupplier isOverdue) {
+        long startMicros = clock.nowMicros();
+        while (clock.nowMicros() - startMicros < timeoutMicros && !isOverdue.getAsBoolean()) {
+            clock.advance(VIEW_INTERVAL_MICROS / 2);
+            if (views.values().stream().allMatch(condition)) {
+                return clock.nowMicros() - startMicros;
             }
         }
         return -1;
     }
 
     /** Makes all relays that are looked at show anew. */
-    void showAll() {
-        List.copyOf(views.keySet()).forEach(this::show);
+    void updateAllViews() {
+        List.copyOf(views.keySet()).forEach(this::updateView);
     }
 
     List<HollowRelay> relays() {
@@ -245,29 +253,29 @@
 
     /** The region of the relay with this id. */
     int region(String id) {
-        return FleetPlan.region(byId.get(id).index());
+        return FleetLayout.region(byId.get(id).index());
     }
 
     Traffic traffic() {
         return traffic;
     }
 
-    long now() {
-        return clock.now();
+    long nowMicros() {
+        return clock.nowMicros();
     }
 
     /** Thread time of all members' turns and messages. */
-    ThreadTime membershipTime() {
-        return membershipTime;
+    ThreadCpuTime membershipCpuTime() {
+        return membershipCpuTime;
     }
 
     /** Thread time of the views that were worked out. */
-    ThreadTime viewTime() {
-        return viewTime;
+    ThreadCpuTime viewCpuTime() {
+        return viewCpuTime;
     }
 
     /** Pairs of a member and one that reports about it, in one relay's view: what a view goes through. */
-    long reportsInView() {
+    long maxReportsInView() {
         return views.values().stream()
                 .mapToLong(view -> view.rows().stream()
                         .mapToLong(MemberTable.Row::reporterCount)
--- a/src/main/java/sandstack/measure/scale/hollow/HollowFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowFleetScale.java
@@ -14,7 +14,7 @@
 import sandstack.measure.scale.ScaleMeasurement;
 import sandstack.measure.scale.Series;
 import sandstack.measure.scale.Series.Point;
-import sandstack.measure.scale.hollow.FleetFaults.Outcome;
+import sandstack.measure.scale.hollow.FaultInjection.Outcome;
 
 /**
  * Fleets of hollow relays: what each sends while nothing happens, and how long it takes and what it costs until all know
@@ -22,7 +22,7 @@
  */
 public final class HollowFleetScale implements ScaleMeasurement {
     private static final String PER = "relays";
-    private static final String SAID =
+    private static final String METHOD =
             "hollow relays in one process on a simulated clock: the program's own membership,"
                     + " with the gossip library modelled by counted messages of measured sizes";
     private static final int[] STEADY_SMALL = {16, 32, 64};
@@ -31,16 +31,17 @@
     private static final int[] FAULTS_SMALL = {8, 16};
     private static final int[] FAULTS_QUICK = {20, 35, 50};
     private static final int[] FAULTS_FULL = {20, 50, 100, 200};
-    private static final double WALL_SMALL = 600;
-    private static final double WALL_QUICK = 4;
-    private static final double WALL_FULL = 20;
-    private static final long SETTLED = 2_000_000;
-    private static final long WATCHED = 10_000_000;
+    private static final double MAX_WALL_SECONDS_SMALL = 600;
+    private static final double MAX_WALL_SECONDS_QUICK = 4;
+    private static final double MAX_WALL_SECONDS_FULL = 20;
+    private static final long SETTLE_MICROS = 2_000_000;
+    private static final long OBSERVED_MICROS = 10_000_000;
     private static final long SEED = 4;
-    private static final double MICROS_IN_SECOND = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     /** What one relay sends and does a second while nothing happens. */
-    private record Steady(int relays, double messages, double bytes, double membershipMillis, long reportsInView) {}
+    private record SteadyState(
+            int relays, double messages, double bytes, double membershipCpuMillis, long reportsInView) {}
 
     @Override
     public String name() {
@@ -58,73 +59,73 @@
                 effort));
         series.addAll(
                 switch (effort) {
-                    case SMALL -> faults(FAULTS_SMALL, WALL_SMALL);
-                    case QUICK -> faults(FAULTS_QUICK, WALL_QUICK);
-                    case FULL -> faults(FAULTS_FULL, WALL_FULL);
+                    case SMALL -> faults(FAULTS_SMALL, MAX_WALL_SECONDS_SMALL);
+                    case QUICK -> faults(FAULTS_QUICK, MAX_WALL_SECONDS_QUICK);
+                    case FULL -> faults(FAULTS_FULL, MAX_WALL_SECONDS_FULL);
                 });
         return series;
     }
 
     private static List<Series> steady(int[] sizes, Effort effort) {
-        List<Steady> all = new ArrayList<>();
+        List<SteadyState> all = new ArrayList<>();
         for (int size : sizes) {
             all.add(steady(size));
         }
         List<Series> series = new ArrayList<>(List.of(
-                series("hollow.messages", Resource.MESSAGES, "messages a second", all, Steady::messages),
-                series("hollow.bytes", Resource.NETWORK, "bytes a second", all, Steady::bytes),
-                series("hollow.reports-in-view", Resource.STATE, "reports", all, Steady::reportsInView)));
+                series("hollow.messages", Resource.MESSAGES, "messages a second", all, SteadyState::messages),
+                series("hollow.bytes", Resource.NETWORK, "bytes a second", all, SteadyState::bytes),
+                series("hollow.reports-in-view", Resource.STATE, "reports", all, SteadyState::reportsInView)));
         if (effort != Effort.SMALL) {
             series.add(series(
                     "hollow.processor-without-views",
                     Resource.PROCESSOR,
                     "ms a second",
                     all,
-                    Steady::membershipMillis));
+                    SteadyState::membershipCpuMillis));
         }
         return series;
     }
 
-    private static Steady steady(int size) {
+    private static SteadyState steady(int size) {
         HollowFleet fleet = new HollowFleet(size, 0, SEED);
-        fleet.meet();
-        fleet.advance(SETTLED);
+        fleet.formFullMembership();
+        fleet.advance(SETTLE_MICROS);
         fleet.traffic().clear();
-        fleet.membershipTime().clear();
-        fleet.advance(WATCHED);
-        double seconds = WATCHED / MICROS_IN_SECOND * size;
-        return new Steady(
+        fleet.membershipCpuTime().clear();
+        fleet.advance(OBSERVED_MICROS);
+        double seconds = OBSERVED_MICROS / MICROS_PER_SECOND * size;
+        return new SteadyState(
                 size,
                 fleet.traffic().messages() / seconds,
                 fleet.traffic().bytes() / seconds,
-                fleet.membershipTime().millis() / seconds,
-                fleet.reportsInView());
+                fleet.membershipCpuTime().millis() / seconds,
+                fleet.maxReportsInView());
     }
 
     private static Series series(
-            String id, Resource resource, String unit, List<Steady> all, ToDoubleFunction<Steady> value) {
+            String id, Resource resource, String unit, List<SteadyState> all, ToDoubleFunction<SteadyState> value) {
         List<Point> points = all.stream()
                 .map(one -> new Point(one.relays(), value.applyAsDouble(one)))
                 .toList();
         return new Series(
-                id, Role.RELAY_CONTROL, resource, unit, PER, SAID + "; each relay, while nothing happens", points);
+                id, Role.RELAY_CONTROL, resource, unit, PER, METHOD + "; each relay, while nothing happens", points);
     }
 
     private static List<Series> faults(int[] sizes, double wallSeconds) {
-        Map<String, Function<FleetFaults, Outcome>> kinds = new LinkedHashMap<>();
-        kinds.put("join", FleetFaults::join);
-        kinds.put("kill", FleetFaults::kill);
-        kinds.put("given-up", FleetFaults::killGivenUp);
-        kinds.put("zone", FleetFaults::zoneLost);
-        kinds.put("heal", FleetFaults::healedCut);
+        Map<String, Function<FaultInjection, Outcome>> kinds = new LinkedHashMap<>();
+        kinds.put("join", FaultInjection::join);
+        kinds.put("kill", FaultInjection::kill);
+        kinds.put("given-up", FaultInjection::killUntilLost);
+        kinds.put("zone", FaultInjection::loseZone);
+        kinds.put("heal", FaultInjection::healPartition);
         Map<String, List<Outcome>> outcomes = new LinkedHashMap<>();
         Set<String> stopped = new HashSet<>();
         for (int size : sizes) {
             kinds.forEach((kind, play) -> {
                 if (!stopped.contains(kind)) {
-                    Outcome outcome = play.apply(new FleetFaults(size, wallSeconds));
+                    Outcome outcome = play.apply(new FaultInjection(size, wallSeconds));
                     outcomes.computeIfAbsent(kind, k -> new ArrayList<>()).add(outcome);
-                    if (!outcome.known()) {
+                    if (!outcome.isComplete()) {
                         stopped.add(kind);
                     }
                 }
@@ -136,11 +137,11 @@
     }
 
     private static List<Series> series(String kind, List<Outcome> outcomes) {
-        List<Outcome> known = outcomes.stream().filter(Outcome::known).toList();
+        List<Outcome> known = outcomes.stream().filter(Outcome::isComplete).toList();
         String ends = outcomes.stream()
-                .filter(outcome -> !outcome.known())
-                .map(outcome ->
-                        String.format(Locale.ROOT, "; ends before %d relays: %s", outcome.relays(), outcome.stopped()))
+                .filter(outcome -> !outcome.isComplete())
+                .map(outcome -> String.format(
+                        Locale.ROOT, "; ends before %d relays: %s", outcome.relays(), outcome.abortReason()))
                 .findFirst()
                 .orElse("");
         return List.of(
@@ -150,7 +151,7 @@
                         Resource.LATENCY,
                         "seconds",
                         PER,
-                        SAID + "; simulated time until the relays that are looked at know" + ends,
+                        METHOD + "; simulated time until the relays that are looked at know" + ends,
                         points(known, Outcome::seconds)),
                 new Series(
                         "hollow." + kind + ".bytes",
@@ -158,7 +159,7 @@
                         Resource.NETWORK,
                         "bytes",
                         PER,
-                        SAID + "; sent by each relay until then" + ends,
+                        METHOD + "; sent by each relay until then" + ends,
                         points(known, Outcome::bytes)));
     }
 
--- a/src/main/java/sandstack/measure/scale/hollow/HollowRelay.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowRelay.java
@@ -10,32 +10,32 @@
 /** One relay without sockets: the program's membership, and what the library would keep for it. One thread. */
 final class HollowRelay {
     private final int index;
-    private final Incarnation life;
+    private final Incarnation incarnation;
     private final Membership membership;
     private final PeerOrder pingOrder;
     private final PeerOrder gossipOrder;
     /** Members in the library's table. */
-    private final BitSet known = new BitSet();
+    private final BitSet knownMembers = new BitSet();
     /** Members that it suspects, with the number of the suspicion. */
-    private final Map<Integer, Long> suspected = new HashMap<>();
+    private final Map<Integer, Long> suspicionByMember = new HashMap<>();
 
     private long lastSuspicion;
 
-    HollowRelay(int index, FleetPlan plan, int others, long now, SplittableRandom random) {
+    HollowRelay(int index, FleetLayout layout, int fleetSize, long nowMicros, SplittableRandom random) {
         this.index = index;
-        this.life = plan.life(index);
-        this.membership = new Membership(life, plan.relays(), now, random.split());
-        this.pingOrder = new PeerOrder(index, others, random);
-        this.gossipOrder = new PeerOrder(index, others, random);
-        known.set(index);
+        this.incarnation = layout.incarnation(index);
+        this.membership = new Membership(incarnation, layout.relays(), nowMicros, random.split());
+        this.pingOrder = new PeerOrder(index, fleetSize, random);
+        this.gossipOrder = new PeerOrder(index, fleetSize, random);
+        knownMembers.set(index);
     }
 
     int index() {
         return index;
     }
 
-    Incarnation life() {
-        return life;
+    Incarnation incarnation() {
+        return incarnation;
     }
 
     Membership membership() {
@@ -50,43 +50,43 @@
         return gossipOrder;
     }
 
-    BitSet known() {
-        return known;
+    BitSet knownMembers() {
+        return knownMembers;
     }
 
     /** Suspects a member that it holds; returns the number of the suspicion, or 0 where nothing is new. */
     long suspect(int member) {
-        if (!known.get(member) || suspected.containsKey(member)) {
+        if (!knownMembers.get(member) || suspicionByMember.containsKey(member)) {
             return 0;
         }
-        suspected.put(member, ++lastSuspicion);
+        suspicionByMember.put(member, ++lastSuspicion);
         return lastSuspicion;
     }
 
-    boolean suspects(int member) {
-        return suspected.containsKey(member);
+    boolean isSuspected(int member) {
+        return suspicionByMember.containsKey(member);
     }
 
-    boolean stillSuspects(int member, long suspicion) {
-        return Long.valueOf(suspicion).equals(suspected.get(member));
+    boolean isCurrentSuspicion(int member, long suspicion) {
+        return Long.valueOf(suspicion).equals(suspicionByMember.get(member));
     }
 
-    void trust(int member) {
-        suspected.remove(member);
+    void clearSuspicion(int member) {
+        suspicionByMember.remove(member);
     }
 
     /** The library's table has this member now; returns whether that is new. */
-    boolean learn(int member) {
-        boolean fresh = !known.get(member);
-        known.set(member);
-        return fresh;
+    boolean addMember(int member) {
+        boolean added = !knownMembers.get(member);
+        knownMembers.set(member);
+        return added;
     }
 
     /** The library gives it up; returns whether it held it. */
-    boolean forget(int member) {
-        suspected.remove(member);
-        boolean held = known.get(member);
-        known.clear(member);
-        return held;
+    boolean removeMember(int member) {
+        suspicionByMember.remove(member);
+        boolean removed = knownMembers.get(member);
+        knownMembers.clear(member);
+        return removed;
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
@@ -22,49 +22,50 @@
  */
 final class MembershipCost {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long START = 1_000_000;
-    private static final int TURNS_A_VIEW = (int) (HollowFleet.VIEW_EVERY / Membership.TICK_MICROS);
-    private static final double TURNS_A_SECOND = 1e6 / Membership.TICK_MICROS;
-    private static final double VIEWS_A_SECOND = 1e6 / HollowFleet.VIEW_EVERY;
+    private static final long START_MICROS = 1_000_000;
+    private static final int TURNS_PER_VIEW = (int) (HollowFleet.VIEW_INTERVAL_MICROS / Membership.TICK_MICROS);
+    private static final double TURNS_PER_SECOND = 1e6 / Membership.TICK_MICROS;
+    private static final double VIEWS_PER_SECOND = 1e6 / HollowFleet.VIEW_INTERVAL_MICROS;
     /** Turns before anything is timed, and turns that are; the largest fleets pay for each view. */
     private static final int WARM_UP_TURNS = 40;
 
     private static final int TIMED_TURNS = 60;
-    private static final int LARGE = 400;
-    private static final int LARGE_TURNS = 12;
+    private static final int LARGE_FLEET = 400;
+    private static final int TIMED_TURNS_LARGE = 12;
 
     /**
      * The figures, each of one relay.
      *
      * @param heapBytes what the membership keeps, after a collection
      * @param joinSeconds processor seconds to take all others for members, one after another
-     * @param millisEachSecond processor time that turns, questions, answers and views take each second
+     * @param cpuMillisPerSecond processor time that turns, questions, answers and views take each second
      * @param viewMillis of one view
-     * @param heardMillis to take one other's changed state
+     * @param stateMillis to take one other's changed state
      */
-    record Figures(
+    record Costs(
             int relays,
             double heapBytes,
             double joinSeconds,
-            double millisEachSecond,
+            double cpuMillisPerSecond,
             double viewMillis,
-            double heardMillis) {}
+            double stateMillis) {}
 
     private final int size;
-    private final FleetPlan plan;
-    private final List<Incarnation> lives;
+    private final FleetLayout layout;
+    private final List<Incarnation> incarnations;
     private final Membership membership;
-    private final ThreadTime joining = new ThreadTime();
-    private final ThreadTime turns = new ThreadTime();
-    private final ThreadTime views = new ThreadTime();
-    private final ThreadTime hearing = new ThreadTime();
-    private long now = START;
+    private final ThreadCpuTime joinTime = new ThreadCpuTime();
+    private final ThreadCpuTime turnTime = new ThreadCpuTime();
+    private final ThreadCpuTime viewTime = new ThreadCpuTime();
+    private final ThreadCpuTime stateTime = new ThreadCpuTime();
+    private long nowMicros = START_MICROS;
 
     private MembershipCost(int size) {
         this.size = size;
-        this.plan = new FleetPlan(size);
-        this.lives = IntStream.range(0, size).mapToObj(plan::life).toList();
-        this.membership = new Membership(lives.get(0), plan.relays(), now, new SplittableRandom(size));
+        this.layout = new FleetLayout(size);
+        this.incarnations =
+                IntStream.range(0, size).mapToObj(layout::incarnation).toList();
+        this.membership = new Membership(incarnations.get(0), layout.relays(), nowMicros, new SplittableRandom(size));
     }
 
     /**
@@ -72,55 +73,55 @@
      *
      * @throws IllegalArgumentException where the membership refuses a fleet of this size
      */
-    static Figures measure(int size) {
-        refuseTooMany(size);
-        long before = usedHeap();
+    static Costs measure(int size) {
+        requireSupportedSize(size);
+        long heapBytesBefore = usedHeap();
         MembershipCost cost = new MembershipCost(size);
         cost.join();
-        cost.answerAll();
-        long kept = usedHeap() - before;
-        int turns = size > LARGE ? LARGE_TURNS : TIMED_TURNS;
-        cost.run(size > LARGE ? 0 : WARM_UP_TURNS);
-        cost.turns.clear();
-        cost.views.clear();
-        cost.run(turns);
-        cost.hearChanges();
-        return new Figures(
+        cost.answerAllProbes();
+        long heapBytes = usedHeap() - heapBytesBefore;
+        int turns = size > LARGE_FLEET ? TIMED_TURNS_LARGE : TIMED_TURNS;
+        cost.runTurns(size > LARGE_FLEET ? 0 : WARM_UP_TURNS);
+        cost.turnTime.clear();
+        cost.viewTime.clear();
+        cost.runTurns(turns);
+        cost.receiveStateChanges();
+        return new Costs(
                 size,
-                kept,
-                cost.joining.millis() / 1e3,
-                cost.turns.millisEach() * TURNS_A_SECOND + cost.views.millisEach() * VIEWS_A_SECOND,
-                cost.views.millisEach(),
-                cost.hearing.millisEach());
+                heapBytes,
+                cost.joinTime.millis() / 1e3,
+                cost.turnTime.millisPerCall() * TURNS_PER_SECOND + cost.viewTime.millisPerCall() * VIEWS_PER_SECOND,
+                cost.viewTime.millisPerCall(),
+                cost.stateTime.millisPerCall());
     }
 
     /** A state that names all others is refused above a size; known before the work of joining is done. */
-    private static void refuseTooMany(int size) {
+    private static void requireSupportedSize(int size) {
         Set<String> others =
                 IntStream.range(1, size).mapToObj(Integer::toString).collect(Collectors.toSet());
         new MemberState(1, Map.of(), others, Set.of());
     }
 
     private void join() {
-        List<Incarnation> others = lives.subList(1, size);
-        joining.run(() -> others.forEach(life -> membership.memberAdded(life, now)));
+        List<Incarnation> others = incarnations.subList(1, size);
+        joinTime.run(() -> others.forEach(incarnation -> membership.memberAdded(incarnation, nowMicros)));
     }
 
-    private void answerAll() {
-        Set<String> ids = lives.stream().map(Incarnation::id).collect(Collectors.toSet());
-        for (Incarnation life : lives.subList(1, size)) {
-            membership.probeAnswered(life, decoded(answer(life, state(life, ids, 1))), now);
+    private void answerAllProbes() {
+        Set<String> ids = incarnations.stream().map(Incarnation::id).collect(Collectors.toSet());
+        for (Incarnation incarnation : incarnations.subList(1, size)) {
+            membership.probeAnswered(incarnation, decoded(answer(incarnation, state(incarnation, ids, 1))), nowMicros);
         }
     }
 
-    private MemberState state(Incarnation life, Set<String> ids, long number) {
+    private MemberState state(Incarnation incarnation, Set<String> ids, long version) {
         Set<String> reached = new HashSet<>(ids);
-        reached.remove(life.id());
-        return new MemberState(number, Map.of(), reached, Set.of());
+        reached.remove(incarnation.id());
+        return new MemberState(version, Map.of(), reached, Set.of());
     }
 
-    private static ProbeResponse answer(Incarnation life, MemberState news) {
-        return new ProbeResponse(FleetMessages.PROTOCOL_VERSION, life.id(), life.name(), news, true);
+    private static ProbeResponse answer(Incarnation incarnation, MemberState state) {
+        return new ProbeResponse(FleetMessages.PROTOCOL_VERSION, incarnation.id(), incarnation.name(), state, true);
     }
 
     private static ProbeResponse decoded(ProbeResponse answer) {
@@ -131,34 +132,35 @@
         }
     }
 
-    private void run(int count) {
+    private void runTurns(int count) {
         for (int i = 0; i < count; i++) {
-            now += Membership.TICK_MICROS;
-            turns.run(this::turn);
-            if (i % TURNS_A_VIEW == 0) {
-                views.run(() -> membership.view(now));
+            nowMicros += Membership.TICK_MICROS;
+            turnTime.run(this::runTurn);
+            if (i % TURNS_PER_VIEW == 0) {
+                viewTime.run(() -> membership.view(nowMicros));
             }
         }
     }
 
     /** Asks who is due, hears the answers, and answers as many. */
-    private void turn() {
-        for (Incarnation life : membership.tick(now)) {
-            membership.probeRequest(life);
-            membership.probeAnswered(life, answer(life, null), now);
+    private void runTurn() {
+        for (Incarnation incarnation : membership.tick(nowMicros)) {
+            membership.probeRequest(incarnation);
+            membership.probeAnswered(incarnation, answer(incarnation, null), nowMicros);
             membership.handleProbe(
-                    new ProbeRequest(FleetMessages.PROTOCOL_VERSION, life.id(), life.name(), Long.MAX_VALUE, true),
-                    now);
+                    new ProbeRequest(
+                            FleetMessages.PROTOCOL_VERSION, incarnation.id(), incarnation.name(), Long.MAX_VALUE, true),
+                    nowMicros);
         }
-        membership.stateToGossip(now);
+        membership.stateToGossip(nowMicros);
     }
 
     /** A few others change their states. */
-    private void hearChanges() {
-        Set<String> ids = lives.stream().map(Incarnation::id).collect(Collectors.toSet());
-        for (Incarnation life : lives.subList(1, Math.min(size, WARM_UP_TURNS))) {
-            MemberState news = state(life, ids, 2);
-            hearing.run(() -> membership.stateReceived(life.id(), news, now));
+    private void receiveStateChanges() {
+        Set<String> ids = incarnations.stream().map(Incarnation::id).collect(Collectors.toSet());
+        for (Incarnation incarnation : incarnations.subList(1, Math.min(size, WARM_UP_TURNS))) {
+            MemberState state = state(incarnation, ids, 2);
+            stateTime.run(() -> membership.stateReceived(incarnation.id(), state, nowMicros));
         }
     }
 
--- a/src/main/java/sandstack/measure/scale/hollow/MembershipCostScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MembershipCostScale.java
@@ -9,12 +9,12 @@
 import sandstack.measure.scale.ScaleMeasurement;
 import sandstack.measure.scale.Series;
 import sandstack.measure.scale.Series.Point;
-import sandstack.measure.scale.hollow.MembershipCost.Figures;
+import sandstack.measure.scale.hollow.MembershipCost.Costs;
 
 /** Memory and processor time of one relay's membership by the size of the fleet. */
 public final class MembershipCostScale implements ScaleMeasurement {
     private static final String PER = "relays";
-    private static final String SAID = "one membership of the program in a process, its peers answer in memory on a"
+    private static final String METHOD = "one membership of the program in a process, its peers answer in memory on a"
             + " simulated clock, thread time without codec and network";
     private static final int[] QUICK = {50, 100, 200, 400};
     private static final int[] FULL = {50, 200, 400, 800, 1_000, 2_400, 5_600};
@@ -31,7 +31,7 @@
             return List.of();
         }
         MembershipCost.measure(QUICK[0]); // compiled by then
-        List<Figures> figures = new ArrayList<>();
+        List<Costs> figures = new ArrayList<>();
         String ends = "";
         for (int size : effort == Effort.FULL ? FULL : QUICK) {
             try {
@@ -42,29 +42,24 @@
             }
         }
         return List.of(
-                series("membership.heap", Resource.MEMORY, "bytes", ends, figures, Figures::heapBytes),
+                series("membership.heap", Resource.MEMORY, "bytes", ends, figures, Costs::heapBytes),
                 series(
                         "membership.processor",
                         Resource.PROCESSOR,
                         "ms a second",
                         ends,
                         figures,
-                        Figures::millisEachSecond),
-                series("membership.view", Resource.PROCESSOR, "ms", ends, figures, Figures::viewMillis),
-                series("membership.change-heard", Resource.PROCESSOR, "ms", ends, figures, Figures::heardMillis),
-                series("membership.all-join", Resource.PROCESSOR, "seconds", ends, figures, Figures::joinSeconds));
+                        Costs::cpuMillisPerSecond),
+                series("membership.view", Resource.PROCESSOR, "ms", ends, figures, Costs::viewMillis),
+                series("membership.change-heard", Resource.PROCESSOR, "ms", ends, figures, Costs::stateMillis),
+                series("membership.all-join", Resource.PROCESSOR, "seconds", ends, figures, Costs::joinSeconds));
     }
 
     private static Series series(
-            String id,
-            Resource resource,
-            String unit,
-            String ends,
-            List<Figures> all,
-            ToDoubleFunction<Figures> value) {
+            String id, Resource resource, String unit, String ends, List<Costs> all, ToDoubleFunction<Costs> value) {
         List<Point> points = all.stream()
                 .map(one -> new Point(one.relays(), value.applyAsDouble(one)))
                 .toList();
-        return new Series(id, Role.RELAY_CONTROL, resource, unit, PER, SAID + ends, points);
+        return new Series(id, Role.RELAY_CONTROL, resource, unit, PER, METHOD + ends, points);
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/Network.java
+++ b/src/main/java/sandstack/measure/scale/hollow/Network.java
@@ -9,9 +9,9 @@
  */
 final class Network {
     /** One way within a region, and between two, in microseconds. */
-    static final long NEAR = 500;
+    static final long SAME_REGION_MICROS = 500;
 
-    static final long FAR = 15_000;
+    static final long OTHER_REGION_MICROS = 15_000;
 
     private final List<Boolean> up = new ArrayList<>();
     private boolean regionsApart;
@@ -29,20 +29,20 @@
         up.set(relay, false);
     }
 
-    boolean up(int relay) {
+    boolean isUp(int relay) {
         return relay < up.size() && up.get(relay);
     }
 
-    void regionsApart(boolean apart) {
+    void setPartitioned(boolean apart) {
         regionsApart = apart;
     }
 
     /** Whether what the first sends reaches the second now, and comes back. */
-    boolean passes(int from, int to) {
-        return up(from) && up(to) && (!regionsApart || FleetPlan.region(from) == FleetPlan.region(to));
+    boolean canReach(int from, int to) {
+        return isUp(from) && isUp(to) && (!regionsApart || FleetLayout.region(from) == FleetLayout.region(to));
     }
 
-    long delay(int from, int to) {
-        return FleetPlan.region(from) == FleetPlan.region(to) ? NEAR : FAR;
+    long delayMicros(int from, int to) {
+        return FleetLayout.region(from) == FleetLayout.region(to) ? SAME_REGION_MICROS : OTHER_REGION_MICROS;
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/PeerOrder.java
+++ b/src/main/java/sandstack/measure/scale/hollow/PeerOrder.java
@@ -12,9 +12,9 @@
         order = new int[Math.max(0, size - 1)];
         for (int i = 0; i < order.length; i++) {
             int peer = i < self ? i : i + 1;
-            int place = random.nextInt(i + 1);
-            order[i] = order[place];
-            order[place] = peer;
+            int swapIndex = random.nextInt(i + 1);
+            order[i] = order[swapIndex];
+            order[swapIndex] = peer;
         }
     }
 
@@ -23,8 +23,8 @@
     }
 
     /** The peer at a place; places beyond the last begin again. */
-    int at(long place) {
-        return order[(int) (place % order.length)];
+    int at(long index) {
+        return order[(int) (index % order.length)];
     }
 
     /** The next one that is asked. */
--- a/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
@@ -23,23 +23,28 @@
  */
 public final class RealFleetScale implements ScaleMeasurement {
     private static final String PER = "relays";
-    private static final int[] FULL = {10, 20, 50};
+    private static final int[] SIZES = {10, 20, 50};
     private static final int ZONES = 3;
-    private static final double PATIENCE_SECONDS = 60;
-    private static final long SETTLES_MS = 5_000;
-    private static final long WATCHED_MS = 10_000;
-    private static final double TICKS_IN_SECOND = 100;
-    private static final double MILLIS_IN_SECOND = 1_000;
-    private static final double NANOS_IN_SECOND = 1e9;
-    private static final double BYTES_IN_KB = 1_024;
+    private static final double TIMEOUT_SECONDS = 60;
+    private static final long SETTLE_MILLIS = 5_000;
+    private static final long OBSERVED_MILLIS = 10_000;
+    private static final double TICKS_PER_SECOND = 100;
+    private static final double MILLIS_PER_SECOND = 1_000;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double BYTES_PER_KIB = 1_024;
     /** Words of a line of /proc/PID/stat after the command's name: time in the program and in the system. */
     private static final int USER_TIME = 11;
 
     private static final int SYSTEM_TIME = 12;
 
     /** What one real member of a fleet costs, and how soon all know of a kill. */
-    private record Figures(
-            int relays, double bytes, double millis, double resident, double noticedSeconds, double givenUpSeconds) {}
+    private record Costs(
+            int relays,
+            double bytesPerSecond,
+            double cpuMillisPerSecond,
+            double residentBytes,
+            double detectedSeconds,
+            double lostSeconds) {}
 
     private final Path jar;
 
@@ -68,9 +73,9 @@
         if (effort != Effort.FULL) {
             return List.of();
         }
-        List<Figures> figures = new ArrayList<>();
+        List<Costs> figures = new ArrayList<>();
         String ends = "";
-        for (int size : FULL) {
+        for (int size : SIZES) {
             try {
                 figures.add(measure(size));
             } catch (IOException e) {
@@ -79,58 +84,58 @@
             }
         }
         return List.of(
-                series("real-fleet.bytes", Resource.NETWORK, "bytes a second", ends, figures, Figures::bytes),
-                series("real-fleet.processor", Resource.PROCESSOR, "ms a second", ends, figures, Figures::millis),
-                series("real-fleet.resident", Resource.MEMORY, "bytes", ends, figures, Figures::resident),
-                series("real-fleet.kill.seconds", Resource.LATENCY, "seconds", ends, figures, Figures::noticedSeconds),
+                series("real-fleet.bytes", Resource.NETWORK, "bytes a second", ends, figures, Costs::bytesPerSecond),
                 series(
-                        "real-fleet.given-up.seconds",
-                        Resource.LATENCY,
-                        "seconds",
+                        "real-fleet.processor",
+                        Resource.PROCESSOR,
+                        "ms a second",
                         ends,
                         figures,
-                        Figures::givenUpSeconds));
+                        Costs::cpuMillisPerSecond),
+                series("real-fleet.resident", Resource.MEMORY, "bytes", ends, figures, Costs::residentBytes),
+                series("real-fleet.kill.seconds", Resource.LATENCY, "seconds", ends, figures, Costs::detectedSeconds),
+                series("real-fleet.given-up.seconds", Resource.LATENCY, "seconds", ends, figures, Costs::lostSeconds));
     }
 
-    private Figures measure(int size) throws IOException, InterruptedException {
+    private Costs measure(int size) throws IOException, InterruptedException {
         try (FleetRig rig = new FleetRig(List.of("-jar", jar.toString()), size, ZONES)) {
             rig.startAll();
-            if (FleetRig.until(rig::allAlive, PATIENCE_SECONDS + size) < 0) {
-                throw new IOException("did not see itself whole within " + (PATIENCE_SECONDS + size) + " s");
+            if (FleetRig.until(rig::allAlive, TIMEOUT_SECONDS + size) < 0) {
+                throw new IOException("did not see itself whole within " + (TIMEOUT_SECONDS + size) + " s");
             }
-            Thread.sleep(SETTLES_MS);
+            Thread.sleep(SETTLE_MILLIS);
             long bytes = rig.bytes();
             double processor = processorSeconds(rig);
-            long began = System.nanoTime();
-            Thread.sleep(WATCHED_MS);
-            double memberSeconds = (System.nanoTime() - began) / NANOS_IN_SECOND * size;
+            long startNanos = System.nanoTime();
+            Thread.sleep(OBSERVED_MILLIS);
+            double memberSeconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND * size;
             double bytesEach = (rig.bytes() - bytes) / memberSeconds;
-            double millisEach = (processorSeconds(rig) - processor) * MILLIS_IN_SECOND / memberSeconds;
-            double resident = resident(rig);
+            double millisEach = (processorSeconds(rig) - processor) * MILLIS_PER_SECOND / memberSeconds;
+            double resident = meanResidentBytes(rig);
             rig.kill(size - 1);
-            long killed = System.nanoTime();
-            untilAllSee(rig, size - 1, standing -> !"ALIVE".equals(standing));
-            double noticed = (System.nanoTime() - killed) / NANOS_IN_SECOND;
-            untilAllSee(rig, size - 1, "LOST"::equals);
-            return new Figures(
-                    size, bytesEach, millisEach, resident, noticed, (System.nanoTime() - killed) / NANOS_IN_SECOND);
+            long killNanos = System.nanoTime();
+            awaitStatusEverywhere(rig, size - 1, standing -> !"ALIVE".equals(standing));
+            double noticed = (System.nanoTime() - killNanos) / NANOS_PER_SECOND;
+            awaitStatusEverywhere(rig, size - 1, "LOST"::equals);
+            return new Costs(
+                    size, bytesEach, millisEach, resident, noticed, (System.nanoTime() - killNanos) / NANOS_PER_SECOND);
         }
     }
 
-    private static void untilAllSee(FleetRig rig, int victim, Predicate<String> standing) throws IOException {
+    private static void awaitStatusEverywhere(FleetRig rig, int victim, Predicate<String> expected) throws IOException {
         long micros = FleetRig.until(
                 () -> {
                     for (int i = 0; i < victim; i++) {
-                        Map<String, String> seen = rig.standings(i);
-                        if (seen == null || !standing.test(seen.get(FleetRig.name(victim)))) {
+                        Map<String, String> statuses = rig.standings(i);
+                        if (statuses == null || !expected.test(statuses.get(FleetRig.name(victim)))) {
                             return false;
                         }
                     }
                     return true;
                 },
-                PATIENCE_SECONDS);
+                TIMEOUT_SECONDS);
         if (micros < 0) {
-            throw new IOException("a kill was not known to all within " + PATIENCE_SECONDS + " s");
+            throw new IOException("a kill was not known to all within " + TIMEOUT_SECONDS + " s");
         }
     }
 
@@ -138,18 +143,18 @@
         double ticks = 0;
         for (int i = 0; i < rig.size(); i++) {
             String stat = Files.readString(Path.of("/proc/" + rig.pid(i) + "/stat"));
-            String[] words = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            ticks += Long.parseLong(words[USER_TIME]) + Long.parseLong(words[SYSTEM_TIME]);
+            String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+            ticks += Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]);
         }
-        return ticks / TICKS_IN_SECOND;
+        return ticks / TICKS_PER_SECOND;
     }
 
-    private static double resident(FleetRig rig) throws IOException {
+    private static double meanResidentBytes(FleetRig rig) throws IOException {
         double bytes = 0;
         for (int i = 0; i < rig.size(); i++) {
             for (String line : Files.readAllLines(Path.of("/proc/" + rig.pid(i) + "/status"))) {
                 if (line.startsWith("VmRSS:")) {
-                    bytes += Double.parseDouble(line.replaceAll("[^0-9]", "")) * BYTES_IN_KB;
+                    bytes += Double.parseDouble(line.replaceAll("[^0-9]", "")) * BYTES_PER_KIB;
                 }
             }
         }
@@ -157,19 +162,14 @@
     }
 
     private static Series series(
-            String id,
-            Resource resource,
-            String unit,
-            String ends,
-            List<Figures> all,
-            ToDoubleFunction<Figures> value) {
+            String id, Resource resource, String unit, String ends, List<Costs> all, ToDoubleFunction<Costs> value) {
         List<Point> points = all.stream()
                 .map(one -> new Point(one.relays(), value.applyAsDouble(one)))
                 .toList();
         String method = String.format(
                 Locale.ROOT,
                 "real processes on loopback with a link for each pair, heap of 64 MB, watched for %.0f s; each relay",
-                WATCHED_MS / MILLIS_IN_SECOND);
+                OBSERVED_MILLIS / MILLIS_PER_SECOND);
         return new Series(id, Role.RELAY_CONTROL, resource, unit, PER, method + ends, points);
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/ThreadTime.java
+++ b/src/main/java/sandstack/measure/scale/hollow/ThreadCpuTime.java
@@ -4,16 +4,16 @@
 import java.lang.management.ThreadMXBean;
 
 /** Adds up the processor time that one piece of work takes of the calling thread. */
-final class ThreadTime {
+final class ThreadCpuTime {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     private long nanos;
     private long calls;
 
     void run(Runnable work) {
-        long began = THREADS.getCurrentThreadCpuTime();
+        long startNanos = THREADS.getCurrentThreadCpuTime();
         work.run();
-        nanos += THREADS.getCurrentThreadCpuTime() - began;
+        nanos += THREADS.getCurrentThreadCpuTime() - startNanos;
         calls++;
     }
 
@@ -25,7 +25,7 @@
         return calls;
     }
 
-    double millisEach() {
+    double millisPerCall() {
         return calls == 0 ? 0 : millis() / calls;
     }
 
--- a/src/main/java/sandstack/measure/scale/hollow/Traffic.java
+++ b/src/main/java/sandstack/measure/scale/hollow/Traffic.java
@@ -14,10 +14,10 @@
     private final Map<MessageKind, Count> counts = new EnumMap<>(MessageKind.class);
 
     /** So many messages of this size were sent. */
-    void sent(MessageKind kind, long messages, long bytesEach) {
+    void record(MessageKind kind, long messages, long bytesPerMessage) {
         Count count = counts.computeIfAbsent(kind, k -> new Count());
         count.messages += messages;
-        count.bytes += messages * bytesEach;
+        count.bytes += messages * bytesPerMessage;
     }
 
     long messages(MessageKind kind) {
--- a/src/main/java/sandstack/measure/scale/hollow/WireSizes.java
+++ b/src/main/java/sandstack/measure/scale/hollow/WireSizes.java
@@ -31,9 +31,9 @@
     private static final int PROBE = 100;
     private static final int PROBE_ANSWER = 98;
     /** Java's serialisation writes the length of a longer text in eight bytes and not in two. */
-    private static final int LONG_TEXT = 65_535;
+    private static final int LONG_STRING_BYTES = 65_535;
 
-    private static final int LONG_TEXT_EXTRA = 6;
+    private static final int LONG_STRING_EXTRA_BYTES = 6;
 
     private int member() {
         return id + name + address + namespace;
@@ -81,25 +81,25 @@
 
     /** A member's state by gossip, with a body of so many bytes. */
     public int stateGossip(int body) {
-        return STATE_GOSSIP + 2 * id + address + text(body);
+        return STATE_GOSSIP + 2 * id + address + stringBytes(body);
     }
 
     /** Of a reachability probe with a body of so many bytes. */
     public int probe(int body) {
-        return PROBE + address + text(body);
+        return PROBE + address + stringBytes(body);
     }
 
     /** Of its answer. */
     public int probeAnswer(int body) {
-        return PROBE_ANSWER + address + text(body);
+        return PROBE_ANSWER + address + stringBytes(body);
     }
 
-    private static int text(int bytes) {
-        return bytes > LONG_TEXT ? bytes + LONG_TEXT_EXTRA : bytes;
+    private static int stringBytes(int bytes) {
+        return bytes > LONG_STRING_BYTES ? bytes + LONG_STRING_EXTRA_BYTES : bytes;
     }
 
     /** The bytes of a message of ours as JSON. */
-    public static int body(Object message) {
+    public static int jsonBytes(Object message) {
         try {
             return JSON.writeValueAsString(message).getBytes(StandardCharsets.UTF_8).length;
         } catch (JsonProcessingException e) {
--- a/src/test/java/sandstack/fleet/link/WireSizesTest.java
+++ b/src/test/java/sandstack/fleet/link/WireSizesTest.java
@@ -133,11 +133,11 @@
         Object answer = new ProbeResponse(FleetMessages.PROTOCOL_VERSION, id, name, news, true);
         Object spread = new StateGossip(
                 FleetMessages.PROTOCOL_VERSION, id, news, new Incarnation(id, name, "zone-1", "machine-1", address));
-        assertThat(sizes.probe(WireSizes.body(question)))
+        assertThat(sizes.probe(WireSizes.jsonBytes(question)))
                 .isEqualTo(sent("sandstack/question", MessageJson.write(question), true));
-        assertThat(sizes.probeAnswer(WireSizes.body(answer)))
+        assertThat(sizes.probeAnswer(WireSizes.jsonBytes(answer)))
                 .isEqualTo(sent("sandstack/result", MessageJson.write(answer), true));
-        assertThat(sizes.stateGossip(WireSizes.body(spread)))
+        assertThat(sizes.stateGossip(WireSizes.jsonBytes(spread)))
                 .isEqualTo(gossip("sandstack/spread", MessageJson.write(spread)));
     }
 }
--- a/src/test/java/sandstack/measure/scale/hollow/HollowFleetTest.java
+++ b/src/test/java/sandstack/measure/scale/hollow/HollowFleetTest.java
@@ -19,7 +19,7 @@
 
     private static HollowFleet watched(int size) {
         HollowFleet fleet = new HollowFleet(size, 0, 1);
-        fleet.meet();
+        fleet.formFullMembership();
         fleet.advance(2_000_000);
         fleet.traffic().clear();
         fleet.advance(SECONDS * 1_000_000L);
@@ -33,7 +33,7 @@
     @Test
     void aViewGoesThroughAReportOfEachMemberAboutEachOther() {
         for (int size : new int[] {8, 16, 32, 64}) {
-            assertThat(watched(size).reportsInView()).as("at %d", size).isEqualTo((long) size * (size - 1));
+            assertThat(watched(size).maxReportsInView()).as("at %d", size).isEqualTo((long) size * (size - 1));
         }
     }
 
@@ -67,12 +67,12 @@
         GossipModel gossip = new GossipModel(clock, network, traffic, relays);
         SplittableRandom random = new SplittableRandom(3);
         for (int i = 0; i < size; i++) {
-            relays.add(new HollowRelay(i, new FleetPlan(size), size, 0, random));
+            relays.add(new HollowRelay(i, new FleetLayout(size), size, 0, random));
             network.add();
         }
         List<Integer> heard = new ArrayList<>();
         gossip.spread(5, MessageKind.STATE_GOSSIP, 100, heard::add);
-        clock.advance(10 * GossipModel.PERIOD);
+        clock.advance(10 * GossipModel.PERIOD_MICROS);
         assertThat(heard)
                 .containsExactlyInAnyOrderElementsOf(
                         IntStream.range(0, size).filter(i -> i != 5).boxed().collect(Collectors.toList()));
@@ -83,15 +83,15 @@
 
     @Test
     void allFaultsAreKnownAndAGivenUpMemberIsKnownLaterThanADoubtedOne() {
-        FleetFaults faults = new FleetFaults(16, 600);
-        for (FleetFaults.Outcome outcome :
-                List.of(faults.join(), faults.kill(), faults.killGivenUp(), faults.zoneLost(), faults.healedCut())) {
-            assertThat(outcome.known()).as(outcome.toString()).isTrue();
+        FaultInjection faults = new FaultInjection(16, 600);
+        for (FaultInjection.Outcome outcome : List.of(
+                faults.join(), faults.kill(), faults.killUntilLost(), faults.loseZone(), faults.healPartition())) {
+            assertThat(outcome.isComplete()).as(outcome.toString()).isTrue();
             assertThat(outcome.seconds()).as(outcome.toString()).isBetween(0.1, 30.0);
             assertThat(outcome.bytes()).as(outcome.toString()).isPositive();
         }
         // the library waits for three intervals of half a second times the logarithm of the members
-        assertThat(faults.killGivenUp().seconds()).isGreaterThan(3 * 0.5 * 5);
+        assertThat(faults.killUntilLost().seconds()).isGreaterThan(3 * 0.5 * 5);
         assertThat(faults.kill().seconds()).isLessThan(3 * 0.5 * 5);
     }
 
