--- a/src/main/java/sandstack/measure/FleetMeasurement.java
+++ b/src/main/java/sandstack/measure/FleetMeasurement.java
@@ -1,8 +1,6 @@
 package sandstack.measure;
 
 import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -19,14 +17,8 @@
 final class FleetMeasurement implements Measurement {
     private static final int MEMBERS = 12;
     private static final double TIMEOUT_SECONDS = 40;
-    /** USER_HZ, the unit of processor times in {@code /proc/PID/stat}. */
-    private static final double TICKS_PER_SECOND = 100;
-
-    /** Fields of {@code /proc/PID/stat} after the command name: time in user mode and in kernel mode. */
-    private static final int USER_TIME = 11;
-
-    private static final int SYSTEM_TIME = 12;
     private static final double NANOS_PER_SECOND = 1e9;
+    private static final double BYTES_PER_MIB = 1024.0 * 1024;
     private static final double MICROS_PER_SECOND = 1e6;
     private static final int ZONES = 3;
     private static final int ROUNDS = 17;
@@ -220,7 +212,7 @@
             // lets the load of the start pass
             Thread.sleep(START_UP_MILLIS);
             long bytesBefore = rig.bytes();
-            double processorSecondsBefore = processorSeconds(rig);
+            double processorSecondsBefore = FleetUsage.processorSeconds(rig);
             long startNanos = System.nanoTime();
             Thread.sleep(COST_MILLIS);
             double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
@@ -229,34 +221,10 @@
                     "bytes sent a second and member" + suffix, (rig.bytes() - bytesBefore) / seconds / size));
             results.add(MetricResult.informational(
                     "processor ms a second and member" + suffix,
-                    (processorSeconds(rig) - processorSecondsBefore) * 1000 / seconds / size));
+                    (FleetUsage.processorSeconds(rig) - processorSecondsBefore) * 1000 / seconds / size));
             results.add(MetricResult.informational(
-                    "resident MB a member" + suffix, meanOfStatusField(rig, "VmRSS") / 1024.0));
-            results.add(MetricResult.informational("threads a member" + suffix, meanOfStatusField(rig, "Threads")));
-        }
-    }
-
-    /** Processor time of all members since their starts, in seconds. */
-    private static double processorSeconds(FleetRig rig) throws IOException {
-        double ticks = 0;
-        for (int i = 0; i < rig.size(); i++) {
-            String stat = Files.readString(Path.of("/proc/" + rig.pid(i) + "/stat"));
-            String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            ticks += Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]);
-        }
-        return ticks / TICKS_PER_SECOND;
-    }
-
-    /** The mean over all members of a field of {@code /proc/PID/status}. */
-    private static double meanOfStatusField(FleetRig rig, String field) throws IOException {
-        double sum = 0;
-        for (int i = 0; i < rig.size(); i++) {
-            for (String line : Files.readAllLines(Path.of("/proc/" + rig.pid(i) + "/status"))) {
-                if (line.startsWith(field + ":")) {
-                    sum += Double.parseDouble(line.replaceAll("[^0-9]", ""));
-                }
-            }
+                    "resident MB a member" + suffix, FleetUsage.meanResidentBytes(rig) / BYTES_PER_MIB));
+            results.add(MetricResult.informational("threads a member" + suffix, FleetUsage.meanThreads(rig)));
         }
-        return sum / rig.size();
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/EventQueue.java
+++ b/src/main/java/sandstack/measure/scale/hollow/EventQueue.java
@@ -3,9 +3,9 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A simulated clock, in microseconds, and what is due on it. One thread; O(log events) an event. */
+/** A simulated clock with scheduled events, in microseconds. O(log events) per event; not thread-safe. */
 final class EventQueue {
-    /** What is due at a moment; of two at one moment the one with the lower order is first. */
+    /** A scheduled event; events of the same time run in the order of their sequence numbers. */
     private record Event(long dueMicros, long sequence, Runnable action) {}
 
     private final PriorityQueue<Event> events =
@@ -21,12 +21,12 @@
         return nowMicros;
     }
 
-    /** Runs this once so many microseconds have passed; what is due at one moment runs in the order of the calls. */
+    /** Schedules an action; actions of the same time run in the order of the calls. */
     void schedule(long delayMicros, Runnable action) {
         events.add(new Event(nowMicros + delayMicros, ++lastSequence, action));
     }
 
-    /** Runs this again and again, first after {@code first} microseconds, until the queue is dropped. */
+    /** Schedules an action repeatedly, without an end. */
     void scheduleRepeatedly(long initialDelayMicros, long periodMicros, Runnable action) {
         schedule(initialDelayMicros, () -> {
             action.run();
@@ -34,7 +34,7 @@
         });
     }
 
-    /** Runs all that is due within the next so many microseconds. */
+    /** Advances the time and runs all events that are due until then. */
     void advance(long micros) {
         long endMicros = nowMicros + micros;
         while (!events.isEmpty() && events.peek().dueMicros() <= endMicros) {
--- a/src/main/java/sandstack/measure/scale/hollow/FaultInjection.java
+++ b/src/main/java/sandstack/measure/scale/hollow/FaultInjection.java
@@ -9,25 +9,27 @@
 import sandstack.fleet.Membership;
 
 /**
- * What happens to a hollow fleet, and how long it takes, in simulated time, until all relays that are looked at know. Each
- * fault has a fleet of its own, and ends early where its work takes longer than it may.
+ * Injects faults into hollow fleets and measures the simulated time until all observed relays have detected them. Each
+ * fault uses a new fleet and is aborted when it exceeds its wall-clock time.
  */
 final class FaultInjection {
-    /** No fault is waited for longer than this, in simulated time. */
+    /** Maximum simulated time until detection. */
     private static final long TIMEOUT_MICROS = 600_000_000;
-    /** Seconds that pass before a fault, so that nothing of the start goes on. */
+    /** Simulated time before a fault, for the messages of the start. */
     private static final long SETTLE_MICROS = 3_000_000;
 
     private static final int ZONES = FleetLayout.ZONES;
     private static final long SEED = 40;
 
     /**
-     * How a fault went.
+     * Result of a fault.
      *
-     * @param micros simulated time until all know; -1 where that was not found out
-     * @param messages sent by each relay meanwhile
-     * @param bytes sent by each relay meanwhile
-     * @param abortReason why it was not found out; empty where it was
+     * @param fault name of the fault in ids of series
+     * @param relays size of the fleet
+     * @param micros simulated time until detection; -1 if aborted
+     * @param messages mean number sent by a relay until then
+     * @param bytes mean number sent by a relay until then
+     * @param abortReason why it was aborted; empty if complete
      */
     record Outcome(String fault, int relays, long micros, double messages, double bytes, String abortReason) {
         boolean isComplete() {
@@ -43,9 +45,10 @@
     private final long maxWallNanos;
 
     /**
-     * Prepares fleets of a size.
+     * Creates an injection without fleets.
      *
-     * @param maxWallSeconds of work that one fault may take
+     * @param fleetSize number of relays
+     * @param maxWallSeconds wall-clock limit of one fault
      */
     FaultInjection(int fleetSize, double maxWallSeconds) {
         this.relays = fleetSize;
@@ -65,7 +68,7 @@
         return fleet;
     }
 
-    /** One more relay starts: until all call it alive, and it calls all alive. */
+    /** Starts one more relay; ends when all see all others alive. */
     Outcome join() {
         BooleanSupplier isOverdue = deadline();
         HollowFleet fleet = newSettledFleet(1);
@@ -73,33 +76,26 @@
         return outcome("join", fleet, fleet.advanceUntil(allAlive(relays + 1), TIMEOUT_MICROS, isOverdue));
     }
 
-    /** One relay is killed: until nobody calls it alive. */
+    /** Kills one relay; ends when no other sees it alive. */
     Outcome kill() {
-        BooleanSupplier isOverdue = deadline();
-        HollowFleet fleet = newSettledFleet(0);
-        HollowRelay victim = fleet.relays().get(relays - 1);
-        fleet.kill(victim);
-        return outcome(
-                "kill",
-                fleet,
-                fleet.advanceUntil(
-                        allHaveStatus(List.of(victim), s -> s != MemberStatus.ALIVE), TIMEOUT_MICROS, isOverdue));
+        return kill("kill", status -> status != MemberStatus.ALIVE);
     }
 
-    /** One relay is killed: until all have given it up. */
+    /** Kills one relay; ends when all others have declared it lost. */
     Outcome killUntilLost() {
+        return kill("given-up", status -> status == MemberStatus.LOST);
+    }
+
+    private Outcome kill(String fault, Predicate<MemberStatus> expected) {
         BooleanSupplier isOverdue = deadline();
         HollowFleet fleet = newSettledFleet(0);
         HollowRelay victim = fleet.relays().get(relays - 1);
         fleet.kill(victim);
-        return outcome(
-                "given-up",
-                fleet,
-                fleet.advanceUntil(
-                        allHaveStatus(List.of(victim), s -> s == MemberStatus.LOST), TIMEOUT_MICROS, isOverdue));
+        Predicate<Membership.View> detected = allHaveStatus(List.of(victim), expected);
+        return outcome(fault, fleet, fleet.advanceUntil(detected, TIMEOUT_MICROS, isOverdue));
     }
 
-    /** A zone of eight is lost: until all have given up all of it. */
+    /** Kills one of eight zones; ends when all others have declared all its relays lost. */
     Outcome loseZone() {
         BooleanSupplier isOverdue = deadline();
         HollowFleet fleet = newSettledFleet(0);
@@ -110,10 +106,11 @@
         return outcome(
                 "zone",
                 fleet,
-                fleet.advanceUntil(allHaveStatus(lost, s -> s == MemberStatus.LOST), TIMEOUT_MICROS, isOverdue));
+                fleet.advanceUntil(
+                        allHaveStatus(lost, status -> status == MemberStatus.LOST), TIMEOUT_MICROS, isOverdue));
     }
 
-    /** Two regions were apart until each gave up the other, and meet again: until all call all alive. */
+    /** Heals a partition after which each region has declared the other lost; ends when all see all others alive. */
     Outcome healPartition() {
         BooleanSupplier isOverdue = deadline();
         HollowFleet fleet = newSettledFleet(0);
--- a/src/main/java/sandstack/measure/scale/hollow/FleetLayout.java
+++ b/src/main/java/sandstack/measure/scale/hollow/FleetLayout.java
@@ -9,10 +9,10 @@
 import sandstack.fleet.Incarnation;
 
 /**
- * Who the relays of a hollow fleet are: zones in turn, the first half of the zones is one region. All names have one
- * length, whatever the size. Pure.
+ * Identities of the relays of a hollow fleet: round-robin over the zones, of which each half is a region. All names have
+ * the same length at every size.
  *
- * @param size relays that are stated; later ones may join
+ * @param size number of relays in the stated configuration, including those that join later
  */
 record FleetLayout(int size) {
     static final int ZONES = 8;
@@ -46,7 +46,7 @@
         return zone(index) * REGIONS / ZONES;
     }
 
-    /** Names of all relays, as operators state them. */
+    /** Names of all relays. */
     Set<String> relays() {
         return new TreeSet<>(names());
     }
@@ -55,7 +55,7 @@
         return IntStream.range(0, size).mapToObj(FleetLayout::name).toList();
     }
 
-    /** Sizes of messages between these. */
+    /** Message sizes for these identities. */
     WireSizes wireSizes() {
         Incarnation incarnation = incarnation(0);
         int metadata = METADATA_TEMPLATE.length()
--- a/src/main/java/sandstack/measure/scale/hollow/GossipModel.java
+++ b/src/main/java/sandstack/measure/scale/hollow/GossipModel.java
@@ -6,11 +6,12 @@
 import java.util.function.IntConsumer;
 
 /**
- * How the library's gossip spreads: every {@link #PERIOD_MICROS} each member that has a piece of news sends it on to
- * {@link #FANOUT} others, for {@link #REPEAT_MULTIPLIER} times the logarithm of the members periods, but not to those that sent it
- * to this one. Who is up and what passes is taken as it is when the news is told. Counts each message.
+ * Models infection-style dissemination as in the gossip library: in each period of {@link #PERIOD_MICROS} every infected
+ * member forwards a gossip to {@link #FANOUT} others, during {@link #REPEAT_MULTIPLIER} times the logarithm of the members
+ * periods, but not to members from which it received it. Uses the state of the network at the time of the call for the
+ * whole dissemination. Counts each message.
  *
- * <p>One thread; O(members log members) a piece of news.
+ * <p>O(members log members) per gossip; not thread-safe.
  */
 final class GossipModel {
     static final long PERIOD_MICROS = 200_000;
@@ -29,60 +30,81 @@
         this.relays = relays;
     }
 
-    /** The logarithm with which the library reckons. */
+    /** The logarithm of the library: the number of bits. */
     static int ceilLog2(int members) {
         return Integer.SIZE - Integer.numberOfLeadingZeros(members);
     }
 
-    /** One member's way through a piece of news. */
+    /** Spreads a gossip; the callback is called once for each other member that it reaches, when it does. */
+    void spread(int origin, MessageKind kind, int bytes, IntConsumer onReceived) {
+        traffic.record(kind, new Dissemination(onReceived).run(origin), bytes);
+    }
+
+    /** A member that has received the gossip. */
     private static final class Infection {
         private final int relay;
         private final long infectedInPeriod;
         private final BitSet receivedFrom = new BitSet();
 
-        private Infection(int relay, long since) {
+        private Infection(int relay, long infectedInPeriod) {
             this.relay = relay;
-            this.infectedInPeriod = since;
+            this.infectedInPeriod = infectedInPeriod;
         }
     }
 
-    /** Spreads news of this size from here; each other member that it reaches hears it once. */
-    void spread(int origin, MessageKind kind, int bytes, IntConsumer onReceived) {
-        int members = relays.size();
-        int periodsToSpread = REPEAT_MULTIPLIER * ceilLog2(members);
-        long startPeriod = clock.nowMicros() / PERIOD_MICROS;
-        Infection[] byRelay = new Infection[members];
-        List<Infection> infected = new ArrayList<>(members);
-        byRelay[origin] = new Infection(origin, 0);
-        infected.add(byRelay[origin]);
-        long sent = 0;
-        for (long period = 0; period <= 2L * periodsToSpread; period++) {
-            int senders = infected.size();
-            for (int i = 0; i < senders; i++) {
-                Infection sender = infected.get(i);
-                if (period - sender.infectedInPeriod >= periodsToSpread) {
+    /** The dissemination of one gossip. */
+    private final class Dissemination {
+        private final IntConsumer onReceived;
+        private final long startPeriod = clock.nowMicros() / PERIOD_MICROS;
+        private final Infection[] byRelay = new Infection[relays.size()];
+        private final List<Infection> infected = new ArrayList<>(relays.size());
+        private long sent;
+
+        private Dissemination(IntConsumer onReceived) {
+            this.onReceived = onReceived;
+        }
+
+        /** Returns the number of messages. */
+        private long run(int origin) {
+            infect(origin, 0);
+            int periodsToSpread = REPEAT_MULTIPLIER * ceilLog2(relays.size());
+            for (long period = 0; period <= 2L * periodsToSpread; period++) {
+                int senders = infected.size();
+                for (int i = 0; i < senders; i++) {
+                    Infection sender = infected.get(i);
+                    if (period - sender.infectedInPeriod < periodsToSpread) {
+                        send(sender, period);
+                    }
+                }
+            }
+            return sent;
+        }
+
+        private void send(Infection sender, long period) {
+            PeerOrder order = relays.get(sender.relay).gossipOrder();
+            for (int k = 0; k < Math.min(FANOUT, order.size()); k++) {
+                int receiver = order.at(FANOUT * (startPeriod + period) + k);
+                if (!network.canReach(sender.relay, receiver) || sender.receivedFrom.get(receiver)) {
                     continue;
                 }
-                PeerOrder order = relays.get(sender.relay).gossipOrder();
-                for (int k = 0; k < Math.min(FANOUT, order.size()); k++) {
-                    int receiver = order.at(FANOUT * (startPeriod + period) + k);
-                    if (!network.canReach(sender.relay, receiver) || sender.receivedFrom.get(receiver)) {
-                        continue;
-                    }
-                    sent++;
-                    if (byRelay[receiver] == null) {
-                        byRelay[receiver] = new Infection(receiver, period + 1);
-                        infected.add(byRelay[receiver]);
-                        clock.schedule((period + 1) * PERIOD_MICROS, () -> {
-                            if (network.isUp(receiver)) {
-                                onReceived.accept(receiver);
-                            }
-                        });
-                    }
-                    byRelay[receiver].receivedFrom.set(sender.relay);
+                sent++;
+                if (byRelay[receiver] == null) {
+                    infect(receiver, period + 1);
+                    clock.schedule((period + 1) * PERIOD_MICROS, () -> deliver(receiver));
                 }
+                byRelay[receiver].receivedFrom.set(sender.relay);
+            }
+        }
+
+        private void infect(int relay, long period) {
+            byRelay[relay] = new Infection(relay, period);
+            infected.add(byRelay[relay]);
+        }
+
+        private void deliver(int receiver) {
+            if (network.isUp(receiver)) {
+                onReceived.accept(receiver);
             }
         }
-        traffic.record(kind, sent, bytes);
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
@@ -18,16 +18,16 @@
 import sandstack.fleet.Membership;
 
 /**
- * Many hollow relays on one simulated clock. Every relay's membership is the program's own and takes every message; what
- * is shown of it, which costs most, is worked out for a few relays alone, as it changes nothing of what a relay sends.
- * States are shared between relays in memory, so their size is measured elsewhere ({@link MembershipCost}).
+ * Many hollow relays on one simulated clock. Each relay runs the real {@link Membership} and handles every message. Views,
+ * which cost most, are computed for a few observed relays only, as they do not affect what a relay sends. Relays share
+ * states in memory, so heap is measured by {@link MembershipCost}.
  *
- * <p>The same seed gives the same messages. One thread, but for {@link #formFullMembership}, which works on several.
+ * <p>Deterministic for a seed. Not thread-safe; {@link #formFullMembership} uses the common pool.
  */
 final class HollowFleet {
-    /** An answer that has not come by then does not come. */
+    /** Time until a probe without an answer fails. */
     static final long PROBE_TIMEOUT_MICROS = 400_000;
-    /** How often a relay works out what it shows. */
+    /** Interval at which an observed relay computes its view. */
     static final long VIEW_INTERVAL_MICROS = 200_000;
 
     private static final int OBSERVED_RELAYS = 8;
@@ -48,10 +48,10 @@
     private final ThreadCpuTime viewCpuTime = new ThreadCpuTime();
 
     /**
-     * Makes the fleet; nobody knows anybody yet.
+     * Creates relays without any membership.
      *
-     * @param size relays at the start
-     * @param joiningRelays how many may be added later
+     * @param size initial number of relays
+     * @param joiningRelays number of relays that may join later
      */
     HollowFleet(int size, int joiningRelays, long seed) {
         layout = new FleetLayout(size + joiningRelays);
@@ -85,7 +85,7 @@
         membershipCpuTime.run(work);
     }
 
-    /** All meet at once, reach each other and hold each other's state, as after a long while without change. */
+    /** Makes all relays members of each other with known states, as after a long time without changes, and starts them. */
     void formFullMembership() {
         long atMicros = clock.nowMicros();
         relays.parallelStream()
@@ -204,7 +204,7 @@
         }
     }
 
-    /** One more relay starts, and asks the seeds; returns it. */
+    /** Starts one more relay, which joins through the seeds. */
     HollowRelay join() {
         HollowRelay relay = add();
         protocol.join(relay);
@@ -212,24 +212,27 @@
         return relay;
     }
 
-    /** A relay's process ends without a word. */
+    /** Stops a relay without a leave message. */
     void kill(HollowRelay relay) {
         network.stop(relay.index());
         views.remove(relay);
     }
 
+    /** Partitions the regions, or heals the partition. */
     void setPartitioned(boolean partitioned) {
         network.setPartitioned(partitioned);
     }
 
+    /** Runs the events of this much simulated time. */
     void advance(long micros) {
         clock.advance(micros);
     }
 
     /**
-     * Goes on until this holds of all views that are looked at, but no longer than so long; returns the microseconds, or -1.
+     * Advances until a condition holds for the views of all observed relays.
      *
-     * @param isOverdue whether more work is allowed; where it says no, nothing was found out
+     * @param isOverdue checked between steps; aborts when true
+     * @return the simulated microseconds; -1 after the timeout or an abort
      */
     long advanceUntil(Predicate<Membership.View> condition, long timeoutMicros, BooleanSupplier isOverdue) {
         long startMicros = clock.nowMicros();
@@ -242,7 +245,7 @@
         return -1;
     }
 
-    /** Makes all relays that are looked at show anew. */
+    /** Computes the views of all observed relays. */
     void updateAllViews() {
         List.copyOf(views.keySet()).forEach(this::updateView);
     }
@@ -264,17 +267,17 @@
         return clock.nowMicros();
     }
 
-    /** Thread time of all members' turns and messages. */
+    /** Processor time of the turns and messages of all relays. */
     ThreadCpuTime membershipCpuTime() {
         return membershipCpuTime;
     }
 
-    /** Thread time of the views that were worked out. */
+    /** Processor time of the computed views. */
     ThreadCpuTime viewCpuTime() {
         return viewCpuTime;
     }
 
-    /** Pairs of a member and one that reports about it, in one relay's view: what a view goes through. */
+    /** The largest number of reports, pairs of a member and its reporter, that a view is computed from. */
     long maxReportsInView() {
         return views.values().stream()
                 .mapToLong(view -> view.rows().stream()
--- a/src/main/java/sandstack/measure/scale/hollow/HollowFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowFleetScale.java
@@ -1,24 +1,21 @@
 package sandstack.measure.scale.hollow;
 
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.Function;
 import java.util.function.ToDoubleFunction;
 import sandstack.measure.scale.Resource;
 import sandstack.measure.scale.Role;
 import sandstack.measure.scale.ScaleMeasurement;
 import sandstack.measure.scale.Series;
-import sandstack.measure.scale.Series.Point;
 import sandstack.measure.scale.hollow.FaultInjection.Outcome;
 
 /**
- * Fleets of hollow relays: what each sends while nothing happens, and how long it takes and what it costs until all know
- * of a join, a kill, a lost zone and a healed cut of two regions. A series ends at the largest size whose work fits.
+ * Fleets of hollow relays: the traffic of a relay in steady state, and the time and traffic until a join, a kill, the loss
+ * of a zone and the end of a partition are detected. A series ends before the first size that exceeds its wall-clock limit.
  */
 public final class HollowFleetScale implements ScaleMeasurement {
     private static final String PER = "relays";
@@ -39,7 +36,7 @@
     private static final long SEED = 4;
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** What one relay sends and does a second while nothing happens. */
+    /** Rates of one relay per second without faults, and the size of a view. */
     private record SteadyState(
             int relays, double messages, double bytes, double membershipCpuMillis, long reportsInView) {}
 
@@ -103,41 +100,44 @@
     }
 
     private static Series series(
-            String id, Resource resource, String unit, List<SteadyState> all, ToDoubleFunction<SteadyState> value) {
-        List<Point> points = all.stream()
-                .map(one -> new Point(one.relays(), value.applyAsDouble(one)))
-                .toList();
+            String id, Resource resource, String unit, List<SteadyState> samples, ToDoubleFunction<SteadyState> value) {
         return new Series(
-                id, Role.RELAY_CONTROL, resource, unit, PER, METHOD + "; each relay, while nothing happens", points);
+                id,
+                Role.RELAY_CONTROL,
+                resource,
+                unit,
+                PER,
+                METHOD + "; each relay, while nothing happens",
+                Series.points(samples, SteadyState::relays, value));
     }
 
-    private static List<Series> faults(int[] sizes, double wallSeconds) {
-        Map<String, Function<FaultInjection, Outcome>> kinds = new LinkedHashMap<>();
-        kinds.put("join", FaultInjection::join);
-        kinds.put("kill", FaultInjection::kill);
-        kinds.put("given-up", FaultInjection::killUntilLost);
-        kinds.put("zone", FaultInjection::loseZone);
-        kinds.put("heal", FaultInjection::healPartition);
-        Map<String, List<Outcome>> outcomes = new LinkedHashMap<>();
-        Set<String> stopped = new HashSet<>();
-        for (int size : sizes) {
-            kinds.forEach((kind, play) -> {
-                if (!stopped.contains(kind)) {
-                    Outcome outcome = play.apply(new FaultInjection(size, wallSeconds));
-                    outcomes.computeIfAbsent(kind, k -> new ArrayList<>()).add(outcome);
-                    if (!outcome.isComplete()) {
-                        stopped.add(kind);
-                    }
-                }
-            });
-        }
+    private static List<Series> faults(int[] sizes, double maxWallSeconds) {
+        Map<String, Function<FaultInjection, Outcome>> faults = new LinkedHashMap<>();
+        faults.put("join", FaultInjection::join);
+        faults.put("kill", FaultInjection::kill);
+        faults.put("given-up", FaultInjection::killUntilLost);
+        faults.put("zone", FaultInjection::loseZone);
+        faults.put("heal", FaultInjection::healPartition);
         List<Series> series = new ArrayList<>();
-        outcomes.forEach((kind, ofThese) -> series.addAll(series(kind, ofThese)));
+        faults.forEach((name, fault) -> series.addAll(series(name, outcomes(fault, sizes, maxWallSeconds))));
         return series;
     }
 
+    /** Outcomes at increasing sizes, up to the first aborted one. */
+    private static List<Outcome> outcomes(Function<FaultInjection, Outcome> fault, int[] sizes, double maxWallSeconds) {
+        List<Outcome> outcomes = new ArrayList<>();
+        for (int size : sizes) {
+            Outcome outcome = fault.apply(new FaultInjection(size, maxWallSeconds));
+            outcomes.add(outcome);
+            if (!outcome.isComplete()) {
+                break;
+            }
+        }
+        return outcomes;
+    }
+
     private static List<Series> series(String kind, List<Outcome> outcomes) {
-        List<Outcome> known = outcomes.stream().filter(Outcome::isComplete).toList();
+        List<Outcome> complete = outcomes.stream().filter(Outcome::isComplete).toList();
         String ends = outcomes.stream()
                 .filter(outcome -> !outcome.isComplete())
                 .map(outcome -> String.format(
@@ -152,7 +152,7 @@
                         "seconds",
                         PER,
                         METHOD + "; simulated time until the relays that are looked at know" + ends,
-                        points(known, Outcome::seconds)),
+                        Series.points(complete, Outcome::relays, Outcome::seconds)),
                 new Series(
                         "hollow." + kind + ".bytes",
                         Role.RELAY_CONTROL,
@@ -160,12 +160,6 @@
                         "bytes",
                         PER,
                         METHOD + "; sent by each relay until then" + ends,
-                        points(known, Outcome::bytes)));
-    }
-
-    private static List<Point> points(List<Outcome> outcomes, ToDoubleFunction<Outcome> value) {
-        return outcomes.stream()
-                .map(outcome -> new Point(outcome.relays(), value.applyAsDouble(outcome)))
-                .toList();
+                        Series.points(complete, Outcome::relays, Outcome::bytes)));
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/HollowRelay.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowRelay.java
@@ -7,16 +7,16 @@
 import sandstack.fleet.Incarnation;
 import sandstack.fleet.Membership;
 
-/** One relay without sockets: the program's membership, and what the library would keep for it. One thread. */
+/** A relay without sockets: the real {@link Membership} and the state of the modelled library. Not thread-safe. */
 final class HollowRelay {
     private final int index;
     private final Incarnation incarnation;
     private final Membership membership;
     private final PeerOrder pingOrder;
     private final PeerOrder gossipOrder;
-    /** Members in the library's table. */
+    /** Members in the library's membership table. */
     private final BitSet knownMembers = new BitSet();
-    /** Members that it suspects, with the number of the suspicion. */
+    /** Suspected members with the ids of their suspicions. */
     private final Map<Integer, Long> suspicionByMember = new HashMap<>();
 
     private long lastSuspicion;
@@ -54,7 +54,7 @@
         return knownMembers;
     }
 
-    /** Suspects a member that it holds; returns the number of the suspicion, or 0 where nothing is new. */
+    /** Suspects a known member; returns the id of the suspicion, or 0 if the member is unknown or already suspected. */
     long suspect(int member) {
         if (!knownMembers.get(member) || suspicionByMember.containsKey(member)) {
             return 0;
@@ -75,14 +75,14 @@
         suspicionByMember.remove(member);
     }
 
-    /** The library's table has this member now; returns whether that is new. */
+    /** Adds a member to the library's table; returns whether it was absent. */
     boolean addMember(int member) {
         boolean added = !knownMembers.get(member);
         knownMembers.set(member);
         return added;
     }
 
-    /** The library gives it up; returns whether it held it. */
+    /** Removes a member from the library's table; returns whether it was present. */
     boolean removeMember(int member) {
         suspicionByMember.remove(member);
         boolean removed = knownMembers.get(member);
--- a/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
@@ -17,8 +17,8 @@
 import sandstack.fleet.Membership;
 
 /**
- * What the membership costs one relay among so many: the program's own {@link Membership}, with peers that answer each of
- * its questions. States come through JSON, as on the wire, so that nothing in memory is shared. One thread.
+ * Measures memory and processor time of one {@link Membership} in a fleet, with peers that answer every probe. States are
+ * decoded from JSON, so that none are shared in memory. Not thread-safe.
  */
 final class MembershipCost {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -26,7 +26,7 @@
     private static final int TURNS_PER_VIEW = (int) (HollowFleet.VIEW_INTERVAL_MICROS / Membership.TICK_MICROS);
     private static final double TURNS_PER_SECOND = 1e6 / Membership.TICK_MICROS;
     private static final double VIEWS_PER_SECOND = 1e6 / HollowFleet.VIEW_INTERVAL_MICROS;
-    /** Turns before anything is timed, and turns that are; the largest fleets pay for each view. */
+    /** Fewer turns for large fleets, whose views are slow. */
     private static final int WARM_UP_TURNS = 40;
 
     private static final int TIMED_TURNS = 60;
@@ -34,13 +34,14 @@
     private static final int TIMED_TURNS_LARGE = 12;
 
     /**
-     * The figures, each of one relay.
+     * Costs of one relay.
      *
-     * @param heapBytes what the membership keeps, after a collection
-     * @param joinSeconds processor seconds to take all others for members, one after another
-     * @param cpuMillisPerSecond processor time that turns, questions, answers and views take each second
-     * @param viewMillis of one view
-     * @param stateMillis to take one other's changed state
+     * @param relays size of the fleet
+     * @param heapBytes retained by the membership after a collection
+     * @param joinSeconds processor time to add all other members
+     * @param cpuMillisPerSecond processor time of turns, probes, answers and views per second
+     * @param viewMillis processor time of one view
+     * @param stateMillis processor time to apply one changed state
      */
     record Costs(
             int relays,
@@ -69,9 +70,9 @@
     }
 
     /**
-     * Measures at a size.
+     * Measures a fleet of this size.
      *
-     * @throws IllegalArgumentException where the membership refuses a fleet of this size
+     * @throws IllegalArgumentException if the membership does not support the size
      */
     static Costs measure(int size) {
         requireSupportedSize(size);
@@ -95,7 +96,7 @@
                 cost.stateTime.millisPerCall());
     }
 
-    /** A state that names all others is refused above a size; known before the work of joining is done. */
+    /** Fails before the slow join: a state that reports all others has a maximum size. */
     private static void requireSupportedSize(int size) {
         Set<String> others =
                 IntStream.range(1, size).mapToObj(Integer::toString).collect(Collectors.toSet());
@@ -128,7 +129,7 @@
         try {
             return JSON.readValue(JSON.writeValueAsString(answer), ProbeResponse.class);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("an answer that is no JSON", e);
+            throw new IllegalStateException("an answer cannot be encoded as JSON", e);
         }
     }
 
@@ -142,7 +143,7 @@
         }
     }
 
-    /** Asks who is due, hears the answers, and answers as many. */
+    /** Sends the due probes, handles their answers, and answers as many probes of others. */
     private void runTurn() {
         for (Incarnation incarnation : membership.tick(nowMicros)) {
             membership.probeRequest(incarnation);
@@ -155,7 +156,7 @@
         membership.stateToGossip(nowMicros);
     }
 
-    /** A few others change their states. */
+    /** Receives changed states of some members. */
     private void receiveStateChanges() {
         Set<String> ids = incarnations.stream().map(Incarnation::id).collect(Collectors.toSet());
         for (Incarnation incarnation : incarnations.subList(1, Math.min(size, WARM_UP_TURNS))) {
--- a/src/main/java/sandstack/measure/scale/hollow/MembershipCostScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MembershipCostScale.java
@@ -8,7 +8,6 @@
 import sandstack.measure.scale.Role;
 import sandstack.measure.scale.ScaleMeasurement;
 import sandstack.measure.scale.Series;
-import sandstack.measure.scale.Series.Point;
 import sandstack.measure.scale.hollow.MembershipCost.Costs;
 
 /** Memory and processor time of one relay's membership by the size of the fleet. */
@@ -24,42 +23,52 @@
         return "membership-cost";
     }
 
-    /** Has no figures that come out alike every time: with {@link Effort#SMALL} there is nothing to measure. */
+    /** Has no costs that come out alike every time: with {@link Effort#SMALL} there is nothing to measure. */
     @Override
     public List<Series> measure(Effort effort) {
         if (effort == Effort.SMALL) {
             return List.of();
         }
-        MembershipCost.measure(QUICK[0]); // compiled by then
-        List<Costs> figures = new ArrayList<>();
-        String ends = "";
+        MembershipCost.measure(QUICK[0]); // warm-up
+        List<Costs> costs = new ArrayList<>();
+        String truncation = "";
         for (int size : effort == Effort.FULL ? FULL : QUICK) {
             try {
-                figures.add(MembershipCost.measure(size));
-            } catch (IllegalArgumentException refused) {
-                ends = String.format(Locale.ROOT, "; ends before %d relays: %s", size, refused.getMessage());
+                costs.add(MembershipCost.measure(size));
+            } catch (IllegalArgumentException unsupported) {
+                truncation =
+                        String.format(Locale.ROOT, "; truncation before %d relays: %s", size, unsupported.getMessage());
                 break;
             }
         }
         return List.of(
-                series("membership.heap", Resource.MEMORY, "bytes", ends, figures, Costs::heapBytes),
+                series("membership.heap", Resource.MEMORY, "bytes", truncation, costs, Costs::heapBytes),
                 series(
                         "membership.processor",
                         Resource.PROCESSOR,
                         "ms a second",
-                        ends,
-                        figures,
+                        truncation,
+                        costs,
                         Costs::cpuMillisPerSecond),
-                series("membership.view", Resource.PROCESSOR, "ms", ends, figures, Costs::viewMillis),
-                series("membership.change-heard", Resource.PROCESSOR, "ms", ends, figures, Costs::stateMillis),
-                series("membership.all-join", Resource.PROCESSOR, "seconds", ends, figures, Costs::joinSeconds));
+                series("membership.view", Resource.PROCESSOR, "ms", truncation, costs, Costs::viewMillis),
+                series("membership.change-heard", Resource.PROCESSOR, "ms", truncation, costs, Costs::stateMillis),
+                series("membership.all-join", Resource.PROCESSOR, "seconds", truncation, costs, Costs::joinSeconds));
     }
 
     private static Series series(
-            String id, Resource resource, String unit, String ends, List<Costs> all, ToDoubleFunction<Costs> value) {
-        List<Point> points = all.stream()
-                .map(one -> new Point(one.relays(), value.applyAsDouble(one)))
-                .toList();
-        return new Series(id, Role.RELAY_CONTROL, resource, unit, PER, METHOD + ends, points);
+            String id,
+            Resource resource,
+            String unit,
+            String truncation,
+            List<Costs> samples,
+            ToDoubleFunction<Costs> value) {
+        return new Series(
+                id,
+                Role.RELAY_CONTROL,
+                resource,
+                unit,
+                PER,
+                METHOD + truncation,
+                Series.points(samples, Costs::relays, value));
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/MessageKind.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MessageKind.java
@@ -4,24 +4,24 @@
 enum MessageKind {
     /** Reachability probe of the membership. */
     PROBE,
-    /** Its answer. */
+    /** The answer to a probe. */
     PROBE_ANSWER,
-    /** A member's changed state, forwarded by gossip. */
+    /** A member's changed state, disseminated by gossip. */
     STATE_GOSSIP,
-    /** The library's ping. */
+    /** Ping of the library. */
     PING,
-    /** Its acknowledgement. */
+    /** Acknowledgement of a ping. */
     PING_ACK,
-    /** The library's request that another pings. */
+    /** Request for an indirect ping. */
     PING_REQUEST,
-    /** The library's table. */
+    /** Membership table of the library. */
     SYNC,
-    /** The table with which it is answered. */
+    /** Membership table in answer to one. */
     SYNC_ACK,
-    /** A changed record of the library's table, forwarded by gossip. */
+    /** A changed record of the membership table, disseminated by gossip. */
     RECORD_GOSSIP,
-    /** Asks a member who it is. */
+    /** Request for a member's metadata. */
     METADATA_REQUEST,
-    /** Its answer. */
+    /** A member's metadata. */
     METADATA_RESPONSE
 }
--- a/src/main/java/sandstack/measure/scale/hollow/Network.java
+++ b/src/main/java/sandstack/measure/scale/hollow/Network.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * The network between hollow relays: who is up, what passes, how long it takes. Regions can be cut apart, in both
- * directions. One thread; O(1) a call.
+ * The network between hollow relays, with running relays, latencies and partitions of the regions. O(1) per call; not
+ * thread-safe.
  */
 final class Network {
-    /** One way within a region, and between two, in microseconds. */
+    /** One-way latency. */
     static final long SAME_REGION_MICROS = 500;
 
     static final long OTHER_REGION_MICROS = 15_000;
@@ -20,7 +20,7 @@
         return up.size();
     }
 
-    /** One more relay, which is up. */
+    /** Adds a running relay. */
     void add() {
         up.add(true);
     }
@@ -37,7 +37,7 @@
         regionsApart = apart;
     }
 
-    /** Whether what the first sends reaches the second now, and comes back. */
+    /** Whether two relays can exchange messages now. */
     boolean canReach(int from, int to) {
         return isUp(from) && isUp(to) && (!regionsApart || FleetLayout.region(from) == FleetLayout.region(to));
     }
--- a/src/main/java/sandstack/measure/scale/hollow/PeerOrder.java
+++ b/src/main/java/sandstack/measure/scale/hollow/PeerOrder.java
@@ -2,12 +2,12 @@
 
 import java.util.SplittableRandom;
 
-/** A drawn order of all other members, gone through again and again, as the library chooses whom to ping and tell. */
+/** A random permutation of all other members, used in turn to choose targets of pings and gossip, as in the library. */
 final class PeerOrder {
     private final int[] order;
     private int next;
 
-    /** Of all below {@code size} but {@code self}. */
+    /** Shuffles all indices below {@code size} except {@code self}. */
     PeerOrder(int self, int size, SplittableRandom random) {
         order = new int[Math.max(0, size - 1)];
         for (int i = 0; i < order.length; i++) {
@@ -22,12 +22,12 @@
         return order.length;
     }
 
-    /** The peer at a place; places beyond the last begin again. */
+    /** The peer at an index, modulo the number of peers. */
     int at(long index) {
         return order[(int) (index % order.length)];
     }
 
-    /** The next one that is asked. */
+    /** The next peer in turn; -1 without peers. */
     int next() {
         return order.length == 0 ? -1 : order[next++ % order.length];
     }
--- a/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
@@ -1,7 +1,6 @@
 package sandstack.measure.scale.hollow;
 
 import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -9,17 +8,17 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
+import sandstack.measure.FleetUsage;
 import sandstack.measure.RelayProcess;
 import sandstack.measure.scale.Resource;
 import sandstack.measure.scale.Role;
 import sandstack.measure.scale.ScaleMeasurement;
 import sandstack.measure.scale.Series;
-import sandstack.measure.scale.Series.Point;
 import sandstack.rig.FleetRig;
 
 /**
- * Fleets of real processes on loopback, to compare hollow ones with: bytes, processor time and memory of each, and how
- * long until all know of a kill.
+ * Fleets of real processes on loopback, for comparison with hollow ones: traffic, processor time and memory of a member, and
+ * the time until a kill is detected.
  */
 public final class RealFleetScale implements ScaleMeasurement {
     private static final String PER = "relays";
@@ -28,16 +27,10 @@
     private static final double TIMEOUT_SECONDS = 60;
     private static final long SETTLE_MILLIS = 5_000;
     private static final long OBSERVED_MILLIS = 10_000;
-    private static final double TICKS_PER_SECOND = 100;
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final double BYTES_PER_KIB = 1_024;
-    /** Words of a line of /proc/PID/stat after the command's name: time in the program and in the system. */
-    private static final int USER_TIME = 11;
 
-    private static final int SYSTEM_TIME = 12;
-
-    /** What one real member of a fleet costs, and how soon all know of a kill. */
+    /** Costs of one member, and the times until all others have suspected a killed member and declared it lost. */
     private record Costs(
             int relays,
             double bytesPerSecond,
@@ -67,34 +60,52 @@
         return "real-fleet";
     }
 
-    /** Needs many processes, so it is made with {@link Effort#FULL} alone. */
+    /** Starts many processes, so runs with {@link Effort#FULL} only. */
     @Override
     public List<Series> measure(Effort effort) throws IOException, InterruptedException {
         if (effort != Effort.FULL) {
             return List.of();
         }
-        List<Costs> figures = new ArrayList<>();
-        String ends = "";
+        List<Costs> costs = new ArrayList<>();
+        String truncation = "";
         for (int size : SIZES) {
             try {
-                figures.add(measure(size));
+                costs.add(measure(size));
             } catch (IOException e) {
-                ends = "; ends before " + size + " relays: " + e.getMessage();
+                truncation = "; ends before " + size + " relays: " + e.getMessage();
                 break;
             }
         }
         return List.of(
-                series("real-fleet.bytes", Resource.NETWORK, "bytes a second", ends, figures, Costs::bytesPerSecond),
+                series(
+                        "real-fleet.bytes",
+                        Resource.NETWORK,
+                        "bytes a second",
+                        truncation,
+                        costs,
+                        Costs::bytesPerSecond),
                 series(
                         "real-fleet.processor",
                         Resource.PROCESSOR,
                         "ms a second",
-                        ends,
-                        figures,
+                        truncation,
+                        costs,
                         Costs::cpuMillisPerSecond),
-                series("real-fleet.resident", Resource.MEMORY, "bytes", ends, figures, Costs::residentBytes),
-                series("real-fleet.kill.seconds", Resource.LATENCY, "seconds", ends, figures, Costs::detectedSeconds),
-                series("real-fleet.given-up.seconds", Resource.LATENCY, "seconds", ends, figures, Costs::lostSeconds));
+                series("real-fleet.resident", Resource.MEMORY, "bytes", truncation, costs, Costs::residentBytes),
+                series(
+                        "real-fleet.kill.seconds",
+                        Resource.LATENCY,
+                        "seconds",
+                        truncation,
+                        costs,
+                        Costs::detectedSeconds),
+                series(
+                        "real-fleet.given-up.seconds",
+                        Resource.LATENCY,
+                        "seconds",
+                        truncation,
+                        costs,
+                        Costs::lostSeconds));
     }
 
     private Costs measure(int size) throws IOException, InterruptedException {
@@ -104,21 +115,27 @@
                 throw new IOException("did not see itself whole within " + (TIMEOUT_SECONDS + size) + " s");
             }
             Thread.sleep(SETTLE_MILLIS);
-            long bytes = rig.bytes();
-            double processor = processorSeconds(rig);
+            long bytesBefore = rig.bytes();
+            double processorBefore = FleetUsage.processorSeconds(rig);
             long startNanos = System.nanoTime();
             Thread.sleep(OBSERVED_MILLIS);
             double memberSeconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND * size;
-            double bytesEach = (rig.bytes() - bytes) / memberSeconds;
-            double millisEach = (processorSeconds(rig) - processor) * MILLIS_PER_SECOND / memberSeconds;
-            double resident = meanResidentBytes(rig);
+            double bytesPerSecond = (rig.bytes() - bytesBefore) / memberSeconds;
+            double cpuMillisPerSecond =
+                    (FleetUsage.processorSeconds(rig) - processorBefore) * MILLIS_PER_SECOND / memberSeconds;
+            double resident = FleetUsage.meanResidentBytes(rig);
             rig.kill(size - 1);
             long killNanos = System.nanoTime();
-            awaitStatusEverywhere(rig, size - 1, standing -> !"ALIVE".equals(standing));
-            double noticed = (System.nanoTime() - killNanos) / NANOS_PER_SECOND;
+            awaitStatusEverywhere(rig, size - 1, status -> !"ALIVE".equals(status));
+            double detected = (System.nanoTime() - killNanos) / NANOS_PER_SECOND;
             awaitStatusEverywhere(rig, size - 1, "LOST"::equals);
             return new Costs(
-                    size, bytesEach, millisEach, resident, noticed, (System.nanoTime() - killNanos) / NANOS_PER_SECOND);
+                    size,
+                    bytesPerSecond,
+                    cpuMillisPerSecond,
+                    resident,
+                    detected,
+                    (System.nanoTime() - killNanos) / NANOS_PER_SECOND);
         }
     }
 
@@ -139,37 +156,24 @@
         }
     }
 
-    private static double processorSeconds(FleetRig rig) throws IOException {
-        double ticks = 0;
-        for (int i = 0; i < rig.size(); i++) {
-            String stat = Files.readString(Path.of("/proc/" + rig.pid(i) + "/stat"));
-            String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            ticks += Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]);
-        }
-        return ticks / TICKS_PER_SECOND;
-    }
-
-    private static double meanResidentBytes(FleetRig rig) throws IOException {
-        double bytes = 0;
-        for (int i = 0; i < rig.size(); i++) {
-            for (String line : Files.readAllLines(Path.of("/proc/" + rig.pid(i) + "/status"))) {
-                if (line.startsWith("VmRSS:")) {
-                    bytes += Double.parseDouble(line.replaceAll("[^0-9]", "")) * BYTES_PER_KIB;
-                }
-            }
-        }
-        return bytes / rig.size();
-    }
-
     private static Series series(
-            String id, Resource resource, String unit, String ends, List<Costs> all, ToDoubleFunction<Costs> value) {
-        List<Point> points = all.stream()
-                .map(one -> new Point(one.relays(), value.applyAsDouble(one)))
-                .toList();
+            String id,
+            Resource resource,
+            String unit,
+            String truncation,
+            List<Costs> samples,
+            ToDoubleFunction<Costs> value) {
         String method = String.format(
                 Locale.ROOT,
                 "real processes on loopback with a link for each pair, heap of 64 MB, watched for %.0f s; each relay",
                 OBSERVED_MILLIS / MILLIS_PER_SECOND);
-        return new Series(id, Role.RELAY_CONTROL, resource, unit, PER, method + ends, points);
+        return new Series(
+                id,
+                Role.RELAY_CONTROL,
+                resource,
+                unit,
+                PER,
+                method + truncation,
+                Series.points(samples, Costs::relays, value));
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/SwimProtocolModel.java
+++ b/src/main/java/sandstack/measure/scale/hollow/SwimProtocolModel.java
@@ -6,12 +6,12 @@
 import java.util.function.IntConsumer;
 
 /**
- * What the gossip library does beneath the membership, as messages that are counted: a ping every half second, three
- * others asked where it stays unanswered, suspicion by gossip, and the whole table exchanged with one other member every
- * two seconds. The intervals are those that the program sets. Not modelled: time of its threads and codec, connections,
- * lost packets.
+ * Models the messages of the gossip library beneath the membership, which follows SWIM: a ping every half second, indirect
+ * pings through three other members, suspicion disseminated by gossip, and a full sync of the membership table with one
+ * member every two seconds. The intervals are those that the program configures. Does not model processor time,
+ * connections and lost packets.
  *
- * <p>One thread; O(1) a ping, O(members) a sync.
+ * <p>O(1) per ping, O(members) per sync; not thread-safe.
  */
 final class SwimProtocolModel {
     static final long PING_INTERVAL_MICROS = 500_000;
@@ -21,12 +21,12 @@
     static final long SYNC_INTERVAL_MICROS = 2_000_000;
     static final int SEEDS = 3;
 
-    /** What the membership hears of it. */
+    /** Receives changes of a member's table. */
     interface Listener {
-        /** The library has this member. */
+        /** Called after a member was added. */
         void memberAdded(HollowRelay at, HollowRelay member);
 
-        /** The library gave it up. */
+        /** Called after a member was removed. */
         void memberRemoved(HollowRelay at, HollowRelay member);
     }
 
@@ -58,13 +58,13 @@
         this.listener = listener;
     }
 
-    /** Begins a member's own pings and syncs, at moments that are drawn. */
+    /** Schedules pings and syncs of a member, with random initial delays. */
     void start(HollowRelay relay) {
         clock.scheduleRepeatedly(random.nextLong(PING_INTERVAL_MICROS), PING_INTERVAL_MICROS, () -> ping(relay));
         clock.scheduleRepeatedly(random.nextLong(SYNC_INTERVAL_MICROS), SYNC_INTERVAL_MICROS, () -> sync(relay));
     }
 
-    /** One that starts asks the seeds for their tables. */
+    /** Syncs a new member with the seeds and starts it. */
     void join(HollowRelay relay) {
         for (int seed = 0; seed < Math.min(SEEDS, relays.size()); seed++) {
             syncWith(relay, relays.get(seed));
@@ -136,7 +136,7 @@
         }
     }
 
-    /** A member that hears that it is suspected or given up says that it lives. */
+    /** Gossips that a suspected or removed member is alive. */
     private void refute(int member) {
         gossip(member, at -> {
             relays.get(at).clearSuspicion(member);
@@ -182,7 +182,7 @@
         return set.stream().skip(n).findFirst().orElseThrow();
     }
 
-    /** The table there, and the other's back. */
+    /** Exchanges the tables of two members. */
     private void syncWith(HollowRelay relay, HollowRelay other) {
         if (relay == other || !network.canReach(relay.index(), other.index())) {
             return;
@@ -207,7 +207,7 @@
         return unsuspected;
     }
 
-    /** A record of a member that is not in the table yet: it is asked who it is, and then is in it. */
+    /** Adds an unknown member after fetching its metadata. */
     private void add(HollowRelay relay, int member, boolean gossips) {
         if (relay.knownMembers().get(member) || !network.canReach(relay.index(), member)) {
             return;
--- a/src/main/java/sandstack/measure/scale/hollow/ThreadCpuTime.java
+++ b/src/main/java/sandstack/measure/scale/hollow/ThreadCpuTime.java
@@ -3,7 +3,7 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 
-/** Adds up the processor time that one piece of work takes of the calling thread. */
+/** Accumulates processor time of the calling thread over calls of a task. */
 final class ThreadCpuTime {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
--- a/src/main/java/sandstack/measure/scale/hollow/Traffic.java
+++ b/src/main/java/sandstack/measure/scale/hollow/Traffic.java
@@ -3,9 +3,9 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counts what all members of a fleet send. One thread; O(1) a message. */
+/** Counts messages and bytes sent by all members of a fleet. Not thread-safe. */
 final class Traffic {
-    /** What was sent of one kind. */
+    /** Counters of one kind. */
     private static final class Count {
         private long messages;
         private long bytes;
@@ -13,7 +13,7 @@
 
     private final Map<MessageKind, Count> counts = new EnumMap<>(MessageKind.class);
 
-    /** So many messages of this size were sent. */
+    /** Counts sent messages of one size. */
     void record(MessageKind kind, long messages, long bytesPerMessage) {
         Count count = counts.computeIfAbsent(kind, k -> new Count());
         count.messages += messages;
--- a/src/main/java/sandstack/measure/scale/hollow/WireSizes.java
+++ b/src/main/java/sandstack/measure/scale/hollow/WireSizes.java
@@ -5,15 +5,14 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Bytes on the wire of each message between members, frame length included. The library's messages are linear in the
- * lengths of the names in them; the constants were measured from messages encoded by the program's own codec, and a test
- * compares each formula with that codec. Pure.
+ * Sizes of the messages between members in bytes, including the length prefix. The library's messages are linear in the
+ * lengths of the names in them; the constants are measured sizes, and a test compares each formula with the codec.
  *
- * @param id characters of a member's id
- * @param name characters of its name
- * @param address characters of {@code HOST:PORT}
- * @param namespace characters of the installation's name
- * @param metadata bytes with which it says who it is
+ * @param id length of a member's id in characters
+ * @param name length of its name
+ * @param address length of {@code HOST:PORT}
+ * @param namespace length of the installation's name
+ * @param metadata length of its encoded metadata in bytes
  */
 public record WireSizes(int id, int name, int address, int namespace, int metadata) {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -30,7 +29,7 @@
     private static final int STATE_GOSSIP = 272;
     private static final int PROBE = 100;
     private static final int PROBE_ANSWER = 98;
-    /** Java's serialisation writes the length of a longer text in eight bytes and not in two. */
+    /** Java serialization encodes the length of longer strings in eight bytes instead of two. */
     private static final int LONG_STRING_BYTES = 65_535;
 
     private static final int LONG_STRING_EXTRA_BYTES = 6;
@@ -39,57 +38,57 @@
         return id + name + address + namespace;
     }
 
-    /** Of a ping. */
+    /** A ping. */
     public int ping() {
         return PING + 2 * member() + address;
     }
 
-    /** Of its acknowledgement. */
+    /** The acknowledgement of a ping. */
     public int pingAck() {
         return PING_ACK + 2 * member() + address;
     }
 
-    /** Of the request that another member pings. */
+    /** A request for an indirect ping. */
     public int pingRequest() {
         return PING_REQUEST + 2 * member() + address;
     }
 
-    /** The library's table of so many members. */
+    /** A membership table with this many members. */
     public int sync(int members) {
         return SYNC + address + members * (RECORD + member());
     }
 
-    /** Of the table with which that is answered. */
+    /** The answer to a membership table. */
     public int syncAck(int members) {
         return SYNC_ACK + address + members * (RECORD + member());
     }
 
-    /** One record of that table, by gossip. */
+    /** A gossiped record of the membership table. */
     public int recordGossip() {
         return RECORD_GOSSIP + member() + 2 * id + address;
     }
 
-    /** Of the question who a member is. */
+    /** A metadata request. */
     public int metadataRequest() {
         return METADATA_REQUEST + member() + address;
     }
 
-    /** Of its answer. */
+    /** A metadata response. */
     public int metadataResponse() {
         return METADATA_RESPONSE + member() + address + metadata;
     }
 
-    /** A member's state by gossip, with a body of so many bytes. */
+    /** A gossiped member state with a JSON body of this size. */
     public int stateGossip(int body) {
         return STATE_GOSSIP + 2 * id + address + stringBytes(body);
     }
 
-    /** Of a reachability probe with a body of so many bytes. */
+    /** A reachability probe with a JSON body of this size. */
     public int probe(int body) {
         return PROBE + address + stringBytes(body);
     }
 
-    /** Of its answer. */
+    /** The answer to a probe with a JSON body of this size. */
     public int probeAnswer(int body) {
         return PROBE_ANSWER + address + stringBytes(body);
     }
@@ -98,12 +97,12 @@
         return bytes > LONG_STRING_BYTES ? bytes + LONG_STRING_EXTRA_BYTES : bytes;
     }
 
-    /** The bytes of a message of ours as JSON. */
+    /** The size of a message as JSON. */
     public static int jsonBytes(Object message) {
         try {
             return JSON.writeValueAsString(message).getBytes(StandardCharsets.UTF_8).length;
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a message that is no JSON", e);
+            throw new IllegalStateException("a message cannot be encoded as JSON", e);
         }
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/package-info.java
+++ b/src/main/java/sandstack/measure/scale/hollow/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Hollow relays: the membership of many relays in one process, over a counted transport in memory and a simulated clock,
- * without sockets, connections of clients or feed servers. The membership is the program's own; what the gossip library
- * does beneath it is modelled.
+ * Hollow relays: the membership of many relays in one process, without sockets, clients and feed servers, on a simulated
+ * clock and an in-memory network that counts messages. Runs the real membership on a model of the gossip library.
  */
 package sandstack.measure.scale.hollow;
