--- a/src/main/java/sandstack/measure/OpenCommand.java
+++ b/src/main/java/sandstack/measure/OpenCommand.java
@@ -19,19 +19,20 @@
 import sandstack.config.PlatformConfig.Address;
 
 /**
- * {@code open}: one connection by hand. Asks a relay as a client does, waits for the answer before it says a word, then
- * sends each word as a line and prints what comes back. Blocks on one socket; ends when every word is answered, with 0
- * where the connection stood, 1 where it was refused, failed or broke off.
+ * {@code open}: opens one connection through a relay as a client does, sends each argument as a line and prints the
+ * answers. Blocks on one socket. Exits 0 after all lines were answered, 1 if the connection was rejected, failed or closed.
  */
 @Command(
         name = "open",
         description = "Opens one connection through a relay, sends lines and prints the answers.",
         mixinStandardHelpOptions = true)
 public final class OpenCommand implements Callable<Integer> {
-    /** Longer lines are not the protocol's. */
-    private static final int LONGEST = 4096;
-    /** What a feed server tells of a connection's load is no answer; one that tells nothing else is not listened to. */
-    private static final int MOST_LOADS = 100;
+    /** The longest line of the protocol. */
+    private static final int MAX_LINE_BYTES = 4096;
+    /** Load reports are skipped while an answer is awaited, up to this many. */
+    private static final int MAX_LOAD_REPORTS = 100;
+
+    private static final int ANSWER_MARGIN_MILLIS = 500;
 
     @Spec
     private CommandSpec spec;
@@ -68,39 +69,41 @@
             paramLabel = "MS",
             defaultValue = "2000",
             description = "How long to wait for each answer (default: ${DEFAULT-VALUE}).")
-    private int within;
+    private int timeoutMillis;
 
     @Override
     public Integer call() throws InvalidConfigurationException, IOException {
-        if (within <= 0) {
-            throw new ParameterException(spec.commandLine(), "--within must be above 0: " + within);
+        if (timeoutMillis <= 0) {
+            throw new ParameterException(spec.commandLine(), "--within must be above 0: " + timeoutMillis);
         }
-        Address at = Address.parse(relay, "the relay's address");
-        String first = "OPEN " + Long.toHexString(System.nanoTime()) + " " + key + " c=" + requestClass + ",d=" + within
-                + ",g=" + group;
+        Address address = Address.parse(relay, "the relay's address");
+        String openLine = "OPEN " + Long.toHexString(System.nanoTime()) + " " + key + " c=" + requestClass + ",d="
+                + timeoutMillis + ",g=" + group;
         try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress(at.host(), at.port()), within);
-            // the relay answers within the client's time; this end waits a little longer to hear it
-            socket.setSoTimeout(within + 500);
+            socket.connect(new InetSocketAddress(address.host(), address.port()), timeoutMillis);
+            // the relay answers within the deadline; the margin covers the way back
+            socket.setSoTimeout(timeoutMillis + ANSWER_MARGIN_MILLIS);
             BufferedReader in = new BufferedReader(
-                    new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1), LONGEST);
-            String answer = say(socket, in, first);
-            boolean stands = answer != null && (answer.equals("UP") || answer.startsWith("UP "));
+                    new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1), MAX_LINE_BYTES);
+            String answer = exchange(socket, in, openLine);
+            boolean established = answer != null && (answer.equals("UP") || answer.startsWith("UP "));
             for (String line : lines) {
-                stands = stands && say(socket, in, line) != null;
+                established = established && exchange(socket, in, line) != null;
             }
-            return stands ? 0 : 1;
+            return established ? 0 : 1;
         } catch (SocketTimeoutException e) {
-            spec.commandLine().getErr().println("open: no answer from " + relay + " within " + within + " ms");
+            spec.commandLine().getErr().println("open: no answer from " + relay + " within " + timeoutMillis + " ms");
             return 1;
         }
     }
 
-    /** Sends a line and prints the one that comes back; null where the connection ended, or is to move. */
-    private String say(Socket socket, BufferedReader in, String line) throws IOException {
+    /** Sends a line and prints the answer; returns null if the connection was closed or the relay asked to migrate. */
+    private String exchange(Socket socket, BufferedReader in, String line) throws IOException {
         socket.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.UTF_8));
         String answer = in.readLine();
-        for (int told = 0; answer != null && answer.startsWith("LOAD ") && told < MOST_LOADS; told++) {
+        for (int loadReports = 0;
+                answer != null && answer.startsWith("LOAD ") && loadReports < MAX_LOAD_REPORTS;
+                loadReports++) {
             answer = in.readLine();
         }
         spec.commandLine().getOut().println(answer == null ? "(the connection ended)" : answer);
--- a/src/main/java/sandstack/measure/ScaleMeasurements.java
+++ b/src/main/java/sandstack/measure/ScaleMeasurements.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import sandstack.measure.configuration.ConfigurationScale;
-import sandstack.measure.scale.DecisionScale;
-import sandstack.measure.scale.DiscoveryListScale;
+import sandstack.measure.scale.EndpointListScale;
+import sandstack.measure.scale.LoadBalancerScale;
 import sandstack.measure.scale.RelayDeliveryScale;
 import sandstack.measure.scale.RelayHeapLimitScale;
 import sandstack.measure.scale.RelayMemoryScale;
@@ -12,17 +12,17 @@
 import sandstack.measure.scale.hollow.HollowFleetScale;
 import sandstack.measure.scale.hollow.MembershipCostScale;
 import sandstack.measure.scale.hollow.RealFleetScale;
-import sandstack.measure.scale.storm.StormScale;
+import sandstack.measure.scale.storm.RetryStormScale;
 
-/** All measurements that {@code measure scale} runs, in this order; a new one is added here. */
+/** The measurements of {@code measure scale}, in the order in which they run. */
 final class ScaleMeasurements {
     private ScaleMeasurements() {}
 
-    /** One of each; cheap to make, as nothing starts before it measures. */
+    /** New instances of all measurements; none starts anything before it measures. */
     static List<ScaleMeasurement> all() {
         return List.of(
-                new DecisionScale(),
-                new DiscoveryListScale(),
+                new LoadBalancerScale(),
+                new EndpointListScale(),
                 new RelayMemoryScale(),
                 new RelayHeapLimitScale(),
                 new RelaySetupScale(),
@@ -30,7 +30,7 @@
                 new MembershipCostScale(),
                 new HollowFleetScale(),
                 new RealFleetScale(),
-                new StormScale(),
+                new RetryStormScale(),
                 new ConfigurationScale());
     }
 }
--- a/src/main/java/sandstack/measure/StandInCommand.java
+++ b/src/main/java/sandstack/measure/StandInCommand.java
@@ -10,7 +10,7 @@
 import sandstack.standin.Machine;
 import sandstack.standin.StandInLoop;
 
-/** {@code standin}: feed servers and a discovery on this terminal, to try a relay by hand. Ends at an interrupt. */
+/** {@code standin}: runs stand-in feed servers and a stand-in discovery on loopback until interrupted. */
 @Command(
         name = "standin",
         description = "Stand-in feed servers and a discovery on loopback, to try a relay by hand.",
@@ -42,12 +42,12 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        try (StandInLoop yard = new StandInLoop()) {
-            Discovery discovery = new Discovery(yard, discoveryPort);
+        try (StandInLoop loop = new StandInLoop()) {
+            Discovery discovery = new Discovery(loop, discoveryPort);
             for (int i = 0; i < servers; i++) {
                 FeedServer server =
-                        new FeedServer(yard, "toy-" + (i + 1), "home", Machine.IDLE.holding(cap, false), firstPort + i);
-                yard.run(() -> discovery.list(server, "box", 1, "ready"));
+                        new FeedServer(loop, "toy-" + (i + 1), "home", Machine.IDLE.holding(cap, false), firstPort + i);
+                loop.run(() -> discovery.list(server, "box", 1, "ready"));
             }
             System.out.println(servers + " feed servers from port " + firstPort + ", discovery at " + discoveryPort);
             new CountDownLatch(1).await();
--- a/src/main/java/sandstack/measure/scale/ProbeOutput.java
+++ b/src/main/java/sandstack/measure/scale/ProbeOutput.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import sandstack.measure.scale.Series.Point;
 
-/** What a probe in a process of its own prints: a line for each point, with the name of its curve, its size and value. */
+/** Output of a probe process: one line per point with the name of its curve, its size and its value. */
 final class ProbeOutput {
     private final Map<String, List<Point>> curves = new LinkedHashMap<>();
 
@@ -15,21 +15,21 @@
         System.out.println(curve + " " + size + " " + value);
     }
 
-    /** Reads what was printed. */
+    /** Parses printed lines. */
     static ProbeOutput read(List<String> lines) {
         ProbeOutput output = new ProbeOutput();
         for (String line : lines) {
-            String[] words = line.split(" ");
-            Point point = new Point(Double.parseDouble(words[1]), Double.parseDouble(words[2]));
-            output.curves.computeIfAbsent(words[0], name -> new ArrayList<>()).add(point);
+            String[] fields = line.split(" ");
+            Point point = new Point(Double.parseDouble(fields[1]), Double.parseDouble(fields[2]));
+            output.curves.computeIfAbsent(fields[0], name -> new ArrayList<>()).add(point);
         }
         return output;
     }
 
     /**
-     * The points of this curve.
+     * The points of a curve.
      *
-     * @throws IllegalStateException where there are none
+     * @throws IllegalStateException if there are none
      */
     List<Point> points(String curve) {
         List<Point> points = curves.get(curve);
--- a/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
@@ -3,35 +3,36 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import sandstack.measure.scale.Series.Point;
+import java.util.function.ToDoubleFunction;
+import sandstack.measure.RelayProcess;
 
 /**
- * How many connections one real relay takes with the flags of {@code run} and how it stops there, by the size of its
- * heap. Only with {@link ScaleMeasurement.Effort#FULL}.
+ * Fills the heap of one relay with the options of {@code run} and measures how it behaves at its limit, by heap size. Runs
+ * with {@link ScaleMeasurement.Effort#FULL} only.
  */
 public final class RelayHeapLimitScale implements ScaleMeasurement {
     private static final String METHOD =
             "one relay process as run starts it with this heap, two stand-in feed servers, "
                     + "clients that come until the relay takes no more of them or its descriptors are used up; ";
-    private static final int[] HEAPS_MB = {24, 32, 48};
-    /** More than the descriptors that the relay is told of allow. */
-    private static final int MORE_THAN_FIT = 9_900;
+    private static final int[] HEAP_MEGABYTES = {24, 32, 48};
+    /** More connections than the configured file descriptors allow. */
+    private static final int CONNECTION_TARGET = 9_900;
 
-    private static final long AFTERMATH_MILLIS = 1_500;
-    /** So many leave after the stop, and as many come again: does the relay serve on? */
-    private static final int COME_AGAIN = 200;
+    private static final long SETTLE_MILLIS = 1_500;
+    /** Clients that disconnect at the limit and are replaced by as many new ones. */
+    private static final int RECONNECTING_CLIENTS = 200;
 
     private final Path jar;
 
-    /** Measures the program that was built in the working directory. */
+    /** Measures the build of the working directory. */
     public RelayHeapLimitScale() {
-        this(Path.of("target/sandstack.jar"));
+        this(RelayProcess.BUILT_JAR);
     }
 
     /**
-     * Measures relays of this program.
+     * Measures another build.
      *
-     * @param jar the program that the relay is started from
+     * @param jar build that the relay is started from
      */
     public RelayHeapLimitScale(Path jar) {
         this.jar = jar;
@@ -43,24 +44,27 @@
     }
 
     /**
-     * How it ended with one heap.
+     * State of a relay at its limit.
      *
-     * @param standing connections when it took no more
-     * @param refused told so by the relay
-     * @param failed that came without an answer
-     * @param lost of those that stood
-     * @param mute of those that still stand, those whose client does not hear a line that the feed server sends
-     * @param outOfMemory lines of its log that name an OutOfMemoryError
-     * @param servedAgain of {@value #COME_AGAIN} that came after as many had left
+     * @param heapMegabytes size of its heap
+     * @param established connections when it accepted no more
+     * @param rejected attempts that it rejected
+     * @param failed attempts without an answer
+     * @param lost established connections that broke
+     * @param unresponsive established connections through which a line of the feed server did not arrive
+     * @param outOfMemoryLogLines log lines with OutOfMemoryError
+     * @param reconnected accepted of {@value #RECONNECTING_CLIENTS} clients that came after as many had left
+     * @param alive whether its process was still running
      */
-    record Stop(
-            int standing,
-            long refused,
+    record Exhaustion(
+            int heapMegabytes,
+            int established,
+            long rejected,
             long failed,
             long lost,
-            long mute,
-            long outOfMemory,
-            long servedAgain,
+            long unresponsive,
+            long outOfMemoryLogLines,
+            long reconnected,
             boolean alive) {}
 
     @Override
@@ -68,83 +72,87 @@
         if (effort != Effort.FULL) {
             return List.of();
         }
-        List<Point> standing = new ArrayList<>();
-        List<Point> refused = new ArrayList<>();
-        List<Point> failed = new ArrayList<>();
-        List<Point> lost = new ArrayList<>();
-        List<Point> mute = new ArrayList<>();
-        List<Point> errors = new ArrayList<>();
-        List<Point> again = new ArrayList<>();
-        for (int megabytes : HEAPS_MB) {
-            Stop stop = fill(megabytes);
-            standing.add(new Point(megabytes, stop.standing()));
-            refused.add(new Point(megabytes, stop.refused()));
-            failed.add(new Point(megabytes, stop.failed()));
-            lost.add(new Point(megabytes, stop.lost()));
-            mute.add(new Point(megabytes, stop.mute()));
-            errors.add(new Point(megabytes, stop.outOfMemory()));
-            again.add(new Point(megabytes, stop.servedAgain()));
+        List<Exhaustion> results = new ArrayList<>();
+        for (int megabytes : HEAP_MEGABYTES) {
+            results.add(fill(megabytes));
         }
         return List.of(
-                series("relay.heap-limit.standing", "connections", "those that stood then", standing),
-                series("relay.heap-limit.refused", "requests", "those that the relay refused in a word", refused),
-                series("relay.heap-limit.failed", "requests", "those that had no answer", failed),
-                series("relay.heap-limit.lost", "connections", "those that had stood and broke", lost),
+                series("standing", "connections", "those that stood then", results, Exhaustion::established),
+                series("refused", "requests", "those that the relay refused in a word", results, Exhaustion::rejected),
+                series("failed", "requests", "those that had no answer", results, Exhaustion::failed),
+                series("lost", "connections", "those that had stood and broke", results, Exhaustion::lost),
                 series(
-                        "relay.heap-limit.mute",
+                        "mute",
                         "connections",
                         "those that still stood and through which a line of the feed server did not pass any more",
-                        mute),
-                series("relay.heap-limit.out-of-memory", "lines", "lines of its log with OutOfMemoryError", errors),
+                        results,
+                        Exhaustion::unresponsive),
                 series(
-                        "relay.heap-limit.served-again",
+                        "out-of-memory",
+                        "lines",
+                        "lines of its log with OutOfMemoryError",
+                        results,
+                        Exhaustion::outOfMemoryLogLines),
+                series(
+                        "served-again",
                         "connections",
-                        "of " + COME_AGAIN + " that came after as many had left, those that stood",
-                        again));
+                        "of " + RECONNECTING_CLIENTS + " that came after as many had left, those that stood",
+                        results,
+                        Exhaustion::reconnected));
     }
 
-    private static Series series(String id, String unit, String how, List<Point> points) {
-        return new Series(id, Role.RELAY_CONNECTIONS, Resource.STATE, unit, "megabytes of heap", METHOD + how, points);
+    private static Series series(
+            String id, String unit, String detail, List<Exhaustion> results, ToDoubleFunction<Exhaustion> value) {
+        return new Series(
+                "relay.heap-limit." + id,
+                Role.RELAY_CONNECTIONS,
+                Resource.STATE,
+                unit,
+                "megabytes of heap",
+                METHOD + detail,
+                Series.points(results, Exhaustion::heapMegabytes, value));
     }
 
-    /** Fills one relay until it stops. */
-    Stop fill(int megabytes) throws Exception {
+    /** Connects clients to one relay until it accepts no more. */
+    Exhaustion fill(int megabytes) throws Exception {
         List<String> heap = List.of("-Xms" + Math.min(32, megabytes) + "m", "-Xmx" + megabytes + "m");
         try (RelayUnderLoad load = new RelayUnderLoad(jar, heap)) {
-            DeliveryLoad deliveries = load.yard().on(() -> new DeliveryLoad(load.yard(), load.clients()));
-            ClientPool.Count full = load.growTo(MORE_THAN_FIT);
-            RelayUnderLoad.pause(AFTERMATH_MILLIS);
-            ClientPool.Count after = load.yard().on(load.clients()::count);
-            long mute = mute(load, deliveries);
-            long servedAgain = servedAgain(load, after);
-            return new Stop(
-                    full.standing(),
-                    after.refused(),
+            DeliveryLoad deliveries = load.loop().on(() -> new DeliveryLoad(load.loop(), load.clients()));
+            ClientPool.Counts atLimit = load.growTo(CONNECTION_TARGET);
+            RelayUnderLoad.pause(SETTLE_MILLIS);
+            ClientPool.Counts after = load.loop().on(load.clients()::counts);
+            long unresponsive = unresponsiveConnections(load, deliveries);
+            long reconnectedClients = reconnected(load, after);
+            return new Exhaustion(
+                    megabytes,
+                    atLimit.established(),
+                    after.rejected(),
                     after.failed(),
                     after.lost(),
-                    mute,
+                    unresponsive,
                     load.relay().log().stream()
                             .filter(line -> line.contains("OutOfMemoryError"))
                             .count(),
-                    servedAgain,
-                    load.relay().alive());
+                    reconnectedClients,
+                    load.relay().isAlive());
         }
     }
 
-    private static long mute(RelayUnderLoad load, DeliveryLoad deliveries) throws InterruptedException {
-        load.yard().run(() -> deliveries.sendOneToEach(load.feedServers()));
-        RelayUnderLoad.pause(AFTERMATH_MILLIS);
-        DeliveryLoad.Result result = load.yard().on(deliveries::result);
+    private static long unresponsiveConnections(RelayUnderLoad load, DeliveryLoad deliveries)
+            throws InterruptedException {
+        load.loop().run(() -> deliveries.sendOneToEach(load.feedServers()));
+        RelayUnderLoad.pause(SETTLE_MILLIS);
+        DeliveryLoad.Result result = load.loop().on(deliveries::result);
         return result.sent() - result.arrived();
     }
 
-    private static long servedAgain(RelayUnderLoad load, ClientPool.Count before) throws InterruptedException {
-        if (!load.relay().alive()) {
+    private static long reconnected(RelayUnderLoad load, ClientPool.Counts before) throws InterruptedException {
+        if (!load.relay().isAlive()) {
             return 0;
         }
-        load.yard().run(() -> load.clients().abort(COME_AGAIN));
-        RelayUnderLoad.pause(AFTERMATH_MILLIS);
-        int stay = load.yard().on(load.clients()::count).standing();
-        return load.growTo(stay + COME_AGAIN).served() - before.served();
+        load.loop().run(() -> load.clients().resetOldest(RECONNECTING_CLIENTS));
+        RelayUnderLoad.pause(SETTLE_MILLIS);
+        int remaining = load.loop().on(load.clients()::counts).established();
+        return load.growTo(remaining + RECONNECTING_CLIENTS).accepted() - before.accepted();
     }
 }
--- a/src/main/java/sandstack/measure/scale/RelayMemoryScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayMemoryScale.java
@@ -3,29 +3,30 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import sandstack.measure.RelayProcess;
 import sandstack.measure.scale.Series.Point;
 
-/** The memory and the descriptors of one real relay by the number of idle connections that stand there. */
+/** Memory and file descriptors of one relay by the number of its idle connections. */
 public final class RelayMemoryScale implements ScaleMeasurement {
     private static final String PER = "connections";
     private static final String METHOD =
             "one relay process as run starts it but with a heap of 512 MB, two stand-in feed "
                     + "servers and idle clients on loopback, ";
-    private static final int[] QUICK = {200, 1_000, 2_000};
-    private static final int[] FULL = {200, 1_000, 4_000, 9_000};
+    private static final int[] CONNECTIONS_QUICK = {200, 1_000, 2_000};
+    private static final int[] CONNECTIONS_FULL = {200, 1_000, 4_000, 9_000};
     private static final long SETTLE_MILLIS = 100;
 
     private final Path jar;
 
-    /** Measures the program that was built in the working directory. */
+    /** Measures the build of the working directory. */
     public RelayMemoryScale() {
-        this(Path.of("target/sandstack.jar"));
+        this(RelayProcess.BUILT_JAR);
     }
 
     /**
-     * Measures relays of this program.
+     * Measures another build.
      *
-     * @param jar the program that the relay is started from
+     * @param jar build that the relay is started from
      */
     public RelayMemoryScale(Path jar) {
         this.jar = jar;
@@ -36,7 +37,7 @@
         return "relay-memory";
     }
 
-    /** Needs a process: with {@link Effort#SMALL} there is nothing that could be measured. */
+    /** Starts a process, so returns no series with {@link Effort#SMALL}. */
     @Override
     public List<Series> measure(Effort effort) throws Exception {
         if (effort == Effort.SMALL) {
@@ -45,9 +46,9 @@
         List<Point> resident = new ArrayList<>();
         List<Point> heap = new ArrayList<>();
         List<Point> descriptors = new ArrayList<>();
-        try (RelayUnderLoad load = new RelayUnderLoad(jar, RelayUnderLoad.ROOMY)) {
-            for (int connections : effort == Effort.FULL ? FULL : QUICK) {
-                load.standUp(connections);
+        try (RelayUnderLoad load = new RelayUnderLoad(jar, RelayUnderLoad.LARGE_MEMORY_OPTIONS)) {
+            for (int connections : effort == Effort.FULL ? CONNECTIONS_FULL : CONNECTIONS_QUICK) {
+                load.establish(connections);
                 RelayUnderLoad.pause(SETTLE_MILLIS);
                 heap.add(new Point(connections, LiveHeap.bytesOf(load.relay().pid())));
                 ProcessUsage usage = load.usage();
@@ -71,7 +72,7 @@
                 series("relay.descriptors", Resource.STATE, "descriptors", "entries of /proc/PID/fd", descriptors));
     }
 
-    private static Series series(String id, Resource resource, String unit, String how, List<Point> points) {
-        return new Series(id, Role.RELAY_CONNECTIONS, resource, unit, PER, METHOD + how, points);
+    private static Series series(String id, Resource resource, String unit, String detail, List<Point> points) {
+        return new Series(id, Role.RELAY_CONNECTIONS, resource, unit, PER, METHOD + detail, points);
     }
 }
--- a/src/main/java/sandstack/measure/scale/ScaleRun.java
+++ b/src/main/java/sandstack/measure/scale/ScaleRun.java
@@ -10,39 +10,40 @@
 import sandstack.measure.scale.ScaleReport.Failure;
 import sandstack.measure.scale.ScaleReport.Result;
 
-/** Runs measurements one after another and fits their series; one that fails does not stop the others. */
+/** Runs measurements one after another and fits models to their series; a failed one does not stop the others. */
 public final class ScaleRun {
     private final Effort effort;
     private final Consumer<String> progress;
     private final List<Result> results = new ArrayList<>();
     private final List<Failure> failures = new ArrayList<>();
-    private final Set<String> ids = new HashSet<>();
+    private final Set<String> seriesIds = new HashSet<>();
 
     /**
-     * Prepares a run.
+     * Creates a run without results.
      *
-     * @param progress is told a line before and after each measurement
+     * @param progress receives a line before and after each measurement
      */
     public ScaleRun(Effort effort, Consumer<String> progress) {
         this.effort = effort;
         this.progress = progress;
     }
 
-    /** Makes one measurement; of one that fails no series is kept. */
+    /** Runs one measurement; a failed one adds no series. */
     public void measure(ScaleMeasurement measurement) throws InterruptedException {
         String name = measurement.name();
         progress.accept(name + " ...");
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         try {
-            List<Result> own = new ArrayList<>();
+            List<Result> measured = new ArrayList<>();
             for (Series series : measurement.measure(effort)) {
-                if (!ids.add(series.id())) {
+                if (!seriesIds.add(series.id())) {
                     throw new IllegalStateException("two series are called " + series.id());
                 }
-                own.add(new Result(name, series, Fit.best(series.points()).orElse(null)));
+                measured.add(new Result(
+                        name, series, FittedModel.selectBest(series.points()).orElse(null)));
             }
-            results.addAll(own);
-            progress.accept(String.format(Locale.ROOT, "%s took %.1f s", name, (System.nanoTime() - began) / 1e9));
+            results.addAll(measured);
+            progress.accept(String.format(Locale.ROOT, "%s took %.1f s", name, (System.nanoTime() - startNanos) / 1e9));
         } catch (InterruptedException e) {
             throw e;
         } catch (Exception e) {
@@ -52,12 +53,12 @@
         }
     }
 
-    /** The series of all measurements that were made so far. */
+    /** The results of successful measurements so far. */
     public List<Result> results() {
         return List.copyOf(results);
     }
 
-    /** The measurements that could not be made so far. */
+    /** The failed measurements so far. */
     public List<Failure> failures() {
         return List.copyOf(failures);
     }
--- a/src/main/java/sandstack/measure/scale/hollow/EventQueue.java
+++ b/src/main/java/sandstack/measure/scale/hollow/EventQueue.java
@@ -3,45 +3,45 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A simulated clock, in microseconds, and what is due on it. One thread; O(log events) an event. */
+/** A simulated clock with scheduled events, in microseconds. O(log events) per event; not thread-safe. */
 final class EventQueue {
-    /** What is due at a moment; of two at one moment the one with the lower order is first. */
-    private record Event(long at, long order, Runnable action) {}
+    /** A scheduled event; events of the same time run in the order of their sequence numbers. */
+    private record Event(long dueMicros, long sequence, Runnable action) {}
 
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-    private long now;
-    private long lastOrder;
+            new PriorityQueue<>(Comparator.comparingLong(Event::dueMicros).thenComparingLong(Event::sequence));
+    private long nowMicros;
+    private long lastSequence;
 
     EventQueue(long now) {
-        this.now = now;
+        this.nowMicros = now;
     }
 
-    long now() {
-        return now;
+    long nowMicros() {
+        return nowMicros;
     }
 
-    /** Runs this once so many microseconds have passed; what is due at one moment runs in the order of the calls. */
-    void after(long micros, Runnable action) {
-        events.add(new Event(now + micros, ++lastOrder, action));
+    /** Schedules an action; actions of the same time run in the order of the calls. */
+    void schedule(long delayMicros, Runnable action) {
+        events.add(new Event(nowMicros + delayMicros, ++lastSequence, action));
     }
 
-    /** Runs this again and again, first after {@code first} microseconds, until the queue is dropped. */
-    void every(long first, long period, Runnable action) {
-        after(first, () -> {
+    /** Schedules an action repeatedly, without an end. */
+    void scheduleRepeatedly(long initialDelayMicros, long periodMicros, Runnable action) {
+        schedule(initialDelayMicros, () -> {
             action.run();
-            every(period, period, action);
+            scheduleRepeatedly(periodMicros, periodMicros, action);
         });
     }
 
-    /** Runs all that is due within the next so many microseconds. */
+    /** Advances the time and runs all events that are due until then. */
     void advance(long micros) {
-        long until = now + micros;
-        while (!events.isEmpty() && events.peek().at() <= until) {
+        long endMicros = nowMicros + micros;
+        while (!events.isEmpty() && events.peek().dueMicros() <= endMicros) {
             Event event = events.remove();
-            now = event.at();
+            nowMicros = event.dueMicros();
             event.action().run();
         }
-        now = until;
+        nowMicros = endMicros;
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/Network.java
+++ b/src/main/java/sandstack/measure/scale/hollow/Network.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * The network between hollow relays: who is up, what passes, how long it takes. Regions can be cut apart, in both
- * directions. One thread; O(1) a call.
+ * The network between hollow relays, with running relays, latencies and partitions of the regions. O(1) per call; not
+ * thread-safe.
  */
 final class Network {
-    /** One way within a region, and between two, in microseconds. */
-    static final long NEAR = 500;
+    /** One-way latency. */
+    static final long SAME_REGION_MICROS = 500;
 
-    static final long FAR = 15_000;
+    static final long OTHER_REGION_MICROS = 15_000;
 
     private final List<Boolean> up = new ArrayList<>();
     private boolean regionsApart;
@@ -20,7 +20,7 @@
         return up.size();
     }
 
-    /** One more relay, which is up. */
+    /** Adds a running relay. */
     void add() {
         up.add(true);
     }
@@ -29,20 +29,20 @@
         up.set(relay, false);
     }
 
-    boolean up(int relay) {
+    boolean isUp(int relay) {
         return relay < up.size() && up.get(relay);
     }
 
-    void regionsApart(boolean apart) {
+    void setPartitioned(boolean apart) {
         regionsApart = apart;
     }
 
-    /** Whether what the first sends reaches the second now, and comes back. */
-    boolean passes(int from, int to) {
-        return up(from) && up(to) && (!regionsApart || FleetPlan.region(from) == FleetPlan.region(to));
+    /** Whether two relays can exchange messages now. */
+    boolean canReach(int from, int to) {
+        return isUp(from) && isUp(to) && (!regionsApart || FleetLayout.region(from) == FleetLayout.region(to));
     }
 
-    long delay(int from, int to) {
-        return FleetPlan.region(from) == FleetPlan.region(to) ? NEAR : FAR;
+    long delayMicros(int from, int to) {
+        return FleetLayout.region(from) == FleetLayout.region(to) ? SAME_REGION_MICROS : OTHER_REGION_MICROS;
     }
 }
