--- a/src/test/java/sandstack/decisions/LoadBalancerTest.java
+++ b/src/test/java/sandstack/decisions/LoadBalancerTest.java
@@ -422,7 +422,7 @@
     @Test
     void randomRunsViolateNoRule() {
         for (int seed = 0; seed < 60; seed++) {
-            BalancerHarness.SettingsBuilder b = BalancerHarness.settings();
+            HarnessSettings b = BalancerHarness.settings();
             if (seed % 3 == 1) {
                 b.idempotency(Idempotency.WITH_KEY, DeduplicationScope.values()[seed % 9 / 3]);
             } else if (seed % 3 == 2) {
@@ -461,7 +461,7 @@
             } else if (what < 92) {
                 harness.send(new DelayReported("q0", 0, "s" + random.nextInt(8), random.nextInt(400_000)));
             } else if (what < 94) {
-                harness.disconnectWaitingClient(random);
+                harness.disconnectWaitingClient();
             }
         }
         harness.finish();
