--- a/src/test/java/sandstack/decisions/BalancerHarness.java
+++ b/src/test/java/sandstack/decisions/BalancerHarness.java
@@ -167,6 +167,17 @@
         nowMicros = endMicros;
     }
 
+    /** Sends a hundred requests; returns how many are attempted at servers of this zone. */
+    int countPlacedInZone(int zone, String prefix) {
+        int count = 0;
+        for (int i = 0; i < 100; i++) {
+            sendRequest(prefix + i, prefix + i);
+            StartAttempt attempt = latestAttempts.get(prefix + i);
+            count += attempt != null && zoneOf(attempt.serverId()) == zone ? 1 : 0;
+        }
+        return count;
+    }
+
     private void endAttempt(String requestId, AttemptOutcome outcome) {
         boolean inFlight = checker.attemptsInFlight.containsKey(requestId);
         StartAttempt attempt =
--- a/src/test/java/sandstack/decisions/CapacityEvidenceTest.java
+++ b/src/test/java/sandstack/decisions/CapacityEvidenceTest.java
@@ -28,19 +28,19 @@
         return harness;
     }
 
-    /** A client comes, and its connection stands; null where it was refused. */
+    /** A client requests a connection, which is established; null where it is rejected. */
     private static StartAttempt establish(BalancerHarness harness, String id, int requestClass, String group) {
         harness.nowMicros += 1_000;
         harness.send(new ConnectRequested(
                 id, requestClass, 0, id, group, harness.nowMicros + BalancerHarness.DEADLINE_MICROS, 0, false, false));
-        StartAttempt a = harness.latestAttempts.get(id);
-        if (a != null) {
-            harness.send(new ConnectionEstablished(id, 0, a.serverId(), 500));
+        StartAttempt attempt = harness.latestAttempts.get(id);
+        if (attempt != null) {
+            harness.send(new ConnectionEstablished(id, 0, attempt.serverId(), 500));
         }
-        return a;
+        return attempt;
     }
 
-    /** Clients come until each of these servers has turned one away. */
+    /** Clients request connections until each of these servers has rejected one. */
     private static void fillServers(BalancerHarness harness, List<String> servers) {
         Set<String> full = new HashSet<>();
         for (int i = 0; !full.containsAll(servers); i++) {
@@ -48,10 +48,10 @@
             harness.nowMicros += 1_000;
             harness.send(new ConnectRequested(
                     id, 0, 0, id, "f" + i, harness.nowMicros + BalancerHarness.DEADLINE_MICROS, 0, false, false));
-            StartAttempt a = harness.latestAttempts.get(id);
-            if (a != null) {
-                full.add(a.serverId());
-                harness.send(new AttemptEnded(id, 0, a.serverId(), AttemptOutcome.REJECTED, false, 300, null));
+            StartAttempt attempt = harness.latestAttempts.get(id);
+            if (attempt != null) {
+                full.add(attempt.serverId());
+                harness.send(new AttemptEnded(id, 0, attempt.serverId(), AttemptOutcome.REJECTED, false, 300, null));
                 harness.send(new ClientDisconnected(id));
             }
         }
@@ -59,7 +59,7 @@
 
     private static List<Reject> rejections(BalancerHarness harness) {
         return harness.allActions.stream()
-                .flatMap(a -> a instanceof Reject r ? Stream.of(r) : Stream.empty())
+                .flatMap(action -> action instanceof Reject rejection ? Stream.of(rejection) : Stream.empty())
                 .toList();
     }
 
@@ -82,27 +82,28 @@
         }
         fillServers(harness, List.of("s0", "s1", "s2"));
         int before = rejections(harness).size();
-        List<String> late = new ArrayList<>();
+        List<String> rejected = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             harness.nowMicros += 100;
             String id = "late" + i;
             harness.send(new ConnectRequested(
                     id, 0, 0, id, "h" + i, harness.nowMicros + BalancerHarness.DEADLINE_MICROS, 0, false, false));
-            StartAttempt a = harness.latestAttempts.get(id);
-            if (a != null) {
-                harness.send(new AttemptEnded(id, 0, a.serverId(), AttemptOutcome.REJECTED, false, 300, null));
+            StartAttempt attempt = harness.latestAttempts.get(id);
+            if (attempt != null) {
+                harness.send(new AttemptEnded(id, 0, attempt.serverId(), AttemptOutcome.REJECTED, false, 300, null));
             }
-            late.add(id);
+            rejected.add(id);
         }
         assertThat(harness.answeredRequests)
                 .as("answered without any time passing")
-                .containsAll(late);
+                .containsAll(rejected);
         assertThat(rejections(harness))
                 .hasSize(before + 40)
                 .allMatch(r -> r.reason() == RejectionReason.FULL && r.retryAfterMicros() > 0);
-        long tried = late.stream().filter(harness.latestAttempts::containsKey).count();
-        assertThat(tried).as("one look at each server was enough").isLessThanOrEqualTo(6);
-        // and one that leaves makes room for one
+        long attempted =
+                rejected.stream().filter(harness.latestAttempts::containsKey).count();
+        assertThat(attempted).as("one attempt at each server was enough").isLessThanOrEqualTo(6);
+        // a connection that ends makes room for one
         harness.send(new AttemptEnded(
                 "r0", 0, harness.latestAttempts.get("r0").serverId(), AttemptOutcome.OK, true, 1, null));
         harness.nowMicros += 2 * BalancerHarness.DEADLINE_MICROS;
@@ -141,11 +142,11 @@
             establish(server, "r" + i, 0, null);
         }
         assertThat(rejections(server)).hasSize(2).allMatch(r -> r.reason() == RejectionReason.SERVER_LIMIT);
-        BalancerHarness pace = newHarness(new InstallationLimits(0, 0, 0, 10), 2);
+        BalancerHarness rate = newHarness(new InstallationLimits(0, 0, 0, 10), 2);
         for (int i = 0; i < 50; i++) {
-            establish(pace, "r" + i, 0, null);
+            establish(rate, "r" + i, 0, null);
         }
-        assertThat(rejections(pace))
+        assertThat(rejections(rate))
                 .as("50 in 50 ms, of 10 a second each")
                 .hasSizeGreaterThan(45)
                 .allMatch(r -> r.reason() == RejectionReason.SERVER_LIMIT);
@@ -155,9 +156,9 @@
     void invalidLoadsAreIgnored() {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings().build(), 4);
         harness.listServers(2, 1);
-        StartAttempt a = establish(harness, "r", 0, null);
+        StartAttempt attempt = establish(harness, "r", 0, null);
         for (double load : new double[] {Double.NaN, -5, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, 0}) {
-            harness.send(new LoadReported("r", 0, a.serverId(), load));
+            harness.send(new LoadReported("r", 0, attempt.serverId(), load));
         }
         harness.nowMicros += 2 * BalancerHarness.DEADLINE_MICROS;
         assertThat(establish(harness, "next", 0, null)).isNotNull();
--- a/src/test/java/sandstack/decisions/LoadBalancerTest.java
+++ b/src/test/java/sandstack/decisions/LoadBalancerTest.java
@@ -34,13 +34,13 @@
 class LoadBalancerTest {
     private static final long SLOT_MICROS = BalancerHarness.LATENCY_OBJECTIVE_MICROS / 16;
 
-    private static List<BalancerAction> endAttempt(BalancerHarness harness, String id, AttemptOutcome how) {
-        StartAttempt a = harness.latestAttempts.get(id);
-        return harness.send(
-                new AttemptEnded(id, harness.attemptCounts.get(id) - 1, a.serverId(), how, false, 1000, null));
+    private static List<BalancerAction> endAttempt(BalancerHarness harness, String id, AttemptOutcome outcome) {
+        StartAttempt attempt = harness.latestAttempts.get(id);
+        return harness.send(new AttemptEnded(
+                id, harness.attemptCounts.get(id) - 1, attempt.serverId(), outcome, false, 1000, null));
     }
 
-    /** Makes the connection "r" stand; returns its server. */
+    /** Establishes the connection "r"; returns its server. */
     private static String establish(BalancerHarness harness) {
         harness.sendRequest("r", "k");
         String server = harness.latestAttempts.get("r").serverId();
@@ -60,8 +60,8 @@
 
     @Test
     void retryIsUniformOverTheIntervalAndGenerationsNeverOverlap() {
-        double least = 1;
-        double most = 0;
+        double smallest = 1;
+        double largest = 0;
         for (int seed = 0; seed < 200; seed++) {
             BalancerHarness harness =
                     new BalancerHarness(BalancerHarness.settings().build(), seed);
@@ -70,27 +70,27 @@
             long start = harness.nowMicros;
             long first = retryDelayMicros(endAttempt(harness, "r", AttemptOutcome.REJECTED));
             assertTrue(first <= 2 * SLOT_MICROS + 1);
-            least = Math.min(least, first / (2.0 * SLOT_MICROS));
-            most = Math.max(most, first / (2.0 * SLOT_MICROS));
+            smallest = Math.min(smallest, first / (2.0 * SLOT_MICROS));
+            largest = Math.max(largest, first / (2.0 * SLOT_MICROS));
             harness.advance(first);
             assertEquals(2, harness.attemptCounts.get("r"));
             long second = harness.nowMicros + retryDelayMicros(endAttempt(harness, "r", AttemptOutcome.REJECTED));
             assertTrue(second >= start + 2 * SLOT_MICROS, "the second retry waits for the end of the first interval");
             assertTrue(second <= start + 2 * SLOT_MICROS + 4 * SLOT_MICROS + 1);
         }
-        assertTrue(least < 0.05 && most > 0.95, "draws span " + least + " to " + most);
+        assertTrue(smallest < 0.05 && largest > 0.95, "draws span " + smallest + " to " + largest);
     }
 
     private static long retryDelayMicros(List<BalancerAction> actions) {
-        for (BalancerAction a : actions) {
-            if (a instanceof SetTimer t && t.token() > 0) {
-                return t.delayMicros();
+        for (BalancerAction action : actions) {
+            if (action instanceof SetTimer timer && timer.token() > 0) {
+                return timer.delayMicros();
             }
         }
         throw new AssertionError("no delay in " + actions);
     }
 
-    /** Clients that are not promised advice were told none, and came back at once. */
+    /** Without a Retry-After, rejected clients would return at once. */
     @Test
     void rejectionCarriesRetryAfterEvenWhereClientsMayNotHonourIt() {
         BalancerHarness harness = new BalancerHarness(
@@ -109,18 +109,18 @@
         BalancerHarness harness =
                 new BalancerHarness(BalancerHarness.settings().maxAttempts(1).build(), 3);
         harness.listServers(6, 2);
-        List<Long> rests = new ArrayList<>();
+        List<Long> retryAfters = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             harness.sendRequest("r" + i, "k");
-            Reject refused = (Reject)
+            Reject rejection = (Reject)
                     endAttempt(harness, "r" + i, AttemptOutcome.CONNECT_FAILED).get(0);
-            rests.add(refused.retryAfterMicros());
-            harness.nowMicros += refused.retryAfterMicros() + 1;
+            retryAfters.add(rejection.retryAfterMicros());
+            harness.nowMicros += rejection.retryAfterMicros() + 1;
         }
-        assertEquals(List.of(2 * SLOT_MICROS, 4 * SLOT_MICROS, 8 * SLOT_MICROS, 16 * SLOT_MICROS), rests);
+        assertEquals(List.of(2 * SLOT_MICROS, 4 * SLOT_MICROS, 8 * SLOT_MICROS, 16 * SLOT_MICROS), retryAfters);
     }
 
-    /** A feed server that drains without sending its clients away kept them until it was stopped. */
+    /** A feed server may drain without sending its clients away. */
     @Test
     void connectionsOfADrainingServerMigrateWithinAnInterval() {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings().build(), 3);
@@ -135,7 +135,7 @@
         assertEquals(List.of(new Migrate("r")), due);
     }
 
-    /** Real feed servers tell no delays: without this a crowded one was filled until it dropped connections. */
+    /** Real feed servers report no delays: loads alone must keep a busy one from filling until it drops connections. */
     @Test
     void reportedLoadsCloseAServerUntilADelayIsReported() {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings().build(), 3);
@@ -153,24 +153,24 @@
             harness.sendRequest("b" + i, "l" + i);
             there += harness.latestAttempts.get("b" + i).serverId().equals(full) ? 1 : 0;
         }
-        // what stands there still weighs in the draw: a fifth as much as an empty one, where it was closed before
-        assertTrue(there > 5, "a quick answer says more than the loads");
+        // its connections still count in the choice: a fifth of the weight of an empty one, where it was closed before
+        assertTrue(there > 5, "a low delay says more than the loads");
     }
 
-    /** A server loaded past what it can do loses connections to moves, as a slow one does. */
+    /** Connections migrate off a server that is loaded beyond its capacity, as off a slow one. */
     @Test
     void connectionsMigrateOffAnOverloadedServer() {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings().build(), 3);
         harness.listServers(2, 2);
         String full = establish(harness);
         harness.send(new LoadReported("r", 0, full, 1_500_000));
-        boolean moved = false;
-        for (int i = 0; i < 20 && !moved; i++) {
+        boolean migrations = false;
+        for (int i = 0; i < 20 && !migrations; i++) {
             harness.nowMicros += BalancerHarness.DEADLINE_MICROS / 2;
-            moved = harness.send(new EndpointListUpdate(EndpointListKind.DELTA, List.of()))
+            migrations = harness.send(new EndpointListUpdate(EndpointListKind.DELTA, List.of()))
                     .contains(new Migrate("r"));
         }
-        assertTrue(moved);
+        assertTrue(migrations);
     }
 
     @Test
@@ -187,7 +187,7 @@
         harness.sendRequest("b", "k");
         assertTrue(
                 retryDelayMicros(endAttempt(harness, "b", AttemptOutcome.REJECTED)) <= 2 * SLOT_MICROS + 1,
-                "back at the first interval");
+                "back to the first interval");
     }
 
     @Test
@@ -200,19 +200,19 @@
         for (int n = 1; n < 50; n++) {
             end += SLOT_MICROS << Math.min(n, 8);
             List<BalancerAction> actions = endAttempt(harness, "r", AttemptOutcome.REJECTED);
-            if (actions.get(0) instanceof Reject refused) {
-                assertEquals(end - harness.nowMicros, refused.retryAfterMicros());
+            if (actions.get(0) instanceof Reject rejection) {
+                assertEquals(end - harness.nowMicros, rejection.retryAfterMicros());
                 assertTrue(n > 1);
                 return;
             }
             harness.advance(retryDelayMicros(actions));
         }
-        throw new AssertionError("never refused");
+        throw new AssertionError("never rejected");
     }
 
     @Test
     void nonIdempotentRequestThatMayHaveBeenExecutedIsNotRetried() {
-        for (AttemptOutcome o :
+        for (AttemptOutcome outcome :
                 List.of(AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.RESET, AttemptOutcome.CANCELLED)) {
             BalancerHarness harness = new BalancerHarness(
                     BalancerHarness.settings()
@@ -221,9 +221,9 @@
                     1);
             harness.listServers(6, 2);
             harness.sendRequest("r", "k");
-            assertEquals(List.of(new Fail("r")), endAttempt(harness, "r", o), o.toString());
+            assertEquals(List.of(new Fail("r")), endAttempt(harness, "r", outcome), outcome.toString());
         }
-        for (AttemptOutcome o : List.of(AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED)) {
+        for (AttemptOutcome outcome : List.of(AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED)) {
             BalancerHarness harness = new BalancerHarness(
                     BalancerHarness.settings()
                             .idempotency(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL)
@@ -231,8 +231,8 @@
                     1);
             harness.listServers(6, 2);
             harness.sendRequest("r", "k");
-            harness.advance(retryDelayMicros(endAttempt(harness, "r", o)));
-            assertEquals(2, harness.attemptCounts.get("r"), o.toString());
+            harness.advance(retryDelayMicros(endAttempt(harness, "r", outcome)));
+            assertEquals(2, harness.attemptCounts.get("r"), outcome.toString());
         }
     }
 
@@ -306,7 +306,7 @@
                 sent += harness.latestAttempts.get("r" + i).serverId().equals("s0") ? 1 : 0;
             }
         }
-        assertTrue(sent <= 20, "a crowd of 1000 put " + sent + " on a cold server at once");
+        assertTrue(sent <= 20, "a burst of 1000 put " + sent + " on a server in slow start at once");
     }
 
     @Test
@@ -314,17 +314,17 @@
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings().build(), 4);
         harness.listServers(3, 1);
         harness.sendRequest("r", "k");
-        String bad = harness.latestAttempts.get("r").serverId();
+        String ejected = harness.latestAttempts.get("r").serverId();
         endAttempt(harness, "r", AttemptOutcome.CONNECT_FAILED);
         for (int i = 0; i < 30; i++) {
             harness.sendRequest("a" + i, "a" + i);
-            assertNotEquals(bad, harness.latestAttempts.get("a" + i).serverId());
+            assertNotEquals(ejected, harness.latestAttempts.get("a" + i).serverId());
         }
         harness.nowMicros += 20 * BalancerHarness.DEADLINE_MICROS;
         int trials = 0;
         for (int i = 0; i < 30; i++) {
             harness.sendRequest("b" + i, "b" + i);
-            trials += harness.latestAttempts.get("b" + i).serverId().equals(bad) ? 1 : 0;
+            trials += harness.latestAttempts.get("b" + i).serverId().equals(ejected) ? 1 : 0;
         }
         assertEquals(1, trials);
     }
@@ -336,15 +336,15 @@
         for (int i = 0; i < 40; i++) {
             harness.send(new ConnectionAdopted(harness.connectRequest("c" + i, "c" + i), "s0"));
         }
-        int moved = 0;
+        int migrations = 0;
         for (int second = 0; second < 3; second++) {
             for (BalancerAction a :
                     harness.send(new DelayReported("c0", 0, "s0", BalancerHarness.MESSAGE_OBJECTIVE_MICROS * 5))) {
-                moved += a instanceof Migrate ? 1 : 0;
+                migrations += a instanceof Migrate ? 1 : 0;
             }
             harness.nowMicros += 1_000_000;
         }
-        assertTrue(moved > 0 && moved < 30, moved + " of 40 moved in two seconds");
+        assertTrue(migrations > 0 && migrations < 30, migrations + " of 40 migrated in two seconds");
         assertTrue(harness.send(new DelayReported("c0", 0, "s0", BalancerHarness.MESSAGE_OBJECTIVE_MICROS / 2))
                 .isEmpty());
     }
@@ -357,10 +357,10 @@
         assertTrue(first.contains(new WatchEndpointList()));
         for (int i = 0; i < 10; i++) {
             List<BalancerAction> actions = harness.send(new EndpointListUpdate(EndpointListKind.FAILED, List.of()));
-            SetTimer t = (SetTimer) actions.get(0);
-            assertTrue(t.delayMicros() <= BalancerHarness.POLL_INTERVAL_MICROS / 2 + 1);
-            harness.nowMicros += t.delayMicros();
-            assertEquals(List.of(new WatchEndpointList()), harness.send(new TimerExpired(t.token())));
+            SetTimer timer = (SetTimer) actions.get(0);
+            assertTrue(timer.delayMicros() <= BalancerHarness.POLL_INTERVAL_MICROS / 2 + 1);
+            harness.nowMicros += timer.delayMicros();
+            assertEquals(List.of(new WatchEndpointList()), harness.send(new TimerExpired(timer.token())));
         }
     }
 
@@ -380,7 +380,7 @@
     void eventsForUnknownRequestsAndServersAreIgnored() {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings().build(), 1);
         harness.listServers(3, 1);
-        List<BalancerEvent> strays = List.of(
+        List<BalancerEvent> unknownEvents = List.of(
                 new ConnectionEstablished("x", 0, "s0", 1),
                 new LoadReported("x", 0, "y", 1),
                 new DelayReported("x", 0, "y", 1e9),
@@ -390,25 +390,26 @@
                 new PeerMessage(5, "junk"),
                 new HealthCheckEnded("y", AttemptOutcome.TIMEOUT, 1, null),
                 new ConnectRequested("z", 99, 0, null, null, harness.nowMicros + 5, 0, false, false));
-        for (BalancerEvent e : strays) {
-            List<BalancerAction> got = harness.send(e);
-            assertTrue(got.isEmpty() || got.equals(List.of(new Fail("z"))), e + " gave " + got);
+        for (BalancerEvent e : unknownEvents) {
+            List<BalancerAction> actions = harness.send(e);
+            assertTrue(actions.isEmpty() || actions.equals(List.of(new Fail("z"))), e + " gave " + actions);
         }
     }
 
     @Test
     void settingsOutOfRangeAreRejectedByName() {
-        Map<String, Runnable> bad = new HashMap<>();
-        bad.put("classes", () -> BalancerHarness.settings().noClasses().build());
-        bad.put("homeZone", () -> BalancerHarness.settings().homeZone(9).build());
-        bad.put("maxAttempts", () -> BalancerHarness.settings().maxAttempts(0).build());
-        bad.put(
+        Map<String, Runnable> ejected = new HashMap<>();
+        ejected.put("classes", () -> BalancerHarness.settings().noClasses().build());
+        ejected.put("homeZone", () -> BalancerHarness.settings().homeZone(9).build());
+        ejected.put(
+                "maxAttempts", () -> BalancerHarness.settings().maxAttempts(0).build());
+        ejected.put(
                 "drainGrace",
                 () -> BalancerHarness.settings().drainGraceMicros(-1).build());
-        bad.forEach((name, make) -> {
-            String said =
-                    assertThrows(IllegalArgumentException.class, make::run).getMessage();
-            assertTrue(said.contains(name), said);
+        ejected.forEach((name, build) -> {
+            String message =
+                    assertThrows(IllegalArgumentException.class, build::run).getMessage();
+            assertTrue(message.contains(name), message);
         });
     }
 
@@ -432,15 +433,15 @@
         }
     }
 
-    /** Plays chance events; the rig asserts every rule. Returns all actions. */
+    /** Plays random events; the harness checks every rule. Returns all actions. */
     private static List<BalancerAction> randomRun(int seed, BalancerSettings settings) {
         Random random = new Random(seed);
         BalancerHarness harness = new BalancerHarness(settings, seed);
         harness.listServers(8, 3);
         for (int step = 0; step < 3000; step++) {
             harness.advance(random.nextInt(40_000));
-            int what = random.nextInt(100);
-            if (what < 30) {
+            int kind = random.nextInt(100);
+            if (kind < 30) {
                 String group = random.nextInt(3) == 0 ? "g" + random.nextInt(4) : null;
                 harness.send(new ConnectRequested(
                         "q" + step,
@@ -452,15 +453,15 @@
                         0,
                         random.nextInt(20) == 0,
                         random.nextInt(4) == 0));
-            } else if (what < 80) {
+            } else if (kind < 80) {
                 harness.endRandomAttempt(random);
-            } else if (what < 84) {
+            } else if (kind < 84) {
                 harness.setState("s" + random.nextInt(8), EndpointState.values()[random.nextInt(3)]);
-            } else if (what < 86) {
+            } else if (kind < 86) {
                 harness.restartServer("s" + random.nextInt(8));
-            } else if (what < 92) {
+            } else if (kind < 92) {
                 harness.send(new DelayReported("q0", 0, "s" + random.nextInt(8), random.nextInt(400_000)));
-            } else if (what < 94) {
+            } else if (kind < 94) {
                 harness.disconnectWaitingClient();
             }
         }
--- a/src/test/java/sandstack/decisions/MultipleRelaysTest.java
+++ b/src/test/java/sandstack/decisions/MultipleRelaysTest.java
@@ -20,7 +20,7 @@
     private static final int RELAY_COUNT = 14;
     private static final long STEP_MICROS = 100_000;
     private static final BalancerSettings SETTINGS = BalancerHarness.settings().build();
-    /** Usual connections that fill a server, by what the platform's file states. */
+    /** Usual connections that fill a server, by the stated capacities. */
     private static final double CONNECTIONS_PER_SERVER =
             BalancerHarness.PLATFORM_CAPACITIES.others().workPerRating()
                     / BalancerHarness.PLATFORM_CAPACITIES.others().defaultConnectionLoad();
@@ -47,12 +47,12 @@
         return relays.get(0).nowMicros;
     }
 
-    /** One more step of the clock of all. */
+    /** Moves the clock of all relays on by one step. */
     private void advance() {
         relays.forEach(harness -> harness.advance(STEP_MICROS));
     }
 
-    /** A client comes to some relay; where it is placed, it stands at once. */
+    /** A client connects through a random relay; where it gets an attempt, that succeeds at once. */
     private void sendClient() {
         sendClient(false);
     }
@@ -65,7 +65,7 @@
         StartAttempt attempt = harness.latestAttempts.get(id);
         if (attempt != null) {
             attemptTimesByServer
-                    .computeIfAbsent(attempt.serverId(), s -> new ArrayList<>())
+                    .computeIfAbsent(attempt.serverId(), server -> new ArrayList<>())
                     .add(nowMicros());
             harness.send(new ConnectionEstablished(id, 0, attempt.serverId(), 20_000));
         }
@@ -78,7 +78,7 @@
                         + (1 - SETTINGS.slowStartInitialFraction()) * ageMicros / SETTINGS.slowStartDurationMicros());
     }
 
-    /** Six in ten servers are replaced within 7 s: by a relay's own arrivals the new ones stood idle until warm. */
+    /** Six in ten servers are replaced within 7 s. */
     @Test
     void replacedServersAreUsedDuringSlowStartWithinTheirBudget() {
         startRelays(60);
@@ -103,8 +103,8 @@
             }
         }
         int slowStartAttempts = 0;
-        for (Map.Entry<String, Long> s : startTimes.entrySet()) {
-            List<Long> times = attemptTimesByServer.getOrDefault(s.getKey(), List.of());
+        for (Map.Entry<String, Long> server : startTimes.entrySet()) {
+            List<Long> times = attemptTimesByServer.getOrDefault(server.getKey(), List.of());
             slowStartAttempts += times.size();
             for (int i = 0; i < times.size(); i++) {
                 long from = times.get(i);
@@ -115,22 +115,23 @@
                         * CONNECTIONS_PER_SERVER
                         / SETTINGS.slowStartDurationMicros()
                         * SETTINGS.overloadWindowMicros()
-                        * slowStartFraction(from - s.getValue());
+                        * slowStartFraction(from - server.getValue());
                 // a Poisson number of permits around half the budget stays under it and three more
-                assertThat((double) inWindow).as(s.getKey()).isLessThanOrEqualTo(budget + 3);
+                assertThat((double) inWindow).as(server.getKey()).isLessThanOrEqualTo(budget + 3);
             }
         }
         assertThat(slowStartAttempts).as("of %d placements", 120 * 4).isGreaterThan(150);
     }
 
-    /** All are told in the same moment that a server is quick again: what they held back must not rush there. */
+    /** All relays learn at the same time that a server has recovered: they must not send it a burst. */
     @Test
     void recoveredServerIsFilledGradually() {
         startRelays(2);
         for (BalancerHarness harness : relays) {
-            for (String s : List.of("s0", "s1")) {
-                harness.send(new ConnectionAdopted(harness.connectRequest("held" + s, "held" + s), s));
-                harness.send(new DelayReported("held" + s, 0, s, BalancerHarness.MESSAGE_OBJECTIVE_MICROS * 5));
+            for (String server : List.of("s0", "s1")) {
+                harness.send(new ConnectionAdopted(harness.connectRequest("held" + server, "held" + server), server));
+                harness.send(
+                        new DelayReported("held" + server, 0, server, BalancerHarness.MESSAGE_OBJECTIVE_MICROS * 5));
             }
         }
         advance();
@@ -176,14 +177,14 @@
             }
             harness.nowMicros += 1_000_000;
         }
-        assertThat(migrations[1]).as("stays late").isPositive();
+        assertThat(migrations[1]).as("stays slow").isPositive();
         assertThat(migrations[2] + migrations[3])
-                .as("is below the aim two reports on")
+                .as("meets the objective two reports on")
                 .isZero();
         assertThat(migrations[4] + migrations[5]).as("falls too slowly").isPositive();
     }
 
-    /** One relay and two servers: nothing of this may starve a small site. */
+    /** One relay and two servers: the slow-start budget must not starve a small site. */
     @Test
     void singleRelayFillsAServerInSlowStart() {
         relays.add(
--- a/src/test/java/sandstack/decisions/ReadmeExampleTest.java
+++ b/src/test/java/sandstack/decisions/ReadmeExampleTest.java
@@ -33,35 +33,38 @@
                 .overloadMultiple(3)
                 .overloadWindowMicros(2_000_000)
                 .build();
-        long now = 0;
+        long nowMicros = 0;
         LoadBalancer loadBalancer =
-                new LoadBalancer(settings, BalancerHarness.PLATFORM_CAPACITIES, InstallationLimits.NONE, 42, now);
+                new LoadBalancer(settings, BalancerHarness.PLATFORM_CAPACITIES, InstallationLimits.NONE, 42, nowMicros);
         loadBalancer.handle(
                 new EndpointListUpdate(
                         EndpointListKind.FULL,
                         List.of(
                                 new EndpointEntry("a", 0, 0, 0, 0, EndpointState.READY, 1),
                                 new EndpointEntry("b", 0, 0, 0, 0, EndpointState.READY, 1))),
-                now);
+                nowMicros);
 
-        ConnectRequested request = new ConnectRequested("r1", 0, 0, "client-7", null, now + 2_000_000, 0, false, false);
-        StartAttempt first = (StartAttempt) loadBalancer.handle(request, now).get(0);
+        ConnectRequested request =
+                new ConnectRequested("r1", 0, 0, "client-7", null, nowMicros + 2_000_000, 0, false, false);
+        StartAttempt first =
+                (StartAttempt) loadBalancer.handle(request, nowMicros).get(0);
 
-        now += 5_000;
-        SetTimer hold = (SetTimer) loadBalancer
+        nowMicros += 5_000;
+        SetTimer retryTimer = (SetTimer) loadBalancer
                 .handle(
                         new AttemptEnded("r1", 0, first.serverId(), AttemptOutcome.CONNECT_FAILED, false, 5_000, null),
-                        now)
+                        nowMicros)
+                .get(0);
+        nowMicros += retryTimer.delayMicros();
+        StartAttempt second = (StartAttempt) loadBalancer
+                .handle(new TimerExpired(retryTimer.token()), nowMicros)
                 .get(0);
-        now += hold.delayMicros();
-        StartAttempt second = (StartAttempt)
-                loadBalancer.handle(new TimerExpired(hold.token()), now).get(0);
         assertTrue(!second.serverId().equals(first.serverId()), "the failed server is marked");
 
-        loadBalancer.handle(new ConnectionEstablished("r1", 1, second.serverId(), 9_000), now + 9_000);
-        now += 60_000_000;
-        List<BalancerAction> last = loadBalancer.handle(
-                new AttemptEnded("r1", 1, second.serverId(), AttemptOutcome.OK, true, 60_000_000, null), now);
-        assertEquals(List.of(), last);
+        loadBalancer.handle(new ConnectionEstablished("r1", 1, second.serverId(), 9_000), nowMicros + 9_000);
+        nowMicros += 60_000_000;
+        List<BalancerAction> finalActions = loadBalancer.handle(
+                new AttemptEnded("r1", 1, second.serverId(), AttemptOutcome.OK, true, 60_000_000, null), nowMicros);
+        assertEquals(List.of(), finalActions);
     }
 }
--- a/src/test/java/sandstack/decisions/ReleaseDuringDiscoveryOutageTest.java
+++ b/src/test/java/sandstack/decisions/ReleaseDuringDiscoveryOutageTest.java
@@ -39,7 +39,7 @@
                 .isLessThan(1_250);
     }
 
-    /** What is lost is lost by not knowing: who sees the servers serves most of it on the same days. */
+    /** The loss is due to missing information: by the true state of the servers most is served on the same seeds. */
     @Test
     void omniscientPlacementServesMostOfTheLastThird() {
         SimulationResult[] results = simulate(true);
--- a/src/test/java/sandstack/decisions/RollingRestartTest.java
+++ b/src/test/java/sandstack/decisions/RollingRestartTest.java
@@ -37,7 +37,7 @@
                 .isLessThan(2_200);
     }
 
-    /** The world itself is no trap: who sees the servers serves nearly all, and hardly any is dropped. */
+    /** The scenario can be served: by the true state of the servers nearly everything is, and few are dropped. */
     @Test
     void omniscientPlacementServesNearlyEverything() {
         SimulationResult[] results = simulate(true);
--- a/src/test/java/sandstack/decisions/SettingsReloadTest.java
+++ b/src/test/java/sandstack/decisions/SettingsReloadTest.java
@@ -26,9 +26,9 @@
             0,
             BalancerHarness.MESSAGE_OBJECTIVE_MICROS);
 
-    private static BalancerSettings withClass(BalancerSettings before, RequestClass more) {
+    private static BalancerSettings withClass(BalancerSettings before, RequestClass added) {
         List<RequestClass> classes = new ArrayList<>(before.classes());
-        classes.add(more);
+        classes.add(added);
         return BalancerSettingsBuilder.from(before).classes(classes).build();
     }
 
@@ -49,14 +49,15 @@
                 new EndpointEntry("s0", 0, 0, 0, 0, EndpointState.READY, 1),
                 new EndpointEntry("s1", 0, 0, 0, 0, EndpointState.READY, 1));
         loadBalancer.handle(new BalancerEvent.EndpointListUpdate(EndpointListKind.FULL, list), 1_000_000);
-        ConnectRequested ask = new ConnectRequested("a", 1, 0, "k", null, 3_000_000, 0, false, false);
-        assertThat(loadBalancer.handle(ask, 1_000_000)).containsExactly(new Fail("a"));
+        ConnectRequested request = new ConnectRequested("a", 1, 0, "k", null, 3_000_000, 0, false, false);
+        assertThat(loadBalancer.handle(request, 1_000_000)).containsExactly(new Fail("a"));
         loadBalancer.handle(new SettingsChanged(withClass(before, NON_IDEMPOTENT)), 1_000_000);
-        StartAttempt sent = firstAttempt(
+        StartAttempt attempt = firstAttempt(
                 loadBalancer.handle(new ConnectRequested("b", 1, 0, "k", null, 3_000_000, 0, false, false), 1_000_000));
-        assertThat(sent).isNotNull();
+        assertThat(attempt).isNotNull();
         assertThat(loadBalancer.handle(
-                        new AttemptEnded("b", 0, sent.serverId(), AttemptOutcome.RESET, false, 1000, null), 1_001_000))
+                        new AttemptEnded("b", 0, attempt.serverId(), AttemptOutcome.RESET, false, 1000, null),
+                        1_001_000))
                 .containsExactly(new Fail("b"));
     }
 
@@ -71,9 +72,9 @@
                     BalancerHarness.settings().maxAttempts(change[1]).build()));
             for (int i = 0; i < change[2]; i++) {
                 harness.advance(300_000);
-                StartAttempt out = harness.latestAttempts.get("a");
+                StartAttempt attempt = harness.latestAttempts.get("a");
                 harness.send(
-                        new AttemptEnded("a", i, out.serverId(), AttemptOutcome.CONNECT_FAILED, false, 1000, null));
+                        new AttemptEnded("a", i, attempt.serverId(), AttemptOutcome.CONNECT_FAILED, false, 1000, null));
             }
             harness.finish();
             assertThat(harness.attemptCounts.get("a"))
@@ -89,15 +90,15 @@
         harness.listServers(2, 1);
         assertThat(harness.loadBalancer.isEjected("s0")).isFalse();
         harness.sendRequest("a", "k");
-        String at = harness.latestAttempts.get("a").serverId();
-        harness.send(new AttemptEnded("a", 0, at, AttemptOutcome.CONNECT_FAILED, false, 1000, null));
-        assertThat(harness.loadBalancer.isEjected(at)).isTrue();
+        String serverId = harness.latestAttempts.get("a").serverId();
+        harness.send(new AttemptEnded("a", 0, serverId, AttemptOutcome.CONNECT_FAILED, false, 1000, null));
+        assertThat(harness.loadBalancer.isEjected(serverId)).isTrue();
         harness.send(new SettingsChanged(withClass(harness.settings, NON_IDEMPOTENT)));
-        assertThat(harness.loadBalancer.isEjected(at)).isTrue();
+        assertThat(harness.loadBalancer.isEjected(serverId)).isTrue();
         harness.finish();
     }
 
-    /** While one process takes over from another, both together may send a cold server what one may. */
+    /** While one process takes over from another, both share the slow-start budget of one. */
     @Test
     void twoProcessesShareTheSlowStartBudget() {
         int alone = 0;
@@ -121,7 +122,7 @@
             harness.sendRequest("r" + i, "k" + i);
         }
         return (int) harness.latestAttempts.values().stream()
-                .filter(a -> a.serverId().equals("s0"))
+                .filter(attempt -> attempt.serverId().equals("s0"))
                 .count();
     }
 }
--- a/src/test/java/sandstack/decisions/StreamTest.java
+++ b/src/test/java/sandstack/decisions/StreamTest.java
@@ -71,9 +71,9 @@
                     new RequestClass(320_000, 2_000_000, 5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 100_000);
             RequestClass heavy = new RequestClass(
                     500_000, 3_000_000, 1, Idempotency.WITH_KEY, DeduplicationScope.ZONE, 800_000, 150_000);
-            RequestClass once =
+            RequestClass nonIdempotent =
                     new RequestClass(500_000, 3_000_000, 2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.CELL, 0, 0);
-            return BalancerSettingsBuilder.of(List.of(light, heavy, once))
+            return BalancerSettingsBuilder.of(List.of(light, heavy, nonIdempotent))
                     .instanceIndex(1)
                     .instanceCount(3)
                     .zoneCount(3)
@@ -106,74 +106,75 @@
             for (BalancerAction action : loadBalancer.handle(event, nowMicros)) {
                 digest.update((nowMicros + " " + ActionText.of(action) + "\n").getBytes(StandardCharsets.UTF_8));
                 actionCount++;
-                if (action instanceof StartAttempt a) {
-                    attemptsInFlight.put(a.requestId(), a);
-                    attemptCounts.merge(a.requestId(), 1, Integer::sum);
-                } else if (action instanceof SetTimer t) {
-                    timers.computeIfAbsent(nowMicros + t.delayMicros(), k -> new ArrayList<>())
-                            .add(t.token());
-                } else if (action instanceof Migrate r
-                        && established.containsKey(r.requestId())
+                if (action instanceof StartAttempt attempt) {
+                    attemptsInFlight.put(attempt.requestId(), attempt);
+                    attemptCounts.merge(attempt.requestId(), 1, Integer::sum);
+                } else if (action instanceof SetTimer timer) {
+                    timers.computeIfAbsent(nowMicros + timer.delayMicros(), k -> new ArrayList<>())
+                            .add(timer.token());
+                } else if (action instanceof Migrate migration
+                        && established.containsKey(migration.requestId())
                         && random.nextInt(4) > 0) {
-                    endAttempt(r.requestId(), AttemptOutcome.CANCELLED, true);
+                    endAttempt(migration.requestId(), AttemptOutcome.CANCELLED, true);
                 }
             }
         }
 
         void endAttempt(String id, AttemptOutcome outcome, boolean requestFinished) {
-            StartAttempt a = attemptsInFlight.containsKey(id) ? attemptsInFlight.remove(id) : established.remove(id);
+            StartAttempt attempt =
+                    attemptsInFlight.containsKey(id) ? attemptsInFlight.remove(id) : established.remove(id);
             send(new AttemptEnded(
                     id,
                     attemptCounts.get(id) - 1,
-                    a.serverId(),
+                    attempt.serverId(),
                     outcome,
                     requestFinished,
                     1 + random.nextInt(90_000),
                     null));
         }
 
-        String anyOf(Map<String, StartAttempt> of) {
-            int at = random.nextInt(of.size());
-            return new ArrayList<>(of.keySet()).get(at);
+        String anyOf(Map<String, StartAttempt> attempts) {
+            int position = random.nextInt(attempts.size());
+            return new ArrayList<>(attempts.keySet()).get(position);
         }
 
         void sendRequest() {
-            int c = random.nextInt(3);
+            int classIndex = random.nextInt(3);
             String id = "r" + requestCount++;
             String key = "k" + random.nextInt(300);
             String group = settings.sharedGroups() ? "g" + (int) Math.sqrt(random.nextInt(400)) : null;
             ConnectRequested request = new ConnectRequested(
                     id,
-                    c,
+                    classIndex,
                     random.nextInt(3) - 1,
                     key,
                     group,
-                    nowMicros + settings.classes().get(c).deadlineMicros(),
+                    nowMicros + settings.classes().get(classIndex).deadlineMicros(),
                     reportsLoads && random.nextBoolean() ? 30_000 : 0,
                     false,
                     random.nextInt(4) == 0);
             if (random.nextInt(60) == 0) {
-                StartAttempt a = new StartAttempt(id, "s" + random.nextInt(SERVERS), 0);
+                StartAttempt attempt = new StartAttempt(id, "s" + random.nextInt(SERVERS), 0);
                 attemptCounts.put(id, 1);
-                established.put(id, a);
-                send(new ConnectionAdopted(request, a.serverId()));
+                established.put(id, attempt);
+                send(new ConnectionAdopted(request, attempt.serverId()));
             } else {
                 send(request);
             }
         }
 
         void updateEndpointList() {
-            int i = random.nextInt(SERVERS);
-            if (states[i] == EndpointState.READY && random.nextInt(3) > 0) {
-                states[i] = random.nextBoolean() ? EndpointState.DRAINING : EndpointState.GONE;
-            } else if (states[i] != EndpointState.READY) {
-                states[i] = EndpointState.READY;
-                startTimes[i] = nowMicros;
+            int index = random.nextInt(SERVERS);
+            if (states[index] == EndpointState.READY && random.nextInt(3) > 0) {
+                states[index] = random.nextBoolean() ? EndpointState.DRAINING : EndpointState.GONE;
+            } else if (states[index] != EndpointState.READY) {
+                states[index] = EndpointState.READY;
+                startTimes[index] = nowMicros;
             }
             if (random.nextInt(12) == 0) {
                 send(new EndpointListUpdate(EndpointListKind.FAILED, List.of()));
             } else {
-                send(new EndpointListUpdate(EndpointListKind.DELTA, List.of(entry(i))));
+                send(new EndpointListUpdate(EndpointListKind.DELTA, List.of(entry(index))));
             }
         }
 
@@ -184,16 +185,16 @@
                     send(new TimerExpired(token));
                 }
             }
-            int what = random.nextInt(100);
-            if (what < 30) {
+            int kind = random.nextInt(100);
+            if (kind < 30) {
                 sendRequest();
-            } else if (what < 58 && !attemptsInFlight.isEmpty()) {
+            } else if (kind < 58 && !attemptsInFlight.isEmpty()) {
                 String id = anyOf(attemptsInFlight);
-                StartAttempt a = attemptsInFlight.remove(id);
-                established.put(id, a);
+                StartAttempt attempt = attemptsInFlight.remove(id);
+                established.put(id, attempt);
                 send(new ConnectionEstablished(
-                        id, attemptCounts.get(id) - 1, a.serverId(), 500 + random.nextInt(60_000)));
-            } else if (what < 68 && !attemptsInFlight.isEmpty()) {
+                        id, attemptCounts.get(id) - 1, attempt.serverId(), 500 + random.nextInt(60_000)));
+            } else if (kind < 68 && !attemptsInFlight.isEmpty()) {
                 AttemptOutcome[] outcomes = {
                     AttemptOutcome.ERROR,
                     AttemptOutcome.REJECTED,
@@ -202,19 +203,19 @@
                     AttemptOutcome.RESET
                 };
                 endAttempt(anyOf(attemptsInFlight), outcomes[random.nextInt(outcomes.length)], false);
-            } else if (what < 80 && established.size() > 120) {
+            } else if (kind < 80 && established.size() > 120) {
                 endAttempt(anyOf(established), random.nextInt(8) == 0 ? AttemptOutcome.RESET : AttemptOutcome.OK, true);
-            } else if (what < 90 && reportsLoads && !established.isEmpty()) {
+            } else if (kind < 90 && reportsLoads && !established.isEmpty()) {
                 String id = anyOf(established);
                 send(new LoadReported(
                         id, attemptCounts.get(id) - 1, established.get(id).serverId(), random.nextDouble() * 120_000));
-            } else if (what < 95 && reportsDelays && !established.isEmpty()) {
+            } else if (kind < 95 && reportsDelays && !established.isEmpty()) {
                 String id = anyOf(established);
                 send(new DelayReported(
                         id, attemptCounts.get(id) - 1, established.get(id).serverId(), random.nextDouble() * 180_000));
-            } else if (what == 98) {
+            } else if (kind == 98) {
                 updateEndpointList();
-            } else if (what == 99) {
+            } else if (kind == 99) {
                 send(new TenantsChanged(List.of(new Tenant(10 + random.nextInt(30), 0.4), new Tenant(50, 0.6))));
             }
         }
--- a/src/test/java/sandstack/decisions/UnstatedCapacityTest.java
+++ b/src/test/java/sandstack/decisions/UnstatedCapacityTest.java
@@ -15,12 +15,12 @@
 
 /** The load balancer where no operator states capacities: settings, the endpoint list and reported loads decide. */
 class UnstatedCapacityTest {
-    private static BalancerHarness newHarness(boolean sized) {
-        BalancerSettings s = BalancerHarness.settings().build();
-        BalancerSettings with = BalancerSettingsBuilder.of(s.classes())
-                .instanceIndex(s.instanceIndex())
-                .instanceCount(s.instanceCount())
-                .tenants(s.tenants())
+    private static BalancerHarness newHarness(boolean ratingsAreSizes) {
+        BalancerSettings base = BalancerHarness.settings().build();
+        BalancerSettings settings = BalancerSettingsBuilder.of(base.classes())
+                .instanceIndex(base.instanceIndex())
+                .instanceCount(base.instanceCount())
+                .tenants(base.tenants())
                 .sharedGroups(true)
                 .endpointListPolled(true)
                 .pollIntervalMicros(BalancerHarness.POLL_INTERVAL_MICROS)
@@ -32,9 +32,9 @@
                 .slowStartDurationMicros(8_000_000)
                 .overloadMultiple(3)
                 .overloadWindowMicros(2_000_000)
-                .ratingsAreSizes(sized)
+                .ratingsAreSizes(ratingsAreSizes)
                 .build();
-        BalancerHarness harness = new BalancerHarness(with, StatedCapacities.NONE, InstallationLimits.NONE, 5);
+        BalancerHarness harness = new BalancerHarness(settings, StatedCapacities.NONE, InstallationLimits.NONE, 5);
         harness.listServers(2, 1);
         return harness;
     }
@@ -42,15 +42,15 @@
     private static String place(BalancerHarness harness, String id, String group) {
         harness.send(new ConnectRequested(
                 id, 0, 0, id, group, harness.nowMicros + BalancerHarness.DEADLINE_MICROS, 0, false, false));
-        StartAttempt a = harness.latestAttempts.get(id);
-        if (a == null) {
+        StartAttempt attempt = harness.latestAttempts.get(id);
+        if (attempt == null) {
             return null;
         }
-        harness.send(new ConnectionEstablished(id, 0, a.serverId(), 1_000));
-        return a.serverId();
+        harness.send(new ConnectionEstablished(id, 0, attempt.serverId(), 1_000));
+        return attempt.serverId();
     }
 
-    /** It may prefer one, though. Figures of one deployment turned away 294 of 300 clients of two idle servers that tell no load. */
+    /** A default load may make another server preferred, but closes none. */
     @Test
     void defaultLoadClosesNoServer() {
         BalancerHarness harness = newHarness(true);
@@ -59,31 +59,31 @@
         }
     }
 
-    /** A unit of rating does a second of work a second, where ratings are sizes; where they are not, evidence alone counts. */
+    /** A unit of rating does a second of work a second where ratings are sizes; elsewhere evidence alone counts. */
     @Test
     void reportedLoadsFillAServerOfListedSize() {
-        for (boolean sized : new boolean[] {true, false}) {
-            BalancerHarness harness = newHarness(sized);
-            String full = place(harness, "heavy", null);
-            harness.send(new LoadReported("heavy", 0, full, 900_000));
-            int there = 0;
+        for (boolean ratingsAreSizes : new boolean[] {true, false}) {
+            BalancerHarness harness = newHarness(ratingsAreSizes);
+            String busy = place(harness, "heavy", null);
+            harness.send(new LoadReported("heavy", 0, busy, 900_000));
+            int placedOnFull = 0;
             for (int i = 0; i < 60; i++) {
-                there += full.equals(place(harness, "r" + i, null)) ? 1 : 0;
+                placedOnFull += busy.equals(place(harness, "r" + i, null)) ? 1 : 0;
             }
-            assertThat(there > 0).as("sized " + sized).isEqualTo(!sized);
+            assertThat(placedOnFull > 0).as("sized " + ratingsAreSizes).isEqualTo(!ratingsAreSizes);
         }
     }
 
-    /** By its hash alone a group stood whole at one server, 89 of 200 connections on one of eight, while others idled. */
+    /** Without the bound a large group would be on one server alone, while others are idle. */
     @Test
     void groupMovesOnWhereAServerExceedsItsBound() {
         BalancerHarness harness = newHarness(true);
         harness.listServers(6, 1);
-        Map<String, Integer> held = new HashMap<>();
+        Map<String, Integer> connectionsByServer = new HashMap<>();
         for (int i = 0; i < 60; i++) {
-            held.merge(place(harness, "r" + i, "shop"), 1, Integer::sum);
+            connectionsByServer.merge(place(harness, "r" + i, "shop"), 1, Integer::sum);
         }
-        assertThat(held.values()).as("of 10 each").allMatch(n -> n <= 20);
+        assertThat(connectionsByServer.values()).as("of 10 each").allMatch(n -> n <= 20);
     }
 
     @Test
