--- a/src/test/java/sandstack/decisions/BalancerHarness.java
+++ b/src/test/java/sandstack/decisions/BalancerHarness.java
@@ -28,6 +28,9 @@
             new StatedCapacities(new StatedCapacity(1e6, 0, true, 1e6 / 15, 3), List.of());
 
     static final long LATENCY_OBJECTIVE_MICROS = 320_000;
+    /** Unit of back-off intervals. */
+    static final long SLOT_MICROS = LATENCY_OBJECTIVE_MICROS / 16;
+
     static final long DEADLINE_MICROS = 2_000_000;
     static final long DEDUPLICATION_WINDOW_MICROS = 800_000;
     static final long DRAIN_GRACE_MICROS = 1_000_000;
@@ -193,6 +196,31 @@
                 null));
     }
 
+    /** Ends the latest attempt of a request without a connection. */
+    List<BalancerAction> failAttempt(String requestId, AttemptOutcome outcome) {
+        String serverId = latestAttempts.get(requestId).serverId();
+        int attempt = attemptCounts.get(requestId) - 1;
+        return send(new AttemptEnded(requestId, attempt, serverId, outcome, false, 1000, null));
+    }
+
+    /** Establishes the connection of a new request; returns its server. */
+    String establish(String requestId, String key) {
+        sendRequest(requestId, key);
+        String serverId = latestAttempts.get(requestId).serverId();
+        send(new ConnectionEstablished(requestId, 0, serverId, 10));
+        return serverId;
+    }
+
+    /** The delay of the timer that these actions set for a request. */
+    static long requestTimerMicros(List<BalancerAction> actions) {
+        for (BalancerAction action : actions) {
+            if (action instanceof SetTimer timer && timer.token() > 0) {
+                return timer.delayMicros();
+            }
+        }
+        throw new AssertionError("no timer in " + actions);
+    }
+
     /** Ends a random attempt or established connection in a random way. */
     void endRandomAttempt(Random random) {
         boolean chooseEstablished = checker.attemptsInFlight.isEmpty() || random.nextInt(3) == 0;
