--- a/src/bench/java/sandstack/decisions/DecisionBenchmark.java
+++ b/src/bench/java/sandstack/decisions/DecisionBenchmark.java
@@ -24,7 +24,7 @@
 import sandstack.decisions.BalancerEvent.EndpointListUpdate;
 import sandstack.settings.BalancerSettingsBuilder;
 
-/** One connection from its request to its end, among 1,000 servers and 100,000 that stand. */
+/** One connection from its request to its end, among 1,000 servers and 100,000 established connections. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -34,20 +34,20 @@
 @Warmup(iterations = 2, time = 3)
 @Measurement(iterations = 3, time = 3)
 public class DecisionBenchmark {
-    private static final int SERVERS = 1_000;
-    private static final int STANDING = 100_000;
+    private static final int SERVER_COUNT = 1_000;
+    private static final int ESTABLISHED_COUNT = 100_000;
 
     private LoadBalancer loadBalancer;
-    private long now = 1_000_000_000;
-    private long asked;
+    private long nowMicros = 1_000_000_000;
+    private long requestCount;
 
-    /** Fills the module with servers and standing connections. */
+    /** Fills the load balancer with servers and established connections. */
     @Setup
     public void fill() {
-        RequestClass cls =
+        RequestClass requestClass =
                 new RequestClass(500_000, 3_000_000, 5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 150_000);
         loadBalancer = new LoadBalancer(
-                BalancerSettingsBuilder.of(List.of(cls, cls))
+                BalancerSettingsBuilder.of(List.of(requestClass, requestClass))
                         .instanceCount(3)
                         .zoneCount(3)
                         .sharedGroups(true)
@@ -67,38 +67,47 @@
                 StatedCapacities.NONE,
                 InstallationLimits.NONE,
                 7,
-                now);
-        List<EndpointEntry> list = new ArrayList<>();
-        for (int i = 0; i < SERVERS; i++) {
-            list.add(new EndpointEntry("s" + i, i % 3, i / 10, i % 2, 0, EndpointState.READY, 1));
+                nowMicros);
+        List<EndpointEntry> endpoints = new ArrayList<>();
+        for (int i = 0; i < SERVER_COUNT; i++) {
+            endpoints.add(new EndpointEntry("s" + i, i % 3, i / 10, i % 2, 0, EndpointState.READY, 1));
         }
-        loadBalancer.handle(new EndpointListUpdate(EndpointListKind.FULL, list), now);
-        for (int i = 0; i < STANDING; i++) {
-            loadBalancer.handle(new ConnectionAdopted(ask("a" + i), "s" + i % SERVERS), now);
+        loadBalancer.handle(new EndpointListUpdate(EndpointListKind.FULL, endpoints), nowMicros);
+        for (int i = 0; i < ESTABLISHED_COUNT; i++) {
+            loadBalancer.handle(new ConnectionAdopted(connectRequest("a" + i), "s" + i % SERVER_COUNT), nowMicros);
         }
-        // a delay that was told once: use by guesses, which closed servers in builds before, counts for nothing
-        loadBalancer.handle(new DelayReported("a0", 0, "s0", 1_000), now);
+        // with a delay reported, utilization by default loads closes no server
+        loadBalancer.handle(new DelayReported("a0", 0, "s0", 1_000), nowMicros);
     }
 
-    private ConnectRequested ask(String id) {
-        asked++;
+    private ConnectRequested connectRequest(String id) {
+        requestCount++;
         return new ConnectRequested(
-                id, (int) (asked % 2), 0, "k" + asked % 5_000, "g" + asked % 2_000, now + 3_000_000, 0, false, false);
+                id,
+                (int) (requestCount % 2),
+                0,
+                "k" + requestCount % 5_000,
+                "g" + requestCount % 2_000,
+                nowMicros + 3_000_000,
+                0,
+                false,
+                false);
     }
 
-    /** What one connection costs the module. */
+    /** The cost of one connection. */
     @Benchmark
     public Object oneConnection() {
-        now += 100;
-        String id = "r" + asked;
-        StartAttempt a = null;
-        for (BalancerAction action : loadBalancer.handle(ask(id), now)) {
-            a = action instanceof StartAttempt attempt ? attempt : a;
+        nowMicros += 100;
+        String id = "r" + requestCount;
+        StartAttempt attempt = null;
+        for (BalancerAction action : loadBalancer.handle(connectRequest(id), nowMicros)) {
+            attempt = action instanceof StartAttempt started ? started : attempt;
         }
-        if (a == null) {
-            throw new IllegalStateException("not placed");
+        if (attempt == null) {
+            throw new IllegalStateException("no attempt was started");
         }
-        loadBalancer.handle(new ConnectionEstablished(id, 0, a.serverId(), 900), now);
-        return loadBalancer.handle(new AttemptEnded(id, 0, a.serverId(), AttemptOutcome.OK, true, 900, null), now);
+        loadBalancer.handle(new ConnectionEstablished(id, 0, attempt.serverId(), 900), nowMicros);
+        return loadBalancer.handle(
+                new AttemptEnded(id, 0, attempt.serverId(), AttemptOutcome.OK, true, 900, null), nowMicros);
     }
 }
--- a/src/main/java/sandstack/decisions/BalancerAction.java
+++ b/src/main/java/sandstack/decisions/BalancerAction.java
@@ -51,7 +51,7 @@
     /**
      * Final answer: rejected. A retry by the client is harmless.
      *
-     * @param retryAfterMicros how long the client should wait before it retries; 0 where it is not told
+     * @param retryAfterMicros how long the client should wait before it retries; 0 for no advice
      */
     record Reject(String requestId, long retryAfterMicros, RejectionReason reason) implements BalancerAction {
         @Override
--- a/src/main/java/sandstack/decisions/BalancerEvent.java
+++ b/src/main/java/sandstack/decisions/BalancerEvent.java
@@ -147,7 +147,7 @@
      * An attempt or an established connection ended; exactly one such event follows each attempt.
      *
      * @param attempt number of the attempt within its request, from 0
-     * @param requestFinished the client has its final answer already; otherwise the module still owes it
+     * @param requestFinished the client has its final answer already; otherwise the load balancer still owes it
      * @param elapsedMicros time since the start of the attempt
      * @param loadReport load report, in the order of the columns of the site's configuration; null where none came
      */
@@ -183,7 +183,7 @@
     }
 
     /**
-     * The result of a health check that another component sent; the module sends none.
+     * The result of a health check that another component sent; the load balancer sends none.
      *
      * @param elapsedMicros duration of the health check
      * @param loadReport as in {@link AttemptEnded}; null where none came
--- a/src/main/java/sandstack/decisions/CapacityEvidence.java
+++ b/src/main/java/sandstack/decisions/CapacityEvidence.java
@@ -23,7 +23,7 @@
         }
     }
 
-    /** An attempt ended whose request is gone or has moved on: its outcome is not used. */
+    /** An attempt ended whose request has ended or is at a later attempt: its outcome is not used. */
     void onStaleAttemptEnded(ServerState server) {
         server.estimate.onAttemptEnded();
         server.estimate.onInconclusiveAttempt();
--- a/src/main/java/sandstack/decisions/DuplicateExecutionGuard.java
+++ b/src/main/java/sandstack/decisions/DuplicateExecutionGuard.java
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Whether the client may be told that a retry is harmless, which a rejection implies. It may retry at any server,
-     * so a key helps only where all servers share it.
+     * Whether the request may be rejected, which implies that a retry by the client is harmless. The client may retry
+     * at any server, so a key helps only where all servers share it.
      */
     static boolean allowsRejection(TrackedRequest request) {
         return isUnrestricted(request)
--- a/src/main/java/sandstack/decisions/RequestLifecycle.java
+++ b/src/main/java/sandstack/decisions/RequestLifecycle.java
@@ -12,7 +12,7 @@
 
 /**
  * Takes each request through its states: admitted or rejected on arrival, waiting, attempted at a server, established,
- * ended. The rules themselves are with the classes that it asks: {@link LoadShedder}, {@link ServerPicker}, {@link
+ * ended. The rules themselves are in other classes: {@link LoadShedder}, {@link ServerPicker}, {@link
  * RetryPolicy}, {@link AttemptTimeoutPolicy}, {@link CapacityEvidence} and {@link RequestCompletion}. One thread; a
  * placement costs what the picker does, the rest O(1).
  */
--- a/src/main/java/sandstack/decisions/RetryPolicy.java
+++ b/src/main/java/sandstack/decisions/RetryPolicy.java
@@ -5,7 +5,7 @@
 import sandstack.capacity.RejectionReason;
 
 /**
- * Whether and when a request is attempted again, and how long a rejected client is asked to stay away. The back-off
+ * Whether and when a request is attempted again, and the Retry-After of a rejected client. The back-off
  * intervals themselves are kept by {@link RetryBackoff}, what a repeated attempt may do by {@link
  * DuplicateExecutionGuard}. Stateless beside these; one thread; all calls O(1).
  */
@@ -53,7 +53,7 @@
     }
 
     /**
-     * How long a rejected client is asked to stay away: the rest of its back-off interval. It is reported even where
+     * The Retry-After of a rejected client: the rest of its back-off interval. It is reported even where
      * the settings do not promise that clients honour it: those that do relieve the servers.
      */
     long retryAfterMicros(TrackedRequest request) {
--- a/src/main/java/sandstack/decisions/ServerPicker.java
+++ b/src/main/java/sandstack/decisions/ServerPicker.java
@@ -62,7 +62,7 @@
                 continue;
             }
             double score = rendezvous.score(request, server, headroomWeight, seed);
-            // asked last: a slow-start budget is used up by each question
+            // last, since each check may use up some of the slow-start budget
             if (score > bestScore && slowStart.admits(request, server)) {
                 bestScore = score;
                 best = server;
