--- a/src/main/java/sandstack/discovery/DiscoveryWatch.java
+++ b/src/main/java/sandstack/discovery/DiscoveryWatch.java
@@ -27,36 +27,37 @@
 import sandstack.staleness.EndpointListStaleness;
 
 /**
- * The watch on discovery. Each ask makes one watch; a watch that ends, fails or falls silent is reported to
- * the relay, whose module decides when to ask again. Discovery may move to another address meanwhile.
+ * Watches discovery's endpoint list over HTTP. Each poll opens one watch; a watch that ends, fails or falls silent is
+ * reported to the relay, whose load balancer decides when to poll again. Discovery may get another address meanwhile.
+ * Used on the event loop's thread only.
  */
 public final class DiscoveryWatch {
     private static final Logger LOG = Logger.getLogger("sandstack.discovery");
-    private static final String SILENT =
+    private static final String SILENCE_REASON =
             "nothing heard for " + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 1e6 + " s";
-    private static final String ENDLESS =
+    private static final String INCOMPLETE_LIST_REASON =
             "a list has not ended for " + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 1e6 + " s";
 
     private final EventLoop loop;
     private final Relay relay;
-    private final EndpointListJson form;
+    private final EndpointListJson listFormat;
     private Address discovery;
     private Watch watch;
-    /** After a move, the watch at the address before; null once the new one has told its list. */
-    private Watch earlier;
-    /** Whether the name table's version is one of this address's: another's count on their own. */
+    /** After a change of the address, the watch at the one before; null once the new one has sent its list. */
+    private Watch previousWatch;
+    /** Whether the version of the list comes from this address: versions of two addresses are not comparable. */
     private boolean versionKnownHere = true;
 
-    /** Creates a watch on this address, which is not asked before {@link #ask}. */
-    public DiscoveryWatch(EventLoop loop, Relay relay, Address discovery, EndpointListJson form) {
+    /** Creates a watch on this address, which is not connected to before {@link #poll}. */
+    public DiscoveryWatch(EventLoop loop, Relay relay, Address discovery, EndpointListJson listFormat) {
         this.loop = loop;
         this.relay = relay;
         this.discovery = discovery;
-        this.form = form;
+        this.listFormat = listFormat;
     }
 
-    /** Asks for what has changed since the list at hand, unless a watch is under way. */
-    public void ask() {
+    /** Opens a watch on what changes from the current list on, unless one is open. */
+    public void poll() {
         if (watch == null) {
             watch = new Watch();
             watch.start();
@@ -64,47 +65,48 @@
     }
 
     /**
-     * Watches at another address from now on. The list stays as it is, and the watch before goes on telling
-     * for as long as it can, until the new one has told the whole list.
+     * Watches at another address from now on. The list stays as it is, and the watch before remains in use until the new
+     * one has sent the complete list.
      */
-    public void moveTo(Address other) {
-        if (other.equals(discovery)) {
+    public void switchTo(Address address) {
+        if (address.equals(discovery)) {
             return;
         }
-        LOG.info("discovery moves from " + discovery + " to " + other);
-        discovery = other;
+        LOG.info("discovery moves from " + discovery + " to " + address);
+        discovery = address;
         versionKnownHere = false;
-        if (earlier == null) {
-            earlier = watch;
+        if (previousWatch == null) {
+            previousWatch = watch;
         } else if (watch != null) {
-            watch.drop();
+            watch.close();
         }
         watch = null;
-        ask();
+        poll();
     }
 
-    private void dropEarlier() {
-        if (earlier != null) {
-            earlier.drop();
-            earlier = null;
+    private void closePreviousWatch() {
+        if (previousWatch != null) {
+            previousWatch.close();
+            previousWatch = null;
         }
     }
 
-    /** One call and what it brings. */
+    /** One HTTP request and the stream that answers it. */
     private final class Watch extends BaseFilter implements EventLoop.DialListener {
         private final JsonObjectStream stream = new JsonObjectStream();
         private EventLoop.PendingConnect connecting;
         private Connection<?> connection;
-        private DeadlineScheduler.Deadline silence;
-        /** When a list that has begun must have ended; null where none has. */
-        private DeadlineScheduler.Deadline ending;
+        private DeadlineScheduler.Deadline silenceTimer;
+        /** Expires where a list that has begun is not completed; null where none has begun. */
+        private DeadlineScheduler.Deadline incompleteListTimer;
 
-        private boolean over;
+        private boolean closed;
 
         void start() {
-            silence = relay.deadlines()
+            silenceTimer = relay.deadlines()
                     .schedule(
-                            loop.nowMicros() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(SILENT));
+                            loop.nowMicros() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS,
+                            () -> fail(SILENCE_REASON));
             FilterChain chain = FilterChainBuilder.stateless()
                     .add(new TransportFilter())
                     .add(new HttpClientFilter())
@@ -114,17 +116,17 @@
         }
 
         @Override
-        public void connected(Connection<?> made) {
-            connection = made;
-            long from = versionKnownHere ? relay.endpoints().version() : -1;
+        public void connected(Connection<?> opened) {
+            connection = opened;
+            long fromVersion = versionKnownHere ? relay.endpoints().version() : -1;
             HttpRequestPacket request = HttpRequestPacket.builder()
                     .method(Method.GET)
                     .protocol(Protocol.HTTP_1_1)
                     .uri("/registry/instances")
-                    .query("watch=1" + (from < 0 ? "" : "&from=" + from))
+                    .query("watch=1" + (fromVersion < 0 ? "" : "&from=" + fromVersion))
                     .header("Host", discovery.toString())
                     .build();
-            made.write(request);
+            opened.write(request);
         }
 
         @Override
@@ -136,22 +138,23 @@
         public NextAction handleRead(FilterChainContext context) {
             HttpContent content = context.getMessage();
             HttpResponsePacket response = (HttpResponsePacket) content.getHttpHeader();
-            if (over) {
+            if (closed) {
                 return context.getStopAction();
             }
             if (response.getStatus() != 200) {
                 fail("status " + response.getStatus());
                 return context.getStopAction();
             }
-            silence.cancel();
-            silence = relay.deadlines()
+            silenceTimer.cancel();
+            silenceTimer = relay.deadlines()
                     .schedule(
-                            loop.nowMicros() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS, () -> fail(SILENT));
+                            loop.nowMicros() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS,
+                            () -> fail(SILENCE_REASON));
             Buffer bytes = content.getContent();
-            byte[] heard = new byte[bytes.remaining()];
-            bytes.get(heard);
+            byte[] received = new byte[bytes.remaining()];
+            bytes.get(received);
             bytes.tryDispose();
-            told(heard);
+            handleBytes(received);
             if (content.isLast()) {
                 fail("the watch has ended");
             }
@@ -164,63 +167,65 @@
             return context.getInvokeAction();
         }
 
-        /** Hands on each object that is whole, however it was laid out and cut; what is no list ends the watch. */
-        private void told(byte[] heard) {
+        /** Passes on each complete object, however it was formatted and split; anything else ends the watch. */
+        private void handleBytes(byte[] received) {
             try {
-                for (JsonNode object : stream.heard(heard)) {
-                    if (over) {
+                for (JsonNode object : stream.feed(received)) {
+                    if (closed) {
                         return;
                     }
-                    EndpointRegistry.Update news = form.news(object, false);
+                    EndpointRegistry.Update update = listFormat.news(object, false);
                     if (this == watch) {
                         versionKnownHere = true;
-                        dropEarlier();
+                        closePreviousWatch();
                     }
-                    relay.onEndpointList(news);
+                    relay.onEndpointList(update);
                 }
-                expectEnd();
+                updateIncompleteListTimer();
             } catch (IOException | InvalidConfigurationException e) {
-                String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-                LOG.warning("discovery told what cannot be read: " + why.substring(0, Math.min(80, why.length())));
+                String reason =
+                        String.valueOf(e.getMessage()).lines().findFirst().orElse("");
+                LOG.warning(
+                        "discovery told what cannot be read: " + reason.substring(0, Math.min(80, reason.length())));
                 fail("unreadable");
             }
         }
 
-        /** A list that comes drop by drop is no sign of life: its news are as late as those of a silent watch. */
-        private void expectEnd() {
-            if (over || stream.partial() == (ending != null)) {
+        /** An incomplete list is no sign of life, however often a piece of it comes: its updates are as late as in silence. */
+        private void updateIncompleteListTimer() {
+            if (closed || stream.hasPartialObject() == (incompleteListTimer != null)) {
                 return;
             }
-            if (ending == null) {
-                ending = relay.deadlines()
+            if (incompleteListTimer == null) {
+                incompleteListTimer = relay.deadlines()
                         .schedule(
                                 loop.nowMicros() + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS,
-                                () -> fail(ENDLESS));
+                                () -> fail(INCOMPLETE_LIST_REASON));
             } else {
-                ending.cancel();
-                ending = null;
+                incompleteListTimer.cancel();
+                incompleteListTimer = null;
             }
         }
 
-        private void fail(String why) {
-            if (over) {
+        private void fail(String reason) {
+            if (closed) {
                 return;
             }
-            drop();
+            close();
             if (this == watch) {
                 watch = null;
-                relay.onEndpointListFailed(why);
+                relay.onEndpointListFailed(reason);
             } else {
-                // the address before closes its watches: the new one is asked already
-                earlier = null;
+                // the previous address closes its watches: the new one is being polled already
+                previousWatch = null;
             }
         }
 
-        void drop() {
-            over = true;
-            silence.cancel();
-            if (ending != null) {
-                ending.cancel();
+        void close() {
+            closed = true;
+            silenceTimer.cancel();
+            if (incompleteListTimer != null) {
+                incompleteListTimer.cancel();
             }
             if (connecting != null) {
                 connecting.cancel();
--- a/src/main/java/sandstack/discovery/JsonObjectStream.java
+++ b/src/main/java/sandstack/discovery/JsonObjectStream.java
@@ -12,13 +12,12 @@
 import java.util.List;
 
 /**
- * What one watch or answer has said so far, as whole objects: one a line, several, or one over many lines. Bytes may come
- * in pieces of any size. Owned by its watch, on the loop's thread; time is linear in the bytes, memory is that of one
- * object, which may be so many bytes long and no longer.
+ * Splits a stream of bytes into JSON objects: one a line, several, or one over many lines. Bytes may come in pieces of any
+ * size. Not thread-safe; time is linear in the bytes, memory is that of one object, whose length is limited.
  */
 public final class JsonObjectStream {
-    /** The whole list of a large site is far below this. */
-    private static final int LONGEST = 4 << 20;
+    /** The complete list of a large site is far below this. */
+    private static final int MAX_OBJECT_BYTES = 4 << 20;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -26,9 +25,9 @@
     private final ByteArrayFeeder feeder;
     private TokenBuffer object = new TokenBuffer(JSON, false);
     private int depth;
-    private long length;
+    private long objectBytes;
 
-    /** A stream of which nothing has been heard. */
+    /** Creates a stream that has received nothing. */
     public JsonObjectStream() {
         try {
             parser = new JsonFactory().createNonBlockingByteArrayParser();
@@ -38,31 +37,38 @@
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    /** Whether an object has begun and not ended. */
-    public boolean partial() {
+    /** Whether an object has begun and is not complete. */
+    public boolean hasPartialObject() {
         return depth > 0;
     }
 
-    /** Takes what came; returns the objects that it completes, in order. */
-    public List<JsonNode> heard(byte[] bytes) throws IOException {
-        List<JsonNode> whole = new ArrayList<>(1);
-        length += bytes.length;
+    /**
+     * Parses the next bytes; returns the objects that they complete, in order.
+     *
+     * @throws MalformedStreamException where something other than an object comes, or an object is too long
+     * @throws IOException where the bytes are not JSON
+     */
+    public List<JsonNode> feed(byte[] bytes) throws IOException {
+        List<JsonNode> objects = new ArrayList<>(1);
+        objectBytes += bytes.length;
         feeder.feedInput(bytes, 0, bytes.length);
-        for (JsonToken t = parser.nextToken(); t != null && t != JsonToken.NOT_AVAILABLE; t = parser.nextToken()) {
-            if (depth == 0 && t != JsonToken.START_OBJECT) {
-                throw new IOException("no object, but " + t);
+        for (JsonToken token = parser.nextToken();
+                token != null && token != JsonToken.NOT_AVAILABLE;
+                token = parser.nextToken()) {
+            if (depth == 0 && token != JsonToken.START_OBJECT) {
+                throw new MalformedStreamException("no object, but " + token);
             }
             object.copyCurrentEvent(parser);
-            depth += t.isStructStart() ? 1 : t.isStructEnd() ? -1 : 0;
+            depth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
             if (depth == 0) {
-                whole.add(JSON.readTree(object.asParserOnFirstToken()));
+                objects.add(JSON.readTree(object.asParserOnFirstToken()));
                 object = new TokenBuffer(JSON, false);
             }
         }
-        length = depth == 0 ? 0 : length;
-        if (length > LONGEST) {
-            throw new IOException("an object without an end");
+        objectBytes = depth == 0 ? 0 : objectBytes;
+        if (objectBytes > MAX_OBJECT_BYTES) {
+            throw new MalformedStreamException("an object without an end");
         }
-        return whole;
+        return objects;
     }
 }
--- a/src/main/java/sandstack/handover/ProcessMarker.java
+++ b/src/main/java/sandstack/handover/ProcessMarker.java
@@ -2,54 +2,72 @@
 
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import java.util.zip.CRC32;
 
 /**
- * What one process says of itself, with a text behind it that may be empty.
+ * The state that one process publishes of itself, with content that may be empty.
  *
- * @param relay name of the relay; another one's notice says nothing here
+ * @param relayName name of the relay; the marker of another relay is ignored
  * @param token of the process, new with each start
- * @param written when, in Unix microseconds
- * @param used descriptors that it uses
+ * @param writtenAtMicros when, in Unix microseconds
+ * @param descriptorsInUse descriptors that the process uses for connections
  */
-record ProcessMarker(String relay, String token, long written, int used, String text) {
-    private static final String FORM = "sandstack-kin 1";
+record ProcessMarker(String relayName, String token, long writtenAtMicros, int descriptorsInUse, String content) {
+    /** Name and version of the file format; processes of other builds read it. */
+    private static final String FORMAT = "sandstack-kin 1";
+    /** Format, version, relay, token, time and descriptors. */
+    private static final int HEADER_FIELDS = 6;
 
-    /** As it stands in a file: a line that ends with a checksum over all, then the text. */
-    String file() {
-        String head = FORM + " " + URLEncoder.encode(relay, StandardCharsets.UTF_8) + " " + token + " " + written + " "
-                + used;
-        return head + " " + sum(head, text) + "\n" + text;
+    private static final int RELAY_NAME_FIELD = 2;
+    private static final int TOKEN_FIELD = 3;
+    private static final int WRITTEN_AT_FIELD = 4;
+    private static final int DESCRIPTORS_FIELD = 5;
+
+    /** The form of the file: a header line that ends with a checksum over everything, then the content. */
+    String encode() {
+        String header =
+                FORMAT + " " + encodeName(relayName) + " " + token + " " + writtenAtMicros + " " + descriptorsInUse;
+        return header + " " + checksum(header, content) + "\n" + content;
     }
 
-    /** Reads a file; null where it is torn, changed, or not of this relay. */
-    static ProcessMarker read(String file, String relay) {
-        int end = file.indexOf('\n');
-        int sumAt = end < 0 ? -1 : file.lastIndexOf(' ', end);
-        if (sumAt < 0) {
-            return null;
+    /** Reads a file; empty where it is incomplete, changed, or not of this relay. */
+    static Optional<ProcessMarker> decode(String file, String relayName) {
+        int headerEnd = file.indexOf('\n');
+        int checksumSeparator = headerEnd < 0 ? -1 : file.lastIndexOf(' ', headerEnd);
+        if (checksumSeparator < 0) {
+            return Optional.empty();
         }
-        String head = file.substring(0, sumAt);
-        String text = file.substring(end + 1);
-        String[] words = head.split(" ");
-        if (words.length != 6
-                || !head.startsWith(FORM + " ")
-                || !file.substring(sumAt + 1, end).equals(sum(head, text))
-                || !words[2].equals(URLEncoder.encode(relay, StandardCharsets.UTF_8))) {
-            return null;
+        String header = file.substring(0, checksumSeparator);
+        String content = file.substring(headerEnd + 1);
+        String[] fields = header.split(" ");
+        if (fields.length != HEADER_FIELDS
+                || !header.startsWith(FORMAT + " ")
+                || !file.substring(checksumSeparator + 1, headerEnd).equals(checksum(header, content))
+                || !fields[RELAY_NAME_FIELD].equals(encodeName(relayName))) {
+            return Optional.empty();
         }
         try {
-            return new ProcessMarker(relay, words[3], Long.parseLong(words[4]), Integer.parseInt(words[5]), text);
+            return Optional.of(new ProcessMarker(
+                    relayName,
+                    fields[TOKEN_FIELD],
+                    Long.parseLong(fields[WRITTEN_AT_FIELD]),
+                    Integer.parseInt(fields[DESCRIPTORS_FIELD]),
+                    content));
         } catch (NumberFormatException e) {
-            return null;
+            return Optional.empty();
         }
     }
 
-    private static String sum(String head, String text) {
-        CRC32 sum = new CRC32();
-        sum.update(head.getBytes(StandardCharsets.UTF_8));
-        sum.update('\n');
-        sum.update(text.getBytes(StandardCharsets.UTF_8));
-        return Long.toHexString(sum.getValue());
+    private static String encodeName(String name) {
+        return URLEncoder.encode(name, StandardCharsets.UTF_8);
+    }
+
+    private static String checksum(String header, String content) {
+        CRC32 checksum = new CRC32();
+        checksum.update(header.getBytes(StandardCharsets.UTF_8));
+        checksum.update('\n');
+        checksum.update(content.getBytes(StandardCharsets.UTF_8));
+        return Long.toHexString(checksum.getValue());
     }
 }
--- a/src/main/java/sandstack/handover/SiblingProcesses.java
+++ b/src/main/java/sandstack/handover/SiblingProcesses.java
@@ -1,218 +1,250 @@
 package sandstack.handover;
 
 import java.io.IOException;
+import java.nio.charset.MalformedInputException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.LongSupplier;
 import java.util.logging.Logger;
 
 /**
- * The other processes of this relay, by marker files that each keeps in one folder. Owns this process's files there and a
- * thread that writes them and reads the others', four times a second; a beat costs one small file written and one read
- * for each process, and the list only where it has changed. Everything that it tells is told on its own thread.
+ * The other processes of this relay, seen through the marker files that each keeps in a shared folder. Owns this process's
+ * files there and a thread that writes them and reads the others', four times a second; a heartbeat costs one small file
+ * written and one read for each process, and the endpoint list only where it has changed. {@link LocalProcess} is called
+ * on that thread.
  */
 public final class SiblingProcesses implements AutoCloseable {
-    /** How often a process says that it is there. */
-    public static final long BEAT = 250_000;
-    /** Whose notice is older has gone without a word. */
-    private static final long FRESH = 2_000_000;
-    /** Files that old are left over from processes that died: deleted by whoever sees them. */
-    private static final long LEFT_OVER = 60_000_000;
-
-    private static final String PREFIX = "sandstack-";
-    private static final String NOTICE = ".kin";
-    private static final String LIST = ".list";
-    /** Files past these are not looked at, whatever somebody puts into the folder, or however long they are. */
-    private static final int MOST_FILES = 64;
-
-    private static final long LONGEST_FILE = 8L << 20;
+    /** How often a process writes its marker. */
+    public static final long HEARTBEAT_INTERVAL_MICROS = 250_000;
+    /** A process whose marker is older than this counts as dead. */
+    private static final long LIVENESS_TIMEOUT_MICROS = 2_000_000;
+    /** Older files are left over from processes that died: deleted by whichever process sees them. */
+    private static final long MAX_FILE_AGE_MICROS = 60_000_000;
+
+    private static final long MICROS_PER_MILLI = 1000;
+    private static final long CLOSE_TIMEOUT_MILLIS = 1000;
+
+    private static final String FILE_PREFIX = "sandstack-";
+    private static final String MARKER_SUFFIX = ".kin";
+    private static final String LIST_SUFFIX = ".list";
+    private static final String TEMPORARY_SUFFIX = ".aside";
+    /** Bounds the work, whatever else is in the folder. */
+    private static final int MAX_FILES = 64;
+
+    private static final long MAX_FILE_BYTES = 8L << 20;
     private static final Logger LOG = Logger.getLogger("sandstack.kin");
 
-    /** What this process says of itself, at one moment. */
-    public record Own(int used, long listNumber, String list) {}
+    /**
+     * The state of this process at one moment.
+     *
+     * @param listVersion how often the endpoint list has changed
+     * @param endpointList the list; null where its version has been written already
+     */
+    public record LocalState(int descriptorsInUse, long listVersion, String endpointList) {}
 
-    /** Asked for this process's state, told of the others'. */
-    public interface Relay {
+    /** This process: asked for its state, and notified of the others'. */
+    public interface LocalProcess {
         /**
-         * Gives this process's state; called on the thread of this class, and may wait.
+         * Returns this process's state; called on the thread of this class, and may wait.
          *
-         * @param writtenList the number of the list that was written last
-         * @return the state, with a null list where its number is still that
+         * @param writtenListVersion the version of the list that was written last
+         * @return the state, with a null list where its version is still that
          */
-        Own own(long writtenList) throws InterruptedException;
+        LocalState state(long writtenListVersion) throws InterruptedException;
 
         /**
-         * Tells of the other processes as they are now; called on the thread of this class.
+         * Receives the state of the other processes; called on the thread of this class.
          *
-         * @param used descriptors that each of the others uses
+         * @param descriptorsInUse descriptors that each of the others uses
          */
-        void others(List<Integer> used);
+        void onSiblings(List<Integer> descriptorsInUse);
     }
 
+    /**
+     * The other processes as a new one finds them.
+     *
+     * @param count how many there are
+     * @param endpointList of the one that wrote its marker last; null where there is no other or it has none
+     */
+    public record Siblings(int count, String endpointList) {}
+
     private final Path folder;
-    private final String relay;
+    private final String relayName;
     private final String token = Long.toHexString(ThreadLocalRandom.current().nextLong());
     private final LongSupplier clock;
-    private final Set<String> torn = new HashSet<>();
+    /** Files that could not be decoded; each is logged once. */
+    private final Set<String> loggedFiles = new HashSet<>();
+
     private Thread thread;
-    private long writtenList = -1;
-    private boolean failed;
-    private volatile boolean over;
+    private long writtenListVersion = -1;
+    private boolean failureLogged;
+    private volatile boolean closed;
 
     /**
      * Creates an object that writes and reads nothing yet.
      *
      * @param folder shared by the processes of the relay
-     * @param relay its name
+     * @param relayName its name
      * @param clock Unix microseconds
      */
-    public SiblingProcesses(Path folder, String relay, LongSupplier clock) {
+    public SiblingProcesses(Path folder, String relayName, LongSupplier clock) {
         this.folder = folder;
-        this.relay = relay;
+        this.relayName = relayName;
         this.clock = clock;
     }
 
-    /** The other processes that are there now. */
-    List<ProcessMarker> others() {
-        List<ProcessMarker> others = new ArrayList<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
-            int looked = 0;
+    // ---- reading ----------------------------------------------------------------------------------
+
+    /** Looks once for other processes of this relay. */
+    public Siblings find() {
+        List<ProcessMarker> markers = siblingMarkers();
+        String endpointList = markers.stream()
+                .max(Comparator.comparingLong(ProcessMarker::writtenAtMicros))
+                .flatMap(this::readEndpointList)
+                .orElse(null);
+        return new Siblings(markers.size(), endpointList);
+    }
+
+    private Optional<String> readEndpointList(ProcessMarker sibling) {
+        try {
+            return read(file(sibling.token(), LIST_SUFFIX))
+                    .filter(list -> list.token().equals(sibling.token()))
+                    .map(ProcessMarker::content);
+        } catch (IOException e) {
+            logFailureOnce("cannot be read", e);
+            return Optional.empty();
+        }
+    }
+
+    /** The markers of the other processes that are alive now. */
+    List<ProcessMarker> siblingMarkers() {
+        List<ProcessMarker> markers = new ArrayList<>();
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FILE_PREFIX + "*")) {
+            int fileCount = 0;
             for (Path file : files) {
-                if (++looked > MOST_FILES) {
+                if (++fileCount > MAX_FILES) {
                     break;
                 }
-                String name = file.getFileName().toString();
-                long age = clock.getAsLong() - Files.getLastModifiedTime(file).toMillis() * 1000;
-                if (age > LEFT_OVER) {
+                long ageMicros =
+                        clock.getAsLong() - Files.getLastModifiedTime(file).toMillis() * MICROS_PER_MILLI;
+                if (ageMicros > MAX_FILE_AGE_MICROS) {
                     Files.deleteIfExists(file);
-                } else if (name.endsWith(NOTICE) && !name.equals(PREFIX + token + NOTICE)) {
-                    ProcessMarker notice = read(file);
-                    if (notice != null && clock.getAsLong() - notice.written() < FRESH) {
-                        others.add(notice);
-                    }
+                } else if (isSiblingMarker(file)) {
+                    read(file).filter(this::isAlive).ifPresent(markers::add);
                 }
             }
         } catch (IOException e) {
-            fault("cannot be read", e);
+            logFailureOnce("cannot be read", e);
         }
-        return others;
+        return markers;
+    }
+
+    private boolean isSiblingMarker(Path file) {
+        return file.getFileName().toString().endsWith(MARKER_SUFFIX) && !file.equals(file(token, MARKER_SUFFIX));
     }
 
-    private ProcessMarker read(Path file) throws IOException {
+    private boolean isAlive(ProcessMarker marker) {
+        return clock.getAsLong() - marker.writtenAtMicros() < LIVENESS_TIMEOUT_MICROS;
+    }
+
+    private Optional<ProcessMarker> read(Path file) throws IOException {
         try {
-            ProcessMarker notice = Files.size(file) > LONGEST_FILE
-                    ? null
-                    : ProcessMarker.read(Files.readString(file, StandardCharsets.UTF_8), relay);
-            if (notice == null
-                    && torn.size() < MOST_FILES
-                    && torn.add(file.getFileName().toString())) {
-                LOG.info("passed over, not a whole notice of this relay: " + file.getFileName());
+            Optional<ProcessMarker> marker = Files.size(file) > MAX_FILE_BYTES
+                    ? Optional.empty()
+                    : ProcessMarker.decode(Files.readString(file, StandardCharsets.UTF_8), relayName);
+            String name = file.getFileName().toString();
+            if (marker.isEmpty() && loggedFiles.size() < MAX_FILES && loggedFiles.add(name)) {
+                LOG.info("passed over, not a whole notice of this relay: " + name);
             }
-            return notice;
-        } catch (java.nio.file.NoSuchFileException | java.nio.charset.MalformedInputException e) {
-            // replaced or taken away in between, or no text at all
-            return null;
+            return marker;
+        } catch (NoSuchFileException | MalformedInputException e) {
+            // replaced or deleted meanwhile, or no text at all
+            return Optional.empty();
         }
     }
 
-    /**
-     * The other processes as a new one finds them.
-     *
-     * @param count how many there are
-     * @param list of the one that wrote its notice last; null where there is no other or it has none
-     */
-    public record Found(int count, String list) {}
-
-    /** Looks once for other processes of this relay. */
-    public Found find() {
-        List<ProcessMarker> there = others();
-        return new Found(
-                there.size(),
-                there.stream()
-                        .max(Comparator.comparingLong(ProcessMarker::written))
-                        .map(other -> {
-                            try {
-                                ProcessMarker list = read(folder.resolve(PREFIX + other.token() + LIST));
-                                return list != null && list.token().equals(other.token()) ? list.text() : null;
-                            } catch (IOException e) {
-                                fault("cannot be read", e);
-                                return null;
-                            }
-                        })
-                        .orElse(null));
-    }
+    // ---- heartbeats -------------------------------------------------------------------------------
 
-    /** Begins to say that this process is there, and to tell of the others; the first notice is written at once. */
-    public void start(Relay asked) {
-        write(NOTICE, new ProcessMarker(relay, token, clock.getAsLong(), 0, ""));
-        thread = new Thread(() -> beat(asked), "kin");
+    /** Starts to publish this process and to report the others; the first marker is written at once. */
+    public void start(LocalProcess localProcess) {
+        write(MARKER_SUFFIX, 0, "");
+        thread = new Thread(() -> runHeartbeats(localProcess), "kin");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void beat(Relay asked) {
+    private void runHeartbeats(LocalProcess localProcess) {
         try {
-            while (!over) {
-                Own own = asked.own(writtenList);
-                write(NOTICE, new ProcessMarker(relay, token, clock.getAsLong(), own.used(), ""));
-                if (own.list() != null) {
-                    write(LIST, new ProcessMarker(relay, token, clock.getAsLong(), own.used(), own.list()));
-                    writtenList = own.listNumber();
+            while (!closed) {
+                LocalState state = localProcess.state(writtenListVersion);
+                write(MARKER_SUFFIX, state.descriptorsInUse(), "");
+                if (state.endpointList() != null) {
+                    write(LIST_SUFFIX, state.descriptorsInUse(), state.endpointList());
+                    writtenListVersion = state.listVersion();
                 }
-                asked.others(others().stream().map(ProcessMarker::used).toList());
-                Thread.sleep(BEAT / 1000);
+                localProcess.onSiblings(siblingMarkers().stream()
+                        .map(ProcessMarker::descriptorsInUse)
+                        .toList());
+                Thread.sleep(HEARTBEAT_INTERVAL_MICROS / MICROS_PER_MILLI);
             }
         } catch (InterruptedException e) {
             // closed
         }
     }
 
-    /** A reader sees the file before or this one, never a half. */
-    private void write(String kind, ProcessMarker notice) {
-        Path aside = folder.resolve(PREFIX + token + ".aside");
+    /** Replaces the file atomically: a reader sees the one before or this one, never an incomplete one. */
+    private void write(String suffix, int descriptorsInUse, String content) {
+        ProcessMarker marker = new ProcessMarker(relayName, token, clock.getAsLong(), descriptorsInUse, content);
+        Path temporary = file(token, TEMPORARY_SUFFIX);
         try {
-            Files.writeString(aside, notice.file(), StandardCharsets.UTF_8);
-            Files.move(aside, folder.resolve(PREFIX + token + kind), StandardCopyOption.ATOMIC_MOVE);
-            failed = false;
+            Files.writeString(temporary, marker.encode(), StandardCharsets.UTF_8);
+            Files.move(temporary, file(token, suffix), StandardCopyOption.ATOMIC_MOVE);
+            failureLogged = false;
         } catch (IOException e) {
-            fault("cannot be written", e);
+            logFailureOnce("cannot be written", e);
         }
     }
 
-    /** Told once until it works again: the relay serves without. */
-    private void fault(String what, IOException e) {
-        if (!failed) {
-            LOG.warning("the folder for notices to this relay's other processes " + what + ": " + e);
+    private Path file(String processToken, String suffix) {
+        return folder.resolve(FILE_PREFIX + processToken + suffix);
+    }
+
+    /** Logged once until a write succeeds again: the relay serves without the folder. */
+    private void logFailureOnce(String operation, IOException cause) {
+        if (!failureLogged) {
+            LOG.warning("the folder for notices to this relay's other processes " + operation + ": " + cause);
         }
-        failed = true;
+        failureLogged = true;
     }
 
-    /** Takes this process's files away; the others stop reckoning with it. */
+    /** Deletes this process's files; the others no longer count it. */
     @Override
     public void close() {
-        over = true;
+        closed = true;
         if (thread != null) {
             thread.interrupt();
             try {
-                thread.join(1000);
+                thread.join(CLOSE_TIMEOUT_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
-        for (String kind : List.of(NOTICE, LIST, ".aside")) {
+        for (String suffix : List.of(MARKER_SUFFIX, LIST_SUFFIX, TEMPORARY_SUFFIX)) {
             try {
-                Files.deleteIfExists(folder.resolve(PREFIX + token + kind));
+                Files.deleteIfExists(file(token, suffix));
             } catch (IOException e) {
-                // it is taken for left over in time
+                // another process deletes it once it is old
             }
         }
     }
--- a/src/main/java/sandstack/measure/scale/ListProbe.java
+++ b/src/main/java/sandstack/measure/scale/ListProbe.java
@@ -86,7 +86,7 @@
     private void heard(byte[] bytes) throws IOException, InvalidConfigurationException {
         for (int from = 0; from < bytes.length; from += PIECE) {
             byte[] piece = Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + PIECE));
-            for (JsonNode object : stream.heard(piece)) {
+            for (JsonNode object : stream.feed(piece)) {
                 relay.onEndpointList(form.news(object, false));
             }
         }
--- a/src/main/java/sandstack/service/ClientListener.java
+++ b/src/main/java/sandstack/service/ClientListener.java
@@ -92,7 +92,8 @@
                 || handover.hasSiblingList()
                 || sinceStartMicros >= MAX_LIST_WAIT_MICROS;
         // the process that serves has to see this one first, and give up its part of the descriptors
-        boolean unseen = handover.processCount() > 1 && sinceStartMicros < 2 * SiblingProcesses.BEAT;
+        boolean unseen =
+                handover.processCount() > 1 && sinceStartMicros < 2 * SiblingProcesses.HEARTBEAT_INTERVAL_MICROS;
         if (!relay.endpoints().hasReadyServer() || !listed || unseen) {
             relay.deadlines()
                     .schedule(loop.nowMicros() + POLL_INTERVAL_MICROS, () -> acceptInheritedWhenReady(handover));
--- a/src/main/java/sandstack/service/ConfigurationReloader.java
+++ b/src/main/java/sandstack/service/ConfigurationReloader.java
@@ -51,7 +51,7 @@
             effectiveSettings = merged;
             loop.execute(() -> {
                 relay.applySettings(merged);
-                watch.moveTo(next.discovery());
+                watch.switchTo(next.discovery());
             });
             LOG.info("configuration read again, discovery is " + next.discovery() + ", classes are "
                     + String.join(", ", next.effectiveSettings().classNames()));
--- a/src/main/java/sandstack/service/RelayService.java
+++ b/src/main/java/sandstack/service/RelayService.java
@@ -261,7 +261,7 @@
     }
 
     private void pollDiscovery() {
-        watch.ask();
+        watch.poll();
     }
 
     // ---- stop -------------------------------------------------------------------------------------
--- a/src/main/java/sandstack/service/SiblingHandover.java
+++ b/src/main/java/sandstack/service/SiblingHandover.java
@@ -11,7 +11,7 @@
 import sandstack.config.InvalidConfigurationException;
 import sandstack.core.EndpointRegistry;
 import sandstack.core.Relay;
-import sandstack.handover.ResourceShares;
+import sandstack.handover.DescriptorQuota;
 import sandstack.handover.SiblingProcesses;
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.EventLoop;
@@ -59,13 +59,13 @@
 
     /** Counts the sibling processes; returns the endpoint list of one that serves, if there is any. */
     Optional<EndpointRegistry.Update> join() {
-        SiblingProcesses.Found found = siblings.find();
+        SiblingProcesses.Siblings found = siblings.find();
         setProcessCount(found.count() + 1);
-        if (found.list() == null) {
+        if (found.endpointList() == null) {
             return Optional.empty();
         }
         try {
-            EndpointRegistry.Update update = listFormat.kept(found.list());
+            EndpointRegistry.Update update = listFormat.kept(found.endpointList());
             hasSiblingList = true;
             LOG.info("takes over from another process, whose list has "
                     + update.endpoints().size() + " feed servers");
@@ -103,33 +103,35 @@
     }
 
     /** What the other processes are notified of, and what follows here from their state. Called on the siblings' thread. */
-    private final class LocalProcess implements SiblingProcesses.Relay {
+    private final class LocalProcess implements SiblingProcesses.LocalProcess {
         @Override
-        public SiblingProcesses.Own own(long writtenList) throws InterruptedException {
-            CompletableFuture<SiblingProcesses.Own> own = new CompletableFuture<>();
+        public SiblingProcesses.LocalState state(long writtenListVersion) throws InterruptedException {
+            CompletableFuture<SiblingProcesses.LocalState> state = new CompletableFuture<>();
             loop.execute(() -> {
                 long changeCount = relay.endpoints().changeCount();
-                own.complete(new SiblingProcesses.Own(
+                state.complete(new SiblingProcesses.LocalState(
                         admission.descriptorsInUse(),
                         changeCount,
-                        changeCount == writtenList ? null : listFormat.text(relay.endpoints())));
+                        changeCount == writtenListVersion ? null : listFormat.text(relay.endpoints())));
             });
             try {
-                return own.get();
+                return state.get();
             } catch (ExecutionException e) {
                 throw new IllegalStateException(e);
             }
         }
 
         @Override
-        public void others(List<Integer> used) {
+        public void onSiblings(List<Integer> descriptorsInUse) {
             loop.execute(() -> {
-                if (used.isEmpty() && processCount == 1) {
+                if (descriptorsInUse.isEmpty() && processCount == 1) {
                     return;
                 }
-                setProcessCount(used.size() + 1);
-                admission.setDescriptorLimit(ResourceShares.descriptors(
-                        totalDescriptors - reservedDescriptors * used.size(), admission.descriptorsInUse(), used));
+                setProcessCount(descriptorsInUse.size() + 1);
+                admission.setDescriptorLimit(DescriptorQuota.of(
+                        totalDescriptors - reservedDescriptors * descriptorsInUse.size(),
+                        admission.descriptorsInUse(),
+                        descriptorsInUse));
             });
         }
     }
--- a/src/test/java/sandstack/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/sandstack/discovery/DiscoveryWatchTest.java
@@ -34,21 +34,21 @@
 import sandstack.settings.BalancerSettingsBuilder;
 import sandstack.staleness.EndpointListStaleness;
 
-/** The watch against a discovery of the test's own. The module decides when to ask again: each failure is followed by an ask. */
+/** The watch against a discovery of the test's own. The load balancer decides when to poll again: a poll follows each failure. */
 class DiscoveryWatchTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private final EventLoop loop = new EventLoop();
-    private ServerSocket listening;
-    private ServerSocket elsewhere;
+    private ServerSocket discovery;
+    private ServerSocket otherDiscovery;
     private Relay relay;
     private DiscoveryWatch watch;
     private Socket socket;
 
     @BeforeEach
     void start() throws Exception {
-        listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        elsewhere = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        otherDiscovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         RequestClass cls =
                 new RequestClass(300_000, 2_000_000, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 0);
         BalancerSettings settings = BalancerSettingsBuilder.of(List.of(cls))
@@ -59,11 +59,11 @@
                 .slowStartInitialFraction(0.13)
                 .overloadMultiple(3)
                 .build();
-        relay = new Relay(settings, 3, loop::nowMicros, () -> watch.ask());
+        relay = new Relay(settings, 3, loop::nowMicros, () -> watch.poll());
         watch = new DiscoveryWatch(
                 loop,
                 relay,
-                new Address("127.0.0.1", listening.getLocalPort()),
+                new Address("127.0.0.1", discovery.getLocalPort()),
                 new EndpointListJson(List.of("home"), new MachineKinds(List.of())));
         relay.onEndpointList(new EndpointRegistry.Update(EndpointListKind.CACHED, 41, List.of()));
         loop.start(relay::runTurn, relay::nextTurnMicros);
@@ -72,24 +72,24 @@
     @AfterEach
     void stop() throws IOException {
         loop.stop();
-        listening.close();
-        elsewhere.close();
+        discovery.close();
+        otherDiscovery.close();
     }
 
-    /** Waits for the next ask; returns its request line. */
-    private String ask() throws IOException {
-        return ask(listening);
+    /** Waits for the next poll; returns its request line. */
+    private String awaitPoll() throws IOException {
+        return awaitPoll(discovery);
     }
 
-    private String ask(ServerSocket discovery) throws IOException {
+    private String awaitPoll(ServerSocket discovery) throws IOException {
         discovery.setSoTimeout(20_000);
         socket = discovery.accept();
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         String line = in.readLine();
         if (line == null) {
-            // a connection that the watch gave up before it had asked is no ask
-            return ask(discovery);
+            // a connection that the watch closed before its request is no poll
+            return awaitPoll(discovery);
         }
         while (!in.readLine().isEmpty()) {
             continue;
@@ -97,7 +97,7 @@
         return line;
     }
 
-    private void say(String text) throws IOException {
+    private void send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
@@ -105,14 +105,15 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private static String news(int rev, String state) {
+    private static String update(int rev, String state) {
         return "{\"rev\":" + rev + ",\"all\":false,\"targets\":[{\"uid\":\"s1\",\"endpoint\":\"127.0.0.1:9\","
                 + "\"az\":\"home\",\"pod_group\":0,\"state\":\"" + state + "\",\"capacity_hint\":1,\"boot_ms\":0}]}";
     }
 
-    private void untilPhase(EndpointState phase) throws Exception {
+    private void awaitState(EndpointState expected) throws Exception {
         EndpointState seen = null;
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10); seen != phase && System.nanoTime() < end; ) {
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+                seen != expected && System.nanoTime() < end; ) {
             CompletableFuture<EndpointState> read = new CompletableFuture<>();
             loop.execute(() -> read.complete(
                     relay.endpoints().get("s1") == null
@@ -120,59 +121,61 @@
                             : relay.endpoints().get("s1").entry().state()));
             seen = read.get(10, TimeUnit.SECONDS);
         }
-        assertThat(seen).isEqualTo(phase);
+        assertThat(seen).isEqualTo(expected);
     }
 
     @Test
-    void takesChangesHoweverTheyAreCutAndAsksFromTheLastOne() throws Exception {
-        assertThat(ask()).isEqualTo("GET /registry/instances?watch=1&from=41 HTTP/1.1");
-        String line = news(42, "ready") + "\n";
-        say(HEAD + chunk(line.substring(0, 30)) + chunk(line.substring(30) + "\n"));
-        untilPhase(EndpointState.READY);
-        say(chunk(news(43, "draining") + "\n" + news(44, "gone") + "\n"));
-        untilPhase(EndpointState.GONE);
-        say("0\r\n\r\n");
-        assertThat(ask()).isEqualTo("GET /registry/instances?watch=1&from=44 HTTP/1.1");
+    void appliesChangesHoweverTheyAreSplitAndPollsFromTheLastOne() throws Exception {
+        assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1&from=41 HTTP/1.1");
+        String line = update(42, "ready") + "\n";
+        send(HEAD + chunk(line.substring(0, 30)) + chunk(line.substring(30) + "\n"));
+        awaitState(EndpointState.READY);
+        send(chunk(update(43, "draining") + "\n" + update(44, "gone") + "\n"));
+        awaitState(EndpointState.GONE);
+        send("0\r\n\r\n");
+        assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1&from=44 HTTP/1.1");
     }
 
     @Test
-    void survivesRefusalResetNonsenseAndSilence() throws Exception {
-        ask();
-        say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-        ask();
+    void survivesErrorStatusResetMalformedDataAndSilence() throws Exception {
+        awaitPoll();
+        send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        awaitPoll();
         socket.setSoLinger(true, 0);
         socket.close();
-        ask();
-        say(HEAD + chunk("not json\n"));
-        ask();
-        // nothing at all: a watch that is silent is replaced, as its news count as told after 6 s
-        ask();
-        say(HEAD + chunk(news(42, "ready") + "\n"));
-        untilPhase(EndpointState.READY);
+        awaitPoll();
+        send(HEAD + chunk("not json\n"));
+        awaitPoll();
+        // nothing at all: a silent watch is replaced, as its updates count as known 6 s after discovery had them
+        awaitPoll();
+        send(HEAD + chunk(update(42, "ready") + "\n"));
+        awaitState(EndpointState.READY);
     }
 
-    /** Read line by line, a list that is laid out for people was no list, and the watch was asked for again and again. */
+    /** Read line by line, an indented list was no list, and the watch was opened again and again. */
     @Test
-    void readsListsThatAreIndentedOverLinesAndCutAnywhere() throws Exception {
-        ask();
-        String laidOut =
-                new ObjectMapper().readTree(news(42, "ready")).toPrettyString().replace("\n", "\r\n  ") + "\n\n";
-        say(HEAD);
+    void readsListsThatAreIndentedAndSplitAnywhere() throws Exception {
+        awaitPoll();
+        String laidOut = new ObjectMapper()
+                        .readTree(update(42, "ready"))
+                        .toPrettyString()
+                        .replace("\n", "\r\n  ") + "\n\n";
+        send(HEAD);
         for (int i = 0; i < laidOut.length(); i += 7) {
-            say(chunk(laidOut.substring(i, Math.min(laidOut.length(), i + 7))));
+            send(chunk(laidOut.substring(i, Math.min(laidOut.length(), i + 7))));
         }
-        untilPhase(EndpointState.READY);
-        say(chunk(laidOut.replace("42", "43").replace("ready", "draining") + news(44, "gone")));
-        untilPhase(EndpointState.GONE);
-        say("0\r\n\r\n");
-        assertThat(ask()).isEqualTo("GET /registry/instances?watch=1&from=44 HTTP/1.1");
+        awaitState(EndpointState.READY);
+        send(chunk(laidOut.replace("42", "43").replace("ready", "draining") + update(44, "gone")));
+        awaitState(EndpointState.GONE);
+        send("0\r\n\r\n");
+        assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1&from=44 HTTP/1.1");
     }
 
-    /** A list that comes drop by drop kept the watch alive for good, and its news were never told. */
+    /** A list that is sent a byte at a time kept the watch alive for good, and its updates were never applied. */
     @Test
-    void asksAgainWhereAListDoesNotEnd() throws Exception {
-        ask();
-        say(HEAD + chunk(news(42, "ready").substring(0, 40)));
+    void pollsAgainWhereAListIsNotCompleted() throws Exception {
+        awaitPoll();
+        send(HEAD + chunk(update(42, "ready").substring(0, 40)));
         Socket dripping = socket;
         Thread drops = new Thread(() -> {
             try {
@@ -181,50 +184,50 @@
                     Thread.sleep(100);
                 }
             } catch (IOException | InterruptedException e) {
-                // the watch has gone, or the test is over
+                // the watch has been closed, or the test has ended
             }
         });
         drops.start();
-        assertThat(ask()).isEqualTo("GET /registry/instances?watch=1&from=41 HTTP/1.1");
-        say(HEAD + chunk(news(42, "ready") + "\n"));
-        untilPhase(EndpointState.READY);
+        assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1&from=41 HTTP/1.1");
+        send(HEAD + chunk(update(42, "ready") + "\n"));
+        awaitState(EndpointState.READY);
         drops.interrupt();
     }
 
     /**
-     * Whatever is allowed after a failed call, a change counts 6 s after discovery had it and could be reached: pauses that
-     * had doubled outlasted that. The last call before the return falls silent, the one after it has to come in time.
+     * Whatever backoff a failed poll allows, a change counts 6 s after discovery had it and could be reached: a backoff that
+     * doubled was longer. The last poll before the return falls silent, the one after it has to come in time.
      */
     @Test
-    void isBackWithin6SecondsHoweverOftenCallsHaveFailed() throws Exception {
+    void recoversWithin6SecondsHoweverOftenPollsHaveFailed() throws Exception {
         for (int i = 0; i < 8; i++) {
-            ask();
-            say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+            awaitPoll();
+            send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         }
-        ask();
+        awaitPoll();
         long reachable = System.nanoTime();
-        ask();
-        say(HEAD + chunk(news(42, "draining") + "\n"));
-        untilPhase(EndpointState.DRAINING);
+        awaitPoll();
+        send(HEAD + chunk(update(42, "draining") + "\n"));
+        awaitState(EndpointState.DRAINING);
         assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - reachable)).isLessThan(6_000);
     }
 
-    private void isBackIn6SecondsAfterFallingSilent(String lastWords, int lastRev) throws Exception {
-        ask();
-        say(HEAD + chunk(news(42, "ready") + "\n"));
-        untilPhase(EndpointState.READY);
-        // alive for longer than a silent watch is kept: each empty line counts anew
+    private void recoversWithin6SecondsAfterFallingSilent(String lastWords, int lastRev) throws Exception {
+        awaitPoll();
+        send(HEAD + chunk(update(42, "ready") + "\n"));
+        awaitState(EndpointState.READY);
+        // alive for longer than the timeout of a silent watch: each empty line starts it anew
         for (int i = 0; i < 5; i++) {
-            say(chunk("\n"));
+            send(chunk("\n"));
             TimeUnit.MICROSECONDS.sleep(EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 4);
         }
-        say(lastWords);
+        send(lastWords);
         long silent = System.nanoTime();
-        assertThat(ask()).isEqualTo("GET /registry/instances?watch=1&from=" + lastRev + " HTTP/1.1");
-        say(HEAD + chunk(news(50, "gone") + "\n"));
-        untilPhase(EndpointState.GONE);
+        assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1&from=" + lastRev + " HTTP/1.1");
+        send(HEAD + chunk(update(50, "gone") + "\n"));
+        awaitState(EndpointState.GONE);
         assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - silent))
-                .as("not taken for silent before it was")
+                .as("not replaced before it was silent")
                 .isBetween(
                         EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 1_000 - 100,
                         EndpointListStaleness.MISSED_CHANGE_GRACE_MICROS / 1_000);
@@ -232,21 +235,21 @@
 
     @Test
     void aWatchThatFallsSilentLateIsReplacedInTime() throws Exception {
-        isBackIn6SecondsAfterFallingSilent(chunk(news(43, "draining") + "\n"), 43);
+        recoversWithin6SecondsAfterFallingSilent(chunk(update(43, "draining") + "\n"), 43);
     }
 
     @Test
     void aWatchThatFallsSilentLateInTheMiddleOfAListIsReplacedInTime() throws Exception {
-        isBackIn6SecondsAfterFallingSilent(chunk(news(43, "draining").substring(0, 60)), 42);
+        recoversWithin6SecondsAfterFallingSilent(chunk(update(43, "draining").substring(0, 60)), 42);
     }
 
     @Test
     void aWatchThatFallsSilentLateInTheMiddleOfAChunkIsReplacedInTime() throws Exception {
-        String chunk = chunk(news(43, "draining") + "\n");
-        isBackIn6SecondsAfterFallingSilent(chunk.substring(0, chunk.length() - 40), 42);
+        String chunk = chunk(update(43, "draining") + "\n");
+        recoversWithin6SecondsAfterFallingSilent(chunk.substring(0, chunk.length() - 40), 42);
     }
 
-    private static String whole(int rev, String... uidsAndStates) {
+    private static String fullList(int rev, String... uidsAndStates) {
         StringBuilder targets = new StringBuilder();
         for (int i = 0; i < uidsAndStates.length; i += 2) {
             targets.append(i == 0 ? "" : ",")
@@ -257,7 +260,7 @@
         return chunk("{\"rev\":" + rev + ",\"all\":true,\"targets\":[" + targets + "]}\n");
     }
 
-    private String listed() throws Exception {
+    private String listedServers() throws Exception {
         CompletableFuture<String> read = new CompletableFuture<>();
         loop.execute(() -> read.complete(relay.endpoints().endpoints().stream()
                 .map(line -> line.entry().serverId() + " " + line.entry().state())
@@ -266,75 +269,77 @@
         return read.get(10, TimeUnit.SECONDS);
     }
 
-    /** What went in the gap is told by nobody: it is only missing in the whole list, whose version may be a lower one. */
+    /** No update reports what was removed in the gap: it is only missing in the full list, whose version may be lower. */
     @ParameterizedTest
     @ValueSource(ints = {60, 7})
-    void aListThatComesWholeAfterAGapTakesThePlaceOfTheOneBefore(int rev) throws Exception {
-        ask();
-        say(HEAD + whole(50, "s1", "ready", "s2", "ready", "s3", "ready", "s4", "draining"));
-        untilPhase(EndpointState.READY);
+    void aFullListAfterAGapReplacesThePreviousOne(int rev) throws Exception {
+        awaitPoll();
+        send(HEAD + fullList(50, "s1", "ready", "s2", "ready", "s3", "ready", "s4", "draining"));
+        awaitState(EndpointState.READY);
         socket.setSoLinger(true, 0);
         socket.close();
-        assertThat(ask()).isEqualTo("GET /registry/instances?watch=1&from=50 HTTP/1.1");
-        assertThat(listed()).as("kept over the gap").isEqualTo("s1 READY, s2 READY, s3 READY, s4 DRAINING");
-        String all = whole(rev, "s2", "draining", "s3", "ready", "s5", "ready");
-        // a list that is not whole yet changes nothing
-        say(HEAD + all.substring(0, all.length() - 20));
-        assertThat(listed()).isEqualTo("s1 READY, s2 READY, s3 READY, s4 DRAINING");
-        say(all.substring(all.length() - 20));
-        untilPhase(EndpointState.GONE);
-        assertThat(listed()).isEqualTo("s2 DRAINING, s3 READY, s5 READY");
-        say("0\r\n\r\n");
-        assertThat(ask()).isEqualTo("GET /registry/instances?watch=1&from=" + rev + " HTTP/1.1");
+        assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1&from=50 HTTP/1.1");
+        assertThat(listedServers())
+                .as("the list during the gap")
+                .isEqualTo("s1 READY, s2 READY, s3 READY, s4 DRAINING");
+        String all = fullList(rev, "s2", "draining", "s3", "ready", "s5", "ready");
+        // a list that is not complete yet changes nothing
+        send(HEAD + all.substring(0, all.length() - 20));
+        assertThat(listedServers()).isEqualTo("s1 READY, s2 READY, s3 READY, s4 DRAINING");
+        send(all.substring(all.length() - 20));
+        awaitState(EndpointState.GONE);
+        assertThat(listedServers()).isEqualTo("s2 DRAINING, s3 READY, s5 READY");
+        send("0\r\n\r\n");
+        assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1&from=" + rev + " HTTP/1.1");
     }
 
-    private void moveTo(ServerSocket discovery) {
+    private void switchTo(ServerSocket discovery) {
         Address address = new Address("127.0.0.1", discovery.getLocalPort());
-        loop.execute(() -> watch.moveTo(address));
+        loop.execute(() -> watch.switchTo(address));
     }
 
-    private void theOneBeforeGoesOnTelling(Socket before) throws Exception {
+    private void previousWatchStaysInUse(Socket before) throws Exception {
         Socket current = socket;
         socket = before;
-        say(chunk(news(43, "draining") + "\n"));
-        untilPhase(EndpointState.DRAINING);
+        send(chunk(update(43, "draining") + "\n"));
+        awaitState(EndpointState.DRAINING);
         socket = current;
     }
 
     @Test
-    void movesToAnotherAddressAndKeepsTheListUntilThatOneHasToldIts() throws Exception {
-        ask();
-        say(HEAD + chunk(news(42, "ready") + "\n"));
-        untilPhase(EndpointState.READY);
+    void switchesTheAddressAndKeepsTheListUntilTheNewOneHasSentIts() throws Exception {
+        awaitPoll();
+        send(HEAD + chunk(update(42, "ready") + "\n"));
+        awaitState(EndpointState.READY);
         Socket before = socket;
-        moveTo(elsewhere);
-        // its versions are its own: nothing is asked for from the old one's
-        assertThat(ask(elsewhere)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
-        theOneBeforeGoesOnTelling(before);
-        say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-        assertThat(ask(elsewhere)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
-        untilPhase(EndpointState.DRAINING);
-        say(HEAD + chunk(news(3, "ready").replace("\"all\":false", "\"all\":true") + "\n"));
-        untilPhase(EndpointState.READY);
+        switchTo(otherDiscovery);
+        // its versions are its own: the old one's is not sent
+        assertThat(awaitPoll(otherDiscovery)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
+        previousWatchStaysInUse(before);
+        send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        assertThat(awaitPoll(otherDiscovery)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
+        awaitState(EndpointState.DRAINING);
+        send(HEAD + chunk(update(3, "ready").replace("\"all\":false", "\"all\":true") + "\n"));
+        awaitState(EndpointState.READY);
         assertThat(before.getInputStream().read())
-                .as("the watch before is ended")
+                .as("the previous watch is closed")
                 .isEqualTo(-1);
-        say("0\r\n\r\n");
-        assertThat(ask(elsewhere)).isEqualTo("GET /registry/instances?watch=1&from=3 HTTP/1.1");
+        send("0\r\n\r\n");
+        assertThat(awaitPoll(otherDiscovery)).isEqualTo("GET /registry/instances?watch=1&from=3 HTTP/1.1");
     }
 
     @Test
-    void movesAgainBeforeTheNewAddressHasTold() throws Exception {
-        ask();
-        say(HEAD + chunk(news(42, "ready") + "\n"));
-        untilPhase(EndpointState.READY);
+    void switchesAgainBeforeTheNewAddressHasSentAList() throws Exception {
+        awaitPoll();
+        send(HEAD + chunk(update(42, "ready") + "\n"));
+        awaitState(EndpointState.READY);
         Socket before = socket;
-        moveTo(elsewhere);
-        ask(elsewhere);
-        moveTo(listening);
-        assertThat(ask()).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
-        theOneBeforeGoesOnTelling(before);
-        say(HEAD + chunk(news(7, "ready").replace("\"all\":false", "\"all\":true") + "\n"));
-        untilPhase(EndpointState.READY);
+        switchTo(otherDiscovery);
+        awaitPoll(otherDiscovery);
+        switchTo(discovery);
+        assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
+        previousWatchStaysInUse(before);
+        send(HEAD + chunk(update(7, "ready").replace("\"all\":false", "\"all\":true") + "\n"));
+        awaitState(EndpointState.READY);
     }
 }
--- a/src/test/java/sandstack/handover/HandoverFormatTest.java
+++ b/src/test/java/sandstack/handover/HandoverFormatTest.java
@@ -43,11 +43,11 @@
 
     @Test
     void markersOfAnEarlierBuildAreReadAndWrittenAlike() throws IOException {
-        assertThat(marker("").file()).isEqualTo(fixture("marker.kin"));
-        assertThat(ProcessMarker.read(fixture("marker.kin"), RELAY)).isEqualTo(marker(""));
+        assertThat(marker("").encode()).isEqualTo(fixture("marker.kin"));
+        assertThat(ProcessMarker.decode(fixture("marker.kin"), RELAY)).hasValue(marker(""));
         ProcessMarker withList = marker(fixture("endpoints.json"));
-        assertThat(withList.file()).isEqualTo(fixture("marker.list"));
-        assertThat(ProcessMarker.read(fixture("marker.list"), RELAY)).isEqualTo(withList);
+        assertThat(withList.encode()).isEqualTo(fixture("marker.list"));
+        assertThat(ProcessMarker.decode(fixture("marker.list"), RELAY)).hasValue(withList);
     }
 
     @Test
@@ -75,21 +75,21 @@
         Files.copy(FIXTURES.resolve("marker.kin"), folder.resolve("sandstack-1f2e3d4c.kin"));
         Files.copy(FIXTURES.resolve("marker.list"), folder.resolve("sandstack-1f2e3d4c.list"));
         SiblingProcesses siblings = new SiblingProcesses(folder, RELAY, () -> 1_700_000_001_000_000L);
-        assertThat(siblings.find()).isEqualTo(new SiblingProcesses.Found(1, fixture("endpoints.json")));
+        assertThat(siblings.find()).isEqualTo(new SiblingProcesses.Siblings(1, fixture("endpoints.json")));
     }
 
     @Test
     void filesHaveTheNamesOfAnEarlierBuild(@TempDir Path folder) throws Exception {
         CountDownLatch listWritten = new CountDownLatch(2);
         try (SiblingProcesses siblings = new SiblingProcesses(folder, RELAY, () -> 1_700_000_001_000_000L)) {
-            siblings.start(new SiblingProcesses.Relay() {
+            siblings.start(new SiblingProcesses.LocalProcess() {
                 @Override
-                public SiblingProcesses.Own own(long writtenList) {
-                    return new SiblingProcesses.Own(5, 7, writtenList == 7 ? null : "{}");
+                public SiblingProcesses.LocalState state(long writtenListVersion) {
+                    return new SiblingProcesses.LocalState(5, 7, writtenListVersion == 7 ? null : "{}");
                 }
 
                 @Override
-                public void others(List<Integer> used) {
+                public void onSiblings(List<Integer> used) {
                     listWritten.countDown();
                 }
             });
