--- a/src/main/java/sandstack/core/AttemptCoordinator.java
+++ b/src/main/java/sandstack/core/AttemptCoordinator.java
@@ -108,9 +108,9 @@
         client.attemptStarted(attempt);
         LOG.fine(() -> {
             ClientRequest request = client.request();
-            return "execution " + client.id() + "/" + attempt.number() + " of " + request.clientKey() + " class "
-                    + request.classIndex() + " group " + request.group() + " begins at "
-                    + endpoint.entry().serverId() + (request.isAdopted() ? ", where it stood" : "");
+            return "attempt started request=" + client.id() + " attempt=" + attempt.number() + " client_key="
+                    + request.clientKey() + " class=" + request.classIndex() + " group=" + request.group()
+                    + " server=" + endpoint.entry().serverId() + " adopted=" + request.isAdopted();
         });
         attempt.start();
     }
@@ -145,8 +145,8 @@
         ClientSession client = attempt.client();
         client.cancelAnswerTimer();
         metrics.connectionEstablished(settings.className(client.request()));
-        LOG.fine(() -> "execution " + client.id() + "/" + attempt.number() + " stands at " + serverId(attempt)
-                + " after " + elapsedMicros(attempt) + " us");
+        LOG.fine(() -> "connection established request=" + client.id() + " attempt=" + attempt.number() + " server="
+                + serverId(attempt) + " elapsed_us=" + elapsedMicros(attempt));
         if (client.request().isAdopted()) {
             balancer.enqueue(new ConnectionAdopted(RequestRegistry.connectRequested(client), serverId(attempt)));
         } else {
@@ -181,8 +181,8 @@
         ClientSession client = attempt.client();
         client.attemptEnded();
         metrics.attemptEnded(outcome);
-        LOG.fine(() -> "execution " + client.id() + "/" + attempt.number() + " at " + serverId(attempt) + " ended: "
-                + outcome);
+        LOG.fine(() -> "attempt ended request=" + client.id() + " attempt=" + attempt.number() + " server="
+                + serverId(attempt) + " outcome=" + outcome);
     }
 
     private void reportEnded(ConnectionAttempt attempt, ConnectionOutcome outcome, boolean requestFinished) {
@@ -201,13 +201,13 @@
 
     void loadReported(ConnectionAttempt attempt, double load) {
         String requestId = attempt.client().id();
-        LOG.finer(() ->
-                "execution " + requestId + "/" + attempt.number() + " loads " + serverId(attempt) + " by " + load);
+        LOG.finer(() -> "load reported request=" + requestId + " attempt=" + attempt.number() + " server="
+                + serverId(attempt) + " load=" + load);
         balancer.enqueue(new LoadReported(requestId, balancerAttemptNumber(attempt), serverId(attempt), load));
     }
 
     void delayReported(ConnectionAttempt attempt, double delayMicros) {
-        LOG.fine(() -> "lines at " + serverId(attempt) + " take " + Math.round(delayMicros) + " us, as it tells");
+        LOG.fine(() -> "delay reported server=" + serverId(attempt) + " delay_us=" + Math.round(delayMicros));
         balancer.enqueue(new DelayReported(
                 attempt.client().id(), balancerAttemptNumber(attempt), serverId(attempt), delayMicros));
     }
--- a/src/main/java/sandstack/core/EndpointListUpdater.java
+++ b/src/main/java/sandstack/core/EndpointListUpdater.java
@@ -44,9 +44,10 @@
         loggedFailures.clear();
         balancer.enqueue(new EndpointListUpdate(update.kind(), update.entries()));
         for (EndpointRegistry.Endpoint endpoint : update.endpoints()) {
-            LOG.fine(() -> "name table " + update.kind() + " " + update.version() + ": " + endpoint);
+            LOG.fine(() -> "endpoint received kind=" + update.kind() + " version=" + update.version() + " address="
+                    + endpoint.host() + ":" + endpoint.port() + " entry=\"" + endpoint.entry() + "\"");
             if (update.kind() == EndpointListKind.DELTA) {
-                LOG.info("name table: " + endpoint.entry().serverId() + " is "
+                LOG.info("endpoint state changed server=" + endpoint.entry().serverId() + " state="
                         + endpoint.entry().state());
             }
         }
@@ -55,7 +56,7 @@
     void failed(String reason) {
         // a discovery agent that is away is polled many times a second
         if (loggedFailures.add(reason)) {
-            LOG.info("discovery: " + reason);
+            LOG.info("discovery watch failed reason=\"" + reason + "\"");
         }
         balancer.enqueue(new EndpointListUpdate(EndpointListKind.FAILED, List.of()));
     }
--- a/src/main/java/sandstack/core/GracefulShutdown.java
+++ b/src/main/java/sandstack/core/GracefulShutdown.java
@@ -75,7 +75,7 @@
         }
         begun = true;
         unheardPeers = peersWithoutRequest;
-        LOG.info("draining: " + requests.clients().size() + " clients to move or answer");
+        LOG.info("graceful shutdown started count=" + requests.clients().size());
         whenDrained = callback;
         startedAtMicros = clock.getAsLong();
         lastMigrationMicros = startedAtMicros
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -196,7 +196,7 @@
     /** The tenants as their directory has them now. */
     public void onTenants(List<TenantRegistry.Entry> listed) {
         if (tenants.replace(listed)) {
-            LOG.info("tenants: " + listed.size() + " listed");
+            LOG.info("tenants changed count=" + listed.size());
             balancer.enqueue(new TenantsChanged(tenants.forBalancer()));
         }
     }
--- a/src/main/java/sandstack/core/RequestRegistry.java
+++ b/src/main/java/sandstack/core/RequestRegistry.java
@@ -95,7 +95,7 @@
         if (client.isFinished() || client.isEstablished()) {
             return;
         }
-        LOG.warning("command " + client.id() + " was overdue; failed without the module's word");
+        LOG.warning("request overdue request=" + client.id());
         failWithoutBalancer(client);
     }
 
@@ -126,9 +126,10 @@
         }
         finish(client);
         client.cancelAttempt();
-        LOG.fine(() -> "command " + client.id() + " of " + client.request().clientKey() + " was answered "
-                + rejection.kind() + " " + (rejection.reason() == null ? "" : rejection.reason() + " ")
-                + rejection.retryAfterMillis() + " after " + client.attemptCount() + " executions");
+        LOG.fine(() -> "final answer sent request=" + client.id() + " client_key="
+                + client.request().clientKey() + " answer=" + rejection.kind()
+                + (rejection.reason() == null ? "" : " reason=" + rejection.reason()) + " retry_after_ms="
+                + rejection.retryAfterMillis() + " attempts=" + client.attemptCount());
         metrics.requestRejected(settings.className(client.request()), rejection.kind());
         client.sendRejection(rejection);
     }
--- a/src/main/java/sandstack/discovery/DiscoveryWatch.java
+++ b/src/main/java/sandstack/discovery/DiscoveryWatch.java
@@ -33,10 +33,13 @@
  */
 public final class DiscoveryWatch {
     private static final Logger LOG = Logger.getLogger("sandstack.discovery");
+    /** The reason may quote what discovery sent. */
+    private static final int MAX_LOGGED_REASON_LENGTH = 80;
+
     private static final String SILENCE_REASON =
-            "nothing heard for " + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 1e6 + " s";
+            "no data for " + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 1e6 + " s";
     private static final String INCOMPLETE_LIST_REASON =
-            "a list has not ended for " + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 1e6 + " s";
+            "list incomplete for " + EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 1e6 + " s";
 
     private final EventLoop loop;
     private final Relay relay;
@@ -72,7 +75,7 @@
         if (address.equals(discovery)) {
             return;
         }
-        LOG.info("discovery moves from " + discovery + " to " + address);
+        LOG.info("discovery address changed from=" + discovery + " to=" + address);
         discovery = address;
         versionKnownHere = false;
         if (previousWatch == null) {
@@ -156,14 +159,14 @@
             bytes.tryDispose();
             handleBytes(received);
             if (content.isLast()) {
-                fail("the watch has ended");
+                fail("watch ended");
             }
             return context.getStopAction();
         }
 
         @Override
         public NextAction handleClose(FilterChainContext context) {
-            fail("the watch broke");
+            fail("connection lost");
             return context.getInvokeAction();
         }
 
@@ -185,9 +188,9 @@
             } catch (IOException | InvalidConfigurationException e) {
                 String reason =
                         String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-                LOG.warning(
-                        "discovery told what cannot be read: " + reason.substring(0, Math.min(80, reason.length())));
-                fail("unreadable");
+                LOG.warning("endpoint list rejected reason=\""
+                        + reason.substring(0, Math.min(MAX_LOGGED_REASON_LENGTH, reason.length())) + "\"");
+                fail("malformed list");
             }
         }
 
--- a/src/main/java/sandstack/handover/SiblingProcesses.java
+++ b/src/main/java/sandstack/handover/SiblingProcesses.java
@@ -43,7 +43,7 @@
     private static final int MAX_FILES = 64;
 
     private static final long MAX_FILE_BYTES = 8L << 20;
-    private static final Logger LOG = Logger.getLogger("sandstack.kin");
+    private static final Logger LOG = Logger.getLogger("sandstack.handover");
 
     /**
      * The state of this process at one moment.
@@ -122,7 +122,7 @@
                     .filter(list -> list.token().equals(sibling.token()))
                     .map(ProcessMarker::content);
         } catch (IOException e) {
-            logFailureOnce("cannot be read", e);
+            logFailureOnce("read", e);
             return Optional.empty();
         }
     }
@@ -145,7 +145,7 @@
                 }
             }
         } catch (IOException e) {
-            logFailureOnce("cannot be read", e);
+            logFailureOnce("read", e);
         }
         return markers;
     }
@@ -165,7 +165,7 @@
                     : ProcessMarker.decode(Files.readString(file, StandardCharsets.UTF_8), relayName);
             String name = file.getFileName().toString();
             if (marker.isEmpty() && loggedFiles.size() < MAX_FILES && loggedFiles.add(name)) {
-                LOG.info("passed over, not a whole notice of this relay: " + name);
+                LOG.info("process marker rejected file=" + name);
             }
             return marker;
         } catch (NoSuchFileException | MalformedInputException e) {
@@ -179,7 +179,7 @@
     /** Starts to publish this process and to report the others; the first marker is written at once. */
     public void start(LocalProcess localProcess) {
         write(MARKER_SUFFIX, 0, "");
-        thread = new Thread(() -> runHeartbeats(localProcess), "kin");
+        thread = new Thread(() -> runHeartbeats(localProcess), "sibling-processes");
         thread.setDaemon(true);
         thread.start();
     }
@@ -212,7 +212,7 @@
             Files.move(temporary, file(token, suffix), StandardCopyOption.ATOMIC_MOVE);
             failureLogged = false;
         } catch (IOException e) {
-            logFailureOnce("cannot be written", e);
+            logFailureOnce("write", e);
         }
     }
 
@@ -223,7 +223,7 @@
     /** Logged once until a write succeeds again: the relay serves without the folder. */
     private void logFailureOnce(String operation, IOException cause) {
         if (!failureLogged) {
-            LOG.warning("the folder for notices to this relay's other processes " + operation + ": " + cause);
+            LOG.warning("process marker folder failed operation=" + operation + " cause=\"" + cause + "\"");
         }
         failureLogged = true;
     }
--- a/src/main/java/sandstack/measure/MeasureCapacity.java
+++ b/src/main/java/sandstack/measure/MeasureCapacity.java
@@ -16,10 +16,14 @@
  * they have to find, and machines that a neighbour takes a part of.
  */
 final class MeasureCapacity implements Measurement {
-    /** No file of ours says anything. */
-    private static final Pattern REFUSED = Pattern.compile("was answered REFUSED ([A-Z_]+) [0-9]+ after ([0-9]+)");
+    /** Reason and attempts of a rejected request, as this build and earlier ones log it. */
+    private static final Pattern REJECTED =
+            Pattern.compile("(?:answer=REJECTED reason=|was answered REFUSED )([A-Z_]+)(?: retry_after_ms=| )[0-9]+"
+                    + "(?: attempts=| after )([0-9]+)");
 
+    /** No file of ours says anything. */
     private static final Map<String, String> KNOWS_NOTHING = Map.of();
+
     private static final List<String> ROOMY = List.of("-Xmx512m", "-XX:MaxDirectMemorySize=64m");
 
     @Override
@@ -130,7 +134,7 @@
     private static Map<String, Long> causes(List<String> logs) {
         Map<String, Long> causes = new TreeMap<>();
         for (String line : logs) {
-            Matcher m = REFUSED.matcher(line);
+            Matcher m = REJECTED.matcher(line);
             if (m.find()) {
                 causes.merge(m.group(1) + " after " + m.group(2), 1L, Long::sum);
             }
--- a/src/main/java/sandstack/measure/RelayProcess.java
+++ b/src/main/java/sandstack/measure/RelayProcess.java
@@ -28,7 +28,10 @@
  */
 public final class RelayProcess implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Pattern LISTENS = Pattern.compile("listens for lines at [^ ]*:([0-9]+)$");
+    /** The port of the platform's clients, as this build and earlier ones log it. */
+    private static final Pattern LISTENS = Pattern.compile(
+            "(?:listener opened relay=.* protocol=lines address=|listens for lines at )[^ ]*:([0-9]+)$");
+
     private static final long START_SECONDS = 20;
     private static final List<String> CLASSES = List.of("order-status", "catalogue-feed", "stock-check");
 
--- a/src/main/java/sandstack/service/ClientListener.java
+++ b/src/main/java/sandstack/service/ClientListener.java
@@ -107,7 +107,7 @@
             accepting = true;
             listeners.inherited(PROTOCOL, port);
         } catch (IOException e) {
-            LOG.severe("the inherited socket cannot be used: " + e.getMessage());
+            LOG.severe("inherited socket unusable cause=\"" + e.getMessage() + "\"");
         }
     }
 
@@ -119,7 +119,7 @@
         try {
             front.pauseAccepting();
         } catch (IOException e) {
-            LOG.warning("accepting cannot be stopped: " + e.getMessage());
+            LOG.warning("accepting not paused cause=\"" + e.getMessage() + "\"");
         }
     }
 }
--- a/src/main/java/sandstack/service/ConfigurationReloader.java
+++ b/src/main/java/sandstack/service/ConfigurationReloader.java
@@ -53,14 +53,14 @@
                 relay.applySettings(merged);
                 watch.switchTo(next.discovery());
             });
-            LOG.info("configuration read again, discovery is " + next.discovery() + ", classes are "
-                    + String.join(", ", next.effectiveSettings().classNames()));
+            LOG.info("configuration reloaded discovery=" + next.discovery() + " classes="
+                    + String.join(",", next.effectiveSettings().classNames()));
             for (String difference : initialConfig.changesThatNeedRestart(next)) {
-                LOG.info("counts from the next start: " + difference);
+                LOG.info("configuration change needs restart change=\"" + difference + "\"");
             }
         } catch (InvalidConfigurationException | IllegalArgumentException e) {
             loop.execute(relay::onSettingsRejected);
-            LOG.warning("new configuration not taken, all stays as it is: " + e.getMessage());
+            LOG.warning("configuration rejected reason=\"" + e.getMessage() + "\"");
         }
     }
 }
--- a/src/main/java/sandstack/service/Listeners.java
+++ b/src/main/java/sandstack/service/Listeners.java
@@ -48,14 +48,15 @@
             throw new InvalidConfigurationException("cannot listen at " + address + ": " + e.getMessage());
         }
         descriptions.add(protocol + " at " + address.host() + ":" + port);
-        LOG.info(relayName + " listens for " + protocol + " at " + address.host() + ":" + port);
+        LOG.info("listener opened relay=" + relayName + " protocol=" + protocol + " address=" + address.host() + ":"
+                + port);
         return port;
     }
 
     /** A listener has been opened at the inherited socket. */
     void inherited(String protocol, int port) {
         descriptions.add(protocol + " at the inherited socket, port " + port);
-        LOG.info(relayName + " listens for " + protocol + " at the inherited socket, port " + port);
+        LOG.info("listener opened relay=" + relayName + " protocol=" + protocol + " socket=inherited port=" + port);
     }
 
     /** A line for each address. */
--- a/src/main/java/sandstack/service/RelayService.java
+++ b/src/main/java/sandstack/service/RelayService.java
@@ -117,8 +117,8 @@
         long heapBytes = Runtime.getRuntime().maxMemory();
         int budget = DescriptorBudget.of(allowed, heapBytes);
         if (budget < allowed) {
-            LOG.info("a heap of " + (heapBytes >> 20) + " MB bears " + budget + " of the " + allowed
-                    + " descriptors that connections may take");
+            LOG.info("descriptor limit reduced heap_mb=" + (heapBytes >> 20) + " limit=" + budget + " configured="
+                    + allowed);
         }
         return budget;
     }
@@ -285,6 +285,6 @@
         if (handover != null) {
             handover.close();
         }
-        LOG.info("stopped");
+        LOG.info("relay stopped relay=" + config.name());
     }
 }
--- a/src/main/java/sandstack/service/SiblingHandover.java
+++ b/src/main/java/sandstack/service/SiblingHandover.java
@@ -67,11 +67,11 @@
         try {
             EndpointRegistry.Update update = listFormat.kept(found.endpointList());
             hasSiblingList = true;
-            LOG.info("takes over from another process, whose list has "
-                    + update.endpoints().size() + " feed servers");
+            LOG.info("endpoint list received from sibling process count="
+                    + update.endpoints().size());
             return Optional.of(update);
         } catch (InvalidConfigurationException e) {
-            LOG.warning("the list of another process cannot be used: " + e.getMessage());
+            LOG.warning("endpoint list of sibling process rejected reason=\"" + e.getMessage() + "\"");
             return Optional.empty();
         }
     }
@@ -98,7 +98,7 @@
         if (count != processCount) {
             processCount = count;
             relay.onProcessCount(count);
-            LOG.info("processes of this relay: " + count);
+            LOG.info("process count changed count=" + count);
         }
     }
 
--- a/src/test/java/sandstack/EarlySignalTest.java
+++ b/src/test/java/sandstack/EarlySignalTest.java
@@ -36,7 +36,8 @@
 @Timeout(90)
 class EarlySignalTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    private static final Pattern LISTENS = Pattern.compile("listens for lines at 127.0.0.1:([0-9]+)");
+    private static final Pattern LISTENS =
+            Pattern.compile("listener opened relay=\\S+ protocol=lines address=127.0.0.1:([0-9]+)");
     private static final int TERMINATED = 128 + 15;
     /** The virtual machine's own word, with exit code 1, where the signal comes before any of our code is run. */
     private static final String VIRTUAL_MACHINE_NOT_STARTED = "Error occurred during initialization of VM";
@@ -127,7 +128,7 @@
     /** The one who came to the listener before the rest of the start was done was cut off without MOVE. */
     @Test
     void aSignalRightAfterTheListenerIsOpenMovesTheClientThatCameToIt() throws Exception {
-        Process relay = signalled(config(discovery.port()), "listens for lines", "input");
+        Process relay = signalled(config(discovery.port()), "protocol=lines", "input");
         BufferedReader log = relay.inputReader();
         Matcher listens = LISTENS.matcher("");
         while (!listens.reset(log.readLine()).find()) {
@@ -139,7 +140,7 @@
         relay.getOutputStream().flush();
         assertThat(hears.get(20, TimeUnit.SECONDS)).matches(EarlySignalTest::answered);
         assertThat(log.lines().toList())
-                .anyMatch(line -> line.contains("stopped"))
+                .anyMatch(line -> line.contains("relay stopped"))
                 .noneMatch(line -> line.contains("Exception"));
         assertThat(relay.waitFor()).isEqualTo(TERMINATED);
     }
@@ -148,10 +149,10 @@
     @Test
     void aSignalBeforeTheListenerIsOpenKeepsItShut() throws Exception {
         String pushed = config(Program.freePort()).replace("on_request", "pushed");
-        Process relay = signalled(pushed, "discovery: no connection");
+        Process relay = signalled(pushed, "discovery watch failed reason=\"no connection\"");
         assertThat(relay.inputReader().lines().toList())
-                .anyMatch(line -> line.contains("discovery: no connection"))
-                .noneMatch(line -> line.contains("listens") || line.contains("Exception"));
+                .anyMatch(line -> line.contains("discovery watch failed reason=\"no connection\""))
+                .noneMatch(line -> line.contains("listener opened") || line.contains("Exception"));
         assertThat(relay.waitFor()).isEqualTo(TERMINATED);
     }
 
@@ -279,7 +280,7 @@
                 process.destroy();
                 assertThat(hears.get(20, TimeUnit.SECONDS)).matches(EarlySignalTest::answered);
                 assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
-                assertThat(program.log(next)).contains("stopped").doesNotContain("Exception", "SEVERE");
+                assertThat(program.log(next)).contains("relay stopped").doesNotContain("Exception", "SEVERE");
             }
         } finally {
             program.stop();
--- a/src/test/java/sandstack/FleetSwitchTest.java
+++ b/src/test/java/sandstack/FleetSwitchTest.java
@@ -9,6 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -16,6 +17,8 @@
 /** Nobody turns the fleet on, or leaves it off, by accident: it takes the file and the command. */
 @Timeout(60)
 class FleetSwitchTest {
+    private static final Pattern LISTENS = Pattern.compile("listener opened relay=\\S+ protocol=lines ");
+
     @TempDir
     Path folder;
 
@@ -84,7 +87,7 @@
     void asShippedNothingOfItIsLoaded() throws Exception {
         Files.copy(Path.of("deploy/fleet.toml"), folder.resolve("fleet.toml"));
         Process process = start(run());
-        while (!out().contains("listens for lines")) {
+        while (!LISTENS.matcher(out()).find()) {
             assertThat(process.isAlive()).as(out()).isTrue();
         }
         assertThat(process.descendants()).isEmpty();
--- a/src/test/java/sandstack/Program.java
+++ b/src/test/java/sandstack/Program.java
@@ -136,7 +136,7 @@
 
     /** Waits until this relay serves; returns its port. */
     int port(String name) throws Exception {
-        String line = logged(name, "listens for lines");
+        String line = logged(name, " protocol=lines address=");
         return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).trim());
     }
 
--- a/src/test/java/sandstack/PushedListTest.java
+++ b/src/test/java/sandstack/PushedListTest.java
@@ -88,10 +88,10 @@
     void asksBeforeItTakesClientsAndAgainAtOnceAfterSilenceAndOutage() throws Exception {
         answer();
         tell(50, "ready");
-        untilLogged("listens for lines");
+        untilLogged(" protocol=lines address=");
 
         // silence: the watch is broken, and the next one is asked for without the pauses of a shared discovery
-        untilLogged("discovery: nothing heard");
+        untilLogged("discovery watch failed reason=\"no data for");
         long silent = System.nanoTime();
         answer();
         long asked = System.nanoTime() - silent;
@@ -101,8 +101,8 @@
         agent.close();
         watch.setSoLinger(true, 0);
         watch.close();
-        untilLogged("discovery: the watch broke");
-        untilLogged("discovery: no connection");
+        untilLogged("discovery watch failed reason=\"connection lost\"");
+        untilLogged("discovery watch failed reason=\"no connection\"");
         agent = new ServerSocket();
         agent.setReuseAddress(true);
         agent.setSoTimeout(20_000);
@@ -118,7 +118,7 @@
     /** An agent that says nothing keeps a new process waiting for a second, and not for good. */
     @Test
     void servesByTheListThatItWasGivenWhereTheAgentIsSilent() throws Exception {
-        untilLogged("listens for lines");
+        untilLogged(" protocol=lines address=");
         assertThat(relay.isAlive()).isTrue();
     }
 }
--- a/src/test/java/sandstack/RareMomentsTest.java
+++ b/src/test/java/sandstack/RareMomentsTest.java
@@ -52,7 +52,7 @@
         int port = Program.freePort();
         Process relay = program.start("", "full", program.config("full", port, DESCRIPTORS));
         int clients = program.port("full");
-        program.logged("full", "discovery: no connection");
+        program.logged("full", "discovery watch failed reason=\"no connection\"");
         long limit = DESCRIPTORS + open(relay) - IDLE;
         assertThat(new ProcessBuilder("prlimit", "--pid", "" + relay.pid(), "--nofile=" + limit + ":" + limit)
                         .start()
--- a/src/test/java/sandstack/ReloadTest.java
+++ b/src/test/java/sandstack/ReloadTest.java
@@ -131,7 +131,7 @@
 
     @Test
     void takesNewSettingsWholeAndTurnsDownWhatIsNot() throws Exception {
-        Matcher m = Pattern.compile("listens for (operators|lines) at 127.0.0.1:([0-9]+)")
+        Matcher m = Pattern.compile("listener opened relay=\\S+ protocol=(operators|lines) address=127.0.0.1:([0-9]+)")
                 .matcher("");
         while (door == 0 || clients == 0) {
             if (m.reset(log.readLine()).find()) {
@@ -177,14 +177,14 @@
         assertThat(ask(second)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
         replaceBy("{");
         signal("HUP");
-        untilLogged("new configuration not taken, all stays as it is");
+        untilLogged("configuration rejected reason=");
         replaceBy(example(first));
         signal("HUP");
         signal("HUP");
         assertThat(ask(first)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
         signal("TERM");
         signal("HUP");
-        untilLogged("stopped");
+        untilLogged("relay stopped");
         assertThat(relay.waitFor(10, TimeUnit.SECONDS)).isTrue();
         assertThat(relay.exitValue()).isEqualTo(128 + 15);
     }
--- a/src/test/java/sandstack/ReloadUnderTrafficTest.java
+++ b/src/test/java/sandstack/ReloadUnderTrafficTest.java
@@ -28,7 +28,8 @@
 /** SIGHUP after SIGHUP under steady traffic: settings and discovery change, and no client notices. */
 @Timeout(60)
 class ReloadUnderTrafficTest {
-    private static final Pattern LISTENS = Pattern.compile("listens for lines at 127.0.0.1:([0-9]+)");
+    private static final Pattern LISTENS =
+            Pattern.compile("listener opened relay=\\S+ protocol=lines address=127.0.0.1:([0-9]+)");
     private static final int RELOADS = 10;
     private static final int STANDING = 40;
     private static final long LINE_EVERY = 20_000;
@@ -157,7 +158,7 @@
         program.environment().put("PROXY_CONFIG", file.toString());
         relay = program.start();
         log = relay.inputReader();
-        untilLogged("listens for lines");
+        untilLogged(" protocol=lines address=");
         yard.run(() -> {
             for (int i = 0; i < STANDING; i++) {
                 stay.add(client());
@@ -176,7 +177,7 @@
                             .start()
                             .waitFor())
                     .isZero();
-            untilLogged("configuration read again");
+            untilLogged("configuration reloaded");
         }
         yard.run(() -> traffic = false);
         while (yard.on(this::ended) < asked - STANDING) {
--- a/src/test/java/sandstack/ReloadWhileDrainingTest.java
+++ b/src/test/java/sandstack/ReloadWhileDrainingTest.java
@@ -81,7 +81,7 @@
                 .isZero();
         program.logged(
                 "relay",
-                "configuration read again, discovery is 127.0.0.1:"
+                "configuration reloaded discovery=127.0.0.1:"
                         + discoveries.get(discovery).port());
     }
 
@@ -134,12 +134,12 @@
         come(CLIENTS);
         until(() -> count(Happened.UP) == CLIENTS);
         relay.destroy();
-        program.logged("relay", "draining: " + CLIENTS + " clients");
+        assertThat(program.logged("relay", "graceful shutdown started")).endsWith(" count=" + CLIENTS);
         reload(1, 30_000_000);
         reload(0, 300_000);
         assertThat(relay.waitFor(20, TimeUnit.SECONDS)).isTrue();
         assertThat(relay.exitValue()).isEqualTo(TERMINATED);
-        assertThat(program.log("relay")).contains("stopped").doesNotContain("SEVERE", "Exception");
+        assertThat(program.log("relay")).contains("relay stopped").doesNotContain("SEVERE", "Exception");
         assertThat(yard.on(() -> Map.copyOf(happened)))
                 .as("served, moved, and nothing else")
                 .containsOnly(Map.entry(Happened.UP, CLIENTS), Map.entry(Happened.MOVED, CLIENTS));
@@ -158,7 +158,7 @@
             discoveries.get(0).list(servers.get(0), "box", 1, "draining");
             return (int) servers.get(0).books().asked();
         });
-        program.logged("relay", "name table: s0 is DRAINING");
+        program.logged("relay", "endpoint state changed server=s0 state=DRAINING");
         reload(1, 1_000_000);
         come(CLIENTS);
         until(() -> count(Happened.UP) == 2 * CLIENTS);
--- a/src/test/java/sandstack/UpgradeTest.java
+++ b/src/test/java/sandstack/UpgradeTest.java
@@ -157,9 +157,9 @@
         assertThat(log("second"))
                 .as("it reckons with the other before it takes anybody")
                 .containsSubsequence(
-                        "processes of this relay: 2",
-                        "takes over from another process, whose list has 2",
-                        "listens for lines at the inherited socket");
+                        "process count changed count=2",
+                        "endpoint list received from sibling process count=2",
+                        " protocol=lines socket=inherited port=");
         Started third = start("third");
         second.process().destroy();
         second.process().onExit().get(20, TimeUnit.SECONDS);
@@ -181,7 +181,7 @@
         Started old = start("old");
         for (int i = 0; i < 3; i++) {
             Started dying = begin("dying" + i);
-            while (!log("dying" + i).contains("listens for operators")) {
+            while (!log("dying" + i).contains("protocol=operators address=")) {
                 assertThat(dying.process().isAlive()).isTrue();
                 Thread.onSpinWait();
             }
@@ -209,7 +209,7 @@
         // figures are told while it drains, and then it is not there any more
         assertThat(call(old.door(), "INFO")).startsWith("ACK\r\n");
         old.process().onExit().get(20, TimeUnit.SECONDS);
-        assertThat(log("old")).contains("stopped").doesNotContain("SEVERE");
+        assertThat(log("old")).contains("relay stopped").doesNotContain("SEVERE");
     }
 
     @Test
