--- a/src/main/java/sandstack/measure/CapacityMeasurement.java
+++ b/src/main/java/sandstack/measure/CapacityMeasurement.java
@@ -17,7 +17,8 @@
  */
 final class CapacityMeasurement implements Measurement {
     private static final Pattern REJECTION_LINE =
-            Pattern.compile("was answered REFUSED ([A-Z_]+) [0-9]+ after ([0-9]+)");
+            Pattern.compile("(?:answer=REJECTED reason=|was answered REFUSED )([A-Z_]+)(?: retry_after_ms=| )[0-9]+"
+                    + "(?: attempts=| after )([0-9]+)");
 
     private static final Map<String, String> NO_DEPLOY_FILES = Map.of();
     /** The platform's heap is too small for ten thousand connections. */
--- a/src/main/java/sandstack/measure/scale/EndpointListProbe.java
+++ b/src/main/java/sandstack/measure/scale/EndpointListProbe.java
@@ -89,7 +89,7 @@
     private void receive(byte[] bytes) throws IOException, InvalidConfigurationException {
         for (int from = 0; from < bytes.length; from += CHUNK_BYTES) {
             byte[] chunk = Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + CHUNK_BYTES));
-            for (JsonNode object : stream.heard(chunk)) {
+            for (JsonNode object : stream.feed(chunk)) {
                 relay.onEndpointList(json.readUpdate(object));
             }
         }
