--- a/src/main/java/sandstack/console/Console.java
+++ b/src/main/java/sandstack/console/Console.java
@@ -23,7 +23,7 @@
         this.commands = commands;
     }
 
-    /** Reads and answers until the input ends or somebody quits. */
+    /** Reads and answers until the input ends or the user quits. */
     public void run() throws IOException {
         if (System.console() == null) {
             runPlain(System.in, System.out);
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Without a terminal: a command a line in, its answer out, and no decoration. */
+    /** Without a terminal: one command per input line, its answer as plain output lines. */
     void runPlain(InputStream input, PrintStream output) throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null && !isQuit(line); line = in.readLine()) {
@@ -57,7 +57,7 @@
                 terminal.flush();
             }
         } catch (UserInterruptException | EndOfFileException e) {
-            // the ordinary ways out of a terminal
+            // the user has ended the input
         }
     }
 
--- a/src/main/java/sandstack/console/ConsoleCommands.java
+++ b/src/main/java/sandstack/console/ConsoleCommands.java
@@ -20,24 +20,29 @@
 import sandstack.core.Relay;
 import sandstack.core.TenantRegistry;
 
-/** What the console can show and do. Each answer is read off on the relay's own thread. */
+/**
+ * The commands of the console. A command runs on the relay's thread and {@link #answer} waits for it, except for those
+ * with an argument, which run on the caller's thread.
+ */
 public final class ConsoleCommands {
+    private static final int ANSWER_TIMEOUT_SECONDS = 5;
+
     private final Relay relay;
     private final Executor loop;
     private final Supplier<List<String>> listeners;
     private final Runnable drain;
     private final Map<String, Supplier<List<String>>> commands = new LinkedHashMap<>();
-    /** Commands that are followed by one more word. */
+    /** Commands with one argument, by their words before it. */
     private final Map<String, Function<String, List<String>>> commandsWithArgument = new LinkedHashMap<>();
 
     /**
      * Creates the commands of this relay.
      *
-     * @param loop runs what is given on the relay's thread
+     * @param loop runs tasks on the relay's thread
      * @param listeners a line for each address at which the relay listens
-     * @param drain begins to take the relay out of service
-     * @param additionalCommands commands of parts that are on
-     * @param additionalCommandsWithArgument the same for commands that are followed by one more word; on the caller's thread, and bounded
+     * @param drain starts a graceful shutdown
+     * @param additionalCommands commands of optional parts
+     * @param additionalCommandsWithArgument commands of optional parts with one argument, which return in bounded time
      */
     public ConsoleCommands(
             Relay relay,
@@ -58,17 +63,11 @@
         commands.put("figures", relay::metricLines);
         commands.put("drain", this::startDrain);
         commands.putAll(additionalCommands);
-        commands.put(
-                "help",
-                () -> List.of("commands: " + String.join(", ", commands.keySet())
-                        + commandsWithArgument.keySet().stream()
-                                .map(name -> ", " + name + " NAME")
-                                .collect(Collectors.joining())
-                        + ", quit"));
+        commands.put("help", this::helpLines);
         commandsWithArgument.putAll(additionalCommandsWithArgument);
     }
 
-    /** The words it understands. */
+    /** All commands, for completion. */
     Set<String> completions() {
         Set<String> completions = new LinkedHashSet<>(commands.keySet());
         completions.addAll(commandsWithArgument.keySet());
@@ -92,10 +91,14 @@
         if (command == null) {
             return List.of("no such command: " + text + "; try help");
         }
+        return runOnLoop(command);
+    }
+
+    private List<String> runOnLoop(Supplier<List<String>> command) {
         CompletableFuture<List<String>> answer = new CompletableFuture<>();
         loop.execute(() -> answer.complete(command.get()));
         try {
-            return answer.get(5, TimeUnit.SECONDS);
+            return answer.get(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return List.of("interrupted");
@@ -104,6 +107,13 @@
         }
     }
 
+    private List<String> helpLines() {
+        String withArgument = commandsWithArgument.keySet().stream()
+                .map(name -> ", " + name + " NAME")
+                .collect(Collectors.joining());
+        return List.of("commands: " + String.join(", ", commands.keySet()) + withArgument + ", quit");
+    }
+
     private List<String> listenerLines() {
         return listeners.get();
     }
--- a/src/main/java/sandstack/console/package-info.java
+++ b/src/main/java/sandstack/console/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' console of a relay that runs: commands that show or change it, on a terminal or as plain lines. Uses
+ * The console of a running relay: commands that show or change its state, on a terminal or as plain lines. Uses
  * {@code core}; commands run on the relay's thread.
  */
 package sandstack.console;
--- a/src/main/java/sandstack/directory/TenantDirectory.java
+++ b/src/main/java/sandstack/directory/TenantDirectory.java
@@ -8,6 +8,7 @@
 import com.unboundid.ldap.sdk.SearchScope;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
@@ -19,18 +20,28 @@
 import sandstack.core.TenantRegistry;
 
 /**
- * Reads the tenants from an LDAP directory, now and then, on a thread of its own: the library waits for its
- * answers. While the directory cannot be reached, the last list stays.
+ * Reads the tenants from an LDAP directory at an interval, on a thread of its own, because the library blocks. While the
+ * directory is unreachable, the last list stays in force.
  */
 public final class TenantDirectory implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("sandstack.directory");
     private static final int LDAP_TIMEOUT_MILLIS = 3_000;
+    private static final int DEFAULT_REFRESH_SECONDS = 60;
+    private static final int MILLIS_PER_SECOND = 1000;
     private static final String FILE = "directory.toml";
 
     /**
-     * Where and how the tenants are found.
+     * Address of the directory, and the search for tenants.
      *
+     * @param server address of the directory
      * @param user distinguished name to bind as; empty for none
+     * @param password of the user
+     * @param base distinguished name below which tenants are searched
+     * @param filter of the search
+     * @param name attribute of a tenant's name
+     * @param share attribute of its share of the service
+     * @param connections attribute of its connection quota
+     * @param refreshMillis interval between two searches
      */
     public record DirectoryLocation(
             Address server,
@@ -43,10 +54,10 @@
             String connections,
             long refreshMillis) {
 
-        /** Reads the file of ours. */
+        /** Reads the values of {@code directory.toml}. */
         public static DirectoryLocation read(JsonNode values) throws InvalidConfigurationException {
-            long refresh = values.path("refresh_s").asLong(60);
-            if (refresh < 1) {
+            long refreshSeconds = values.path("refresh_s").asLong(DEFAULT_REFRESH_SECONDS);
+            if (refreshSeconds < 1) {
                 throw new InvalidConfigurationException(FILE + ": refresh_s must be at least 1");
             }
             return new DirectoryLocation(
@@ -58,7 +69,7 @@
                     values.path("name").asText("cn"),
                     values.path("share").asText("sandstackShare"),
                     values.path("connections").asText("sandstackConnections"),
-                    refresh * 1000);
+                    refreshSeconds * MILLIS_PER_SECOND);
         }
     }
 
@@ -72,9 +83,9 @@
     private boolean reachable = true;
 
     /**
-     * Creates a reader, which reads nothing before {@link #start}.
+     * Creates a directory that is not read before {@link #start}.
      *
-     * @param listener takes each list that was read, on the directory's thread
+     * @param listener receives each list that was read, on the directory's thread
      */
     public TenantDirectory(DirectoryLocation location, Consumer<List<TenantRegistry.Entry>> listener) {
         this.location = location;
@@ -90,18 +101,18 @@
         try {
             listener.accept(read());
             if (!reachable) {
-                LOG.info("the directory at " + location.server() + " answers again");
+                LOG.info("directory reachable again address=" + location.server());
             }
             reachable = true;
         } catch (LDAPException e) {
             if (reachable) {
-                LOG.warning("the directory at " + location.server() + " cannot be read, the last tenants stay: "
-                        + e.getResultCode().getName());
+                LOG.warning("directory cannot be read, last tenants stay in force address=" + location.server()
+                        + " cause=\"" + e.getResultCode().getName() + "\"");
             }
             reachable = false;
         } catch (RuntimeException e) {
-            // thrown further, it would end the refreshing without a word
-            LOG.warning("fault while reading the directory: " + e);
+            // rethrown, it would silently end the scheduled refresh
+            LOG.warning("directory refresh failed address=" + location.server() + " cause=\"" + e + "\"");
         }
     }
 
@@ -115,39 +126,40 @@
             if (!location.user().isEmpty()) {
                 connection.bind(location.user(), location.password());
             }
-            List<TenantRegistry.Entry> entries = new ArrayList<>();
-            for (SearchResultEntry found : connection
-                    .search(
-                            location.base(),
-                            SearchScope.SUB,
-                            location.filter(),
-                            location.name(),
-                            location.share(),
-                            location.connections())
-                    .getSearchEntries()) {
-                TenantRegistry.Entry entry = toTenant(found);
-                if (entry != null) {
-                    entries.add(entry);
-                }
+            List<TenantRegistry.Entry> tenants = new ArrayList<>();
+            for (SearchResultEntry found : search(connection)) {
+                toTenant(found).ifPresent(tenants::add);
             }
-            return entries;
+            return tenants;
         }
     }
 
-    /** One tenant; null where the directory has no sense of it, which must not cost the others theirs. */
-    private TenantRegistry.Entry toTenant(SearchResultEntry found) {
+    private List<SearchResultEntry> search(LDAPConnection connection) throws LDAPException {
+        return connection
+                .search(
+                        location.base(),
+                        SearchScope.SUB,
+                        location.filter(),
+                        location.name(),
+                        location.share(),
+                        location.connections())
+                .getSearchEntries();
+    }
+
+    /** One tenant; empty if its attributes are invalid, which does not affect the other tenants. */
+    private Optional<TenantRegistry.Entry> toTenant(SearchResultEntry found) {
         try {
             String name = found.getAttributeValue(location.name());
             double share = Double.parseDouble(found.getAttributeValue(location.share()));
             double connections = Double.parseDouble(found.getAttributeValue(location.connections()));
             if (name != null && share >= 0 && connections >= 0 && share <= 1) {
-                return new TenantRegistry.Entry(name, share, connections);
+                return Optional.of(new TenantRegistry.Entry(name, share, connections));
             }
         } catch (NumberFormatException | NullPointerException e) {
-            // told below
+            // logged below
         }
-        LOG.warning("tenant passed over, its share or connections make no sense: " + found.getDN());
-        return null;
+        LOG.warning("tenant ignored, its share or connections are invalid dn=\"" + found.getDN() + "\"");
+        return Optional.empty();
     }
 
     @Override
--- a/src/main/java/sandstack/front/amqp/AmqpConnection.java
+++ b/src/main/java/sandstack/front/amqp/AmqpConnection.java
@@ -75,7 +75,7 @@
 
     private void onEngineFailed(Throwable cause) {
         // a protocol error of the peer is logged in one line and not as a fault of the relay
-        LOG.info(() -> "amqp: connection given up: " + cause.getMessage());
+        LOG.info(() -> "AMQP connection failed cause=\"" + cause.getMessage() + "\"");
         notifyEnded(
                 cause instanceof IdleTimeoutException
                         ? ConnectionOutcome.UNRESPONSIVE
@@ -110,7 +110,7 @@
         try {
             work.run();
         } catch (EngineStateException | IllegalStateException e) {
-            LOG.fine(() -> "amqp: " + e.getMessage());
+            LOG.fine(() -> "AMQP engine call failed cause=\"" + e.getMessage() + "\"");
             if (engine.isFailed()) {
                 return;
             }
--- a/src/main/java/sandstack/front/platform/UpstreamConnection.java
+++ b/src/main/java/sandstack/front/platform/UpstreamConnection.java
@@ -79,7 +79,7 @@
             return;
         }
         if (line.equals(PlatformProtocol.SYNTAX)) {
-            LOG.warning("a feed server did not understand a first line");
+            LOG.warning("feed server could not parse the request server=" + serverId());
         }
         failAttempt(outcomeOfAnswer(line));
     }
@@ -191,13 +191,17 @@
             try {
                 front.onLoadReport(attempt, Double.parseDouble(line.substring(PlatformProtocol.LOAD_PREFIX.length())));
             } catch (NumberFormatException e) {
-                LOG.fine("a load that is no number");
+                LOG.fine(() -> "load report is not a number server=" + serverId());
             }
         } else {
             attempt.onServerMessage();
         }
     }
 
+    private String serverId() {
+        return attempt.endpoint().entry().serverId();
+    }
+
     /** Forwards what the client has sent to the feed server. */
     void forwardClientBytes() {
         attempt.onClientMessage();
--- a/src/main/java/sandstack/net/Peer.java
+++ b/src/main/java/sandstack/net/Peer.java
@@ -266,7 +266,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "fault on a connection, which is reset", e);
+            LOG.log(Level.SEVERE, "uncaught exception in a connection, connection reset", e);
             reset();
         }
     }
--- a/src/main/java/sandstack/net/TurnSelectorHandler.java
+++ b/src/main/java/sandstack/net/TurnSelectorHandler.java
@@ -78,7 +78,7 @@
                 turn.run();
             }
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "fault in a turn", e);
+            LOG.log(Level.SEVERE, "uncaught exception in an event loop turn", e);
         }
         return proceed;
     }
