--- a/src/test/java/sandstack/config/CapacityFileTest.java
+++ b/src/test/java/sandstack/config/CapacityFileTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void readsOurOwnAndTheOneThatACommandNames() throws Exception {
+    void readsTheDeployFileAndANamedFile() throws Exception {
         assertThat(CapacityFile.read(new DeployFiles(Path.of("deploy")), null))
                 .as("as shipped")
                 .isSameAs(CapacityFile.NONE);
@@ -34,12 +34,12 @@
 
     /** What is judged on other deployments is the very command that the platform starts: it names no file of one. */
     @Test
-    void whatThePlatformStartsGoesByNoDeploymentsFile() throws Exception {
+    void theCommandOfThePlatformNamesNoCapacityFile() throws Exception {
         assertThat(Files.readString(Path.of("deploy/balancer.toml"))).doesNotContain("--capacity");
     }
 
     @Test
-    void aKindTakesWhatItLeavesOutFromAllServers() throws Exception {
+    void aKindInheritsTheValuesOfAllServers() throws Exception {
         CapacityFile file = read("enabled = true\n[servers]\nload = 5\ngroup = 2\n[kinds.big]\nconnections = 900\n");
         assertThat(file.kinds()).containsExactly("big");
         assertThat(file.statedCapacities().forKind(0).connectionsPerRating()).isEqualTo(900);
@@ -48,13 +48,13 @@
     }
 
     @Test
-    void missingOrOffStatesNothing() throws Exception {
+    void missingOrDisabledFileStatesNothing() throws Exception {
         assertThat(CapacityFile.read(new DeployFiles(folder), null)).isSameAs(CapacityFile.NONE);
         assertThat(read("enabled = false\n")).isSameAs(CapacityFile.NONE);
     }
 
     @Test
-    void aNamedFileThatIsNotThereOrWrongIsNamed() throws Exception {
+    void errorOfANamedFileHasItsPath() throws Exception {
         Path none = folder.resolve("none.toml");
         assertThatThrownBy(() -> CapacityFile.read(new DeployFiles(folder), none))
                 .isInstanceOf(InvalidConfigurationException.class)
@@ -80,7 +80,7 @@
                 "kinds = 3 | kinds is not a table: 3",
                 "[limit]§relay = 1 | limit is not known here; known are enabled, kinds, limits, servers"
             })
-    void whatCannotBeUsedIsToldInOneLine(String text, String message) {
+    void invalidValueIsReportedInOneLine(String text, String message) {
         assertThatThrownBy(() -> read("enabled = true\n" + text.replace('§', '\n')))
                 .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessageContaining("capacity.toml: " + message);
--- a/src/test/java/sandstack/config/FleetFileTest.java
+++ b/src/test/java/sandstack/config/FleetFileTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void isOffAsShippedAndWholeWhereItIsOn() throws Exception {
+    void isDisabledAsShippedAndReadWhereEnabled() throws Exception {
         assertThat(FleetFile.read(new DeployFiles(Path.of("deploy")))).isNull();
         assertThat(FleetFile.read(new DeployFiles(Path.of("examples")))).isNull();
         FleetFile file = read(GOOD + "[via]\n\"10.0.0.8:4600\" = \"127.0.0.1:99\"\n");
@@ -47,7 +47,7 @@
                 "members =             | relays = [\"n 1\"]\\nmembers = | fleet.toml: relays must be 2 to 100 letters",
                 "members =             | via = 3\\nmembers =    | fleet.toml: via is not a table: 3",
             })
-    void aMistakeIsOneLineThatNamesFileKeyAndValue(String good, String bad, String line) {
+    void invalidValueIsOneLineWithFileKeyAndValue(String good, String bad, String line) {
         String toml = GOOD.replace(
                 good.replace("\\n", "\n").strip(), bad.replace("\\n", "\n").strip());
         assertThat(toml).isNotEqualTo(GOOD);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void membersAreAListOfSome() {
+    void membersAreANonEmptyList() {
         assertThatThrownBy(() -> read(GOOD.replaceFirst("members = .*", "members = []")))
                 .hasMessage("fleet.toml: members must be a list of 1 to 1000 addresses: 0 of them");
         assertThatThrownBy(() -> read(GOOD.replaceFirst("members = .*", "members = 4")))
--- a/src/test/java/sandstack/config/PlatformConfigTest.java
+++ b/src/test/java/sandstack/config/PlatformConfigTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void variablesComeBeforeTheFile() throws Exception {
+    void variablesOverrideTheFile() throws Exception {
         PlatformConfig config =
                 read(Map.of("PROXY_CONFIG", EXAMPLE.toString(), "PROXY_LISTEN", "127.0.0.9:1", "PROXY_NAME", "n9"));
         assertThat(config.listen()).hasToString("127.0.0.9:1");
@@ -50,22 +50,22 @@
     }
 
     @Test
-    void whatCannotBeUsedIsToldInOneLine() throws Exception {
+    void invalidConfigurationIsReportedInOneLine() throws Exception {
         String good = Files.readString(EXAMPLE);
-        refused("", "settings is missing");
-        refused("{", "is not JSON");
-        refused(good.replace("127.0.0.1:3000", "3000"), "listen is not HOST:PORT: 3000");
-        refused(good.replace("\"seed\": \"", "\"seed\": \"xyz"), "seed is not a hexadecimal number");
-        refused(
+        assertRejected("", "settings is missing");
+        assertRejected("{", "is not JSON");
+        assertRejected(good.replace("127.0.0.1:3000", "3000"), "listen is not HOST:PORT: 3000");
+        assertRejected(good.replace("\"seed\": \"", "\"seed\": \"xyz"), "seed is not a hexadecimal number");
+        assertRejected(
                 good.replace("\"max_attempts\": 6", "\"max_attempts\": 0"),
                 "caps.max_attempts is not a number above 0");
-        refused(good.replace("\"state\": \"ready\"", "\"state\": \"asleep\""), "has no known state");
+        assertRejected(good.replace("\"state\": \"ready\"", "\"state\": \"asleep\""), "has no known state");
         assertThatThrownBy(() -> read(Map.of())).hasMessage("PROXY_CONFIG is not set");
         assertThatThrownBy(() -> read(Map.of("PROXY_CONFIG", folder + "/none"))).hasMessageStartingWith("cannot read");
     }
 
     @Test
-    void aFileReadAgainHasToHaveEveryKeyAndNumbersAbove0() throws Exception {
+    void reloadedFileNeedsEveryKeyAndPositiveNumbers() throws Exception {
         String good = Files.readString(EXAMPLE);
         Path file = Files.writeString(folder.resolve("config.json"), good);
         Map<String, String> env = Map.of("PROXY_CONFIG", file.toString(), "PROXY_DISCOVERY", "127.0.0.9:9");
@@ -104,7 +104,7 @@
                 .containsExactly("127.0.0.1:3000 stays, not 127.0.0.1:3001");
     }
 
-    private void refused(String text, String message) {
+    private void assertRejected(String text, String message) {
         assertThatThrownBy(() -> load(text))
                 .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessageContaining(message)
--- a/src/test/java/sandstack/console/ConsoleTest.java
+++ b/src/test/java/sandstack/console/ConsoleTest.java
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void showsWhatTheRelayHolds() throws Exception {
+    void showsTheStateOfTheRelay() throws Exception {
         relay.onEndpointList(new EndpointRegistry.Update(
                 EndpointListKind.FULL,
                 7,
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void drainsWhenTold() throws Exception {
+    void drainsOnCommand() throws Exception {
         assertThat(say("help\nquit\ndrain\n")).contains("drain").doesNotContain("draining");
         assertThat(drained).isFalse();
         assertThat(say("nonsense\ndrain\n")).contains("no such command: nonsense", "draining");
--- a/src/test/java/sandstack/directory/TenantDirectoryTest.java
+++ b/src/test/java/sandstack/directory/TenantDirectoryTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void readsNameShareAndConnectionsAndPassesOverWhatMakesNoSense() throws Exception {
+    void readsTenantsAndIgnoresInvalidOnes() throws Exception {
         try (StandInDirectory directory = new StandInDirectory()) {
             directory.entries = List.of(
                     StandInDirectory.tenant("gobi", "0.6", "120"),
@@ -37,7 +37,7 @@
 
     /** An unreachable directory must neither empty the list nor end the refreshing. */
     @Test
-    void theLastListStaysWhileTheDirectoryIsAway() throws Exception {
+    void theLastListStaysWhileTheDirectoryIsUnreachable() throws Exception {
         BlockingQueue<List<TenantRegistry.Entry>> told = new LinkedBlockingQueue<>();
         StandInDirectory directory = new StandInDirectory();
         directory.entries = List.of(StandInDirectory.tenant("gobi", "1", "10"));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aFileThatCannotBeUsedIsToldInOneLine() {
+    void invalidFileIsReportedInOneLine() {
         assertThatThrownBy(() -> where(1, "refresh_s = 0"))
                 .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessage("directory.toml: refresh_s must be at least 1");
--- a/src/test/java/sandstack/front/operators/OperatorDoorTest.java
+++ b/src/test/java/sandstack/front/operators/OperatorDoorTest.java
@@ -47,20 +47,20 @@
     }
 
     @Test
-    void saysWhetherTheProcessCanServe() throws IOException {
+    void pingTellsWhetherTheProcessCanServe() throws IOException {
         assertThat(call("PING\r\n")).isEqualTo("ACK\r\n");
         hindrance = "draining";
         assertThat(call("PING\r\n")).isEqualTo("NAK draining\r\n");
     }
 
     @Test
-    void givesTheFiguresAndALineThatEndsThem() throws IOException {
+    void infoReturnsTheMetricsAndAnEndLine() throws IOException {
         assertThat(call("INFO\r\n")).isEqualTo("ACK\r\na.b=1\r\na.c=2\r\n--\r\n");
         assertThat(call("INFO\n")).isEqualTo("ACK\r\na.b=1\r\na.c=2\r\n--\r\n");
     }
 
     @Test
-    void answersWhatMakesNoSenseWithOneLine() throws IOException {
+    void invalidCommandIsAnsweredInOneLine() throws IOException {
         for (String words : List.of(
                 "NONSENSE\r\n", "\r\n", "ping\r\n", "PING\r\nPING\r\n", "\u0000\u00ff\u0001\n", "P".repeat(4096))) {
             assertThat(call(words)).startsWith("NAK ").endsWith("\r\n").hasLineCount(1);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void answersACallThatEndsWithoutALineEnd() throws IOException {
+    void commandWithoutLineEndIsAnswered() throws IOException {
         try (Socket socket = caller("PING")) {
             socket.shutdownOutput();
             assertThat(new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void callersThatSayNothingOrHalfACallDoNotKeepOthersOut() throws IOException {
+    void silentCallersDoNotBlockOthers() throws IOException {
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
             silent.add(caller(i % 2 == 0 ? "" : "PI"));
--- a/src/test/java/sandstack/front/platform/LoadReportClassifierTest.java
+++ b/src/test/java/sandstack/front/platform/LoadReportClassifierTest.java
@@ -7,39 +7,39 @@
 /** Which figure of a feed server is a delay and which a load. */
 class LoadReportClassifierTest {
     private static final long SECOND = 1_000_000;
-    private final LoadReportClassifier lines = new LoadReportClassifier(() -> true);
+    private final LoadReportClassifier classifier = new LoadReportClassifier(() -> true);
 
     @Test
-    void aFewHundredIsAMessageThatTakesLongAndNotAConnectionThatDoesNothing() {
-        assertThat(lines.isDelay("a", 273.241, 0)).isTrue();
-        assertThat(lines.isDelay("a", 60_533.68, 100_000)).isFalse();
-        assertThat(lines.isDelay("a", 33.347, SECOND)).isTrue();
+    void smallValueIsADelay() {
+        assertThat(classifier.isDelay("a", 273.241, 0)).isTrue();
+        assertThat(classifier.isDelay("a", 60_533.68, 100_000)).isFalse();
+        assertThat(classifier.isDelay("a", 33.347, SECOND)).isTrue();
     }
 
     @Test
-    void whatCouldBeBothIsADelayOnlyWhereTheSecondsBeatGoesOn() {
-        assertThat(lines.isDelay("a", 1_200, 0)).as("out of nothing").isFalse();
-        assertThat(lines.isDelay("a", 980, SECOND)).isTrue();
-        assertThat(lines.isDelay("a", 2_100, SECOND * 2 + 10_000))
+    void ambiguousValueIsADelayOnlyAtTheReportingInterval() {
+        assertThat(classifier.isDelay("a", 1_200, 0)).as("out of nothing").isFalse();
+        assertThat(classifier.isDelay("a", 980, SECOND)).isTrue();
+        assertThat(classifier.isDelay("a", 2_100, SECOND * 2 + 10_000))
                 .as("on the beat")
                 .isTrue();
-        assertThat(lines.isDelay("a", 2_500, SECOND * 2 + 400_000))
+        assertThat(classifier.isDelay("a", 2_500, SECOND * 2 + 400_000))
                 .as("off the beat")
                 .isFalse();
-        assertThat(lines.isDelay("b", 2_500, SECOND * 3 + 10_000))
+        assertThat(classifier.isDelay("b", 2_500, SECOND * 3 + 10_000))
                 .as("another server's beat")
                 .isFalse();
-        assertThat(lines.isDelay("a", 3_000, SECOND * 3 + 10_000)).isTrue();
-        assertThat(lines.isDelay("a", 45_000, SECOND * 4 + 10_000))
+        assertThat(classifier.isDelay("a", 3_000, SECOND * 3 + 10_000)).isTrue();
+        assertThat(classifier.isDelay("a", 45_000, SECOND * 4 + 10_000))
                 .as("a load on the beat")
                 .isFalse();
     }
 
     @Test
-    void whereNoDelaysAreToldAllAreLoadsAndNonsenseIsNeverADelay() {
+    void withoutDelayReportsAllAreLoadsAndInvalidValuesAreNeverDelays() {
         assertThat(new LoadReportClassifier(() -> false).isDelay("a", 273, 0)).isFalse();
-        assertThat(lines.isDelay("a", Double.NaN, 0)).isFalse();
-        assertThat(lines.isDelay("a", -5, 0)).isFalse();
-        assertThat(lines.isDelay("a", Double.POSITIVE_INFINITY, 0)).isFalse();
+        assertThat(classifier.isDelay("a", Double.NaN, 0)).isFalse();
+        assertThat(classifier.isDelay("a", -5, 0)).isFalse();
+        assertThat(classifier.isDelay("a", Double.POSITIVE_INFINITY, 0)).isFalse();
     }
 }
--- a/src/test/java/sandstack/front/platform/FiguresTest.java
+++ b/src/test/java/sandstack/front/platform/MetricsTest.java
@@ -38,17 +38,17 @@
 
 /** The relay's figures against the books of stand-in clients and feed servers after a mixed run. */
 @Timeout(30)
-class FiguresTest {
+class MetricsTest {
     private static final List<String> CLASSES = List.of("light", "heavy");
     private static final int CLIENTS = 60;
 
-    private final StandInLoop yard = new StandInLoop();
+    private final StandInLoop standIns = new StandInLoop();
     private final EventLoop loop = new EventLoop();
-    private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Told> outcomes = new LinkedBlockingQueue<>();
     private final Relay relay;
     private final int port;
 
-    FiguresTest() throws IOException {
+    MetricsTest() throws IOException {
         relay = new Relay(
                 new EffectiveSettings(TestSettings.oneRelayWithGroups(), CLASSES, true),
                 StatedCapacities.NONE,
@@ -64,10 +64,10 @@
     @AfterEach
     void stop() throws IOException {
         loop.stop();
-        yard.close();
+        standIns.close();
     }
 
-    private Map<String, Long> figures() throws Exception {
+    private Map<String, Long> metrics() throws Exception {
         CompletableFuture<List<String>> lines = new CompletableFuture<>();
         loop.execute(() -> lines.complete(relay.metricLines()));
         Map<String, Long> figures = new HashMap<>();
@@ -81,16 +81,16 @@
     }
 
     private FeedServer server(String uid, int cap) {
-        return yard.make(() -> new FeedServer(yard, uid, "home", Machine.IDLE.holding(cap, false)));
+        return standIns.make(() -> new FeedServer(standIns, uid, "home", Machine.IDLE.holding(cap, false)));
     }
 
-    private static EndpointRegistry.Endpoint line(String uid, int at, EndpointState phase) {
+    private static EndpointRegistry.Endpoint endpoint(String uid, int at, EndpointState phase) {
         return new EndpointRegistry.Endpoint(new EndpointEntry(uid, 0, 0, 0, 0, phase, 1), "127.0.0.1", at);
     }
 
     /** Crowds that say nothing fill all that clients may use; the door's callers, silent ones too, have their own. */
     @Test
-    void areToldWithinASecondThroughoutACrowd() throws Exception {
+    void areAnsweredWithinASecondDuringABurstOfConnections() throws Exception {
         int door = new OperatorDoor(loop, relay.deadlines(), () -> null, relay::metricLines).listen("127.0.0.1", 0);
         List<Socket> crowd = new ArrayList<>();
         long latest = 0;
@@ -115,25 +115,26 @@
     }
 
     @Test
-    void equalWhatClientsAndFeedServersCounted() throws Exception {
+    void equalTheCountsOfClientsAndFeedServers() throws Exception {
         List<FeedServer> servers = List.of(server("s1", 10), server("s2", 10));
         // two that drain: in the list, and avoided
         loop.execute(() -> relay.onEndpointList(new EndpointRegistry.Update(
                 EndpointListKind.FULL,
                 1,
                 List.of(
-                        line("s1", servers.get(0).port(), EndpointState.READY),
-                                line("s2", servers.get(1).port(), EndpointState.READY),
-                        line("s3", 1, EndpointState.DRAINING), line("s4", 1, EndpointState.DRAINING)))));
+                        endpoint("s1", servers.get(0).port(), EndpointState.READY),
+                                endpoint("s2", servers.get(1).port(), EndpointState.READY),
+                        endpoint("s3", 1, EndpointState.DRAINING), endpoint("s4", 1, EndpointState.DRAINING)))));
         for (int i = 0; i < CLIENTS; i++) {
             String id = "i" + i;
             String cls = CLASSES.get(i % 2);
-            yard.on(() -> new ShopClient(yard, port, id, id, "c=" + cls + ",d=1500", 10_000_000, told::add));
+            standIns.on(
+                    () -> new ShopClient(standIns, port, id, id, "c=" + cls + ",d=1500", 10_000_000, outcomes::add));
         }
         Map<Happened, Integer> heard = new EnumMap<>(Happened.class);
         List<ShopClient> standing = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            Told next = told.take();
+            Told next = outcomes.take();
             heard.merge(next.what(), 1, Integer::sum);
             if (next.what() == Happened.UP) {
                 standing.add(next.client());
@@ -147,7 +148,7 @@
                         .isEqualTo("ERR\r\n");
             }
         }
-        Map<String, Long> figures = figures();
+        Map<String, Long> figures = metrics();
         assertThat(heard).containsOnlyKeys(Happened.UP, Happened.BUSY);
         assertThat(figures.get("responses.light.ok") + figures.get("responses.heavy.ok"))
                 .isEqualTo(heard.get(Happened.UP).longValue())
@@ -163,13 +164,13 @@
                 .containsEntry("config_rejected", 0L);
         assertThat(figures.get("pool_ejected")).isBetween(2L, 4L);
         long asked = servers.stream()
-                .mapToLong(server -> yard.on(server::books).asked())
+                .mapToLong(server -> standIns.on(server::books).asked())
                 .sum();
         assertThat(figures).containsEntry("tries", asked);
         assertThat(figures.get("responses.light.tries") + figures.get("responses.heavy.tries"))
                 .isEqualTo(asked);
-        standing.forEach(client -> yard.run(client::leave));
-        while (figures().get("active") > 0) {
+        standing.forEach(client -> standIns.run(client::leave));
+        while (metrics().get("active") > 0) {
             Thread.onSpinWait();
         }
     }
--- a/src/test/java/sandstack/front/platform/CutRequestTest.java
+++ b/src/test/java/sandstack/front/platform/PartialRequestTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sandstack.front.platform.HeldRelay.End;
+import sandstack.front.platform.PausableRelay.RemoteEnd;
 
 /**
  * A legal request cut at every byte, on real sockets: what is not whole gets a close and is not sent on, what becomes whole
  * gets the answer that it would have had in one piece, and neither leaves anything behind.
  */
 @Timeout(60)
-class CutRequestTest {
+class PartialRequestTest {
     private static final String REQUEST = "OPEN 9b1f03aa5c7e2d41 whole c=safe,d=5000,g=5c0f6e1a2b3d4c59,h=12.5\r\n";
     private static final Logger PROGRAM = Logger.getLogger("sandstack");
 
@@ -36,13 +36,13 @@
         @Override
         public void close() {}
     };
-    private HeldRelay held;
+    private PausableRelay held;
 
     @BeforeEach
     void start() throws Exception {
-        held = new HeldRelay();
-        held.server();
-        held.server();
+        held = new PausableRelay();
+        held.addServer();
+        held.addServer();
         PROGRAM.addHandler(log);
     }
 
@@ -58,127 +58,127 @@
     }
 
     /** At each byte of the request but the ends; the whole request is served after each cut, under the same id. */
-    private void cutEverywhere(Cut cut) throws Exception {
+    private void cutAtEveryByte(Cut cut) throws Exception {
         for (int bytes = 1; bytes < REQUEST.length(); bytes++) {
             cut.at(bytes);
         }
-        try (End client = held.client()) {
-            client.say(REQUEST);
-            isServed(client);
+        try (RemoteEnd client = held.client()) {
+            client.send(REQUEST);
+            assertServed(client);
         }
-        nothingIsLeft();
+        assertNothingLeft();
     }
 
     /** The next request that reaches a feed server is this client's, and its answer reaches it. */
-    private void isServed(End client) throws Exception {
-        try (End server = held.ask()) {
+    private void assertServed(RemoteEnd client) throws Exception {
+        try (RemoteEnd server = held.nextUpstreamRequest()) {
             assertThat(server.key).isEqualTo("whole");
-            server.say("UP receipt\r\n");
-            assertThat(client.hear()).isEqualTo("UP receipt");
+            server.send("UP receipt\r\n");
+            assertThat(client.readLine()).isEqualTo("UP receipt");
             // the client goes first: a feed server that ended what it has just taken would count as a full one
             client.close();
-            assertThat(server.hear()).isNull();
+            assertThat(server.readLine()).isNull();
         }
     }
 
-    private void nothingIsLeft() throws Exception {
-        held.untilOnLoop(
-                () -> held.lobby.descriptorsInUse() == 0 && held.relay.clients().isEmpty());
-        assertThat(held.noAsk()).as("requests sent on").isTrue();
+    private void assertNothingLeft() throws Exception {
+        held.awaitOnLoop(() ->
+                held.admission.descriptorsInUse() == 0 && held.relay.clients().isEmpty());
+        assertThat(held.noUpstreamRequest()).as("requests sent on").isTrue();
         assertThat(logged).isEmpty();
     }
 
     /** A client that has said so much, and whom the relay has heard. */
-    private End saying(int bytes) throws Exception {
-        End client = held.client();
-        client.say(REQUEST.substring(0, bytes));
-        held.untilOnLoop(() -> held.lobby.peersWithoutRequest() == 1);
+    private RemoteEnd saying(int bytes) throws Exception {
+        RemoteEnd client = held.client();
+        client.send(REQUEST.substring(0, bytes));
+        held.awaitOnLoop(() -> held.admission.peersWithoutRequest() == 1);
         // what was written before this turn is read in this turn or the one before
         held.onLoop(() -> {});
         return client;
     }
 
     @Test
-    void whatEndsBeforeItIsWholeIsClosedAtOnce() throws Exception {
-        cutEverywhere(bytes -> {
-            try (End client = held.client()) {
-                client.say(REQUEST.substring(0, bytes));
+    void incompleteRequestThatEndsIsClosedAtOnce() throws Exception {
+        cutAtEveryByte(bytes -> {
+            try (RemoteEnd client = held.client()) {
+                client.send(REQUEST.substring(0, bytes));
                 client.socket.shutdownOutput();
-                assertThat(client.hear()).isNull();
+                assertThat(client.readLine()).isNull();
             }
         });
     }
 
     @Test
-    void whatEndsAfterAPauseIsClosedAtOnce() throws Exception {
-        cutEverywhere(bytes -> {
-            try (End client = saying(bytes)) {
+    void incompleteRequestThatEndsAfterAPauseIsClosedAtOnce() throws Exception {
+        cutAtEveryByte(bytes -> {
+            try (RemoteEnd client = saying(bytes)) {
                 client.socket.shutdownOutput();
-                assertThat(client.hear()).isNull();
+                assertThat(client.readLine()).isNull();
             }
         });
     }
 
     @Test
-    void whatIsResetBeforeItIsWholeLeavesNothing() throws Exception {
-        cutEverywhere(bytes -> {
-            End client = held.client();
-            client.say(REQUEST.substring(0, bytes));
+    void incompleteRequestThatIsResetLeavesNothing() throws Exception {
+        cutAtEveryByte(bytes -> {
+            RemoteEnd client = held.client();
+            client.send(REQUEST.substring(0, bytes));
             client.reset();
         });
     }
 
     @Test
-    void whatIsResetAfterAPauseLeavesNothing() throws Exception {
-        cutEverywhere(bytes -> saying(bytes).reset());
+    void incompleteRequestThatIsResetAfterAPauseLeavesNothing() throws Exception {
+        cutAtEveryByte(bytes -> saying(bytes).reset());
     }
 
     @Test
-    void whatBecomesWholeAfterAPauseIsServed() throws Exception {
-        cutEverywhere(bytes -> {
-            try (End client = saying(bytes)) {
-                client.say(REQUEST.substring(bytes));
-                isServed(client);
+    void requestCompletedAfterAPauseIsServed() throws Exception {
+        cutAtEveryByte(bytes -> {
+            try (RemoteEnd client = saying(bytes)) {
+                client.send(REQUEST.substring(bytes));
+                assertServed(client);
             }
-            held.untilOnLoop(() -> held.lobby.descriptorsInUse() == 0);
+            held.awaitOnLoop(() -> held.admission.descriptorsInUse() == 0);
         });
     }
 
     @Test
-    void aRequestThatComesByteByByteIsServed() throws Exception {
-        try (End client = held.client()) {
+    void requestSentByteByByteIsServed() throws Exception {
+        try (RemoteEnd client = held.client()) {
             for (int i = 0; i < REQUEST.length(); i++) {
-                client.say(REQUEST.substring(i, i + 1));
+                client.send(REQUEST.substring(i, i + 1));
                 held.onLoop(() -> {});
             }
-            isServed(client);
+            assertServed(client);
         }
-        nothingIsLeft();
+        assertNothingLeft();
     }
 
     /** All of them at once: each is told that its time to ask is over, and who goes on then is not sent on. */
     @Test
-    void whatNeverBecomesWholeIsTurnedAwayInTime() throws Exception {
-        List<End> clients = new ArrayList<>();
+    void incompleteRequestIsRejectedAtTheTimeout() throws Exception {
+        List<RemoteEnd> clients = new ArrayList<>();
         // the relay of this test has room for so many
         for (int bytes = 1; bytes < REQUEST.length(); bytes += 3) {
-            End client = held.client();
-            client.say(REQUEST.substring(0, bytes));
+            RemoteEnd client = held.client();
+            client.send(REQUEST.substring(0, bytes));
             clients.add(client);
         }
-        for (End client : clients) {
-            assertThat(client.hear()).isEqualTo("BUSY 1000");
-            assertThat(client.hear()).isNull();
+        for (RemoteEnd client : clients) {
+            assertThat(client.readLine()).isEqualTo("BUSY 1000");
+            assertThat(client.readLine()).isNull();
         }
         for (int i = 0; i < clients.size(); i++) {
             rest(clients.get(i), REQUEST.substring(1 + 3 * i));
         }
-        nothingIsLeft();
+        assertNothingLeft();
     }
 
-    private static void rest(End client, String text) throws IOException {
+    private static void rest(RemoteEnd client, String text) throws IOException {
         try (client) {
-            client.say(text);
+            client.send(text);
         }
     }
 }
--- a/src/test/java/sandstack/front/platform/HeldRelay.java
+++ b/src/test/java/sandstack/front/platform/PausableRelay.java
@@ -40,33 +40,33 @@
  * A relay on loopback whose one thread the test can hold: what happens meanwhile lies in the kernel when it goes on, all at
  * once and whatever the machine does. So a crossing is made, not hoped for.
  */
-final class HeldRelay implements AutoCloseable {
+final class PausableRelay implements AutoCloseable {
     /** The other end of a connection of the relay's: a client, or a feed server that was asked. */
-    static final class End implements AutoCloseable {
+    static final class RemoteEnd implements AutoCloseable {
         final Socket socket;
         private final BufferedReader in;
 
-        End(Socket socket) throws IOException {
+        RemoteEnd(Socket socket) throws IOException {
             this.socket = socket;
             socket.setSoTimeout(20_000);
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         }
 
-        void say(String text) throws IOException {
+        void send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
         }
 
         /** The next line; null at the end. */
-        String hear() throws IOException {
+        String readLine() throws IOException {
             return in.readLine();
         }
 
         /** Of a request: its second word. */
         String key;
         /** Of a connection to a feed server: which. */
-        String at;
+        String server;
         /** Of a client that stands: its feed server's end. */
-        End other;
+        RemoteEnd upstreamEnd;
 
         void reset() throws IOException {
             socket.setSoLinger(true, 0);
@@ -86,16 +86,16 @@
 
     final EventLoop loop = writes.loop();
     final Relay relay;
-    final ConnectionAdmission lobby;
+    final ConnectionAdmission admission;
     private final int port;
     private final List<ServerSocket> servers = new ArrayList<>();
-    private final BlockingQueue<End> asked = new LinkedBlockingQueue<>();
+    private final BlockingQueue<RemoteEnd> upstreamConnections = new LinkedBlockingQueue<>();
     private volatile CountDownLatch released;
-    private volatile BooleanSupplier holdWhen = () -> false;
-    private volatile CountDownLatch stands;
+    private volatile BooleanSupplier pauseCondition = () -> false;
+    private volatile CountDownLatch paused;
     private int ids;
 
-    HeldRelay() throws IOException {
+    PausableRelay() throws IOException {
         BalancerSettings settings = BalancerSettingsBuilder.of(
                         List.of(cls(Idempotency.IDEMPOTENT), cls(Idempotency.NOT_IDEMPOTENT)))
                 .endpointListPolled(true)
@@ -115,9 +115,9 @@
                 5,
                 loop::nowMicros,
                 () -> {});
-        lobby = new ConnectionAdmission(loop, relay.deadlines(), 40);
+        admission = new ConnectionAdmission(loop, relay.deadlines(), 40);
         loop.start(this::turn, relay::nextTurnMicros);
-        port = new PlatformFront(loop, relay, lobby).listen("127.0.0.1", 0);
+        port = new PlatformFront(loop, relay, admission).listen("127.0.0.1", 0);
     }
 
     private static RequestClass cls(Idempotency repeat) {
@@ -126,16 +126,16 @@
 
     private void turn() {
         relay.runTurn();
-        if (holdWhen.getAsBoolean()) {
-            holdWhen = () -> false;
+        if (pauseCondition.getAsBoolean()) {
+            pauseCondition = () -> false;
             // before the next turn, as a relay is held up that has looked at its sockets already
-            loop.execute(this::stand);
+            loop.execute(this::pauseUntilReleased);
         }
     }
 
-    private void stand() {
+    private void pauseUntilReleased() {
         CountDownLatch release = released;
-        stands.countDown();
+        paused.countDown();
         try {
             release.await();
         } catch (InterruptedException e) {
@@ -144,7 +144,7 @@
     }
 
     /** A feed server that the relay knows of from now on. */
-    void server() throws Exception {
+    void addServer() throws Exception {
         ServerSocket listening = new ServerSocket(0, 50, LOOPBACK);
         servers.add(listening);
         String name = "s" + servers.size();
@@ -152,11 +152,11 @@
         accepting.setDaemon(true);
         accepting.start();
         onLoop(() -> relay.onEndpointList(new EndpointRegistry.Update(
-                EndpointListKind.DELTA, servers.size(), List.of(line(servers.size(), EndpointState.READY)))));
+                EndpointListKind.DELTA, servers.size(), List.of(endpoint(servers.size(), EndpointState.READY)))));
     }
 
     /** A line of the list for a feed server that this has made, from 1. */
-    EndpointRegistry.Endpoint line(int server, EndpointState phase) {
+    EndpointRegistry.Endpoint endpoint(int server, EndpointState phase) {
         return new EndpointRegistry.Endpoint(
                 new EndpointEntry("s" + server, 0, 0, 0, 0, phase, 1),
                 "127.0.0.1",
@@ -166,9 +166,9 @@
     private void accept(ServerSocket listening, String name) {
         try {
             while (true) {
-                End way = new End(listening.accept());
-                way.at = name;
-                asked.add(way);
+                RemoteEnd way = new RemoteEnd(listening.accept());
+                way.server = name;
+                upstreamConnections.add(way);
             }
         } catch (IOException e) {
             // the test is over
@@ -176,55 +176,55 @@
     }
 
     /** The next connection to a feed server, nothing of which has been read. */
-    End way() throws Exception {
-        End way = asked.poll(20, TimeUnit.SECONDS);
+    RemoteEnd nextUpstreamConnection() throws Exception {
+        RemoteEnd way = upstreamConnections.poll(20, TimeUnit.SECONDS);
         assertThat(way).as("a connection to a feed server").isNotNull();
         return way;
     }
 
     /** The next request that reaches a feed server. */
-    End ask() throws Exception {
-        End ask = way();
-        String line = ask.hear();
+    RemoteEnd nextUpstreamRequest() throws Exception {
+        RemoteEnd ask = nextUpstreamConnection();
+        String line = ask.readLine();
         assertThat(line).startsWith("OPEN ");
         ask.key = line.split(" ")[2];
         return ask;
     }
 
     /** Whether no connection has reached a feed server that has not been looked at. */
-    boolean noAsk() {
-        return asked.isEmpty();
+    boolean noUpstreamRequest() {
+        return upstreamConnections.isEmpty();
     }
 
-    End client() throws IOException {
-        return new End(new Socket(LOOPBACK, port));
+    RemoteEnd client() throws IOException {
+        return new RemoteEnd(new Socket(LOOPBACK, port));
     }
 
     /** The line of a request with this key, which the feed server will name. */
-    String open(String key, String cls, int millis) {
+    String openLine(String key, String cls, int millis) {
         return "OPEN id" + ++ids + " " + key + " c=" + cls + ",d=" + millis + "\r\n";
     }
 
     /** Holds the relay's thread before its next turn. */
-    void hold() throws InterruptedException {
+    void pause() throws InterruptedException {
         arm();
-        loop.execute(this::stand);
-        awaitHeld();
+        loop.execute(this::pauseUntilReleased);
+        awaitPaused();
     }
 
     /** Holds it after the first turn from now on that leaves the relay like this. */
-    void holdWhen(BooleanSupplier left) {
+    void pauseWhen(BooleanSupplier left) {
         arm();
-        holdWhen = left;
+        pauseCondition = left;
     }
 
     private void arm() {
-        stands = new CountDownLatch(1);
+        paused = new CountDownLatch(1);
         released = new CountDownLatch(1);
     }
 
-    void awaitHeld() throws InterruptedException {
-        assertThat(stands.await(20, TimeUnit.SECONDS))
+    void awaitPaused() throws InterruptedException {
+        assertThat(paused.await(20, TimeUnit.SECONDS))
                 .as("the relay's thread is held")
                 .isTrue();
     }
@@ -252,7 +252,7 @@
     }
 
     /** Waits until the relay is like this, seen on its own thread. */
-    void untilOnLoop(BooleanSupplier state) throws Exception {
+    void awaitOnLoop(BooleanSupplier state) throws Exception {
         AtomicBoolean is = new AtomicBoolean();
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); !is.get(); ) {
             assertThat(System.nanoTime()).as("until the relay is as awaited").isLessThan(end);
--- a/src/test/java/sandstack/net/DescriptorBudgetTest.java
+++ b/src/test/java/sandstack/net/DescriptorBudgetTest.java
@@ -12,23 +12,23 @@
 class DescriptorBudgetTest {
     private static final long MEGABYTE = 1L << 20;
     /** Connections at which a heap of so many megabytes was found to be spent: {@code relay.heap-limit.standing}. */
-    private static final int[][] SPENT = {{24, 3_777}, {32, 5_246}, {48, 8_154}};
+    private static final int[][] MEASURED_LIMITS = {{24, 3_777}, {32, 5_246}, {48, 8_154}};
 
     @Test
-    void staysUnderWhatSpentTheHeapsThatWereMeasured() {
-        for (int[] spent : SPENT) {
+    void staysBelowTheMeasuredHeapLimits() {
+        for (int[] spent : MEASURED_LIMITS) {
             int descriptors = DescriptorBudget.of(Integer.MAX_VALUE, spent[0] * MEGABYTE);
             assertThat(descriptors).isBetween(spent[1], 2 * spent[1] * 4 / 5);
         }
     }
 
     @Test
-    void leavesWhatAPlatformAllowsAsItIsWhereTheHeapBearsIt() {
+    void keepsTheAllowedDescriptorsWhereTheHeapSuffices() {
         assertThat(DescriptorBudget.of(1_024, 48 * MEGABYTE)).isEqualTo(1_024);
     }
 
     @Property
-    void isNeverMoreThanAllowedAndGrowsWithTheHeap(
+    void isAtMostTheAllowedAndGrowsWithTheHeap(
             @ForAll @IntRange(min = 16) int allowed, @ForAll @LongRange(min = 0, max = 1L << 40) long heap) {
         int budget = DescriptorBudget.of(allowed, heap);
         assertThat(budget).isBetween(1, allowed);
--- a/src/test/java/sandstack/net/ShortWrites.java
+++ b/src/test/java/sandstack/net/ShortWrites.java
@@ -11,7 +11,7 @@
  * every line at once.
  */
 public final class ShortWrites {
-    private volatile int most = Integer.MAX_VALUE;
+    private volatile int limitBytes = Integer.MAX_VALUE;
     private volatile String failsOn;
 
     /** A loop whose sockets are written through this. */
@@ -20,13 +20,13 @@
     }
 
     /** From now on each socket takes so many bytes in all, counted from its beginning. */
-    public void most(int bytes) {
-        most = bytes;
+    public void limit(int bytes) {
+        limitBytes = bytes;
     }
 
     /** From now on sockets take all again. */
     public void unlimited() {
-        most = Integer.MAX_VALUE;
+        limitBytes = Integer.MAX_VALUE;
     }
 
     /** From now on a write fails that begins with this text. */
@@ -58,7 +58,7 @@
             if (fails(bytes)) {
                 throw new IOException("a write that the test fails");
             }
-            int room = Math.max(0, Math.min(bytes.remaining(), most - taken));
+            int room = Math.max(0, Math.min(bytes.remaining(), limitBytes - taken));
             int written = socket.write(bytes.slice(bytes.position(), room));
             bytes.position(bytes.position() + written);
             taken += written;
--- a/src/test/java/sandstack/scenario/Actor.java
+++ b/src/test/java/sandstack/scenario/Actor.java
@@ -13,7 +13,7 @@
     /** On a feed server's side: the key that was asked for. */
     volatile String key;
     /** Its end has been heard of. */
-    boolean over;
+    boolean ended;
 
     Actor(Socket socket) {
         this.socket = socket;
@@ -40,7 +40,7 @@
 
     String next() throws InterruptedException {
         String event = events.poll(10, TimeUnit.SECONDS);
-        over = over || "end".equals(event) || "reset".equals(event);
+        ended = ended || "end".equals(event) || "reset".equals(event);
         return event == null ? "nothing for 10 s" : event;
     }
 
--- a/src/test/java/sandstack/scenario/AmqpActor.java
+++ b/src/test/java/sandstack/scenario/AmqpActor.java
@@ -139,7 +139,7 @@
             switch (words[0]) {
                 case "sasl" -> {
                     engine = EngineFactory.PROTON.createEngine();
-                    engine.saslDriver().client().setListener(new SaslAuthenticator(new NoName()));
+                    engine.saslDriver().client().setListener(new SaslAuthenticator(new AnonymousCredentials()));
                     wire();
                 }
                 case "ask", "subscribe" -> ask(words);
--- a/src/test/java/sandstack/scenario/NoName.java
+++ b/src/test/java/sandstack/scenario/AnonymousCredentials.java
@@ -4,7 +4,7 @@
 import org.apache.qpid.protonj2.engine.sasl.client.SaslCredentialsProvider;
 
 /** A client without a name. */
-final class NoName implements SaslCredentialsProvider {
+final class AnonymousCredentials implements SaslCredentialsProvider {
     @Override
     public String vhost() {
         return null;
--- a/src/test/java/sandstack/scenario/ScenarioTest.java
+++ b/src/test/java/sandstack/scenario/ScenarioTest.java
@@ -65,7 +65,7 @@
                     step(stage, actors, line.trim());
                 }
             }
-            assertThat(stage.unexpectedAsks())
+            assertThat(stage.unexpectedUpstreamRequests())
                     .as("requests that reached a feed server unexpected")
                     .isZero();
         }
@@ -80,7 +80,7 @@
         }
         Actor actor = actors.get(words[0]);
         if (actor == null) {
-            actor = words[0].startsWith("c") ? stage.client() : stage.nextAsk();
+            actor = words[0].startsWith("c") ? stage.client() : stage.nextUpstreamRequest();
             actors.put(words[0], actor);
         }
         switch (words[1]) {
@@ -88,7 +88,7 @@
             case "expect" -> {
                 assertThat(actor.next()).as(line).isEqualTo(what);
                 if (what.startsWith("ask ")) {
-                    nobodyElseIsOut(actors, words[0], line);
+                    assertNoOtherAttemptIsOpen(actors, words[0], line);
                 }
             }
             case "close" -> actor.close();
@@ -98,13 +98,13 @@
     }
 
     /** Whatever the scenario is about: two attempts for one key are never out at once. */
-    private static void nobodyElseIsOut(Map<String, Actor> actors, String name, String line)
+    private static void assertNoOtherAttemptIsOpen(Map<String, Actor> actors, String name, String line)
             throws InterruptedException {
         for (Map.Entry<String, Actor> other : actors.entrySet()) {
             if (!other.getKey().equals(name)
                     && other.getKey().startsWith("x")
                     && other.getValue().key.equals(actors.get(name).key)) {
-                while (!other.getValue().over) {
+                while (!other.getValue().ended) {
                     assertThat(other.getValue().next())
                             .as(line + " while " + other.getKey() + " is out")
                             .isIn("end", "reset", "aborted");
@@ -114,7 +114,7 @@
     }
 
     /** Waits until the figures are these; one for each class after its name, separated by commas. */
-    private static void figures(Stage stage, String wanted) throws Exception {
+    private static void assertMetrics(Stage stage, String wanted) throws Exception {
         List<String> lines = new ArrayList<>();
         for (String figure : wanted.split(" ")) {
             String name = figure.substring(0, figure.indexOf('='));
@@ -124,22 +124,22 @@
                         + "=" + values[i]);
             }
         }
-        List<String> figures = stage.figures();
+        List<String> figures = stage.metrics();
         for (int i = 0; i < 200 && !figures.containsAll(lines); i++) {
             Thread.sleep(20);
-            figures = stage.figures();
+            figures = stage.metrics();
         }
         assertThat(figures).containsAll(lines);
     }
 
     private static void relay(Stage stage, Map<String, Actor> actors, String verb, String what) throws Exception {
         switch (verb) {
-            case "servers" -> stage.servers(Integer.parseInt(what));
-            case "dead" -> stage.deadServer();
-            case "draining" -> stage.leaving(actors.get(what), EndpointState.DRAINING);
-            case "gone" -> stage.leaving(actors.get(what), EndpointState.GONE);
-            case "crowd" -> stage.crowd(Integer.parseInt(what));
-            case "dispersed" -> stage.crowdIsGone();
+            case "servers" -> stage.addServers(Integer.parseInt(what));
+            case "dead" -> stage.addUnreachableServer();
+            case "draining" -> stage.setServerState(actors.get(what), EndpointState.DRAINING);
+            case "gone" -> stage.setServerState(actors.get(what), EndpointState.GONE);
+            case "crowd" -> stage.openIdleConnections(Integer.parseInt(what));
+            case "dispersed" -> stage.awaitIdleConnectionsClosed();
             case "drain" -> stage.drain();
             case "drained" -> stage.awaitDrained();
             case "wait" -> {
@@ -147,7 +147,7 @@
                     Thread.onSpinWait();
                 }
             }
-            case "figures" -> figures(stage, what);
+            case "figures" -> assertMetrics(stage, what);
             default -> throw new IllegalArgumentException(verb);
         }
     }
--- a/src/test/java/sandstack/scenario/Stage.java
+++ b/src/test/java/sandstack/scenario/Stage.java
@@ -29,7 +29,7 @@
 final class Stage implements AutoCloseable {
     static final List<String> CLASSES = List.of("order-status", "stock-check");
     /** So many sockets the relay may hold. */
-    private static final int SOCKETS = 40;
+    private static final int MAX_DESCRIPTORS = 40;
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
@@ -37,9 +37,9 @@
     private final EventLoop loop = new EventLoop();
     private final Relay relay;
     private final int port;
-    private final List<Socket> crowd = new ArrayList<>();
+    private final List<Socket> idleConnections = new ArrayList<>();
     private final List<ServerSocket> servers = new ArrayList<>();
-    private final BlockingQueue<Actor> asked = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Actor> upstreamRequests = new LinkedBlockingQueue<>();
     private final CompletableFuture<Void> drained = new CompletableFuture<>();
     private long version;
 
@@ -53,14 +53,14 @@
                 loop::nowMicros,
                 () -> {});
         loop.start(relay::runTurn, relay::nextTurnMicros);
-        ConnectionAdmission lobby = new ConnectionAdmission(loop, relay.deadlines(), SOCKETS);
+        ConnectionAdmission admission = new ConnectionAdmission(loop, relay.deadlines(), MAX_DESCRIPTORS);
         port = amqp
-                ? new AmqpFront(loop, relay, lobby, "relay").listen("127.0.0.1", 0)
-                : new PlatformFront(loop, relay, lobby).listen("127.0.0.1", 0);
+                ? new AmqpFront(loop, relay, admission, "relay").listen("127.0.0.1", 0)
+                : new PlatformFront(loop, relay, admission).listen("127.0.0.1", 0);
     }
 
     /** Starts feed servers and lists them. */
-    void servers(int count) throws Exception {
+    void addServers(int count) throws Exception {
         for (int i = 0; i < count; i++) {
             ServerSocket listening = new ServerSocket(0, 50, LOOPBACK);
             servers.add(listening);
@@ -72,7 +72,7 @@
     }
 
     /** Lists a feed server at which nobody listens. */
-    void deadServer() throws Exception {
+    void addUnreachableServer() throws Exception {
         ServerSocket listening = new ServerSocket(0, 50, LOOPBACK);
         listening.close();
         servers.add(listening);
@@ -84,7 +84,7 @@
             while (true) {
                 Socket socket = listening.accept();
                 Actor actor = amqp ? new AmqpActor(socket, false) : new TextActor(socket);
-                asked.add(actor.start());
+                upstreamRequests.add(actor.start());
             }
         } catch (IOException e) {
             // the stage is closed
@@ -103,7 +103,7 @@
     }
 
     /** Tells the relay that the feed server at the other end of this connection is leaving. */
-    void leaving(Actor actor, EndpointState phase) throws Exception {
+    void setServerState(Actor actor, EndpointState phase) throws Exception {
         for (int i = 0; i < servers.size(); i++) {
             if (servers.get(i).getLocalPort() == actor.socket.getLocalPort()) {
                 list("s" + (i + 1), servers.get(i).getLocalPort(), phase);
@@ -119,15 +119,15 @@
     }
 
     /** So many connect and say nothing. */
-    void crowd(int count) throws IOException {
+    void openIdleConnections(int count) throws IOException {
         for (int i = 0; i < count; i++) {
-            crowd.add(new Socket(LOOPBACK, port));
+            idleConnections.add(new Socket(LOOPBACK, port));
         }
     }
 
     /** Until each of the crowd has been closed by the relay. */
-    void crowdIsGone() throws IOException {
-        for (Socket socket : crowd) {
+    void awaitIdleConnectionsClosed() throws IOException {
+        for (Socket socket : idleConnections) {
             socket.setSoTimeout(10_000);
             socket.getInputStream().readAllBytes();
             socket.close();
@@ -138,8 +138,8 @@
      * The next request that reaches a feed server. An earlier one for the same key must end by itself: two
      * attempts are never out at once.
      */
-    Actor nextAsk() throws InterruptedException {
-        Actor actor = asked.poll(10, TimeUnit.SECONDS);
+    Actor nextUpstreamRequest() throws InterruptedException {
+        Actor actor = upstreamRequests.poll(10, TimeUnit.SECONDS);
         if (actor == null) {
             throw new AssertionError("no request reached a feed server");
         }
@@ -147,8 +147,8 @@
     }
 
     /** What has reached feed servers and was not expected. */
-    int unexpectedAsks() {
-        return asked.size();
+    int unexpectedUpstreamRequests() {
+        return upstreamRequests.size();
     }
 
     void drain() {
@@ -159,7 +159,7 @@
         drained.get(10, TimeUnit.SECONDS);
     }
 
-    List<String> figures() throws Exception {
+    List<String> metrics() throws Exception {
         return onLoop(relay::metricLines);
     }
 
