--- a/src/main/java/sandstack/front/amqp/AmqpClientSession.java
+++ b/src/main/java/sandstack/front/amqp/AmqpClientSession.java
@@ -1,22 +1,15 @@
 package sandstack.front.amqp;
 
-import java.util.Map;
 import org.apache.qpid.protonj2.engine.Connection;
 import org.apache.qpid.protonj2.engine.Engine;
 import org.apache.qpid.protonj2.engine.EngineHandler;
-import org.apache.qpid.protonj2.engine.EngineHandlerContext;
-import org.apache.qpid.protonj2.engine.IncomingAMQPEnvelope;
 import org.apache.qpid.protonj2.engine.Link;
-import org.apache.qpid.protonj2.engine.OutgoingAMQPEnvelope;
 import org.apache.qpid.protonj2.engine.Receiver;
 import org.apache.qpid.protonj2.engine.Sender;
 import org.apache.qpid.protonj2.engine.Session;
 import org.apache.qpid.protonj2.engine.impl.ProtonConstants;
-import org.apache.qpid.protonj2.types.Binary;
 import org.apache.qpid.protonj2.types.messaging.Target;
 import org.apache.qpid.protonj2.types.transport.AmqpError;
-import org.apache.qpid.protonj2.types.transport.Attach;
-import org.apache.qpid.protonj2.types.transport.DeliveryState;
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 import org.apache.qpid.protonj2.types.transport.LinkError;
 import sandstack.core.ClientRequest;
@@ -40,7 +33,7 @@
     private LinkId linkId;
     private final DeliveryTracker tracker = new DeliveryTracker();
     private DeliveryTracker earlierDeliveries;
-    private Map<Binary, DeliveryState> clientUnsettled;
+    private UnsettledMapHandler unsettledMaps;
     private AmqpUpstream upstream;
     private boolean ended;
 
@@ -61,10 +54,11 @@
     /** Inserts a handler between the wire and the engine's performative handler, which consumes what it reads. */
     @Override
     public void onEngineCreated(Engine engine) {
+        unsettledMaps = new UnsettledMapHandler();
         EngineHandler performatives = engine.pipeline().first();
         engine.pipeline()
                 .removeFirst()
-                .addFirst("resuming", new UnsettledMapHandler())
+                .addFirst("resuming", unsettledMaps)
                 .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
     }
 
@@ -116,7 +110,8 @@
         linkId = new LinkId(protonConnection.getRemoteContainerId(), link.getName(), link.isReceiver());
         front.claimLink(linkId, this, () -> {
             if (!ended) {
-                earlierDeliveries = front.takeUnsettled(linkId, clientUnsettled);
+                earlierDeliveries = front.takeUnsettled(linkId, unsettledMaps.clientUnsettled());
+                unsettledMaps.setEarlierDeliveries(earlierDeliveries);
                 front.relay().accept(this, request);
             }
         });
@@ -276,28 +271,4 @@
             }
         });
     }
-
-    /**
-     * Handles the unsettled maps of attaches, which the engine does not expose: reads the client's, and writes the
-     * states of its earlier deliveries into the answer.
-     */
-    private final class UnsettledMapHandler implements EngineHandler {
-        @Override
-        public void handleRead(EngineHandlerContext context, IncomingAMQPEnvelope envelope) {
-            if (envelope.getBody() instanceof Attach attach && attach.getUnsettled() != null) {
-                clientUnsettled = attach.getUnsettled();
-            }
-            context.fireRead(envelope);
-        }
-
-        @Override
-        public void handleWrite(EngineHandlerContext context, OutgoingAMQPEnvelope envelope) {
-            if (envelope.getBody() instanceof Attach attach
-                    && earlierDeliveries != null
-                    && !earlierDeliveries.isEmpty()) {
-                attach.setUnsettled(earlierDeliveries.unsettledStates());
-            }
-            context.fireWrite(envelope);
-        }
-    }
 }
