--- a/src/test/java/sandstack/config/CapacityFileTest.java
+++ b/src/test/java/sandstack/config/CapacityFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What an operator states of the feed servers, read from our own file and from one that a command names. */
+/** Stated capacities, read from the deploy file and from one that a command names. */
 class CapacityFileTest {
     @TempDir
     Path folder;
@@ -32,7 +32,7 @@
         assertThat(theirs.statedCapacities().forKind(0).upperBound()).isTrue();
     }
 
-    /** What is judged on other deployments is the very command that the platform starts: it names no file of one. */
+    /** The platform starts the same command in every deployment, so it must not name the capacity file of one. */
     @Test
     void theCommandOfThePlatformNamesNoCapacityFile() throws Exception {
         assertThat(Files.readString(Path.of("deploy/balancer.toml"))).doesNotContain("--capacity");
--- a/src/test/java/sandstack/config/FleetFileTest.java
+++ b/src/test/java/sandstack/config/FleetFileTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** deploy/fleet.toml: read whole, each mistake one line. */
+/** {@code deploy/fleet.toml}: its values, and one error line for each invalid one. */
 class FleetFileTest {
     private static final String GOOD = "enabled = true\ninstallation = \"hq\"\nlisten = \"10.0.0.7:4600\"\n"
             + "members = [\"10.0.0.7:4600\", \"10.0.0.8:4600\"]\n";
--- a/src/test/java/sandstack/config/PlatformConfigTest.java
+++ b/src/test/java/sandstack/config/PlatformConfigTest.java
@@ -12,7 +12,7 @@
 import sandstack.decisions.EndpointListKind;
 import sandstack.decisions.EndpointState;
 
-/** The platform's configuration and the variables that come before it. */
+/** The platform's configuration and the environment variables that override it. */
 class PlatformConfigTest {
     private static final Path EXAMPLE = Path.of("examples/config.json");
 
--- a/src/test/java/sandstack/console/ConsoleTest.java
+++ b/src/test/java/sandstack/console/ConsoleTest.java
@@ -26,13 +26,13 @@
 import sandstack.decisions.RequestClass;
 import sandstack.settings.BalancerSettingsBuilder;
 
-/** The console without a terminal: a command a line in, its answer out. */
+/** The console without a terminal: one command per input line, its answer as output lines. */
 class ConsoleTest {
-    /** A client whose executions stand at once. */
-    private static final class Standing extends ClientSession {
+    /** A client whose attempts are established at once. */
+    private static final class EstablishedSession extends ClientSession {
         @Override
-        protected ConnectionAttempt.Upstream startAttempt(ConnectionAttempt execution) {
-            execution.onEstablished();
+        protected ConnectionAttempt.Upstream startAttempt(ConnectionAttempt attempt) {
+            attempt.onEstablished();
             return new ConnectionAttempt.Upstream() {
                 @Override
                 public void abandon() {}
@@ -43,10 +43,10 @@
         }
 
         @Override
-        protected void sendRejection(Rejection nack) {}
+        protected void sendRejection(Rejection rejection) {}
     }
 
-    private final long[] now = {1_000_000};
+    private final long[] nowMicros = {1_000_000};
     private final AtomicBoolean drained = new AtomicBoolean();
     private final Relay relay = new Relay(
             BalancerSettingsBuilder.of(List.of(new RequestClass(
@@ -55,10 +55,10 @@
                     .overloadMultiple(3)
                     .build(),
             1,
-            () -> now[0],
+            () -> nowMicros[0],
             () -> {});
 
-    private String say(String input) throws Exception {
+    private String run(String input) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new Console(new ConsoleCommands(
                         relay,
@@ -79,13 +79,13 @@
                 List.of(new EndpointRegistry.Endpoint(
                         new EndpointEntry("s1", 0, 0, 0, 0, EndpointState.READY, 1), "127.0.0.1", 80))));
         relay.onTenants(List.of(new TenantRegistry.Entry("gobi", 0.25, 40)));
-        ClientSession client = new Standing();
+        ClientSession client = new EstablishedSession();
         relay.accept(client, new ClientRequest("k", 0, 0, null, 1_000_000, 0, false, null));
-        ClientSession gone = new Standing();
+        ClientSession gone = new EstablishedSession();
         relay.accept(gone, new ClientRequest("l", 0, 0, null, 1_000_000, 0, false, null));
         relay.runTurn();
         gone.attempt().onEnded(ConnectionOutcome.SERVED);
-        String shown = say("listeners\nnames\nstanding\nendings\ntenants\n");
+        String shown = run("listeners\nnames\nstanding\nendings\ntenants\n");
         assertThat(shown)
                 .contains(
                         "lines at 127.0.0.1:9",
@@ -98,9 +98,9 @@
 
     @Test
     void drainsOnCommand() throws Exception {
-        assertThat(say("help\nquit\ndrain\n")).contains("drain").doesNotContain("draining");
+        assertThat(run("help\nquit\ndrain\n")).contains("drain").doesNotContain("draining");
         assertThat(drained).isFalse();
-        assertThat(say("nonsense\ndrain\n")).contains("no such command: nonsense", "draining");
+        assertThat(run("nonsense\ndrain\n")).contains("no such command: nonsense", "draining");
         assertThat(drained).isTrue();
     }
 }
--- a/src/test/java/sandstack/directory/StandInDirectory.java
+++ b/src/test/java/sandstack/directory/StandInDirectory.java
@@ -31,7 +31,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A directory of the tests' own: answers searches from a list of entries and knows one user. */
+/** An LDAP directory for tests: answers searches from a list of entries and has one user. */
 final class StandInDirectory extends LDAPListenerRequestHandler implements AutoCloseable {
     static final String USER = "cn=relay,dc=example";
     static final String PASSWORD = "felt";
--- a/src/test/java/sandstack/directory/TenantDirectoryTest.java
+++ b/src/test/java/sandstack/directory/TenantDirectoryTest.java
@@ -13,7 +13,7 @@
 import sandstack.core.TenantRegistry;
 import sandstack.directory.TenantDirectory.DirectoryLocation;
 
-/** Tenants read from a stand-in LDAP directory, also while it is away. */
+/** Tenants read from a simulated LDAP directory, also while it is unreachable. */
 class TenantDirectoryTest {
     private static DirectoryLocation where(int port, String more) throws Exception {
         return DirectoryLocation.read(new TomlMapper()
@@ -35,21 +35,21 @@
         }
     }
 
-    /** An unreachable directory must neither empty the list nor end the refreshing. */
+    /** An unreachable directory must neither empty the list nor end the scheduled refresh. */
     @Test
     void theLastListStaysWhileTheDirectoryIsUnreachable() throws Exception {
-        BlockingQueue<List<TenantRegistry.Entry>> told = new LinkedBlockingQueue<>();
+        BlockingQueue<List<TenantRegistry.Entry>> lists = new LinkedBlockingQueue<>();
         StandInDirectory directory = new StandInDirectory();
         directory.entries = List.of(StandInDirectory.tenant("gobi", "1", "10"));
         DirectoryLocation where = where(directory.port(), "refresh_s = 1");
-        try (TenantDirectory reading = new TenantDirectory(where, told::add)) {
+        try (TenantDirectory reading = new TenantDirectory(where, lists::add)) {
             reading.start();
-            assertThat(told.poll(10, TimeUnit.SECONDS)).hasSize(1);
+            assertThat(lists.poll(10, TimeUnit.SECONDS)).hasSize(1);
             directory.close();
-            for (List<TenantRegistry.Entry> more = told.poll(1500, TimeUnit.MILLISECONDS);
+            for (List<TenantRegistry.Entry> more = lists.poll(1500, TimeUnit.MILLISECONDS);
                     more != null;
-                    more = told.poll(1500, TimeUnit.MILLISECONDS)) {
-                assertThat(more).as("nothing is told of a failure").hasSize(1);
+                    more = lists.poll(1500, TimeUnit.MILLISECONDS)) {
+                assertThat(more).as("a failure delivers no list").hasSize(1);
             }
         }
     }
--- a/src/test/java/sandstack/front/operators/OperatorDoorTest.java
+++ b/src/test/java/sandstack/front/operators/OperatorDoorTest.java
@@ -14,7 +14,7 @@
 import sandstack.core.DeadlineScheduler;
 import sandstack.net.EventLoop;
 
-/** The operators' door: its answers, bad input and callers that say nothing. */
+/** The operators' port: its answers, invalid input and silent callers. */
 @Timeout(20)
 class OperatorDoorTest {
     private final EventLoop loop = new EventLoop();
@@ -85,7 +85,7 @@
         long began = System.nanoTime();
         assertThat(call("PING\r\n")).isEqualTo("ACK\r\n");
         assertThat(System.nanoTime() - began).isLessThan(1_000_000_000L);
-        // who came last is still there, and may say the rest of it
+        // the last caller is still connected, and may send the rest of its command
         Socket last = silent.get(49);
         last.getOutputStream().write("NG\r\n".getBytes(StandardCharsets.UTF_8));
         assertThat(new String(last.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
--- a/src/test/java/sandstack/front/platform/ConcurrentEventsTest.java
+++ b/src/test/java/sandstack/front/platform/ConcurrentEventsTest.java
@@ -20,88 +20,88 @@
 import sandstack.front.platform.PausableRelay.RemoteEnd;
 
 /**
- * What happens where a request, an answer or a signal comes between two lines of the relay's, on real sockets. The relay's
- * thread is held while the other side acts, so each crossing is there every time. docs/crossings.md lists them all.
+ * Events that arrive concurrently with a decision of the relay, on real sockets. The relay's thread is paused while the
+ * other side acts, so that each race is deterministic. docs/crossings.md lists all of them.
  */
 @Timeout(60)
 class ConcurrentEventsTest {
-    /** Bytes of a request's line that a full socket has taken. */
+    /** Bytes of a request that a full socket has accepted. */
     private static final int HALF_A_LINE = "OPEN id1 k c".length();
 
     private static final String OTHER_HALF = "=unsafe,d=";
 
-    private PausableRelay held;
+    private PausableRelay pausableRelay;
 
     @BeforeEach
     void start() throws Exception {
-        held = new PausableRelay();
-        held.addServer();
-        held.addServer();
+        pausableRelay = new PausableRelay();
+        pausableRelay.addServer();
+        pausableRelay.addServer();
     }
 
     @AfterEach
     void stop() throws Exception {
-        held.close();
+        pausableRelay.close();
     }
 
-    private RemoteEnd asking(String key, String cls) throws IOException {
-        RemoteEnd client = held.client();
-        client.send(held.openLine(key, cls, 2_000));
+    private RemoteEnd clientWithRequest(String key, String cls) throws IOException {
+        RemoteEnd client = pausableRelay.client();
+        client.send(pausableRelay.openLine(key, cls, 2_000));
         return client;
     }
 
-    /** Nothing was sent on in between: the next request that reaches a feed server is this one. */
+    /** Asserts that no request was forwarded in between: the next one to reach a feed server is a new one with this key. */
     private void assertNextRequest(String key) throws Exception {
-        try (RemoteEnd client = asking(key, "safe");
-                RemoteEnd ask = held.nextUpstreamRequest()) {
+        try (RemoteEnd client = clientWithRequest(key, "safe");
+                RemoteEnd ask = pausableRelay.nextUpstreamRequest()) {
             assertThat(ask.key).isEqualTo(key);
         }
     }
 
-    private RemoteEnd standing(String key) throws Exception {
-        RemoteEnd client = asking(key, "safe");
-        RemoteEnd server = held.nextUpstreamRequest();
+    private RemoteEnd establishedClient(String key) throws Exception {
+        RemoteEnd client = clientWithRequest(key, "safe");
+        RemoteEnd server = pausableRelay.nextUpstreamRequest();
         server.send("UP receipt\r\n");
         assertThat(client.readLine()).isEqualTo("UP receipt");
         client.upstreamEnd = server;
         return client;
     }
 
-    private long endings(ConnectionOutcome ending) {
-        return held.relay.outcomeCounts().getOrDefault(ending, 0L);
+    private long outcomeCount(ConnectionOutcome outcome) {
+        return pausableRelay.relay.outcomeCounts().getOrDefault(outcome, 0L);
     }
 
     @Test
     void requestOfADisconnectedClientIsNotForwarded() throws Exception {
-        held.pause();
-        asking("gone", "safe").close();
-        held.release();
+        pausableRelay.pause();
+        clientWithRequest("gone", "safe").close();
+        pausableRelay.release();
         assertNextRequest("next");
     }
 
-    /** How a client makes known that it has gone. */
+    /** How a client disconnects. */
     private interface Leaving {
         void of(RemoteEnd client) throws IOException;
     }
 
     private RemoteEnd leftAsItsRetryFellDue(Leaving how) throws Exception {
-        held.pauseWhen(() -> endings(ConnectionOutcome.RESET) == 1);
-        RemoteEnd client = asking("gone", "safe");
-        held.nextUpstreamRequest().reset();
-        held.awaitPaused();
+        pausableRelay.pauseWhen(() -> outcomeCount(ConnectionOutcome.RESET) == 1);
+        RemoteEnd client = clientWithRequest("gone", "safe");
+        pausableRelay.nextUpstreamRequest().reset();
+        pausableRelay.awaitPaused();
         how.of(client);
-        held.releaseWhenDue();
+        pausableRelay.releaseWhenDue();
         return client;
     }
 
-    /** Its retry fell due while the relay was held up: deadlines came before sockets, and it was sent on. */
+    /** The retry falls due during a stall of the relay. */
     @Test
     void retryOfADisconnectedClientIsNotSent() throws Exception {
         leftAsItsRetryFellDue(RemoteEnd::close);
         assertNextRequest("next");
     }
 
-    /** The same by half: a client that ends its sending has cancelled its request. */
+    /** A client that shuts its output down has cancelled its request. */
     @Test
     void retryOfACancelledRequestIsNotSent() throws Exception {
         RemoteEnd client = leftAsItsRetryFellDue(c -> c.socket.shutdownOutput());
@@ -113,28 +113,29 @@
 
     @Test
     void disconnectDuringTheAnswerLeavesNoState() throws Exception {
-        RemoteEnd client = asking("gone", "safe");
-        RemoteEnd server = held.nextUpstreamRequest();
-        held.pause();
+        RemoteEnd client = clientWithRequest("gone", "safe");
+        RemoteEnd server = pausableRelay.nextUpstreamRequest();
+        pausableRelay.pause();
         server.send("UP receipt\r\n");
         client.close();
-        held.release();
+        pausableRelay.release();
         assertThat(server.readLine()).as("the feed server's side ends too").isNull();
         assertNextRequest("next");
-        held.onLoop(() -> assertThat(held.relay.clients())
+        pausableRelay.onLoop(() -> assertThat(pausableRelay.relay.clients())
                 .allMatch(c -> c.request().clientKey().equals("next")));
     }
 
-    /** SIGTERM and the answer come in one turn: the client is served, and told to move before its side ends. */
+    /** SIGTERM and the answer arrive in one turn: the client is served, and then receives MOVE. */
     @Test
     void answerDuringShutdownIsForwardedAndTheClientMigrated() throws Exception {
-        RemoteEnd client = asking("k", "safe");
-        RemoteEnd server = held.nextUpstreamRequest();
-        held.pause();
+        RemoteEnd client = clientWithRequest("k", "safe");
+        RemoteEnd server = pausableRelay.nextUpstreamRequest();
+        pausableRelay.pause();
         CompletableFuture<Void> drained = new CompletableFuture<>();
-        held.loop.execute(() -> held.relay.drain(held.admission::peersWithoutRequest, () -> drained.complete(null)));
+        pausableRelay.loop.execute(() ->
+                pausableRelay.relay.drain(pausableRelay.admission::peersWithoutRequest, () -> drained.complete(null)));
         server.send("UP receipt\r\n");
-        held.release();
+        pausableRelay.release();
         assertThat(client.readLine()).isEqualTo("UP receipt");
         assertThat(client.readLine()).isEqualTo("MOVE");
         assertThat(client.readLine()).isNull();
@@ -143,167 +144,171 @@
 
     @Test
     void partialAnswerMayHaveRun() throws Exception {
-        RemoteEnd client = asking("k", "unsafe");
-        RemoteEnd server = held.nextUpstreamRequest();
-        held.pause();
+        RemoteEnd client = clientWithRequest("k", "unsafe");
+        RemoteEnd server = pausableRelay.nextUpstreamRequest();
+        pausableRelay.pause();
         server.send("UP rec");
         server.close();
-        held.release();
+        pausableRelay.release();
         assertThat(client.readLine()).isEqualTo("ERR");
-        assertThat(held.noUpstreamRequest()).as("nothing was sent again").isTrue();
+        assertThat(pausableRelay.noUpstreamRequest())
+                .as("nothing was sent again")
+                .isTrue();
     }
 
-    /** The first answer counts, though the second lies in the same piece. */
+    /** The first answer counts, although the second arrives in the same read. */
     @Test
     void secondAnswerIsIgnored() throws Exception {
-        RemoteEnd client = asking("k", "unsafe");
-        RemoteEnd first = held.nextUpstreamRequest();
+        RemoteEnd client = clientWithRequest("k", "unsafe");
+        RemoteEnd first = pausableRelay.nextUpstreamRequest();
         first.send("BUSY\r\nUP receipt\r\n");
-        RemoteEnd second = held.nextUpstreamRequest();
+        RemoteEnd second = pausableRelay.nextUpstreamRequest();
         second.send("UP other\r\n");
         assertThat(client.readLine()).isEqualTo("UP other");
     }
 
-    /** What came right before the reset went with it: turned away, which never ran, counted as one that may have. */
+    /** A rejection right before the reset must not be lost: the request has not run and may be retried. */
     @Test
     void answerRightBeforeAResetCounts() throws Exception {
-        RemoteEnd client = asking("k", "unsafe");
-        RemoteEnd first = held.nextUpstreamRequest();
-        held.pause();
+        RemoteEnd client = clientWithRequest("k", "unsafe");
+        RemoteEnd first = pausableRelay.nextUpstreamRequest();
+        pausableRelay.pause();
         first.send("BUSY\r\n");
         first.reset();
-        held.release();
-        RemoteEnd second = held.nextUpstreamRequest();
-        assertThat(second.key).as("a request that never ran is tried again").isEqualTo("k");
+        pausableRelay.release();
+        RemoteEnd second = pausableRelay.nextUpstreamRequest();
+        assertThat(second.key).as("a request that has not run is retried").isEqualTo("k");
         second.send("UP receipt\r\n");
         assertThat(client.readLine()).isEqualTo("UP receipt");
     }
 
-    /** Before, the client heard a reset and no MOVE. */
+    /** The last line before a reset must reach the client. */
     @Test
     void moveRightBeforeAResetReachesTheClient() throws Exception {
-        RemoteEnd client = standing("k");
-        held.pause();
+        RemoteEnd client = establishedClient("k");
+        pausableRelay.pause();
         client.upstreamEnd.send("MOVE\r\n");
         client.upstreamEnd.reset();
-        held.release();
+        pausableRelay.release();
         assertThat(client.readLine()).isEqualTo("MOVE");
         assertThat(client.readLine()).as("an end, not a reset").isNull();
-        held.onLoop(() -> assertThat(endings(ConnectionOutcome.SERVER_DRAINING)).isEqualTo(1));
+        pausableRelay.onLoop(() ->
+                assertThat(outcomeCount(ConnectionOutcome.SERVER_DRAINING)).isEqualTo(1));
     }
 
     @Test
     void upstreamResetResetsTheClient() throws Exception {
-        RemoteEnd client = standing("k");
+        RemoteEnd client = establishedClient("k");
         client.upstreamEnd.send("half a li");
         client.upstreamEnd.reset();
         assertThatThrownBy(client::readLine).hasMessageContaining("reset");
     }
 
-    /** The answer lay in the kernel while the relay was held up, and its client was moved for silence. */
+    /** The answer is in the kernel's buffer when the timeout of a silent server falls due. */
     @Test
     void answerAtTheTimeoutKeepsTheConnection() throws Exception {
-        RemoteEnd client = standing("k");
+        RemoteEnd client = establishedClient("k");
         client.send("M 1\r\n");
         assertThat(client.upstreamEnd.readLine()).isEqualTo("M 1");
-        held.pause();
+        pausableRelay.pause();
         client.upstreamEnd.send("M 1\r\n");
-        held.releaseWhenDue();
+        pausableRelay.releaseWhenDue();
         assertThat(client.readLine()).isEqualTo("M 1");
         client.upstreamEnd.send("M 2\r\n");
         assertThat(client.readLine()).isEqualTo("M 2");
     }
 
-    /** Longer than any line may be, though its end came in the same piece. */
+    /** The line exceeds the limit, although its end arrives in the same read. */
     @Test
     void answerLongerThanALineIsAnError() throws Exception {
-        RemoteEnd client = asking("k", "unsafe");
-        RemoteEnd first = held.nextUpstreamRequest();
-        held.pause();
+        RemoteEnd client = clientWithRequest("k", "unsafe");
+        RemoteEnd first = pausableRelay.nextUpstreamRequest();
+        pausableRelay.pause();
         first.send("UP " + "x".repeat(5_000) + "\r\n");
-        held.release();
+        pausableRelay.release();
         assertThat(client.readLine()).isEqualTo("ERR");
     }
 
-    /** Whoever has not asked in time is told so; a line that came while the relay was held up has come in time. */
+    /** A request that arrived during a stall of the relay has arrived in time. */
     @Test
     void requestAtTheRequestTimeoutIsServed() throws Exception {
-        RemoteEnd client = held.client();
-        held.pauseWhen(() -> held.admission.peersWithoutRequest() == 1);
-        held.loop.execute(() -> {});
-        held.awaitPaused();
-        client.send(held.openLine("k", "safe", 2_000));
-        held.releaseWhenDue();
-        assertThat(held.nextUpstreamRequest().key).isEqualTo("k");
+        RemoteEnd client = pausableRelay.client();
+        pausableRelay.pauseWhen(() -> pausableRelay.admission.peersWithoutRequest() == 1);
+        pausableRelay.loop.execute(() -> {});
+        pausableRelay.awaitPaused();
+        client.send(pausableRelay.openLine("k", "safe", 2_000));
+        pausableRelay.releaseWhenDue();
+        assertThat(pausableRelay.nextUpstreamRequest().key).isEqualTo("k");
     }
 
-    /** A close over unread bytes is a reset, and a request that comes after our end must not be sent on. */
+    /** A close over unread bytes would be a reset; a request after the rejection must not be forwarded. */
     @Test
     void requestAfterTheRequestTimeoutIsNeitherForwardedNorReset() throws Exception {
-        RemoteEnd client = held.client();
-        assertThat(client.readLine()).as("told that its time to ask is over").isEqualTo("BUSY 1000");
+        RemoteEnd client = pausableRelay.client();
+        assertThat(client.readLine()).as("rejected at the request timeout").isEqualTo("BUSY 1000");
         assertThat(client.readLine()).isNull();
-        client.send(held.openLine("late", "safe", 2_000));
-        held.onLoop(() -> {});
+        client.send(pausableRelay.openLine("late", "safe", 2_000));
+        pausableRelay.onLoop(() -> {});
         // the second write fails where the first was answered by a reset
         client.send("more\r\n");
         assertNextRequest("next");
     }
 
-    /** Between the last client's leaving and the process's end a request was sent on, to be lost with the process. */
+    /** A request between the last client's disconnect and the end of the process would be lost with the process. */
     @Test
     void requestAtADrainedRelayIsRejectedAtOnce() throws Exception {
-        RemoteEnd resting = held.client();
-        RemoteEnd second = held.client();
-        held.onLoop(() -> {});
+        RemoteEnd resting = pausableRelay.client();
+        RemoteEnd second = pausableRelay.client();
+        pausableRelay.onLoop(() -> {});
         CompletableFuture<Void> drained = new CompletableFuture<>();
-        held.loop.execute(() -> held.relay.drain(held.admission::peersWithoutRequest, () -> {
-            held.admission.stopWaitingForRequests();
+        pausableRelay.loop.execute(() -> pausableRelay.relay.drain(pausableRelay.admission::peersWithoutRequest, () -> {
+            pausableRelay.admission.stopWaitingForRequests();
             drained.complete(null);
         }));
         drained.get(20, TimeUnit.SECONDS);
-        second.send(held.openLine("resting", "safe", 2_000));
+        second.send(pausableRelay.openLine("resting", "safe", 2_000));
         assertThat(resting.readLine()).startsWith("BUSY ");
         assertThat(second.readLine()).startsWith("BUSY ");
         assertThat(resting.readLine()).isNull();
-        RemoteEnd late = asking("late", "safe");
-        assertThat(late.readLine()).matches("BUSY [1-9][0-9]{0,2}");
-        assertThat(held.noUpstreamRequest()).as("requests sent on").isTrue();
-        held.onLoop(() -> assertThat(held.relay.isDraining()).isTrue());
+        RemoteEnd client = clientWithRequest("late", "safe");
+        assertThat(client.readLine()).matches("BUSY [1-9][0-9]{0,2}");
+        assertThat(pausableRelay.noUpstreamRequest()).as("requests forwarded").isTrue();
+        pausableRelay.onLoop(() -> assertThat(pausableRelay.relay.isDraining()).isTrue());
     }
 
-    /** A way to a feed server that has taken the first bytes of the line and no more. */
+    /** A connection to a feed server that has accepted the first bytes of the request and no more. */
     private RemoteEnd halfWritten() throws Exception {
-        RemoteEnd way = held.nextUpstreamConnection();
+        RemoteEnd way = pausableRelay.nextUpstreamConnection();
         byte[] begun = way.socket.getInputStream().readNBytes(HALF_A_LINE);
         assertThat(new String(begun, StandardCharsets.US_ASCII)).startsWith("OPEN ");
         return way;
     }
 
     private void assertRetried(RemoteEnd client) throws Exception {
-        held.writes.unlimited();
-        RemoteEnd second = held.nextUpstreamRequest();
+        pausableRelay.writes.unlimited();
+        RemoteEnd second = pausableRelay.nextUpstreamRequest();
         assertThat(second.key).as("what never ran is tried again").isEqualTo("k");
         second.send("UP receipt\r\n");
         assertThat(client.readLine()).isEqualTo("UP receipt");
-        assertThat(held.noUpstreamRequest()).isTrue();
-        held.onLoop(() -> assertThat(endings(ConnectionOutcome.NOT_CONNECTED)).isEqualTo(1));
+        assertThat(pausableRelay.noUpstreamRequest()).isTrue();
+        pausableRelay.onLoop(
+                () -> assertThat(outcomeCount(ConnectionOutcome.NOT_CONNECTED)).isEqualTo(1));
     }
 
-    /** What the feed server never had whole has not run, and may be repeated though its class is not safe. */
+    /** A request that no feed server has received completely has not run, and is retried although its class is not idempotent. */
     @Test
     void upstreamResetBeforeTheCompleteRequestIsRetried() throws Exception {
-        held.writes.limit(HALF_A_LINE);
-        RemoteEnd client = asking("k", "unsafe");
+        pausableRelay.writes.limit(HALF_A_LINE);
+        RemoteEnd client = clientWithRequest("k", "unsafe");
         halfWritten().reset();
-        held.awaitOnLoop(() -> endings(ConnectionOutcome.NOT_CONNECTED) == 1);
+        pausableRelay.awaitOnLoop(() -> outcomeCount(ConnectionOutcome.NOT_CONNECTED) == 1);
         assertRetried(client);
     }
 
     @Test
     void upstreamEndBeforeTheCompleteRequestIsRetried() throws Exception {
-        held.writes.limit(HALF_A_LINE);
-        RemoteEnd client = asking("k", "unsafe");
+        pausableRelay.writes.limit(HALF_A_LINE);
+        RemoteEnd client = clientWithRequest("k", "unsafe");
         RemoteEnd first = halfWritten();
         first.socket.shutdownOutput();
         assertThat(first.socket.getInputStream().read())
@@ -312,11 +317,11 @@
         assertRetried(client);
     }
 
-    /** Its feed server takes no more, and the relay gives up first. */
+    /** The feed server accepts no more bytes, and the attempt times out. */
     @Test
     void timeoutBeforeTheCompleteRequestIsRetried() throws Exception {
-        held.writes.limit(HALF_A_LINE);
-        RemoteEnd client = asking("k", "unsafe");
+        pausableRelay.writes.limit(HALF_A_LINE);
+        RemoteEnd client = clientWithRequest("k", "unsafe");
         assertThat(halfWritten().socket.getInputStream().read())
                 .as("the end of the attempt")
                 .isEqualTo(-1);
@@ -325,32 +330,34 @@
 
     @Test
     void failedWriteOfAPartialRequestIsRetried() throws Exception {
-        held.writes.limit(HALF_A_LINE);
-        RemoteEnd client = asking("k", "unsafe");
+        pausableRelay.writes.limit(HALF_A_LINE);
+        RemoteEnd client = clientWithRequest("k", "unsafe");
         halfWritten();
-        held.writes.failOn(OTHER_HALF);
+        pausableRelay.writes.failOn(OTHER_HALF);
         assertRetried(client);
     }
 
-    /** What the gap has taken away gets nothing new, and who stands there is moved or stays, and is not cut off. */
+    /** Servers missing from the list get no new requests; their clients are migrated or stay, and are not disconnected. */
     @Test
     void fullListAfterAGapAppliesToAConcurrentRequest() throws Exception {
         List<RemoteEnd> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            clients.add(standing("k" + i));
+            clients.add(establishedClient("k" + i));
         }
-        held.addServer();
-        held.pause();
+        pausableRelay.addServer();
+        pausableRelay.pause();
         for (int i = 0; i < 6; i++) {
-            clients.add(asking("k" + i, "safe"));
+            clients.add(clientWithRequest("k" + i, "safe"));
         }
-        held.loop.execute(() -> held.relay.onEndpointList(new EndpointRegistry.Update(
+        pausableRelay.loop.execute(() -> pausableRelay.relay.onEndpointList(new EndpointRegistry.Update(
                 EndpointListKind.FULL,
                 50,
-                List.of(held.endpoint(2, EndpointState.DRAINING), held.endpoint(3, EndpointState.READY)))));
-        held.release();
+                List.of(
+                        pausableRelay.endpoint(2, EndpointState.DRAINING),
+                        pausableRelay.endpoint(3, EndpointState.READY)))));
+        pausableRelay.release();
         for (int i = 0; i < 6; i++) {
-            RemoteEnd ask = held.nextUpstreamRequest();
+            RemoteEnd ask = pausableRelay.nextUpstreamRequest();
             assertThat(ask.server).isEqualTo("s3");
             ask.send("UP receipt\r\n");
         }
@@ -363,50 +370,52 @@
         }
     }
 
-    /** The last word lay unread as the write failed, and the client heard a reset in place of it. */
+    /** The last line is unread when a write fails, and must reach the client in place of a reset. */
     @Test
     void unreadMoveBeforeAFailedWriteReachesTheClient() throws Exception {
         List<RemoteEnd> clients = new ArrayList<>();
-        // whichever socket the relay looks at first, of some of them it is the client's
+        // the order of the sockets is not defined: for some of the clients, theirs comes first
         for (int i = 0; i < 8; i++) {
-            clients.add(standing("k" + i));
+            clients.add(establishedClient("k" + i));
         }
-        held.pause();
+        pausableRelay.pause();
         for (RemoteEnd client : clients) {
             client.upstreamEnd.send("MOVE\r\n");
             client.send("M 1\r\n");
         }
-        held.writes.failOn("M 1");
-        held.release();
+        pausableRelay.writes.failOn("M 1");
+        pausableRelay.release();
         for (RemoteEnd client : clients) {
             assertThat(client.readLine()).isEqualTo("MOVE");
             assertThat(client.readLine()).as("an end, not a reset").isNull();
         }
     }
 
-    /** With its last byte written the same break leaves it open whether the request has run. */
+    /** Once the last byte is written, the request may have run. */
     @Test
     void upstreamResetAfterTheCompleteRequestMayHaveRun() throws Exception {
-        held.writes.limit(HALF_A_LINE);
-        RemoteEnd client = asking("k", "unsafe");
+        pausableRelay.writes.limit(HALF_A_LINE);
+        RemoteEnd client = clientWithRequest("k", "unsafe");
         RemoteEnd first = halfWritten();
-        held.writes.unlimited();
+        pausableRelay.writes.unlimited();
         assertThat(first.readLine()).startsWith(OTHER_HALF);
         first.reset();
         assertThat(client.readLine()).isEqualTo("ERR");
-        assertThat(held.noUpstreamRequest()).as("nothing was sent again").isTrue();
+        assertThat(pausableRelay.noUpstreamRequest())
+                .as("nothing was sent again")
+                .isTrue();
     }
 
     @Test
     void clientDisconnectDuringAPartialRequestClosesTheUpstream() throws Exception {
-        held.writes.limit(HALF_A_LINE);
-        RemoteEnd client = asking("k", "safe");
+        pausableRelay.writes.limit(HALF_A_LINE);
+        RemoteEnd client = clientWithRequest("k", "safe");
         RemoteEnd first = halfWritten();
         client.close();
         assertThat(first.socket.getInputStream().read())
                 .as("nothing more of the line came")
                 .isEqualTo(-1);
-        held.writes.unlimited();
+        pausableRelay.writes.unlimited();
         assertNextRequest("next");
     }
 }
--- a/src/test/java/sandstack/front/platform/LoadReportClassifierTest.java
+++ b/src/test/java/sandstack/front/platform/LoadReportClassifierTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which figure of a feed server is a delay and which a load. */
+/** Which value of a feed server is a delay and which a load. */
 class LoadReportClassifierTest {
     private static final long SECOND = 1_000_000;
     private final LoadReportClassifier classifier = new LoadReportClassifier(() -> true);
@@ -18,20 +18,22 @@
 
     @Test
     void ambiguousValueIsADelayOnlyAtTheReportingInterval() {
-        assertThat(classifier.isDelay("a", 1_200, 0)).as("out of nothing").isFalse();
+        assertThat(classifier.isDelay("a", 1_200, 0))
+                .as("without a report before")
+                .isFalse();
         assertThat(classifier.isDelay("a", 980, SECOND)).isTrue();
         assertThat(classifier.isDelay("a", 2_100, SECOND * 2 + 10_000))
-                .as("on the beat")
+                .as("at the interval")
                 .isTrue();
         assertThat(classifier.isDelay("a", 2_500, SECOND * 2 + 400_000))
-                .as("off the beat")
+                .as("not at the interval")
                 .isFalse();
         assertThat(classifier.isDelay("b", 2_500, SECOND * 3 + 10_000))
-                .as("another server's beat")
+                .as("another server's interval")
                 .isFalse();
         assertThat(classifier.isDelay("a", 3_000, SECOND * 3 + 10_000)).isTrue();
         assertThat(classifier.isDelay("a", 45_000, SECOND * 4 + 10_000))
-                .as("a load on the beat")
+                .as("a load at the interval")
                 .isFalse();
     }
 
--- a/src/test/java/sandstack/front/platform/MetricsTest.java
+++ b/src/test/java/sandstack/front/platform/MetricsTest.java
@@ -36,7 +36,7 @@
 import sandstack.standin.ShopClient.Told;
 import sandstack.standin.StandInLoop;
 
-/** The relay's figures against the books of stand-in clients and feed servers after a mixed run. */
+/** The relay's metrics against the counts of stand-in clients and feed servers after a mixed run. */
 @Timeout(30)
 class MetricsTest {
     private static final List<String> CLASSES = List.of("light", "heavy");
@@ -88,28 +88,31 @@
         return new EndpointRegistry.Endpoint(new EndpointEntry(uid, 0, 0, 0, 0, phase, 1), "127.0.0.1", at);
     }
 
-    /** Crowds that say nothing fill all that clients may use; the door's callers, silent ones too, have their own. */
+    /** Idle clients use all descriptors of clients; the operators' port, with silent callers too, has its own. */
     @Test
     void areAnsweredWithinASecondDuringABurstOfConnections() throws Exception {
-        int door = new OperatorDoor(loop, relay.deadlines(), () -> null, relay::metricLines).listen("127.0.0.1", 0);
-        List<Socket> crowd = new ArrayList<>();
-        long latest = 0;
+        int operatorPort =
+                new OperatorDoor(loop, relay.deadlines(), () -> null, relay::metricLines).listen("127.0.0.1", 0);
+        List<Socket> idleConnections = new ArrayList<>();
+        long longestNanos = 0;
         for (int i = 0; i < 1500; i++) {
-            crowd.add(new Socket("127.0.0.1", port));
+            idleConnections.add(new Socket("127.0.0.1", port));
             if (i % 30 == 0) {
-                crowd.add(new Socket("127.0.0.1", door));
+                idleConnections.add(new Socket("127.0.0.1", operatorPort));
                 long began = System.nanoTime();
-                try (Socket caller = new Socket("127.0.0.1", door)) {
+                try (Socket caller = new Socket("127.0.0.1", operatorPort)) {
                     caller.getOutputStream().write("INFO\r\n".getBytes(StandardCharsets.UTF_8));
                     assertThat(new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
                             .startsWith("ACK\r\n")
                             .endsWith("--\r\n");
                 }
-                latest = Math.max(latest, System.nanoTime() - began);
+                longestNanos = Math.max(longestNanos, System.nanoTime() - began);
             }
         }
-        assertThat(latest).as("the latest answer, in nanoseconds").isLessThan(1_000_000_000L);
-        for (Socket socket : crowd) {
+        assertThat(longestNanos)
+                .as("the longest time to an answer, in nanoseconds")
+                .isLessThan(1_000_000_000L);
+        for (Socket socket : idleConnections) {
             socket.close();
         }
     }
@@ -117,7 +120,7 @@
     @Test
     void equalTheCountsOfClientsAndFeedServers() throws Exception {
         List<FeedServer> servers = List.of(server("s1", 10), server("s2", 10));
-        // two that drain: in the list, and avoided
+        // two draining servers, which are listed and get no requests
         loop.execute(() -> relay.onEndpointList(new EndpointRegistry.Update(
                 EndpointListKind.FULL,
                 1,
@@ -131,16 +134,16 @@
             standIns.on(
                     () -> new ShopClient(standIns, port, id, id, "c=" + cls + ",d=1500", 10_000_000, outcomes::add));
         }
-        Map<Happened, Integer> heard = new EnumMap<>(Happened.class);
-        List<ShopClient> standing = new ArrayList<>();
+        Map<Happened, Integer> outcomeCounts = new EnumMap<>(Happened.class);
+        List<ShopClient> establishedClients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             Told next = outcomes.take();
-            heard.merge(next.what(), 1, Integer::sum);
+            outcomeCounts.merge(next.what(), 1, Integer::sum);
             if (next.what() == Happened.UP) {
-                standing.add(next.client());
+                establishedClients.add(next.client());
             }
         }
-        // one whose class is known and whose request makes no sense, and one whose class is not known
+        // a malformed request of a known class, and a request of an unknown class
         for (String words : List.of("OPEN x k c=light,d=1500\r\nmore\r\n", "OPEN y k c=none,d=1500\r\n")) {
             try (Socket socket = new Socket("127.0.0.1", port)) {
                 socket.getOutputStream().write(words.getBytes(StandardCharsets.UTF_8));
@@ -149,12 +152,12 @@
             }
         }
         Map<String, Long> figures = metrics();
-        assertThat(heard).containsOnlyKeys(Happened.UP, Happened.BUSY);
+        assertThat(outcomeCounts).containsOnlyKeys(Happened.UP, Happened.BUSY);
         assertThat(figures.get("responses.light.ok") + figures.get("responses.heavy.ok"))
-                .isEqualTo(heard.get(Happened.UP).longValue())
+                .isEqualTo(outcomeCounts.get(Happened.UP).longValue())
                 .isEqualTo(20);
         assertThat(figures.get("responses.light.shed") + figures.get("responses.heavy.shed"))
-                .isEqualTo(heard.get(Happened.BUSY).longValue());
+                .isEqualTo(outcomeCounts.get(Happened.BUSY).longValue());
         assertThat(figures)
                 .containsEntry("responses.light.errors", 1L)
                 .containsEntry("responses.heavy.errors", 0L)
@@ -163,13 +166,13 @@
                 .containsEntry("config_applied", 0L)
                 .containsEntry("config_rejected", 0L);
         assertThat(figures.get("pool_ejected")).isBetween(2L, 4L);
-        long asked = servers.stream()
+        long serverRequests = servers.stream()
                 .mapToLong(server -> standIns.on(server::books).asked())
                 .sum();
-        assertThat(figures).containsEntry("tries", asked);
+        assertThat(figures).containsEntry("tries", serverRequests);
         assertThat(figures.get("responses.light.tries") + figures.get("responses.heavy.tries"))
-                .isEqualTo(asked);
-        standing.forEach(client -> standIns.run(client::leave));
+                .isEqualTo(serverRequests);
+        establishedClients.forEach(client -> standIns.run(client::leave));
         while (metrics().get("active") > 0) {
             Thread.onSpinWait();
         }
--- a/src/test/java/sandstack/front/platform/PartialRequestTest.java
+++ b/src/test/java/sandstack/front/platform/PartialRequestTest.java
@@ -15,8 +15,8 @@
 import sandstack.front.platform.PausableRelay.RemoteEnd;
 
 /**
- * A legal request cut at every byte, on real sockets: what is not whole gets a close and is not sent on, what becomes whole
- * gets the answer that it would have had in one piece, and neither leaves anything behind.
+ * A valid request cut at every byte, on real sockets: an incomplete one is closed and not forwarded, one that is completed
+ * later is answered as usual, and neither leaves state behind.
  */
 @Timeout(60)
 class PartialRequestTest {
@@ -36,72 +36,72 @@
         @Override
         public void close() {}
     };
-    private PausableRelay held;
+    private PausableRelay pausableRelay;
 
     @BeforeEach
     void start() throws Exception {
-        held = new PausableRelay();
-        held.addServer();
-        held.addServer();
+        pausableRelay = new PausableRelay();
+        pausableRelay.addServer();
+        pausableRelay.addServer();
         PROGRAM.addHandler(log);
     }
 
     @AfterEach
     void stop() throws Exception {
         PROGRAM.removeHandler(log);
-        held.close();
+        pausableRelay.close();
     }
 
-    /** What happens after so many bytes of a request. */
+    /** What the client does after this many bytes of a request. */
     private interface Cut {
         void at(int bytes) throws Exception;
     }
 
-    /** At each byte of the request but the ends; the whole request is served after each cut, under the same id. */
+    /** Cuts inside the request at each byte; after each cut, the complete request is served under the same id. */
     private void cutAtEveryByte(Cut cut) throws Exception {
         for (int bytes = 1; bytes < REQUEST.length(); bytes++) {
             cut.at(bytes);
         }
-        try (RemoteEnd client = held.client()) {
+        try (RemoteEnd client = pausableRelay.client()) {
             client.send(REQUEST);
             assertServed(client);
         }
         assertNothingLeft();
     }
 
-    /** The next request that reaches a feed server is this client's, and its answer reaches it. */
+    /** Asserts that the next request to reach a feed server is this client's, and that its answer reaches the client. */
     private void assertServed(RemoteEnd client) throws Exception {
-        try (RemoteEnd server = held.nextUpstreamRequest()) {
+        try (RemoteEnd server = pausableRelay.nextUpstreamRequest()) {
             assertThat(server.key).isEqualTo("whole");
             server.send("UP receipt\r\n");
             assertThat(client.readLine()).isEqualTo("UP receipt");
-            // the client goes first: a feed server that ended what it has just taken would count as a full one
+            // the client closes first: a feed server that closes a new connection would count as a full one
             client.close();
             assertThat(server.readLine()).isNull();
         }
     }
 
     private void assertNothingLeft() throws Exception {
-        held.awaitOnLoop(() ->
-                held.admission.descriptorsInUse() == 0 && held.relay.clients().isEmpty());
-        assertThat(held.noUpstreamRequest()).as("requests sent on").isTrue();
+        pausableRelay.awaitOnLoop(() -> pausableRelay.admission.descriptorsInUse() == 0
+                && pausableRelay.relay.clients().isEmpty());
+        assertThat(pausableRelay.noUpstreamRequest()).as("requests forwarded").isTrue();
         assertThat(logged).isEmpty();
     }
 
-    /** A client that has said so much, and whom the relay has heard. */
+    /** A client that has sent this text, which the relay has read. */
     private RemoteEnd saying(int bytes) throws Exception {
-        RemoteEnd client = held.client();
+        RemoteEnd client = pausableRelay.client();
         client.send(REQUEST.substring(0, bytes));
-        held.awaitOnLoop(() -> held.admission.peersWithoutRequest() == 1);
+        pausableRelay.awaitOnLoop(() -> pausableRelay.admission.peersWithoutRequest() == 1);
         // what was written before this turn is read in this turn or the one before
-        held.onLoop(() -> {});
+        pausableRelay.onLoop(() -> {});
         return client;
     }
 
     @Test
     void incompleteRequestThatEndsIsClosedAtOnce() throws Exception {
         cutAtEveryByte(bytes -> {
-            try (RemoteEnd client = held.client()) {
+            try (RemoteEnd client = pausableRelay.client()) {
                 client.send(REQUEST.substring(0, bytes));
                 client.socket.shutdownOutput();
                 assertThat(client.readLine()).isNull();
@@ -122,7 +122,7 @@
     @Test
     void incompleteRequestThatIsResetLeavesNothing() throws Exception {
         cutAtEveryByte(bytes -> {
-            RemoteEnd client = held.client();
+            RemoteEnd client = pausableRelay.client();
             client.send(REQUEST.substring(0, bytes));
             client.reset();
         });
@@ -140,29 +140,29 @@
                 client.send(REQUEST.substring(bytes));
                 assertServed(client);
             }
-            held.awaitOnLoop(() -> held.admission.descriptorsInUse() == 0);
+            pausableRelay.awaitOnLoop(() -> pausableRelay.admission.descriptorsInUse() == 0);
         });
     }
 
     @Test
     void requestSentByteByByteIsServed() throws Exception {
-        try (RemoteEnd client = held.client()) {
+        try (RemoteEnd client = pausableRelay.client()) {
             for (int i = 0; i < REQUEST.length(); i++) {
                 client.send(REQUEST.substring(i, i + 1));
-                held.onLoop(() -> {});
+                pausableRelay.onLoop(() -> {});
             }
             assertServed(client);
         }
         assertNothingLeft();
     }
 
-    /** All of them at once: each is told that its time to ask is over, and who goes on then is not sent on. */
+    /** All cuts at once: each client is rejected at the request timeout, and the rest of a request is not forwarded. */
     @Test
     void incompleteRequestIsRejectedAtTheTimeout() throws Exception {
         List<RemoteEnd> clients = new ArrayList<>();
-        // the relay of this test has room for so many
+        // as many as the descriptors of this relay allow
         for (int bytes = 1; bytes < REQUEST.length(); bytes += 3) {
-            RemoteEnd client = held.client();
+            RemoteEnd client = pausableRelay.client();
             client.send(REQUEST.substring(0, bytes));
             clients.add(client);
         }
--- a/src/test/java/sandstack/front/platform/PausableRelay.java
+++ b/src/test/java/sandstack/front/platform/PausableRelay.java
@@ -37,11 +37,11 @@
 import sandstack.settings.BalancerSettingsBuilder;
 
 /**
- * A relay on loopback whose one thread the test can hold: what happens meanwhile lies in the kernel when it goes on, all at
- * once and whatever the machine does. So a crossing is made, not hoped for.
+ * A relay on loopback whose thread the test can pause: what arrives meanwhile is in the kernel's buffers when the thread
+ * continues, regardless of the machine's speed. This makes races deterministic.
  */
 final class PausableRelay implements AutoCloseable {
-    /** The other end of a connection of the relay's: a client, or a feed server that was asked. */
+    /** The remote end of a connection of the relay: a client or a feed server. */
     static final class RemoteEnd implements AutoCloseable {
         final Socket socket;
         private final BufferedReader in;
@@ -56,16 +56,16 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
         }
 
-        /** The next line; null at the end. */
+        /** The next line; null at the end of the input. */
         String readLine() throws IOException {
             return in.readLine();
         }
 
-        /** Of a request: its second word. */
+        /** At a feed server: the client key of the request. */
         String key;
-        /** Of a connection to a feed server: which. */
+        /** At a feed server: its name. */
         String server;
-        /** Of a client that stands: its feed server's end. */
+        /** At an established client: its feed server's end. */
         RemoteEnd upstreamEnd;
 
         void reset() throws IOException {
@@ -81,7 +81,7 @@
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-    /** What the relay's sockets take. */
+    /** Limits what the relay's sockets accept. */
     final ShortWrites writes = new ShortWrites();
 
     final EventLoop loop = writes.loop();
@@ -128,7 +128,7 @@
         relay.runTurn();
         if (pauseCondition.getAsBoolean()) {
             pauseCondition = () -> false;
-            // before the next turn, as a relay is held up that has looked at its sockets already
+            // before the next turn, after the sockets have been selected
             loop.execute(this::pauseUntilReleased);
         }
     }
@@ -143,7 +143,7 @@
         }
     }
 
-    /** A feed server that the relay knows of from now on. */
+    /** Starts a feed server and adds it to the endpoint list. */
     void addServer() throws Exception {
         ServerSocket listening = new ServerSocket(0, 50, LOOPBACK);
         servers.add(listening);
@@ -155,7 +155,7 @@
                 EndpointListKind.DELTA, servers.size(), List.of(endpoint(servers.size(), EndpointState.READY)))));
     }
 
-    /** A line of the list for a feed server that this has made, from 1. */
+    /** The list entry of the n-th feed server, from 1. */
     EndpointRegistry.Endpoint endpoint(int server, EndpointState phase) {
         return new EndpointRegistry.Endpoint(
                 new EndpointEntry("s" + server, 0, 0, 0, 0, phase, 1),
@@ -175,7 +175,7 @@
         }
     }
 
-    /** The next connection to a feed server, nothing of which has been read. */
+    /** The next connection to a feed server, unread. */
     RemoteEnd nextUpstreamConnection() throws Exception {
         RemoteEnd way = upstreamConnections.poll(20, TimeUnit.SECONDS);
         assertThat(way).as("a connection to a feed server").isNotNull();
@@ -191,7 +191,7 @@
         return ask;
     }
 
-    /** Whether no connection has reached a feed server that has not been looked at. */
+    /** Whether all connections to feed servers have been taken by the test. */
     boolean noUpstreamRequest() {
         return upstreamConnections.isEmpty();
     }
@@ -200,19 +200,19 @@
         return new RemoteEnd(new Socket(LOOPBACK, port));
     }
 
-    /** The line of a request with this key, which the feed server will name. */
+    /** The line of a request with this key and a new id. */
     String openLine(String key, String cls, int millis) {
         return "OPEN id" + ++ids + " " + key + " c=" + cls + ",d=" + millis + "\r\n";
     }
 
-    /** Holds the relay's thread before its next turn. */
+    /** Pauses the relay's thread before its next turn. */
     void pause() throws InterruptedException {
         arm();
         loop.execute(this::pauseUntilReleased);
         awaitPaused();
     }
 
-    /** Holds it after the first turn from now on that leaves the relay like this. */
+    /** Pauses it after the next turn that leaves the relay in this state. */
     void pauseWhen(BooleanSupplier left) {
         arm();
         pauseCondition = left;
@@ -225,13 +225,13 @@
 
     void awaitPaused() throws InterruptedException {
         assertThat(paused.await(20, TimeUnit.SECONDS))
-                .as("the relay's thread is held")
+                .as("the relay's thread is paused")
                 .isTrue();
     }
 
-    /** Lets it go on once its next deadline has passed. */
+    /** Lets it continue once its next deadline has passed. */
     void releaseWhenDue() {
-        // its thread stands: nobody else touches the deadlines
+        // its thread is paused, so that the deadlines do not change
         while (loop.nowMicros() <= relay.deadlines().nextMicros()) {
             LockSupport.parkNanos(100_000);
         }
@@ -251,7 +251,7 @@
         done.get(20, TimeUnit.SECONDS);
     }
 
-    /** Waits until the relay is like this, seen on its own thread. */
+    /** Waits until the relay is in this state, read on its own thread. */
     void awaitOnLoop(BooleanSupplier state) throws Exception {
         AtomicBoolean is = new AtomicBoolean();
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); !is.get(); ) {
--- a/src/test/java/sandstack/net/ShortWrites.java
+++ b/src/test/java/sandstack/net/ShortWrites.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Sockets whose kernel buffer is full after so many bytes, or whose writes fail, as a test says: loopback itself takes
+ * Sockets that accept only a number of bytes, or whose writes fail, as a test configures it; loopback itself accepts
  * every line at once.
  */
 public final class ShortWrites {
@@ -19,17 +19,17 @@
         return new EventLoop(Limited::new);
     }
 
-    /** From now on each socket takes so many bytes in all, counted from its beginning. */
+    /** Limits the bytes that each socket accepts, counted from its beginning. */
     public void limit(int bytes) {
         limitBytes = bytes;
     }
 
-    /** From now on sockets take all again. */
+    /** Removes the limit. */
     public void unlimited() {
         limitBytes = Integer.MAX_VALUE;
     }
 
-    /** From now on a write fails that begins with this text. */
+    /** Makes writes fail that begin with this text. */
     public void failOn(String beginning) {
         failsOn = beginning;
     }
@@ -44,7 +44,7 @@
         return beginning.equals(new String(first, StandardCharsets.US_ASCII));
     }
 
-    /** Takes no more than the limit allows. */
+    /** Accepts no more bytes than the limit. */
     private final class Limited implements WritableByteChannel {
         private final SocketChannel socket;
         private int taken;
--- a/src/test/java/sandstack/scenario/Actor.java
+++ b/src/test/java/sandstack/scenario/Actor.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** One end of a connection in a scenario: it can be told to send, and tells in a word what it has received. */
+/** One end of a connection in a scenario: sends on command, and reports what it receives as events. */
 abstract class Actor {
     final Socket socket;
     final BlockingQueue<String> events = new LinkedBlockingQueue<>();
-    /** On a feed server's side: the key that was asked for. */
+    /** At a feed server: the client key of the request. */
     volatile String key;
-    /** Its end has been heard of. */
+    /** The event of its end has been taken. */
     boolean ended;
 
     Actor(Socket socket) {
@@ -49,7 +49,7 @@
             try {
                 socket.shutdownOutput();
             } catch (java.net.SocketException e) {
-                // the other side has ended it in this moment, and the reader closed it
+                // the other side has closed it concurrently
             }
         }
     }
--- a/src/test/java/sandstack/scenario/AmqpActor.java
+++ b/src/test/java/sandstack/scenario/AmqpActor.java
@@ -27,7 +27,7 @@
 import org.apache.qpid.protonj2.types.messaging.Target;
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 
-/** Speaks AMQP 1.0, as a client or as a feed server of our own. */
+/** Speaks AMQP 1.0, as a client or as a feed server. */
 final class AmqpActor extends Actor {
     private final boolean client;
     private Engine engine;
@@ -42,17 +42,17 @@
         super(socket);
         this.client = client;
         engine = EngineFactory.PROTON.createNonSaslEngine();
-        wire();
+        attachEngine();
     }
 
-    private void wire() {
+    private void attachEngine() {
         engine.outputConsumer(buffer -> {
             byte[] bytes = new byte[buffer.getReadableBytes()];
             buffer.readBytes(bytes, 0, bytes.length);
             try {
                 socket.getOutputStream().write(bytes);
             } catch (IOException e) {
-                // the other side is gone; the reader tells
+                // the other side has closed; the reader reports it
             }
         });
         engine.errorHandler(e -> events.add("engine failed"));
@@ -60,30 +60,30 @@
         connection.setIdleTimeout(0);
         connection.closeHandler(c -> {
             if (c.getRemoteCondition() != null) {
-                told(c.getRemoteCondition());
+                onRemoteClosed(c.getRemoteCondition());
             }
             c.close();
         });
         if (!client) {
             connection.openHandler(c -> c.setContainerId("feed").open());
             connection.sessionOpenHandler(Session::open);
-            connection.senderOpenHandler(this::asked);
-            connection.receiverOpenHandler(this::asked);
+            connection.senderOpenHandler(this::onAttached);
+            connection.receiverOpenHandler(this::onAttached);
         }
     }
 
-    private void asked(Link<?> asked) {
-        link = asked;
-        Map<Symbol, Object> p = asked.getRemoteProperties();
+    private void onAttached(Link<?> newLink) {
+        link = newLink;
+        Map<Symbol, Object> p = newLink.getRemoteProperties();
         key = (String) p.get(Symbol.valueOf("sandstack:key"));
         events.add("ask " + p.get(Symbol.valueOf("sandstack:class")));
-        hear();
+        setHandlers();
     }
 
-    private void hear() {
+    private void setHandlers() {
         link.closeHandler(l -> {
             if (l.getRemoteCondition() != null) {
-                told(l.getRemoteCondition());
+                onRemoteClosed(l.getRemoteCondition());
             } else if (client) {
                 events.add("bye");
             }
@@ -116,7 +116,7 @@
         }
     }
 
-    private void told(ErrorCondition error) {
+    private void onRemoteClosed(ErrorCondition error) {
         if (detached) {
             return;
         }
@@ -140,12 +140,12 @@
                 case "sasl" -> {
                     engine = EngineFactory.PROTON.createEngine();
                     engine.saslDriver().client().setListener(new SaslAuthenticator(new AnonymousCredentials()));
-                    wire();
+                    attachEngine();
                 }
-                case "ask", "subscribe" -> ask(words);
-                case "up" -> up(10);
-                case "busy" -> refuse("amqp:resource-limit-exceeded");
-                case "error" -> refuse("amqp:internal-error");
+                case "ask", "subscribe" -> sendRequest(words);
+                case "up" -> accept(10);
+                case "busy" -> reject("amqp:resource-limit-exceeded");
+                case "error" -> reject("amqp:internal-error");
                 case "bye" -> link.close();
                 case "move" -> connection
                         .setCondition(new ErrorCondition("amqp:connection:forced", "drain"))
@@ -160,7 +160,7 @@
                         .open()
                         .sender("another")
                         .setTarget(new Target())
-                        .closeHandler(l -> told(l.getRemoteCondition()))
+                        .closeHandler(l -> onRemoteClosed(l.getRemoteCondition()))
                         .open();
                 case "raw" -> socket.getOutputStream().write(what.substring(4).getBytes(StandardCharsets.UTF_8));
                 default -> throw new IllegalArgumentException(what);
@@ -171,7 +171,7 @@
     }
 
     /** {@code ask CLASS KEY MILLIS [container]}: a sending link; {@code subscribe}: a receiving one. */
-    private void ask(String[] words) {
+    private void sendRequest(String[] words) {
         connection.setContainerId(words.length > 4 ? words[4] : "client-" + System.identityHashCode(this));
         connection.open();
         Session session = connection.session().open();
@@ -190,11 +190,11 @@
                 events.add("up");
             }
         });
-        hear();
+        setHandlers();
         link.open();
     }
 
-    private void up(int credit) {
+    private void accept(int credit) {
         link.setSource(link.getRemoteSource());
         link.setTarget(link.<Target>getRemoteTarget());
         link.open();
@@ -203,7 +203,7 @@
         }
     }
 
-    private void refuse(String condition) {
+    private void reject(String condition) {
         if (!link.isLocallyOpen()) {
             link.open();
         }
@@ -212,7 +212,7 @@
         link.close();
     }
 
-    private void deliver(String text, boolean whole) throws InterruptedException {
+    private void deliver(String text, boolean complete) throws InterruptedException {
         while (client && !((Sender) link).isSendable()) {
             wait(10_000);
         }
@@ -229,12 +229,12 @@
             });
         }
         ProtonBuffer bytes = ProtonBufferAllocator.defaultAllocator().copy(text.getBytes(StandardCharsets.UTF_8));
-        delivery.streamBytes(bytes, whole);
+        delivery.streamBytes(bytes, complete);
         while (bytes.isReadable()) {
             wait(10_000);
-            delivery.streamBytes(bytes, whole);
+            delivery.streamBytes(bytes, complete);
         }
-        open = whole ? null : delivery;
+        open = complete ? null : delivery;
     }
 
     @Override
--- a/src/test/java/sandstack/scenario/AnonymousCredentials.java
+++ b/src/test/java/sandstack/scenario/AnonymousCredentials.java
@@ -3,7 +3,7 @@
 import java.security.Principal;
 import org.apache.qpid.protonj2.engine.sasl.client.SaslCredentialsProvider;
 
-/** A client without a name. */
+/** Credentials of a client for SASL ANONYMOUS. */
 final class AnonymousCredentials implements SaslCredentialsProvider {
     @Override
     public String vhost() {
--- a/src/test/java/sandstack/scenario/ScenarioTest.java
+++ b/src/test/java/sandstack/scenario/ScenarioTest.java
@@ -15,17 +15,17 @@
 import sandstack.decisions.EndpointState;
 
 /**
- * Plays the scenarios under src/test/resources/scenarios. Each line is {@code ACTOR VERB WORDS}: clients are
+ * Runs the scenarios under src/test/resources/scenarios. Each line is {@code ACTOR VERB WORDS}: clients are
  * c1, c2, ...; connections that reach a feed server are x1, x2, ... in their order; {@code relay} is the relay.
  *
  * <ul>
- *   <li>{@code send}: the actor says something
- *   <li>{@code expect}: the next thing that the actor hears is this
- *   <li>{@code close}, {@code reset}: the actor ends its sending, or its connection
- *   <li>{@code wait N}: until the relay holds so many clients
- *   <li>{@code figures NAME=N ...}: until the relay's figures are these, one of a class for each class
- *   <li>{@code crowd N}, {@code dispersed}: so many connect and say nothing; all of them have been closed
- *   <li>{@code servers N}, {@code dead}, {@code draining xN}, {@code gone xN}: the name table
+ *   <li>{@code send}: the actor sends something
+ *   <li>{@code expect}: the next event of the actor is this
+ *   <li>{@code close}, {@code reset}: the actor shuts its output down, or resets its connection
+ *   <li>{@code wait N}: until the relay has so many clients
+ *   <li>{@code figures NAME=N ...}: until the relay's metrics are these; one value per class for the metrics of a class
+ *   <li>{@code crowd N}, {@code dispersed}: so many idle connections; all of them have been closed
+ *   <li>{@code servers N}, {@code dead}, {@code draining xN}, {@code gone xN}: the endpoint list
  * </ul>
  */
 class ScenarioTest {
@@ -48,8 +48,8 @@
                 for (String part : Files.readString(file).split("(?m)^== ")) {
                     if (!part.isBlank()) {
                         List<String> lines = part.lines().toList();
-                        tests.add(DynamicTest.dynamicTest(
-                                lines.get(0), () -> play(lines.subList(1, lines.size()), amqp)));
+                        tests.add(
+                                DynamicTest.dynamicTest(lines.get(0), () -> run(lines.subList(1, lines.size()), amqp)));
                     }
                 }
             }
@@ -57,12 +57,12 @@
         return tests.stream();
     }
 
-    private static void play(List<String> lines, boolean amqp) throws Exception {
+    private static void run(List<String> lines, boolean amqp) throws Exception {
         try (Stage stage = new Stage(amqp)) {
             Map<String, Actor> actors = new HashMap<>();
             for (String line : lines) {
                 if (!line.isBlank() && !line.startsWith("#")) {
-                    step(stage, actors, line.trim());
+                    runStep(stage, actors, line.trim());
                 }
             }
             assertThat(stage.unexpectedUpstreamRequests())
@@ -71,11 +71,11 @@
         }
     }
 
-    private static void step(Stage stage, Map<String, Actor> actors, String line) throws Exception {
+    private static void runStep(Stage stage, Map<String, Actor> actors, String line) throws Exception {
         String[] words = line.split(" ", 3);
         String what = words.length > 2 ? words[2] : "";
         if (words[0].equals("relay")) {
-            relay(stage, actors, words[1], what);
+            runRelayStep(stage, actors, words[1], what);
             return;
         }
         Actor actor = actors.get(words[0]);
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Whatever the scenario is about: two attempts for one key are never out at once. */
+    /** In all scenarios: two attempts for one key are never in flight at once. */
     private static void assertNoOtherAttemptIsOpen(Map<String, Actor> actors, String name, String line)
             throws InterruptedException {
         for (Map.Entry<String, Actor> other : actors.entrySet()) {
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Waits until the figures are these; one for each class after its name, separated by commas. */
+    /** Waits until the metrics are these; one value per class after the name, separated by commas. */
     private static void assertMetrics(Stage stage, String wanted) throws Exception {
         List<String> lines = new ArrayList<>();
         for (String figure : wanted.split(" ")) {
@@ -132,7 +132,8 @@
         assertThat(figures).containsAll(lines);
     }
 
-    private static void relay(Stage stage, Map<String, Actor> actors, String verb, String what) throws Exception {
+    private static void runRelayStep(Stage stage, Map<String, Actor> actors, String verb, String what)
+            throws Exception {
         switch (verb) {
             case "servers" -> stage.addServers(Integer.parseInt(what));
             case "dead" -> stage.addUnreachableServer();
--- a/src/test/java/sandstack/scenario/Stage.java
+++ b/src/test/java/sandstack/scenario/Stage.java
@@ -25,10 +25,10 @@
 import sandstack.net.EventLoop;
 import sandstack.settings.TestSettings;
 
-/** A relay on loopback with stand-in feed servers of ours, for one scenario. All ports are the system's choice. */
+/** A relay on loopback with simulated feed servers, for one scenario. All ports are ephemeral. */
 final class Stage implements AutoCloseable {
     static final List<String> CLASSES = List.of("order-status", "stock-check");
-    /** So many sockets the relay may hold. */
+    /** Descriptors that the relay may hold. */
     private static final int MAX_DESCRIPTORS = 40;
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -67,16 +67,16 @@
             Thread accepting = new Thread(() -> accept(listening));
             accepting.setDaemon(true);
             accepting.start();
-            list("s" + servers.size(), listening.getLocalPort(), EndpointState.READY);
+            updateList("s" + servers.size(), listening.getLocalPort(), EndpointState.READY);
         }
     }
 
-    /** Lists a feed server at which nobody listens. */
+    /** Lists a feed server that refuses connections. */
     void addUnreachableServer() throws Exception {
         ServerSocket listening = new ServerSocket(0, 50, LOOPBACK);
         listening.close();
         servers.add(listening);
-        list("s" + servers.size(), listening.getLocalPort(), EndpointState.READY);
+        updateList("s" + servers.size(), listening.getLocalPort(), EndpointState.READY);
     }
 
     private void accept(ServerSocket listening) {
@@ -87,11 +87,11 @@
                 upstreamRequests.add(actor.start());
             }
         } catch (IOException e) {
-            // the stage is closed
+            // this relay is closed
         }
     }
 
-    private void list(String server, int serverPort, EndpointState phase) throws Exception {
+    private void updateList(String server, int serverPort, EndpointState phase) throws Exception {
         onLoop(() -> {
             relay.onEndpointList(new EndpointRegistry.Update(
                     EndpointListKind.DELTA,
@@ -102,11 +102,11 @@
         });
     }
 
-    /** Tells the relay that the feed server at the other end of this connection is leaving. */
+    /** Changes the state of the feed server at the other end of this connection in the endpoint list. */
     void setServerState(Actor actor, EndpointState phase) throws Exception {
         for (int i = 0; i < servers.size(); i++) {
             if (servers.get(i).getLocalPort() == actor.socket.getLocalPort()) {
-                list("s" + (i + 1), servers.get(i).getLocalPort(), phase);
+                updateList("s" + (i + 1), servers.get(i).getLocalPort(), phase);
                 return;
             }
         }
@@ -118,14 +118,14 @@
         return (amqp ? new AmqpActor(socket, true) : new TextActor(socket)).start();
     }
 
-    /** So many connect and say nothing. */
+    /** Opens idle client connections. */
     void openIdleConnections(int count) throws IOException {
         for (int i = 0; i < count; i++) {
             idleConnections.add(new Socket(LOOPBACK, port));
         }
     }
 
-    /** Until each of the crowd has been closed by the relay. */
+    /** Waits until the relay has closed each idle connection. */
     void awaitIdleConnectionsClosed() throws IOException {
         for (Socket socket : idleConnections) {
             socket.setSoTimeout(10_000);
@@ -136,7 +136,7 @@
 
     /**
      * The next request that reaches a feed server. An earlier one for the same key must end by itself: two
-     * attempts are never out at once.
+     * attempts are never in flight at once.
      */
     Actor nextUpstreamRequest() throws InterruptedException {
         Actor actor = upstreamRequests.poll(10, TimeUnit.SECONDS);
@@ -146,7 +146,7 @@
         return actor;
     }
 
-    /** What has reached feed servers and was not expected. */
+    /** Requests that have reached feed servers and were not expected. */
     int unexpectedUpstreamRequests() {
         return upstreamRequests.size();
     }
