--- a/src/test/java/sandstack/scenario/Actor.java
+++ b/src/test/java/sandstack/scenario/Actor.java
@@ -6,14 +6,14 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** One end of a connection in a scenario: it can be told to send, and tells in a word what it has received. */
+/** One end of a connection in a scenario: sends on command, and reports what it receives as events. */
 abstract class Actor {
     final Socket socket;
     final BlockingQueue<String> events = new LinkedBlockingQueue<>();
-    /** On a feed server's side: the key that was asked for. */
+    /** At a feed server: the client key of the request. */
     volatile String key;
-    /** Its end has been heard of. */
-    boolean over;
+    /** The event of its end has been taken. */
+    boolean ended;
 
     Actor(Socket socket) {
         this.socket = socket;
@@ -40,7 +40,7 @@
 
     String next() throws InterruptedException {
         String event = events.poll(10, TimeUnit.SECONDS);
-        over = over || "end".equals(event) || "reset".equals(event);
+        ended = ended || "end".equals(event) || "reset".equals(event);
         return event == null ? "nothing for 10 s" : event;
     }
 
@@ -49,7 +49,7 @@
             try {
                 socket.shutdownOutput();
             } catch (java.net.SocketException e) {
-                // the other side has ended it in this moment, and the reader closed it
+                // the other side has closed it concurrently
             }
         }
     }
--- a/src/test/java/sandstack/scenario/ScenarioTest.java
+++ b/src/test/java/sandstack/scenario/ScenarioTest.java
@@ -15,17 +15,17 @@
 import sandstack.decisions.EndpointState;
 
 /**
- * Plays the scenarios under src/test/resources/scenarios. Each line is {@code ACTOR VERB WORDS}: clients are
+ * Runs the scenarios under src/test/resources/scenarios. Each line is {@code ACTOR VERB WORDS}: clients are
  * c1, c2, ...; connections that reach a feed server are x1, x2, ... in their order; {@code relay} is the relay.
  *
  * <ul>
- *   <li>{@code send}: the actor says something
- *   <li>{@code expect}: the next thing that the actor hears is this
- *   <li>{@code close}, {@code reset}: the actor ends its sending, or its connection
- *   <li>{@code wait N}: until the relay holds so many clients
- *   <li>{@code figures NAME=N ...}: until the relay's figures are these, one of a class for each class
- *   <li>{@code crowd N}, {@code dispersed}: so many connect and say nothing; all of them have been closed
- *   <li>{@code servers N}, {@code dead}, {@code draining xN}, {@code gone xN}: the name table
+ *   <li>{@code send}: the actor sends something
+ *   <li>{@code expect}: the next event of the actor is this
+ *   <li>{@code close}, {@code reset}: the actor shuts its output down, or resets its connection
+ *   <li>{@code wait N}: until the relay has so many clients
+ *   <li>{@code figures NAME=N ...}: until the relay's metrics are these; one value per class for the metrics of a class
+ *   <li>{@code crowd N}, {@code dispersed}: so many idle connections; all of them have been closed
+ *   <li>{@code servers N}, {@code dead}, {@code draining xN}, {@code gone xN}: the endpoint list
  * </ul>
  */
 class ScenarioTest {
@@ -48,8 +48,8 @@
                 for (String part : Files.readString(file).split("(?m)^== ")) {
                     if (!part.isBlank()) {
                         List<String> lines = part.lines().toList();
-                        tests.add(DynamicTest.dynamicTest(
-                                lines.get(0), () -> play(lines.subList(1, lines.size()), amqp)));
+                        tests.add(
+                                DynamicTest.dynamicTest(lines.get(0), () -> run(lines.subList(1, lines.size()), amqp)));
                     }
                 }
             }
@@ -57,30 +57,30 @@
         return tests.stream();
     }
 
-    private static void play(List<String> lines, boolean amqp) throws Exception {
+    private static void run(List<String> lines, boolean amqp) throws Exception {
         try (Stage stage = new Stage(amqp)) {
             Map<String, Actor> actors = new HashMap<>();
             for (String line : lines) {
                 if (!line.isBlank() && !line.startsWith("#")) {
-                    step(stage, actors, line.trim());
+                    runStep(stage, actors, line.trim());
                 }
             }
-            assertThat(stage.unexpectedAsks())
+            assertThat(stage.unexpectedUpstreamRequests())
                     .as("requests that reached a feed server unexpected")
                     .isZero();
         }
     }
 
-    private static void step(Stage stage, Map<String, Actor> actors, String line) throws Exception {
+    private static void runStep(Stage stage, Map<String, Actor> actors, String line) throws Exception {
         String[] words = line.split(" ", 3);
         String what = words.length > 2 ? words[2] : "";
         if (words[0].equals("relay")) {
-            relay(stage, actors, words[1], what);
+            runRelayStep(stage, actors, words[1], what);
             return;
         }
         Actor actor = actors.get(words[0]);
         if (actor == null) {
-            actor = words[0].startsWith("c") ? stage.client() : stage.nextAsk();
+            actor = words[0].startsWith("c") ? stage.client() : stage.nextUpstreamRequest();
             actors.put(words[0], actor);
         }
         switch (words[1]) {
@@ -88,7 +88,7 @@
             case "expect" -> {
                 assertThat(actor.next()).as(line).isEqualTo(what);
                 if (what.startsWith("ask ")) {
-                    nobodyElseIsOut(actors, words[0], line);
+                    assertNoOtherAttemptIsOpen(actors, words[0], line);
                 }
             }
             case "close" -> actor.close();
@@ -97,14 +97,14 @@
         }
     }
 
-    /** Whatever the scenario is about: two attempts for one key are never out at once. */
-    private static void nobodyElseIsOut(Map<String, Actor> actors, String name, String line)
+    /** In all scenarios: two attempts for one key are never in flight at once. */
+    private static void assertNoOtherAttemptIsOpen(Map<String, Actor> actors, String name, String line)
             throws InterruptedException {
         for (Map.Entry<String, Actor> other : actors.entrySet()) {
             if (!other.getKey().equals(name)
                     && other.getKey().startsWith("x")
                     && other.getValue().key.equals(actors.get(name).key)) {
-                while (!other.getValue().over) {
+                while (!other.getValue().ended) {
                     assertThat(other.getValue().next())
                             .as(line + " while " + other.getKey() + " is out")
                             .isIn("end", "reset", "aborted");
@@ -113,8 +113,8 @@
         }
     }
 
-    /** Waits until the figures are these; one for each class after its name, separated by commas. */
-    private static void figures(Stage stage, String wanted) throws Exception {
+    /** Waits until the metrics are these; one value per class after the name, separated by commas. */
+    private static void assertMetrics(Stage stage, String wanted) throws Exception {
         List<String> lines = new ArrayList<>();
         for (String figure : wanted.split(" ")) {
             String name = figure.substring(0, figure.indexOf('='));
@@ -124,22 +124,23 @@
                         + "=" + values[i]);
             }
         }
-        List<String> figures = stage.figures();
+        List<String> figures = stage.metrics();
         for (int i = 0; i < 200 && !figures.containsAll(lines); i++) {
             Thread.sleep(20);
-            figures = stage.figures();
+            figures = stage.metrics();
         }
         assertThat(figures).containsAll(lines);
     }
 
-    private static void relay(Stage stage, Map<String, Actor> actors, String verb, String what) throws Exception {
+    private static void runRelayStep(Stage stage, Map<String, Actor> actors, String verb, String what)
+            throws Exception {
         switch (verb) {
-            case "servers" -> stage.servers(Integer.parseInt(what));
-            case "dead" -> stage.deadServer();
-            case "draining" -> stage.leaving(actors.get(what), EndpointState.DRAINING);
-            case "gone" -> stage.leaving(actors.get(what), EndpointState.GONE);
-            case "crowd" -> stage.crowd(Integer.parseInt(what));
-            case "dispersed" -> stage.crowdIsGone();
+            case "servers" -> stage.addServers(Integer.parseInt(what));
+            case "dead" -> stage.addUnreachableServer();
+            case "draining" -> stage.setServerState(actors.get(what), EndpointState.DRAINING);
+            case "gone" -> stage.setServerState(actors.get(what), EndpointState.GONE);
+            case "crowd" -> stage.openIdleConnections(Integer.parseInt(what));
+            case "dispersed" -> stage.awaitIdleConnectionsClosed();
             case "drain" -> stage.drain();
             case "drained" -> stage.awaitDrained();
             case "wait" -> {
@@ -147,7 +148,7 @@
                     Thread.onSpinWait();
                 }
             }
-            case "figures" -> figures(stage, what);
+            case "figures" -> assertMetrics(stage, what);
             default -> throw new IllegalArgumentException(verb);
         }
     }
