--- a/src/main/java/sandstack/service/Listeners.java
+++ b/src/main/java/sandstack/service/Listeners.java
@@ -47,9 +47,9 @@
             }
             throw new InvalidConfigurationException("cannot listen at " + address + ": " + e.getMessage());
         }
-        descriptions.add(protocol + " at " + address.host() + ":" + port);
-        LOG.info("listener opened relay=" + relayName + " protocol=" + protocol + " address=" + address.host() + ":"
-                + port);
+        String boundAddress = new Address(address.host(), port).toString();
+        descriptions.add(protocol + " at " + boundAddress);
+        LOG.info("listener opened relay=" + relayName + " protocol=" + protocol + " address=" + boundAddress);
         return port;
     }
 
