--- a/src/test/java/sandstack/rig/ScheduleTest.java
+++ b/src/test/java/sandstack/rig/ScheduleTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
 import sandstack.config.InvalidConfigurationException;
 
 /** Fault schedules: written, read back, and rejected with one line. */
@@ -63,6 +64,21 @@
                 .hasMessageNotContaining("\n");
     }
 
+    /** The files were written by an earlier build: the names of members, keys and actions are a stored form. */
+    @ParameterizedTest
+    @ValueSource(strings = {"drawn-seed-1", "drawn-seed-5", "every-action", "no-step"})
+    void aStoredScheduleIsReadAndWrittenUnchanged(String name) throws Exception {
+        Path stored = Path.of("src/test/resources/faults", name + ".toml");
+        assertThat(Schedule.read(stored).toml()).isEqualTo(Files.readString(stored));
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {1, 5})
+    void aSeedAlwaysGivesTheSameSchedule(long seed) throws Exception {
+        Path stored = Path.of("src/test/resources/faults", "drawn-seed-" + seed + ".toml");
+        assertThat(Schedule.draw(seed).toml()).isEqualTo(Files.readString(stored));
+    }
+
     @Test
     void stepsAreInTheOrderOfTheirMoments() {
         Schedule schedule = new Schedule(
