--- a/src/main/java/sandstack/rig/FaultsCommand.java
+++ b/src/main/java/sandstack/rig/FaultsCommand.java
@@ -21,7 +21,7 @@
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "(run | search | shrink)")
 public final class FaultsCommand implements Runnable {
-    private static final int BROKEN = 1;
+    private static final int EXIT_VIOLATION = 1;
 
     @Spec
     private CommandSpec spec;
@@ -56,26 +56,27 @@
         if ((file == null) == (seed == null)) {
             throw new ParameterException(spec.commandLine(), "say either a FILE or --seed N");
         }
-        Schedule schedule = file != null ? Schedule.read(file) : Schedule.draw(seed);
-        FaultRun.Outcome outcome = FaultRun.play(program(jar), schedule);
-        tell(file != null ? file.toString() : "seed " + seed, schedule, outcome);
-        return outcome.broken().isEmpty() ? 0 : BROKEN;
+        FaultSchedule schedule = file != null ? FaultSchedule.read(file) : FaultSchedule.generate(seed);
+        FaultScheduleRunner.Outcome outcome = FaultScheduleRunner.run(program(jar), schedule);
+        printOutcome(file != null ? file.toString() : "seed " + seed, schedule, outcome);
+        return outcome.violations().isEmpty() ? 0 : EXIT_VIOLATION;
     }
 
-    private void tell(String what, Schedule schedule, FaultRun.Outcome outcome) {
+    private void printOutcome(String what, FaultSchedule schedule, FaultScheduleRunner.Outcome outcome) {
         out().printf(
                         Locale.ROOT,
                         "%s: %d members, %d steps, %s, %s%n",
                         what,
                         schedule.members(),
                         schedule.steps().size(),
-                        outcome.equalAfter() < 0
+                        outcome.convergedAfterMicros() < 0
                                 ? "never equal"
-                                : String.format(Locale.ROOT, "equal after %.1f s", outcome.equalAfter() / 1e6),
-                        outcome.broken().isEmpty()
+                                : String.format(
+                                        Locale.ROOT, "equal after %.1f s", outcome.convergedAfterMicros() / 1e6),
+                        outcome.violations().isEmpty()
                                 ? "all rules kept"
-                                : outcome.broken().size() + " times broken");
-        outcome.broken().stream().limit(5).forEach(b -> out().println("  " + b.rule() + ": " + b.how()));
+                                : outcome.violations().size() + " times broken");
+        outcome.violations().stream().limit(5).forEach(b -> out().println("  " + b.invariant() + ": " + b.detail()));
         out().flush();
     }
 
@@ -107,19 +108,19 @@
         int broken = 0;
         int played = 0;
         for (long seed = from; System.nanoTime() < until; seed++) {
-            Schedule schedule = Schedule.draw(seed);
-            FaultRun.Outcome outcome = FaultRun.play(program(jar), schedule);
+            FaultSchedule schedule = FaultSchedule.generate(seed);
+            FaultScheduleRunner.Outcome outcome = FaultScheduleRunner.run(program(jar), schedule);
             played++;
-            tell("seed " + seed, schedule, outcome);
-            if (!outcome.broken().isEmpty()) {
+            printOutcome("seed " + seed, schedule, outcome);
+            if (!outcome.violations().isEmpty()) {
                 broken++;
                 Files.createDirectories(keep);
-                Files.writeString(keep.resolve("faults-" + seed + ".toml"), schedule.toml());
+                Files.writeString(keep.resolve("faults-" + seed + ".toml"), schedule.toToml());
                 Files.writeString(keep.resolve("faults-" + seed + ".log"), outcome.logs());
             }
         }
         out().println(played + " played, " + broken + " broken");
-        return broken == 0 ? 0 : BROKEN;
+        return broken == 0 ? 0 : EXIT_VIOLATION;
     }
 
     @Command(
@@ -141,27 +142,27 @@
                             description = "The program (default: ${DEFAULT-VALUE}).")
                     Path jar)
             throws InvalidConfigurationException, IOException, InterruptedException {
-        Schedule least = Schedule.read(file);
-        if (!breaks(program(jar), least, tries)) {
+        FaultSchedule least = FaultSchedule.read(file);
+        if (!alwaysViolates(program(jar), least, tries)) {
             out().println(file + ": no rule is broken in each of " + tries + " plays");
             return 0;
         }
         for (int i = least.steps().size() - 1; i >= 0; i--) {
-            Schedule fewer = least.without(i);
-            if (breaks(program(jar), fewer, tries)) {
+            FaultSchedule fewer = least.without(i);
+            if (alwaysViolates(program(jar), fewer, tries)) {
                 least = fewer;
             }
         }
         Path small = file.resolveSibling(file.getFileName().toString().replaceFirst("(\\.toml)?$", ".small.toml"));
-        Files.writeString(small, least.toml());
+        Files.writeString(small, least.toToml());
         out().println(small + ": " + least.steps().size() + " steps are left");
-        return BROKEN;
+        return EXIT_VIOLATION;
     }
 
-    private static boolean breaks(List<String> program, Schedule schedule, int tries)
+    private static boolean alwaysViolates(List<String> program, FaultSchedule schedule, int tries)
             throws IOException, InterruptedException {
         for (int i = 0; i < tries; i++) {
-            if (FaultRun.play(program, schedule).broken().isEmpty()) {
+            if (FaultScheduleRunner.run(program, schedule).violations().isEmpty()) {
                 return false;
             }
         }
--- a/src/main/java/sandstack/rig/FleetRig.java
+++ b/src/main/java/sandstack/rig/FleetRig.java
@@ -30,16 +30,16 @@
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
             "-XX:-UsePerfData");
-    private static final int SEEDS = 3;
+    private static final int SEED_MEMBERS = 3;
 
     private final int size;
     private final int zones;
     private final List<String> program;
     private final Path folder;
-    private final StandInLoop yard;
+    private final StandInLoop loop;
     private final Discovery discovery;
     private final int[] ports;
-    private final PairLink[][] links;
+    private final MemberLink[][] links;
     /** Whether what the first sends reaches the second, whoever dialled. */
     private final boolean[][] passes;
 
@@ -56,12 +56,12 @@
         this.size = size;
         this.zones = zones;
         this.folder = Files.createTempDirectory("sandstack-fleet");
-        this.yard = new StandInLoop();
-        this.discovery = yard.make(() -> new Discovery(yard));
-        FeedServer server = yard.make(() -> new FeedServer(yard, "s0", "zone-0", Machine.IDLE));
-        yard.run(() -> discovery.list(server, "box", 1, "ready"));
+        this.loop = new StandInLoop();
+        this.discovery = loop.make(() -> new Discovery(loop));
+        FeedServer server = loop.make(() -> new FeedServer(loop, "s0", "zone-0", Machine.IDLE));
+        loop.run(() -> discovery.list(server, "box", 1, "ready"));
         ports = new int[size];
-        links = new PairLink[size][size];
+        links = new MemberLink[size][size];
         passes = new boolean[size][size];
         members = new MemberProcess[size];
         for (int i = 0; i < size; i++) {
@@ -74,7 +74,7 @@
                 int to = j;
                 long seed = (long) i * size + j;
                 passes[i][j] = true;
-                links[i][j] = i == j ? null : yard.make(() -> new PairLink(yard, host(to), ports[to], seed));
+                links[i][j] = i == j ? null : loop.make(() -> new MemberLink(loop, host(to), ports[to], seed));
             }
         }
     }
@@ -109,7 +109,7 @@
         Path own = folder.resolve("m" + i);
         StringBuilder toml = new StringBuilder("enabled = true\ninstallation = \"rig\"\nlisten = \"" + address(i)
                 + "\"\nmachine = \"machine-" + i + "\"\nmembers = [");
-        for (int j = 0; j < Math.min(SEEDS, size); j++) {
+        for (int j = 0; j < Math.min(SEED_MEMBERS, size); j++) {
             toml.append(j == 0 ? "" : ", ").append('"').append(address(j)).append('"');
         }
         toml.append("]\nrelays = [")
@@ -124,12 +124,12 @@
                 toml.append('"')
                         .append(address(j))
                         .append("\" = \"127.0.0.1:")
-                        .append(links[i][j].port())
+                        .append(links[i][j].listenPort())
                         .append("\"\n");
             }
         }
-        MemberProcess.file(own, "deploy/fleet.toml", toml.toString());
-        MemberProcess.file(own, "config.json", config(i, name));
+        MemberProcess.writeFile(own, "deploy/fleet.toml", toml.toString());
+        MemberProcess.writeFile(own, "config.json", config(i, name));
         List<String> words = new ArrayList<>(JAVA);
         words.add("-Dsandstack.deploy=" + own.resolve("deploy"));
         words.addAll(program);
@@ -174,8 +174,8 @@
 
     /** Asks it to stop, and waits until it has. */
     public void stop(int i) throws InterruptedException {
-        members[i].stop();
-        members[i].ended(20);
+        members[i].terminate();
+        members[i].awaitExit(20);
     }
 
     /** Stops a member's process from running until it is resumed. */
@@ -189,33 +189,33 @@
     }
 
     /** From now on nothing that the first sends reaches the second. */
-    public void cutOneWay(int from, int to) {
-        passes(from, to, false);
+    public void partitionOneWay(int from, int to) {
+        setPassing(from, to, false);
     }
 
     /** Nothing passes between the two. */
     public void cut(int a, int b) {
-        passes(a, b, false);
-        passes(b, a, false);
+        setPassing(a, b, false);
+        setPassing(b, a, false);
     }
 
     /** All passes again between the two, and what was held too. */
     public void heal(int a, int b) {
-        passes(a, b, true);
-        passes(b, a, true);
+        setPassing(a, b, true);
+        setPassing(b, a, true);
     }
 
-    private void passes(int from, int to, boolean passing) {
+    private void setPassing(int from, int to, boolean passing) {
         passes[from][to] = passing;
-        yard.run(() -> {
-            links[from][to].stop(!passes[from][to], !passes[to][from]);
-            links[to][from].stop(!passes[to][from], !passes[from][to]);
+        loop.run(() -> {
+            links[from][to].setBlocked(!passes[from][to], !passes[to][from]);
+            links[to][from].setBlocked(!passes[to][from], !passes[from][to]);
         });
     }
 
     /** Breaks all connections between the two; new ones can be made. */
     public void reset(int a, int b) {
-        yard.run(() -> {
+        loop.run(() -> {
             links[a][b].reset();
             links[b][a].reset();
         });
@@ -223,9 +223,9 @@
 
     /** Makes the way between the two slow, in microseconds and bytes a second. */
     public void slow(int a, int b, long delay, long jitter, long bytesASecond) {
-        yard.run(() -> {
-            links[a][b].slow(delay, jitter, bytesASecond);
-            links[b][a].slow(delay, jitter, bytesASecond);
+        loop.run(() -> {
+            links[a][b].setLatency(delay, jitter, bytesASecond);
+            links[b][a].setLatency(delay, jitter, bytesASecond);
         });
     }
 
@@ -260,7 +260,7 @@
     }
 
     /** What a member says of another: its whole line. Null where it has none. */
-    public JsonNode line(int i, String name) {
+    public JsonNode memberEntry(int i, String name) {
         JsonNode view = members[i].view();
         JsonNode found = null;
         if (view != null) {
@@ -295,11 +295,11 @@
 
     /** Bytes that members have sent each other so far. */
     public long bytes() {
-        return yard.on(() -> {
+        return loop.on(() -> {
             long sum = 0;
-            for (PairLink[] from : links) {
-                for (PairLink link : from) {
-                    sum += link == null ? 0 : link.passed();
+            for (MemberLink[] from : links) {
+                for (MemberLink link : from) {
+                    sum += link == null ? 0 : link.forwardedBytes();
                 }
             }
             return sum;
@@ -336,7 +336,7 @@
                 member.close();
             }
         }
-        yard.close();
+        loop.close();
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted(Comparator.reverseOrder())
                     .forEach(file -> file.toFile().delete());
--- a/src/main/java/sandstack/rig/MemberProcess.java
+++ b/src/main/java/sandstack/rig/MemberProcess.java
@@ -26,11 +26,11 @@
 final class MemberProcess implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     /** An answer that has not come by then does not come: the process is paused, or gone. */
-    private static final long ANSWERS_WITHIN_MS = 4_000;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 4_000;
 
     private final Process process;
-    private final PrintStream to;
-    private final BlockingQueue<String> out = new LinkedBlockingQueue<>();
+    private final PrintStream consoleInput;
+    private final BlockingQueue<String> consoleOutput = new LinkedBlockingQueue<>();
     private final Queue<String> log = new ConcurrentLinkedQueue<>();
 
     /**
@@ -46,12 +46,12 @@
         builder.environment().keySet().removeIf(name -> name.startsWith("PROXY_"));
         builder.environment().put("PROXY_CONFIG", folder.resolve("config.json").toString());
         process = builder.start();
-        to = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
-        read(process.getInputStream(), out, "out");
-        read(process.getErrorStream(), log, "log");
+        consoleInput = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
+        copyLines(process.getInputStream(), consoleOutput, "out");
+        copyLines(process.getErrorStream(), log, "log");
     }
 
-    private void read(InputStream from, Queue<String> into, String what) {
+    private void copyLines(InputStream from, Queue<String> into, String what) {
         Thread thread = new Thread(
                 () -> {
                     try (BufferedReader in = new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8))) {
@@ -68,21 +68,21 @@
     }
 
     /** Writes a command to its console, whether it reads or not. */
-    void ask(String command) {
-        out.clear();
-        to.println(command);
+    void sendCommand(String command) {
+        consoleOutput.clear();
+        consoleInput.println(command);
     }
 
     /** What it knows of the fleet; null where it does not answer. */
     JsonNode view() {
-        ask("fleet json");
-        return answer();
+        sendCommand("fleet json");
+        return awaitJsonResponse();
     }
 
     /** The object with which it answers what was asked last; null where it does not answer. */
-    JsonNode answer() {
+    JsonNode awaitJsonResponse() {
         try {
-            String line = line("{");
+            String line = awaitLine("{");
             return line == null ? null : JSON.readTree(line);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("a view that is no JSON", e);
@@ -90,15 +90,15 @@
     }
 
     /** The line with which it answers this command; null where it does not answer. */
-    String say(String command) {
-        ask(command);
-        return line("");
+    String execute(String command) {
+        sendCommand(command);
+        return awaitLine("");
     }
 
-    private String line(String begins) {
+    private String awaitLine(String begins) {
         try {
-            long until = System.nanoTime() + ANSWERS_WITHIN_MS * 1_000_000;
-            for (String line; (line = out.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS)) != null; ) {
+            long until = System.nanoTime() + RESPONSE_TIMEOUT_MILLIS * 1_000_000;
+            for (String line; (line = consoleOutput.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS)) != null; ) {
                 if (line.startsWith(begins)) {
                     return line;
                 }
@@ -118,12 +118,12 @@
         return process.pid();
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process.isAlive();
     }
 
     /** Its exit code; -1 where it has not ended by then. */
-    int ended(long seconds) throws InterruptedException {
+    int awaitExit(long seconds) throws InterruptedException {
         return process.waitFor(seconds, TimeUnit.SECONDS) ? process.exitValue() : -1;
     }
 
@@ -148,7 +148,7 @@
     }
 
     /** Asks it to stop, as the platform does. */
-    void stop() {
+    void terminate() {
         process.destroy();
     }
 
@@ -168,7 +168,7 @@
     }
 
     /** Puts a text into a member's folder. */
-    static void file(Path folder, String name, String text) throws IOException {
+    static void writeFile(Path folder, String name, String text) throws IOException {
         Files.createDirectories(folder.resolve(name).getParent());
         Files.writeString(folder.resolve(name), text);
     }
--- a/src/main/java/sandstack/standin/Discovery.java
+++ b/src/main/java/sandstack/standin/Discovery.java
@@ -17,14 +17,14 @@
  * while it is down. Each relay may be told addresses of its own. Lives on its yard's thread; a change costs O(watches).
  */
 public final class Discovery {
-    private static final long EMPTY_LINE_EVERY = 2_000_000;
-    private static final int LONGEST_REQUEST = 8192;
+    private static final long KEEPALIVE_INTERVAL_MICROS = 2_000_000;
+    private static final int MAX_REQUEST_LENGTH = 8192;
 
-    private final StandInLoop yard;
+    private final StandInLoop loop;
     private final int port;
     private final InstanceList instances = new InstanceList();
-    private final Set<Call> watches = new LinkedHashSet<>();
-    private final Set<Call> calls = new LinkedHashSet<>();
+    private final Set<Connection> watches = new LinkedHashSet<>();
+    private final Set<Connection> connections = new LinkedHashSet<>();
     private long delay;
     private boolean down;
 
@@ -35,17 +35,17 @@
 
     /** At this port; 0 for one of the system's choice. */
     public Discovery(StandInLoop yard, int at) throws IOException {
-        this.yard = yard;
+        this.loop = yard;
         this.port = yard.loop()
                 .listen(StandInLoop.LOOPBACK, at, yard.loop().chain(new BaseFilter() {
                     @Override
                     public NextAction handleAccept(FilterChainContext context) {
-                        new Call(EventLoop.peer(context));
+                        new Connection(EventLoop.peer(context));
                         return context.getStopAction();
                     }
                 }))
                 .port();
-        yard.after(EMPTY_LINE_EVERY, this::beat);
+        yard.after(KEEPALIVE_INTERVAL_MICROS, this::sendKeepalives);
     }
 
     /** The port at which it listens. */
@@ -62,9 +62,9 @@
     public void down(boolean isDown) {
         down = isDown;
         if (down) {
-            for (Call call : Set.copyOf(calls)) {
+            for (Connection call : Set.copyOf(connections)) {
                 call.peer.reset();
-                call.over();
+                call.remove();
             }
         }
     }
@@ -84,7 +84,7 @@
                 hint,
                 state,
                 server.bootedAt() / 1000));
-        yard.after(delay, () -> Set.copyOf(watches).forEach(watch -> watch.tell(from)));
+        loop.after(delay, () -> Set.copyOf(watches).forEach(watch -> watch.sendChanges(from)));
     }
 
     /** The whole list, as the object that a configuration holds under {@code known}. */
@@ -92,20 +92,20 @@
         return instances.whole();
     }
 
-    private void beat() {
-        List.copyOf(watches).forEach(Call::emptyLine);
-        yard.after(EMPTY_LINE_EVERY, this::beat);
+    private void sendKeepalives() {
+        List.copyOf(watches).forEach(Connection::sendKeepalive);
+        loop.after(KEEPALIVE_INTERVAL_MICROS, this::sendKeepalives);
     }
 
     /** One call and, where it asked for that, its watch. */
-    private final class Call implements Peer.Owner {
+    private final class Connection implements Peer.Owner {
         final Peer peer;
-        private long told;
+        private long sentRevision;
 
-        Call(Peer peer) {
+        Connection(Peer peer) {
             this.peer = peer;
             peer.ownedBy(this);
-            calls.add(this);
+            connections.add(this);
         }
 
         @Override
@@ -113,59 +113,59 @@
             String text = peer.in().peek(peer.in().size());
             int end = text.indexOf("\r\n\r\n");
             if (end < 0) {
-                if (text.length() > LONGEST_REQUEST) {
-                    answer("400 Bad Request", "");
+                if (text.length() > MAX_REQUEST_LENGTH) {
+                    sendResponse("400 Bad Request", "");
                 }
                 return;
             }
             peer.in().skip(end + 4);
-            ask(text.substring(0, text.indexOf("\r\n")));
+            handleRequest(text.substring(0, text.indexOf("\r\n")));
         }
 
-        private void ask(String request) {
+        private void handleRequest(String request) {
             List<String> words = List.of(request.split(" "));
             if (words.size() != 3
                     || !words.get(0).equals("GET")
                     || !words.get(1).startsWith("/registry/instances")) {
-                answer("404 Not Found", "");
+                sendResponse("404 Not Found", "");
             } else if (down) {
-                answer("503 Service Unavailable", "");
+                sendResponse("503 Service Unavailable", "");
             } else if (words.get(1).contains("watch=1")) {
                 int at = words.get(1).indexOf("from=");
-                told = at < 0
+                sentRevision = at < 0
                         ? -1
                         : Long.parseLong(words.get(1).substring(at + 5).replaceAll("[^0-9].*", ""));
                 peer.send("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
                 watches.add(this);
-                tell(told);
+                sendChanges(sentRevision);
             } else {
-                answer("200 OK", instances.whole() + "\n");
+                sendResponse("200 OK", instances.whole() + "\n");
             }
         }
 
-        void tell(long from) {
+        void sendChanges(long from) {
             if (!peer.closed() && watches.contains(this)) {
-                chunk(instances.since(Math.min(from, told)) + "\n");
-                told = instances.revision();
+                sendChunk(instances.since(Math.min(from, sentRevision)) + "\n");
+                sentRevision = instances.revision();
             }
         }
 
-        void emptyLine() {
-            chunk("\n");
+        void sendKeepalive() {
+            sendChunk("\n");
         }
 
-        private void chunk(String text) {
+        private void sendChunk(String text) {
             int length = text.getBytes(StandardCharsets.UTF_8).length;
             peer.send(Integer.toHexString(length) + "\r\n" + text + "\r\n");
         }
 
-        private void answer(String status, String body) {
+        private void sendResponse(String status, String body) {
             peer.send("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
-        void over() {
+        void remove() {
             watches.remove(this);
-            calls.remove(this);
+            connections.remove(this);
         }
 
         @Override
@@ -173,13 +173,13 @@
 
         @Override
         public void finished() {
-            over();
+            remove();
             peer.close();
         }
 
         @Override
         public void broken() {
-            over();
+            remove();
         }
     }
 }
--- a/src/main/java/sandstack/standin/FeedServer.java
+++ b/src/main/java/sandstack/standin/FeedServer.java
@@ -22,7 +22,7 @@
  * costs O(1), a death O(connections).
  */
 public final class FeedServer {
-    private static final int LONGEST_LINE = 4096;
+    private static final int MAX_LINE_LENGTH = 4096;
 
     /** What it has counted by itself. */
     public record Books(
@@ -36,27 +36,27 @@
             long reads,
             double busy) {}
 
-    private final StandInLoop yard;
+    private final StandInLoop loop;
     private final String uid;
     private final String zone;
     private final Machine machine;
     private final int port;
-    private final Set<Session> standing = new LinkedHashSet<>();
-    private final Set<Session> all = new LinkedHashSet<>();
-    private final Map<String, Long> standingMicros = new HashMap<>();
+    private final Set<Session> established = new LinkedHashSet<>();
+    private final Set<Session> sessions = new LinkedHashSet<>();
+    private final Map<String, Long> closedSessionMicros = new HashMap<>();
     private final Deque<Job> queue = new ArrayDeque<>();
     private int working;
     private double taken;
     private long bootedAt;
     private boolean draining;
-    private boolean dead;
-    private int most;
+    private boolean killed;
+    private int maxEstablished;
     private long setups;
-    private long turnedAway;
+    private long rejected;
     private long shed;
     private long lines;
-    private long asked;
-    private long syntax;
+    private long requests;
+    private long syntaxErrors;
     private double busy;
 
     /** One piece of work, in microseconds of a standard core, and what follows once it is done. */
@@ -73,7 +73,7 @@
 
     /** The same at this port; 0 for one of the system's choice. */
     public FeedServer(StandInLoop yard, String uid, String zone, Machine machine, int at) throws IOException {
-        this.yard = yard;
+        this.loop = yard;
         this.uid = uid;
         this.zone = zone;
         this.machine = machine;
@@ -97,25 +97,25 @@
 
     /** Sends its clients away, as a draining feed server does. */
     public void sendAway() {
-        for (Session s : Set.copyOf(standing)) {
-            s.end("MOVE\r\n");
+        for (Session s : Set.copyOf(established)) {
+            s.closeWith("MOVE\r\n");
         }
     }
 
     /** Resets all its connections and takes none, as a process that has died. */
     public void kill() {
-        dead = true;
+        killed = true;
         queue.clear();
-        for (Session s : Set.copyOf(all)) {
+        for (Session s : Set.copyOf(sessions)) {
             s.reset();
         }
     }
 
     /** Is back as a fresh process; returns when it started, in Unix milliseconds. */
     public long restart() {
-        dead = false;
+        killed = false;
         draining = false;
-        bootedAt = yard.now();
+        bootedAt = loop.now();
         return bootedAt / 1000;
     }
 
@@ -126,7 +126,7 @@
 
     /** Tells each of its clients this load, in microseconds of work a second. */
     public void tellLoads(double load) {
-        for (Session s : standing) {
+        for (Session s : established) {
             s.peer.send("LOAD " + load + "\r\n");
         }
     }
@@ -139,7 +139,7 @@
 
     /** All connections that stand now. */
     public List<Subscriber> subscribers() {
-        return List.copyOf(standing);
+        return List.copyOf(established);
     }
 
     // ---- what others see --------------------------------------------------------------------------
@@ -176,16 +176,17 @@
 
     /** What it has counted until now. */
     public Books books() {
-        return new Books(standing.size(), most, setups, turnedAway, shed, lines, asked, syntax, busy);
+        return new Books(
+                established.size(), maxEstablished, setups, rejected, shed, lines, requests, syntaxErrors, busy);
     }
 
     /** Connection-seconds that have stood here, by the value of one name of the first line, such as the class. */
     public Map<String, Double> standingSeconds(String name) {
         Map<String, Double> seconds = new LinkedHashMap<>();
-        standingMicros.forEach((line, micros) -> seconds.merge(value(line, name), micros / 1e6, Double::sum));
-        long now = yard.now();
-        for (Session s : standing) {
-            seconds.merge(value(s.values, name), (now - s.since) / 1e6, Double::sum);
+        closedSessionMicros.forEach((line, micros) -> seconds.merge(value(line, name), micros / 1e6, Double::sum));
+        long now = loop.now();
+        for (Session s : established) {
+            seconds.merge(value(s.attributes, name), (now - s.establishedMicros) / 1e6, Double::sum);
         }
         return seconds;
     }
@@ -204,7 +205,7 @@
     private double speed() {
         double part = machine.warmAfter() <= 0 || bootedAt == 0
                 ? 1
-                : Math.min(1, (yard.now() - bootedAt) / (double) machine.warmAfter());
+                : Math.min(1, (loop.now() - bootedAt) / (double) machine.warmAfter());
         return machine.speed() * (machine.coldFrom() + (1 - machine.coldFrom()) * part) * (1 - taken);
     }
 
@@ -225,7 +226,7 @@
         working++;
         long lasts = Math.max(1, (long) (job.work() / Math.max(1e-6, speed())));
         busy += lasts;
-        yard.after(lasts, () -> {
+        loop.after(lasts, () -> {
             working--;
             job.done().run();
             next();
@@ -235,16 +236,16 @@
     /** One connection, from its first line to its end. */
     private final class Session implements Peer.Owner, Subscriber {
         final Peer peer;
-        String values;
-        long since;
+        String attributes;
+        long establishedMicros;
         private boolean opening;
-        private boolean over;
+        private boolean closed;
 
         Session(Peer peer) {
             this.peer = peer;
             peer.ownedBy(this);
-            all.add(this);
-            if (dead) {
+            sessions.add(this);
+            if (killed) {
                 reset();
             }
         }
@@ -252,122 +253,122 @@
         @Override
         public void received(int count) {
             int end = peer.in().indexOf('\n');
-            while (end >= 0 && !over) {
+            while (end >= 0 && !closed) {
                 String line = peer.in().peek(end + 1);
                 peer.in().skip(end + 1);
-                if (values == null) {
-                    first(line.trim());
+                if (attributes == null) {
+                    openRequestReceived(line.trim());
                 } else {
                     lines++;
                     work(machine.line(), () -> echo(line));
                 }
                 end = peer.in().indexOf('\n');
             }
-            if (peer.in().size() >= LONGEST_LINE) {
-                end("SYNTAX\r\n");
+            if (peer.in().size() >= MAX_LINE_LENGTH) {
+                closeWith("SYNTAX\r\n");
             }
         }
 
         @Override
         public boolean send(String line) {
-            if (!over) {
+            if (!closed) {
                 peer.send(line);
             }
-            return !over;
+            return !closed;
         }
 
         private void echo(String line) {
-            if (!over) {
+            if (!closed) {
                 peer.send(line);
             }
         }
 
-        private void first(String line) {
+        private void openRequestReceived(String line) {
             String[] words = line.split(" ");
             if (words.length != 4 || !words[0].equals("OPEN")) {
-                syntax++;
-                end("SYNTAX\r\n");
+                syntaxErrors++;
+                closeWith("SYNTAX\r\n");
                 return;
             }
-            asked++;
-            values = words[3];
-            if (draining || (!machine.sheds() && full(1))) {
-                turnedAway++;
-                end("BUSY\r\n");
+            requests++;
+            attributes = words[3];
+            if (draining || (!machine.sheds() && isFull(1))) {
+                rejected++;
+                closeWith("BUSY\r\n");
                 return;
             }
             opening = true;
-            opened++;
-            work(machine.setup(), () -> up(words[1]));
+            pendingSetups++;
+            work(machine.setup(), () -> setupCompleted(words[1]));
         }
 
-        private void up(String id) {
-            if (over) {
+        private void setupCompleted(String id) {
+            if (closed) {
                 return;
             }
             opening = false;
-            opened--;
-            since = yard.now();
-            standing.add(this);
-            most = Math.max(most, standing.size());
+            pendingSetups--;
+            establishedMicros = loop.now();
+            established.add(this);
+            maxEstablished = Math.max(maxEstablished, established.size());
             setups++;
             peer.send("UP " + uid + "-" + id + "\r\n");
-            if (machine.sheds() && full(0)) {
+            if (machine.sheds() && isFull(0)) {
                 shed++;
                 reset();
             }
         }
 
-        void end(String word) {
-            if (!over) {
-                gone();
+        void closeWith(String word) {
+            if (!closed) {
+                remove();
                 peer.send(word);
                 peer.finish();
             }
         }
 
         void reset() {
-            gone();
+            remove();
             peer.reset();
         }
 
-        private void gone() {
-            if (over) {
+        private void remove() {
+            if (closed) {
                 return;
             }
-            over = true;
-            all.remove(this);
+            closed = true;
+            sessions.remove(this);
             if (opening) {
-                opened--;
+                pendingSetups--;
             }
-            if (standing.remove(this)) {
-                standingMicros.merge(values, yard.now() - since, Long::sum);
+            if (established.remove(this)) {
+                closedSessionMicros.merge(attributes, loop.now() - establishedMicros, Long::sum);
             }
         }
 
         @Override
         public void flushed() {
-            if (over && peer.outEnded() && peer.inEnded()) {
+            if (closed && peer.outEnded() && peer.inEnded()) {
                 peer.close();
             }
         }
 
         @Override
         public void finished() {
-            gone();
+            remove();
             peer.finish();
             peer.close();
         }
 
         @Override
         public void broken() {
-            gone();
+            remove();
         }
     }
 
-    private int opened;
+    private int pendingSetups;
 
-    private boolean full(int more) {
-        return machine.cap() > 0 && standing.size() + opened + more > machine.cap();
+    private boolean isFull(int more) {
+        return machine.cap() > 0 && established.size() + pendingSetups + more > machine.cap();
     }
 }
--- a/src/main/java/sandstack/standin/InstanceList.java
+++ b/src/main/java/sandstack/standin/InstanceList.java
@@ -15,7 +15,7 @@
     public static final String GONE = "gone";
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long FROM_THE_START = -1;
+    private static final long BEFORE_FIRST_REVISION = -1;
 
     /**
      * One feed server.
@@ -47,7 +47,7 @@
 
     /** The whole list, without what is gone. */
     public ObjectNode whole() {
-        return since(FROM_THE_START);
+        return since(BEFORE_FIRST_REVISION);
     }
 
     /** What has changed after this revision; the whole list for one below 0. */
--- a/src/main/java/sandstack/standin/ShopClient.java
+++ b/src/main/java/sandstack/standin/ShopClient.java
@@ -36,20 +36,20 @@
      */
     public record Told(ShopClient client, Happened what, long after, long comeBack) {}
 
-    private final StandInLoop yard;
+    private final StandInLoop loop;
     private final String key;
-    private final Consumer<Told> tells;
-    private final Tap tap = new Tap();
+    private final Consumer<Told> eventListener;
+    private final ResponseReader responseReader = new ResponseReader();
     private Peer peer;
     private EventLoop.PendingConnect connecting;
-    private long began;
-    private boolean up;
-    private boolean over;
-    private long lineEvery;
-    private long sentAt;
-    private LineHeard heard;
-    private Consumer<String> delivered;
-    private Deadline silence;
+    private long phaseStartMicros;
+    private boolean established;
+    private boolean closed;
+    private long lineIntervalMicros;
+    private long lineSentMicros;
+    private LineHeard lineListener;
+    private Consumer<String> deliveryListener;
+    private Deadline responseTimeout;
 
     /** Told of each line that came back and what it took, in microseconds. */
     public interface LineHeard {
@@ -66,22 +66,22 @@
      */
     public ShopClient(
             StandInLoop yard, int port, String id, String key, String values, long patience, Consumer<Told> tells) {
-        this.yard = yard;
+        this.loop = yard;
         this.key = key;
-        this.tells = tells;
-        this.began = yard.now();
-        this.silence = yard.after(patience, () -> ended(Happened.SILENT, 0));
+        this.eventListener = tells;
+        this.phaseStartMicros = yard.now();
+        this.responseTimeout = yard.after(patience, () -> close(Happened.SILENT, 0));
         connecting = yard.loop().connect(StandInLoop.LOOPBACK, port, new EventLoop.ConnectListener() {
             @Override
             public void connected(Peer made) {
                 peer = made;
-                peer.ownedBy(tap);
+                peer.ownedBy(responseReader);
                 peer.send("OPEN " + id + " " + key + " " + values + "\r\n");
             }
 
             @Override
             public void failed() {
-                ended(Happened.FAILED, 0);
+                close(Happened.FAILED, 0);
             }
         });
     }
@@ -93,58 +93,58 @@
 
     /** Whether its connection stands. */
     public boolean standing() {
-        return up && !over;
+        return established && !closed;
     }
 
     /** From now on sends a line so often, and tells how long each took to come back. */
     public void talk(long every, LineHeard listener) {
-        lineEvery = every;
-        heard = listener;
-        say();
+        lineIntervalMicros = every;
+        lineListener = listener;
+        sendLine();
     }
 
     /** From now on tells each line that the feed server sends by itself. */
     public void onDelivery(Consumer<String> listener) {
-        delivered = listener;
+        deliveryListener = listener;
     }
 
-    private void say() {
+    private void sendLine() {
         if (!standing()) {
             return;
         }
-        if (sentAt == 0) {
-            sentAt = yard.now();
-            peer.send("line " + sentAt + "\r\n");
+        if (lineSentMicros == 0) {
+            lineSentMicros = loop.now();
+            peer.send("line " + lineSentMicros + "\r\n");
         }
-        yard.after(lineEvery, this::say);
+        loop.after(lineIntervalMicros, this::sendLine);
     }
 
     /** How long the line that is out has been out, in microseconds; 0 where none is. */
     public long waiting() {
-        return sentAt == 0 ? 0 : yard.now() - sentAt;
+        return lineSentMicros == 0 ? 0 : loop.now() - lineSentMicros;
     }
 
     /** Ends the connection, as a client that has what it came for. */
     public void leave() {
-        if (!over) {
-            ended(Happened.LEFT, 0);
+        if (!closed) {
+            close(Happened.LEFT, 0);
         }
     }
 
     /** Ends the connection by a reset, as a client whose process dies; its port is free at once. */
     public void abort() {
-        if (!over && peer != null) {
+        if (!closed && peer != null) {
             peer.reset();
         }
         leave();
     }
 
-    private void ended(Happened what, long comeBack) {
-        if (over) {
+    private void close(Happened what, long comeBack) {
+        if (closed) {
             return;
         }
-        over = true;
-        silence.cancel();
+        closed = true;
+        responseTimeout.cancel();
         if (peer == null) {
             // it may fail before the call that connects has returned
             if (connecting != null) {
@@ -154,49 +154,49 @@
             peer.finish();
             peer.close();
         }
-        tells.accept(new Told(this, what, yard.now() - began, comeBack));
+        eventListener.accept(new Told(this, what, loop.now() - phaseStartMicros, comeBack));
     }
 
     /** Reads what the relay sends. */
-    private final class Tap implements Peer.Owner {
+    private final class ResponseReader implements Peer.Owner {
         @Override
         public void received(int count) {
             int end = peer.in().indexOf('\n');
-            while (end >= 0 && !over) {
+            while (end >= 0 && !closed) {
                 String line = peer.in().peek(end + 1).trim();
                 peer.in().skip(end + 1);
-                line(line);
-                end = over ? -1 : peer.in().indexOf('\n');
+                lineReceived(line);
+                end = closed ? -1 : peer.in().indexOf('\n');
             }
         }
 
-        private void line(String line) {
-            if (up) {
-                standing(line);
+        private void lineReceived(String line) {
+            if (established) {
+                establishedLineReceived(line);
             } else if (line.startsWith("UP")) {
-                up = true;
-                silence.cancel();
-                long took = yard.now() - began;
-                began = yard.now();
-                tells.accept(new Told(ShopClient.this, Happened.UP, took, 0));
+                established = true;
+                responseTimeout.cancel();
+                long took = loop.now() - phaseStartMicros;
+                phaseStartMicros = loop.now();
+                eventListener.accept(new Told(ShopClient.this, Happened.UP, took, 0));
             } else if (line.startsWith("BUSY")) {
-                ended(
+                close(
                         Happened.BUSY,
                         line.length() > 5 ? Long.parseLong(line.substring(5).trim()) : 0);
             } else {
-                ended(Happened.FAILED, 0);
+                close(Happened.FAILED, 0);
             }
         }
 
-        private void standing(String line) {
+        private void establishedLineReceived(String line) {
             if (line.equals("MOVE")) {
-                ended(Happened.MOVED, 0);
-            } else if (line.startsWith("line ") && sentAt != 0) {
-                long took = yard.now() - sentAt;
-                sentAt = 0;
-                heard.heard(took);
-            } else if (delivered != null) {
-                delivered.accept(line);
+                close(Happened.MOVED, 0);
+            } else if (line.startsWith("line ") && lineSentMicros != 0) {
+                long took = loop.now() - lineSentMicros;
+                lineSentMicros = 0;
+                lineListener.heard(took);
+            } else if (deliveryListener != null) {
+                deliveryListener.accept(line);
             }
         }
 
@@ -205,12 +205,12 @@
 
         @Override
         public void finished() {
-            ended(up ? Happened.LOST : Happened.FAILED, 0);
+            close(established ? Happened.LOST : Happened.FAILED, 0);
         }
 
         @Override
         public void broken() {
-            ended(up ? Happened.LOST : Happened.FAILED, 0);
+            close(established ? Happened.LOST : Happened.FAILED, 0);
         }
     }
 }
--- a/src/main/java/sandstack/standin/StandInLoop.java
+++ b/src/main/java/sandstack/standin/StandInLoop.java
@@ -18,7 +18,7 @@
  */
 public final class StandInLoop implements AutoCloseable {
     static final String LOOPBACK = "127.0.0.1";
-    private static final long PATIENCE_SECONDS = 30;
+    private static final long CALL_TIMEOUT_SECONDS = 30;
 
     private final EventLoop loop = new EventLoop();
     private final DeadlineScheduler deadlines = new DeadlineScheduler();
@@ -40,7 +40,7 @@
             }
         });
         try {
-            return result.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            return result.get(CALL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted", e);
@@ -60,14 +60,14 @@
     /** What may fail to listen. */
     public interface Made<T> {
         /** Makes it; called on the loop's thread. */
-        T make() throws IOException;
+        T create() throws IOException;
     }
 
     /** Makes a stand-in on the yard's thread. */
     public <T> T make(Made<T> made) {
         return on(() -> {
             try {
-                return made.make();
+                return made.create();
             } catch (IOException e) {
                 throw new IllegalStateException("a stand-in cannot listen: " + e.getMessage(), e);
             }
--- a/src/main/java/sandstack/standin/ZoneLink.java
+++ b/src/main/java/sandstack/standin/ZoneLink.java
@@ -13,13 +13,13 @@
  * order. Lives on its yard's thread; a piece costs one deadline.
  */
 public final class ZoneLink {
-    private final StandInLoop yard;
+    private final StandInLoop loop;
     private final int port;
-    private final int to;
-    private final long delay;
-    private final long jitter;
-    private final SplittableRandom chance;
-    private boolean cut;
+    private final int serverPort;
+    private final long delayMicros;
+    private final long jitterMicros;
+    private final SplittableRandom random;
+    private boolean partitioned;
 
     /**
      * Creates a link that listens at a port of the system's choice.
@@ -29,11 +29,11 @@
      * @param jitter up to so much is added
      */
     public ZoneLink(StandInLoop yard, int to, long delay, long jitter, long seed) throws IOException {
-        this.yard = yard;
-        this.to = to;
-        this.delay = delay;
-        this.jitter = jitter;
-        this.chance = new SplittableRandom(seed);
+        this.loop = yard;
+        this.serverPort = to;
+        this.delayMicros = delay;
+        this.jitterMicros = jitter;
+        this.random = new SplittableRandom(seed);
         this.port = yard.loop()
                 .listen(StandInLoop.LOOPBACK, 0, yard.loop().chain(new BaseFilter() {
                     @Override
@@ -51,16 +51,16 @@
     }
 
     /** While it is cut nothing passes, and nobody is told. */
-    public void cut(boolean isCut) {
-        cut = isCut;
+    public void setPartitioned(boolean isCut) {
+        partitioned = isCut;
     }
 
     private void accepted(Peer near) {
-        End here = new End(near);
-        yard.loop().connect(StandInLoop.LOOPBACK, to, new EventLoop.ConnectListener() {
+        LinkEnd here = new LinkEnd(near);
+        loop.loop().connect(StandInLoop.LOOPBACK, serverPort, new EventLoop.ConnectListener() {
             @Override
             public void connected(Peer far) {
-                End there = new End(far);
+                LinkEnd there = new LinkEnd(far);
                 here.other = there;
                 there.other = here;
                 here.received(0);
@@ -74,20 +74,22 @@
     }
 
     /** One end of one connection. */
-    private final class End implements Peer.Owner {
+    private final class LinkEnd implements Peer.Owner {
         private final Peer peer;
-        private End other;
-        private long lastDue;
+        private LinkEnd other;
+        private long lastDeliveryMicros;
 
-        End(Peer peer) {
+        LinkEnd(Peer peer) {
             this.peer = peer;
             peer.ownedBy(this);
         }
 
-        private void later(Runnable what) {
+        private void scheduleDelivery(Runnable what) {
             // a piece never overtakes the one before it
-            lastDue = Math.max(lastDue, yard.now() + delay + (jitter > 0 ? chance.nextLong(jitter) : 0));
-            yard.after(lastDue - yard.now(), what);
+            lastDeliveryMicros = Math.max(
+                    lastDeliveryMicros,
+                    loop.now() + delayMicros + (jitterMicros > 0 ? random.nextLong(jitterMicros) : 0));
+            loop.after(lastDeliveryMicros - loop.now(), what);
         }
 
         @Override
@@ -96,8 +98,8 @@
                 return;
             }
             byte[] piece = peer.in().take();
-            if (!cut) {
-                later(() -> other.write(piece));
+            if (!partitioned) {
+                scheduleDelivery(() -> other.write(piece));
             }
         }
 
@@ -113,14 +115,14 @@
         @Override
         public void finished() {
             if (other != null) {
-                later(other.peer::finish);
+                scheduleDelivery(other.peer::finish);
             }
         }
 
         @Override
         public void broken() {
             if (other != null) {
-                later(other.peer::reset);
+                scheduleDelivery(other.peer::reset);
             }
         }
     }
--- a/src/test/java/sandstack/rig/ScheduleTest.java
+++ b/src/test/java/sandstack/rig/FaultScheduleTest.java
@@ -16,16 +16,16 @@
 import sandstack.config.InvalidConfigurationException;
 
 /** Fault schedules: written, read back, and rejected with one line. */
-class ScheduleTest {
+class FaultScheduleTest {
     @TempDir
     Path folder;
 
     @Property(tries = 200)
-    void aDrawnScheduleReadsBackAsItWasWritten(@ForAll long seed) throws Exception {
-        Schedule drawn = Schedule.draw(seed);
+    void aGeneratedScheduleIsReadBackAsWritten(@ForAll long seed) throws Exception {
+        FaultSchedule drawn = FaultSchedule.generate(seed);
         Path file = Files.createTempFile("schedule", ".toml");
-        Files.writeString(file, drawn.toml());
-        Schedule read = Schedule.read(file);
+        Files.writeString(file, drawn.toToml());
+        FaultSchedule read = FaultSchedule.read(file);
         Files.delete(file);
         assertThat(read.members()).isEqualTo(drawn.members());
         assertThat(read.steps()).hasSameSizeAs(drawn.steps());
@@ -33,10 +33,10 @@
             assertThat(read.steps().get(i).toString())
                     .isEqualTo(drawn.steps().get(i).toString());
         }
-        assertThat(Schedule.draw(seed)).isEqualTo(drawn);
-        for (Schedule.Step step : drawn.steps()) {
-            assertThat(step.a()).isBetween(0, drawn.members() - 1).isNotEqualTo(step.b());
-            assertThat(step.b()).isLessThan(drawn.members());
+        assertThat(FaultSchedule.generate(seed)).isEqualTo(drawn);
+        for (FaultSchedule.Step step : drawn.steps()) {
+            assertThat(step.member()).isBetween(0, drawn.members() - 1).isNotEqualTo(step.otherMember());
+            assertThat(step.otherMember()).isLessThan(drawn.members());
         }
     }
 
@@ -55,10 +55,10 @@
                 "members = 3\\n[[step]]\\nat = 1\\nwhen = 2       | step 1: when is not known here",
                 "members =                                       | ",
             })
-    void aMistakeIsOneLineThatNamesFileKeyAndValue(String toml, String line) throws Exception {
+    void anInvalidFileIsRejectedWithOneLineThatNamesFileKeyAndValue(String toml, String line) throws Exception {
         Path file = folder.resolve("s.toml");
         Files.writeString(file, toml.strip().replace("\\n", "\n"));
-        assertThatThrownBy(() -> Schedule.read(file))
+        assertThatThrownBy(() -> FaultSchedule.read(file))
                 .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessageStartingWith(file + ": " + (line == null ? "" : line))
                 .hasMessageNotContaining("\n");
@@ -69,22 +69,24 @@
     @ValueSource(strings = {"drawn-seed-1", "drawn-seed-5", "every-action", "no-step"})
     void aStoredScheduleIsReadAndWrittenUnchanged(String name) throws Exception {
         Path stored = Path.of("src/test/resources/faults", name + ".toml");
-        assertThat(Schedule.read(stored).toml()).isEqualTo(Files.readString(stored));
+        assertThat(FaultSchedule.read(stored).toToml()).isEqualTo(Files.readString(stored));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 5})
     void aSeedAlwaysGivesTheSameSchedule(long seed) throws Exception {
         Path stored = Path.of("src/test/resources/faults", "drawn-seed-" + seed + ".toml");
-        assertThat(Schedule.draw(seed).toml()).isEqualTo(Files.readString(stored));
+        assertThat(FaultSchedule.generate(seed).toToml()).isEqualTo(Files.readString(stored));
     }
 
     @Test
-    void stepsAreInTheOrderOfTheirMoments() {
-        Schedule schedule = new Schedule(
+    void stepsAreOrderedByTime() {
+        FaultSchedule schedule = new FaultSchedule(
                 2,
-                List.of(new Schedule.Step(2, Schedule.Kind.HEAL, 0, 1), new Schedule.Step(1, Schedule.Kind.CUT, 0, 1)));
-        assertThat(schedule.steps().get(0).kind()).isEqualTo(Schedule.Kind.CUT);
+                List.of(
+                        new FaultSchedule.Step(2, FaultSchedule.Action.HEAL, 0, 1),
+                        new FaultSchedule.Step(1, FaultSchedule.Action.PARTITION, 0, 1)));
+        assertThat(schedule.steps().get(0).action()).isEqualTo(FaultSchedule.Action.PARTITION);
         assertThat(schedule.without(0).steps()).hasSize(1);
     }
 }
--- a/src/test/java/sandstack/rig/FaultSchedulesTest.java
+++ b/src/test/java/sandstack/rig/FaultSchedulesTest.java
@@ -21,21 +21,23 @@
     private static final List<String> PROGRAM = List.of("-cp", System.getProperty("java.class.path"), "sandstack.Main");
 
     @Test
-    void noRuleIsBrokenOnSchedulesThatOnceBrokeOneAndOnDrawnOnes() throws Exception {
-        Map<String, Schedule> schedules = new TreeMap<>(Map.of("seed 1", Schedule.draw(1), "seed 3", Schedule.draw(3)));
+    void invariantsHoldOnRegressionAndGeneratedSchedules() throws Exception {
+        Map<String, FaultSchedule> schedules =
+                new TreeMap<>(Map.of("seed 1", FaultSchedule.generate(1), "seed 3", FaultSchedule.generate(3)));
         for (String found : List.of("cut-and-restart", "one-way-and-restart")) {
-            schedules.put(found, Schedule.read(Path.of("src/test/resources/faults", found + ".toml")));
+            schedules.put(found, FaultSchedule.read(Path.of("src/test/resources/faults", found + ".toml")));
         }
         ExecutorService threads = Executors.newFixedThreadPool(schedules.size());
-        Map<String, Future<FaultRun.Outcome>> runs = new TreeMap<>();
-        schedules.forEach((name, schedule) -> runs.put(name, threads.submit(() -> FaultRun.play(PROGRAM, schedule))));
+        Map<String, Future<FaultScheduleRunner.Outcome>> runs = new TreeMap<>();
+        schedules.forEach(
+                (name, schedule) -> runs.put(name, threads.submit(() -> FaultScheduleRunner.run(PROGRAM, schedule))));
         threads.shutdown();
-        for (Map.Entry<String, Future<FaultRun.Outcome>> run : runs.entrySet()) {
-            FaultRun.Outcome outcome = run.getValue().get();
-            assertThat(outcome.broken())
+        for (Map.Entry<String, Future<FaultScheduleRunner.Outcome>> run : runs.entrySet()) {
+            FaultScheduleRunner.Outcome outcome = run.getValue().get();
+            assertThat(outcome.violations())
                     .as(run.getKey() + "\n" + outcome.logs())
                     .isEmpty();
-            assertThat(outcome.equalAfter()).as(run.getKey()).isNotNegative();
+            assertThat(outcome.convergedAfterMicros()).as(run.getKey()).isNotNegative();
         }
     }
 }
--- a/src/test/java/sandstack/rig/FleetProcessesTest.java
+++ b/src/test/java/sandstack/rig/FleetProcessesTest.java
@@ -17,32 +17,34 @@
 class FleetProcessesTest {
     private static final List<String> PROGRAM = List.of("-cp", System.getProperty("java.class.path"), "sandstack.Main");
 
-    private FleetRig rig;
+    private FleetRig processes;
 
-    private void fleet(int size) throws IOException {
-        rig = new FleetRig(PROGRAM, size, 1);
-        rig.startAll();
-        eventually("all see all alive", 30, rig::allAlive);
+    private void startFleet(int size) throws IOException {
+        processes = new FleetRig(PROGRAM, size, 1);
+        processes.startAll();
+        eventually("all see all alive", 30, processes::allAlive);
     }
 
     @AfterEach
     void end() {
-        rig.close();
+        processes.close();
     }
 
     private void eventually(String what, double seconds, BooleanSupplier holds) {
-        assertThat(FleetRig.until(holds, seconds)).as(what + "\n" + rig.logs()).isNotNegative();
+        assertThat(FleetRig.until(holds, seconds))
+                .as(what + "\n" + processes.logs())
+                .isNotNegative();
     }
 
     private boolean sees(int i, int other, String standing) {
-        var seen = rig.standings(i);
+        var seen = processes.standings(i);
         return seen != null && standing.equals(seen.get(FleetRig.name(other)));
     }
 
     @Test
-    void fiveSeeEachOtherAndACutLinkIsCalledThat() throws IOException {
-        fleet(5);
-        rig.cut(1, 3);
+    void aPartitionedPairIsPartiallyReachableUntilHealed() throws IOException {
+        startFleet(5);
+        processes.cut(1, 3);
         eventually("all call both partly reached", 15, () -> {
             for (int i = 0; i < 5; i++) {
                 if (!sees(i, 1, "PARTLY") || !sees(i, 3, "PARTLY")) {
@@ -51,67 +53,70 @@
             }
             return true;
         });
-        assertThat(rig.line(0, "m3").path("against").toString()).isEqualTo("[\"m1\"]");
-        assertThat(rig.line(0, "m2").path("standing").asText()).isEqualTo("ALIVE");
-        rig.heal(1, 3);
-        eventually("all alive again", 15, rig::allAlive);
-        assertThat(rig.logs()).doesNotContain("status=LOST");
+        assertThat(processes.memberEntry(0, "m3").path("against").toString()).isEqualTo("[\"m1\"]");
+        assertThat(processes.memberEntry(0, "m2").path("standing").asText()).isEqualTo("ALIVE");
+        processes.heal(1, 3);
+        eventually("all alive again", 15, processes::allAlive);
+        assertThat(processes.logs()).doesNotContain("status=LOST");
     }
 
     @Test
-    void whoIsKilledIsLostWhoStopsHasLeftAndARestartIsAnotherLife() throws Exception {
-        fleet(4);
-        String before = rig.line(0, "m3").path("life").asText();
-        rig.stop(2);
+    void aKilledMemberIsLostAStoppedOneHasLeftAndARestartIsANewIncarnation() throws Exception {
+        startFleet(4);
+        String before = processes.memberEntry(0, "m3").path("life").asText();
+        processes.stop(2);
         eventually("m2 has left", 10, () -> sees(0, 2, "LEFT") && sees(1, 2, "LEFT") && sees(3, 2, "LEFT"));
-        rig.kill(3);
+        processes.kill(3);
         eventually("m3 is lost", 20, () -> sees(0, 3, "LOST") && sees(1, 3, "LOST"));
-        rig.start(3);
-        rig.start(2);
-        eventually("all see all alive again", 30, rig::allAlive);
-        assertThat(rig.line(0, "m3").path("life").asText()).isNotEqualTo(before);
+        processes.start(3);
+        processes.start(2);
+        eventually("all see all alive again", 30, processes::allAlive);
+        assertThat(processes.memberEntry(0, "m3").path("life").asText()).isNotEqualTo(before);
     }
 
     @Test
-    void aRestartThatIsFasterThanItsDetectionTakesItsNameAtOnce() throws Exception {
-        fleet(3);
-        String before = rig.line(0, "m2").path("life").asText();
-        rig.kill(2);
-        rig.start(2);
+    void aRestartBeforeFailureDetectionTakesItsNameAtOnce() throws Exception {
+        startFleet(3);
+        String before = processes.memberEntry(0, "m2").path("life").asText();
+        processes.kill(2);
+        processes.start(2);
         eventually("a new life of the same name is alive", 15, () -> {
-            var line = rig.line(0, "m2");
+            var line = processes.memberEntry(0, "m2");
             return line != null
                     && line.path("standing").asText().equals("ALIVE")
                     && !line.path("life").asText().equals(before);
         });
-        assertThat(rig.member(2).alive()).isTrue();
+        assertThat(processes.member(2).isAlive()).isTrue();
     }
 
     @Test
-    void whoIsPausedComesBackAndBlamesNobody() throws Exception {
-        fleet(4);
-        int said = rig.member(1).log().size();
-        rig.pause(1);
+    void aPausedMemberRejoinsAndReportsNobodyUnreachable() throws Exception {
+        startFleet(4);
+        int said = processes.member(1).log().size();
+        processes.pause(1);
         eventually("m1 is doubted", 20, () -> !sees(0, 1, "ALIVE"));
         eventually("m1 is lost", 20, () -> sees(0, 1, "LOST") && sees(2, 1, "LOST"));
-        rig.resume(1);
-        eventually("all alive again", 20, rig::allAlive);
+        processes.resume(1);
+        eventually("all alive again", 20, processes::allAlive);
         // it believes that no time has passed: nothing that it missed meanwhile counts against the others
-        assertThat(rig.member(1).log().subList(said, rig.member(1).log().size()))
+        assertThat(processes
+                        .member(1)
+                        .log()
+                        .subList(said, processes.member(1).log().size()))
                 .noneMatch(line -> line.matches(".*unreachable_from=(\\S+,)?m1(,.*)?"));
     }
 
     @Test
-    void aLinkCutOneWayIsPartlyAndTwoHalvesThatAThirdReachesStayOneFleet() throws IOException {
-        fleet(5);
-        rig.cutOneWay(2, 4);
+    void aOneWayPartitionIsPartialAndHalvesJoinedByAThirdMemberStayOneFleet() throws IOException {
+        startFleet(5);
+        processes.partitionOneWay(2, 4);
         eventually("m4 is partly reached", 15, () -> sees(0, 4, "PARTLY"));
-        rig.heal(2, 4);
-        eventually("healed", 15, rig::allAlive);
+        processes.heal(2, 4);
+        eventually("healed", 15, processes::allAlive);
         // m4 alone reaches both halves
         for (int left : List.of(0, 1)) {
             for (int right : List.of(2, 3)) {
-                rig.cut(left, right);
+                processes.cut(left, right);
             }
         }
         eventually(
@@ -125,19 +130,19 @@
         assertThat(sees(0, 4, "ALIVE")).isTrue();
         for (int left : List.of(0, 1)) {
             for (int right : List.of(2, 3)) {
-                rig.heal(left, right);
+                processes.heal(left, right);
             }
         }
-        eventually("one fleet, all alive", 20, rig::allAlive);
-        assertThat(rig.logs()).doesNotContain("status=LOST");
+        eventually("one fleet, all alive", 20, processes::allAlive);
+        assertThat(processes.logs()).doesNotContain("status=LOST");
     }
 
     @Test
-    void halvesThatNothingJoinsLoseEachOtherAndFindEachOtherAgain() throws IOException {
-        fleet(4);
+    void fullyPartitionedHalvesLoseEachOtherAndRejoin() throws IOException {
+        startFleet(4);
         for (int left : List.of(0, 1)) {
             for (int right : List.of(2, 3)) {
-                rig.cut(left, right);
+                processes.cut(left, right);
             }
         }
         eventually(
@@ -147,20 +152,20 @@
         assertThat(sees(0, 1, "ALIVE") && sees(3, 2, "ALIVE")).isTrue();
         for (int left : List.of(0, 1)) {
             for (int right : List.of(2, 3)) {
-                rig.heal(left, right);
+                processes.heal(left, right);
             }
         }
-        eventually("one fleet again", 20, rig::allAlive);
+        eventually("one fleet again", 20, processes::allAlive);
     }
 
     @Test
-    void aSecondProcessOfALivingNameIsToldNo() throws Exception {
-        fleet(2);
-        rig.kill(1);
-        rig.start(1, "m0");
-        assertThat(rig.member(1).ended(20)).as(rig.logs()).isEqualTo(2);
-        eventually("it says why, in one line", 5, () -> rig.member(1).log().stream()
+    void aSecondProcessWithTheNameOfALiveMemberIsRejected() throws Exception {
+        startFleet(2);
+        processes.kill(1);
+        processes.start(1, "m0");
+        assertThat(processes.member(1).awaitExit(20)).as(processes.logs()).isEqualTo(2);
+        eventually("it says why, in one line", 5, () -> processes.member(1).log().stream()
                 .anyMatch(line -> line.contains("the name m0 is held by a member that lives")));
-        assertThat(rig.member(0).alive()).isTrue();
+        assertThat(processes.member(0).isAlive()).isTrue();
     }
 }
--- /dev/null
+++ b/src/test/java/sandstack/rig/InvariantCheckerTest.java
@@ -0,0 +1,201 @@
+package sandstack.rig;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import sandstack.fleet.MemberStatus;
+import sandstack.fleet.QuorumState;
+import sandstack.rig.FaultSchedule.Action;
+import sandstack.rig.FaultSchedule.Step;
+import sandstack.rig.History.AllFaultsHealed;
+import sandstack.rig.History.MemberEntry;
+import sandstack.rig.History.QuorumObserved;
+import sandstack.rig.History.StepApplied;
+import sandstack.rig.History.ViewObserved;
+
+/** Each rule finds its break, and nothing where nothing is broken. */
+class InvariantCheckerTest {
+    private static final long SECOND = 1_000_000;
+    private final History history = new History();
+
+    /** What member i says at this second: of m0, m1, m2. */
+    private void viewObserved(double second, int i, MemberStatus... standings) {
+        Map<String, MemberEntry> seen = new TreeMap<>();
+        for (int j = 0; j < standings.length; j++) {
+            seen.put("life" + j, new MemberEntry("m" + j, standings[j]));
+        }
+        history.add(new ViewObserved((long) (second * SECOND), (long) (second * SECOND), i, "life" + i, seen));
+    }
+
+    private void allAlive(double second) {
+        for (int i = 0; i < 3; i++) {
+            viewObserved(second, i, MemberStatus.ALIVE, MemberStatus.ALIVE, MemberStatus.ALIVE);
+        }
+    }
+
+    private void stepApplied(double second, Action kind, int a, int b) {
+        history.add(new StepApplied((long) (second * SECOND), new Step(second, kind, a, b)));
+    }
+
+    private void allFaultsHealed(double second) {
+        history.add(new AllFaultsHealed((long) (second * SECOND)));
+    }
+
+    private List<String> violatedInvariants() {
+        return InvariantChecker.check(3, history).stream()
+                .map(InvariantChecker.Violation::invariant)
+                .distinct()
+                .toList();
+    }
+
+    @Test
+    void aRunThatKeepsAllInvariantsHasNoViolation() {
+        allAlive(0);
+        stepApplied(1, Action.PARTITION, 0, 1);
+        viewObserved(4, 2, MemberStatus.PARTIALLY_REACHABLE, MemberStatus.PARTIALLY_REACHABLE, MemberStatus.ALIVE);
+        stepApplied(5, Action.PARTITION, 2, 1);
+        viewObserved(12, 0, MemberStatus.ALIVE, MemberStatus.LOST, MemberStatus.ALIVE);
+        allFaultsHealed(13);
+        allAlive(16);
+        assertThat(violatedInvariants()).isEmpty();
+    }
+
+    private void quorumObserved(double second, int i, QuorumState ground, int with) {
+        history.add(new QuorumObserved((long) (second * SECOND), i, ground, with));
+    }
+
+    /** As a member would that counts what it sees: its half is all there is. */
+    @Test
+    void aMinorityThatClaimsAMajorityIsAViolation() {
+        allAlive(0);
+        quorumObserved(0, 0, QuorumState.COMPLETE, 3);
+        quorumObserved(1, 0, QuorumState.MAJORITY, 2);
+        quorumObserved(2, 0, QuorumState.MINORITY, 1);
+        allFaultsHealed(3);
+        allAlive(4);
+        assertThat(violatedInvariants()).isEmpty();
+        quorumObserved(5, 0, QuorumState.COMPLETE, 2);
+        quorumObserved(6, 0, QuorumState.MAJORITY, 1);
+        assertThat(InvariantChecker.check(3, history))
+                .extracting(InvariantChecker.Violation::invariant)
+                .containsExactly(
+                        "most is more than half of what staff state", "most is more than half of what staff state");
+    }
+
+    @Test
+    void aKnownQuorumStateRightAfterAPauseIsAViolation() {
+        allAlive(0);
+        stepApplied(1, Action.PAUSE, 1, -1);
+        stepApplied(9, Action.RESUME, 1, -1);
+        quorumObserved(9.2, 1, QuorumState.UNKNOWN, 3);
+        quorumObserved(9.3, 0, QuorumState.MAJORITY, 2);
+        quorumObserved(12, 1, QuorumState.COMPLETE, 3);
+        allFaultsHealed(13);
+        allAlive(14);
+        assertThat(violatedInvariants()).isEmpty();
+        history.events().add(5, new QuorumObserved(9_100_000, 1, QuorumState.COMPLETE, 3));
+        assertThat(violatedInvariants()).containsExactly("who stood still is unsure");
+    }
+
+    @Test
+    void aMemberThatAnyOtherReachesIsNotLost() {
+        allAlive(0);
+        stepApplied(1, Action.PARTITION, 0, 1);
+        // m2 reaches both all the time
+        viewObserved(10, 0, MemberStatus.ALIVE, MemberStatus.LOST, MemberStatus.ALIVE);
+        allFaultsHealed(11);
+        allAlive(13);
+        assertThat(violatedInvariants()).containsExactly("nobody within reach is lost");
+    }
+
+    @Test
+    void aMemberThatWasBrieflyUnreachableIsNotLost() {
+        allAlive(0);
+        stepApplied(1, Action.PAUSE, 1, -1);
+        stepApplied(1.5, Action.RESUME, 1, -1);
+        viewObserved(4, 0, MemberStatus.ALIVE, MemberStatus.LOST, MemberStatus.ALIVE);
+        allFaultsHealed(5);
+        allAlive(6);
+        assertThat(violatedInvariants()).containsExactly("nobody within reach is lost");
+    }
+
+    @Test
+    void aDeadProcessIsNoMemberAfterTheDetectionTimeout() {
+        allAlive(0);
+        stepApplied(1, Action.KILL, 1, -1);
+        viewObserved(10, 0, MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.ALIVE);
+        viewObserved(30, 2, MemberStatus.ALIVE, MemberStatus.ALIVE, MemberStatus.ALIVE);
+        allFaultsHealed(31);
+        allAlive(33);
+        assertThat(violatedInvariants()).contains("a dead process is no member");
+    }
+
+    @Test
+    void aRunningMemberHasNotLeftAndLeftIsFinal() {
+        allAlive(0);
+        viewObserved(1, 0, MemberStatus.ALIVE, MemberStatus.LEFT, MemberStatus.ALIVE);
+        allFaultsHealed(2);
+        allAlive(3);
+        assertThat(violatedInvariants()).containsExactlyInAnyOrder("who runs has not left", "who left stays left");
+    }
+
+    @Test
+    void viewsConvergeAfterHealingAndEveryMemberResponds() {
+        allAlive(0);
+        allFaultsHealed(1);
+        viewObserved(5, 0, MemberStatus.ALIVE, MemberStatus.ALIVE, MemberStatus.ALIVE);
+        viewObserved(5, 1, MemberStatus.ALIVE, MemberStatus.ALIVE, MemberStatus.PARTIALLY_REACHABLE);
+        assertThat(violatedInvariants())
+                .containsExactlyInAnyOrder("views are equal after all faults have ended", "whoever runs answers");
+    }
+
+    @Test
+    void aNameHasOnePresentIncarnation() {
+        allAlive(0);
+        allFaultsHealed(1);
+        allAlive(2);
+        history.add(new ViewObserved(
+                3 * SECOND,
+                3 * SECOND,
+                0,
+                "life0",
+                Map.of(
+                        "life0",
+                        new MemberEntry("m0", MemberStatus.ALIVE),
+                        "life1",
+                        new MemberEntry("m1", MemberStatus.ALIVE),
+                        "other",
+                        new MemberEntry("m1", MemberStatus.ALIVE),
+                        "life2",
+                        new MemberEntry("m2", MemberStatus.ALIVE))));
+        assertThat(violatedInvariants()).containsExactly("a name has one present life");
+    }
+
+    /** With real members: a cut that the rules are not told of looks like members that give others up. */
+    @Test
+    @Timeout(100)
+    void aFaultHiddenFromTheCheckerIsFoundWithRealMembers() throws Exception {
+        List<String> program = List.of("-cp", System.getProperty("java.class.path"), "sandstack.Main");
+        FaultSchedule schedule = new FaultSchedule(
+                3,
+                List.of(
+                        new Step(0.5, Action.PARTITION, 0, 1),
+                        new Step(0.5, Action.PARTITION, 0, 2),
+                        new Step(13, Action.HEAL, 0, 1),
+                        new Step(13, Action.HEAL, 0, 2)));
+        AtomicInteger hidden = new AtomicInteger();
+        FaultScheduleRunner.Outcome blind = FaultScheduleRunner.run(program, schedule, step -> {
+            hidden.incrementAndGet();
+            return false;
+        });
+        assertThat(hidden).hasValue(4);
+        assertThat(blind.violations()).as(blind.logs()).isNotEmpty().allMatch(b -> b.invariant()
+                .equals("nobody within reach is lost"));
+        assertThat(blind.convergedAfterMicros()).as(blind.logs()).isNotNegative();
+    }
+}
--- a/src/test/java/sandstack/standin/StandInTest.java
+++ b/src/test/java/sandstack/standin/TestServersTest.java
@@ -19,44 +19,44 @@
 import sandstack.standin.ShopClient.Told;
 
 /** The stand-ins against each other and against plain sockets: what a measurement rests on. */
-class StandInTest {
+class TestServersTest {
     private static final long PATIENCE = 10_000_000;
 
-    private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Told> events = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new ArrayList<>();
-    private StandInLoop yard;
-    private int asked;
+    private StandInLoop loop;
+    private int clientCount;
 
     @BeforeEach
     void start() throws IOException {
-        yard = new StandInLoop();
+        loop = new StandInLoop();
     }
 
     @AfterEach
     void stop() throws IOException {
-        yard.close();
+        loop.close();
         for (Socket socket : sockets) {
             socket.close();
         }
     }
 
     private FeedServer server(Machine machine) {
-        return yard.make(() -> new FeedServer(yard, "s1", "home", machine));
+        return loop.make(() -> new FeedServer(loop, "s1", "home", machine));
     }
 
     private ShopClient client(int port) {
-        String id = "i" + ++asked;
-        return yard.on(() -> new ShopClient(yard, port, id, "k", "c=order-status,d=10000,g=g1", PATIENCE, told::add));
+        String id = "i" + ++clientCount;
+        return loop.on(() -> new ShopClient(loop, port, id, "k", "c=order-status,d=10000,g=g1", PATIENCE, events::add));
     }
 
     private Told next() throws InterruptedException {
-        Told next = told.poll(20, TimeUnit.SECONDS);
+        Told next = events.poll(20, TimeUnit.SECONDS);
         assertThat(next).as("something happens").isNotNull();
         return next;
     }
 
     @Test
-    void turnsAwayOverItsCapAndKeepsItsBooks() throws Exception {
+    void rejectsAboveItsConnectionLimitAndCounts() throws Exception {
         FeedServer server = server(Machine.IDLE.holding(2, false));
         ShopClient first = client(server.port());
         assertThat(next().what()).isEqualTo(Happened.UP);
@@ -64,57 +64,57 @@
         assertThat(next().what()).isEqualTo(Happened.UP);
         client(server.port());
         assertThat(next().what()).isEqualTo(Happened.BUSY);
-        yard.run(first::leave);
+        loop.run(first::leave);
         assertThat(next().what()).isEqualTo(Happened.LEFT);
-        FeedServer.Books books = yard.on(server::books);
+        FeedServer.Books books = loop.on(server::books);
         while (books.standing() > 1) {
-            books = yard.on(server::books);
+            books = loop.on(server::books);
         }
         assertThat(books.setups()).isEqualTo(2);
         assertThat(books.turnedAway()).isEqualTo(1);
         assertThat(books.mostStanding()).isEqualTo(2);
-        assertThat(yard.on(() -> server.standingSeconds("c"))).containsOnlyKeys("order-status");
+        assertThat(loop.on(() -> server.standingSeconds("c"))).containsOnlyKeys("order-status");
     }
 
     @Test
-    void shedsItsNewestOverItsCap() throws Exception {
+    void shedsTheNewestConnectionAboveItsLimit() throws Exception {
         FeedServer server = server(Machine.IDLE.holding(1, true));
         ShopClient first = client(server.port());
         assertThat(next().what()).isEqualTo(Happened.UP);
         client(server.port());
         Told last = next();
         assertThat(last.what() == Happened.UP ? next().what() : last.what()).isIn(Happened.LOST, Happened.FAILED);
-        assertThat(yard.on(first::standing)).isTrue();
-        assertThat(yard.on(server::books).shed()).isEqualTo(1);
+        assertThat(loop.on(first::standing)).isTrue();
+        assertThat(loop.on(server::books).shed()).isEqualTo(1);
     }
 
     @Test
-    void drainsSendsAwayDiesAndComesBack() throws Exception {
+    void drainsMovesClientsDiesAndRestarts() throws Exception {
         FeedServer server = server(Machine.IDLE);
         client(server.port());
         assertThat(next().what()).isEqualTo(Happened.UP);
-        yard.run(server::drain);
+        loop.run(server::drain);
         client(server.port());
         assertThat(next().what()).isEqualTo(Happened.BUSY);
-        yard.run(server::sendAway);
+        loop.run(server::sendAway);
         assertThat(next().what()).isEqualTo(Happened.MOVED);
-        yard.run(server::kill);
+        loop.run(server::kill);
         client(server.port());
         assertThat(next().what()).isEqualTo(Happened.FAILED);
-        assertThat(yard.on(server::restart)).isPositive();
+        assertThat(loop.on(server::restart)).isPositive();
         client(server.port());
         assertThat(next().what()).isEqualTo(Happened.UP);
     }
 
     @Test
-    void aNeighbourMakesLinesSlow() throws Exception {
+    void aNoisyNeighbourSlowsLinesDown() throws Exception {
         FeedServer server = server(Machine.IDLE.working(1, 0, 2_000));
         ShopClient client = client(server.port());
         assertThat(next().what()).isEqualTo(Happened.UP);
         BlockingQueue<Long> took = new LinkedBlockingQueue<>();
-        yard.run(() -> client.talk(1_000, took::add));
+        loop.run(() -> client.talk(1_000, took::add));
         assertThat(took.poll(20, TimeUnit.SECONDS)).isGreaterThanOrEqualTo(2_000);
-        yard.run(() -> server.neighbour(0.99));
+        loop.run(() -> server.neighbour(0.99));
         long longest = 0;
         while (longest < 200_000) {
             longest = took.poll(20, TimeUnit.SECONDS);
@@ -122,11 +122,11 @@
     }
 
     @Test
-    void aLinkDelaysBothWaysAndKeepsTheOrder() throws Exception {
+    void aLinkDelaysBothDirectionsAndKeepsTheOrder() throws Exception {
         FeedServer server = server(Machine.IDLE);
-        ZoneLink link = yard.on(() -> {
+        ZoneLink link = loop.on(() -> {
             try {
-                return new ZoneLink(yard, server.port(), 20_000, 10_000, 3);
+                return new ZoneLink(loop, server.port(), 20_000, 10_000, 3);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
@@ -149,27 +149,27 @@
     }
 
     @Test
-    void discoveryTellsTheListItsChangesAndItsOutages() throws Exception {
+    void discoveryServesTheListItsChangesAndOutages() throws Exception {
         FeedServer server = server(Machine.IDLE);
-        Discovery discovery = yard.on(() -> {
+        Discovery discovery = loop.on(() -> {
             try {
-                return new Discovery(yard);
+                return new Discovery(loop);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         });
-        yard.run(() -> discovery.list(server, "box", 1, "ready"));
+        loop.run(() -> discovery.list(server, "box", 1, "ready"));
         BufferedReader in = open(discovery.port(), "GET /registry/instances?watch=1 HTTP/1.1\r\nHost: x\r\n\r\n");
         assertThat(in.readLine()).isEqualTo("HTTP/1.1 200 OK");
-        assertThat(awaited(in, "\"all\"")).contains("\"all\":true").contains("\"state\":\"ready\"");
-        yard.run(() -> discovery.list(server, "box", 1, "draining"));
-        assertThat(awaited(in, "\"all\"")).contains("\"all\":false").contains("\"state\":\"draining\"");
-        yard.run(() -> discovery.down(true));
+        assertThat(awaitLineWith(in, "\"all\"")).contains("\"all\":true").contains("\"state\":\"ready\"");
+        loop.run(() -> discovery.list(server, "box", 1, "draining"));
+        assertThat(awaitLineWith(in, "\"all\"")).contains("\"all\":false").contains("\"state\":\"draining\"");
+        loop.run(() -> discovery.down(true));
         BufferedReader refused = open(discovery.port(), "GET /registry/instances HTTP/1.1\r\nHost: x\r\n\r\n");
         assertThat(refused.readLine()).isEqualTo("HTTP/1.1 503 Service Unavailable");
     }
 
-    private static String awaited(BufferedReader in, String part) throws IOException {
+    private static String awaitLineWith(BufferedReader in, String part) throws IOException {
         String line = in.readLine();
         while (!line.contains(part)) {
             line = in.readLine();
