--- a/src/main/java/sandstack/rig/FaultsCommand.java
+++ b/src/main/java/sandstack/rig/FaultsCommand.java
@@ -13,15 +13,18 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import sandstack.config.InvalidConfigurationException;
+import sandstack.rig.FaultScheduleRunner.Outcome;
 
-/** {@code faults}: plays schedules of faults between real members and checks the rules; exits 0 where none is broken. */
+/** {@code faults}: runs fault schedules against real members and checks the invariants; exits 0 where all hold. */
 @Command(
         name = "faults",
-        description = "Starts real members, puts faults between them and checks what must hold.",
+        description = "Starts real members, injects faults between them and checks the invariants of the fleet.",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "(run | search | shrink)")
 public final class FaultsCommand implements Runnable {
     private static final int EXIT_VIOLATION = 1;
+    private static final int MAX_PRINTED_VIOLATIONS = 5;
+    private static final double NANOS_PER_MINUTE = 60e9;
 
     @Spec
     private CommandSpec spec;
@@ -42,10 +45,12 @@
         return List.of("-jar", jar.toString());
     }
 
-    @Command(description = "Plays one schedule: a file, or one drawn from a seed.", mixinStandardHelpOptions = true)
+    @Command(
+            description = "Runs one fault schedule: a file, or one generated from a seed.",
+            mixinStandardHelpOptions = true)
     int run(
-            @Parameters(arity = "0..1", paramLabel = "FILE", description = "The schedule.") Path file,
-            @Option(names = "--seed", paramLabel = "N", description = "Draw it.") Long seed,
+            @Parameters(arity = "0..1", paramLabel = "FILE", description = "The fault schedule.") Path file,
+            @Option(names = "--seed", paramLabel = "N", description = "Generate it from this seed.") Long seed,
             @Option(
                             names = "--jar",
                             paramLabel = "JAR",
@@ -57,32 +62,32 @@
             throw new ParameterException(spec.commandLine(), "say either a FILE or --seed N");
         }
         FaultSchedule schedule = file != null ? FaultScheduleFile.read(file) : FaultScheduleGenerator.generate(seed);
-        FaultScheduleRunner.Outcome outcome = FaultScheduleRunner.run(program(jar), schedule);
+        Outcome outcome = FaultScheduleRunner.run(program(jar), schedule);
         printOutcome(file != null ? file.toString() : "seed " + seed, schedule, outcome);
         return outcome.violations().isEmpty() ? 0 : EXIT_VIOLATION;
     }
 
-    private void printOutcome(String what, FaultSchedule schedule, FaultScheduleRunner.Outcome outcome) {
+    private void printOutcome(String source, FaultSchedule schedule, Outcome outcome) {
+        String convergence = outcome.convergedAfterMicros() < 0
+                ? "not converged"
+                : String.format(Locale.ROOT, "converged after %.1f s", outcome.convergedAfterMicros() / 1e6);
         out().printf(
                         Locale.ROOT,
-                        "%s: %d members, %d steps, %s, %s%n",
-                        what,
+                        "%s: %d members, %d steps, %s, %d violations%n",
+                        source,
                         schedule.members(),
                         schedule.steps().size(),
-                        outcome.convergedAfterMicros() < 0
-                                ? "never equal"
-                                : String.format(
-                                        Locale.ROOT, "equal after %.1f s", outcome.convergedAfterMicros() / 1e6),
-                        outcome.violations().isEmpty()
-                                ? "all rules kept"
-                                : outcome.violations().size() + " times broken");
-        outcome.violations().stream().limit(5).forEach(b -> out().println(
-                        "  " + b.invariant().description() + ": " + b.detail()));
+                        convergence,
+                        outcome.violations().size());
+        outcome.violations().stream()
+                .limit(MAX_PRINTED_VIOLATIONS)
+                .map(violation -> "  " + violation.invariant().description() + ": " + violation.detail())
+                .forEach(out()::println);
         out().flush();
     }
 
     @Command(
-            description = "Plays drawn schedules until the time is over; keeps what breaks a rule.",
+            description = "Runs generated fault schedules for a time and keeps those that violate an invariant.",
             mixinStandardHelpOptions = true)
     int search(
             @Option(names = "--minutes", paramLabel = "M", required = true, description = "How long.") double minutes,
@@ -96,7 +101,7 @@
                             names = "--keep",
                             paramLabel = "FOLDER",
                             defaultValue = ".",
-                            description = "Where broken schedules are kept (default: ${DEFAULT-VALUE}).")
+                            description = "Where violating schedules are kept (default: ${DEFAULT-VALUE}).")
                     Path keep,
             @Option(
                             names = "--jar",
@@ -105,36 +110,36 @@
                             description = "The program (default: ${DEFAULT-VALUE}).")
                     Path jar)
             throws InvalidConfigurationException, IOException, InterruptedException {
-        long until = System.nanoTime() + (long) (minutes * 60e9);
-        int broken = 0;
-        int played = 0;
-        for (long seed = from; System.nanoTime() < until; seed++) {
+        long untilNanos = System.nanoTime() + (long) (minutes * NANOS_PER_MINUTE);
+        int runs = 0;
+        int violating = 0;
+        for (long seed = from; System.nanoTime() < untilNanos; seed++) {
             FaultSchedule schedule = FaultScheduleGenerator.generate(seed);
-            FaultScheduleRunner.Outcome outcome = FaultScheduleRunner.run(program(jar), schedule);
-            played++;
+            Outcome outcome = FaultScheduleRunner.run(program(jar), schedule);
+            runs++;
             printOutcome("seed " + seed, schedule, outcome);
             if (!outcome.violations().isEmpty()) {
-                broken++;
+                violating++;
                 Files.createDirectories(keep);
                 Files.writeString(keep.resolve("faults-" + seed + ".toml"), FaultScheduleFile.format(schedule));
                 Files.writeString(keep.resolve("faults-" + seed + ".log"), outcome.logs());
             }
         }
-        out().println(played + " played, " + broken + " broken");
-        return broken == 0 ? 0 : EXIT_VIOLATION;
+        out().println(runs + " runs, " + violating + " with violations");
+        return violating == 0 ? 0 : EXIT_VIOLATION;
     }
 
     @Command(
-            description =
-                    "Takes steps out of a schedule for as long as it stays broken; writes what is left beside it.",
+            description = "Shrinks a fault schedule: removes steps while it still violates an invariant and writes the "
+                    + "remaining ones to a file beside it.",
             mixinStandardHelpOptions = true)
     int shrink(
-            @Parameters(paramLabel = "FILE", description = "The schedule.") Path file,
+            @Parameters(paramLabel = "FILE", description = "The fault schedule.") Path file,
             @Option(
                             names = "--tries",
                             paramLabel = "N",
                             defaultValue = "2",
-                            description = "Plays of each that must all break (default: ${DEFAULT-VALUE}).")
+                            description = "Runs of each schedule that must all violate (default: ${DEFAULT-VALUE}).")
                     int tries,
             @Option(
                             names = "--jar",
@@ -143,26 +148,26 @@
                             description = "The program (default: ${DEFAULT-VALUE}).")
                     Path jar)
             throws InvalidConfigurationException, IOException, InterruptedException {
-        FaultSchedule least = FaultScheduleFile.read(file);
-        if (!alwaysViolates(program(jar), least, tries)) {
-            out().println(file + ": no rule is broken in each of " + tries + " plays");
+        FaultSchedule smallest = FaultScheduleFile.read(file);
+        if (!alwaysViolates(program(jar), smallest, tries)) {
+            out().println(file + ": not all of " + tries + " runs violate an invariant");
             return 0;
         }
-        for (int i = least.steps().size() - 1; i >= 0; i--) {
-            FaultSchedule fewer = least.without(i);
-            if (alwaysViolates(program(jar), fewer, tries)) {
-                least = fewer;
+        for (int i = smallest.steps().size() - 1; i >= 0; i--) {
+            FaultSchedule candidate = smallest.without(i);
+            if (alwaysViolates(program(jar), candidate, tries)) {
+                smallest = candidate;
             }
         }
-        Path small = file.resolveSibling(file.getFileName().toString().replaceFirst("(\\.toml)?$", ".small.toml"));
-        Files.writeString(small, FaultScheduleFile.format(least));
-        out().println(small + ": " + least.steps().size() + " steps are left");
+        Path target = file.resolveSibling(file.getFileName().toString().replaceFirst("(\\.toml)?$", ".small.toml"));
+        Files.writeString(target, FaultScheduleFile.format(smallest));
+        out().println(target + ": " + smallest.steps().size() + " steps remain");
         return EXIT_VIOLATION;
     }
 
-    private static boolean alwaysViolates(List<String> program, FaultSchedule schedule, int tries)
+    private static boolean alwaysViolates(List<String> program, FaultSchedule schedule, int runs)
             throws IOException, InterruptedException {
-        for (int i = 0; i < tries; i++) {
+        for (int i = 0; i < runs; i++) {
             if (FaultScheduleRunner.run(program, schedule).violations().isEmpty()) {
                 return false;
             }
--- a/src/main/java/sandstack/rig/FleetRig.java
+++ b/src/main/java/sandstack/rig/FleetRig.java
@@ -8,10 +8,12 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Comparator;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
+import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import sandstack.standin.Discovery;
 import sandstack.standin.FeedServer;
@@ -19,8 +21,9 @@
 import sandstack.standin.StandInLoop;
 
 /**
- * So many relays of one fleet as real processes, each with an address and a folder of its own, and a link for each
- * ordered pair. All is on loopback, at ports of the system's choice. One caller's thread; the links live on the yard's.
+ * A fleet of relays that run as real processes, each with its own address and folder, with a {@link MemberLink} for each
+ * ordered pair to inject network faults. Listens on loopback only. Members are numbered from 0. Used by one thread; the
+ * links run on the thread of the loop.
  */
 public final class FleetRig implements AutoCloseable {
     private static final List<String> JAVA = List.of(
@@ -30,7 +33,11 @@
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
             "-XX:-UsePerfData");
+    private static final List<String> FORMER_STATUSES = List.of("LOST", "LEFT");
     private static final int SEED_MEMBERS = 3;
+    private static final long CONDITION_POLL_MILLIS = 50;
+    private static final long TERMINATION_TIMEOUT_SECONDS = 20;
+    private static final int MEMBERS_PER_SUBNET = 250;
 
     private final int size;
     private final int zones;
@@ -39,17 +46,14 @@
     private final StandInLoop loop;
     private final Discovery discovery;
     private final int[] ports;
-    private final MemberLink[][] links;
-    /** Whether what the first sends reaches the second, whoever dialled. */
-    private final boolean[][] passes;
-
+    private final FleetLinks links;
     private final MemberProcess[] members;
 
     /**
-     * Makes the links and the folders; starts nobody.
+     * Creates the links; starts no member yet.
      *
-     * @param program what follows {@code java} and its options, as {@code -jar target/sandstack.jar}
-     * @param zones members are spread over so many
+     * @param program the arguments that follow {@code java} and its options, such as {@code -jar target/sandstack.jar}
+     * @param zones number of zones over which the members are spread
      */
     public FleetRig(List<String> program, int size, int zones) throws IOException {
         this.program = program;
@@ -61,35 +65,26 @@
         FeedServer server = loop.make(() -> new FeedServer(loop, "s0", "zone-0", Machine.IDLE));
         loop.run(() -> discovery.list(server, "box", 1, "ready"));
         ports = new int[size];
-        links = new MemberLink[size][size];
-        passes = new boolean[size][size];
         members = new MemberProcess[size];
         for (int i = 0; i < size; i++) {
-            try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName(host(i)))) {
-                ports[i] = probe.getLocalPort();
-            }
-        }
-        for (int i = 0; i < size; i++) {
-            for (int j = 0; j < size; j++) {
-                int to = j;
-                long seed = (long) i * size + j;
-                passes[i][j] = true;
-                links[i][j] = i == j ? null : loop.make(() -> new MemberLink(loop, host(to), ports[to], seed));
+            try (ServerSocket freePort = new ServerSocket(0, 1, InetAddress.getByName(host(i)))) {
+                ports[i] = freePort.getLocalPort();
             }
         }
+        links = new FleetLinks(loop, ports, FleetRig::host);
     }
 
-    /** Each has an address of its own: 127.77.0.1 and up. */
+    /** A loopback address for each member, from 127.77.0.1. */
     private static String host(int i) {
-        return "127.77." + i / 250 + "." + (i % 250 + 1);
+        return "127.77." + i / MEMBERS_PER_SUBNET + "." + (i % MEMBERS_PER_SUBNET + 1);
     }
 
-    /** The address at which the others know a member. */
+    /** The address at which the other members know this one. */
     public String address(int i) {
         return host(i) + ":" + ports[i];
     }
 
-    /** How many members there are, started or not. */
+    /** The number of members, started or not. */
     public int size() {
         return size;
     }
@@ -99,176 +94,145 @@
         return "m" + i;
     }
 
-    /** Starts a member, or starts it again; waits for nothing. */
+    /** Starts or restarts a member without waiting for it. */
     public void start(int i) throws IOException {
         start(i, name(i));
     }
 
-    /** The same under another name. */
+    /** Starts a member under another name than its own. */
     public void start(int i, String name) throws IOException {
-        Path own = folder.resolve("m" + i);
-        StringBuilder toml = new StringBuilder("enabled = true\ninstallation = \"rig\"\nlisten = \"" + address(i)
-                + "\"\nmachine = \"machine-" + i + "\"\nmembers = [");
-        for (int j = 0; j < Math.min(SEED_MEMBERS, size); j++) {
-            toml.append(j == 0 ? "" : ", ").append('"').append(address(j)).append('"');
-        }
-        toml.append("]\nrelays = [")
-                .append(String.join(
-                        ", ",
-                        java.util.stream.IntStream.range(0, size)
-                                .mapToObj(j -> '"' + name(j) + '"')
-                                .toList()))
-                .append("]\n[via]\n");
+        Path memberFolder = folder.resolve("m" + i);
+        configuration(i, name).write(memberFolder);
+        List<String> command = new ArrayList<>(JAVA);
+        command.add("-Dsandstack.deploy=" + MemberConfiguration.deployFolder(memberFolder));
+        command.addAll(program);
+        members[i] = new MemberProcess(command, memberFolder, List.of("console", "--fleet"));
+    }
+
+    private MemberConfiguration configuration(int i, String name) {
+        Map<String, Integer> linkPorts = new LinkedHashMap<>();
         for (int j = 0; j < size; j++) {
             if (j != i) {
-                toml.append('"')
-                        .append(address(j))
-                        .append("\" = \"127.0.0.1:")
-                        .append(links[i][j].listenPort())
-                        .append("\"\n");
+                linkPorts.put(address(j), links.port(i, j));
             }
         }
-        MemberProcess.writeFile(own, "deploy/fleet.toml", toml.toString());
-        MemberProcess.writeFile(own, "config.json", config(i, name));
-        List<String> words = new ArrayList<>(JAVA);
-        words.add("-Dsandstack.deploy=" + own.resolve("deploy"));
-        words.addAll(program);
-        members[i] = new MemberProcess(words, own, List.of("console", "--fleet"));
+        return new MemberConfiguration(
+                i,
+                name,
+                host(i),
+                address(i),
+                IntStream.range(0, Math.min(SEED_MEMBERS, size))
+                        .mapToObj(this::address)
+                        .toList(),
+                IntStream.range(0, size).mapToObj(FleetRig::name).toList(),
+                linkPorts,
+                discovery.port(),
+                zones);
     }
 
-    private String config(int i, String name) throws IOException {
-        String example = Files.readString(Path.of("examples/config.json"));
-        return example.replaceFirst("\"name\": *\"[^\"]*\"", "\"name\": \"" + name + "\"")
-                .replaceFirst("\"listen\": *\"[^\"]*\"", "\"listen\": \"" + host(i) + ":0\"")
-                .replaceFirst("\"discovery\": *\"[^\"]*\"", "\"discovery\": \"127.0.0.1:" + discovery.port() + "\"")
-                .replaceFirst("\"known\": *\\{[^]]*]\\s*},", "")
-                .replaceFirst("\"locality\": *0", "\"locality\": " + i % zones)
-                .replaceFirst(
-                        "\"zones\": *\\[[^]]*]",
-                        "\"zones\": ["
-                                + String.join(
-                                        ", ",
-                                        Stream.iterate(0, z -> z + 1)
-                                                .limit(zones)
-                                                .map(z -> "\"zone-" + z + "\"")
-                                                .toList())
-                                + "]");
-    }
-
-    /** Starts all. */
+    /** Starts all members. */
     public void startAll() throws IOException {
         for (int i = 0; i < size; i++) {
             start(i);
         }
     }
 
-    /** Null where it was never started. */
+    /** The process of a member; null where it was never started. */
     MemberProcess member(int i) {
         return members[i];
     }
 
-    /** Kills a member's process, without a word to the others. */
+    /** Kills a member's process. */
     public void kill(int i) {
         members[i].close();
     }
 
-    /** Asks it to stop, and waits until it has. */
+    /** Asks a member to terminate and waits until it has. */
     public void stop(int i) throws InterruptedException {
         members[i].terminate();
-        members[i].awaitExit(20);
+        members[i].awaitExit(TERMINATION_TIMEOUT_SECONDS);
     }
 
-    /** Stops a member's process from running until it is resumed. */
+    /** Suspends a member's process until it is resumed. */
     public void pause(int i) throws IOException {
         members[i].pause();
     }
 
-    /** Lets a paused member's process run again. */
+    /** Continues a suspended process. */
     public void resume(int i) throws IOException {
         members[i].resume();
     }
 
-    /** From now on nothing that the first sends reaches the second. */
+    /** Drops the traffic from the first member to the second, but not the other way. */
     public void partitionOneWay(int from, int to) {
-        setPassing(from, to, false);
+        links.block(from, to);
     }
 
-    /** Nothing passes between the two. */
+    /** Partitions two members from each other. */
     public void cut(int a, int b) {
-        setPassing(a, b, false);
-        setPassing(b, a, false);
+        links.block(a, b);
+        links.block(b, a);
     }
 
-    /** All passes again between the two, and what was held too. */
+    /** Ends a partition of two members; what was buffered meanwhile is delivered. */
     public void heal(int a, int b) {
-        setPassing(a, b, true);
-        setPassing(b, a, true);
-    }
-
-    private void setPassing(int from, int to, boolean passing) {
-        passes[from][to] = passing;
-        loop.run(() -> {
-            links[from][to].setBlocked(!passes[from][to], !passes[to][from]);
-            links[to][from].setBlocked(!passes[to][from], !passes[from][to]);
-        });
+        links.unblock(a, b);
+        links.unblock(b, a);
     }
 
-    /** Breaks all connections between the two; new ones can be made. */
+    /** Resets all connections between two members; they can connect again. */
     public void reset(int a, int b) {
-        loop.run(() -> {
-            links[a][b].reset();
-            links[b][a].reset();
-        });
+        links.reset(a, b);
     }
 
-    /** Makes the way between the two slow, in microseconds and bytes a second. */
-    public void slow(int a, int b, long delay, long jitter, long bytesASecond) {
-        loop.run(() -> {
-            links[a][b].setLatency(delay, jitter, bytesASecond);
-            links[b][a].setLatency(delay, jitter, bytesASecond);
-        });
+    /** Sets delay, jitter and bandwidth of the link between two members; zeros end the fault. */
+    public void slow(int a, int b, long delayMicros, long jitterMicros, long bytesPerSecond) {
+        links.setLatency(a, b, delayMicros, jitterMicros, bytesPerSecond);
     }
 
     /**
-     * How member i sees each name: the standing of its present life, else of its last. Null where it does not answer.
+     * The status of each name in a member's view: that of the present incarnation, or else of the last. Null where the
+     * member does not respond.
      */
     public Map<String, String> standings(int i) {
         JsonNode view = members[i].view();
         if (view == null) {
             return null;
         }
-        Map<String, String> seen = new TreeMap<>();
+        Map<String, String> statuses = new TreeMap<>();
         for (JsonNode member : view.path("members")) {
-            boolean present =
-                    !List.of("LOST", "LEFT").contains(member.path("standing").asText());
-            if (present || !seen.containsKey(member.path("name").asText())) {
-                seen.put(member.path("name").asText(), member.path("standing").asText());
+            if (isPresent(member) || !statuses.containsKey(member.path("name").asText())) {
+                statuses.put(
+                        member.path("name").asText(), member.path("standing").asText());
             }
         }
-        return seen;
+        return statuses;
     }
 
-    /** Whether all see all alive. */
+    private static boolean isPresent(JsonNode member) {
+        return !FORMER_STATUSES.contains(member.path("standing").asText());
+    }
+
+    /** Whether every member sees every member alive. */
     public boolean allAlive() {
         for (int i = 0; i < size; i++) {
-            Map<String, String> seen = standings(i);
-            if (seen == null || seen.size() != size || !seen.values().stream().allMatch("ALIVE"::equals)) {
+            Map<String, String> statuses = standings(i);
+            if (statuses == null
+                    || statuses.size() != size
+                    || !statuses.values().stream().allMatch("ALIVE"::equals)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** What a member says of another: its whole line. Null where it has none. */
+    /** The entry of a name in a member's view; null where there is none. */
     public JsonNode memberEntry(int i, String name) {
         JsonNode view = members[i].view();
         JsonNode found = null;
         if (view != null) {
             for (JsonNode member : view.path("members")) {
-                if (member.path("name").asText().equals(name)
-                        && (found == null
-                                || !List.of("LOST", "LEFT")
-                                        .contains(member.path("standing").asText()))) {
+                if (member.path("name").asText().equals(name) && (found == null || isPresent(member))) {
                     found = member;
                 }
             }
@@ -276,15 +240,15 @@
         return found;
     }
 
-    /** Waits until this holds; returns the microseconds that it took, or -1 where it did not within the seconds. */
-    public static long until(BooleanSupplier holds, double seconds) {
-        long began = System.nanoTime();
-        while (System.nanoTime() - began < seconds * 1e9) {
-            if (holds.getAsBoolean()) {
-                return (System.nanoTime() - began) / 1_000;
+    /** Waits until a condition holds; returns the microseconds that it took, or -1 after the timeout. */
+    public static long until(BooleanSupplier condition, double timeoutSeconds) {
+        long beganNanos = System.nanoTime();
+        while (System.nanoTime() - beganNanos < timeoutSeconds * 1e9) {
+            if (condition.getAsBoolean()) {
+                return (System.nanoTime() - beganNanos) / 1_000;
             }
             try {
-                Thread.sleep(50);
+                Thread.sleep(CONDITION_POLL_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return -1;
@@ -293,25 +257,17 @@
         return -1;
     }
 
-    /** Bytes that members have sent each other so far. */
+    /** Bytes that the members have sent each other so far. */
     public long bytes() {
-        return loop.on(() -> {
-            long sum = 0;
-            for (MemberLink[] from : links) {
-                for (MemberLink link : from) {
-                    sum += link == null ? 0 : link.forwardedBytes();
-                }
-            }
-            return sum;
-        });
+        return links.forwardedBytes();
     }
 
-    /** The process of a member. */
+    /** The process id of a member. */
     public long pid(int i) {
         return members[i].pid();
     }
 
-    /** All that members have logged, each line after its member. */
+    /** The logs of all members; each line starts with the name of its member. */
     public String logs() {
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < size; i++) {
@@ -341,7 +297,7 @@
             files.sorted(Comparator.reverseOrder())
                     .forEach(file -> file.toFile().delete());
         } catch (IOException e) {
-            // a temporary folder that stays does no harm
+            // a temporary folder that remains is harmless
         }
     }
 }
--- a/src/main/java/sandstack/rig/MemberLink.java
+++ b/src/main/java/sandstack/rig/MemberLink.java
@@ -14,14 +14,16 @@
 import sandstack.standin.StandInLoop;
 
 /**
- * The way from one member to another, as the first dials it. Bytes pass in order; each direction can be stopped, and
- * goes on with what was held when it is let go, as a network that lost packets does for TCP. What is held is bounded:
- * past that the connection breaks. Lives on its yard's thread.
+ * A TCP proxy on the link from one member to another that injects network faults. It keeps the order of bytes. Each
+ * direction can be blocked; it buffers meanwhile and delivers once it is unblocked, as TCP does after lost packets. A
+ * connection that exceeds the buffer is reset. Used on the thread of its loop.
  */
 final class MemberLink {
-    /** Bytes held of one direction of one connection. */
+    /** For each direction of each connection. */
     private static final int MAX_BUFFERED_BYTES = 1 << 20;
 
+    private static final long MICROS_PER_SECOND = 1_000_000;
+
     private final StandInLoop loop;
     private final String targetHost;
     private final int targetPort;
@@ -32,18 +34,17 @@
     private boolean reverseBlocked;
     private long delayMicros;
     private long jitterMicros;
-    /** Bytes a second; 0 without limit. */
+    /** 0 for no limit. */
     private long bytesPerSecond;
 
     private long forwardedBytes;
 
-    /** Leads to this address; is called on the loop's thread. */
-    MemberLink(StandInLoop yard, String host, int to, long seed) throws IOException {
-        this.loop = yard;
-        this.targetHost = host;
-        this.targetPort = to;
+    MemberLink(StandInLoop loop, String targetHost, int targetPort, long seed) throws IOException {
+        this.loop = loop;
+        this.targetHost = targetHost;
+        this.targetPort = targetPort;
         this.random = new SplittableRandom(seed);
-        this.listenPort = yard.listen(new BaseFilter() {
+        this.listenPort = loop.listen(new BaseFilter() {
             @Override
             public NextAction handleAccept(FilterChainContext context) {
                 accepted(EventLoop.peer(context));
@@ -52,70 +53,71 @@
         });
     }
 
-    /** Where the first of the pair dials. */
+    /** The port that the first member connects to in place of the second's. */
     int listenPort() {
         return listenPort;
     }
 
-    /** Stops or lets go what comes from the dialling member, and what comes back. Nobody is told. */
-    void setBlocked(boolean forth, boolean back) {
-        forwardBlocked = forth;
-        reverseBlocked = back;
-        List.copyOf(ends).forEach(LinkEnd::drain);
+    /** Blocks or unblocks each direction; forward is from the member that connects. Connections stay open. */
+    void setBlocked(boolean forward, boolean reverse) {
+        forwardBlocked = forward;
+        reverseBlocked = reverse;
+        List.copyOf(ends).forEach(LinkEnd::deliverBuffered);
     }
 
-    /** From now on each piece takes so many microseconds, and up to so many more, and bytes pass at this rate. */
-    void setLatency(long newDelay, long newJitter, long bytesASecond) {
-        delayMicros = newDelay;
-        jitterMicros = newJitter;
-        bytesPerSecond = bytesASecond;
+    /** Sets the delay, the random addition to it and the bandwidth of what is delivered from now on. */
+    void setLatency(long newDelayMicros, long newJitterMicros, long newBytesPerSecond) {
+        delayMicros = newDelayMicros;
+        jitterMicros = newJitterMicros;
+        bytesPerSecond = newBytesPerSecond;
     }
 
-    /** Bytes that have passed so far, both ways. */
+    /** Bytes delivered so far in both directions. */
     long forwardedBytes() {
         return forwardedBytes;
     }
 
-    /** Breaks all connections that there are. */
+    /** Resets all open connections. */
     void reset() {
-        List.copyOf(ends).forEach(half -> half.peer.reset());
+        List.copyOf(ends).forEach(end -> end.peer.reset());
         ends.clear();
     }
 
-    private void accepted(Peer near) {
-        LinkEnd here = new LinkEnd(near, true);
+    private void accepted(Peer client) {
+        LinkEnd clientEnd = new LinkEnd(client, true);
         loop.connect(targetHost, targetPort, new EventLoop.ConnectListener() {
             @Override
-            public void connected(Peer far) {
-                LinkEnd there = new LinkEnd(far, false);
-                here.other = there;
-                there.other = here;
-                here.received(0);
+            public void connected(Peer target) {
+                LinkEnd targetEnd = new LinkEnd(target, false);
+                clientEnd.other = targetEnd;
+                targetEnd.other = clientEnd;
+                clientEnd.received(0);
             }
 
             @Override
             public void failed() {
-                here.discard();
-                near.reset();
+                clientEnd.discard();
+                client.reset();
             }
         });
     }
 
-    /** What comes from one end of one connection. */
+    /** One end of a connection, with the bytes received from it that are not delivered yet. */
     private final class LinkEnd implements Peer.Owner {
         private final Peer peer;
         private final boolean forward;
         private final Deque<byte[]> buffered = new ArrayDeque<>();
         private int bufferedBytes;
         private long lastDeliveryMicros;
-        /** How this end went while nothing passed; the other hears of it once something does. */
+        /** Closes the other end after the buffered bytes; null while this end is open. */
         private Runnable pendingClose;
 
+        /** Null until the target is connected. */
         private LinkEnd other;
 
-        LinkEnd(Peer peer, boolean forth) {
+        LinkEnd(Peer peer, boolean forward) {
             this.peer = peer;
-            this.forward = forth;
+            this.forward = forward;
             ends.add(this);
             peer.ownedBy(this);
         }
@@ -129,19 +131,18 @@
             buffered.clear();
         }
 
-        private void closeAfterBuffered(Runnable told) {
-            pendingClose = told;
-            drain();
+        private void closeAfterBuffered(Runnable close) {
+            pendingClose = close;
+            deliverBuffered();
         }
 
-        private void scheduleDelivery(int size, Runnable what) {
-            // a piece never overtakes the one before it
-            long now = loop.now();
-            lastDeliveryMicros = Math.max(
-                            lastDeliveryMicros,
-                            now + delayMicros + (jitterMicros > 0 ? random.nextLong(jitterMicros) : 0))
-                    + (bytesPerSecond > 0 ? size * 1_000_000L / bytesPerSecond : 0);
-            loop.after(lastDeliveryMicros - now, what);
+        private void scheduleDelivery(int size, Runnable delivery) {
+            long nowMicros = loop.now();
+            long jitter = jitterMicros > 0 ? random.nextLong(jitterMicros) : 0;
+            long transmissionMicros = bytesPerSecond > 0 ? size * MICROS_PER_SECOND / bytesPerSecond : 0;
+            // never before the previous delivery, which would reorder bytes
+            lastDeliveryMicros = Math.max(lastDeliveryMicros, nowMicros + delayMicros + jitter) + transmissionMicros;
+            loop.after(lastDeliveryMicros - nowMicros, delivery);
         }
 
         @Override
@@ -149,27 +150,21 @@
             if (other == null || peer.in().isEmpty()) {
                 return;
             }
-            byte[] piece = peer.in().take();
-            buffered.add(piece);
-            bufferedBytes += piece.length;
+            byte[] bytes = peer.in().take();
+            buffered.add(bytes);
+            bufferedBytes += bytes.length;
             if (bufferedBytes > MAX_BUFFERED_BYTES) {
                 peer.reset();
                 broken();
                 return;
             }
-            drain();
+            deliverBuffered();
         }
 
-        private void drain() {
+        private void deliverBuffered() {
             while (other != null && !blocked() && !buffered.isEmpty()) {
-                byte[] piece = buffered.remove();
-                scheduleDelivery(piece.length, () -> {
-                    bufferedBytes -= piece.length;
-                    forwardedBytes += piece.length;
-                    if (!other.peer.closed()) {
-                        other.peer.send(piece);
-                    }
-                });
+                byte[] bytes = buffered.remove();
+                scheduleDelivery(bytes.length, () -> deliver(bytes));
             }
             if (pendingClose != null && (other == null || !blocked() && buffered.isEmpty())) {
                 discard();
@@ -180,6 +175,14 @@
             }
         }
 
+        private void deliver(byte[] bytes) {
+            bufferedBytes -= bytes.length;
+            forwardedBytes += bytes.length;
+            if (!other.peer.closed()) {
+                other.peer.send(bytes);
+            }
+        }
+
         @Override
         public void flushed() {}
 
--- a/src/main/java/sandstack/rig/MemberProcess.java
+++ b/src/main/java/sandstack/rig/MemberProcess.java
@@ -9,7 +9,6 @@
 import java.io.InputStreamReader;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -20,28 +19,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One process of the program with its console on a pipe: asked what it knows, paused, let go on, killed. Two threads
- * read what it says. A member's folder outlasts its process and is the rig's.
+ * One member that runs as a process of the program with its console on a pipe. Two threads read its output and its log.
+ * The member's folder outlives the process and belongs to {@link FleetRig}.
  */
 final class MemberProcess implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** An answer that has not come by then does not come: the process is paused, or gone. */
+    /** Longer than a running member ever takes; a paused or dead one does not respond. */
     private static final long RESPONSE_TIMEOUT_MILLIS = 4_000;
 
+    private static final long KILL_TIMEOUT_SECONDS = 10;
+
     private final Process process;
     private final PrintStream consoleInput;
     private final BlockingQueue<String> consoleOutput = new LinkedBlockingQueue<>();
     private final Queue<String> log = new ConcurrentLinkedQueue<>();
 
     /**
-     * Starts it.
+     * Starts the process.
      *
-     * @param program the words that start the program, up to its command
-     * @param words the command and its options
+     * @param program the command line that starts the program, without its subcommand
+     * @param arguments the subcommand and its options
      */
-    MemberProcess(List<String> program, Path folder, List<String> words) throws IOException {
+    MemberProcess(List<String> program, Path folder, List<String> arguments) throws IOException {
         List<String> command = new ArrayList<>(program);
-        command.addAll(words);
+        command.addAll(arguments);
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().keySet().removeIf(name -> name.startsWith("PROXY_"));
         builder.environment().put("PROXY_CONFIG", folder.resolve("config.json").toString());
@@ -51,55 +52,57 @@
         copyLines(process.getErrorStream(), log, "log");
     }
 
-    private void copyLines(InputStream from, Queue<String> into, String what) {
+    private void copyLines(InputStream source, Queue<String> lines, String streamName) {
         Thread thread = new Thread(
                 () -> {
-                    try (BufferedReader in = new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8))) {
+                    try (BufferedReader in =
+                            new BufferedReader(new InputStreamReader(source, StandardCharsets.UTF_8))) {
                         for (String line = in.readLine(); line != null; line = in.readLine()) {
-                            into.add(line);
+                            lines.add(line);
                         }
                     } catch (IOException e) {
-                        into.add("broke off: " + e.getMessage());
+                        lines.add("broke off: " + e.getMessage());
                     }
                 },
-                "member-" + process.pid() + "-" + what);
+                "member-" + process.pid() + "-" + streamName);
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Writes a command to its console, whether it reads or not. */
+    /** Writes a command to the console without waiting; it stays in the pipe while the process is paused. */
     void sendCommand(String command) {
         consoleOutput.clear();
         consoleInput.println(command);
     }
 
-    /** What it knows of the fleet; null where it does not answer. */
+    /** The member's view of the fleet; null where it does not respond. */
     JsonNode view() {
         sendCommand("fleet json");
         return awaitJsonResponse();
     }
 
-    /** The object with which it answers what was asked last; null where it does not answer. */
+    /** The JSON response to the last command; null where there is none in time. */
     JsonNode awaitJsonResponse() {
         try {
             String line = awaitLine("{");
             return line == null ? null : JSON.readTree(line);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a view that is no JSON", e);
+            throw new IllegalStateException("the member's view is not valid JSON", e);
         }
     }
 
-    /** The line with which it answers this command; null where it does not answer. */
+    /** Executes a command and returns the first line of the response; null where there is none in time. */
     String execute(String command) {
         sendCommand(command);
         return awaitLine("");
     }
 
-    private String awaitLine(String begins) {
+    private String awaitLine(String prefix) {
         try {
-            long until = System.nanoTime() + RESPONSE_TIMEOUT_MILLIS * 1_000_000;
-            for (String line; (line = consoleOutput.poll(until - System.nanoTime(), TimeUnit.NANOSECONDS)) != null; ) {
-                if (line.startsWith(begins)) {
+            long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RESPONSE_TIMEOUT_MILLIS);
+            for (String line;
+                    (line = consoleOutput.poll(deadlineNanos - System.nanoTime(), TimeUnit.NANOSECONDS)) != null; ) {
+                if (line.startsWith(prefix)) {
                     return line;
                 }
             }
@@ -109,7 +112,7 @@
         return null;
     }
 
-    /** What it has logged, oldest first. */
+    /** The lines logged so far, oldest first. */
     List<String> log() {
         return List.copyOf(log);
     }
@@ -122,14 +125,14 @@
         return process.isAlive();
     }
 
-    /** Its exit code; -1 where it has not ended by then. */
-    int awaitExit(long seconds) throws InterruptedException {
-        return process.waitFor(seconds, TimeUnit.SECONDS) ? process.exitValue() : -1;
+    /** Waits for the exit code; -1 after the timeout. */
+    int awaitExit(long timeoutSeconds) throws InterruptedException {
+        return process.waitFor(timeoutSeconds, TimeUnit.SECONDS) ? process.exitValue() : -1;
     }
 
-    private void signal(String name) throws IOException {
+    private void sendSignal(String signal) throws IOException {
         try {
-            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+            new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
                     .start()
                     .waitFor();
         } catch (InterruptedException e) {
@@ -137,22 +140,22 @@
         }
     }
 
-    /** Stops it where it is; it does not know. */
+    /** Suspends the process, which does not notice. */
     void pause() throws IOException {
-        signal("STOP");
+        sendSignal("STOP");
     }
 
-    /** Lets it go on. */
+    /** Continues the suspended process. */
     void resume() throws IOException {
-        signal("CONT");
+        sendSignal("CONT");
     }
 
-    /** Asks it to stop, as the platform does. */
+    /** Asks the process to terminate, as the platform does. */
     void terminate() {
         process.destroy();
     }
 
-    /** Ends it without a word. */
+    /** Kills the process. */
     void kill() {
         process.destroyForcibly();
     }
@@ -161,15 +164,9 @@
     public void close() {
         kill();
         try {
-            process.waitFor(10, TimeUnit.SECONDS);
+            process.waitFor(KILL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
-
-    /** Puts a text into a member's folder. */
-    static void writeFile(Path folder, String name, String text) throws IOException {
-        Files.createDirectories(folder.resolve(name).getParent());
-        Files.writeString(folder.resolve(name), text);
-    }
 }
--- a/src/main/java/sandstack/rig/package-info.java
+++ b/src/main/java/sandstack/rig/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Several processes of this program with faults between them: the processes, the links between each pair of them, and
- * what is done to both. Owns the processes that it starts and ends them; uses {@code standin} for its loop, and no relay
- * uses it.
+ * Fault injection for a fleet of real processes: fault schedules, the processes and the links between them that the
+ * faults apply to, and the invariants that are checked on the history of a run. Owns and ends the processes that it
+ * starts. Uses the event loop of {@code sandstack.standin}; no relay uses this package.
  */
 package sandstack.rig;
--- a/src/test/java/sandstack/rig/FaultScheduleTest.java
+++ b/src/test/java/sandstack/rig/FaultScheduleTest.java
@@ -22,21 +22,21 @@
 
     @Property(tries = 200)
     void aGeneratedScheduleIsReadBackAsWritten(@ForAll long seed) throws Exception {
-        FaultSchedule drawn = FaultScheduleGenerator.generate(seed);
+        FaultSchedule generated = FaultScheduleGenerator.generate(seed);
         Path file = Files.createTempFile("schedule", ".toml");
-        Files.writeString(file, FaultScheduleFile.format(drawn));
+        Files.writeString(file, FaultScheduleFile.format(generated));
         FaultSchedule read = FaultScheduleFile.read(file);
         Files.delete(file);
-        assertThat(read.members()).isEqualTo(drawn.members());
-        assertThat(read.steps()).hasSameSizeAs(drawn.steps());
-        for (int i = 0; i < drawn.steps().size(); i++) {
+        assertThat(read.members()).isEqualTo(generated.members());
+        assertThat(read.steps()).hasSameSizeAs(generated.steps());
+        for (int i = 0; i < generated.steps().size(); i++) {
             assertThat(read.steps().get(i).toString())
-                    .isEqualTo(drawn.steps().get(i).toString());
+                    .isEqualTo(generated.steps().get(i).toString());
         }
-        assertThat(FaultScheduleGenerator.generate(seed)).isEqualTo(drawn);
-        for (FaultSchedule.Step step : drawn.steps()) {
-            assertThat(step.member()).isBetween(0, drawn.members() - 1).isNotEqualTo(step.otherMember());
-            assertThat(step.otherMember()).isLessThan(drawn.members());
+        assertThat(FaultScheduleGenerator.generate(seed)).isEqualTo(generated);
+        for (FaultSchedule.Step step : generated.steps()) {
+            assertThat(step.member()).isBetween(0, generated.members() - 1).isNotEqualTo(step.otherMember());
+            assertThat(step.otherMember()).isLessThan(generated.members());
         }
     }
 
@@ -66,7 +66,7 @@
 
     /** The files were written by an earlier build: the names of members, keys and actions are a stored form. */
     @ParameterizedTest
-    @ValueSource(strings = {"drawn-seed-1", "drawn-seed-5", "every-action", "no-step"})
+    @ValueSource(strings = {"generated-seed-1", "generated-seed-5", "every-action", "no-step"})
     void aStoredScheduleIsReadAndWrittenUnchanged(String name) throws Exception {
         Path stored = Path.of("src/test/resources/faults", name + ".toml");
         assertThat(FaultScheduleFile.format(FaultScheduleFile.read(stored))).isEqualTo(Files.readString(stored));
@@ -75,7 +75,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 5})
     void aSeedAlwaysGivesTheSameSchedule(long seed) throws Exception {
-        Path stored = Path.of("src/test/resources/faults", "drawn-seed-" + seed + ".toml");
+        Path stored = Path.of("src/test/resources/faults", "generated-seed-" + seed + ".toml");
         assertThat(FaultScheduleFile.format(FaultScheduleGenerator.generate(seed)))
                 .isEqualTo(Files.readString(stored));
     }
--- a/src/test/java/sandstack/rig/FaultSchedulesTest.java
+++ b/src/test/java/sandstack/rig/FaultSchedulesTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Schedules of faults between real processes, a few at a time: two that {@code faults search} found to break a rule (a
- * member was called lost that others reached), and drawn ones.
+ * Fault schedules against real processes, run concurrently: two regressions found by {@code faults search}, in which a
+ * member that others reached was declared lost, and two generated ones.
  */
 @Timeout(150)
 class FaultSchedulesTest {
@@ -24,8 +24,9 @@
     void invariantsHoldOnRegressionAndGeneratedSchedules() throws Exception {
         Map<String, FaultSchedule> schedules = new TreeMap<>(
                 Map.of("seed 1", FaultScheduleGenerator.generate(1), "seed 3", FaultScheduleGenerator.generate(3)));
-        for (String found : List.of("cut-and-restart", "one-way-and-restart")) {
-            schedules.put(found, FaultScheduleFile.read(Path.of("src/test/resources/faults", found + ".toml")));
+        for (String regression : List.of("cut-and-restart", "one-way-and-restart")) {
+            schedules.put(
+                    regression, FaultScheduleFile.read(Path.of("src/test/resources/faults", regression + ".toml")));
         }
         ExecutorService threads = Executors.newFixedThreadPool(schedules.size());
         Map<String, Future<FaultScheduleRunner.Outcome>> runs = new TreeMap<>();
--- a/src/test/java/sandstack/rig/FleetProcessesTest.java
+++ b/src/test/java/sandstack/rig/FleetProcessesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/** Relays as real processes that know of each other, with faults between them. */
+/** Membership of relays that run as real processes, with faults injected between them. */
 @Execution(ExecutionMode.CONCURRENT)
 @Timeout(120)
 class FleetProcessesTest {
@@ -22,7 +22,7 @@
     private void startFleet(int size) throws IOException {
         processes = new FleetRig(PROGRAM, size, 1);
         processes.startAll();
-        eventually("all see all alive", 30, processes::allAlive);
+        eventually("all members see all alive", 30, processes::allAlive);
     }
 
     @AfterEach
@@ -30,22 +30,22 @@
         processes.close();
     }
 
-    private void eventually(String what, double seconds, BooleanSupplier holds) {
-        assertThat(FleetRig.until(holds, seconds))
-                .as(what + "\n" + processes.logs())
+    private void eventually(String description, double timeoutSeconds, BooleanSupplier condition) {
+        assertThat(FleetRig.until(condition, timeoutSeconds))
+                .as(description + "\n" + processes.logs())
                 .isNotNegative();
     }
 
-    private boolean sees(int i, int other, String standing) {
-        var seen = processes.standings(i);
-        return seen != null && standing.equals(seen.get(FleetRig.name(other)));
+    private boolean sees(int observer, int subject, String status) {
+        var statuses = processes.standings(observer);
+        return statuses != null && status.equals(statuses.get(FleetRig.name(subject)));
     }
 
     @Test
     void aPartitionedPairIsPartiallyReachableUntilHealed() throws IOException {
         startFleet(5);
         processes.cut(1, 3);
-        eventually("all call both partly reached", 15, () -> {
+        eventually("all members report both partially reachable", 15, () -> {
             for (int i = 0; i < 5; i++) {
                 if (!sees(i, 1, "PARTLY") || !sees(i, 3, "PARTLY")) {
                     return false;
@@ -70,7 +70,7 @@
         eventually("m3 is lost", 20, () -> sees(0, 3, "LOST") && sees(1, 3, "LOST"));
         processes.start(3);
         processes.start(2);
-        eventually("all see all alive again", 30, processes::allAlive);
+        eventually("all members see all alive again", 30, processes::allAlive);
         assertThat(processes.memberEntry(0, "m3").path("life").asText()).isNotEqualTo(before);
     }
 
@@ -80,7 +80,7 @@
         String before = processes.memberEntry(0, "m2").path("life").asText();
         processes.kill(2);
         processes.start(2);
-        eventually("a new life of the same name is alive", 15, () -> {
+        eventually("a new incarnation of the same name is alive", 15, () -> {
             var line = processes.memberEntry(0, "m2");
             return line != null
                     && line.path("standing").asText().equals("ALIVE")
@@ -92,17 +92,17 @@
     @Test
     void aPausedMemberRejoinsAndReportsNobodyUnreachable() throws Exception {
         startFleet(4);
-        int said = processes.member(1).log().size();
+        int loggedBefore = processes.member(1).log().size();
         processes.pause(1);
-        eventually("m1 is doubted", 20, () -> !sees(0, 1, "ALIVE"));
+        eventually("m1 is suspect", 20, () -> !sees(0, 1, "ALIVE"));
         eventually("m1 is lost", 20, () -> sees(0, 1, "LOST") && sees(2, 1, "LOST"));
         processes.resume(1);
         eventually("all alive again", 20, processes::allAlive);
-        // it believes that no time has passed: nothing that it missed meanwhile counts against the others
+        // to the resumed member no time has passed: it must not blame the others for what it missed
         assertThat(processes
                         .member(1)
                         .log()
-                        .subList(said, processes.member(1).log().size()))
+                        .subList(loggedBefore, processes.member(1).log().size()))
                 .noneMatch(line -> line.matches(".*unreachable_from=(\\S+,)?m1(,.*)?"));
     }
 
@@ -110,7 +110,7 @@
     void aOneWayPartitionIsPartialAndHalvesJoinedByAThirdMemberStayOneFleet() throws IOException {
         startFleet(5);
         processes.partitionOneWay(2, 4);
-        eventually("m4 is partly reached", 15, () -> sees(0, 4, "PARTLY"));
+        eventually("m4 is partially reachable", 15, () -> sees(0, 4, "PARTLY"));
         processes.heal(2, 4);
         eventually("healed", 15, processes::allAlive);
         // m4 alone reaches both halves
@@ -120,7 +120,7 @@
             }
         }
         eventually(
-                "the halves call each other partly reached",
+                "the halves report each other partially reachable",
                 20,
                 () -> sees(0, 2, "PARTLY")
                         && sees(0, 3, "PARTLY")
@@ -164,7 +164,7 @@
         processes.kill(1);
         processes.start(1, "m0");
         assertThat(processes.member(1).awaitExit(20)).as(processes.logs()).isEqualTo(2);
-        eventually("it says why, in one line", 5, () -> processes.member(1).log().stream()
+        eventually("it logs the reason in one line", 5, () -> processes.member(1).log().stream()
                 .anyMatch(line -> line.contains("the name m0 is held by a member that lives")));
         assertThat(processes.member(0).isAlive()).isTrue();
     }
--- a/src/test/java/sandstack/rig/InvariantCheckerTest.java
+++ b/src/test/java/sandstack/rig/InvariantCheckerTest.java
@@ -66,8 +66,8 @@
         assertThat(violatedInvariants()).isEmpty();
     }
 
-    private void quorumObserved(double second, int i, QuorumState ground, int with) {
-        history.add(new QuorumObserved((long) (second * SECOND), i, ground, with));
+    private void quorumObserved(double second, int member, QuorumState state, int reachable) {
+        history.add(new QuorumObserved((long) (second * SECOND), member, state, reachable));
     }
 
     /** A member that counted only the relays it sees would take its part for the complete fleet. */
--- a/src/test/java/sandstack/rig/QuorumProcessesTest.java
+++ b/src/test/java/sandstack/rig/QuorumProcessesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/** On what ground real relays find themselves while they are cut off, killed and paused. */
+/** The quorum state of relays that run as real processes while they are partitioned, killed and paused. */
 @Execution(ExecutionMode.CONCURRENT)
 @Timeout(150)
 class QuorumProcessesTest {
@@ -23,7 +23,7 @@
     private void startFleet(int size) throws IOException {
         processes = new FleetRig(PROGRAM, size, 1);
         processes.startAll();
-        eventually("all are whole", 40, () -> allHaveState(size, "WHOLE"));
+        eventually("all are complete", 40, () -> allHaveState(size, "WHOLE"));
     }
 
     @AfterEach
@@ -31,44 +31,40 @@
         processes.close();
     }
 
-    private void eventually(String what, double seconds, BooleanSupplier holds) {
-        assertThat(FleetRig.until(holds, seconds))
-                .as(what + "\n" + processes.logs())
+    private void eventually(String description, double timeoutSeconds, BooleanSupplier condition) {
+        assertThat(FleetRig.until(condition, timeoutSeconds))
+                .as(description + "\n" + processes.logs())
                 .isNotNegative();
     }
 
-    private boolean allHaveState(int size, String ground) {
+    private boolean allHaveState(int size, String state) {
         for (int i = 0; i < size; i++) {
-            if (!hasState(i, ground)) {
+            if (!hasState(i, state)) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean hasState(int i, String ground) {
-        JsonNode view = processes.member(i).view();
-        return view != null && view.path("ground").path("is").asText().equals(ground);
+    private boolean hasState(int member, String state) {
+        JsonNode view = processes.member(member).view();
+        return view != null && view.path("ground").path("is").asText().equals(state);
     }
 
-    private void partitionOrHeal(List<Integer> left, List<Integer> right, boolean cut) {
-        for (int a : left) {
-            for (int b : right) {
-                if (cut) {
-                    processes.cut(a, b);
-                } else {
-                    processes.heal(a, b);
-                }
-            }
-        }
+    private void partition(List<Integer> left, List<Integer> right) {
+        left.forEach(a -> right.forEach(b -> processes.cut(a, b)));
+    }
+
+    private void heal(List<Integer> left, List<Integer> right) {
+        left.forEach(a -> right.forEach(b -> processes.heal(a, b)));
     }
 
     @Test
     void eachPartOfAPartitionedFleetKnowsItsQuorumState() throws IOException {
         startFleet(5);
-        partitionOrHeal(List.of(0, 1), List.of(2, 3, 4), true);
+        partition(List.of(0, 1), List.of(2, 3, 4));
         eventually(
-                "two are few and three are most",
+                "two are a minority and three a majority",
                 30,
                 () -> hasState(0, "FEW")
                         && hasState(1, "FEW")
@@ -79,38 +75,38 @@
         processes.cut(2, 3);
         processes.cut(2, 4);
         eventually(
-                "one, one, one and two",
+                "three isolated members and a minority of two",
                 30,
                 () -> hasState(0, "ALONE")
                         && hasState(1, "ALONE")
                         && hasState(2, "ALONE")
                         && hasState(3, "FEW")
                         && hasState(4, "FEW"));
-        // healed in another order, and meanwhile never two parts that are most
-        partitionOrHeal(List.of(2), List.of(0, 1), false);
+        // healed in another order: there are never two majorities
+        heal(List.of(2), List.of(0, 1));
         processes.heal(0, 1);
         eventually(
-                "three others are most now",
+                "three other members are the majority",
                 30,
                 () -> hasState(0, "MOST") && hasState(1, "MOST") && hasState(2, "MOST") && hasState(3, "FEW"));
         processes.heal(2, 3);
         processes.heal(2, 4);
-        partitionOrHeal(List.of(0, 1), List.of(3, 4), false);
-        eventually("whole again", 40, () -> allHaveState(5, "WHOLE"));
+        heal(List.of(0, 1), List.of(3, 4));
+        eventually("complete again", 40, () -> allHaveState(5, "WHOLE"));
     }
 
-    /** The command waits in the pipe while the process stands still: it is answered by what was believed before. */
+    /** The command waits in the pipe while the process is paused, so the view from before the pause answers it. */
     @Test
     void aResumedMemberIsUnknownBeforeItUsesItsOldView() throws Exception {
         startFleet(3);
         processes.pause(1);
-        eventually("the others go on as most", 30, () -> hasState(0, "MOST") && hasState(2, "MOST"));
+        eventually("the others continue as the majority", 30, () -> hasState(0, "MOST") && hasState(2, "MOST"));
         processes.member(1).sendCommand("fleet json");
         processes.resume(1);
         JsonNode first = processes.member(1).awaitJsonResponse();
         assertThat(first.path("ground").path("is").asText()).isEqualTo("UNSURE");
         assertThat(first.path("ground").path("why").asText()).contains("stood still for");
-        eventually("whole again", 40, () -> allHaveState(3, "WHOLE"));
+        eventually("complete again", 40, () -> allHaveState(3, "WHOLE"));
     }
 
     @Test
@@ -119,7 +115,7 @@
         processes.kill(2);
         processes.kill(3);
         eventually(
-                "two of four are few",
+                "two of four are a minority",
                 40,
                 () -> hasState(0, "FEW")
                         && hasState(1, "FEW")
@@ -130,10 +126,10 @@
         assertThat(processes.member(0).execute("fleet take-out m9")).startsWith("not done: m9 is not among");
         assertThat(processes.member(0).execute("fleet take-out m3"))
                 .startsWith("m3 is no longer counted. If it lives behind a cut");
-        eventually("two of three are most, at both", 20, () -> hasState(0, "MOST") && hasState(1, "MOST"));
+        eventually("two of three are a majority at both", 20, () -> hasState(0, "MOST") && hasState(1, "MOST"));
         processes.start(3);
         eventually(
-                "it counts again, and is reached",
+                "it counts again and is reachable",
                 40,
                 () -> hasState(0, "MOST")
                         && hasState(1, "MOST")
