--- a/src/main/java/sandstack/standin/Discovery.java
+++ b/src/main/java/sandstack/standin/Discovery.java
@@ -13,69 +13,70 @@
 import sandstack.net.Peer;
 
 /**
- * A stand-in discovery: tells the list whole or as a watch, by its published protocol, after a delay, and not at all
- * while it is down. Each relay may be told addresses of its own. Lives on its yard's thread; a change costs O(watches).
+ * A fake discovery: serves the list of feed servers by its published protocol, complete or as a watch. Scripted faults
+ * delay its updates and make it unavailable. Used on the thread of its loop. A change costs O(watches).
  */
 public final class Discovery {
     private static final long KEEPALIVE_INTERVAL_MICROS = 2_000_000;
     private static final int MAX_REQUEST_LENGTH = 8192;
+    private static final String REVISION_PARAMETER = "from=";
 
     private final StandInLoop loop;
     private final int port;
     private final InstanceList instances = new InstanceList();
+    /** The connections that follow the list. */
     private final Set<Connection> watches = new LinkedHashSet<>();
+
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private long delay;
-    private boolean down;
+    private long updateDelayMicros;
+    private boolean unavailable;
 
-    /** At a port of the system's choice. */
-    public Discovery(StandInLoop yard) throws IOException {
-        this(yard, 0);
+    /** Listens at a port that the system chooses. */
+    public Discovery(StandInLoop loop) throws IOException {
+        this(loop, 0);
     }
 
-    /** At this port; 0 for one of the system's choice. */
-    public Discovery(StandInLoop yard, int at) throws IOException {
-        this.loop = yard;
-        this.port = yard.loop()
-                .listen(StandInLoop.LOOPBACK, at, yard.loop().chain(new BaseFilter() {
-                    @Override
-                    public NextAction handleAccept(FilterChainContext context) {
-                        new Connection(EventLoop.peer(context));
-                        return context.getStopAction();
-                    }
-                }))
-                .port();
-        yard.after(KEEPALIVE_INTERVAL_MICROS, this::sendKeepalives);
+    /** Listens at a fixed port, or at one that the system chooses where it is 0. */
+    public Discovery(StandInLoop loop, int fixedPort) throws IOException {
+        this.loop = loop;
+        this.port = loop.listen(fixedPort, new BaseFilter() {
+            @Override
+            public NextAction handleAccept(FilterChainContext context) {
+                new Connection(EventLoop.peer(context));
+                return context.getStopAction();
+            }
+        });
+        loop.after(KEEPALIVE_INTERVAL_MICROS, this::sendKeepalives);
     }
 
-    /** The port at which it listens. */
+    /** The port at which discovery listens. */
     public int port() {
         return port;
     }
 
-    /** Changes reach the watches so many microseconds late. */
+    /** Delays the watch events of later changes. */
     public void delay(long micros) {
-        delay = micros;
+        updateDelayMicros = micros;
     }
 
-    /** Ends all watches and answers 503 until it is up again. */
+    /** While discovery is down it responds 503; going down resets all connections. */
     public void down(boolean isDown) {
-        down = isDown;
-        if (down) {
-            for (Connection call : Set.copyOf(connections)) {
-                call.peer.reset();
-                call.remove();
+        unavailable = isDown;
+        if (unavailable) {
+            for (Connection connection : Set.copyOf(connections)) {
+                connection.peer.reset();
+                connection.remove();
             }
         }
     }
 
     /**
-     * Lists this feed server, or tells that it has changed.
+     * Adds a feed server to the list or changes its entry, and notifies the watches.
      *
      * @param state ready, draining or gone
      */
     public void list(FeedServer server, String model, double hint, String state) {
-        long from = instances.revision();
+        long previousRevision = instances.revision();
         instances.put(new InstanceList.Instance(
                 server.uid(),
                 StandInLoop.LOOPBACK + ":" + server.port(),
@@ -84,10 +85,10 @@
                 hint,
                 state,
                 server.bootedAt() / 1000));
-        loop.after(delay, () -> Set.copyOf(watches).forEach(watch -> watch.sendChanges(from)));
+        loop.after(updateDelayMicros, () -> Set.copyOf(watches).forEach(watch -> watch.sendChanges(previousRevision)));
     }
 
-    /** The whole list, as the object that a configuration holds under {@code known}. */
+    /** The complete list, in the form that a configuration holds under {@code known}. */
     public ObjectNode known() {
         return instances.whole();
     }
@@ -97,9 +98,10 @@
         loop.after(KEEPALIVE_INTERVAL_MICROS, this::sendKeepalives);
     }
 
-    /** One call and, where it asked for that, its watch. */
+    /** One connection of a client, with its watch where it requested one. */
     private final class Connection implements Peer.Owner {
         final Peer peer;
+        /** The last revision sent on the watch; -1 for none. */
         private long sentRevision;
 
         Connection(Peer peer) {
@@ -122,19 +124,16 @@
             handleRequest(text.substring(0, text.indexOf("\r\n")));
         }
 
-        private void handleRequest(String request) {
-            List<String> words = List.of(request.split(" "));
-            if (words.size() != 3
-                    || !words.get(0).equals("GET")
-                    || !words.get(1).startsWith("/registry/instances")) {
+        private void handleRequest(String requestLine) {
+            List<String> fields = List.of(requestLine.split(" "));
+            if (fields.size() != 3
+                    || !fields.get(0).equals("GET")
+                    || !fields.get(1).startsWith("/registry/instances")) {
                 sendResponse("404 Not Found", "");
-            } else if (down) {
+            } else if (unavailable) {
                 sendResponse("503 Service Unavailable", "");
-            } else if (words.get(1).contains("watch=1")) {
-                int at = words.get(1).indexOf("from=");
-                sentRevision = at < 0
-                        ? -1
-                        : Long.parseLong(words.get(1).substring(at + 5).replaceAll("[^0-9].*", ""));
+            } else if (fields.get(1).contains("watch=1")) {
+                sentRevision = requestedRevision(fields.get(1));
                 peer.send("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
                 watches.add(this);
                 sendChanges(sentRevision);
@@ -143,9 +142,18 @@
             }
         }
 
-        void sendChanges(long from) {
+        /** The revision that a watch request already has; -1 where it states none. */
+        private static long requestedRevision(String path) {
+            int parameter = path.indexOf(REVISION_PARAMETER);
+            return parameter < 0
+                    ? -1
+                    : Long.parseLong(path.substring(parameter + REVISION_PARAMETER.length())
+                            .replaceAll("[^0-9].*", ""));
+        }
+
+        void sendChanges(long fromRevision) {
             if (!peer.closed() && watches.contains(this)) {
-                sendChunk(instances.since(Math.min(from, sentRevision)) + "\n");
+                sendChunk(instances.since(Math.min(fromRevision, sentRevision)) + "\n");
                 sentRevision = instances.revision();
             }
         }
@@ -154,9 +162,9 @@
             sendChunk("\n");
         }
 
-        private void sendChunk(String text) {
-            int length = text.getBytes(StandardCharsets.UTF_8).length;
-            peer.send(Integer.toHexString(length) + "\r\n" + text + "\r\n");
+        private void sendChunk(String body) {
+            int length = body.getBytes(StandardCharsets.UTF_8).length;
+            peer.send(Integer.toHexString(length) + "\r\n" + body + "\r\n");
         }
 
         private void sendResponse(String status, String body) {
--- a/src/main/java/sandstack/standin/FeedServer.java
+++ b/src/main/java/sandstack/standin/FeedServer.java
@@ -1,8 +1,6 @@
 package sandstack.standin;
 
 import java.io.IOException;
-import java.util.ArrayDeque;
-import java.util.Deque;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -16,15 +14,26 @@
 import sandstack.net.Peer;
 
 /**
- * A stand-in feed server of the line protocol: sets connections up with the work that its {@link Machine} says, sends
- * every line back, turns away or sheds over its cap, drains, dies and comes back cold. Work waits in one queue for the
- * first core that is free; a neighbour can take a part of every core. Lives on its yard's thread; an accepted line
- * costs O(1), a death O(connections).
+ * A fake feed server of the line protocol with scripted behaviour: it sets connections up with the work that its {@link
+ * Machine} states, echoes every line, rejects or sheds connections above its limit, drains, dies and restarts cold. Used
+ * on the thread of its loop. A line costs O(1), {@link #kill} O(connections).
  */
 public final class FeedServer {
     private static final int MAX_LINE_LENGTH = 4096;
 
-    /** What it has counted by itself. */
+    /**
+     * What the server has counted.
+     *
+     * @param standing established connections now
+     * @param mostStanding the most there were at once
+     * @param setups connections that were established
+     * @param turnedAway requests rejected with {@code BUSY}
+     * @param shed established connections that were dropped above the limit
+     * @param lines lines received on established connections
+     * @param asked valid requests for a connection
+     * @param reads requests that were not valid
+     * @param busy microseconds for which cores were busy, summed over all
+     */
     public record Books(
             int standing,
             int mostStanding,
@@ -44,10 +53,7 @@
     private final Set<Session> established = new LinkedHashSet<>();
     private final Set<Session> sessions = new LinkedHashSet<>();
     private final Map<String, Long> closedSessionMicros = new HashMap<>();
-    private final Deque<Job> queue = new ArrayDeque<>();
-    private int working;
-    private double taken;
-    private long bootedAt;
+    private final WorkQueue workQueue;
     private boolean draining;
     private boolean killed;
     private int maxEstablished;
@@ -57,94 +63,89 @@
     private long lines;
     private long requests;
     private long syntaxErrors;
-    private double busy;
-
-    /** One piece of work, in microseconds of a standard core, and what follows once it is done. */
-    private record Job(long work, Runnable done) {}
+    /** Accepted requests whose set-up has not completed. */
+    private int pendingSetups;
 
     /**
-     * Listens from now on.
+     * Listens at a port that the system chooses.
      *
-     * @param zone name of its zone, as discovery tells it
+     * @param uid id by which discovery lists the server
+     * @param zone name of its zone
      */
-    public FeedServer(StandInLoop yard, String uid, String zone, Machine machine) throws IOException {
-        this(yard, uid, zone, machine, 0);
+    public FeedServer(StandInLoop loop, String uid, String zone, Machine machine) throws IOException {
+        this(loop, uid, zone, machine, 0);
     }
 
-    /** The same at this port; 0 for one of the system's choice. */
-    public FeedServer(StandInLoop yard, String uid, String zone, Machine machine, int at) throws IOException {
-        this.loop = yard;
+    /** Listens at a fixed port, or at one that the system chooses where it is 0. */
+    public FeedServer(StandInLoop loop, String uid, String zone, Machine machine, int fixedPort) throws IOException {
+        this.loop = loop;
         this.uid = uid;
         this.zone = zone;
         this.machine = machine;
-        this.port = yard.loop()
-                .listen(StandInLoop.LOOPBACK, at, yard.loop().chain(new BaseFilter() {
-                    @Override
-                    public NextAction handleAccept(FilterChainContext context) {
-                        new Session(EventLoop.peer(context));
-                        return context.getStopAction();
-                    }
-                }))
-                .port();
+        this.workQueue = new WorkQueue(loop, machine);
+        this.port = loop.listen(fixedPort, new BaseFilter() {
+            @Override
+            public NextAction handleAccept(FilterChainContext context) {
+                new Session(EventLoop.peer(context));
+                return context.getStopAction();
+            }
+        });
     }
 
-    // ---- commands ---------------------------------------------------------------------------------
-
-    /** Takes nothing new; what stands stays. */
+    /** Rejects new connections and keeps the established ones. */
     public void drain() {
         draining = true;
     }
 
-    /** Sends its clients away, as a draining feed server does. */
+    /** Asks all clients to move, as a draining feed server does. */
     public void sendAway() {
-        for (Session s : Set.copyOf(established)) {
-            s.closeWith("MOVE\r\n");
+        for (Session session : Set.copyOf(established)) {
+            session.closeWith("MOVE\r\n");
         }
     }
 
-    /** Resets all its connections and takes none, as a process that has died. */
+    /** Resets all connections and accepts none, like a process that has died. */
     public void kill() {
         killed = true;
-        queue.clear();
-        for (Session s : Set.copyOf(sessions)) {
-            s.reset();
+        workQueue.clear();
+        for (Session session : Set.copyOf(sessions)) {
+            session.reset();
         }
     }
 
-    /** Is back as a fresh process; returns when it started, in Unix milliseconds. */
+    /** Restarts as a fresh process; returns the start time in Unix milliseconds. */
     public long restart() {
         killed = false;
         draining = false;
-        bootedAt = loop.now();
-        return bootedAt / 1000;
+        long nowMicros = loop.now();
+        workQueue.restarted(nowMicros);
+        return nowMicros / 1_000;
     }
 
-    /** Another program takes this part of every core from now on; 0 gives all back. */
-    public void neighbour(double part) {
-        taken = part;
+    /** Lets a noisy neighbour take this share of every core from now on; 0 ends it. */
+    public void neighbour(double share) {
+        workQueue.setStolenShare(share);
     }
 
-    /** Tells each of its clients this load, in microseconds of work a second. */
+    /** Sends this load report, in microseconds of work a second, on every connection. */
     public void tellLoads(double load) {
-        for (Session s : established) {
-            s.peer.send("LOAD " + load + "\r\n");
+        for (Session session : established) {
+            session.peer.send("LOAD " + load + "\r\n");
         }
     }
 
-    /** One standing connection, as the receiver of lines that the feed server sends by itself. */
+    /** An established connection, as the receiver of lines that the feed server sends unasked. */
     public interface Subscriber {
-        /** Sends it this line, which ends with a line feed; false where the connection is over. */
+        /** Sends a line, which ends with a line feed; returns false where the connection is closed. */
         boolean send(String line);
     }
 
-    /** All connections that stand now. */
+    /** The connections established now. */
     public List<Subscriber> subscribers() {
         return List.copyOf(established);
     }
 
-    // ---- what others see --------------------------------------------------------------------------
-
-    /** The id that discovery lists it by. */
+    /** The id by which discovery lists the server. */
     public String uid() {
         return uid;
     }
@@ -154,45 +155,54 @@
         return zone;
     }
 
-    /** The port at which it listens. */
+    /** The port at which the server listens. */
     public int port() {
         return port;
     }
 
-    /** The machine that it runs on. */
+    /** The machine on which the server runs. */
     public Machine machine() {
         return machine;
     }
 
-    /** When its process last started, in microseconds of its loop's clock; 0 where it has not restarted. */
+    /** When the process last restarted, in microseconds of the loop's clock; 0 where it has not. */
     public long bootedAt() {
-        return bootedAt;
+        return workQueue.bootedAtMicros();
     }
 
-    /** Whether it takes no new connections any more. */
+    /** Whether the server rejects new connections because it drains. */
     public boolean draining() {
         return draining;
     }
 
-    /** What it has counted until now. */
+    /** A snapshot of the counters. */
     public Books books() {
         return new Books(
-                established.size(), maxEstablished, setups, rejected, shed, lines, requests, syntaxErrors, busy);
+                established.size(),
+                maxEstablished,
+                setups,
+                rejected,
+                shed,
+                lines,
+                requests,
+                syntaxErrors,
+                workQueue.busyMicros());
     }
 
-    /** Connection-seconds that have stood here, by the value of one name of the first line, such as the class. */
+    /** Seconds for which connections were established, by the value of one attribute of the request, such as the class. */
     public Map<String, Double> standingSeconds(String name) {
         Map<String, Double> seconds = new LinkedHashMap<>();
-        closedSessionMicros.forEach((line, micros) -> seconds.merge(value(line, name), micros / 1e6, Double::sum));
-        long now = loop.now();
-        for (Session s : established) {
-            seconds.merge(value(s.attributes, name), (now - s.establishedMicros) / 1e6, Double::sum);
+        closedSessionMicros.forEach(
+                (attributes, micros) -> seconds.merge(value(attributes, name), micros / 1e6, Double::sum));
+        long nowMicros = loop.now();
+        for (Session session : established) {
+            seconds.merge(value(session.attributes, name), (nowMicros - session.establishedMicros) / 1e6, Double::sum);
         }
         return seconds;
     }
 
-    private static String value(String pairs, String name) {
-        for (String pair : pairs.split(",")) {
+    private static String value(String attributes, String name) {
+        for (String pair : attributes.split(",")) {
             if (pair.startsWith(name + "=")) {
                 return pair.substring(name.length() + 1);
             }
@@ -200,40 +210,7 @@
         return "";
     }
 
-    // ---- work -------------------------------------------------------------------------------------
-
-    private double speed() {
-        double part = machine.warmAfter() <= 0 || bootedAt == 0
-                ? 1
-                : Math.min(1, (loop.now() - bootedAt) / (double) machine.warmAfter());
-        return machine.speed() * (machine.coldFrom() + (1 - machine.coldFrom()) * part) * (1 - taken);
-    }
-
-    private void work(long work, Runnable done) {
-        if (work <= 0) {
-            done.run();
-            return;
-        }
-        queue.add(new Job(work, done));
-        next();
-    }
-
-    private void next() {
-        if (working >= machine.cores() || queue.isEmpty()) {
-            return;
-        }
-        Job job = queue.poll();
-        working++;
-        long lasts = Math.max(1, (long) (job.work() / Math.max(1e-6, speed())));
-        busy += lasts;
-        loop.after(lasts, () -> {
-            working--;
-            job.done().run();
-            next();
-        });
-    }
-
-    /** One connection, from its first line to its end. */
+    /** One connection, from its request to its end. */
     private final class Session implements Peer.Owner, Subscriber {
         final Peer peer;
         String attributes;
@@ -260,7 +237,7 @@
                     openRequestReceived(line.trim());
                 } else {
                     lines++;
-                    work(machine.line(), () -> echo(line));
+                    workQueue.submit(machine.line(), () -> send(line));
                 }
                 end = peer.in().indexOf('\n');
             }
@@ -277,29 +254,23 @@
             return !closed;
         }
 
-        private void echo(String line) {
-            if (!closed) {
-                peer.send(line);
-            }
-        }
-
         private void openRequestReceived(String line) {
-            String[] words = line.split(" ");
-            if (words.length != 4 || !words[0].equals("OPEN")) {
+            String[] fields = line.split(" ");
+            if (fields.length != 4 || !fields[0].equals("OPEN")) {
                 syntaxErrors++;
                 closeWith("SYNTAX\r\n");
                 return;
             }
             requests++;
-            attributes = words[3];
-            if (draining || (!machine.sheds() && isFull(1))) {
+            attributes = fields[3];
+            if (draining || (!machine.sheds() && isFullWith(1))) {
                 rejected++;
                 closeWith("BUSY\r\n");
                 return;
             }
             opening = true;
             pendingSetups++;
-            work(machine.setup(), () -> setupCompleted(words[1]));
+            workQueue.submit(machine.setup(), () -> setupCompleted(fields[1]));
         }
 
         private void setupCompleted(String id) {
@@ -313,16 +284,16 @@
             maxEstablished = Math.max(maxEstablished, established.size());
             setups++;
             peer.send("UP " + uid + "-" + id + "\r\n");
-            if (machine.sheds() && isFull(0)) {
+            if (machine.sheds() && isFullWith(0)) {
                 shed++;
                 reset();
             }
         }
 
-        void closeWith(String word) {
+        void closeWith(String response) {
             if (!closed) {
                 remove();
-                peer.send(word);
+                peer.send(response);
                 peer.finish();
             }
         }
@@ -366,9 +337,8 @@
         }
     }
 
-    private int pendingSetups;
-
-    private boolean isFull(int more) {
-        return machine.cap() > 0 && established.size() + pendingSetups + more > machine.cap();
+    /** Whether this many more connections would exceed the limit. */
+    private boolean isFullWith(int additional) {
+        return machine.cap() > 0 && established.size() + pendingSetups + additional > machine.cap();
     }
 }
--- a/src/main/java/sandstack/standin/InstanceList.java
+++ b/src/main/java/sandstack/standin/InstanceList.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * The list of feed servers that a discovery keeps, with a revision for each change, in the JSON form of its published
- * protocol. No I/O and no clock; one thread; a change costs O(1), a list O(instances).
+ * The feed servers that a discovery lists, with a revision for each change, in the JSON form of its published protocol.
+ * No I/O and no clock. Not thread-safe. A change costs O(1), a snapshot O(instances).
  */
 public final class InstanceList {
-    /** The state of an instance that is listed no longer. */
+    /** The state of an instance that is no longer listed. */
     public static final String GONE = "gone";
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -21,10 +21,10 @@
      * One feed server.
      *
      * @param endpoint host and port
-     * @param model kind of machine
-     * @param hint its size against others
+     * @param model machine type
+     * @param hint relative capacity
      * @param state ready, draining or gone
-     * @param bootMillis when its process started, in Unix milliseconds; 0 for long ago
+     * @param bootMillis when the process started, in Unix milliseconds; 0 for long ago
      */
     public record Instance(
             String uid, String endpoint, String zone, String model, double hint, String state, long bootMillis) {}
@@ -35,36 +35,36 @@
     private final Map<String, Listed> byUid = new LinkedHashMap<>();
     private long revision = 1;
 
-    /** Lists this instance, or tells that it has changed. */
+    /** Adds an instance or replaces the entry with the same uid. */
     public void put(Instance instance) {
         byUid.put(instance.uid(), new Listed(instance, ++revision));
     }
 
-    /** The number of the last change. */
+    /** The revision of the last change. */
     public long revision() {
         return revision;
     }
 
-    /** The whole list, without what is gone. */
+    /** The complete list, without the instances that are gone. */
     public ObjectNode whole() {
         return since(BEFORE_FIRST_REVISION);
     }
 
-    /** What has changed after this revision; the whole list for one below 0. */
-    public ObjectNode since(long from) {
-        boolean all = from < 0;
+    /** The changes after a revision; the complete list where the revision is negative. */
+    public ObjectNode since(long fromRevision) {
+        boolean all = fromRevision < 0;
         ObjectNode object = JSON.createObjectNode().put("rev", revision).put("all", all);
         ArrayNode targets = object.putArray("targets");
         for (Listed listed : byUid.values()) {
             boolean gone = listed.instance().state().equals(GONE);
-            if (all ? !gone : listed.revision() > from) {
-                add(targets, listed.instance());
+            if (all ? !gone : listed.revision() > fromRevision) {
+                appendInstance(targets, listed.instance());
             }
         }
         return object;
     }
 
-    private static void add(ArrayNode targets, Instance instance) {
+    private static void appendInstance(ArrayNode targets, Instance instance) {
         targets.addObject()
                 .put("uid", instance.uid())
                 .put("endpoint", instance.endpoint())
--- a/src/main/java/sandstack/standin/Machine.java
+++ b/src/main/java/sandstack/standin/Machine.java
@@ -1,29 +1,29 @@
 package sandstack.standin;
 
 /**
- * What a stand-in feed server is like.
+ * The behaviour of a fake feed server.
  *
- * @param cores how many connections or lines it works on at once
- * @param speed work done in a microsecond by one core, against a standard core
- * @param cap standing connections that it holds; 0 for no limit
- * @param sheds over its cap it drops its newest connection; otherwise it turns the next away
+ * @param cores how many set-ups and lines are worked on at once
+ * @param speed of one core, relative to a standard core
+ * @param cap maximum of established connections; 0 for no limit
+ * @param sheds whether it drops the newest connection above the limit, rather than reject it
  * @param setup work to set a connection up, in microseconds
  * @param line work to answer a line, in microseconds
- * @param coldFrom part of its speed that it has at its start
- * @param warmAfter microseconds after which it has all of it
+ * @param coldFrom fraction of the full speed right after a restart
+ * @param warmAfter microseconds from a restart to full speed
  */
 public record Machine(
         int cores, double speed, int cap, boolean sheds, long setup, long line, double coldFrom, long warmAfter) {
-    /** Takes everything at once. */
+    /** Accepts any number of connections and takes no time for them. */
     public static final Machine IDLE = new Machine(64, 1, 0, false, 0, 0, 1, 0);
 
-    /** The same with a cap. */
-    public Machine holding(int connections, boolean shedding) {
-        return new Machine(cores, speed, connections, shedding, setup, line, coldFrom, warmAfter);
+    /** A copy with a connection limit; 0 for none. */
+    public Machine holding(int maxConnections, boolean shedNewest) {
+        return new Machine(cores, speed, maxConnections, shedNewest, setup, line, coldFrom, warmAfter);
     }
 
-    /** The same with this work for a set-up and a line. */
-    public Machine working(int atOnce, long forSetup, long forLine) {
-        return new Machine(atOnce, speed, cap, sheds, forSetup, forLine, coldFrom, warmAfter);
+    /** A copy with this many cores and this work for each set-up and line, in microseconds. */
+    public Machine working(int coreCount, long setupMicros, long lineMicros) {
+        return new Machine(coreCount, speed, cap, sheds, setupMicros, lineMicros, coldFrom, warmAfter);
     }
 }
--- a/src/main/java/sandstack/standin/ShopClient.java
+++ b/src/main/java/sandstack/standin/ShopClient.java
@@ -6,36 +6,38 @@
 import sandstack.net.Peer;
 
 /**
- * A stand-in client of the line protocol: opens a connection, hears the answer, sends a line at a pace and times what
- * comes back. Tells everything that happens to whoever made it. Lives on its yard's thread; a line costs O(1).
+ * A client of the line protocol for tests: opens a connection, sends lines at an interval and measures the round trips.
+ * Reports each change of its state to a listener. Used on the thread of its loop. A line costs O(1).
  */
 public final class ShopClient {
-    /** What a client tells of itself. */
+    /** The changes of state of a client. */
     public enum Happened {
-        /** The connection stands. */
+        /** The connection is established. */
         UP,
-        /** The relay refused it. */
+        /** The relay rejected the connection. */
         BUSY,
-        /** No connection, its end before an answer, or an answer that is none of the others. */
+        /** The connection failed or closed before a response, or the response is invalid. */
         FAILED,
-        /** No answer within its patience. */
+        /** No response within the timeout. */
         SILENT,
-        /** The standing connection was told to move. */
+        /** The relay asked the established connection to move. */
         MOVED,
-        /** The standing connection broke or was closed by the other side. */
+        /** The established connection was reset or closed by the other side. */
         LOST,
-        /** The client ended it. */
+        /** The client closed the connection. */
         LEFT
     }
 
     /**
-     * One thing that happened.
+     * One change of state.
      *
-     * @param after microseconds since it asked, or since it was up for what ends a standing connection
-     * @param comeBack with BUSY: after how many milliseconds; 0 where not told
+     * @param after microseconds since the request, or since the connection was established for what ends it
+     * @param comeBack with {@code BUSY} the milliseconds until a retry; 0 where the relay states none
      */
     public record Told(ShopClient client, Happened what, long after, long comeBack) {}
 
+    private static final String BUSY_PREFIX = "BUSY ";
+
     private final StandInLoop loop;
     private final String key;
     private final Consumer<Told> eventListener;
@@ -51,32 +53,39 @@
     private Consumer<String> deliveryListener;
     private Deadline responseTimeout;
 
-    /** Told of each line that came back and what it took, in microseconds. */
+    /** Receives the round trip of each line. */
     public interface LineHeard {
-        /** A line came back, {@code took} microseconds after it was sent. */
-        void heard(long took);
+        /** Called when a line came back, with its round trip in microseconds. */
+        void heard(long roundTripMicros);
     }
 
     /**
-     * Asks at once.
+     * Connects and sends the request at once.
      *
-     * @param id new with every connection
-     * @param values what stands behind the key: class, deadline, group
-     * @param patience microseconds for the answer
+     * @param id unique for each connection
+     * @param attributes the attributes of the request after the key: class, deadline, group
+     * @param timeoutMicros time limit for the response
+     * @param eventListener is called on the thread of the loop
      */
     public ShopClient(
-            StandInLoop yard, int port, String id, String key, String values, long patience, Consumer<Told> tells) {
-        this.loop = yard;
+            StandInLoop loop,
+            int port,
+            String id,
+            String key,
+            String attributes,
+            long timeoutMicros,
+            Consumer<Told> eventListener) {
+        this.loop = loop;
         this.key = key;
-        this.eventListener = tells;
-        this.phaseStartMicros = yard.now();
-        this.responseTimeout = yard.after(patience, () -> close(Happened.SILENT, 0));
-        connecting = yard.loop().connect(StandInLoop.LOOPBACK, port, new EventLoop.ConnectListener() {
+        this.eventListener = eventListener;
+        this.phaseStartMicros = loop.now();
+        this.responseTimeout = loop.after(timeoutMicros, () -> close(Happened.SILENT, 0));
+        connecting = loop.eventLoop().connect(StandInLoop.LOOPBACK, port, new EventLoop.ConnectListener() {
             @Override
-            public void connected(Peer made) {
-                peer = made;
+            public void connected(Peer connected) {
+                peer = connected;
                 peer.ownedBy(responseReader);
-                peer.send("OPEN " + id + " " + key + " " + values + "\r\n");
+                peer.send("OPEN " + id + " " + key + " " + attributes + "\r\n");
             }
 
             @Override
@@ -86,24 +95,24 @@
         });
     }
 
-    /** The key that it asked with. */
+    /** The key of the request. */
     public String key() {
         return key;
     }
 
-    /** Whether its connection stands. */
+    /** Whether the connection is established and open. */
     public boolean standing() {
         return established && !closed;
     }
 
-    /** From now on sends a line so often, and tells how long each took to come back. */
-    public void talk(long every, LineHeard listener) {
-        lineIntervalMicros = every;
+    /** Sends a line at this interval from now on, but no more than one at a time. */
+    public void talk(long intervalMicros, LineHeard listener) {
+        lineIntervalMicros = intervalMicros;
         lineListener = listener;
         sendLine();
     }
 
-    /** From now on tells each line that the feed server sends by itself. */
+    /** Sets the listener for lines that the feed server sends unasked. */
     public void onDelivery(Consumer<String> listener) {
         deliveryListener = listener;
     }
@@ -119,19 +128,19 @@
         loop.after(lineIntervalMicros, this::sendLine);
     }
 
-    /** How long the line that is out has been out, in microseconds; 0 where none is. */
+    /** How long the line in flight has been waiting for its reply, in microseconds; 0 where none is in flight. */
     public long waiting() {
         return lineSentMicros == 0 ? 0 : loop.now() - lineSentMicros;
     }
 
-    /** Ends the connection, as a client that has what it came for. */
+    /** Closes the connection, as a client does that has finished. */
     public void leave() {
         if (!closed) {
             close(Happened.LEFT, 0);
         }
     }
 
-    /** Ends the connection by a reset, as a client whose process dies; its port is free at once. */
+    /** Resets the connection, like a client whose process dies; its port is free at once. */
     public void abort() {
         if (!closed && peer != null) {
             peer.reset();
@@ -139,14 +148,14 @@
         leave();
     }
 
-    private void close(Happened what, long comeBack) {
+    private void close(Happened reason, long retryAfterMillis) {
         if (closed) {
             return;
         }
         closed = true;
         responseTimeout.cancel();
         if (peer == null) {
-            // it may fail before the call that connects has returned
+            // null where the connection failed before the call that starts it returned
             if (connecting != null) {
                 connecting.cancel();
             }
@@ -154,10 +163,10 @@
             peer.finish();
             peer.close();
         }
-        eventListener.accept(new Told(this, what, loop.now() - phaseStartMicros, comeBack));
+        eventListener.accept(new Told(this, reason, loop.now() - phaseStartMicros, retryAfterMillis));
     }
 
-    /** Reads what the relay sends. */
+    /** Reads the responses and lines from the relay. */
     private final class ResponseReader implements Peer.Owner {
         @Override
         public void received(int count) {
@@ -176,25 +185,29 @@
             } else if (line.startsWith("UP")) {
                 established = true;
                 responseTimeout.cancel();
-                long took = loop.now() - phaseStartMicros;
+                long setupMicros = loop.now() - phaseStartMicros;
                 phaseStartMicros = loop.now();
-                eventListener.accept(new Told(ShopClient.this, Happened.UP, took, 0));
+                eventListener.accept(new Told(ShopClient.this, Happened.UP, setupMicros, 0));
             } else if (line.startsWith("BUSY")) {
-                close(
-                        Happened.BUSY,
-                        line.length() > 5 ? Long.parseLong(line.substring(5).trim()) : 0);
+                close(Happened.BUSY, retryAfterMillis(line));
             } else {
                 close(Happened.FAILED, 0);
             }
         }
 
+        private static long retryAfterMillis(String busyLine) {
+            return busyLine.length() > BUSY_PREFIX.length()
+                    ? Long.parseLong(busyLine.substring(BUSY_PREFIX.length()).trim())
+                    : 0;
+        }
+
         private void establishedLineReceived(String line) {
             if (line.equals("MOVE")) {
                 close(Happened.MOVED, 0);
             } else if (line.startsWith("line ") && lineSentMicros != 0) {
-                long took = loop.now() - lineSentMicros;
+                long roundTripMicros = loop.now() - lineSentMicros;
                 lineSentMicros = 0;
-                lineListener.heard(took);
+                lineListener.heard(roundTripMicros);
             } else if (deliveryListener != null) {
                 deliveryListener.accept(line);
             }
--- a/src/main/java/sandstack/standin/StandInLoop.java
+++ b/src/main/java/sandstack/standin/StandInLoop.java
@@ -1,8 +1,6 @@
 package sandstack.standin;
 
 import java.io.IOException;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
@@ -13,28 +11,27 @@
 import sandstack.net.EventLoop;
 
 /**
- * The one thread on which stand-ins live, with their deadlines. Stand-ins are created and spoken to on that thread;
- * {@link #on} gets there from others. Listens on loopback only, at ports of the system's choice.
+ * The event loop of the test servers and clients, with its thread and timers. They are created and used on that thread;
+ * {@link #on} and {@link #run} get there from others. Servers listen on loopback only.
  */
 public final class StandInLoop implements AutoCloseable {
     static final String LOOPBACK = "127.0.0.1";
     private static final long CALL_TIMEOUT_SECONDS = 30;
 
-    private final EventLoop loop = new EventLoop();
+    private final EventLoop eventLoop = new EventLoop();
     private final DeadlineScheduler deadlines = new DeadlineScheduler();
-    private final List<Runnable> closing = new ArrayList<>();
 
     /** Starts the thread. */
     public StandInLoop() throws IOException {
-        loop.start(() -> deadlines.runExpired(loop.nowMicros()), deadlines::nextMicros);
+        eventLoop.start(() -> deadlines.runExpired(eventLoop.nowMicros()), deadlines::nextMicros);
     }
 
-    /** Runs this on the loop's thread and waits for what it gives. */
-    public <T> T on(Supplier<T> what) {
+    /** Calls a task on the thread of the loop and returns its result; fails after a timeout. */
+    public <T> T on(Supplier<T> task) {
         CompletableFuture<T> result = new CompletableFuture<>();
-        loop.execute(() -> {
+        eventLoop.execute(() -> {
             try {
-                result.complete(what.get());
+                result.complete(task.get());
             } catch (RuntimeException e) {
                 result.completeExceptionally(e);
             }
@@ -45,69 +42,68 @@
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted", e);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IllegalStateException("the yard did not answer: " + e, e);
+            throw new IllegalStateException("the event loop did not complete the call: " + e, e);
         }
     }
 
-    /** The same for what gives nothing. */
-    public void run(Runnable what) {
+    /** Runs a task on the thread of the loop and waits until it is done. */
+    public void run(Runnable task) {
         on(() -> {
-            what.run();
+            task.run();
             return true;
         });
     }
 
-    /** What may fail to listen. */
+    /** Creates a server that may fail to listen. */
     public interface Made<T> {
-        /** Makes it; called on the loop's thread. */
+        /** Called on the thread of the eventLoop. */
         T create() throws IOException;
     }
 
-    /** Makes a stand-in on the yard's thread. */
-    public <T> T make(Made<T> made) {
+    /** Creates a server on the thread of the loop and returns it. */
+    public <T> T make(Made<T> factory) {
         return on(() -> {
             try {
-                return made.create();
+                return factory.create();
             } catch (IOException e) {
-                throw new IllegalStateException("a stand-in cannot listen: " + e.getMessage(), e);
+                throw new IllegalStateException("a test server cannot listen: " + e.getMessage(), e);
             }
         });
     }
 
-    /** Microseconds that never go back, near Unix time. */
+    /** Monotonic time in microseconds, close to Unix time. */
     public long now() {
-        return loop.nowMicros();
+        return eventLoop.nowMicros();
     }
 
-    EventLoop loop() {
-        return loop;
+    EventLoop eventLoop() {
+        return eventLoop;
     }
 
-    /** Listens on a port of the system's choice and returns it; on the yard's thread, as all of what follows. */
+    /** Listens on a port that the system chooses and returns it. To be called on the thread of the eventLoop. */
     public int listen(BaseFilter filter) throws IOException {
-        return loop.listen(LOOPBACK, 0, loop.chain(filter)).port();
+        return listen(0, filter);
     }
 
-    /** Dials. */
-    public void connect(String host, int port, EventLoop.ConnectListener told) {
-        loop.connect(host, port, told);
+    /** Listens on this port, or on one that the system chooses where it is 0, and returns it. */
+    int listen(int port, BaseFilter filter) throws IOException {
+        return eventLoop.listen(LOOPBACK, port, eventLoop.chain(filter)).port();
     }
 
-    /** Does this so many microseconds from now, unless it is called off. */
-    public DeadlineScheduler.Deadline after(long micros, Runnable task) {
-        return deadlines.schedule(loop.nowMicros() + micros, task);
+    /** Opens a connection. To be called on the thread of the eventLoop. */
+    public void connect(String host, int port, EventLoop.ConnectListener listener) {
+        eventLoop.connect(host, port, listener);
     }
 
-    /** What is done before the thread ends. */
-    void atClose(Runnable what) {
-        closing.add(what);
+    /** Schedules a task after a delay; it can be cancelled. To be called on the thread of the eventLoop. */
+    public DeadlineScheduler.Deadline after(long delayMicros, Runnable task) {
+        return deadlines.schedule(eventLoop.nowMicros() + delayMicros, task);
     }
 
     @Override
     public void close() {
-        closing.forEach(Runnable::run);
         try {
-            loop.stop();
+            eventLoop.stop();
         } catch (IOException e) {
             // the thread ends with the process at the latest
         }
--- a/src/main/java/sandstack/standin/ZoneLink.java
+++ b/src/main/java/sandstack/standin/ZoneLink.java
@@ -9,8 +9,8 @@
 import sandstack.net.Peer;
 
 /**
- * The way from one zone to a feed server of another: passes bytes on both ways, each after a delay with jitter, in
- * order. Lives on its yard's thread; a piece costs one deadline.
+ * A TCP proxy on the link from one zone to a feed server of another: delivers bytes in both directions in order, after a
+ * delay with jitter. Used on the thread of its loop. Each delivery costs one timer.
  */
 public final class ZoneLink {
     private final StandInLoop loop;
@@ -22,53 +22,52 @@
     private boolean partitioned;
 
     /**
-     * Creates a link that listens at a port of the system's choice.
+     * Listens at a port that the system chooses.
      *
-     * @param to port of the feed server
-     * @param delay one way, in microseconds
-     * @param jitter up to so much is added
+     * @param serverPort port of the feed server
+     * @param delayMicros in each direction
+     * @param jitterMicros upper bound of the random addition to the delay
      */
-    public ZoneLink(StandInLoop yard, int to, long delay, long jitter, long seed) throws IOException {
-        this.loop = yard;
-        this.serverPort = to;
-        this.delayMicros = delay;
-        this.jitterMicros = jitter;
+    public ZoneLink(StandInLoop loop, int serverPort, long delayMicros, long jitterMicros, long seed)
+            throws IOException {
+        this.loop = loop;
+        this.serverPort = serverPort;
+        this.delayMicros = delayMicros;
+        this.jitterMicros = jitterMicros;
         this.random = new SplittableRandom(seed);
-        this.port = yard.loop()
-                .listen(StandInLoop.LOOPBACK, 0, yard.loop().chain(new BaseFilter() {
-                    @Override
-                    public NextAction handleAccept(FilterChainContext context) {
-                        accepted(EventLoop.peer(context));
-                        return context.getStopAction();
-                    }
-                }))
-                .port();
+        this.port = loop.listen(0, new BaseFilter() {
+            @Override
+            public NextAction handleAccept(FilterChainContext context) {
+                accepted(EventLoop.peer(context));
+                return context.getStopAction();
+            }
+        });
     }
 
-    /** The port at which it listens. */
+    /** The port at which the link listens. */
     public int port() {
         return port;
     }
 
-    /** While it is cut nothing passes, and nobody is told. */
-    public void setPartitioned(boolean isCut) {
-        partitioned = isCut;
+    /** While the link is partitioned it drops all bytes and keeps the connections open. */
+    public void setPartitioned(boolean isPartitioned) {
+        partitioned = isPartitioned;
     }
 
-    private void accepted(Peer near) {
-        LinkEnd here = new LinkEnd(near);
-        loop.loop().connect(StandInLoop.LOOPBACK, serverPort, new EventLoop.ConnectListener() {
+    private void accepted(Peer client) {
+        LinkEnd clientEnd = new LinkEnd(client);
+        loop.eventLoop().connect(StandInLoop.LOOPBACK, serverPort, new EventLoop.ConnectListener() {
             @Override
-            public void connected(Peer far) {
-                LinkEnd there = new LinkEnd(far);
-                here.other = there;
-                there.other = here;
-                here.received(0);
+            public void connected(Peer server) {
+                LinkEnd serverEnd = new LinkEnd(server);
+                clientEnd.other = serverEnd;
+                serverEnd.other = clientEnd;
+                clientEnd.received(0);
             }
 
             @Override
             public void failed() {
-                near.reset();
+                client.reset();
             }
         });
     }
@@ -76,7 +75,9 @@
     /** One end of one connection. */
     private final class LinkEnd implements Peer.Owner {
         private final Peer peer;
+        /** Null until the server is connected. */
         private LinkEnd other;
+
         private long lastDeliveryMicros;
 
         LinkEnd(Peer peer) {
@@ -84,12 +85,12 @@
             peer.ownedBy(this);
         }
 
-        private void scheduleDelivery(Runnable what) {
-            // a piece never overtakes the one before it
+        private void scheduleDelivery(Runnable delivery) {
+            // never before the previous delivery, which would reorder bytes
             lastDeliveryMicros = Math.max(
                     lastDeliveryMicros,
                     loop.now() + delayMicros + (jitterMicros > 0 ? random.nextLong(jitterMicros) : 0));
-            loop.after(lastDeliveryMicros - loop.now(), what);
+            loop.after(lastDeliveryMicros - loop.now(), delivery);
         }
 
         @Override
@@ -97,15 +98,15 @@
             if (other == null || peer.in().isEmpty()) {
                 return;
             }
-            byte[] piece = peer.in().take();
+            byte[] bytes = peer.in().take();
             if (!partitioned) {
-                scheduleDelivery(() -> other.write(piece));
+                scheduleDelivery(() -> other.write(bytes));
             }
         }
 
-        private void write(byte[] piece) {
+        private void write(byte[] bytes) {
             if (!peer.closed()) {
-                peer.send(piece);
+                peer.send(bytes);
             }
         }
 
--- a/src/test/java/sandstack/standin/TestServersTest.java
+++ b/src/test/java/sandstack/standin/TestServersTest.java
@@ -18,9 +18,9 @@
 import sandstack.standin.ShopClient.Happened;
 import sandstack.standin.ShopClient.Told;
 
-/** The stand-ins against each other and against plain sockets: what a measurement rests on. */
+/** The test servers and clients against each other and against plain sockets. */
 class TestServersTest {
-    private static final long PATIENCE = 10_000_000;
+    private static final long TIMEOUT_MICROS = 10_000_000;
 
     private final BlockingQueue<Told> events = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new ArrayList<>();
@@ -46,12 +46,13 @@
 
     private ShopClient client(int port) {
         String id = "i" + ++clientCount;
-        return loop.on(() -> new ShopClient(loop, port, id, "k", "c=order-status,d=10000,g=g1", PATIENCE, events::add));
+        return loop.on(
+                () -> new ShopClient(loop, port, id, "k", "c=order-status,d=10000,g=g1", TIMEOUT_MICROS, events::add));
     }
 
     private Told next() throws InterruptedException {
         Told next = events.poll(20, TimeUnit.SECONDS);
-        assertThat(next).as("something happens").isNotNull();
+        assertThat(next).as("a client event").isNotNull();
         return next;
     }
 
@@ -111,26 +112,20 @@
         FeedServer server = server(Machine.IDLE.working(1, 0, 2_000));
         ShopClient client = client(server.port());
         assertThat(next().what()).isEqualTo(Happened.UP);
-        BlockingQueue<Long> took = new LinkedBlockingQueue<>();
-        loop.run(() -> client.talk(1_000, took::add));
-        assertThat(took.poll(20, TimeUnit.SECONDS)).isGreaterThanOrEqualTo(2_000);
+        BlockingQueue<Long> roundTripsMicros = new LinkedBlockingQueue<>();
+        loop.run(() -> client.talk(1_000, roundTripsMicros::add));
+        assertThat(roundTripsMicros.poll(20, TimeUnit.SECONDS)).isGreaterThanOrEqualTo(2_000);
         loop.run(() -> server.neighbour(0.99));
-        long longest = 0;
-        while (longest < 200_000) {
-            longest = took.poll(20, TimeUnit.SECONDS);
+        long longestMicros = 0;
+        while (longestMicros < 200_000) {
+            longestMicros = roundTripsMicros.poll(20, TimeUnit.SECONDS);
         }
     }
 
     @Test
     void aLinkDelaysBothDirectionsAndKeepsTheOrder() throws Exception {
         FeedServer server = server(Machine.IDLE);
-        ZoneLink link = loop.on(() -> {
-            try {
-                return new ZoneLink(loop, server.port(), 20_000, 10_000, 3);
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        ZoneLink link = loop.make(() -> new ZoneLink(loop, server.port(), 20_000, 10_000, 3));
         client(link.port());
         Told up = next();
         assertThat(up.what()).isEqualTo(Happened.UP);
@@ -140,24 +135,18 @@
         assertThat(List.of(in.readLine(), in.readLine(), in.readLine())).containsExactly("1", "2", "3");
     }
 
-    private BufferedReader open(int port, String words) throws IOException {
+    private BufferedReader open(int port, String request) throws IOException {
         Socket socket = new Socket("127.0.0.1", port);
         sockets.add(socket);
         socket.setSoTimeout(20_000);
-        socket.getOutputStream().write(words.getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
         return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
     }
 
     @Test
     void discoveryServesTheListItsChangesAndOutages() throws Exception {
         FeedServer server = server(Machine.IDLE);
-        Discovery discovery = loop.on(() -> {
-            try {
-                return new Discovery(loop);
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        Discovery discovery = loop.make(() -> new Discovery(loop));
         loop.run(() -> discovery.list(server, "box", 1, "ready"));
         BufferedReader in = open(discovery.port(), "GET /registry/instances?watch=1 HTTP/1.1\r\nHost: x\r\n\r\n");
         assertThat(in.readLine()).isEqualTo("HTTP/1.1 200 OK");
@@ -169,9 +158,9 @@
         assertThat(refused.readLine()).isEqualTo("HTTP/1.1 503 Service Unavailable");
     }
 
-    private static String awaitLineWith(BufferedReader in, String part) throws IOException {
+    private static String awaitLineWith(BufferedReader in, String substring) throws IOException {
         String line = in.readLine();
-        while (!line.contains(part)) {
+        while (!line.contains(substring)) {
             line = in.readLine();
         }
         return line;
