--- a/src/main/java/sandstack/standin/FeedServer.java
+++ b/src/main/java/sandstack/standin/FeedServer.java
@@ -19,8 +19,6 @@
  * on the thread of its loop. A line costs O(1), {@link #kill} O(connections).
  */
 public final class FeedServer {
-    private static final int MAX_LINE_LENGTH = 4096;
-
     /**
      * What the server has counted.
      *
@@ -50,8 +48,8 @@
     private final String zone;
     private final Machine machine;
     private final int port;
-    private final Set<Session> established = new LinkedHashSet<>();
-    private final Set<Session> sessions = new LinkedHashSet<>();
+    private final Set<FeedSession> established = new LinkedHashSet<>();
+    private final Set<FeedSession> sessions = new LinkedHashSet<>();
     private final Map<String, Long> closedSessionMicros = new HashMap<>();
     private final WorkQueue workQueue;
     private boolean draining;
@@ -86,7 +84,7 @@
         this.port = loop.listen(fixedPort, new BaseFilter() {
             @Override
             public NextAction handleAccept(FilterChainContext context) {
-                new Session(EventLoop.peer(context));
+                accepted(EventLoop.peer(context));
                 return context.getStopAction();
             }
         });
@@ -99,7 +97,7 @@
 
     /** Asks all clients to move, as a draining feed server does. */
     public void sendAway() {
-        for (Session session : Set.copyOf(established)) {
+        for (FeedSession session : Set.copyOf(established)) {
             session.closeWith("MOVE\r\n");
         }
     }
@@ -108,7 +106,7 @@
     public void kill() {
         killed = true;
         workQueue.clear();
-        for (Session session : Set.copyOf(sessions)) {
+        for (FeedSession session : Set.copyOf(sessions)) {
             session.reset();
         }
     }
@@ -129,8 +127,8 @@
 
     /** Sends this load report, in microseconds of work a second, on every connection. */
     public void tellLoads(double load) {
-        for (Session session : established) {
-            session.peer.send("LOAD " + load + "\r\n");
+        for (FeedSession session : established) {
+            session.send("LOAD " + load + "\r\n");
         }
     }
 
@@ -195,8 +193,9 @@
         closedSessionMicros.forEach(
                 (attributes, micros) -> seconds.merge(value(attributes, name), micros / 1e6, Double::sum));
         long nowMicros = loop.now();
-        for (Session session : established) {
-            seconds.merge(value(session.attributes, name), (nowMicros - session.establishedMicros) / 1e6, Double::sum);
+        for (FeedSession session : established) {
+            seconds.merge(
+                    value(session.attributes(), name), (nowMicros - session.establishedMicros()) / 1e6, Double::sum);
         }
         return seconds;
     }
@@ -210,130 +209,57 @@
         return "";
     }
 
-    /** One connection, from its request to its end. */
-    private final class Session implements Peer.Owner, Subscriber {
-        final Peer peer;
-        String attributes;
-        long establishedMicros;
-        private boolean opening;
-        private boolean closed;
-
-        Session(Peer peer) {
-            this.peer = peer;
-            peer.ownedBy(this);
-            sessions.add(this);
-            if (killed) {
-                reset();
-            }
-        }
-
-        @Override
-        public void received(int count) {
-            int end = peer.in().indexOf('\n');
-            while (end >= 0 && !closed) {
-                String line = peer.in().peek(end + 1);
-                peer.in().skip(end + 1);
-                if (attributes == null) {
-                    openRequestReceived(line.trim());
-                } else {
-                    lines++;
-                    workQueue.submit(machine.line(), () -> send(line));
-                }
-                end = peer.in().indexOf('\n');
-            }
-            if (peer.in().size() >= MAX_LINE_LENGTH) {
-                closeWith("SYNTAX\r\n");
-            }
-        }
-
-        @Override
-        public boolean send(String line) {
-            if (!closed) {
-                peer.send(line);
-            }
-            return !closed;
-        }
-
-        private void openRequestReceived(String line) {
-            String[] fields = line.split(" ");
-            if (fields.length != 4 || !fields[0].equals("OPEN")) {
-                syntaxErrors++;
-                closeWith("SYNTAX\r\n");
-                return;
-            }
-            requests++;
-            attributes = fields[3];
-            if (draining || (!machine.sheds() && isFullWith(1))) {
-                rejected++;
-                closeWith("BUSY\r\n");
-                return;
-            }
-            opening = true;
-            pendingSetups++;
-            workQueue.submit(machine.setup(), () -> setupCompleted(fields[1]));
+    private void accepted(Peer peer) {
+        FeedSession session = new FeedSession(this, peer);
+        sessions.add(session);
+        if (killed) {
+            session.reset();
         }
+    }
 
-        private void setupCompleted(String id) {
-            if (closed) {
-                return;
-            }
-            opening = false;
-            pendingSetups--;
-            establishedMicros = loop.now();
-            established.add(this);
-            maxEstablished = Math.max(maxEstablished, established.size());
-            setups++;
-            peer.send("UP " + uid + "-" + id + "\r\n");
-            if (machine.sheds() && isFullWith(0)) {
-                shed++;
-                reset();
-            }
+    void requestReceived(FeedSession session, String id) {
+        requests++;
+        if (draining || (!machine.sheds() && isFullWith(1))) {
+            rejected++;
+            session.closeWith("BUSY\r\n");
+            return;
         }
+        session.setupStarted();
+        pendingSetups++;
+        workQueue.submit(machine.setup(), () -> setupCompleted(session, id));
+    }
 
-        void closeWith(String response) {
-            if (!closed) {
-                remove();
-                peer.send(response);
-                peer.finish();
-            }
-        }
+    void invalidRequestReceived() {
+        syntaxErrors++;
+    }
 
-        void reset() {
-            remove();
-            peer.reset();
+    private void setupCompleted(FeedSession session, String id) {
+        if (session.isClosed()) {
+            return;
         }
-
-        private void remove() {
-            if (closed) {
-                return;
-            }
-            closed = true;
-            sessions.remove(this);
-            if (opening) {
-                pendingSetups--;
-            }
-            if (established.remove(this)) {
-                closedSessionMicros.merge(attributes, loop.now() - establishedMicros, Long::sum);
-            }
+        pendingSetups--;
+        established.add(session);
+        maxEstablished = Math.max(maxEstablished, established.size());
+        setups++;
+        session.setupCompleted(loop.now(), "UP " + uid + "-" + id + "\r\n");
+        if (machine.sheds() && isFullWith(0)) {
+            shed++;
+            session.reset();
         }
+    }
 
-        @Override
-        public void flushed() {
-            if (closed && peer.outEnded() && peer.inEnded()) {
-                peer.close();
-            }
-        }
+    void lineReceived(FeedSession session, String line) {
+        lines++;
+        workQueue.submit(machine.line(), () -> session.send(line));
+    }
 
-        @Override
-        public void finished() {
-            remove();
-            peer.finish();
-            peer.close();
+    void sessionClosed(FeedSession session) {
+        sessions.remove(session);
+        if (session.isSettingUp()) {
+            pendingSetups--;
         }
-
-        @Override
-        public void broken() {
-            remove();
+        if (established.remove(session)) {
+            closedSessionMicros.merge(session.attributes(), loop.now() - session.establishedMicros(), Long::sum);
         }
     }
 
--- /dev/null
+++ b/src/main/java/sandstack/standin/FeedSession.java
@@ -0,0 +1,128 @@
+package sandstack.standin;
+
+import sandstack.net.Peer;
+
+/** One connection of a {@link FeedServer}, from its request to its end. Used on the thread of its loop. */
+final class FeedSession implements Peer.Owner, FeedServer.Subscriber {
+    private static final int MAX_LINE_LENGTH = 4096;
+    private static final int REQUEST_FIELDS = 4;
+
+    private final FeedServer server;
+    private final Peer peer;
+    /** Null until the request has been read. */
+    private String attributes;
+
+    private boolean settingUp;
+    private long establishedMicros;
+    private boolean closed;
+
+    FeedSession(FeedServer server, Peer peer) {
+        this.server = server;
+        this.peer = peer;
+        peer.ownedBy(this);
+    }
+
+    /** The attributes of the request, such as {@code c=order-status,d=10000}. */
+    String attributes() {
+        return attributes;
+    }
+
+    boolean isClosed() {
+        return closed;
+    }
+
+    /** Whether the request was accepted and the work to set the connection up is not done yet. */
+    boolean isSettingUp() {
+        return settingUp;
+    }
+
+    long establishedMicros() {
+        return establishedMicros;
+    }
+
+    void setupStarted() {
+        settingUp = true;
+    }
+
+    void setupCompleted(long nowMicros, String response) {
+        settingUp = false;
+        establishedMicros = nowMicros;
+        peer.send(response);
+    }
+
+    @Override
+    public void received(int count) {
+        int end = peer.in().indexOf('\n');
+        while (end >= 0 && !closed) {
+            String line = peer.in().peek(end + 1);
+            peer.in().skip(end + 1);
+            if (attributes == null) {
+                requestReceived(line.trim());
+            } else {
+                server.lineReceived(this, line);
+            }
+            end = peer.in().indexOf('\n');
+        }
+        if (peer.in().size() >= MAX_LINE_LENGTH) {
+            closeWith("SYNTAX\r\n");
+        }
+    }
+
+    private void requestReceived(String line) {
+        String[] fields = line.split(" ");
+        if (fields.length != REQUEST_FIELDS || !fields[0].equals("OPEN")) {
+            server.invalidRequestReceived();
+            closeWith("SYNTAX\r\n");
+            return;
+        }
+        attributes = fields[3];
+        server.requestReceived(this, fields[1]);
+    }
+
+    @Override
+    public boolean send(String line) {
+        if (!closed) {
+            peer.send(line);
+        }
+        return !closed;
+    }
+
+    void closeWith(String response) {
+        if (!closed) {
+            setClosed();
+            peer.send(response);
+            peer.finish();
+        }
+    }
+
+    void reset() {
+        setClosed();
+        peer.reset();
+    }
+
+    private void setClosed() {
+        if (!closed) {
+            closed = true;
+            server.sessionClosed(this);
+        }
+    }
+
+    @Override
+    public void flushed() {
+        if (closed && peer.outEnded() && peer.inEnded()) {
+            peer.close();
+        }
+    }
+
+    @Override
+    public void finished() {
+        setClosed();
+        peer.finish();
+        peer.close();
+    }
+
+    @Override
+    public void broken() {
+        setClosed();
+    }
+}
