--- a/src/main/java/sandstack/measure/configuration/ConfigurationHeap.java
+++ b/src/main/java/sandstack/measure/configuration/ConfigurationHeap.java
@@ -18,14 +18,14 @@
 final class ConfigurationHeap {
     private static final List<Integer> KILOBYTES = List.of(32, 128, 512, 1_000);
     private static final int VALUE_CHARACTERS = 100;
-    private static final int COPIES = 20;
+    private static final int DECODED_COPIES = 20;
 
     private ConfigurationHeap() {}
 
     static Series series() {
         List<Point> points = new ArrayList<>();
         for (int kilobytes : KILOBYTES) {
-            points.add(new Point(kilobytes * 1_000, heap(kilobytes * 1_000)));
+            points.add(new Point(kilobytes * 1_000, heapBytesPerSnapshot(kilobytes * 1_000)));
         }
         return new Series(
                 "configuration.relay.memory-of-state",
@@ -33,28 +33,28 @@
                 Resource.MEMORY,
                 "bytes",
                 "bytes of configuration",
-                "heap after collection of " + COPIES
+                "heap after collection of " + DECODED_COPIES
                         + " decoded states, divided; a relay holds one, two while it changes",
                 points);
     }
 
-    private static double heap(int bytes) {
+    private static double heapBytesPerSnapshot(int bytes) {
         ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
-        byte[] encoded = codec.encode(drawn(bytes));
-        List<ConfigurationSnapshot> held = new ArrayList<>();
-        long before = UsedHeap.bytes();
+        byte[] encoded = codec.encode(newSnapshot(bytes));
+        List<ConfigurationSnapshot> snapshots = new ArrayList<>();
+        long heapBytesBefore = UsedHeap.bytes();
         try {
-            for (int i = 0; i < COPIES; i++) {
-                held.add(codec.decodeSnapshot(encoded));
+            for (int i = 0; i < DECODED_COPIES; i++) {
+                snapshots.add(codec.decodeSnapshot(encoded));
             }
         } catch (MalformedConfigurationException e) {
             throw new IllegalStateException("a state of ours is not read", e);
         }
-        double each = (UsedHeap.bytes() - before) / (double) COPIES;
-        return held.size() == COPIES ? each : Double.NaN;
+        double bytesPerSnapshot = (UsedHeap.bytes() - heapBytesBefore) / (double) DECODED_COPIES;
+        return snapshots.size() == DECODED_COPIES ? bytesPerSnapshot : Double.NaN;
     }
 
-    private static ConfigurationSnapshot drawn(int bytes) {
+    private static ConfigurationSnapshot newSnapshot(int bytes) {
         Map<String, String> entries = new HashMap<>();
         for (int key = 0; key < bytes / (VALUE_CHARACTERS + 24); key++) {
             entries.put(String.format("relay.settings.key-%05d", key), "v".repeat(VALUE_CHARACTERS));
--- a/src/main/java/sandstack/measure/configuration/FleetScenario.java
+++ b/src/main/java/sandstack/measure/configuration/FleetScenario.java
@@ -8,14 +8,14 @@
 import java.util.function.ToLongFunction;
 import sandstack.configuration.ConfigurationEdit;
 import sandstack.configuration.ConfigurationEdit.Put;
-import sandstack.measure.configuration.FleetFigures.Rates;
+import sandstack.measure.configuration.FleetScenarioResult.Rates;
 
 /** Plays one day's events on a hollow fleet of one size, and counts. One thread. */
 final class FleetScenario {
-    private static final long SECOND = 1_000_000;
-    private static final long STEP = 20_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long STEP_MICROS = 20_000;
     /** Nothing that is measured may take longer than this in simulated time. */
-    private static final long PATIENCE = 120 * SECOND;
+    private static final long TIMEOUT_MICROS = 120 * MICROS_PER_SECOND;
 
     private static final int MACHINES = 7;
     private static final int ZONES = 8;
@@ -23,56 +23,57 @@
     private static final int VALUE_CHARACTERS = 100;
     private static final int EDITS_PER_CHANGE = 2;
     private static final double CHANGES_PER_DAY = 3_700;
-    private static final long CHANGE_INTERVAL = (long) (86_400 * SECOND / CHANGES_PER_DAY);
+    private static final long CHANGE_INTERVAL_MICROS = (long) (86_400 * MICROS_PER_SECOND / CHANGES_PER_DAY);
 
     /**
      * How long things are watched, in simulated seconds.
      *
-     * @param timed whether processor time and heap are measured; they differ from run to run
+     * @param measuresCosts whether processor time and heap are measured; they differ from run to run
      */
-    record Length(int idle, int changes, int apart, int settle, boolean timed) {}
+    record Durations(int idleSeconds, int changes, int partitionSeconds, int settleSeconds, boolean measuresCosts) {}
 
-    private final Length length;
+    private final Durations durations;
     private final HollowConfigurationFleet fleet;
     private final SplittableRandom random;
 
-    FleetScenario(int relays, Length length, long seed) {
-        this.length = length;
+    FleetScenario(int relays, Durations durations, long seed) {
+        this.durations = durations;
         this.random = new SplittableRandom(seed);
         this.fleet = new HollowConfigurationFleet(HollowConfigurationFleet.Plan.of(relays, MACHINES, seed));
     }
 
-    FleetFigures play() {
-        long heapBefore = length.timed() ? UsedHeap.bytes() : 0;
+    FleetScenarioResult run() {
+        long heapBefore = durations.measuresCosts() ? UsedHeap.bytes() : 0;
         fleet.machines().forEach(HollowProcess::start);
-        fill();
-        fleet.clock().run(2 * SECOND);
+        proposeInitialConfiguration();
+        fleet.clock().advance(2 * MICROS_PER_SECOND);
         fleet.relays().forEach(HollowProcess::start);
-        double afterStart = untilEverywhere();
+        double afterStart = secondsUntilActiveEverywhere();
         settle();
-        double heap = length.timed()
+        double heap = durations.measuresCosts()
                 ? (double) (UsedHeap.bytes() - heapBefore) / fleet.relays().size()
                 : 0;
-        Rates idle = rates(length.idle(), () -> fleet.clock().run(length.idle() * SECOND));
+        Rates idle = measureRates(
+                durations.idleSeconds(), () -> fleet.clock().advance(durations.idleSeconds() * MICROS_PER_SECOND));
         double[] everywhere = {0};
-        double changingSeconds = length.changes() * CHANGE_INTERVAL / (double) SECOND;
-        Rates changing = rates(changingSeconds, () -> everywhere[0] = change(length.changes()));
-        PeakHellos hellos = new PeakHellos(fleet);
-        double afterKill = killMachine();
-        fleet.clock().run(2 * SECOND);
+        double changingSeconds = durations.changes() * CHANGE_INTERVAL_MICROS / (double) MICROS_PER_SECOND;
+        Rates changing = measureRates(changingSeconds, () -> everywhere[0] = runChanges(durations.changes()));
+        PeakHelloRate hellos = new PeakHelloRate(fleet);
+        double afterKill = killBusiestMachine();
+        fleet.clock().advance(2 * MICROS_PER_SECOND);
         double killPeak = hellos.takePeak();
-        fleet.start();
+        fleet.startAll();
         settle();
         hellos.takePeak();
-        Rates apart = rates(length.apart(), this::cutRegions);
+        Rates apart = measureRates(durations.partitionSeconds(), this::partitionRegions);
         double apartPeak = hellos.takePeak();
         double afterRegionCut = healRegions();
         settle();
         hellos.takePeak();
-        double afterZone = loseZone();
-        fleet.clock().run(2 * SECOND);
+        double afterZone = restartZone();
+        fleet.clock().advance(2 * MICROS_PER_SECOND);
         double zonePeak = hellos.takePeak();
-        return new FleetFigures(
+        return new FleetScenarioResult(
                 fleet.relays().size(),
                 idle,
                 changing,
@@ -86,17 +87,17 @@
                 zonePeak,
                 apartPeak,
                 fleet.machines().stream()
-                        .mapToInt(HollowControlMachine::mostSessions)
+                        .mapToInt(HollowControlMachine::maxSessions)
                         .max()
                         .orElse(0),
                 heap);
     }
 
     /** The configuration that stands before anything is measured. */
-    private void fill() {
+    private void proposeInitialConfiguration() {
         List<ConfigurationEdit> edits = new ArrayList<>();
         for (int key = 0; key < KEYS; key++) {
-            edits.add(new Put(key(key), drawnValue()));
+            edits.add(new Put(key(key), randomValue()));
         }
         propose(edits);
     }
@@ -105,7 +106,7 @@
         return "relay.settings.group-" + number / 10 + ".key-" + number;
     }
 
-    private String drawnValue() {
+    private String randomValue() {
         StringBuilder value = new StringBuilder();
         while (value.length() < VALUE_CHARACTERS) {
             value.append(Long.toHexString(random.nextLong()));
@@ -127,56 +128,60 @@
         int first = random.nextInt(KEYS - EDITS_PER_CHANGE);
         List<ConfigurationEdit> edits = new ArrayList<>();
         for (int i = 0; i < EDITS_PER_CHANGE; i++) {
-            edits.add(new Put(key(first + i), drawnValue()));
+            edits.add(new Put(key(first + i), randomValue()));
         }
         propose(edits);
     }
 
     /** Makes changes at the planned rate; returns the longest time until one was in force everywhere. */
-    private double change(int changes) {
+    private double runChanges(int changes) {
         double longest = 0;
         for (int i = 0; i < changes; i++) {
-            long began = fleet.clock().now();
+            long startMicros = fleet.clock().nowMicros();
             proposeOne();
-            longest = Math.max(longest, untilEverywhere());
+            longest = Math.max(longest, secondsUntilActiveEverywhere());
             fleet.clock()
-                    .run(Math.max(0, began + CHANGE_INTERVAL - fleet.clock().now()));
+                    .advance(Math.max(
+                            0,
+                            startMicros + CHANGE_INTERVAL_MICROS - fleet.clock().nowMicros()));
         }
         return longest;
     }
 
     /** The machine with most relays is lost as a change is made. */
-    private double killMachine() {
+    private double killBusiestMachine() {
         HollowControlMachine busiest = fleet.machines().stream()
                 .max(Comparator.comparingInt(
                         (HollowControlMachine machine) -> machine.publisher().sessionCount()))
                 .orElseThrow();
         busiest.kill(true);
         proposeOne();
-        return untilEverywhere();
+        return secondsUntilActiveEverywhere();
     }
 
-    private void cutRegions() {
-        fleet.faults(new NetworkFaults() {
+    private void partitionRegions() {
+        fleet.setFaults(new NetworkFaults() {
             @Override
-            public boolean passes(HollowProcess from, HollowProcess to) {
+            public boolean canReach(HollowProcess from, HollowProcess to) {
                 return from.region().equals(to.region());
             }
         });
-        long end = fleet.clock().now() + length.apart() * SECOND;
-        while (fleet.clock().now() < end) {
+        long end = fleet.clock().nowMicros() + durations.partitionSeconds() * MICROS_PER_SECOND;
+        while (fleet.clock().nowMicros() < end) {
             proposeOne();
-            fleet.clock().run(Math.min(CHANGE_INTERVAL, end - fleet.clock().now()));
+            fleet.clock()
+                    .advance(
+                            Math.min(CHANGE_INTERVAL_MICROS, end - fleet.clock().nowMicros()));
         }
     }
 
     private double healRegions() {
-        fleet.faults(NetworkFaults.NONE);
-        return untilEverywhere();
+        fleet.setFaults(NetworkFaults.NONE);
+        return secondsUntilActiveEverywhere();
     }
 
     /** A zone's relays are lost with their machines, and start all at once after a change. */
-    private double loseZone() {
+    private double restartZone() {
         List<HollowRelay> zone = new ArrayList<>();
         for (int i = 0; i < fleet.relays().size(); i += ZONES) {
             zone.add(fleet.relays().get(i));
@@ -185,51 +190,52 @@
         proposeOne();
         settle();
         zone.forEach(HollowProcess::start);
-        return untilEverywhere();
+        return secondsUntilActiveEverywhere();
     }
 
     private void settle() {
-        fleet.clock().run(length.settle() * SECOND);
+        fleet.clock().advance(durations.settleSeconds() * MICROS_PER_SECOND);
     }
 
-    private double untilEverywhere() {
-        long took = fleet.runUntilEverywhere(STEP, PATIENCE);
-        if (took < 0) {
-            throw new IllegalStateException("not in force everywhere after " + PATIENCE / SECOND + " s");
+    private double secondsUntilActiveEverywhere() {
+        long micros = fleet.advanceUntilActiveEverywhere(STEP_MICROS, TIMEOUT_MICROS);
+        if (micros < 0) {
+            throw new IllegalStateException(
+                    "not in force everywhere after " + TIMEOUT_MICROS / MICROS_PER_SECOND + " s");
         }
-        return took / (double) SECOND;
+        return micros / (double) MICROS_PER_SECOND;
     }
 
-    private Rates rates(double seconds, Runnable watched) {
-        fleet.relays().forEach(HollowProcess::resetCounts);
-        fleet.machines().forEach(HollowProcess::resetCounts);
+    private Rates measureRates(double seconds, Runnable task) {
+        fleet.relays().forEach(HollowProcess::resetCounters);
+        fleet.machines().forEach(HollowProcess::resetCounters);
         long wallBefore = System.nanoTime();
-        long threadBefore = threadNanos();
-        watched.run();
+        long threadBefore = threadCpuNanos();
+        task.run();
         // timed by the wall, scaled to what this thread had of the processor
-        double onProcessor = length.timed()
-                ? (threadNanos() - threadBefore) / (double) Math.max(1, System.nanoTime() - wallBefore)
+        double cpuFraction = durations.measuresCosts()
+                ? (threadCpuNanos() - threadBefore) / (double) Math.max(1, System.nanoTime() - wallBefore)
                 : 0;
         return new Rates(
                 mean(fleet.relays(), relay -> relay.traffic().messages()) / seconds,
                 mean(fleet.relays(), relay -> relay.traffic().bytes()) / seconds,
-                most(fleet.relays(), relay -> relay.traffic().bytes()) / seconds,
-                onProcessor * mean(fleet.relays(), HollowProcess::processorNanos) / 1_000 / seconds,
-                most(fleet.machines(), machine -> machine.traffic().messages()) / seconds,
-                most(fleet.machines(), machine -> machine.traffic().bytes()) / seconds,
-                most(fleet.machines(), machine -> machine.traffic().otherRegionBytes()) / seconds,
-                onProcessor * mean(fleet.machines(), HollowProcess::processorNanos) / 1_000 / seconds);
+                max(fleet.relays(), relay -> relay.traffic().bytes()) / seconds,
+                cpuFraction * mean(fleet.relays(), HollowProcess::busyNanos) / 1_000 / seconds,
+                max(fleet.machines(), machine -> machine.traffic().messages()) / seconds,
+                max(fleet.machines(), machine -> machine.traffic().bytes()) / seconds,
+                max(fleet.machines(), machine -> machine.traffic().otherRegionBytes()) / seconds,
+                cpuFraction * mean(fleet.machines(), HollowProcess::busyNanos) / 1_000 / seconds);
     }
 
-    private static <T> double mean(List<T> of, ToLongFunction<T> value) {
-        return of.stream().mapToLong(value).average().orElse(0);
+    private static <T> double mean(List<T> processes, ToLongFunction<T> value) {
+        return processes.stream().mapToLong(value).average().orElse(0);
     }
 
-    private static <T> double most(List<T> of, ToLongFunction<T> value) {
-        return of.stream().mapToLong(value).max().orElse(0);
+    private static <T> double max(List<T> processes, ToLongFunction<T> value) {
+        return processes.stream().mapToLong(value).max().orElse(0);
     }
 
-    private static long threadNanos() {
+    private static long threadCpuNanos() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 }
--- a/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
@@ -15,24 +15,26 @@
 import sandstack.configuration.FollowerSettings;
 import sandstack.configuration.PublisherSettings;
 import sandstack.configuration.RelayIdentity;
+import sandstack.measure.scale.SimulatedClock;
 
 /** A fleet of relays and control machines in two regions, in one process and in simulated time. One thread. */
 public final class HollowConfigurationFleet {
     /** Between two turns of a relay, in microseconds. */
-    static final long RELAY_TURN = 250_000;
+    static final long RELAY_TURN_MICROS = 250_000;
     /** A consensus library keeps some thousands of entries of its log. */
-    private static final int MOST_REPLAYED = 1_000;
+    private static final int MAX_REPLAYED_CHANGES = 1_000;
     /** Relays take their turns in so many groups, one after another. */
     private static final int TURN_GROUPS = 25;
     /** Between two turns of a control machine, in microseconds. */
-    static final long CONTROL_TURN = 100_000;
+    static final long CONTROL_TURN_MICROS = 100_000;
 
+    private static final long START_MICROS = 1_000_000;
     private static final List<String> REGIONS = List.of("north", "south");
 
     /**
      * What the fleet is made of.
      *
-     * @param mostReplayed changes that a control machine which was away is told one by one; where there are more, it gets
+     * @param maxReplayedChanges changes that a control machine which was away is told one by one; where there are more, it gets
      *     the whole state
      * @param seed of all draws; the same gives the same run
      */
@@ -41,18 +43,19 @@
             int machines,
             PublisherSettings publisher,
             FollowerSettings follower,
-            int mostReplayed,
+            int maxReplayedChanges,
             long seed) {
         /** With the settings that hold where staff state nothing else. */
         public static Plan of(int relays, int machines, long seed) {
-            return new Plan(relays, machines, PublisherSettings.DEFAULT, FollowerSettings.DEFAULT, MOST_REPLAYED, seed);
+            return new Plan(
+                    relays, machines, PublisherSettings.DEFAULT, FollowerSettings.DEFAULT, MAX_REPLAYED_CHANGES, seed);
         }
     }
 
     private final Plan plan;
     private final SplittableRandom random;
-    private final SimulatedClock clock = new SimulatedClock();
-    private final CountedNetwork network;
+    private final SimulatedClock clock = new SimulatedClock(START_MICROS);
+    private final SimulatedNetwork network;
     private final ChangeValidator validator = new ChangeValidator(ConfigurationLimits.DEFAULT, ConfigurationCheck.NONE);
     private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
     private final ConfigurationMessageCodec messages = new ConfigurationMessageCodec(codec);
@@ -66,8 +69,8 @@
     public HollowConfigurationFleet(Plan plan) {
         this.plan = plan;
         this.random = new SplittableRandom(plan.seed());
-        this.network = new CountedNetwork(clock, random.split());
-        this.consensus = new ModelledConsensus(this, validator, plan.mostReplayed());
+        this.network = new SimulatedNetwork(clock, random.split());
+        this.consensus = new ModelledConsensus(this, validator, plan.maxReplayedChanges());
         for (int i = 0; i < plan.machines(); i++) {
             HollowControlMachine machine = new HollowControlMachine(this, "control-" + i, REGIONS.get(i % 2));
             machines.add(machine);
@@ -76,11 +79,11 @@
         for (int i = 0; i < plan.relays(); i++) {
             relays.add(new HollowRelay(this, "relay-" + i, REGIONS.get(i % 2)));
         }
-        turnGroup(0);
+        runTurns(0);
     }
 
     /** Starts all that do not run. */
-    public void start() {
+    public void startAll() {
         machines.stream().filter(each -> !each.isRunning()).forEach(HollowProcess::start);
         relays.stream().filter(each -> !each.isRunning()).forEach(HollowProcess::start);
     }
@@ -106,12 +109,12 @@
     }
 
     /** What happens to messages from now on. */
-    public void faults(NetworkFaults faults) {
-        network.faults(faults);
+    public void setFaults(NetworkFaults faults) {
+        network.setFaults(faults);
     }
 
     /** Whether the last agreed state is in force at every relay. */
-    public boolean isEverywhere() {
+    public boolean isActiveEverywhere() {
         ConfigurationVersion version = consensus.current().version();
         return relays.stream()
                 .allMatch(relay -> relay.follower() != null
@@ -119,18 +122,18 @@
     }
 
     /** Runs until the last agreed state is in force everywhere; returns how long that took, -1 where it did not. */
-    public long runUntilEverywhere(long step, long most) {
-        long began = clock.now();
-        while (!isEverywhere()) {
-            if (clock.now() - began >= most) {
+    public long advanceUntilActiveEverywhere(long stepMicros, long timeoutMicros) {
+        long startMicros = clock.nowMicros();
+        while (!isActiveEverywhere()) {
+            if (clock.nowMicros() - startMicros >= timeoutMicros) {
                 return -1;
             }
-            clock.run(step);
+            clock.advance(stepMicros);
         }
-        return clock.now() - began;
+        return clock.nowMicros() - startMicros;
     }
 
-    CountedNetwork network() {
+    SimulatedNetwork network() {
         return network;
     }
 
@@ -139,11 +142,11 @@
     }
 
     /** One event for many turns keeps the queue of events short. */
-    private void turnGroup(int group) {
+    private void runTurns(int group) {
         for (int i = group; i < relays.size(); i += TURN_GROUPS) {
-            relays.get(i).turn();
+            relays.get(i).runTurn();
         }
-        clock.after(RELAY_TURN / TURN_GROUPS, () -> turnGroup((group + 1) % TURN_GROUPS));
+        clock.schedule(RELAY_TURN_MICROS / TURN_GROUPS, () -> runTurns((group + 1) % TURN_GROUPS));
     }
 
     ConfigurationFollower newFollower(HollowRelay relay) {
@@ -155,11 +158,11 @@
                 relay.store(),
                 relay,
                 random.split(),
-                clock.now());
+                clock.nowMicros());
     }
 
     ConfigurationPublisher newPublisher(HollowControlMachine machine) {
-        return new ConfigurationPublisher(plan.publisher(), codec, machine, clock.now());
+        return new ConfigurationPublisher(plan.publisher(), codec, machine, clock.nowMicros());
     }
 
     HollowConnection connect(HollowRelay relay, String machineName) {
@@ -171,16 +174,16 @@
     }
 
     /** The machine hears that a connection is gone. */
-    void endAtMachine(HollowConnection connection) {
+    void closeAtMachine(HollowConnection connection) {
         network.signal(connection.relay(), connection.machine(), connection.toMachine(), () -> connection
                 .machine()
-                .ended(connection));
+                .onConnectionClosed(connection));
     }
 
     /** The relay hears that a connection is gone. */
-    void endAtRelay(HollowConnection connection) {
+    void closeAtRelay(HollowConnection connection) {
         network.signal(connection.machine(), connection.relay(), connection.toRelay(), () -> connection
                 .relay()
-                .ended(connection));
+                .onConnectionClosed(connection));
     }
 }
--- a/src/main/java/sandstack/measure/configuration/HollowConnection.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConnection.java
@@ -3,15 +3,15 @@
 /** A connection of a relay with a control machine. One thread. */
 final class HollowConnection {
     /** One direction: what is sent first arrives first, unless a fault delays it. */
-    static final class Lane {
-        long lastArrival;
+    static final class Direction {
+        long lastArrivalMicros;
     }
 
     private final long number;
     private final HollowRelay relay;
     private final HollowControlMachine machine;
-    private final Lane toMachine = new Lane();
-    private final Lane toRelay = new Lane();
+    private final Direction toMachine = new Direction();
+    private final Direction toRelay = new Direction();
 
     /**
      * Opens a connection.
@@ -32,11 +32,11 @@
         return machine;
     }
 
-    Lane toMachine() {
+    Direction toMachine() {
         return toMachine;
     }
 
-    Lane toRelay() {
+    Direction toRelay() {
         return toRelay;
     }
 
--- a/src/main/java/sandstack/measure/configuration/HollowControlMachine.java
+++ b/src/main/java/sandstack/measure/configuration/HollowControlMachine.java
@@ -13,9 +13,9 @@
     private final HollowConfigurationFleet fleet;
     private final Map<String, HollowConnection> connections = new LinkedHashMap<>();
     private ConfigurationPublisher publisher;
-    private long hellos;
-    private int mostSessions;
-    private long lines;
+    private long helloCount;
+    private int maxSessions;
+    private long logLines;
 
     HollowControlMachine(HollowConfigurationFleet fleet, String name, String region) {
         super(name, region);
@@ -28,63 +28,63 @@
     }
 
     /** Hellos that have arrived. */
-    public long hellos() {
-        return hellos;
+    public long helloCount() {
+        return helloCount;
     }
 
     /** The most sessions that it had at once. */
-    public int mostSessions() {
-        return mostSessions;
+    public int maxSessions() {
+        return maxSessions;
     }
 
     /** Lines that it has logged. */
-    public long lines() {
-        return lines;
+    public long logLines() {
+        return logLines;
     }
 
     @Override
-    void started() {
+    void onStarted() {
         publisher = fleet.newPublisher(this);
-        fleet.consensus().started(this);
-        scheduleTurn(life(), HollowConfigurationFleet.CONTROL_TURN);
+        fleet.consensus().onStarted(this);
+        scheduleTurn(incarnation(), HollowConfigurationFleet.CONTROL_TURN_MICROS);
     }
 
     @Override
-    void killed() {
+    void onKilled() {
         publisher = null;
         List<HollowConnection> open = List.copyOf(connections.values());
         connections.clear();
         if (!isMachineLost()) {
-            open.forEach(fleet::endAtRelay);
+            open.forEach(fleet::closeAtRelay);
         }
     }
 
-    private void scheduleTurn(long ofLife, long in) {
-        fleet.clock().after(in, () -> {
-            if (isRunning() && life() == ofLife) {
+    private void scheduleTurn(long ofIncarnation, long delayMicros) {
+        fleet.clock().schedule(delayMicros, () -> {
+            if (isRunning() && incarnation() == ofIncarnation) {
                 if (!isPaused()) {
-                    work(this::turn);
+                    execute(this::runTurn);
                 }
-                scheduleTurn(ofLife, HollowConfigurationFleet.CONTROL_TURN);
+                scheduleTurn(ofIncarnation, HollowConfigurationFleet.CONTROL_TURN_MICROS);
             }
         });
     }
 
-    private void turn() {
-        fleet.consensus().turn(this);
-        publisher.tick(fleet.clock().now());
-        mostSessions = Math.max(mostSessions, publisher.sessionCount());
+    private void runTurn() {
+        fleet.consensus().runTurn(this);
+        publisher.tick(fleet.clock().nowMicros());
+        maxSessions = Math.max(maxSessions, publisher.sessionCount());
     }
 
     /** A frame has arrived; where no process listens, the machine says so. */
     void receive(HollowConnection connection, byte[] frame) {
         if (!isRunning()) {
             if (!isMachineLost()) {
-                fleet.endAtRelay(connection);
+                fleet.closeAtRelay(connection);
             }
             return;
         }
-        work(() -> handle(connection, frame));
+        execute(() -> handle(connection, frame));
     }
 
     private void handle(HollowConnection connection, byte[] frame) {
@@ -92,8 +92,8 @@
         try {
             ConfigurationMessage decoded = fleet.messages().decode(frame);
             if (decoded instanceof ConfigurationMessage.FollowerMessage message) {
-                hellos += decoded instanceof ConfigurationMessage.Hello ? 1 : 0;
-                publisher.received(connection.peer(), message, fleet.clock().now());
+                helloCount += decoded instanceof ConfigurationMessage.Hello ? 1 : 0;
+                publisher.received(connection.peer(), message, fleet.clock().nowMicros());
             }
         } catch (MalformedConfigurationException e) {
             throw new IllegalStateException("a frame of ours is not read", e);
@@ -101,8 +101,8 @@
     }
 
     /** The connection is gone. */
-    void ended(HollowConnection connection) {
-        work(() -> {
+    void onConnectionClosed(HollowConnection connection) {
+        execute(() -> {
             connections.remove(connection.peer());
             publisher.disconnected(connection.peer());
         });
@@ -125,12 +125,12 @@
     public void close(String peer) {
         HollowConnection connection = connections.remove(peer);
         if (connection != null) {
-            fleet.endAtRelay(connection);
+            fleet.closeAtRelay(connection);
         }
     }
 
     @Override
     public void log(String text) {
-        lines++;
+        logLines++;
     }
 }
--- a/src/main/java/sandstack/measure/configuration/HollowProcess.java
+++ b/src/main/java/sandstack/measure/configuration/HollowProcess.java
@@ -8,12 +8,12 @@
     private final String name;
     private final String region;
     private final Traffic traffic = new Traffic();
-    private final List<Runnable> held = new ArrayList<>();
+    private final List<Runnable> deferredTasks = new ArrayList<>();
     private boolean running;
     private boolean paused;
     private boolean machineLost;
-    private long life;
-    private long processorNanos;
+    private long incarnation;
+    private long busyNanos;
 
     HollowProcess(String name, String region) {
         this.name = name;
@@ -51,18 +51,18 @@
     }
 
     /** Counts its starts. */
-    public long life() {
-        return life;
+    public long incarnation() {
+        return incarnation;
     }
 
     /** Time on the processor since the last reset, as far as its work was timed. */
-    long processorNanos() {
-        return processorNanos;
+    long busyNanos() {
+        return busyNanos;
     }
 
-    void resetCounts() {
+    void resetCounters() {
         traffic.reset();
-        processorNanos = 0;
+        busyNanos = 0;
     }
 
     /** Starts it with what its disk holds. */
@@ -70,22 +70,22 @@
         running = true;
         paused = false;
         machineLost = false;
-        held.clear();
-        life++;
-        started();
+        deferredTasks.clear();
+        incarnation++;
+        onStarted();
     }
 
     /**
      * Ends it at once.
      *
-     * @param machine whether its machine is lost with it: then nobody hears that its connections are gone
+     * @param withMachine whether its machine is lost with it: then nobody hears that its connections are gone
      */
-    public void kill(boolean machine) {
+    public void kill(boolean withMachine) {
         running = false;
         paused = false;
-        machineLost = machine;
-        held.clear();
-        killed();
+        machineLost = withMachine;
+        deferredTasks.clear();
+        onKilled();
     }
 
     /** Stops it; what arrives waits. */
@@ -96,23 +96,23 @@
     /** Lets it go on, with all that has arrived meanwhile. */
     public void resume() {
         paused = false;
-        List<Runnable> arrived = List.copyOf(held);
-        held.clear();
-        arrived.forEach(this::work);
+        List<Runnable> tasks = List.copyOf(deferredTasks);
+        deferredTasks.clear();
+        tasks.forEach(this::execute);
     }
 
     /** Does something in this process, later where it is stopped. */
-    void work(Runnable task) {
+    void execute(Runnable task) {
         if (paused) {
-            held.add(task);
+            deferredTasks.add(task);
         } else if (running) {
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             task.run();
-            processorNanos += System.nanoTime() - began;
+            busyNanos += System.nanoTime() - startNanos;
         }
     }
 
-    abstract void started();
+    abstract void onStarted();
 
-    abstract void killed();
+    abstract void onKilled();
 }
--- a/src/main/java/sandstack/measure/configuration/HollowRelay.java
+++ b/src/main/java/sandstack/measure/configuration/HollowRelay.java
@@ -14,12 +14,12 @@
 /** A relay without clients: the real follower, on a simulated network and disk. One thread. */
 public final class HollowRelay extends HollowProcess implements FollowerOutput {
     private final HollowConfigurationFleet fleet;
-    private final StoredInMemory store = new StoredInMemory();
+    private final InMemoryConfigurationStore store = new InMemoryConfigurationStore();
     private final Map<String, HollowConnection> connections = new LinkedHashMap<>();
-    private BiConsumer<HollowRelay, ConfigurationSnapshot> observer = (relay, snapshot) -> {};
-    private Consumer<ConfigurationMessage> tap = message -> {};
+    private BiConsumer<HollowRelay, ConfigurationSnapshot> activationListener = (relay, snapshot) -> {};
+    private Consumer<ConfigurationMessage> messageListener = message -> {};
     private ConfigurationFollower follower;
-    private long lines;
+    private long logLines;
 
     HollowRelay(HollowConfigurationFleet fleet, String name, String region) {
         super(name, region);
@@ -27,17 +27,17 @@
     }
 
     /** Is told of each state that is put in force. */
-    public void observer(BiConsumer<HollowRelay, ConfigurationSnapshot> told) {
-        observer = told;
+    public void setActivationListener(BiConsumer<HollowRelay, ConfigurationSnapshot> listener) {
+        activationListener = listener;
     }
 
     /** Is told of each message that arrives, before the follower. */
-    void tap(Consumer<ConfigurationMessage> told) {
-        tap = told;
+    void setMessageListener(Consumer<ConfigurationMessage> listener) {
+        messageListener = listener;
     }
 
     /** Its disk. */
-    public StoredInMemory store() {
+    public InMemoryConfigurationStore store() {
         return store;
     }
 
@@ -47,30 +47,30 @@
     }
 
     /** Lines that it has logged. */
-    public long lines() {
-        return lines;
+    public long logLines() {
+        return logLines;
     }
 
     @Override
-    void started() {
+    void onStarted() {
         follower = fleet.newFollower(this);
     }
 
     @Override
-    void killed() {
+    void onKilled() {
         follower = null;
-        boolean heard = !isMachineLost();
+        boolean closesConnections = !isMachineLost();
         List<HollowConnection> open = List.copyOf(connections.values());
         connections.clear();
-        if (heard) {
-            open.forEach(fleet::endAtMachine);
+        if (closesConnections) {
+            open.forEach(fleet::closeAtMachine);
         }
     }
 
     /** One of the fleet's turns, where the process runs. */
-    void turn() {
+    void runTurn() {
         if (isRunning() && !isPaused()) {
-            work(() -> follower.tick(fleet.clock().now()));
+            execute(() -> follower.tick(fleet.clock().nowMicros()));
         }
     }
 
@@ -78,11 +78,11 @@
     void receive(HollowConnection connection, byte[] frame) {
         if (!isRunning() || connections.get(connection.machine().name()) != connection) {
             if (!isMachineLost()) {
-                fleet.endAtMachine(connection);
+                fleet.closeAtMachine(connection);
             }
             return;
         }
-        work(() -> handle(connection, frame));
+        execute(() -> handle(connection, frame));
     }
 
     private void handle(HollowConnection connection, byte[] frame) {
@@ -91,9 +91,9 @@
         }
         try {
             if (fleet.messages().decode(frame) instanceof ConfigurationMessage.PublisherMessage message) {
-                tap.accept(message);
+                messageListener.accept(message);
                 follower.received(
-                        connection.machine().name(), message, fleet.clock().now());
+                        connection.machine().name(), message, fleet.clock().nowMicros());
             }
         } catch (MalformedConfigurationException e) {
             throw new IllegalStateException("a frame of ours is not read", e);
@@ -101,10 +101,10 @@
     }
 
     /** The connection is gone. */
-    void ended(HollowConnection connection) {
-        work(() -> {
+    void onConnectionClosed(HollowConnection connection) {
+        execute(() -> {
             if (connections.remove(connection.machine().name(), connection)) {
-                follower.disconnected(connection.machine().name(), fleet.clock().now());
+                follower.disconnected(connection.machine().name(), fleet.clock().nowMicros());
             }
         });
     }
@@ -122,17 +122,17 @@
     public void close(String machine) {
         HollowConnection connection = connections.remove(machine);
         if (connection != null) {
-            fleet.endAtMachine(connection);
+            fleet.closeAtMachine(connection);
         }
     }
 
     @Override
     public void activated(ConfigurationSnapshot snapshot) {
-        observer.accept(this, snapshot);
+        activationListener.accept(this, snapshot);
     }
 
     @Override
     public void log(String text) {
-        lines++;
+        logLines++;
     }
 }
--- a/src/main/java/sandstack/measure/configuration/StoredInMemory.java
+++ b/src/main/java/sandstack/measure/configuration/InMemoryConfigurationStore.java
@@ -9,37 +9,37 @@
 import sandstack.configuration.ConfigurationStoreException;
 
 /** A relay's disk: outlives its process, may be wiped, replaced by an older state or damaged. One thread. */
-public final class StoredInMemory implements ConfigurationStore {
-    private static final int MOST_OLDER = 8;
+public final class InMemoryConfigurationStore implements ConfigurationStore {
+    private static final int MAX_SNAPSHOTS = 8;
 
-    private final List<ConfigurationSnapshot> states = new ArrayList<>();
-    private boolean damaged;
+    private final List<ConfigurationSnapshot> snapshots = new ArrayList<>();
+    private boolean corrupted;
     private boolean unreadable;
     private boolean full;
-    private boolean keepsOlder;
+    private boolean keepsHistory;
 
     /** Keeps a few older states, to be started from. */
-    public void keepOlder() {
-        keepsOlder = true;
+    public void keepHistory() {
+        keepsHistory = true;
     }
 
     /** Nothing is there any more. */
     public void wipe() {
-        states.clear();
-        damaged = false;
+        snapshots.clear();
+        corrupted = false;
         unreadable = false;
     }
 
     /** An older state is there in place of the latest, where one is kept. */
-    public void goBack(int steps) {
-        for (int i = 0; i < steps && states.size() > 1; i++) {
-            states.remove(states.size() - 1);
+    public void rollBack(int steps) {
+        for (int i = 0; i < steps && snapshots.size() > 1; i++) {
+            snapshots.remove(snapshots.size() - 1);
         }
     }
 
     /** The entries no longer match their digest. */
-    public void damage() {
-        damaged = true;
+    public void corrupt() {
+        corrupted = true;
     }
 
     /** Nothing of it can be read. */
@@ -48,8 +48,8 @@
     }
 
     /** Takes nothing more, or does again. */
-    public void full(boolean now) {
-        full = now;
+    public void setFull(boolean isFull) {
+        full = isFull;
     }
 
     @Override
@@ -57,11 +57,11 @@
         if (unreadable) {
             return new Loaded.Unreadable("a simulated fault of the disk");
         }
-        if (states.isEmpty()) {
+        if (snapshots.isEmpty()) {
             return new Loaded.Absent();
         }
-        ConfigurationSnapshot last = states.get(states.size() - 1);
-        ConfigurationDigest digest = damaged ? last.digest().with("damaged", "") : last.digest();
+        ConfigurationSnapshot last = snapshots.get(snapshots.size() - 1);
+        ConfigurationDigest digest = corrupted ? last.digest().with("damaged", "") : last.digest();
         return new Loaded.Found(last.version(), last.formatVersion(), last.entries(), digest);
     }
 
@@ -75,11 +75,11 @@
         if (full) {
             throw new ConfigurationStoreException("no space left on the simulated disk", null);
         }
-        damaged = false;
+        corrupted = false;
         unreadable = false;
-        states.add(snapshot);
-        if (states.size() > (keepsOlder ? MOST_OLDER : 1)) {
-            states.remove(0);
+        snapshots.add(snapshot);
+        if (snapshots.size() > (keepsHistory ? MAX_SNAPSHOTS : 1)) {
+            snapshots.remove(0);
         }
     }
 }
--- a/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
+++ b/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
@@ -22,29 +22,29 @@
  */
 public final class ModelledConsensus implements CommittedChangeListener {
     /** A machine that lacks a majority for so long says that it lacks a quorum, in microseconds. */
-    private static final long QUORUM_TIMEOUT = 1_000_000;
+    private static final long QUORUM_TIMEOUT_MICROS = 1_000_000;
     /** From the agreement to the next machine's knowledge, in microseconds: one way between regions and some. */
-    private static final long REPLICATION = 60_000;
+    private static final long REPLICATION_DELAY_MICROS = 60_000;
 
     /** What a machine's disk holds. */
     private static final class Replica {
-        int applied;
-        long majorityAt = Long.MIN_VALUE / 2;
+        int appliedChanges;
+        long lastMajorityMicros = Long.MIN_VALUE / 2;
     }
 
     private final HollowConfigurationFleet fleet;
-    private final int mostReplayed;
+    private final int maxReplayedChanges;
     private final ConfigurationHistory history;
     private final List<CommittedChange> changes = new ArrayList<>();
     private final List<ConfigurationSnapshot> states = new ArrayList<>(List.of(ConfigurationSnapshot.EMPTY));
-    private final List<Long> agreedAt = new ArrayList<>();
+    private final List<Long> commitMicros = new ArrayList<>();
     private final Map<HollowControlMachine, Replica> replicas = new HashMap<>();
     private HollowControlMachine leader;
     private long term;
 
-    ModelledConsensus(HollowConfigurationFleet fleet, ChangeValidator validator, int mostReplayed) {
+    ModelledConsensus(HollowConfigurationFleet fleet, ChangeValidator validator, int maxReplayedChanges) {
         this.fleet = fleet;
-        this.mostReplayed = mostReplayed;
+        this.maxReplayedChanges = maxReplayedChanges;
         this.history = new ConfigurationHistory(validator, this);
     }
 
@@ -52,7 +52,7 @@
     public void committed(CommittedChange change) {
         changes.add(change);
         states.add(history.current());
-        agreedAt.add(fleet.clock().now());
+        commitMicros.add(fleet.clock().nowMicros());
     }
 
     @Override
@@ -71,8 +71,8 @@
     }
 
     /** When the change with this index was agreed. */
-    public long agreedAt(long index) {
-        return agreedAt.get((int) index - 1);
+    public long commitMicros(long index) {
+        return commitMicros.get((int) index - 1);
     }
 
     /** Proposes a change on the current state at a machine. */
@@ -87,10 +87,11 @@
         ConfigurationChange change =
                 ConfigurationChange.of(current().version(), "operator", "a simulated change", edits);
         ConfigurationHistory.Outcome outcome = history.applyCommitted(term, change);
-        if (outcome instanceof ConfigurationHistory.Outcome.Rejected refused) {
-            return Optional.of(refused.rejection());
+        if (outcome instanceof ConfigurationHistory.Outcome.Rejected rejected) {
+            return Optional.of(rejected.rejection());
         }
-        fleet.clock().after(REPLICATION, () -> fleet.machines().forEach(each -> each.work(() -> turn(each))));
+        fleet.clock().schedule(REPLICATION_DELAY_MICROS, () -> fleet.machines()
+                .forEach(each -> each.execute(() -> runTurn(each))));
         return Optional.empty();
     }
 
@@ -99,49 +100,49 @@
         if (!isUp(machine)) {
             return false;
         }
-        int reached = 0;
+        int reachableMachines = 0;
         for (HollowControlMachine other : fleet.machines()) {
-            boolean both = other == machine
+            boolean reachable = other == machine
                     || isUp(other)
-                            && fleet.network().passes(machine, other)
-                            && fleet.network().passes(other, machine);
-            reached += both ? 1 : 0;
+                            && fleet.network().canReach(machine, other)
+                            && fleet.network().canReach(other, machine);
+            reachableMachines += reachable ? 1 : 0;
         }
-        return 2 * reached > fleet.machines().size();
+        return 2 * reachableMachines > fleet.machines().size();
     }
 
     /** The disk of a machine holds an older state, or none. */
-    public void goBack(HollowControlMachine machine, int steps) {
+    public void rollBack(HollowControlMachine machine, int steps) {
         Replica replica = replica(machine);
-        replica.applied = Math.max(0, replica.applied - steps);
+        replica.appliedChanges = Math.max(0, replica.appliedChanges - steps);
     }
 
-    void started(HollowControlMachine machine) {
+    void onStarted(HollowControlMachine machine) {
         Replica replica = replica(machine);
-        replica.majorityAt = Long.MIN_VALUE / 2;
-        if (replica.applied > 0) {
-            machine.publisher().restored(states.get(replica.applied));
+        replica.lastMajorityMicros = Long.MIN_VALUE / 2;
+        if (replica.appliedChanges > 0) {
+            machine.publisher().restored(states.get(replica.appliedChanges));
         }
     }
 
-    void turn(HollowControlMachine machine) {
+    void runTurn(HollowControlMachine machine) {
         Replica replica = replica(machine);
-        long now = fleet.clock().now();
+        long now = fleet.clock().nowMicros();
         if (hasMajority(machine)) {
-            replica.majorityAt = now;
+            replica.lastMajorityMicros = now;
             catchUp(machine, replica);
         }
-        machine.publisher().setQuorumReached(now - replica.majorityAt < QUORUM_TIMEOUT);
+        machine.publisher().setQuorumReached(now - replica.lastMajorityMicros < QUORUM_TIMEOUT_MICROS);
     }
 
     private void catchUp(HollowControlMachine machine, Replica replica) {
-        if (changes.size() - replica.applied > mostReplayed) {
-            replica.applied = changes.size();
+        if (changes.size() - replica.appliedChanges > maxReplayedChanges) {
+            replica.appliedChanges = changes.size();
             machine.publisher().restored(current());
         }
-        while (replica.applied < changes.size()) {
-            machine.publisher().committed(changes.get(replica.applied));
-            replica.applied++;
+        while (replica.appliedChanges < changes.size()) {
+            machine.publisher().committed(changes.get(replica.appliedChanges));
+            replica.appliedChanges++;
         }
     }
 
--- a/src/main/java/sandstack/measure/configuration/NetworkFaults.java
+++ b/src/main/java/sandstack/measure/configuration/NetworkFaults.java
@@ -6,7 +6,7 @@
     NetworkFaults NONE = new NetworkFaults() {};
 
     /** Whether anything gets from one to the other now. */
-    default boolean passes(HollowProcess from, HollowProcess to) {
+    default boolean canReach(HollowProcess from, HollowProcess to) {
         return true;
     }
 
@@ -16,7 +16,7 @@
     }
 
     /** Microseconds that this copy takes beyond the usual; drawn for each, so copies pass each other. */
-    default long extraDelay(HollowProcess from, HollowProcess to) {
+    default long extraDelayMicros(HollowProcess from, HollowProcess to) {
         return 0;
     }
 }
--- a/src/main/java/sandstack/measure/configuration/PeakHellos.java
+++ b/src/main/java/sandstack/measure/configuration/PeakHelloRate.java
@@ -4,24 +4,24 @@
 import java.util.Map;
 
 /** Hellos in the busiest second at the busiest control machine, looked at once a simulated second. One thread. */
-final class PeakHellos {
-    private static final long SECOND = 1_000_000;
+final class PeakHelloRate {
+    private static final long SAMPLE_INTERVAL_MICROS = 1_000_000;
 
     private final HollowConfigurationFleet fleet;
-    private final Map<HollowControlMachine, Long> before = new HashMap<>();
+    private final Map<HollowControlMachine, Long> lastCounts = new HashMap<>();
     private long peak;
 
-    PeakHellos(HollowConfigurationFleet fleet) {
+    PeakHelloRate(HollowConfigurationFleet fleet) {
         this.fleet = fleet;
-        look();
+        sample();
     }
 
-    private void look() {
+    private void sample() {
         for (HollowControlMachine machine : fleet.machines()) {
-            Long last = before.put(machine, machine.hellos());
-            peak = Math.max(peak, last == null ? 0 : machine.hellos() - last);
+            Long lastCount = lastCounts.put(machine, machine.helloCount());
+            peak = Math.max(peak, lastCount == null ? 0 : machine.helloCount() - lastCount);
         }
-        fleet.clock().after(SECOND, this::look);
+        fleet.clock().schedule(SAMPLE_INTERVAL_MICROS, this::sample);
     }
 
     /** The peak since the last call. */
--- a/src/main/java/sandstack/measure/scale/hollow/EventQueue.java
+++ b/src/main/java/sandstack/measure/scale/SimulatedClock.java
@@ -1,10 +1,10 @@
-package sandstack.measure.scale.hollow;
+package sandstack.measure.scale;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
 /** A simulated clock with scheduled events, in microseconds. O(log events) per event; not thread-safe. */
-final class EventQueue {
+public final class SimulatedClock {
     /** A scheduled event; events of the same time run in the order of their sequence numbers. */
     private record Event(long dueMicros, long sequence, Runnable action) {}
 
@@ -13,21 +13,23 @@
     private long nowMicros;
     private long lastSequence;
 
-    EventQueue(long now) {
+    /** Creates a clock that shows this time. */
+    public SimulatedClock(long now) {
         this.nowMicros = now;
     }
 
-    long nowMicros() {
+    /** The current simulated time. */
+    public long nowMicros() {
         return nowMicros;
     }
 
-    /** Schedules an action; actions of the same time run in the order of the calls. */
-    void schedule(long delayMicros, Runnable action) {
-        events.add(new Event(nowMicros + delayMicros, ++lastSequence, action));
+    /** Schedules an action; actions of the same time run in the order of the calls, negative delays count as zero. */
+    public void schedule(long delayMicros, Runnable action) {
+        events.add(new Event(nowMicros + Math.max(0, delayMicros), ++lastSequence, action));
     }
 
     /** Schedules an action repeatedly, without an end. */
-    void scheduleRepeatedly(long initialDelayMicros, long periodMicros, Runnable action) {
+    public void scheduleRepeatedly(long initialDelayMicros, long periodMicros, Runnable action) {
         schedule(initialDelayMicros, () -> {
             action.run();
             scheduleRepeatedly(periodMicros, periodMicros, action);
@@ -35,7 +37,7 @@
     }
 
     /** Advances the time and runs all events that are due until then. */
-    void advance(long micros) {
+    public void advance(long micros) {
         long endMicros = nowMicros + micros;
         while (!events.isEmpty() && events.peek().dueMicros() <= endMicros) {
             Event event = events.remove();
--- a/src/main/java/sandstack/measure/scale/hollow/GossipModel.java
+++ b/src/main/java/sandstack/measure/scale/hollow/GossipModel.java
@@ -4,6 +4,7 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.function.IntConsumer;
+import sandstack.measure.scale.SimulatedClock;
 
 /**
  * Models infection-style dissemination as in the gossip library: in each period of {@link #PERIOD_MICROS} every infected
@@ -18,12 +19,12 @@
     static final int FANOUT = 3;
     static final int REPEAT_MULTIPLIER = 3;
 
-    private final EventQueue clock;
+    private final SimulatedClock clock;
     private final Network network;
     private final Traffic traffic;
     private final List<HollowRelay> relays;
 
-    GossipModel(EventQueue clock, Network network, Traffic traffic, List<HollowRelay> relays) {
+    GossipModel(SimulatedClock clock, Network network, Traffic traffic, List<HollowRelay> relays) {
         this.clock = clock;
         this.network = network;
         this.traffic = traffic;
--- a/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
@@ -16,6 +16,7 @@
 import sandstack.fleet.Incarnation;
 import sandstack.fleet.MemberTable;
 import sandstack.fleet.Membership;
+import sandstack.measure.scale.SimulatedClock;
 
 /**
  * Many hollow relays on one simulated clock. Each relay runs the real {@link Membership} and handles every message. Views,
@@ -35,7 +36,7 @@
 
     private final FleetLayout layout;
     private final WireSizes wireSizes;
-    private final EventQueue clock = new EventQueue(START_MICROS);
+    private final SimulatedClock clock = new SimulatedClock(START_MICROS);
     private final Network network = new Network();
     private final Traffic traffic = new Traffic();
     private final SplittableRandom random;
--- a/src/main/java/sandstack/measure/scale/hollow/SwimProtocolModel.java
+++ b/src/main/java/sandstack/measure/scale/hollow/SwimProtocolModel.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.IntConsumer;
+import sandstack.measure.scale.SimulatedClock;
 
 /**
  * Models the messages of the gossip library beneath the membership, which follows SWIM: a ping every half second, indirect
@@ -30,7 +31,7 @@
         void memberRemoved(HollowRelay at, HollowRelay member);
     }
 
-    private final EventQueue clock;
+    private final SimulatedClock clock;
     private final Network network;
     private final Traffic traffic;
     private final WireSizes wireSizes;
@@ -40,7 +41,7 @@
     private final Listener listener;
 
     SwimProtocolModel(
-            EventQueue clock,
+            SimulatedClock clock,
             Network network,
             Traffic traffic,
             WireSizes sizes,
--- a/src/test/java/sandstack/measure/configuration/DistributionRules.java
+++ b/src/test/java/sandstack/measure/configuration/DistributionRules.java
@@ -22,7 +22,7 @@
 
     DistributionRules(HollowConfigurationFleet fleet) {
         this.consensus = fleet.consensus();
-        fleet.relays().forEach(relay -> relay.observer(this::inForce));
+        fleet.relays().forEach(relay -> relay.setActivationListener(this::inForce));
     }
 
     /** A relay put a state in force. */
@@ -30,13 +30,13 @@
         states++;
         long index = snapshot.version().index();
         Seen before = seen.computeIfAbsent(relay, r -> new Seen());
-        if (before.life == relay.life() && index <= before.index) {
+        if (before.life == relay.incarnation() && index <= before.index) {
             broken.add(relay.name() + " went from " + before.index + " to " + index);
         }
-        if (before.life != relay.life() && index < before.index) {
+        if (before.life != relay.incarnation() && index < before.index) {
             broken.add(relay.name() + " started with " + index + ", its disk had " + before.index);
         }
-        before.life = relay.life();
+        before.life = relay.incarnation();
         before.index = index;
         Optional<ConfigurationSnapshot> agreed = consensus.state(index);
         if (agreed.isEmpty()) {
--- a/src/test/java/sandstack/measure/configuration/DrawnFaults.java
+++ b/src/test/java/sandstack/measure/configuration/DrawnFaults.java
@@ -43,7 +43,7 @@
         fleet = new HollowConfigurationFleet(new HollowConfigurationFleet.Plan(
                 RELAYS, machines, SMALL, FollowerSettings.DEFAULT, MOST_REPLAYED, random.nextLong()));
         rules = new DistributionRules(fleet);
-        fleet.relays().forEach(relay -> relay.store().keepOlder());
+        fleet.relays().forEach(relay -> relay.store().keepHistory());
     }
 
     HollowConfigurationFleet fleet() {
@@ -74,17 +74,17 @@
 
     /** Plays the schedule, ends all faults, and looks at what holds then. */
     DrawnFaults play() {
-        fleet.faults(this);
-        fleet.start();
-        fleet.clock().run(2 * SECOND);
+        fleet.setFaults(this);
+        fleet.startAll();
+        fleet.clock().advance(2 * SECOND);
         for (int step = 0; step < STEPS; step++) {
             propose();
             fault();
-            fleet.clock().run(random.nextLong(100_000, 3 * SECOND));
+            fleet.clock().advance(random.nextLong(100_000, 3 * SECOND));
         }
         endFaults();
         propose();
-        settledAfter = fleet.runUntilEverywhere(SECOND / 20, EQUAL_WITHIN);
+        settledAfter = fleet.advanceUntilActiveEverywhere(SECOND / 20, EQUAL_WITHIN);
         rules.settled(fleet);
         return this;
     }
@@ -142,7 +142,7 @@
         machine.kill(random.nextBoolean());
         done.add("kill machine");
         if (random.nextInt(3) == 0) {
-            fleet.consensus().goBack(machine, random.nextBoolean() ? Integer.MAX_VALUE : random.nextInt(1, 10));
+            fleet.consensus().rollBack(machine, random.nextBoolean() ? Integer.MAX_VALUE : random.nextInt(1, 10));
             done.add("older or wiped disk of a machine");
         }
     }
@@ -160,11 +160,11 @@
                 changedDisk(relay, "wiped disk of a relay");
             }
             case 1 -> {
-                relay.store().goBack(random.nextInt(1, 7));
+                relay.store().rollBack(random.nextInt(1, 7));
                 changedDisk(relay, "older disk of a relay");
             }
             case 2 -> {
-                relay.store().damage();
+                relay.store().corrupt();
                 changedDisk(relay, "damaged disk of a relay");
             }
             case 3 -> {
@@ -181,7 +181,7 @@
     }
 
     private void startAll() {
-        fleet.start();
+        fleet.startAll();
     }
 
     private void pauseMachine() {
@@ -248,7 +248,7 @@
     }
 
     @Override
-    public boolean passes(HollowProcess from, HollowProcess to) {
+    public boolean canReach(HollowProcess from, HollowProcess to) {
         return !(regionsCut && !from.region().equals(to.region())) && !cut.contains(link(from, to));
     }
 
@@ -261,7 +261,7 @@
     }
 
     @Override
-    public long extraDelay(HollowProcess from, HollowProcess to) {
+    public long extraDelayMicros(HollowProcess from, HollowProcess to) {
         return random.nextDouble() < delays ? random.nextLong(1, 2 * SECOND) : 0;
     }
 }
--- a/src/test/java/sandstack/measure/configuration/PlantedFaultsTest.java
+++ b/src/test/java/sandstack/measure/configuration/PlantedFaultsTest.java
@@ -64,9 +64,9 @@
         for (long seed = 1; seed <= SCHEDULES; seed++) {
             DrawnFaults faults = new DrawnFaults(seed);
             HollowRelay relay = faults.fleet().relays().get(0);
-            relay.observer((r, snapshot) -> {});
+            relay.setActivationListener((r, snapshot) -> {});
             CarelessFollower careless = new CarelessFollower(relay, faults.rules(), goesBack);
-            relay.tap(careless::hear);
+            relay.setMessageListener(careless::hear);
             faults.play();
             boolean here = faults.rules().broken().stream().anyMatch(line -> line.contains(message));
             assertThat(faults.rules().broken()).allMatch(line -> line.startsWith(relay.name() + " "));
@@ -91,17 +91,17 @@
     void aPublisherThatSendsWhatWasNotAgreedIsFound() {
         HollowConfigurationFleet fleet = new HollowConfigurationFleet(HollowConfigurationFleet.Plan.of(8, 5, 3));
         DistributionRules rules = new DistributionRules(fleet);
-        fleet.start();
-        fleet.clock().run(2 * SECOND);
+        fleet.startAll();
+        fleet.clock().advance(2 * SECOND);
         fleet.consensus().propose(fleet.machines().get(0), List.of(new Put("a", "1")));
-        fleet.clock().run(2 * SECOND);
+        fleet.clock().advance(2 * SECOND);
         assertThat(rules.broken()).isEmpty();
         HollowControlMachine believer = fleet.machines().stream()
                 .filter(machine -> machine.publisher().sessionCount() > 0)
                 .findFirst()
                 .orElseThrow();
         believer.publisher().committed(forged(fleet.consensus().current()));
-        fleet.clock().run(SECOND);
+        fleet.clock().advance(SECOND);
         assertThat(rules.broken()).isNotEmpty().allMatch(line -> line.endsWith("which was not agreed"));
     }
 
@@ -119,15 +119,15 @@
         HollowConfigurationFleet fleet = new HollowConfigurationFleet(HollowConfigurationFleet.Plan.of(8, 5, 3));
         DistributionRules rules = new DistributionRules(fleet);
         HollowRelay deaf = fleet.relays().get(5);
-        fleet.faults(new NetworkFaults() {
+        fleet.setFaults(new NetworkFaults() {
             @Override
-            public boolean passes(HollowProcess from, HollowProcess to) {
+            public boolean canReach(HollowProcess from, HollowProcess to) {
                 return to != deaf;
             }
         });
-        fleet.start();
+        fleet.startAll();
         fleet.consensus().propose(fleet.machines().get(0), List.of(new Put("a", "1")));
-        fleet.clock().run(DrawnFaults.EQUAL_WITHIN);
+        fleet.clock().advance(DrawnFaults.EQUAL_WITHIN);
         rules.settled(fleet);
         assertThat(rules.broken()).hasSize(1).allMatch(line -> line.startsWith("relay-5 has 0/0 in the end"));
     }
--- a/src/test/java/sandstack/measure/scale/hollow/HollowFleetTest.java
+++ b/src/test/java/sandstack/measure/scale/hollow/HollowFleetTest.java
@@ -12,6 +12,7 @@
 import sandstack.measure.scale.ScaleMeasurement.Effort;
 import sandstack.measure.scale.Series;
 import sandstack.measure.scale.Series.Point;
+import sandstack.measure.scale.SimulatedClock;
 
 /** Counts and shapes of hollow fleets, which come out alike every time. */
 class HollowFleetTest {
@@ -60,7 +61,7 @@
     @Test
     void gossipReachesAllAndIsSentThreeTimesAPeriodForThreeLogarithmsOfPeriods() {
         int size = 64;
-        EventQueue clock = new EventQueue(0);
+        SimulatedClock clock = new SimulatedClock(0);
         Network network = new Network();
         Traffic traffic = new Traffic();
         List<HollowRelay> relays = new ArrayList<>();
