--- a/src/main/java/sandstack/measure/configuration/ConfigurationHeap.java
+++ b/src/main/java/sandstack/measure/configuration/ConfigurationHeap.java
@@ -14,7 +14,7 @@
 import sandstack.measure.scale.Series;
 import sandstack.measure.scale.Series.Point;
 
-/** Heap that a relay needs for configurations of several sizes, each decoded of its own bytes. */
+/** Measures the heap of a decoded configuration at several sizes. */
 final class ConfigurationHeap {
     private static final List<Integer> KILOBYTES = List.of(32, 128, 512, 1_000);
     private static final int VALUE_CHARACTERS = 100;
@@ -48,7 +48,7 @@
                 snapshots.add(codec.decodeSnapshot(encoded));
             }
         } catch (MalformedConfigurationException e) {
-            throw new IllegalStateException("a state of ours is not read", e);
+            throw new IllegalStateException("an encoded snapshot cannot be decoded", e);
         }
         double bytesPerSnapshot = (UsedHeap.bytes() - heapBytesBefore) / (double) DECODED_COPIES;
         return snapshots.size() == DECODED_COPIES ? bytesPerSnapshot : Double.NaN;
--- a/src/main/java/sandstack/measure/configuration/FleetScenario.java
+++ b/src/main/java/sandstack/measure/configuration/FleetScenario.java
@@ -8,13 +8,14 @@
 import java.util.function.ToLongFunction;
 import sandstack.configuration.ConfigurationEdit;
 import sandstack.configuration.ConfigurationEdit.Put;
+import sandstack.measure.configuration.FleetScenarioResult.FaultEffect;
 import sandstack.measure.configuration.FleetScenarioResult.Rates;
 
-/** Plays one day's events on a hollow fleet of one size, and counts. One thread. */
+/** Runs the changes and faults of a day on a hollow fleet of one size and measures their costs. Not thread-safe. */
 final class FleetScenario {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long STEP_MICROS = 20_000;
-    /** Nothing that is measured may take longer than this in simulated time. */
+    /** Maximum simulated time of an activation. */
     private static final long TIMEOUT_MICROS = 120 * MICROS_PER_SECOND;
 
     private static final int MACHINES = 7;
@@ -26,9 +27,10 @@
     private static final long CHANGE_INTERVAL_MICROS = (long) (86_400 * MICROS_PER_SECOND / CHANGES_PER_DAY);
 
     /**
-     * How long things are watched, in simulated seconds.
+     * Durations of the phases, in simulated seconds.
      *
-     * @param measuresCosts whether processor time and heap are measured; they differ from run to run
+     * @param changes number of changes in the phase with changes
+     * @param measuresCosts whether to measure processor time and heap, which differ from run to run
      */
     record Durations(int idleSeconds, int changes, int partitionSeconds, int settleSeconds, boolean measuresCosts) {}
 
@@ -42,58 +44,85 @@
         this.fleet = new HollowConfigurationFleet(HollowConfigurationFleet.Plan.of(relays, MACHINES, seed));
     }
 
+    /** Runs all phases; to be called once. */
     FleetScenarioResult run() {
-        long heapBefore = durations.measuresCosts() ? UsedHeap.bytes() : 0;
-        fleet.machines().forEach(HollowProcess::start);
-        proposeInitialConfiguration();
-        fleet.clock().advance(2 * MICROS_PER_SECOND);
-        fleet.relays().forEach(HollowProcess::start);
-        double afterStart = secondsUntilActiveEverywhere();
+        long heapBytesBefore = durations.measuresCosts() ? UsedHeap.bytes() : 0;
+        double convergenceAfterStart = startFleet();
         settle();
-        double heap = durations.measuresCosts()
-                ? (double) (UsedHeap.bytes() - heapBefore) / fleet.relays().size()
+        double heapBytesPerRelay = durations.measuresCosts()
+                ? (double) (UsedHeap.bytes() - heapBytesBefore) / fleet.relays().size()
                 : 0;
         Rates idle = measureRates(
                 durations.idleSeconds(), () -> fleet.clock().advance(durations.idleSeconds() * MICROS_PER_SECOND));
-        double[] everywhere = {0};
-        double changingSeconds = durations.changes() * CHANGE_INTERVAL_MICROS / (double) MICROS_PER_SECOND;
-        Rates changing = measureRates(changingSeconds, () -> everywhere[0] = runChanges(durations.changes()));
+        ChangePhase changes = measureChanges();
         PeakHelloRate hellos = new PeakHelloRate(fleet);
-        double afterKill = killBusiestMachine();
-        fleet.clock().advance(2 * MICROS_PER_SECOND);
-        double killPeak = hellos.takePeak();
+        FaultEffect kill = measureKill(hellos);
         fleet.startAll();
         settle();
         hellos.takePeak();
-        Rates apart = measureRates(durations.partitionSeconds(), this::partitionRegions);
-        double apartPeak = hellos.takePeak();
-        double afterRegionCut = healRegions();
+        PartitionPhase partition = measurePartition(hellos);
         settle();
         hellos.takePeak();
-        double afterZone = restartZone();
-        fleet.clock().advance(2 * MICROS_PER_SECOND);
-        double zonePeak = hellos.takePeak();
+        FaultEffect zoneStart = measureZoneStart(hellos);
+        int maxSessions = fleet.machines().stream()
+                .mapToInt(HollowControlMachine::maxSessions)
+                .max()
+                .orElse(0);
         return new FleetScenarioResult(
                 fleet.relays().size(),
                 idle,
-                changing,
-                apart,
-                everywhere[0],
-                afterKill,
-                afterRegionCut,
-                afterZone,
-                afterStart,
-                killPeak,
-                zonePeak,
-                apartPeak,
-                fleet.machines().stream()
-                        .mapToInt(HollowControlMachine::maxSessions)
-                        .max()
-                        .orElse(0),
-                heap);
-    }
-
-    /** The configuration that stands before anything is measured. */
+                changes.rates(),
+                partition.rates(),
+                changes.activationSeconds(),
+                kill,
+                partition.effect(),
+                zoneStart,
+                convergenceAfterStart,
+                maxSessions,
+                heapBytesPerRelay);
+    }
+
+    /** Rates at the planned rate of changes, and the longest activation. */
+    private record ChangePhase(Rates rates, double activationSeconds) {}
+
+    /** Rates during a partition, and the effect of its end. */
+    private record PartitionPhase(Rates rates, FaultEffect effect) {}
+
+    /** Returns the seconds from the start of the relays until all have the initial configuration. */
+    private double startFleet() {
+        fleet.machines().forEach(HollowProcess::start);
+        proposeInitialConfiguration();
+        fleet.clock().advance(2 * MICROS_PER_SECOND);
+        fleet.relays().forEach(HollowProcess::start);
+        return secondsUntilActiveEverywhere();
+    }
+
+    private ChangePhase measureChanges() {
+        double[] longestSeconds = {0};
+        double phaseSeconds = durations.changes() * CHANGE_INTERVAL_MICROS / (double) MICROS_PER_SECOND;
+        Rates rates = measureRates(phaseSeconds, () -> longestSeconds[0] = runChanges(durations.changes()));
+        return new ChangePhase(rates, longestSeconds[0]);
+    }
+
+    private FaultEffect measureKill(PeakHelloRate hellos) {
+        double seconds = killBusiestMachine();
+        fleet.clock().advance(2 * MICROS_PER_SECOND);
+        return new FaultEffect(seconds, hellos.takePeak());
+    }
+
+    private PartitionPhase measurePartition(PeakHelloRate hellos) {
+        Rates rates = measureRates(durations.partitionSeconds(), this::partitionRegions);
+        double peakHellos = hellos.takePeak();
+        return new PartitionPhase(rates, new FaultEffect(healRegions(), peakHellos));
+    }
+
+    private FaultEffect measureZoneStart(PeakHelloRate hellos) {
+        double seconds = restartZone();
+        fleet.clock().advance(2 * MICROS_PER_SECOND);
+        return new FaultEffect(seconds, hellos.takePeak());
+    }
+
+    /** Commits the configuration that the fleet starts with. */
     private void proposeInitialConfiguration() {
         List<ConfigurationEdit> edits = new ArrayList<>();
         for (int key = 0; key < KEYS; key++) {
@@ -133,7 +162,7 @@
         propose(edits);
     }
 
-    /** Makes changes at the planned rate; returns the longest time until one was in force everywhere. */
+    /** Makes changes at the planned rate; returns the longest activation in seconds. */
     private double runChanges(int changes) {
         double longest = 0;
         for (int i = 0; i < changes; i++) {
@@ -148,7 +177,7 @@
         return longest;
     }
 
-    /** The machine with most relays is lost as a change is made. */
+    /** Kills the machine with most relays at the time of a change; returns the seconds until its activation. */
     private double killBusiestMachine() {
         HollowControlMachine busiest = fleet.machines().stream()
                 .max(Comparator.comparingInt(
@@ -180,7 +209,7 @@
         return secondsUntilActiveEverywhere();
     }
 
-    /** A zone's relays are lost with their machines, and start all at once after a change. */
+    /** Loses a zone, makes a change and restarts the zone; returns the seconds from the restart until convergence. */
     private double restartZone() {
         List<HollowRelay> zone = new ArrayList<>();
         for (int i = 0; i < fleet.relays().size(); i += ZONES) {
@@ -212,7 +241,7 @@
         long wallBefore = System.nanoTime();
         long threadBefore = threadCpuNanos();
         task.run();
-        // timed by the wall, scaled to what this thread had of the processor
+        // busy times are wall-clock times; scales them by the share of the processor that this thread had
         double cpuFraction = durations.measuresCosts()
                 ? (threadCpuNanos() - threadBefore) / (double) Math.max(1, System.nanoTime() - wallBefore)
                 : 0;
--- a/src/main/java/sandstack/measure/configuration/FleetScenarioResult.java
+++ b/src/main/java/sandstack/measure/configuration/FleetScenarioResult.java
@@ -1,20 +1,19 @@
 package sandstack.measure.configuration;
 
 /**
- * What the distribution of the configuration cost and how long it took in a fleet of one size. Rates are a second;
- * times are simulated seconds.
+ * Costs and latencies of the configuration distribution in a fleet of one size. Rates are per second of simulated time.
  *
- * @param relays in the fleet
- * @param idle nothing is changed
- * @param changing at the planned rate of changes
- * @param activationSeconds the longest from the agreement on a change until it was in force at all relays
- * @param activationAfterKillSeconds the same where a control machine is lost as the change is made
- * @param convergenceAfterPartitionSeconds from the end of a cut of the two regions until all relays held the same
- * @param convergenceAfterZoneStartSeconds from the start of a zone's relays, all at once, until all held the same
- * @param convergenceAfterStartSeconds from the start of all relays with empty disks until all held the same
- * @param peakHellosAfterKill in the busiest second, at the busiest control machine, after another was lost
- * @param peakHellosAfterZoneStart the same after a zone's relays started
- * @param peakHellosDuringPartition the same while the regions were apart
+ * @param relays size of the fleet
+ * @param idle rates without changes
+ * @param changing rates at the planned rate of changes
+ * @param partitioned rates while the regions are partitioned
+ * @param activationSeconds longest time from the commit of a change until it was active at all relays
+ * @param kill loss of a control machine at the time of a change, until its activation at all relays
+ * @param partition end of the partition, until convergence of all relays; hellos during the partition
+ * @param zoneStart simultaneous start of a zone's relays, until convergence of all relays
+ * @param convergenceAfterStartSeconds time from the start of all relays with empty disks until convergence
+ * @param maxSessions most sessions of a control machine
+ * @param heapBytesPerRelay heap of the process divided by the relays; 0 unless measured
  */
 record FleetScenarioResult(
         int relays,
@@ -22,20 +21,31 @@
         Rates changing,
         Rates partitioned,
         double activationSeconds,
-        double activationAfterKillSeconds,
-        double convergenceAfterPartitionSeconds,
-        double convergenceAfterZoneStartSeconds,
+        FaultEffect kill,
+        FaultEffect partition,
+        FaultEffect zoneStart,
         double convergenceAfterStartSeconds,
-        double peakHellosAfterKill,
-        double peakHellosAfterZoneStart,
-        double peakHellosDuringPartition,
         double maxSessions,
         double heapBytesPerRelay) {
     /**
-     * Rates of one process of each kind; of the control machines the busiest.
+     * Effect of a fault.
      *
-     * @param relayCpuMicros of one relay on average, in microseconds of processor time a second
-     * @param controlCpuMicros of one control machine on average, the same
+     * @param seconds time until all relays are up to date again
+     * @param peakHellos hellos in the busiest second at the busiest control machine
+     */
+    record FaultEffect(double seconds, double peakHellos) {}
+
+    /**
+     * Rates per process: means of the relays and maxima of the control machines, unless stated otherwise.
+     *
+     * @param relayMessages sent and received
+     * @param relayBytes sent and received
+     * @param busiestRelayBytes maximum of the relays
+     * @param relayCpuMicros processor time; 0 unless measured
+     * @param controlMessages sent and received
+     * @param controlBytes sent and received
+     * @param controlOtherRegionBytes part of these that crosses regions
+     * @param controlCpuMicros mean processor time of a control machine; 0 unless measured
      */
     record Rates(
             double relayMessages,
--- a/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
@@ -17,26 +17,29 @@
 import sandstack.configuration.RelayIdentity;
 import sandstack.measure.scale.SimulatedClock;
 
-/** A fleet of relays and control machines in two regions, in one process and in simulated time. One thread. */
+/** A fleet of relays and control machines in two regions, in one process and in simulated time. Not thread-safe. */
 public final class HollowConfigurationFleet {
-    /** Between two turns of a relay, in microseconds. */
+    /** Interval of a relay's turns. */
     static final long RELAY_TURN_MICROS = 250_000;
-    /** A consensus library keeps some thousands of entries of its log. */
+    /** A consensus library retains some thousands of log entries. */
     private static final int MAX_REPLAYED_CHANGES = 1_000;
-    /** Relays take their turns in so many groups, one after another. */
+    /** Relays take turns in groups, as one event for many turns keeps the event queue short. */
     private static final int TURN_GROUPS = 25;
-    /** Between two turns of a control machine, in microseconds. */
+    /** Interval of a control machine's turns. */
     static final long CONTROL_TURN_MICROS = 100_000;
 
     private static final long START_MICROS = 1_000_000;
     private static final List<String> REGIONS = List.of("north", "south");
 
     /**
-     * What the fleet is made of.
+     * Size and settings of a fleet.
      *
-     * @param maxReplayedChanges changes that a control machine which was away is told one by one; where there are more, it gets
-     *     the whole state
-     * @param seed of all draws; the same gives the same run
+     * @param relays number of relays
+     * @param machines number of control machines
+     * @param publisher settings of the control machines
+     * @param follower settings of the relays
+     * @param maxReplayedChanges most changes that a lagging control machine replays; beyond, it installs a snapshot
+     * @param seed of all random draws
      */
     public record Plan(
             int relays,
@@ -45,7 +48,7 @@
             FollowerSettings follower,
             int maxReplayedChanges,
             long seed) {
-        /** With the settings that hold where staff state nothing else. */
+        /** A plan with default settings. */
         public static Plan of(int relays, int machines, long seed) {
             return new Plan(
                     relays, machines, PublisherSettings.DEFAULT, FollowerSettings.DEFAULT, MAX_REPLAYED_CHANGES, seed);
@@ -65,7 +68,7 @@
     private final ModelledConsensus consensus;
     private long connections;
 
-    /** Makes all processes; none runs yet. */
+    /** Creates all processes without starting them. */
     public HollowConfigurationFleet(Plan plan) {
         this.plan = plan;
         this.random = new SplittableRandom(plan.seed());
@@ -82,18 +85,18 @@
         runTurns(0);
     }
 
-    /** Starts all that do not run. */
+    /** Starts all processes that are not running. */
     public void startAll() {
         machines.stream().filter(each -> !each.isRunning()).forEach(HollowProcess::start);
         relays.stream().filter(each -> !each.isRunning()).forEach(HollowProcess::start);
     }
 
-    /** The simulated time. */
+    /** The simulated clock. */
     public SimulatedClock clock() {
         return clock;
     }
 
-    /** What the machines have agreed on. */
+    /** The modelled consensus of the control machines. */
     public ModelledConsensus consensus() {
         return consensus;
     }
@@ -108,12 +111,12 @@
         return List.copyOf(relays);
     }
 
-    /** What happens to messages from now on. */
+    /** Sets the faults of the network from now on. */
     public void setFaults(NetworkFaults faults) {
         network.setFaults(faults);
     }
 
-    /** Whether the last agreed state is in force at every relay. */
+    /** Whether the last committed snapshot is active at every relay. */
     public boolean isActiveEverywhere() {
         ConfigurationVersion version = consensus.current().version();
         return relays.stream()
@@ -121,7 +124,7 @@
                         && relay.follower().activeSnapshot().version().equals(version));
     }
 
-    /** Runs until the last agreed state is in force everywhere; returns how long that took, -1 where it did not. */
+    /** Advances until the last committed snapshot is active at every relay; returns the microseconds, -1 after the timeout. */
     public long advanceUntilActiveEverywhere(long stepMicros, long timeoutMicros) {
         long startMicros = clock.nowMicros();
         while (!isActiveEverywhere()) {
@@ -141,7 +144,6 @@
         return messages;
     }
 
-    /** One event for many turns keeps the queue of events short. */
     private void runTurns(int group) {
         for (int i = group; i < relays.size(); i += TURN_GROUPS) {
             relays.get(i).runTurn();
@@ -173,14 +175,14 @@
         return new HollowConnection(++connections, relay, machine);
     }
 
-    /** The machine hears that a connection is gone. */
+    /** Notifies the control machine that a connection was closed. */
     void closeAtMachine(HollowConnection connection) {
         network.signal(connection.relay(), connection.machine(), connection.toMachine(), () -> connection
                 .machine()
                 .onConnectionClosed(connection));
     }
 
-    /** The relay hears that a connection is gone. */
+    /** Notifies the relay that a connection was closed. */
     void closeAtRelay(HollowConnection connection) {
         network.signal(connection.machine(), connection.relay(), connection.toRelay(), () -> connection
                 .relay()
--- a/src/main/java/sandstack/measure/configuration/HollowConnection.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConnection.java
@@ -1,8 +1,8 @@
 package sandstack.measure.configuration;
 
-/** A connection of a relay with a control machine. One thread. */
+/** A connection of a relay with a control machine. Not thread-safe. */
 final class HollowConnection {
-    /** One direction: what is sent first arrives first, unless a fault delays it. */
+    /** One direction of a connection, which keeps the order of frames unless a fault delays one. */
     static final class Direction {
         long lastArrivalMicros;
     }
--- a/src/main/java/sandstack/measure/configuration/HollowControlMachine.java
+++ b/src/main/java/sandstack/measure/configuration/HollowControlMachine.java
@@ -8,7 +8,7 @@
 import sandstack.configuration.MalformedConfigurationException;
 import sandstack.configuration.PublisherOutput;
 
-/** A control machine: the real publisher, on a simulated network and a modelled consensus. One thread. */
+/** A control machine: a real publisher on a simulated network and a modelled consensus. Not thread-safe. */
 public final class HollowControlMachine extends HollowProcess implements PublisherOutput {
     private final HollowConfigurationFleet fleet;
     private final Map<String, HollowConnection> connections = new LinkedHashMap<>();
@@ -22,22 +22,22 @@
         this.fleet = fleet;
     }
 
-    /** The real publisher; null where the process does not run. */
+    /** The publisher; null while the process is not running. */
     public ConfigurationPublisher publisher() {
         return publisher;
     }
 
-    /** Hellos that have arrived. */
+    /** Number of received hellos. */
     public long helloCount() {
         return helloCount;
     }
 
-    /** The most sessions that it had at once. */
+    /** The largest number of concurrent sessions. */
     public int maxSessions() {
         return maxSessions;
     }
 
-    /** Lines that it has logged. */
+    /** Number of log lines. */
     public long logLines() {
         return logLines;
     }
@@ -76,7 +76,7 @@
         maxSessions = Math.max(maxSessions, publisher.sessionCount());
     }
 
-    /** A frame has arrived; where no process listens, the machine says so. */
+    /** Handles a frame; closes the connection at the relay if the process is not running but its machine is. */
     void receive(HollowConnection connection, byte[] frame) {
         if (!isRunning()) {
             if (!isMachineLost()) {
@@ -96,11 +96,11 @@
                 publisher.received(connection.peer(), message, fleet.clock().nowMicros());
             }
         } catch (MalformedConfigurationException e) {
-            throw new IllegalStateException("a frame of ours is not read", e);
+            throw new IllegalStateException("an encoded frame cannot be decoded", e);
         }
     }
 
-    /** The connection is gone. */
+    /** Called when the relay has closed a connection. */
     void onConnectionClosed(HollowConnection connection) {
         execute(() -> {
             connections.remove(connection.peer());
--- a/src/main/java/sandstack/measure/configuration/HollowProcess.java
+++ b/src/main/java/sandstack/measure/configuration/HollowProcess.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A process of the simulated fleet: may be killed, restarted, stopped for a while. One thread. */
+/** A simulated process, which can be killed, restarted and paused. Not thread-safe. */
 public abstract class HollowProcess {
     private final String name;
     private final String region;
@@ -25,37 +25,37 @@
         return name;
     }
 
-    /** The region that its machine is in. */
+    /** The region of its machine. */
     public String region() {
         return region;
     }
 
-    /** What it has sent and received. */
+    /** Counters of sent and received messages. */
     public Traffic traffic() {
         return traffic;
     }
 
-    /** Whether it runs, stopped for a while or not. */
+    /** Whether it is running, paused or not. */
     public boolean isRunning() {
         return running;
     }
 
-    /** Whether it is stopped for a while. */
+    /** Whether it is paused. */
     public boolean isPaused() {
         return paused;
     }
 
-    /** Whether nothing answers for it, as its whole machine is gone. */
+    /** Whether it was killed with its machine, so that peers are not notified of closed connections. */
     boolean isMachineLost() {
         return machineLost;
     }
 
-    /** Counts its starts. */
+    /** Number of starts. */
     public long incarnation() {
         return incarnation;
     }
 
-    /** Time on the processor since the last reset, as far as its work was timed. */
+    /** Wall-clock time of its tasks since the last reset, in nanoseconds. */
     long busyNanos() {
         return busyNanos;
     }
@@ -65,7 +65,7 @@
         busyNanos = 0;
     }
 
-    /** Starts it with what its disk holds. */
+    /** Starts it from its disk. */
     public void start() {
         running = true;
         paused = false;
@@ -76,9 +76,9 @@
     }
 
     /**
-     * Ends it at once.
+     * Kills it.
      *
-     * @param withMachine whether its machine is lost with it: then nobody hears that its connections are gone
+     * @param withMachine whether its machine is lost too, so that peers are not notified of closed connections
      */
     public void kill(boolean withMachine) {
         running = false;
@@ -88,12 +88,12 @@
         onKilled();
     }
 
-    /** Stops it; what arrives waits. */
+    /** Pauses it; tasks are deferred. */
     public void pause() {
         paused = running;
     }
 
-    /** Lets it go on, with all that has arrived meanwhile. */
+    /** Resumes it and runs the deferred tasks. */
     public void resume() {
         paused = false;
         List<Runnable> tasks = List.copyOf(deferredTasks);
@@ -101,7 +101,7 @@
         tasks.forEach(this::execute);
     }
 
-    /** Does something in this process, later where it is stopped. */
+    /** Runs a task of this process, deferred while it is paused, dropped while it is not running. */
     void execute(Runnable task) {
         if (paused) {
             deferredTasks.add(task);
@@ -112,7 +112,9 @@
         }
     }
 
+    /** Called after a start. */
     abstract void onStarted();
 
+    /** Called after a kill. */
     abstract void onKilled();
 }
--- a/src/main/java/sandstack/measure/configuration/HollowRelay.java
+++ b/src/main/java/sandstack/measure/configuration/HollowRelay.java
@@ -11,7 +11,7 @@
 import sandstack.configuration.FollowerOutput;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** A relay without clients: the real follower, on a simulated network and disk. One thread. */
+/** A relay without clients: a real follower on a simulated network and disk. Not thread-safe. */
 public final class HollowRelay extends HollowProcess implements FollowerOutput {
     private final HollowConfigurationFleet fleet;
     private final InMemoryConfigurationStore store = new InMemoryConfigurationStore();
@@ -26,12 +26,12 @@
         this.fleet = fleet;
     }
 
-    /** Is told of each state that is put in force. */
+    /** Sets the listener for activated snapshots. */
     public void setActivationListener(BiConsumer<HollowRelay, ConfigurationSnapshot> listener) {
         activationListener = listener;
     }
 
-    /** Is told of each message that arrives, before the follower. */
+    /** Sets the listener for received messages, which is called before the follower. */
     void setMessageListener(Consumer<ConfigurationMessage> listener) {
         messageListener = listener;
     }
@@ -41,12 +41,12 @@
         return store;
     }
 
-    /** The real follower; null where the process does not run. */
+    /** The follower; null while the process is not running. */
     public ConfigurationFollower follower() {
         return follower;
     }
 
-    /** Lines that it has logged. */
+    /** Number of log lines. */
     public long logLines() {
         return logLines;
     }
@@ -67,14 +67,14 @@
         }
     }
 
-    /** One of the fleet's turns, where the process runs. */
+    /** Runs a turn of the follower, if the process is running. */
     void runTurn() {
         if (isRunning() && !isPaused()) {
             execute(() -> follower.tick(fleet.clock().nowMicros()));
         }
     }
 
-    /** A frame has arrived on a connection; one that is no longer open hangs up on its sender. */
+    /** Handles a frame; closes the connection at the control machine if it is no longer open here. */
     void receive(HollowConnection connection, byte[] frame) {
         if (!isRunning() || connections.get(connection.machine().name()) != connection) {
             if (!isMachineLost()) {
@@ -96,11 +96,11 @@
                         connection.machine().name(), message, fleet.clock().nowMicros());
             }
         } catch (MalformedConfigurationException e) {
-            throw new IllegalStateException("a frame of ours is not read", e);
+            throw new IllegalStateException("an encoded frame cannot be decoded", e);
         }
     }
 
-    /** The connection is gone. */
+    /** Called when the control machine has closed a connection. */
     void onConnectionClosed(HollowConnection connection) {
         execute(() -> {
             if (connections.remove(connection.machine().name(), connection)) {
--- a/src/main/java/sandstack/measure/configuration/InMemoryConfigurationStore.java
+++ b/src/main/java/sandstack/measure/configuration/InMemoryConfigurationStore.java
@@ -8,7 +8,7 @@
 import sandstack.configuration.ConfigurationStore;
 import sandstack.configuration.ConfigurationStoreException;
 
-/** A relay's disk: outlives its process, may be wiped, replaced by an older state or damaged. One thread. */
+/** A relay's simulated disk, which survives its process and can be wiped, rolled back or corrupted. Not thread-safe. */
 public final class InMemoryConfigurationStore implements ConfigurationStore {
     private static final int MAX_SNAPSHOTS = 8;
 
@@ -18,36 +18,36 @@
     private boolean full;
     private boolean keepsHistory;
 
-    /** Keeps a few older states, to be started from. */
+    /** Retains some older snapshots for {@link #rollBack}. */
     public void keepHistory() {
         keepsHistory = true;
     }
 
-    /** Nothing is there any more. */
+    /** Deletes everything. */
     public void wipe() {
         snapshots.clear();
         corrupted = false;
         unreadable = false;
     }
 
-    /** An older state is there in place of the latest, where one is kept. */
+    /** Replaces the latest snapshot by an older one, as far as these are retained. */
     public void rollBack(int steps) {
         for (int i = 0; i < steps && snapshots.size() > 1; i++) {
             snapshots.remove(snapshots.size() - 1);
         }
     }
 
-    /** The entries no longer match their digest. */
+    /** Makes the entries no longer match their digest. */
     public void corrupt() {
         corrupted = true;
     }
 
-    /** Nothing of it can be read. */
+    /** Makes loading fail. */
     public void makeUnreadable() {
         unreadable = true;
     }
 
-    /** Takes nothing more, or does again. */
+    /** Makes writes fail for lack of space, or succeed again. */
     public void setFull(boolean isFull) {
         full = isFull;
     }
--- a/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
+++ b/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
@@ -16,17 +16,17 @@
 import sandstack.configuration.ConfigurationSnapshot;
 
 /**
- * Stands for the consensus of the control machines: what it agrees on, who hears of it, and who has a quorum. A change
- * is agreed where a majority of all machines is reached both ways from the one that proposes, and a machine learns what
- * was agreed while it reaches such a majority. Its own messages are not counted. One thread.
+ * Model of the consensus of the control machines. A change is committed if its proposer reaches a majority of all machines
+ * in both directions; a machine replicates committed changes while it reaches such a majority. Messages of the consensus
+ * are not counted. Not thread-safe.
  */
 public final class ModelledConsensus implements CommittedChangeListener {
-    /** A machine that lacks a majority for so long says that it lacks a quorum, in microseconds. */
+    /** Time without a majority after which a machine reports that it has no quorum. */
     private static final long QUORUM_TIMEOUT_MICROS = 1_000_000;
-    /** From the agreement to the next machine's knowledge, in microseconds: one way between regions and some. */
+    /** Time from a commit to its replication: more than the one-way latency between regions. */
     private static final long REPLICATION_DELAY_MICROS = 60_000;
 
-    /** What a machine's disk holds. */
+    /** State of a control machine's replica. */
     private static final class Replica {
         int appliedChanges;
         long lastMajorityMicros = Long.MIN_VALUE / 2;
@@ -57,25 +57,25 @@
 
     @Override
     public void restored(ConfigurationSnapshot snapshot) {
-        throw new IllegalStateException("the agreed history itself is never restored");
+        throw new IllegalStateException("the committed history is never restored");
     }
 
-    /** The state after the last agreed change. */
+    /** The snapshot after the last committed change. */
     public ConfigurationSnapshot current() {
         return history.current();
     }
 
-    /** The agreed state with this index. */
+    /** The committed snapshot at an index. */
     public Optional<ConfigurationSnapshot> state(long index) {
         return index < states.size() ? Optional.of(states.get((int) index)) : Optional.empty();
     }
 
-    /** When the change with this index was agreed. */
+    /** Commit time of the change at an index. */
     public long commitMicros(long index) {
         return commitMicros.get((int) index - 1);
     }
 
-    /** Proposes a change on the current state at a machine. */
+    /** Proposes a change of the current snapshot at a machine; returns the reason if it is rejected. */
     public Optional<ChangeRejection> propose(HollowControlMachine machine, List<ConfigurationEdit> edits) {
         if (!hasMajority(machine)) {
             return Optional.of(new ChangeRejection(Reason.NO_QUORUM, machine.name() + " reaches no majority"));
@@ -95,7 +95,7 @@
         return Optional.empty();
     }
 
-    /** Whether this machine reaches more than half of all, and they reach it. */
+    /** Whether a machine reaches a majority of all machines in both directions. */
     public boolean hasMajority(HollowControlMachine machine) {
         if (!isUp(machine)) {
             return false;
@@ -111,7 +111,7 @@
         return 2 * reachableMachines > fleet.machines().size();
     }
 
-    /** The disk of a machine holds an older state, or none. */
+    /** Rolls the disk of a machine back by this many changes. */
     public void rollBack(HollowControlMachine machine, int steps) {
         Replica replica = replica(machine);
         replica.appliedChanges = Math.max(0, replica.appliedChanges - steps);
--- a/src/main/java/sandstack/measure/configuration/NetworkFaults.java
+++ b/src/main/java/sandstack/measure/configuration/NetworkFaults.java
@@ -1,21 +1,21 @@
 package sandstack.measure.configuration;
 
-/** What happens to messages between two processes on their way. */
+/** Faults of the simulated network. */
 public interface NetworkFaults {
-    /** A network that loses nothing. */
+    /** No faults. */
     NetworkFaults NONE = new NetworkFaults() {};
 
-    /** Whether anything gets from one to the other now. */
+    /** Whether messages from one process reach the other now. */
     default boolean canReach(HollowProcess from, HollowProcess to) {
         return true;
     }
 
-    /** How often this message arrives: 0 where it is lost, 2 where it is duplicated. */
+    /** Number of deliveries of a message: 0 for a loss, 2 for a duplicate. */
     default int copies(HollowProcess from, HollowProcess to) {
         return 1;
     }
 
-    /** Microseconds that this copy takes beyond the usual; drawn for each, so copies pass each other. */
+    /** Additional latency of one delivery, which can reorder messages. */
     default long extraDelayMicros(HollowProcess from, HollowProcess to) {
         return 0;
     }
--- a/src/main/java/sandstack/measure/configuration/PeakHelloRate.java
+++ b/src/main/java/sandstack/measure/configuration/PeakHelloRate.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Hellos in the busiest second at the busiest control machine, looked at once a simulated second. One thread. */
+/** The peak rate of hellos per second at a control machine, sampled every simulated second. Not thread-safe. */
 final class PeakHelloRate {
     private static final long SAMPLE_INTERVAL_MICROS = 1_000_000;
 
@@ -24,7 +24,7 @@
         fleet.clock().schedule(SAMPLE_INTERVAL_MICROS, this::sample);
     }
 
-    /** The peak since the last call. */
+    /** Returns and resets the peak. */
     double takePeak() {
         long taken = peak;
         peak = 0;
--- a/src/main/java/sandstack/measure/configuration/SimulatedNetwork.java
+++ b/src/main/java/sandstack/measure/configuration/SimulatedNetwork.java
@@ -5,11 +5,11 @@
 import sandstack.measure.configuration.HollowConnection.Direction;
 import sandstack.measure.scale.SimulatedClock;
 
-/** Carries frames between processes and counts them. One thread. */
+/** Delivers frames between simulated processes with random latencies and faults, and counts them. Not thread-safe. */
 final class SimulatedNetwork {
     private static final long SAME_REGION_MICROS = 500;
     private static final long OTHER_REGION_MICROS = 35_000;
-    /** The latency is drawn up to this many times its least. */
+    /** Latencies are uniform up to this multiple of the minimum. */
     private static final int MAX_LATENCY_FACTOR = 2;
 
     private final SimulatedClock clock;
@@ -21,16 +21,17 @@
         this.random = random;
     }
 
+    /** Sets the faults of frames from now on. */
     void setFaults(NetworkFaults newFaults) {
         faults = newFaults;
     }
 
-    /** Whether frames get from one to the other now. */
+    /** Whether frames from one process reach the other now. */
     boolean canReach(HollowProcess from, HollowProcess to) {
         return faults.canReach(from, to);
     }
 
-    /** Sends a frame; who receives it is asked whether it is there when it arrives. */
+    /** Sends a frame; the receiver is called on its arrival. */
     void send(HollowProcess from, HollowProcess to, Direction direction, byte[] frame, Consumer<byte[]> receiver) {
         boolean otherRegion = !from.region().equals(to.region());
         from.traffic().count(frame.length, otherRegion);
@@ -40,7 +41,7 @@
         });
     }
 
-    /** The same for an event without a frame, such as the end of a connection. */
+    /** Sends an event without a frame, such as the close of a connection. */
     void signal(HollowProcess from, HollowProcess to, Direction direction, Runnable arrival) {
         if (!faults.canReach(from, to)) {
             return;
--- a/src/main/java/sandstack/measure/configuration/Traffic.java
+++ b/src/main/java/sandstack/measure/configuration/Traffic.java
@@ -1,20 +1,20 @@
 package sandstack.measure.configuration;
 
-/** Messages and bytes of one process. One thread. */
+/** Counters of messages and bytes of one process. Not thread-safe. */
 public final class Traffic {
-    /** Length prefix, and the headers of IPv4 and TCP with timestamps for the segment and its acknowledgement. */
+    /** Length prefix, and IPv4 and TCP headers with timestamps of the segment and its acknowledgement. */
     public static final int FRAME_OVERHEAD_BYTES = 4 + 52 + 52;
 
     long messages;
     long bytes;
     long otherRegionBytes;
 
-    /** Sent and received. */
+    /** Messages sent and received. */
     public long messages() {
         return messages;
     }
 
-    /** Sent and received, each frame with {@link #FRAME_OVERHEAD_BYTES}. */
+    /** Bytes sent and received, including {@link #FRAME_OVERHEAD_BYTES} per frame. */
     public long bytes() {
         return bytes;
     }
--- a/src/main/java/sandstack/measure/configuration/UsedHeap.java
+++ b/src/main/java/sandstack/measure/configuration/UsedHeap.java
@@ -1,13 +1,13 @@
 package sandstack.measure.configuration;
 
-/** What this process keeps in its heap. */
+/** The used heap of this process. */
 final class UsedHeap {
-    /** The serial collector leaves some that is dead in three of four full collections (MarkSweepAlwaysCompactCount). */
+    /** The serial collector compacts completely in one of four full collections (MarkSweepAlwaysCompactCount). */
     private static final int COLLECTIONS = 4;
 
     private UsedHeap() {}
 
-    /** Bytes that are in use after collection. */
+    /** Used bytes after full collections. */
     static long bytes() {
         for (int i = 0; i < COLLECTIONS; i++) {
             System.gc();
--- a/src/main/java/sandstack/measure/configuration/package-info.java
+++ b/src/main/java/sandstack/measure/configuration/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The distribution of the configuration at the size of a whole fleet in one process: the real publishers and followers
- * on a simulated clock and a counted network in memory, with faults where a test asks for them.
+ * Simulation of the configuration distribution at the size of a whole fleet, in one process: real publishers and followers
+ * on a simulated clock and an in-memory network with fault injection.
  */
 package sandstack.measure.configuration;
--- a/src/test/java/sandstack/measure/EstimatorMeasurementTest.java
+++ b/src/test/java/sandstack/measure/EstimatorMeasurementTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The comparison of estimators is in simulated time, so it is a test as well. */
+/** The simulated comparison of estimators meets its targets and is deterministic. */
 class EstimatorMeasurementTest {
     private static List<MetricResult> run(long seed, List<String> said) {
         return new EstimatorMeasurement().run(new Measurement.Options(true, Path.of("x.jar"), null, seed), said::add);
--- a/src/test/java/sandstack/measure/FittedShapesTest.java
+++ b/src/test/java/sandstack/measure/FittedShapesTest.java
@@ -12,7 +12,7 @@
 import sandstack.measure.scale.ScaleReport.Result;
 import sandstack.measure.scale.ScaleRun;
 
-/** The small form of {@code measure scale}: every series has the shape that is stated in a file, every time. */
+/** Every series of {@code measure scale} with the small effort has the shape that a file states, and is deterministic. */
 class FittedShapesTest {
     private static final String TOO_FEW_SIZES = "TOO_FEW_SIZES";
     private static final Path EXPECTED = Path.of("src/test/resources/measure/small-shapes.txt");
--- a/src/test/java/sandstack/measure/ScaleCommandTest.java
+++ b/src/test/java/sandstack/measure/ScaleCommandTest.java
@@ -19,7 +19,7 @@
 import sandstack.measure.scale.Series;
 import sandstack.measure.scale.Shape;
 
-/** The command {@code measure scale}, over measurements whose values are known. */
+/** The command {@code measure scale} with measurements of known values. */
 class ScaleCommandTest {
     @TempDir
     Path folder;
--- a/src/test/java/sandstack/measure/configuration/ConfigurationFaultsTest.java
+++ b/src/test/java/sandstack/measure/configuration/ConfigurationFaultsTest.java
@@ -10,21 +10,23 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Drawn schedules of faults, with every promise of the distribution checked on each state. */
+/** Random fault schedules; every activated snapshot is checked against the invariants of the distribution. */
 class ConfigurationFaultsTest {
     private static final int SCHEDULES = 200;
 
-    /** Other schedules in each run of the tests. */
+    /** New schedules in each run of the tests. */
     @Property(tries = 20)
     void noScheduleBreaksARule(@ForAll long seed) {
-        assertThat(new DrawnFaults(seed).play().rules().broken()).isEmpty();
+        assertThat(new RandomFaultSchedule(seed).run().invariants().violations())
+                .isEmpty();
     }
 
     @Test
     void aSeedGivesTheSameRun() {
-        DrawnFaults one = new DrawnFaults(7).play();
-        DrawnFaults other = new DrawnFaults(7).play();
-        assertThat(other.rules().states()).isEqualTo(one.rules().states());
+        RandomFaultSchedule one = new RandomFaultSchedule(7).run();
+        RandomFaultSchedule other = new RandomFaultSchedule(7).run();
+        assertThat(other.invariants().checkedStates())
+                .isEqualTo(one.invariants().checkedStates());
         for (int i = 0; i < one.fleet().relays().size(); i++) {
             Traffic traffic = one.fleet().relays().get(i).traffic();
             assertThat(other.fleet().relays().get(i).traffic().bytes()).isEqualTo(traffic.bytes());
@@ -33,30 +35,30 @@
 
     @Test
     void noDrawnScheduleBreaksARule() {
-        List<String> broken = new ArrayList<>();
-        Set<String> done = new TreeSet<>();
+        List<String> violations = new ArrayList<>();
+        Set<String> injectedFaults = new TreeSet<>();
         long states = 0;
-        long agreed = 0;
-        long refused = 0;
-        long slowest = 0;
+        long committed = 0;
+        long rejected = 0;
+        long slowestMicros = 0;
         for (long seed = 1; seed <= SCHEDULES; seed++) {
-            DrawnFaults faults = new DrawnFaults(seed).play();
-            for (String what : faults.rules().broken()) {
-                broken.add("seed " + seed + ": " + what);
+            RandomFaultSchedule faults = new RandomFaultSchedule(seed).run();
+            for (String violation : faults.invariants().violations()) {
+                violations.add("seed " + seed + ": " + violation);
             }
-            done.addAll(faults.done());
-            slowest = Math.max(slowest, faults.settledAfter());
-            states += faults.rules().states();
-            agreed += faults.agreed();
-            refused += faults.refused();
+            injectedFaults.addAll(faults.injectedFaults());
+            slowestMicros = Math.max(slowestMicros, faults.convergenceMicros());
+            states += faults.invariants().checkedStates();
+            committed += faults.committedChanges();
+            rejected += faults.rejectedChanges();
         }
         System.out.printf(
                 "%d schedules, %d changes, %d refused, %d states, equal after %.2f s at most%n",
-                SCHEDULES, agreed, refused, states, slowest / (double) DrawnFaults.SECOND);
-        assertThat(broken).isEmpty();
-        assertThat(done).hasSize(13);
-        assertThat(agreed).isGreaterThan(SCHEDULES * 20);
-        assertThat(refused).isGreaterThan(SCHEDULES);
+                SCHEDULES, committed, rejected, states, slowestMicros / (double) RandomFaultSchedule.MICROS_PER_SECOND);
+        assertThat(violations).isEmpty();
+        assertThat(injectedFaults).hasSize(13);
+        assertThat(committed).isGreaterThan(SCHEDULES * 20);
+        assertThat(rejected).isGreaterThan(SCHEDULES);
         assertThat(states).isGreaterThan(SCHEDULES * 200L);
     }
 }
--- a/src/test/java/sandstack/measure/configuration/ConfigurationScaleTest.java
+++ b/src/test/java/sandstack/measure/configuration/ConfigurationScaleTest.java
@@ -8,7 +8,7 @@
 import sandstack.measure.scale.Series;
 import sandstack.measure.scale.Series.Point;
 
-/** The small form of the measurement: the same every time, and within the budgets at each size. */
+/** The measurement with the small effort is deterministic and within the budgets at each size. */
 class ConfigurationScaleTest {
     private static final double BYTES_PER_SECOND = 4_096;
     private static final double SECONDS_TO_BE_IN_FORCE = 16;
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Nothing that a relay does grows with the fleet. */
+    /** No cost of a relay grows with the fleet. */
     @Test
     void aRelaysCostDoesNotGrowWithTheFleet() {
         for (Series s : SERIES) {
--- a/src/test/java/sandstack/measure/configuration/PlantedFaultsTest.java
+++ b/src/test/java/sandstack/measure/configuration/PlantedFaultsTest.java
@@ -16,32 +16,32 @@
 import sandstack.configuration.ConfigurationSnapshot;
 import sandstack.configuration.ConfigurationVersion;
 
-/** The checker finds faults that were put in on purpose; without them the same schedules are clean. */
+/** The invariants detect planted faults of a follower or publisher; the same schedules pass without them. */
 class PlantedFaultsTest {
     private static final long SECOND = 1_000_000;
     private static final int SCHEDULES = 20;
 
-    /** Takes the changes that a relay hears, without the care of the real follower. */
+    /** Applies the changes that a relay receives without the checks of the real follower. */
     private static final class CarelessFollower {
         private final HollowRelay relay;
-        private final DistributionRules rules;
+        private final DistributionInvariants invariants;
         private final boolean goesBack;
         private final Map<String, String> entries = new TreeMap<>();
         private long index;
 
-        CarelessFollower(HollowRelay relay, DistributionRules rules, boolean goesBack) {
+        CarelessFollower(HollowRelay relay, DistributionInvariants invariants, boolean goesBack) {
             this.relay = relay;
-            this.rules = rules;
+            this.invariants = invariants;
             this.goesBack = goesBack;
         }
 
-        void hear(ConfigurationMessage message) {
+        void received(ConfigurationMessage message) {
             if (message instanceof Deltas deltas) {
-                deltas.changes().forEach(this::take);
+                deltas.changes().forEach(this::apply);
             }
         }
 
-        private void take(CommittedChange agreed) {
+        private void apply(CommittedChange agreed) {
             if (!goesBack && agreed.version().index() <= index) {
                 return;
             }
@@ -53,7 +53,7 @@
                     entries.remove(edit.key());
                 }
             }
-            rules.inForce(
+            invariants.onActivated(
                     relay,
                     ConfigurationSnapshot.of(agreed.version(), agreed.change().formatVersion(), entries));
         }
@@ -62,15 +62,15 @@
     private static long schedulesFound(boolean goesBack, String message) {
         long found = 0;
         for (long seed = 1; seed <= SCHEDULES; seed++) {
-            DrawnFaults faults = new DrawnFaults(seed);
+            RandomFaultSchedule faults = new RandomFaultSchedule(seed);
             HollowRelay relay = faults.fleet().relays().get(0);
             relay.setActivationListener((r, snapshot) -> {});
-            CarelessFollower careless = new CarelessFollower(relay, faults.rules(), goesBack);
-            relay.setMessageListener(careless::hear);
-            faults.play();
-            boolean here = faults.rules().broken().stream().anyMatch(line -> line.contains(message));
-            assertThat(faults.rules().broken()).allMatch(line -> line.startsWith(relay.name() + " "));
-            found += here ? 1 : 0;
+            CarelessFollower careless = new CarelessFollower(relay, faults.invariants(), goesBack);
+            relay.setMessageListener(careless::received);
+            faults.run();
+            boolean detected = faults.invariants().violations().stream().anyMatch(line -> line.contains(message));
+            assertThat(faults.invariants().violations()).allMatch(line -> line.startsWith(relay.name() + " "));
+            found += detected ? 1 : 0;
         }
         return found;
     }
@@ -82,27 +82,27 @@
 
     @Test
     void aFollowerThatGoesBackIsFound() {
-        // it shows only where an older message arrives late or twice: ten of these schedules when this was written
+        // detectable only if an older message arrives late or twice
         assertThat(schedulesFound(true, " went from ")).isGreaterThanOrEqualTo(SCHEDULES / 4);
     }
 
-    /** A half that believes itself whole: its machine sends what no quorum agreed on. */
+    /** Split brain: a machine publishes a change that no quorum committed. */
     @Test
     void aPublisherThatSendsWhatWasNotAgreedIsFound() {
         HollowConfigurationFleet fleet = new HollowConfigurationFleet(HollowConfigurationFleet.Plan.of(8, 5, 3));
-        DistributionRules rules = new DistributionRules(fleet);
+        DistributionInvariants invariants = new DistributionInvariants(fleet);
         fleet.startAll();
         fleet.clock().advance(2 * SECOND);
         fleet.consensus().propose(fleet.machines().get(0), List.of(new Put("a", "1")));
         fleet.clock().advance(2 * SECOND);
-        assertThat(rules.broken()).isEmpty();
-        HollowControlMachine believer = fleet.machines().stream()
-                .filter(machine -> machine.publisher().sessionCount() > 0)
+        assertThat(invariants.violations()).isEmpty();
+        HollowControlMachine machine = fleet.machines().stream()
+                .filter(each -> each.publisher().sessionCount() > 0)
                 .findFirst()
                 .orElseThrow();
-        believer.publisher().committed(forged(fleet.consensus().current()));
+        machine.publisher().committed(forged(fleet.consensus().current()));
         fleet.clock().advance(SECOND);
-        assertThat(rules.broken()).isNotEmpty().allMatch(line -> line.endsWith("which was not agreed"));
+        assertThat(invariants.violations()).isNotEmpty().allMatch(line -> line.endsWith("which was not agreed"));
     }
 
     private static CommittedChange forged(ConfigurationSnapshot current) {
@@ -113,22 +113,22 @@
         return new CommittedChange(version, change, digest);
     }
 
-    /** The end of a schedule is looked at as well: a relay that nobody reaches is told. */
+    /** A relay that no message reaches fails the convergence check. */
     @Test
     void aRelayThatStaysBehindIsFound() {
         HollowConfigurationFleet fleet = new HollowConfigurationFleet(HollowConfigurationFleet.Plan.of(8, 5, 3));
-        DistributionRules rules = new DistributionRules(fleet);
-        HollowRelay deaf = fleet.relays().get(5);
+        DistributionInvariants invariants = new DistributionInvariants(fleet);
+        HollowRelay unreachable = fleet.relays().get(5);
         fleet.setFaults(new NetworkFaults() {
             @Override
             public boolean canReach(HollowProcess from, HollowProcess to) {
-                return to != deaf;
+                return to != unreachable;
             }
         });
         fleet.startAll();
         fleet.consensus().propose(fleet.machines().get(0), List.of(new Put("a", "1")));
-        fleet.clock().advance(DrawnFaults.EQUAL_WITHIN);
-        rules.settled(fleet);
-        assertThat(rules.broken()).hasSize(1).allMatch(line -> line.startsWith("relay-5 has 0/0 in the end"));
+        fleet.clock().advance(RandomFaultSchedule.CONVERGENCE_TIMEOUT_MICROS);
+        invariants.checkConverged(fleet);
+        assertThat(invariants.violations()).hasSize(1).allMatch(line -> line.startsWith("relay-5 has 0/0 in the end"));
     }
 }
--- a/src/test/java/sandstack/measure/configuration/DrawnFaults.java
+++ b/src/test/java/sandstack/measure/configuration/RandomFaultSchedule.java
@@ -11,38 +11,38 @@
 import sandstack.configuration.FollowerSettings;
 import sandstack.configuration.PublisherSettings;
 
-/** One drawn schedule of faults and changes on a small fleet, from a seed. */
-final class DrawnFaults implements NetworkFaults {
-    static final long SECOND = 1_000_000;
-    /** All relays hold the same so long after the faults end. */
-    static final long EQUAL_WITHIN = 16 * SECOND;
+/** A random schedule of faults and changes on a small fleet, from a seed. */
+final class RandomFaultSchedule implements NetworkFaults {
+    static final long MICROS_PER_SECOND = 1_000_000;
+    /** Maximum time from the end of all faults until convergence. */
+    static final long CONVERGENCE_TIMEOUT_MICROS = 16 * MICROS_PER_SECOND;
 
     private static final int RELAYS = 16;
     private static final int STEPS = 24;
-    private static final int MOST_REPLAYED = 20;
-    /** A short history and small parts, so that snapshots are fetched as well. */
-    private static final PublisherSettings SMALL =
-            new PublisherSettings(20, 2 * SECOND, 8 * SECOND, 4, 400, 6, 1 << 20, 100, 3, 1 << 20, 1_000, 50, 200);
+    private static final int MAX_REPLAYED_CHANGES = 20;
+    /** A short history and small chunks, so that relays also fetch snapshots. */
+    private static final PublisherSettings SMALL_LIMITS = new PublisherSettings(
+            20, 2 * MICROS_PER_SECOND, 8 * MICROS_PER_SECOND, 4, 400, 6, 1 << 20, 100, 3, 1 << 20, 1_000, 50, 200);
 
     private final SplittableRandom random;
     private final HollowConfigurationFleet fleet;
-    private final DistributionRules rules;
-    private final Set<String> cut = new HashSet<>();
-    private final Set<String> done = new TreeSet<>();
-    private boolean regionsCut;
-    private double loss;
-    private double duplication;
-    private double delays;
-    private long settledAfter;
-    private int agreed;
-    private int refused;
-
-    DrawnFaults(long seed) {
+    private final DistributionInvariants invariants;
+    private final Set<String> cutLinks = new HashSet<>();
+    private final Set<String> injectedFaults = new TreeSet<>();
+    private boolean regionsPartitioned;
+    private double lossRate;
+    private double duplicationRate;
+    private double delayRate;
+    private long convergenceMicros;
+    private int committedChanges;
+    private int rejectedChanges;
+
+    RandomFaultSchedule(long seed) {
         random = new SplittableRandom(seed);
         int machines = random.nextBoolean() ? 7 : 5;
         fleet = new HollowConfigurationFleet(new HollowConfigurationFleet.Plan(
-                RELAYS, machines, SMALL, FollowerSettings.DEFAULT, MOST_REPLAYED, random.nextLong()));
-        rules = new DistributionRules(fleet);
+                RELAYS, machines, SMALL_LIMITS, FollowerSettings.DEFAULT, MAX_REPLAYED_CHANGES, random.nextLong()));
+        invariants = new DistributionInvariants(fleet);
         fleet.relays().forEach(relay -> relay.store().keepHistory());
     }
 
@@ -50,42 +50,42 @@
         return fleet;
     }
 
-    DistributionRules rules() {
-        return rules;
+    DistributionInvariants invariants() {
+        return invariants;
     }
 
-    /** Kinds of faults that were drawn. */
-    Set<String> done() {
-        return done;
+    /** Kinds of injected faults. */
+    Set<String> injectedFaults() {
+        return injectedFaults;
     }
 
-    /** From the end of all faults until all relays held the same; -1 where they did not in time. */
-    long settledAfter() {
-        return settledAfter;
+    /** Time from the end of all faults until convergence; -1 after the timeout. */
+    long convergenceMicros() {
+        return convergenceMicros;
     }
 
-    int agreed() {
-        return agreed;
+    int committedChanges() {
+        return committedChanges;
     }
 
-    int refused() {
-        return refused;
+    int rejectedChanges() {
+        return rejectedChanges;
     }
 
-    /** Plays the schedule, ends all faults, and looks at what holds then. */
-    DrawnFaults play() {
+    /** Runs the schedule, ends all faults and checks convergence. */
+    RandomFaultSchedule run() {
         fleet.setFaults(this);
         fleet.startAll();
-        fleet.clock().advance(2 * SECOND);
+        fleet.clock().advance(2 * MICROS_PER_SECOND);
         for (int step = 0; step < STEPS; step++) {
             propose();
-            fault();
-            fleet.clock().advance(random.nextLong(100_000, 3 * SECOND));
+            injectFault();
+            fleet.clock().advance(random.nextLong(100_000, 3 * MICROS_PER_SECOND));
         }
         endFaults();
         propose();
-        settledAfter = fleet.advanceUntilActiveEverywhere(SECOND / 20, EQUAL_WITHIN);
-        rules.settled(fleet);
+        convergenceMicros = fleet.advanceUntilActiveEverywhere(MICROS_PER_SECOND / 20, CONVERGENCE_TIMEOUT_MICROS);
+        invariants.checkConverged(fleet);
         return this;
     }
 
@@ -95,9 +95,9 @@
         HollowControlMachine machine = machines.get(random.nextInt(machines.size()));
         for (int i = 0; i < changes; i++) {
             if (fleet.consensus().propose(machine, edits()).isEmpty()) {
-                agreed++;
+                committedChanges++;
             } else {
-                refused++;
+                rejectedChanges++;
             }
         }
     }
@@ -109,7 +109,7 @@
         return List.of(edit, new Put("serial", Integer.toString(random.nextInt())));
     }
 
-    private void fault() {
+    private void injectFault() {
         List<Runnable> kinds = List.of(
                 this::killMachine,
                 this::killRelay,
@@ -117,9 +117,9 @@
                 this::pauseMachine,
                 this::pauseRelay,
                 this::resumeAll,
-                this::cutOneWay,
+                this::cutLinksOneWay,
                 this::healLinks,
-                this::cutRegions,
+                this::partitionRegions,
                 this::healRegions,
                 this::disturbNetwork,
                 this::calmNetwork);
@@ -140,10 +140,10 @@
             return;
         }
         machine.kill(random.nextBoolean());
-        done.add("kill machine");
+        injectedFaults.add("kill machine");
         if (random.nextInt(3) == 0) {
             fleet.consensus().rollBack(machine, random.nextBoolean() ? Integer.MAX_VALUE : random.nextInt(1, 10));
-            done.add("older or wiped disk of a machine");
+            injectedFaults.add("older or wiped disk of a machine");
         }
     }
 
@@ -153,31 +153,31 @@
             return;
         }
         relay.kill(random.nextBoolean());
-        done.add("kill relay");
+        injectedFaults.add("kill relay");
         switch (random.nextInt(6)) {
             case 0 -> {
                 relay.store().wipe();
-                changedDisk(relay, "wiped disk of a relay");
+                onDiskChanged(relay, "wiped disk of a relay");
             }
             case 1 -> {
                 relay.store().rollBack(random.nextInt(1, 7));
-                changedDisk(relay, "older disk of a relay");
+                onDiskChanged(relay, "older disk of a relay");
             }
             case 2 -> {
                 relay.store().corrupt();
-                changedDisk(relay, "damaged disk of a relay");
+                onDiskChanged(relay, "damaged disk of a relay");
             }
             case 3 -> {
                 relay.store().makeUnreadable();
-                changedDisk(relay, "unreadable disk of a relay");
+                onDiskChanged(relay, "unreadable disk of a relay");
             }
-            default -> done.add("restart of a relay with its disk");
+            default -> injectedFaults.add("restart of a relay with its disk");
         }
     }
 
-    private void changedDisk(HollowRelay relay, String what) {
-        rules.diskChanged(relay);
-        done.add(what);
+    private void onDiskChanged(HollowRelay relay, String what) {
+        invariants.onDiskChanged(relay);
+        injectedFaults.add(what);
     }
 
     private void startAll() {
@@ -186,12 +186,12 @@
 
     private void pauseMachine() {
         anyMachine().pause();
-        done.add("pause machine");
+        injectedFaults.add("pause machine");
     }
 
     private void pauseRelay() {
         anyRelay().pause();
-        done.add("pause relay");
+        injectedFaults.add("pause relay");
     }
 
     private void resumeAll() {
@@ -199,40 +199,40 @@
         fleet.relays().forEach(HollowProcess::resume);
     }
 
-    private void cutOneWay() {
+    private void cutLinksOneWay() {
         HollowControlMachine machine = anyMachine();
         HollowProcess other = random.nextBoolean() ? anyRelay() : anyMachine();
-        cut.add(random.nextBoolean() ? link(machine, other) : link(other, machine));
+        cutLinks.add(random.nextBoolean() ? link(machine, other) : link(other, machine));
         if (random.nextInt(3) == 0) {
-            fleet.relays().forEach(relay -> cut.add(link(machine, relay)));
+            fleet.relays().forEach(relay -> cutLinks.add(link(machine, relay)));
         }
-        done.add("one-way cut");
+        injectedFaults.add("one-way cut");
     }
 
     private void healLinks() {
-        cut.clear();
+        cutLinks.clear();
     }
 
-    private void cutRegions() {
-        regionsCut = true;
-        done.add("cut of the regions");
+    private void partitionRegions() {
+        regionsPartitioned = true;
+        injectedFaults.add("cut of the regions");
     }
 
     private void healRegions() {
-        regionsCut = false;
+        regionsPartitioned = false;
     }
 
     private void disturbNetwork() {
-        loss = random.nextDouble() * 0.4;
-        duplication = random.nextDouble() * 0.3;
-        delays = random.nextDouble() * 0.5;
-        done.add("loss, delay, reordering and duplication");
+        lossRate = random.nextDouble() * 0.4;
+        duplicationRate = random.nextDouble() * 0.3;
+        delayRate = random.nextDouble() * 0.5;
+        injectedFaults.add("loss, delay, reordering and duplication");
     }
 
     private void calmNetwork() {
-        loss = 0;
-        duplication = 0;
-        delays = 0;
+        lossRate = 0;
+        duplicationRate = 0;
+        delayRate = 0;
     }
 
     private void endFaults() {
@@ -249,19 +249,19 @@
 
     @Override
     public boolean canReach(HollowProcess from, HollowProcess to) {
-        return !(regionsCut && !from.region().equals(to.region())) && !cut.contains(link(from, to));
+        return !(regionsPartitioned && !from.region().equals(to.region())) && !cutLinks.contains(link(from, to));
     }
 
     @Override
     public int copies(HollowProcess from, HollowProcess to) {
-        if (random.nextDouble() < loss) {
+        if (random.nextDouble() < lossRate) {
             return 0;
         }
-        return random.nextDouble() < duplication ? 2 : 1;
+        return random.nextDouble() < duplicationRate ? 2 : 1;
     }
 
     @Override
     public long extraDelayMicros(HollowProcess from, HollowProcess to) {
-        return random.nextDouble() < delays ? random.nextLong(1, 2 * SECOND) : 0;
+        return random.nextDouble() < delayRate ? random.nextLong(1, 2 * MICROS_PER_SECOND) : 0;
     }
 }
--- a/src/test/java/sandstack/measure/page/CapacityFilesTest.java
+++ b/src/test/java/sandstack/measure/page/CapacityFilesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sandstack.config.InvalidConfigurationException;
 
-/** Bad input is told in one line with file, key and value. */
+/** Errors in input files are reported in one line with file, key and value. */
 class CapacityFilesTest {
     private static final String NUMBER =
             "{\"numbers\": [{\"name\": \"relays\", \"value\": 5600, \"unit\": \"relays\", \"source\": \"STATED\", "
@@ -104,7 +104,7 @@
         wrong(() -> plan(" ".repeat(5_000_000)), "has 5000000 bytes, 4000000 at most");
     }
 
-    /** What is expected to fail. */
+    /** An operation that is expected to fail. */
     private interface Reading {
         void run() throws Exception;
     }
--- a/src/test/java/sandstack/measure/page/CapacityPageTest.java
+++ b/src/test/java/sandstack/measure/page/CapacityPageTest.java
@@ -28,7 +28,7 @@
 import sandstack.measure.scale.ScaleReport;
 import sandstack.measure.scale.Series;
 
-/** The page of the repository agrees with its JSON, and a change of either alone is found. */
+/** The page agrees with its JSON files, and a change of either alone is detected. */
 class CapacityPageTest {
     private static final Path REPOSITORY = Path.of("");
     private static final Pattern TABLE = Pattern.compile("<!-- table: .*?<!-- end: [a-z-]+ -->", Pattern.DOTALL);
--- a/src/test/java/sandstack/measure/page/FormulaTest.java
+++ b/src/test/java/sandstack/measure/page/FormulaTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Expressions of numbers and names, and what is told of those that are none. */
+/** Evaluation of formulas, and errors in malformed ones. */
 class FormulaTest {
     private static final Map<String, Double> NAMES =
             Map.of("relays", 5_600.0, "zones", 8.0, "[relay.memory-per.x]", 5.0);
--- a/src/test/java/sandstack/measure/page/PageWithTablesTest.java
+++ b/src/test/java/sandstack/measure/page/PageWithTablesTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import sandstack.config.InvalidConfigurationException;
 
-/** Tables are put between markers, and nothing else of a page changes. */
+/** Tables are replaced between markers, and the rest of the page is unchanged. */
 class PageWithTablesTest {
     private static final String PAGE = "# Page\n\n<!-- table: one -->\nold\n<!-- end: one -->\n\ntext\n";
 
--- a/src/test/java/sandstack/measure/page/QuantityTest.java
+++ b/src/test/java/sandstack/measure/page/QuantityTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Values are written with three digits and a prefix. */
+/** Values are formatted with three significant digits and a unit prefix. */
 class QuantityTest {
     @ParameterizedTest
     @CsvSource(
--- a/src/test/java/sandstack/measure/scale/ScaleShapesTest.java
+++ b/src/test/java/sandstack/measure/scale/ScaleShapesTest.java
@@ -14,9 +14,9 @@
 import sandstack.measure.scale.ScaleMeasurement.Effort;
 import sandstack.measure.scale.Series.Point;
 
-/** How what one relay keeps and what discovery tells grow, by counts that come out alike on every machine. */
+/** Growth of a relay's state and of endpoint lists, by counts that are the same on every machine. */
 class ScaleShapesTest {
-    /** Between two sizes the slope may differ by so much from that between the next two. */
+    /** Maximum relative difference between slopes of successive points. */
     private static final double TOLERANCE = 0.05;
 
     private static List<ScaleMeasurement> countable() {
@@ -35,7 +35,7 @@
                 .collect(Collectors.toMap(Series::id, Function.identity()));
     }
 
-    /** Slopes between successive points; a straight line has one. */
+    /** Whether all successive points have the same slope. */
     private static boolean straight(Series series) {
         List<Point> points = series.points();
         for (int i = 2; i < points.size(); i++) {
@@ -102,7 +102,7 @@
     void theDecisionModuleKeepsAFixedNumberOfEntriesAConnection() throws Exception {
         Series entries = small().get("decision.entries");
         assertThat(straight(entries)).as(entries.toString()).isTrue();
-        // the request, what was asked, its places in two maps, and a part of its group's
+        // the request, its attempt, entries in two maps, and a share of its group's entries
         assertThat(slope(entries)).isBetween(3.0, 6.0);
     }
 
--- a/src/test/java/sandstack/measure/scale/hollow/HollowFleetTest.java
+++ b/src/test/java/sandstack/measure/scale/hollow/HollowFleetTest.java
@@ -14,7 +14,7 @@
 import sandstack.measure.scale.Series.Point;
 import sandstack.measure.scale.SimulatedClock;
 
-/** Counts and shapes of hollow fleets, which come out alike every time. */
+/** Deterministic counts and growth shapes of hollow fleets. */
 class HollowFleetTest {
     private static final int SECONDS = 20;
 
@@ -54,7 +54,7 @@
         assertThat(each(fleet, MessageKind.PING, 16)).isBetween(1.9, 2.1);
         assertThat(fleet.traffic().messages(MessageKind.PING_ACK))
                 .isEqualTo(fleet.traffic().messages(MessageKind.PING));
-        // one each two seconds, but for those drawn to go to the sender itself
+        // one each two seconds, except those whose random target is the sender itself
         assertThat(each(fleet, MessageKind.SYNC, 16)).isBetween(0.4, 0.5);
     }
 
@@ -91,7 +91,7 @@
             assertThat(outcome.seconds()).as(outcome.toString()).isBetween(0.1, 30.0);
             assertThat(outcome.bytes()).as(outcome.toString()).isPositive();
         }
-        // the library waits for three intervals of half a second times the logarithm of the members
+        // the suspicion timeout is three ping intervals times the logarithm of the members
         assertThat(faults.killUntilLost().seconds()).isGreaterThan(3 * 0.5 * 5);
         assertThat(faults.kill().seconds()).isLessThan(3 * 0.5 * 5);
     }
@@ -113,7 +113,7 @@
         assertThat(growth(first, "hollow.reports-in-view")).isBetween(15.0, 17.0);
     }
 
-    /** The last value over the first. */
+    /** The last value divided by the first. */
     private static double growth(List<Series> all, String id) {
         List<Point> points = all.stream()
                 .filter(series -> series.id().equals(id))
