--- a/src/main/java/sandstack/measure/scale/hollow/MembershipCostScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MembershipCostScale.java
@@ -36,8 +36,7 @@
             try {
                 costs.add(MembershipCost.measure(size));
             } catch (IllegalArgumentException unsupported) {
-                truncation =
-                        String.format(Locale.ROOT, "; truncation before %d relays: %s", size, unsupported.getMessage());
+                truncation = String.format(Locale.ROOT, "; ends before %d relays: %s", size, unsupported.getMessage());
                 break;
             }
         }
--- a/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
@@ -76,6 +76,10 @@
                 break;
             }
         }
+        return series(costs, truncation);
+    }
+
+    private static List<Series> series(List<Costs> costs, String truncation) {
         return List.of(
                 series(
                         "real-fleet.bytes",
