--- /dev/null
+++ b/src/main/java/sandstack/measure/configuration/FleetScenarioResult.java
@@ -0,0 +1,59 @@
+package sandstack.measure.configuration;
+
+/**
+ * Costs and latencies of the configuration distribution in a fleet of one size. Rates are per second of simulated time.
+ *
+ * @param relays size of the fleet
+ * @param idle rates without changes
+ * @param changing rates at the planned rate of changes
+ * @param partitioned rates while the regions are partitioned
+ * @param activationSeconds longest time from the commit of a change until it was active at all relays
+ * @param kill loss of a control machine at the time of a change, until its activation at all relays
+ * @param partition end of the partition, until convergence of all relays; hellos during the partition
+ * @param zoneStart simultaneous start of a zone's relays, until convergence of all relays
+ * @param convergenceAfterStartSeconds time from the start of all relays with empty disks until convergence
+ * @param maxSessions most sessions of a control machine
+ * @param heapBytesPerRelay heap of the process divided by the relays; 0 unless measured
+ */
+record FleetScenarioResult(
+        int relays,
+        Rates idle,
+        Rates changing,
+        Rates partitioned,
+        double activationSeconds,
+        FaultEffect kill,
+        FaultEffect partition,
+        FaultEffect zoneStart,
+        double convergenceAfterStartSeconds,
+        double maxSessions,
+        double heapBytesPerRelay) {
+    /**
+     * Effect of a fault.
+     *
+     * @param seconds time until all relays are up to date again
+     * @param peakHellos hellos in the busiest second at the busiest control machine
+     */
+    record FaultEffect(double seconds, double peakHellos) {}
+
+    /**
+     * Rates per process: means of the relays and maxima of the control machines, unless stated otherwise.
+     *
+     * @param relayMessages sent and received
+     * @param relayBytes sent and received
+     * @param busiestRelayBytes maximum of the relays
+     * @param relayCpuMicros processor time; 0 unless measured
+     * @param controlMessages sent and received
+     * @param controlBytes sent and received
+     * @param controlOtherRegionBytes part of these that crosses regions
+     * @param controlCpuMicros mean processor time of a control machine; 0 unless measured
+     */
+    record Rates(
+            double relayMessages,
+            double relayBytes,
+            double busiestRelayBytes,
+            double relayCpuMicros,
+            double controlMessages,
+            double controlBytes,
+            double controlOtherRegionBytes,
+            double controlCpuMicros) {}
+}
--- a/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
@@ -15,44 +15,50 @@
 import sandstack.configuration.FollowerSettings;
 import sandstack.configuration.PublisherSettings;
 import sandstack.configuration.RelayIdentity;
+import sandstack.measure.scale.SimulatedClock;
 
-/** A fleet of relays and control machines in two regions, in one process and in simulated time. One thread. */
+/** A fleet of relays and control machines in two regions, in one process and in simulated time. Not thread-safe. */
 public final class HollowConfigurationFleet {
-    /** Between two turns of a relay, in microseconds. */
-    static final long RELAY_TURN = 250_000;
-    /** A consensus library keeps some thousands of entries of its log. */
-    private static final int MOST_REPLAYED = 1_000;
-    /** Relays take their turns in so many groups, one after another. */
+    /** Interval of a relay's turns. */
+    static final long RELAY_TURN_MICROS = 250_000;
+    /** A consensus library retains some thousands of log entries. */
+    private static final int MAX_REPLAYED_CHANGES = 1_000;
+    /** Relays take turns in groups, as one event for many turns keeps the event queue short. */
     private static final int TURN_GROUPS = 25;
-    /** Between two turns of a control machine, in microseconds. */
-    static final long CONTROL_TURN = 100_000;
+    /** Interval of a control machine's turns. */
+    static final long CONTROL_TURN_MICROS = 100_000;
 
+    private static final long START_MICROS = 1_000_000;
     private static final List<String> REGIONS = List.of("north", "south");
 
     /**
-     * What the fleet is made of.
+     * Size and settings of a fleet.
      *
-     * @param mostReplayed changes that a control machine which was away is told one by one; where there are more, it gets
-     *     the whole state
-     * @param seed of all draws; the same gives the same run
+     * @param relays number of relays
+     * @param machines number of control machines
+     * @param publisher settings of the control machines
+     * @param follower settings of the relays
+     * @param maxReplayedChanges most changes that a lagging control machine replays; beyond, it installs a snapshot
+     * @param seed of all random draws
      */
     public record Plan(
             int relays,
             int machines,
             PublisherSettings publisher,
             FollowerSettings follower,
-            int mostReplayed,
+            int maxReplayedChanges,
             long seed) {
-        /** With the settings that hold where staff state nothing else. */
+        /** A plan with default settings. */
         public static Plan of(int relays, int machines, long seed) {
-            return new Plan(relays, machines, PublisherSettings.DEFAULT, FollowerSettings.DEFAULT, MOST_REPLAYED, seed);
+            return new Plan(
+                    relays, machines, PublisherSettings.DEFAULT, FollowerSettings.DEFAULT, MAX_REPLAYED_CHANGES, seed);
         }
     }
 
     private final Plan plan;
     private final SplittableRandom random;
-    private final SimulatedClock clock = new SimulatedClock();
-    private final CountedNetwork network;
+    private final SimulatedClock clock = new SimulatedClock(START_MICROS);
+    private final SimulatedNetwork network;
     private final ChangeValidator validator = new ChangeValidator(ConfigurationLimits.DEFAULT, ConfigurationCheck.NONE);
     private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
     private final ConfigurationMessageCodec messages = new ConfigurationMessageCodec(codec);
@@ -62,12 +68,12 @@
     private final ModelledConsensus consensus;
     private long connections;
 
-    /** Makes all processes; none runs yet. */
+    /** Creates all processes without starting them. */
     public HollowConfigurationFleet(Plan plan) {
         this.plan = plan;
         this.random = new SplittableRandom(plan.seed());
-        this.network = new CountedNetwork(clock, random.split());
-        this.consensus = new ModelledConsensus(this, validator, plan.mostReplayed());
+        this.network = new SimulatedNetwork(clock, random.split());
+        this.consensus = new ModelledConsensus(this, validator, plan.maxReplayedChanges());
         for (int i = 0; i < plan.machines(); i++) {
             HollowControlMachine machine = new HollowControlMachine(this, "control-" + i, REGIONS.get(i % 2));
             machines.add(machine);
@@ -76,21 +82,21 @@
         for (int i = 0; i < plan.relays(); i++) {
             relays.add(new HollowRelay(this, "relay-" + i, REGIONS.get(i % 2)));
         }
-        turnGroup(0);
+        runTurns(0);
     }
 
-    /** Starts all that do not run. */
-    public void start() {
+    /** Starts all processes that are not running. */
+    public void startAll() {
         machines.stream().filter(each -> !each.isRunning()).forEach(HollowProcess::start);
         relays.stream().filter(each -> !each.isRunning()).forEach(HollowProcess::start);
     }
 
-    /** The simulated time. */
+    /** The simulated clock. */
     public SimulatedClock clock() {
         return clock;
     }
 
-    /** What the machines have agreed on. */
+    /** The modelled consensus of the control machines. */
     public ModelledConsensus consensus() {
         return consensus;
     }
@@ -105,32 +111,32 @@
         return List.copyOf(relays);
     }
 
-    /** What happens to messages from now on. */
-    public void faults(NetworkFaults faults) {
-        network.faults(faults);
+    /** Sets the faults of the network from now on. */
+    public void setFaults(NetworkFaults faults) {
+        network.setFaults(faults);
     }
 
-    /** Whether the last agreed state is in force at every relay. */
-    public boolean isEverywhere() {
+    /** Whether the last committed snapshot is active at every relay. */
+    public boolean isActiveEverywhere() {
         ConfigurationVersion version = consensus.current().version();
         return relays.stream()
                 .allMatch(relay -> relay.follower() != null
                         && relay.follower().activeSnapshot().version().equals(version));
     }
 
-    /** Runs until the last agreed state is in force everywhere; returns how long that took, -1 where it did not. */
-    public long runUntilEverywhere(long step, long most) {
-        long began = clock.now();
-        while (!isEverywhere()) {
-            if (clock.now() - began >= most) {
+    /** Advances until the last committed snapshot is active at every relay; returns the microseconds, -1 after the timeout. */
+    public long advanceUntilActiveEverywhere(long stepMicros, long timeoutMicros) {
+        long startMicros = clock.nowMicros();
+        while (!isActiveEverywhere()) {
+            if (clock.nowMicros() - startMicros >= timeoutMicros) {
                 return -1;
             }
-            clock.run(step);
+            clock.advance(stepMicros);
         }
-        return clock.now() - began;
+        return clock.nowMicros() - startMicros;
     }
 
-    CountedNetwork network() {
+    SimulatedNetwork network() {
         return network;
     }
 
@@ -138,12 +144,11 @@
         return messages;
     }
 
-    /** One event for many turns keeps the queue of events short. */
-    private void turnGroup(int group) {
+    private void runTurns(int group) {
         for (int i = group; i < relays.size(); i += TURN_GROUPS) {
-            relays.get(i).turn();
+            relays.get(i).runTurn();
         }
-        clock.after(RELAY_TURN / TURN_GROUPS, () -> turnGroup((group + 1) % TURN_GROUPS));
+        clock.schedule(RELAY_TURN_MICROS / TURN_GROUPS, () -> runTurns((group + 1) % TURN_GROUPS));
     }
 
     ConfigurationFollower newFollower(HollowRelay relay) {
@@ -155,11 +160,11 @@
                 relay.store(),
                 relay,
                 random.split(),
-                clock.now());
+                clock.nowMicros());
     }
 
     ConfigurationPublisher newPublisher(HollowControlMachine machine) {
-        return new ConfigurationPublisher(plan.publisher(), codec, machine, clock.now());
+        return new ConfigurationPublisher(plan.publisher(), codec, machine, clock.nowMicros());
     }
 
     HollowConnection connect(HollowRelay relay, String machineName) {
@@ -170,17 +175,17 @@
         return new HollowConnection(++connections, relay, machine);
     }
 
-    /** The machine hears that a connection is gone. */
-    void endAtMachine(HollowConnection connection) {
+    /** Notifies the control machine that a connection was closed. */
+    void closeAtMachine(HollowConnection connection) {
         network.signal(connection.relay(), connection.machine(), connection.toMachine(), () -> connection
                 .machine()
-                .ended(connection));
+                .onConnectionClosed(connection));
     }
 
-    /** The relay hears that a connection is gone. */
-    void endAtRelay(HollowConnection connection) {
+    /** Notifies the relay that a connection was closed. */
+    void closeAtRelay(HollowConnection connection) {
         network.signal(connection.machine(), connection.relay(), connection.toRelay(), () -> connection
                 .relay()
-                .ended(connection));
+                .onConnectionClosed(connection));
     }
 }
--- a/src/main/java/sandstack/measure/configuration/HollowProcess.java
+++ b/src/main/java/sandstack/measure/configuration/HollowProcess.java
@@ -3,17 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A process of the simulated fleet: may be killed, restarted, stopped for a while. One thread. */
+/** A simulated process, which can be killed, restarted and paused. Not thread-safe. */
 public abstract class HollowProcess {
     private final String name;
     private final String region;
     private final Traffic traffic = new Traffic();
-    private final List<Runnable> held = new ArrayList<>();
+    private final List<Runnable> deferredTasks = new ArrayList<>();
     private boolean running;
     private boolean paused;
     private boolean machineLost;
-    private long life;
-    private long processorNanos;
+    private long incarnation;
+    private long busyNanos;
 
     HollowProcess(String name, String region) {
         this.name = name;
@@ -25,94 +25,96 @@
         return name;
     }
 
-    /** The region that its machine is in. */
+    /** The region of its machine. */
     public String region() {
         return region;
     }
 
-    /** What it has sent and received. */
+    /** Counters of sent and received messages. */
     public Traffic traffic() {
         return traffic;
     }
 
-    /** Whether it runs, stopped for a while or not. */
+    /** Whether it is running, paused or not. */
     public boolean isRunning() {
         return running;
     }
 
-    /** Whether it is stopped for a while. */
+    /** Whether it is paused. */
     public boolean isPaused() {
         return paused;
     }
 
-    /** Whether nothing answers for it, as its whole machine is gone. */
+    /** Whether it was killed with its machine, so that peers are not notified of closed connections. */
     boolean isMachineLost() {
         return machineLost;
     }
 
-    /** Counts its starts. */
-    public long life() {
-        return life;
+    /** Number of starts. */
+    public long incarnation() {
+        return incarnation;
     }
 
-    /** Time on the processor since the last reset, as far as its work was timed. */
-    long processorNanos() {
-        return processorNanos;
+    /** Wall-clock time of its tasks since the last reset, in nanoseconds. */
+    long busyNanos() {
+        return busyNanos;
     }
 
-    void resetCounts() {
+    void resetCounters() {
         traffic.reset();
-        processorNanos = 0;
+        busyNanos = 0;
     }
 
-    /** Starts it with what its disk holds. */
+    /** Starts it from its disk. */
     public void start() {
         running = true;
         paused = false;
         machineLost = false;
-        held.clear();
-        life++;
-        started();
+        deferredTasks.clear();
+        incarnation++;
+        onStarted();
     }
 
     /**
-     * Ends it at once.
+     * Kills it.
      *
-     * @param machine whether its machine is lost with it: then nobody hears that its connections are gone
+     * @param withMachine whether its machine is lost too, so that peers are not notified of closed connections
      */
-    public void kill(boolean machine) {
+    public void kill(boolean withMachine) {
         running = false;
         paused = false;
-        machineLost = machine;
-        held.clear();
-        killed();
+        machineLost = withMachine;
+        deferredTasks.clear();
+        onKilled();
     }
 
-    /** Stops it; what arrives waits. */
+    /** Pauses it; tasks are deferred. */
     public void pause() {
         paused = running;
     }
 
-    /** Lets it go on, with all that has arrived meanwhile. */
+    /** Resumes it and runs the deferred tasks. */
     public void resume() {
         paused = false;
-        List<Runnable> arrived = List.copyOf(held);
-        held.clear();
-        arrived.forEach(this::work);
+        List<Runnable> tasks = List.copyOf(deferredTasks);
+        deferredTasks.clear();
+        tasks.forEach(this::execute);
     }
 
-    /** Does something in this process, later where it is stopped. */
-    void work(Runnable task) {
+    /** Runs a task of this process, deferred while it is paused, dropped while it is not running. */
+    void execute(Runnable task) {
         if (paused) {
-            held.add(task);
+            deferredTasks.add(task);
         } else if (running) {
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             task.run();
-            processorNanos += System.nanoTime() - began;
+            busyNanos += System.nanoTime() - startNanos;
         }
     }
 
-    abstract void started();
+    /** Called after a start. */
+    abstract void onStarted();
 
-    abstract void killed();
+    /** Called after a kill. */
+    abstract void onKilled();
 }
--- a/src/main/java/sandstack/measure/configuration/HollowRelay.java
+++ b/src/main/java/sandstack/measure/configuration/HollowRelay.java
@@ -11,78 +11,78 @@
 import sandstack.configuration.FollowerOutput;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** A relay without clients: the real follower, on a simulated network and disk. One thread. */
+/** A relay without clients: a real follower on a simulated network and disk. Not thread-safe. */
 public final class HollowRelay extends HollowProcess implements FollowerOutput {
     private final HollowConfigurationFleet fleet;
-    private final StoredInMemory store = new StoredInMemory();
+    private final InMemoryConfigurationStore store = new InMemoryConfigurationStore();
     private final Map<String, HollowConnection> connections = new LinkedHashMap<>();
-    private BiConsumer<HollowRelay, ConfigurationSnapshot> observer = (relay, snapshot) -> {};
-    private Consumer<ConfigurationMessage> tap = message -> {};
+    private BiConsumer<HollowRelay, ConfigurationSnapshot> activationListener = (relay, snapshot) -> {};
+    private Consumer<ConfigurationMessage> messageListener = message -> {};
     private ConfigurationFollower follower;
-    private long lines;
+    private long logLines;
 
     HollowRelay(HollowConfigurationFleet fleet, String name, String region) {
         super(name, region);
         this.fleet = fleet;
     }
 
-    /** Is told of each state that is put in force. */
-    public void observer(BiConsumer<HollowRelay, ConfigurationSnapshot> told) {
-        observer = told;
+    /** Sets the listener for activated snapshots. */
+    public void setActivationListener(BiConsumer<HollowRelay, ConfigurationSnapshot> listener) {
+        activationListener = listener;
     }
 
-    /** Is told of each message that arrives, before the follower. */
-    void tap(Consumer<ConfigurationMessage> told) {
-        tap = told;
+    /** Sets the listener for received messages, which is called before the follower. */
+    void setMessageListener(Consumer<ConfigurationMessage> listener) {
+        messageListener = listener;
     }
 
     /** Its disk. */
-    public StoredInMemory store() {
+    public InMemoryConfigurationStore store() {
         return store;
     }
 
-    /** The real follower; null where the process does not run. */
+    /** The follower; null while the process is not running. */
     public ConfigurationFollower follower() {
         return follower;
     }
 
-    /** Lines that it has logged. */
-    public long lines() {
-        return lines;
+    /** Number of log lines. */
+    public long logLines() {
+        return logLines;
     }
 
     @Override
-    void started() {
+    void onStarted() {
         follower = fleet.newFollower(this);
     }
 
     @Override
-    void killed() {
+    void onKilled() {
         follower = null;
-        boolean heard = !isMachineLost();
+        boolean closesConnections = !isMachineLost();
         List<HollowConnection> open = List.copyOf(connections.values());
         connections.clear();
-        if (heard) {
-            open.forEach(fleet::endAtMachine);
+        if (closesConnections) {
+            open.forEach(fleet::closeAtMachine);
         }
     }
 
-    /** One of the fleet's turns, where the process runs. */
-    void turn() {
+    /** Runs a turn of the follower, if the process is running. */
+    void runTurn() {
         if (isRunning() && !isPaused()) {
-            work(() -> follower.tick(fleet.clock().now()));
+            execute(() -> follower.tick(fleet.clock().nowMicros()));
         }
     }
 
-    /** A frame has arrived on a connection; one that is no longer open hangs up on its sender. */
+    /** Handles a frame; closes the connection at the control machine if it is no longer open here. */
     void receive(HollowConnection connection, byte[] frame) {
         if (!isRunning() || connections.get(connection.machine().name()) != connection) {
             if (!isMachineLost()) {
-                fleet.endAtMachine(connection);
+                fleet.closeAtMachine(connection);
             }
             return;
         }
-        work(() -> handle(connection, frame));
+        execute(() -> handle(connection, frame));
     }
 
     private void handle(HollowConnection connection, byte[] frame) {
@@ -91,20 +91,20 @@
         }
         try {
             if (fleet.messages().decode(frame) instanceof ConfigurationMessage.PublisherMessage message) {
-                tap.accept(message);
+                messageListener.accept(message);
                 follower.received(
-                        connection.machine().name(), message, fleet.clock().now());
+                        connection.machine().name(), message, fleet.clock().nowMicros());
             }
         } catch (MalformedConfigurationException e) {
-            throw new IllegalStateException("a frame of ours is not read", e);
+            throw new IllegalStateException("an encoded frame cannot be decoded", e);
         }
     }
 
-    /** The connection is gone. */
-    void ended(HollowConnection connection) {
-        work(() -> {
+    /** Called when the control machine has closed a connection. */
+    void onConnectionClosed(HollowConnection connection) {
+        execute(() -> {
             if (connections.remove(connection.machine().name(), connection)) {
-                follower.disconnected(connection.machine().name(), fleet.clock().now());
+                follower.disconnected(connection.machine().name(), fleet.clock().nowMicros());
             }
         });
     }
@@ -122,17 +122,17 @@
     public void close(String machine) {
         HollowConnection connection = connections.remove(machine);
         if (connection != null) {
-            fleet.endAtMachine(connection);
+            fleet.closeAtMachine(connection);
         }
     }
 
     @Override
     public void activated(ConfigurationSnapshot snapshot) {
-        observer.accept(this, snapshot);
+        activationListener.accept(this, snapshot);
     }
 
     @Override
     public void log(String text) {
-        lines++;
+        logLines++;
     }
 }
