--- a/src/main/java/sandstack/measure/CapacityMeasurement.java
+++ b/src/main/java/sandstack/measure/CapacityMeasurement.java
@@ -16,8 +16,10 @@
  * with idle connections, with servers of different capacities, and with servers that lose processor time to a neighbour.
  */
 final class CapacityMeasurement implements Measurement {
+    /** Log line of a rejection with its reason and attempts, also in the wording of earlier builds. */
     private static final Pattern REJECTION_LINE =
-            Pattern.compile("was answered REFUSED ([A-Z_]+) [0-9]+ after ([0-9]+)");
+            Pattern.compile("(?:was answered (?:REFUSED|REJECTED) |answer=REJECTED reason=)([A-Z_]+)"
+                    + " (?:retry_after_ms=)?[0-9]+ (?:after |attempts=)([0-9]+)");
 
     private static final Map<String, String> NO_DEPLOY_FILES = Map.of();
     /** The platform's heap is too small for ten thousand connections. */
@@ -191,7 +193,8 @@
         return sum / samples;
     }
 
-    private static Map<String, Long> rejectionsByReason(List<String> logs) {
+    /** Counts the rejections in log lines by reason and number of attempts. */
+    static Map<String, Long> rejectionsByReason(List<String> logs) {
         Map<String, Long> counts = new TreeMap<>();
         for (String line : logs) {
             Matcher matcher = REJECTION_LINE.matcher(line);
--- a/src/main/java/sandstack/measure/RelayProcess.java
+++ b/src/main/java/sandstack/measure/RelayProcess.java
@@ -33,7 +33,10 @@
     public static final Path BUILT_JAR = Path.of("target/sandstack.jar");
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Pattern LISTENING_LINE = Pattern.compile("listens for lines at [^ ]*:([0-9]+)$");
+    /** Log line with the port for clients, also in the wording of earlier builds. */
+    private static final Pattern LISTENING_LINE = Pattern.compile(
+            "(?:listener opened relay=.* protocol=lines address=|listens for lines at )[^ ]*:([0-9]+)$");
+
     private static final long START_TIMEOUT_SECONDS = 20;
     private static final List<String> REQUEST_CLASSES = List.of("order-status", "catalogue-feed", "stock-check");
 
