--- a/src/main/java/sandstack/measure/RelayProcess.java
+++ b/src/main/java/sandstack/measure/RelayProcess.java
@@ -33,7 +33,7 @@
     public static final Path BUILT_JAR = Path.of("target/sandstack.jar");
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** The port of the platform's clients, as this build and earlier ones log it. */
+    /** Log line with the port for clients, also in the wording of earlier builds. */
     private static final Pattern LISTENING_LINE = Pattern.compile(
             "(?:listener opened relay=.* protocol=lines address=|listens for lines at )[^ ]*:([0-9]+)$");
 
