--- a/src/test/java/sandstack/EarlySignalTest.java
+++ b/src/test/java/sandstack/EarlySignalTest.java
@@ -39,38 +39,38 @@
     private static final Pattern LISTENS =
             Pattern.compile("listener opened relay=\\S+ protocol=lines address=127.0.0.1:([0-9]+)");
     private static final int TERMINATED = 128 + 15;
-    /** The virtual machine's own word, with exit code 1, where the signal comes before any of our code is run. */
+    /** The virtual machine's own message, with exit code 1, where the signal comes before any of our code is run. */
     private static final String VIRTUAL_MACHINE_NOT_STARTED = "Error occurred during initialization of VM";
     /** A start is signalled at so many times, the last twice as late as its listener opens. */
     private static final int STEPS = 12;
-    /** So many are started side by side: no more than a small machine can do. */
+    /** So many are started in parallel: no more than a small machine can run. */
     private static final int AT_ONCE = 3;
-    /** After a signal to stop, new connections go on coming for so long. */
+    /** After a signal to stop, clients go on connecting for so long. */
     private static final long STILL_COMING_MILLIS = 300;
 
     @TempDir
     Path folder;
 
-    private StandInLoop yard;
+    private StandInLoop standInLoop;
     private Discovery discovery;
     private final List<FeedServer> servers = new ArrayList<>();
     private final List<Process> started = new ArrayList<>();
 
     @BeforeEach
     void makeStandIns() throws IOException {
-        yard = new StandInLoop();
-        discovery = yard.make(() -> new Discovery(yard));
+        standInLoop = new StandInLoop();
+        discovery = standInLoop.make(() -> new Discovery(standInLoop));
         for (int i = 1; i <= 2; i++) {
             String uid = "toy-" + i;
-            servers.add(yard.make(() -> new FeedServer(yard, uid, "home", Machine.IDLE)));
+            servers.add(standInLoop.make(() -> new FeedServer(standInLoop, uid, "home", Machine.IDLE)));
         }
-        yard.run(() -> servers.forEach(s -> discovery.list(s, "box", 1, "ready")));
+        standInLoop.run(() -> servers.forEach(s -> discovery.list(s, "box", 1, "ready")));
     }
 
     @AfterEach
     void stop() {
         started.forEach(Process::destroyForcibly);
-        yard.close();
+        standInLoop.close();
     }
 
     /** The example's configuration with our feed servers and short deadlines: a process that has served ends within 1 s. */
@@ -98,8 +98,8 @@
         return process;
     }
 
-    /** What a client hears that asks at this port, to its end; an {@link IOException}'s text last where that ends it. */
-    private static List<String> heard(Socket client, String id, int millis) {
+    /** The lines that a client receives for one request; an {@link IOException}'s text last where that ends them. */
+    private static List<String> receivedBy(Socket client, String id, int millis) {
         List<String> lines = new ArrayList<>();
         try (client) {
             client.setSoTimeout(20_000);
@@ -117,17 +117,17 @@
         return lines;
     }
 
-    /** Whether a client that heard this has got its one answer, and was moved if it was served. */
+    /** Whether a client that received these lines has its one answer, and was migrated if it was served. */
     private static boolean answered(List<? extends String> heard) {
         String first = heard.isEmpty() ? "" : heard.get(0);
-        // ERR where its time ran out: that may happen to anybody on a machine with too little time for all
+        // ERR where its deadline passed: that may happen on an overloaded machine
         return heard.size() == 1 && (first.startsWith("BUSY") || first.equals("ERR"))
                 || heard.size() == 2 && first.startsWith("UP ") && heard.get(1).equals("MOVE");
     }
 
-    /** The one who came to the listener before the rest of the start was done was cut off without MOVE. */
+    /** A client that connected before the rest of the start was done was reset without MOVE. */
     @Test
-    void aSignalRightAfterTheListenerIsOpenMovesTheClientThatCameToIt() throws Exception {
+    void aSignalRightAfterTheListenerIsOpenMigratesTheClientThatConnected() throws Exception {
         Process relay = signalled(config(discovery.port()), "protocol=lines", "input");
         BufferedReader log = relay.inputReader();
         Matcher listens = LISTENS.matcher("");
@@ -135,7 +135,7 @@
             continue;
         }
         Socket client = new Socket(LOOPBACK, Integer.parseInt(listens.group(1)));
-        CompletableFuture<List<String>> hears = CompletableFuture.supplyAsync(() -> heard(client, "first", 3_000));
+        CompletableFuture<List<String>> hears = CompletableFuture.supplyAsync(() -> receivedBy(client, "first", 3_000));
         relay.getOutputStream().write('\n');
         relay.getOutputStream().flush();
         assertThat(hears.get(20, TimeUnit.SECONDS)).matches(EarlySignalTest::answered);
@@ -145,7 +145,7 @@
         assertThat(relay.waitFor()).isEqualTo(TERMINATED);
     }
 
-    /** A process that had been told to stop opened its listener all the same, and cut off whom it took when it ended. */
+    /** A process that had been told to stop opened its listener all the same, and reset the clients it accepted when it ended. */
     @Test
     void aSignalBeforeTheListenerIsOpenKeepsItShut() throws Exception {
         String pushed = config(Program.freePort()).replace("on_request", "pushed");
@@ -170,32 +170,32 @@
             process = program.startAt(port, name, file);
         }
 
-        /** One client after another until then, as soon as there is somebody to come to. */
-        void comeUntil(long nanos) throws Exception {
+        /** Connects one client after another until then, as soon as the listener is open. */
+        void connectUntil(long nanos) throws Exception {
             while (System.nanoTime() < nanos && process.isAlive()) {
-                come();
+                connect();
                 Thread.sleep(2);
             }
         }
 
-        void comeOnce() throws Exception {
+        void connectOnce() throws Exception {
             for (long end = after(20_000); clients.isEmpty() && System.nanoTime() < end; ) {
-                come();
+                connect();
             }
             assertThat(clients).as("a client that came to " + name).isNotEmpty();
         }
 
-        private void come() throws IOException {
+        private void connect() throws IOException {
             try {
                 Socket client = new Socket(LOOPBACK, port);
                 String id = "id" + clients.size();
-                clients.add(CompletableFuture.supplyAsync(() -> heard(client, id, 300), task -> {
+                clients.add(CompletableFuture.supplyAsync(() -> receivedBy(client, id, 300), task -> {
                     Thread thread = new Thread(task);
                     thread.setDaemon(true);
                     thread.start();
                 }));
             } catch (ConnectException e) {
-                // not yet, or not any more
+                // not listening yet, or not any more
             }
         }
     }
@@ -204,10 +204,10 @@
         return System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    /** Told to stop now; each client that came to it has its answer. */
-    private void isStoppedInOrder(Program program, Start start) throws Exception {
+    /** Stops the process now; each client that connected to it has its answer. */
+    private void stopGracefully(Program program, Start start) throws Exception {
         start.process.destroy();
-        start.comeUntil(after(STILL_COMING_MILLIS));
+        start.connectUntil(after(STILL_COMING_MILLIS));
         assertThat(start.process.waitFor(20, TimeUnit.SECONDS)).isTrue();
         String log = program.log(start.name);
         if (log.startsWith(VIRTUAL_MACHINE_NOT_STARTED)) {
@@ -223,26 +223,26 @@
         }
     }
 
-    /** Stops one as soon as its first client has come; returns how many milliseconds after its start that was. */
+    /** Stops a process as soon as its first client has connected; returns how many milliseconds after its start that was. */
     private long stoppedAtItsFirstClient(Program program) throws Exception {
         long began = System.nanoTime();
         Start start = new Start(program, "first");
-        start.comeOnce();
+        start.connectOnce();
         long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
-        isStoppedInOrder(program, start);
+        stopGracefully(program, start);
         return took;
     }
 
     private Void stoppedAfter(Program program, long millis) throws Exception {
         Start start = new Start(program, "after" + millis);
-        start.comeUntil(after(millis));
-        isStoppedInOrder(program, start);
+        start.connectUntil(after(millis));
+        stopGracefully(program, start);
         return null;
     }
 
-    /** Whenever the signal comes: whoever was accepted has an answer, and a move after UP. */
+    /** Whenever the signal comes: each accepted client has an answer, and MOVE after UP. */
     @Test
-    void aSignalAtAnyTimeOfAStartCutsNobodyOff() throws Exception {
+    void aSignalAtAnyTimeOfAStartResetsNoClient() throws Exception {
         Program program = new Program(folder);
         ExecutorService starting = Executors.newFixedThreadPool(AT_ONCE);
         try {
@@ -261,7 +261,7 @@
         }
     }
 
-    /** Nothing that a killed process has left behind keeps the next one from its place. */
+    /** Nothing that a killed process leaves behind keeps the next one from its address. */
     @Test
     void aKillAtAnyTimeOfAStartLeavesRoomForTheNextProcess() throws Exception {
         Program program = new Program(folder);
@@ -269,14 +269,15 @@
             long listensAfter = stoppedAtItsFirstClient(program);
             for (int step = 0; step < 4; step++) {
                 Start killed = new Start(program, "killed" + step);
-                killed.comeUntil(after(listensAfter * step / 2));
+                killed.connectUntil(after(listensAfter * step / 2));
                 killed.process.destroyForcibly();
                 assertThat(killed.process.waitFor(20, TimeUnit.SECONDS)).isTrue();
                 String next = "next" + step;
                 Process process = program.startAt(killed.port, next, folder.resolve(killed.name + ".json"));
                 assertThat(program.port(next)).isEqualTo(killed.port);
                 Socket client = new Socket(LOOPBACK, killed.port);
-                CompletableFuture<List<String>> hears = CompletableFuture.supplyAsync(() -> heard(client, "next", 300));
+                CompletableFuture<List<String>> hears =
+                        CompletableFuture.supplyAsync(() -> receivedBy(client, "next", 300));
                 process.destroy();
                 assertThat(hears.get(20, TimeUnit.SECONDS)).matches(EarlySignalTest::answered);
                 assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
--- a/src/test/java/sandstack/FirstTryTest.java
+++ b/src/test/java/sandstack/FirstTryTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What a newcomer does first: the README's own command lines, typed as they stand there, from the root. */
+/** What a newcomer does first: the README's own command lines, typed as written, from the root. */
 class FirstTryTest {
     private static final long SECONDS = 20;
     private static final int CLIENTS = 300;
@@ -62,7 +62,7 @@
     }
 
     /** Reads until a line has these words; what was read. */
-    private static String until(Process p, String words) throws Exception {
+    private static String readUntil(Process p, String words) throws Exception {
         return CompletableFuture.supplyAsync(() -> {
                     StringBuilder said = new StringBuilder();
                     BufferedReader in = p.inputReader();
@@ -95,10 +95,10 @@
     void theReadmesLinesServeAndSoAreThreeHundredClientsOfTwoIdleServers() throws Exception {
         List<String> lines = commandLines();
         assertThat(lines).as("the stand-ins, the relay, one connection by hand").hasSize(3);
-        until(type(lines.get(0)), "2 feed servers");
+        readUntil(type(lines.get(0)), "2 feed servers");
         Process console = type(lines.get(1));
         console.outputWriter().append("listeners\n").flush();
-        until(console, "lines at 127.0.0.1:3000");
+        readUntil(console, "lines at 127.0.0.1:3000");
         Process open = type(lines.get(2));
         assertThat(new String(open.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
                         .lines()
--- a/src/test/java/sandstack/Program.java
+++ b/src/test/java/sandstack/Program.java
@@ -123,7 +123,7 @@
     }
 
     /** Waits for a line with this text; returns the line. */
-    String logged(String name, String text) throws Exception {
+    String awaitLogged(String name, String text) throws Exception {
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(40); System.nanoTime() < end; Thread.sleep(20)) {
             for (String line : log(name).split("\n")) {
                 if (line.contains(text)) {
@@ -136,7 +136,7 @@
 
     /** Waits until this relay serves; returns its port. */
     int port(String name) throws Exception {
-        String line = logged(name, " protocol=lines address=");
+        String line = awaitLogged(name, " protocol=lines address=");
         return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).trim());
     }
 
--- a/src/test/java/sandstack/PushedListTest.java
+++ b/src/test/java/sandstack/PushedListTest.java
@@ -74,7 +74,7 @@
                 .write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    private String untilLogged(String text) throws Exception {
+    private String awaitLogged(String text) throws Exception {
         String line = log.readLine();
         while (line != null && !line.contains(text)) {
             line = log.readLine();
@@ -83,26 +83,26 @@
         return line;
     }
 
-    /** Before, no watch was ever opened where lists are pushed, and clients were taken by the list of the last run. */
+    /** Without a watch where lists are pushed, clients would be placed by the list of the last run. */
     @Test
     void asksBeforeItTakesClientsAndAgainAtOnceAfterSilenceAndOutage() throws Exception {
         answer();
         tell(50, "ready");
-        untilLogged(" protocol=lines address=");
+        awaitLogged(" protocol=lines address=");
 
-        // silence: the watch is broken, and the next one is asked for without the pauses of a shared discovery
-        untilLogged("discovery watch failed reason=\"no data for");
+        // silence: the watch is closed, and the next one is opened without the backoff of a shared discovery
+        awaitLogged("discovery watch failed reason=\"no data for");
         long silent = System.nanoTime();
         answer();
         long asked = System.nanoTime() - silent;
         tell(51, "ready");
 
-        // an outage: the agent refuses, then is back; what it has counts at once
+        // an outage: the agent refuses connections, then recovers; its list applies at once
         agent.close();
         watch.setSoLinger(true, 0);
         watch.close();
-        untilLogged("discovery watch failed reason=\"connection lost\"");
-        untilLogged("discovery watch failed reason=\"no connection\"");
+        awaitLogged("discovery watch failed reason=\"connection lost\"");
+        awaitLogged("discovery watch failed reason=\"no connection\"");
         agent = new ServerSocket();
         agent.setReuseAddress(true);
         agent.setSoTimeout(20_000);
@@ -115,10 +115,10 @@
         assertThat(TimeUnit.NANOSECONDS.toMillis(told)).isLessThan(2_000);
     }
 
-    /** An agent that says nothing keeps a new process waiting for a second, and not for good. */
+    /** A silent agent delays a new process for a second, and not for good. */
     @Test
     void servesByTheListThatItWasGivenWhereTheAgentIsSilent() throws Exception {
-        untilLogged(" protocol=lines address=");
+        awaitLogged(" protocol=lines address=");
         assertThat(relay.isAlive()).isTrue();
     }
 }
--- a/src/test/java/sandstack/RareMomentsTest.java
+++ b/src/test/java/sandstack/RareMomentsTest.java
@@ -22,13 +22,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** The program under the operators' rare moments: all descriptors taken while discovery is down, all relays restarted at once. */
+/** The program in rare situations: all descriptors in use while discovery is down, all relays restarted at once. */
 @Isolated("takes a core and every descriptor, and would starve the members that other tests start meanwhile")
 @Timeout(120)
 class RareMomentsTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     private static final int DESCRIPTORS = 128;
-    /** What the program as shipped holds while it idles; the class path of the tests holds more jars open. */
+    /** Descriptors of the idle program as shipped; the class path of the tests keeps more jars open. */
     private static final int IDLE = 22;
 
     @TempDir
@@ -46,20 +46,20 @@
         program.stop();
     }
 
-    /** The kernel counts too: what the relay holds beyond its limit does not open. */
+    /** The kernel enforces the limit too: descriptors beyond it cannot be opened. */
     @Test
-    void findsDiscoveryAgainWhileIdleClientsHoldEveryDescriptorTheyMay() throws Exception {
+    void reconnectsToDiscoveryWhileIdleClientsUseEveryDescriptorTheyMay() throws Exception {
         int port = Program.freePort();
         Process relay = program.start("", "full", program.config("full", port, DESCRIPTORS));
         int clients = program.port("full");
-        program.logged("full", "discovery watch failed reason=\"no connection\"");
+        program.awaitLogged("full", "discovery watch failed reason=\"no connection\"");
         long limit = DESCRIPTORS + open(relay) - IDLE;
         assertThat(new ProcessBuilder("prlimit", "--pid", "" + relay.pid(), "--nofile=" + limit + ":" + limit)
                         .start()
                         .waitFor())
                 .isZero();
         List<Socket> idle = new ArrayList<>();
-        // each let go makes room for the next: the table stays full for as long as they come
+        // each closed connection makes room for the next: the table stays full while clients connect
         Thread crowd = new Thread(() -> {
             try {
                 for (int i = 0; i < 4_000; i++) {
@@ -70,7 +70,7 @@
                     }
                 }
             } catch (IOException | InterruptedException e) {
-                // the test is over
+                // the test has ended
             }
         });
         crowd.setDaemon(true);
--- a/src/test/java/sandstack/RehearsalTest.java
+++ b/src/test/java/sandstack/RehearsalTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What the build runs to make the class archive ends by itself, in order, with nobody around it. */
+/** What the build runs to make the class archive ends by itself with exit code 0, without discovery or feed servers. */
 class RehearsalTest {
     @Test
     void asksItselfOnceAndEnds() throws Exception {
--- a/src/test/java/sandstack/ReloadTest.java
+++ b/src/test/java/sandstack/ReloadTest.java
@@ -29,16 +29,16 @@
     private Path file;
     private Process relay;
     private BufferedReader log;
-    private int door;
-    private int clients;
-    private int asked;
+    private int operatorPort;
+    private int clientPort;
+    private int requestCount;
 
     @BeforeEach
     void start() throws Exception {
         first = discovery();
         second = discovery();
         file = folder.resolve("config.json");
-        replaceBy(example(first));
+        replaceConfig(example(first));
         ProcessBuilder program = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin/java").toString(),
                         "-cp",
@@ -77,7 +77,7 @@
                 .replaceFirst("(\"discovery\": *)\"[^\"]*\"", "$1\"" + address(discovery) + "\"");
     }
 
-    private void replaceBy(String text) throws Exception {
+    private void replaceConfig(String text) throws Exception {
         Files.writeString(file, text);
     }
 
@@ -88,12 +88,12 @@
                 .isZero();
     }
 
-    private static String ask(ServerSocket discovery) throws Exception {
+    private static String awaitPoll(ServerSocket discovery) throws Exception {
         return new BufferedReader(new InputStreamReader(discovery.accept().getInputStream(), StandardCharsets.UTF_8))
                 .readLine();
     }
 
-    private void untilLogged(String text) throws Exception {
+    private void awaitLogged(String text) throws Exception {
         String line = log.readLine();
         while (line != null && !line.contains(text)) {
             line = log.readLine();
@@ -102,14 +102,14 @@
     }
 
     private String call(String call) throws Exception {
-        try (Socket socket = new Socket("127.0.0.1", door)) {
+        try (Socket socket = new Socket("127.0.0.1", operatorPort)) {
             socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    /** Signals, and waits until so many files have been taken and so many turned down. */
-    private void reloaded(int applied, int rejected) throws Exception {
+    /** Sends SIGHUP, and waits until so many files have been applied and so many rejected. */
+    private void reload(int applied, int rejected) throws Exception {
         signal("HUP");
         String info = call("INFO");
         while (!info.contains("config_applied=" + applied + "\r\n")
@@ -119,25 +119,25 @@
         }
     }
 
-    /** The answer to a request of this class: its feed servers are not there, so a known class is refused. */
+    /** The answer to a request of this class: its feed servers cannot be reached, so a known class is rejected. */
     private String open(String requestClass) throws Exception {
-        try (Socket socket = new Socket("127.0.0.1", clients)) {
+        try (Socket socket = new Socket("127.0.0.1", clientPort)) {
             socket.getOutputStream()
-                    .write(("OPEN i" + ++asked + " k c=" + requestClass + ",d=300\r\n")
+                    .write(("OPEN i" + ++requestCount + " k c=" + requestClass + ",d=300\r\n")
                             .getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
     @Test
-    void takesNewSettingsWholeAndTurnsDownWhatIsNot() throws Exception {
+    void appliesCompleteSettingsAndRejectsIncompleteOnes() throws Exception {
         Matcher m = Pattern.compile("listener opened relay=\\S+ protocol=(operators|lines) address=127.0.0.1:([0-9]+)")
                 .matcher("");
-        while (door == 0 || clients == 0) {
+        while (operatorPort == 0 || clientPort == 0) {
             if (m.reset(log.readLine()).find()) {
                 int port = Integer.parseInt(m.group(2));
-                door = m.group(1).equals("operators") ? port : door;
-                clients = m.group(1).equals("lines") ? port : clients;
+                operatorPort = m.group(1).equals("operators") ? port : operatorPort;
+                clientPort = m.group(1).equals("lines") ? port : clientPort;
             }
         }
         String before = example(first);
@@ -145,8 +145,8 @@
                 .replace("\"max_attempts\": 6", "\"max_attempts\": 2");
         assertThat(open("catalogue-feed")).startsWith("BUSY");
         assertThat(open("price-feed")).isEqualTo("ERR\r\n");
-        replaceBy(after);
-        reloaded(1, 0);
+        replaceConfig(after);
+        reload(1, 0);
         assertThat(open("price-feed")).startsWith("BUSY");
         assertThat(open("catalogue-feed")).isEqualTo("ERR\r\n");
         int rejected = 0;
@@ -156,13 +156,13 @@
                 after.replace("\"max_attempts\": 2,", ""),
                 after.replace("\"max_attempts\": 2", "\"max_attempts\": \"two\""),
                 before.replace("\"deadline_us\": 3000000", "\"deadline_us\": 0"))) {
-            replaceBy(wrong);
-            reloaded(1, ++rejected);
+            replaceConfig(wrong);
+            reload(1, ++rejected);
             assertThat(open("price-feed")).startsWith("BUSY");
             assertThat(open("catalogue-feed")).isEqualTo("ERR\r\n");
         }
-        replaceBy(before);
-        reloaded(2, rejected);
+        replaceConfig(before);
+        reload(2, rejected);
         assertThat(open("catalogue-feed")).startsWith("BUSY");
         assertThat(call("INFO"))
                 .contains(
@@ -170,21 +170,21 @@
     }
 
     @Test
-    void followsTheFileAtSighupAndStillEndsInOrderAtSigterm() throws Exception {
-        assertThat(ask(first)).contains("watch=1&from=");
-        replaceBy(example(second));
+    void followsTheFileAtSighupAndShutsDownGracefullyAtSigterm() throws Exception {
+        assertThat(awaitPoll(first)).contains("watch=1&from=");
+        replaceConfig(example(second));
         signal("HUP");
-        assertThat(ask(second)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
-        replaceBy("{");
+        assertThat(awaitPoll(second)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
+        replaceConfig("{");
         signal("HUP");
-        untilLogged("configuration rejected reason=");
-        replaceBy(example(first));
+        awaitLogged("configuration rejected reason=");
+        replaceConfig(example(first));
         signal("HUP");
         signal("HUP");
-        assertThat(ask(first)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
+        assertThat(awaitPoll(first)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
         signal("TERM");
         signal("HUP");
-        untilLogged("relay stopped");
+        awaitLogged("relay stopped");
         assertThat(relay.waitFor(10, TimeUnit.SECONDS)).isTrue();
         assertThat(relay.exitValue()).isEqualTo(128 + 15);
     }
--- a/src/test/java/sandstack/ReloadUnderTrafficTest.java
+++ b/src/test/java/sandstack/ReloadUnderTrafficTest.java
@@ -40,7 +40,7 @@
     @TempDir
     Path folder;
 
-    private final StandInLoop yard;
+    private final StandInLoop standInLoop;
     private final List<Discovery> discoveries = new ArrayList<>();
     private final List<FeedServer> servers = new ArrayList<>();
     private final Map<Happened, Integer> happened = new EnumMap<>(Happened.class);
@@ -53,19 +53,19 @@
     private boolean traffic = true;
 
     ReloadUnderTrafficTest() throws IOException {
-        yard = new StandInLoop();
+        standInLoop = new StandInLoop();
         for (int i = 0; i < 2; i++) {
-            discoveries.add(yard.make(() -> new Discovery(yard)));
+            discoveries.add(standInLoop.make(() -> new Discovery(standInLoop)));
             String uid = "s" + i;
-            servers.add(yard.make(() -> new FeedServer(yard, uid, "home", Machine.IDLE)));
+            servers.add(standInLoop.make(() -> new FeedServer(standInLoop, uid, "home", Machine.IDLE)));
         }
         // both discoveries know both servers: a move between them changes no placement
-        yard.run(() -> discoveries.forEach(d -> servers.forEach(s -> d.list(s, "box", 1, "ready"))));
+        standInLoop.run(() -> discoveries.forEach(d -> servers.forEach(s -> d.list(s, "box", 1, "ready"))));
     }
 
     @AfterEach
     void end() throws Exception {
-        yard.close();
+        standInLoop.close();
         if (relay != null) {
             relay.destroyForcibly().waitFor();
         }
@@ -85,7 +85,7 @@
                         .replace("\"max_attempts\": 6", "\"max_attempts\": 2");
     }
 
-    private void untilLogged(String text) throws Exception {
+    private void awaitLogged(String text) throws Exception {
         CompletableFuture.runAsync(() -> {
                     try {
                         String line;
@@ -107,23 +107,23 @@
         if (told.what() == Happened.UP) {
             told.client().talk(LINE_EVERY, took -> lines++);
             if (!stay.contains(told.client())) {
-                yard.after(STAYS, told.client()::leave);
+                standInLoop.after(STAYS, told.client()::leave);
             }
         }
     }
 
-    /** One that comes, is served and leaves; the next follows at its pace. */
+    /** A client that connects, is served and leaves; the next follows at its pace. */
     private void passing() {
         if (traffic) {
             client();
-            yard.after(CLIENT_EVERY, this::passing);
+            standInLoop.after(CLIENT_EVERY, this::passing);
         }
     }
 
     private ShopClient client() {
         int number = asked++;
         return new ShopClient(
-                yard,
+                standInLoop,
                 port,
                 "id" + number,
                 "key" + number,
@@ -141,7 +141,7 @@
     }
 
     private int count(Happened what) {
-        return yard.on(() -> happened.getOrDefault(what, 0));
+        return standInLoop.on(() -> happened.getOrDefault(what, 0));
     }
 
     @Test
@@ -158,15 +158,15 @@
         program.environment().put("PROXY_CONFIG", file.toString());
         relay = program.start();
         log = relay.inputReader();
-        untilLogged(" protocol=lines address=");
-        yard.run(() -> {
+        awaitLogged(" protocol=lines address=");
+        standInLoop.run(() -> {
             for (int i = 0; i < STANDING; i++) {
                 stay.add(client());
             }
             passing();
         });
         for (int reload = 1; reload <= RELOADS; reload++) {
-            // awaited, not slept on: so many more were served by these settings before the next come
+            // polled, not slept on: so many more were served by these settings before the next ones apply
             int up = count(Happened.UP);
             while (count(Happened.UP) < up + 20) {
                 assertThat(relay.isAlive()).isTrue();
@@ -177,26 +177,27 @@
                             .start()
                             .waitFor())
                     .isZero();
-            untilLogged("configuration reloaded");
+            awaitLogged("configuration reloaded");
         }
-        yard.run(() -> traffic = false);
-        while (yard.on(this::ended) < asked - STANDING) {
+        standInLoop.run(() -> traffic = false);
+        while (standInLoop.on(this::ended) < asked - STANDING) {
             assertThat(relay.isAlive()).isTrue();
             Thread.onSpinWait();
         }
-        assertThat(yard.on(() -> Map.copyOf(happened)))
+        assertThat(standInLoop.on(() -> Map.copyOf(happened)))
                 .as("served and left, and nothing else")
                 .containsOnly(Map.entry(Happened.UP, asked), Map.entry(Happened.LEFT, asked - STANDING));
-        assertThat(yard.on(() -> stay.stream().filter(ShopClient::standing).count()))
+        assertThat(standInLoop.on(
+                        () -> stay.stream().filter(ShopClient::standing).count()))
                 .isEqualTo(STANDING);
-        long heard = yard.on(() -> lines);
+        long heard = standInLoop.on(() -> lines);
         assertThat(heard).as("lines that came back").isGreaterThan(asked);
-        assertThat(yard.on(
+        assertThat(standInLoop.on(
                         () -> stay.stream().mapToLong(ShopClient::waiting).max().orElse(0)))
                 .as("microseconds that a line has been out")
                 .isLessThan(1_000_000);
         long attempts = servers.stream()
-                .mapToLong(server -> yard.on(server::books).setups())
+                .mapToLong(server -> standInLoop.on(server::books).setups())
                 .sum();
         assertThat(attempts).as("one attempt each").isEqualTo(asked);
     }
--- a/src/test/java/sandstack/ReloadWhileDrainingTest.java
+++ b/src/test/java/sandstack/ReloadWhileDrainingTest.java
@@ -23,7 +23,7 @@
 import sandstack.standin.ShopClient.Happened;
 import sandstack.standin.StandInLoop;
 
-/** SIGHUP while clients drain: those of a relay that has been told to stop, and those of a feed server that leaves. */
+/** SIGHUP while clients drain: those of a relay that shuts down, and those of a feed server that drains. */
 @Timeout(60)
 class ReloadWhileDrainingTest {
     private static final int CLIENTS = 20;
@@ -34,7 +34,7 @@
     @TempDir
     Path folder;
 
-    private final StandInLoop yard;
+    private final StandInLoop standInLoop;
     private final List<Discovery> discoveries = new ArrayList<>();
     private final List<FeedServer> servers = new ArrayList<>();
     private final Map<Happened, Integer> happened = new EnumMap<>(Happened.class);
@@ -43,13 +43,13 @@
     private int asked;
 
     ReloadWhileDrainingTest() throws IOException {
-        yard = new StandInLoop();
+        standInLoop = new StandInLoop();
         for (int i = 0; i < 2; i++) {
-            discoveries.add(yard.make(() -> new Discovery(yard)));
+            discoveries.add(standInLoop.make(() -> new Discovery(standInLoop)));
             String uid = "s" + i;
-            servers.add(yard.make(() -> new FeedServer(yard, uid, "home", Machine.IDLE)));
+            servers.add(standInLoop.make(() -> new FeedServer(standInLoop, uid, "home", Machine.IDLE)));
         }
-        yard.run(() -> discoveries.forEach(d -> servers.forEach(s -> d.list(s, "box", 1, "ready"))));
+        standInLoop.run(() -> discoveries.forEach(d -> servers.forEach(s -> d.list(s, "box", 1, "ready"))));
     }
 
     @BeforeEach
@@ -61,7 +61,7 @@
     @AfterEach
     void stop() {
         program.stop();
-        yard.close();
+        standInLoop.close();
     }
 
     private String config(int discovery, int deadline) throws IOException {
@@ -79,7 +79,7 @@
                         .start()
                         .waitFor())
                 .isZero();
-        program.logged(
+        program.awaitLogged(
                 "relay",
                 "configuration reloaded discovery=127.0.0.1:"
                         + discoveries.get(discovery).port());
@@ -94,10 +94,10 @@
 
     private void come(int clients) throws Exception {
         int port = program.port("relay");
-        yard.run(() -> {
+        standInLoop.run(() -> {
             for (int i = 0; i < clients; i++, asked++) {
                 new ShopClient(
-                        yard,
+                        standInLoop,
                         port,
                         "id" + asked,
                         "key" + asked,
@@ -108,13 +108,13 @@
         });
     }
 
-    /** Awaited, not slept on. */
+    /** Polled, not slept on. */
     private void until(BooleanSupplier state) throws Exception {
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); !yard.on(state::getAsBoolean); ) {
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); !standInLoop.on(state::getAsBoolean); ) {
             assertThat(System.nanoTime())
                     .as(
                             "what became of %d clients: %s; %s",
-                            asked, yard.on(() -> Map.copyOf(happened)), program.log("relay"))
+                            asked, standInLoop.on(() -> Map.copyOf(happened)), program.log("relay"))
                     .isLessThan(end);
             Thread.sleep(1);
         }
@@ -128,44 +128,44 @@
         return servers.get(server).books().standing();
     }
 
-    /** Settings, deadlines and discovery change, twice, while the clients of a relay that stops wait for their move. */
+    /** Settings, deadlines and discovery change, twice, while the clients of a relay that shuts down wait for their migration. */
     @Test
-    void aRelayThatStopsMovesItsClientsWhateverIsReadMeanwhile() throws Exception {
+    void aDrainingRelayMigratesItsClientsWhateverIsReloadedMeanwhile() throws Exception {
         come(CLIENTS);
         until(() -> count(Happened.UP) == CLIENTS);
         relay.destroy();
-        assertThat(program.logged("relay", "graceful shutdown started")).endsWith(" count=" + CLIENTS);
+        assertThat(program.awaitLogged("relay", "graceful shutdown started")).endsWith(" count=" + CLIENTS);
         reload(1, 30_000_000);
         reload(0, 300_000);
         assertThat(relay.waitFor(20, TimeUnit.SECONDS)).isTrue();
         assertThat(relay.exitValue()).isEqualTo(TERMINATED);
         assertThat(program.log("relay")).contains("relay stopped").doesNotContain("SEVERE", "Exception");
-        assertThat(yard.on(() -> Map.copyOf(happened)))
+        assertThat(standInLoop.on(() -> Map.copyOf(happened)))
                 .as("served, moved, and nothing else")
                 .containsOnly(Map.entry(Happened.UP, CLIENTS), Map.entry(Happened.MOVED, CLIENTS));
     }
 
-    /** The agent that told of the drain is left, and the new one has not told anything yet. */
+    /** The agent that reported the drain is replaced, and the new one has not sent a list yet. */
     @Test
-    void aFeedServerThatDrainsGetsNothingNewAcrossTheMoveToAnotherDiscovery() throws Exception {
+    void aDrainingFeedServerGetsNothingNewAcrossAChangeOfDiscovery() throws Exception {
         come(CLIENTS);
         until(() -> count(Happened.UP) == CLIENTS && standing(0) > 0);
-        // some of them the relay may move before their feed server does
-        int stood = yard.on(() -> standing(0));
-        int atTheDrain = yard.on(() -> {
+        // the relay may migrate some of them before their feed server does
+        int stood = standInLoop.on(() -> standing(0));
+        int atTheDrain = standInLoop.on(() -> {
             discoveries.get(1).down(true);
             servers.get(0).drain();
             discoveries.get(0).list(servers.get(0), "box", 1, "draining");
             return (int) servers.get(0).books().asked();
         });
-        program.logged("relay", "endpoint state changed server=s0 state=DRAINING");
+        program.awaitLogged("relay", "endpoint state changed server=s0 state=DRAINING");
         reload(1, 1_000_000);
         come(CLIENTS);
         until(() -> count(Happened.UP) == 2 * CLIENTS);
-        assertThat(yard.on(() -> (int) servers.get(0).books().asked()))
+        assertThat(standInLoop.on(() -> (int) servers.get(0).books().asked()))
                 .as("sent to it after it drained")
                 .isEqualTo(atTheDrain);
-        yard.run(() -> {
+        standInLoop.run(() -> {
             discoveries.get(1).list(servers.get(0), "box", 1, "gone");
             discoveries.get(1).down(false);
             servers.get(0).sendAway();
@@ -173,8 +173,8 @@
         until(() -> count(Happened.MOVED) == stood);
         come(CLIENTS);
         until(() -> count(Happened.UP) == 3 * CLIENTS);
-        assertThat(yard.on(() -> (int) servers.get(0).books().asked())).isEqualTo(atTheDrain);
-        assertThat(yard.on(() -> Map.copyOf(happened)))
+        assertThat(standInLoop.on(() -> (int) servers.get(0).books().asked())).isEqualTo(atTheDrain);
+        assertThat(standInLoop.on(() -> Map.copyOf(happened)))
                 .containsOnly(Map.entry(Happened.UP, 3 * CLIENTS), Map.entry(Happened.MOVED, stood));
         assertThat(program.log("relay")).doesNotContain("SEVERE", "Exception");
     }
--- a/src/test/java/sandstack/SignalledStart.java
+++ b/src/test/java/sandstack/SignalledStart.java
@@ -13,7 +13,7 @@
     /** The shutdown takes so long at least, as with other parts that have something to take down. */
     private static final long SHUTDOWN_LASTS_MILLIS = 2_500;
 
-    /** What else the signal sets off has been done by then, unless it needs the thread that stands. */
+    /** What else the signal sets off has been done by then, unless it needs the blocked thread. */
     private static final long AFTER_THE_SIGNAL_MILLIS = 500;
 
     private SignalledStart() {}
@@ -29,7 +29,7 @@
         Main.main(new String[] {"serve"});
     }
 
-    /** Passes all on, and stands after the first piece with this text. */
+    /** Passes everything on, and blocks after the first piece with this text. */
     private static final class Watching extends OutputStream {
         private final PrintStream passedTo;
         private final String text;
@@ -59,7 +59,7 @@
 
         private void stopHere() {
             try {
-                // nobody else can log meanwhile: what is waited for here must not need the program's other threads
+                // no other thread can log meanwhile: what is awaited here must not need the program's other threads
                 if (waitsForInput) {
                     System.in.read();
                 }
--- a/src/test/java/sandstack/UpgradeTest.java
+++ b/src/test/java/sandstack/UpgradeTest.java
@@ -33,21 +33,21 @@
     @TempDir
     Path folder;
 
-    private final StandInLoop yard;
+    private final StandInLoop standInLoop;
     private final Discovery discovery;
     private final List<FeedServer> servers = new ArrayList<>();
     private final Queue<String> answers = new ConcurrentLinkedQueue<>();
-    private final Queue<String> ends = new ConcurrentLinkedQueue<>();
+    private final Queue<String> lastLines = new ConcurrentLinkedQueue<>();
     private final List<Thread> clients = new ArrayList<>();
     private SocketHolder holder;
 
     UpgradeTest() throws IOException {
-        yard = new StandInLoop();
-        discovery = yard.make(() -> new Discovery(yard));
+        standInLoop = new StandInLoop();
+        discovery = standInLoop.make(() -> new Discovery(standInLoop));
         for (int i = 0; i < 2; i++) {
             String uid = "s" + i;
-            servers.add(yard.make(() -> new FeedServer(yard, uid, "home", Machine.IDLE)));
-            yard.run(() -> discovery.list(servers.get(servers.size() - 1), "box", 1, "ready"));
+            servers.add(standInLoop.make(() -> new FeedServer(standInLoop, uid, "home", Machine.IDLE)));
+            standInLoop.run(() -> discovery.list(servers.get(servers.size() - 1), "box", 1, "ready"));
         }
     }
 
@@ -65,7 +65,7 @@
     @AfterEach
     void end() throws Exception {
         holder.close();
-        yard.close();
+        standInLoop.close();
     }
 
     private static int freePort() throws IOException {
@@ -74,13 +74,14 @@
         }
     }
 
-    /** One more process of the relay, and the port of its door. */
-    private record Started(ProcessHandle process, int door) {}
+    /** One more process of the relay, and the port of its operator endpoint. */
+    private record Started(ProcessHandle process, int operatorPort) {}
 
     private Started start(String name) throws Exception {
         Started started = begin(name);
-        // awaited, not slept on: the door refuses until the process listens and says NAK until it can serve
-        while (!call(started.door(), "PING").startsWith("ACK")) {
+        // polled, not slept on: connections are refused until the process listens, and PING is answered NAK until it
+        // can serve
+        while (!call(started.operatorPort(), "PING").startsWith("ACK")) {
             assertThat(started.process().isAlive())
                     .as("relay " + name + ": " + log(name))
                     .isTrue();
@@ -91,20 +92,20 @@
 
     private Started begin(String name) throws Exception {
         Map<String, String> env = new HashMap<>();
-        int door = freePort();
+        int operatorPort = freePort();
         env.put("PROXY_CONFIG", folder.resolve("config.json").toString());
         env.put("PROXY_SOCKET_FD", "0");
-        env.put("PROXY_OPERATOR", "127.0.0.1:" + door);
+        env.put("PROXY_OPERATOR", "127.0.0.1:" + operatorPort);
         env.put("TMPDIR", folder.resolve("tmp").toString());
-        return new Started(holder.relay(name, env), door);
+        return new Started(holder.relay(name, env), operatorPort);
     }
 
     private String log(String name) throws IOException {
         return Files.readString(folder.resolve(name + ".log"));
     }
 
-    private static String call(int door, String call) {
-        try (Socket socket = new Socket("127.0.0.1", door)) {
+    private static String call(int operatorPort, String call) {
+        try (Socket socket = new Socket("127.0.0.1", operatorPort)) {
             socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -112,7 +113,7 @@
         }
     }
 
-    /** A client that stays until it is told to go; it tells its answer and how it ended. */
+    /** A client that stays until it is migrated; it records its answer and its last line. */
     private void client(int number) throws Exception {
         Socket socket = new Socket("127.0.0.1", holder.port());
         socket.getOutputStream()
@@ -128,9 +129,9 @@
                 for (String line = answer; line != null; line = in.readLine()) {
                     last = line;
                 }
-                ends.add(last);
+                lastLines.add(last);
             } catch (IOException e) {
-                ends.add(e.toString());
+                lastLines.add(e.toString());
             }
         });
         thread.setDaemon(true);
@@ -139,7 +140,7 @@
     }
 
     @Test
-    void nobodyIsTurnedBackWhileOneProcessTakesOverFromAnother() throws Exception {
+    void noRequestIsRejectedWhileOneProcessTakesOverFromAnother() throws Exception {
         Started first = start("first");
         int number = 0;
         for (; number < 20; number++) {
@@ -155,7 +156,7 @@
             Thread.sleep(10);
         }
         assertThat(log("second"))
-                .as("it reckons with the other before it takes anybody")
+                .as("it counts the other process before it accepts a client")
                 .containsSubsequence(
                         "process count changed count=2",
                         "endpoint list received from sibling process count=2",
@@ -168,14 +169,14 @@
             client.join(20_000);
         }
         assertThat(answers).hasSize(number).allMatch(answer -> answer.startsWith("UP "));
-        assertThat(ends).hasSize(number).containsOnly("MOVE");
+        assertThat(lastLines).hasSize(number).containsOnly("MOVE");
         long setups = servers.stream()
-                .mapToLong(server -> yard.on(server::books).setups())
+                .mapToLong(server -> standInLoop.on(server::books).setups())
                 .sum();
         assertThat(setups).as("no attempt but the one that stood").isEqualTo(number);
     }
 
-    /** The new process dies before its yes, as often as it likes: the old one serves on, and no files pile up. */
+    /** The new process dies before its ACK, several times: the old one serves on, and files do not accumulate. */
     @Test
     void anUpgradeThatFailsChangesNothing() throws Exception {
         Started old = start("old");
@@ -187,7 +188,7 @@
             }
             dying.process().destroyForcibly();
             dying.process().onExit().get(20, TimeUnit.SECONDS);
-            assertThat(call(old.door(), "PING")).startsWith("ACK");
+            assertThat(call(old.operatorPort(), "PING")).startsWith("ACK");
             client(i);
         }
         while (answers.size() < 3) {
@@ -199,15 +200,15 @@
                     .as("of the old process two, of each dead one at most three")
                     .hasSizeLessThanOrEqualTo(11);
         }
-        assertThat(call(old.door(), "INFO"))
+        assertThat(call(old.operatorPort(), "INFO"))
                 .contains(
                         "edge_proxy.responses.order-status.ok=3\r\n",
                         "edge_proxy.active=3\r\n",
                         "edge_proxy.pool_size=2\r\n")
                 .endsWith("--\r\n");
         old.process().destroy();
-        // figures are told while it drains, and then it is not there any more
-        assertThat(call(old.door(), "INFO")).startsWith("ACK\r\n");
+        // metrics are reported while it drains, until it has ended
+        assertThat(call(old.operatorPort(), "INFO")).startsWith("ACK\r\n");
         old.process().onExit().get(20, TimeUnit.SECONDS);
         assertThat(log("old")).contains("relay stopped").doesNotContain("SEVERE");
     }
--- a/src/test/java/sandstack/cli/SandstackCommandTest.java
+++ b/src/test/java/sandstack/cli/SandstackCommandTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void versionIsTold() {
+    void versionIsPrinted() {
         assertThat(run("--version")).isZero();
         assertThat(said.toString()).startsWith("sandstack ");
     }
