--- a/src/main/java/sandstack/rig/FleetRig.java
+++ b/src/main/java/sandstack/rig/FleetRig.java
@@ -11,7 +11,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
@@ -33,7 +32,6 @@
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
             "-XX:-UsePerfData");
-    private static final List<String> FORMER_STATUSES = List.of("LOST", "LEFT");
     private static final int SEED_MEMBERS = 3;
     private static final long CONDITION_POLL_MILLIS = 50;
     private static final long TERMINATION_TIMEOUT_SECONDS = 20;
@@ -191,26 +189,12 @@
     }
 
     /**
-     * The status of each name in a member's view: that of the present incarnation, or else of the last. Null where the
+     * The status of each name in a member's view: that of the present incarnation, or else of the first one listed. Null where the
      * member does not respond.
      */
     public Map<String, String> standings(int i) {
         JsonNode view = members[i].view();
-        if (view == null) {
-            return null;
-        }
-        Map<String, String> statuses = new TreeMap<>();
-        for (JsonNode member : view.path("members")) {
-            if (isPresent(member) || !statuses.containsKey(member.path("name").asText())) {
-                statuses.put(
-                        member.path("name").asText(), member.path("standing").asText());
-            }
-        }
-        return statuses;
-    }
-
-    private static boolean isPresent(JsonNode member) {
-        return !FORMER_STATUSES.contains(member.path("standing").asText());
+        return view == null ? null : FleetView.statuses(view);
     }
 
     /** Whether every member sees every member alive. */
@@ -229,15 +213,7 @@
     /** The entry of a name in a member's view; null where there is none. */
     public JsonNode memberEntry(int i, String name) {
         JsonNode view = members[i].view();
-        JsonNode found = null;
-        if (view != null) {
-            for (JsonNode member : view.path("members")) {
-                if (member.path("name").asText().equals(name) && (found == null || isPresent(member))) {
-                    found = member;
-                }
-            }
-        }
-        return found;
+        return view == null ? null : FleetView.entry(view, name);
     }
 
     /** Waits until a condition holds; returns the microseconds that it took, or -1 after the timeout. */
