--- a/src/main/java/sandstack/Main.java
+++ b/src/main/java/sandstack/Main.java
@@ -42,7 +42,7 @@
     }
 
     private static boolean isDirectCommand(String... args) {
-        boolean hasDirectOptions = args.length == 1 || args.length == 3 && args[1].equals(CAPACITY_OPTION);
+        boolean hasDirectOptions = args.length == 1 || (args.length == 3 && args[1].equals(CAPACITY_OPTION));
         return hasDirectOptions && (args[0].equals(SERVE) || args[0].equals(REHEARSE));
     }
 }
--- /dev/null
+++ b/src/main/java/sandstack/concurrent/package-info.java
@@ -0,0 +1,2 @@
+/** Helpers for {@link java.util.concurrent}. */
+package sandstack.concurrent;
--- a/src/main/java/sandstack/configuration/ConfigurationMessage.java
+++ b/src/main/java/sandstack/configuration/ConfigurationMessage.java
@@ -146,15 +146,26 @@
         }
     }
 
-    /** Why there is no session. Sent by ordinal: append only. */
+    /** Why there is no session. */
     enum SessionRejectionReason {
         /** The machine has as many sessions as it serves. */
-        FULL,
+        FULL(0),
         /** More hellos arrive than are admitted. */
-        BUSY,
+        BUSY(1),
         /** The machine does not know the session; it may have been restarted. */
-        UNKNOWN_SESSION,
+        UNKNOWN_SESSION(2),
         /** The relay exceeds its rate of messages. */
-        FLOOD
+        FLOOD(3);
+
+        private final int wireCode;
+
+        SessionRejectionReason(int wireCode) {
+            this.wireCode = wireCode;
+        }
+
+        /** The byte that is sent for it, which never changes. */
+        int wireCode() {
+            return wireCode;
+        }
     }
 }
--- a/src/main/java/sandstack/configuration/ConfigurationMessageCodec.java
+++ b/src/main/java/sandstack/configuration/ConfigurationMessageCodec.java
@@ -99,7 +99,7 @@
         } else if (message instanceof Welcome welcome) {
             write(begin(out, WELCOME, message), welcome.head());
         } else if (message instanceof SessionRejected rejected) {
-            begin(out, REJECTED, message).writeByte(rejected.reason().ordinal());
+            begin(out, REJECTED, message).writeByte(rejected.reason().wireCode());
         }
     }
 
@@ -121,8 +121,7 @@
                     case CHUNK_REQUEST -> new ChunkRequest(sessionId, ConfigurationVersion.readFrom(in), in.readInt());
                     case GOODBYE -> new Goodbye(sessionId);
                     case WELCOME -> new Welcome(sessionId, readHead(in));
-                    case REJECTED -> new SessionRejected(
-                            sessionId, readConstant(SessionRejectionReason.values(), in.readByte()));
+                    case REJECTED -> new SessionRejected(sessionId, readSessionRejectionReason(in.readByte()));
                     case HEARTBEAT -> new Heartbeat(sessionId, readHead(in));
                     case DELTAS -> readDeltas(in, sessionId);
                     case SNAPSHOT_OFFER -> new SnapshotOffer(
@@ -199,6 +198,17 @@
         return new SnapshotChunk(sessionId, version, formatVersion, totalBytes, offset, in.readBytes(maxFrameBytes()));
     }
 
+    private static SessionRejectionReason readSessionRejectionReason(byte wireCode)
+            throws MalformedConfigurationException {
+        SessionRejectionReason[] reasons = SessionRejectionReason.values();
+        for (SessionRejectionReason reason : reasons) {
+            if (reason.wireCode() == wireCode) {
+                return reason;
+            }
+        }
+        throw new MalformedConfigurationException("constant " + wireCode + " is not one of " + reasons.length);
+    }
+
     private static <T> T readConstant(T[] constants, byte ordinal) throws MalformedConfigurationException {
         if (ordinal < 0 || ordinal >= constants.length) {
             throw new MalformedConfigurationException("constant " + ordinal + " is not one of " + constants.length);
--- a/src/main/java/sandstack/configuration/MachineSelection.java
+++ b/src/main/java/sandstack/configuration/MachineSelection.java
@@ -24,7 +24,7 @@
             return isSatisfactory(candidate, activeVersion) && isPreferred;
         }
         return isSatisfactory(candidate, activeVersion)
-                || !current.head().hasQuorum()
-                        && candidate.version().isAfter(current.head().version());
+                || (!current.head().hasQuorum()
+                        && candidate.version().isAfter(current.head().version()));
     }
 }
--- a/src/main/java/sandstack/configuration/SnapshotChunkSource.java
+++ b/src/main/java/sandstack/configuration/SnapshotChunkSource.java
@@ -80,7 +80,7 @@
         long lagChanges = current.version().index() - version.index();
         boolean isRecent = lagChanges < settings.maxSnapshotLagChanges() && recentChanges.continuesFrom(version);
         return version.equals(current.version())
-                || isRecent && version.index() >= minIndex
+                || (isRecent && version.index() >= minIndex)
                 || nowMicros - encodedAtMicros < MIN_ENCODE_INTERVAL_MICROS;
     }
 
--- a/src/main/java/sandstack/configuration/consensus/ControlNode.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNode.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
+import sandstack.concurrent.Futures;
 import sandstack.configuration.ChangeRejection;
 import sandstack.configuration.ChangeValidator;
 import sandstack.configuration.CommittedChangeListener;
@@ -182,13 +183,14 @@
 
     private CompletableFuture<ProposalOutcome> replicate(LogOperation.Proposal proposal) {
         CompletableFuture<ProposalOutcome> outcome = new CompletableFuture<>();
-        raftNode.current().<ProposalOutcome>replicate(proposal).whenComplete((ordered, failure) -> {
+        // the callback completes the outcome in both cases
+        Futures.ignore(raftNode.current().<ProposalOutcome>replicate(proposal).whenComplete((ordered, failure) -> {
             if (failure == null) {
                 outcome.complete(ordered.getResult());
             } else {
                 outcome.complete(outcomeOfFailure(proposal.key(), failure));
             }
-        });
+        }));
         long timeoutMillis = settings.timeouts().proposalTimeout().toMillis();
         environment
                 .executor()
--- a/src/main/java/sandstack/configuration/consensus/RestartableRaftNode.java
+++ b/src/main/java/sandstack/configuration/consensus/RestartableRaftNode.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalLong;
+import sandstack.concurrent.Futures;
 
 /**
  * The library's Raft node, which is rebuilt from its store where {@link SnapshotStallDetector} or {@link
@@ -88,7 +89,8 @@
     /** Rebuilds the library's node from the store, as a restart of the process would; messages until then are lost. */
     private void restart(RaftMessage message) {
         restarting = true;
-        current.terminate().whenComplete((ignored, failure) -> {
+        // no caller waits for the restart: messages are lost until the callback has run
+        Futures.ignore(current.terminate().whenComplete((ignored, failure) -> {
             try {
                 removeConflictingEntries(message);
                 current = build();
@@ -96,8 +98,9 @@
                 throw new UncheckedIOException(e);
             }
             restarting = false;
-            current.start();
-        });
+            // no caller waits for the start either
+            Futures.ignore(current.start());
+        }));
     }
 
     /** Checks again now that the node handles nothing more: a later leader may have confirmed the entries meanwhile. */
--- a/src/main/java/sandstack/core/EndpointListUpdater.java
+++ b/src/main/java/sandstack/core/EndpointListUpdater.java
@@ -67,13 +67,13 @@
      */
     void serverSentClientAway(EndpointRegistry.Endpoint endpoint) {
         EndpointEntry entry = endpoint.entry();
-        if (endpoints.get(entry.serverId()) != endpoint || entry.state() != EndpointState.READY) {
+        if (!endpoints.isCurrent(endpoint) || entry.state() != EndpointState.READY) {
             return;
         }
         EndpointRegistry.Endpoint draining = endpoint.withState(EndpointState.DRAINING);
         apply(delta(draining));
         deadlines.schedule(clock.getAsLong() + ASSUMED_DRAINING_MICROS, () -> {
-            if (endpoints.get(entry.serverId()) == draining) {
+            if (endpoints.isCurrent(draining)) {
                 apply(delta(endpoint));
             }
         });
--- a/src/main/java/sandstack/core/EndpointRegistry.java
+++ b/src/main/java/sandstack/core/EndpointRegistry.java
@@ -62,6 +62,15 @@
         return endpoints.get(serverId);
     }
 
+    /**
+     * Whether no update has replaced this endpoint since. Compares identity: an equal endpoint of a later update is
+     * another one.
+     */
+    boolean isCurrent(Endpoint endpoint) {
+        Object current = endpoints.get(endpoint.entry().serverId());
+        return current == endpoint;
+    }
+
     /** The endpoints of all listed feed servers; a live view. */
     public Collection<Endpoint> endpoints() {
         return endpoints.values();
--- a/src/main/java/sandstack/decisions/DeduplicationScope.java
+++ b/src/main/java/sandstack/decisions/DeduplicationScope.java
@@ -11,6 +11,6 @@
 
     /** Whether a server of one zone and cell drops duplicates of what one of the other zone and cell has executed. */
     public boolean covers(int zone, int cell, int otherZone, int otherCell) {
-        return this == ALL || zone == otherZone && (this == ZONE || cell == otherCell);
+        return this == ALL || (zone == otherZone && (this == ZONE || cell == otherCell));
     }
 }
--- a/src/main/java/sandstack/directory/TenantDirectory.java
+++ b/src/main/java/sandstack/directory/TenantDirectory.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.logging.Logger;
+import sandstack.concurrent.Futures;
 import sandstack.config.DeployFiles;
 import sandstack.config.InvalidConfigurationException;
 import sandstack.config.PlatformConfig.Address;
@@ -83,7 +84,9 @@
 
     /** Reads the directory at once and then at its refresh interval, until it is closed. */
     public void start() {
-        scheduler.scheduleWithFixedDelay(this::refresh, 0, location.refreshMillis(), TimeUnit.MILLISECONDS);
+        // refresh reports its own failures; a shutdown of the scheduler ends it
+        Futures.ignore(
+                scheduler.scheduleWithFixedDelay(this::refresh, 0, location.refreshMillis(), TimeUnit.MILLISECONDS));
     }
 
     private void refresh() {
--- a/src/main/java/sandstack/discovery/DiscoveryWatch.java
+++ b/src/main/java/sandstack/discovery/DiscoveryWatch.java
@@ -17,6 +17,7 @@
 import org.glassfish.grizzly.http.HttpResponsePacket;
 import org.glassfish.grizzly.http.Method;
 import org.glassfish.grizzly.http.Protocol;
+import sandstack.concurrent.Futures;
 import sandstack.config.EndpointListJson;
 import sandstack.config.InvalidConfigurationException;
 import sandstack.config.PlatformConfig.Address;
@@ -129,7 +130,8 @@
                     .query("watch=1" + (fromVersion < 0 ? "" : "&from=" + fromVersion))
                     .header("Host", discovery.toString())
                     .build();
-            opened.write(request);
+            // the silence timer ends a watch whose request was not written
+            Futures.ignore(opened.write(request));
         }
 
         @Override
--- a/src/main/java/sandstack/fleet/GuardedOperation.java
+++ b/src/main/java/sandstack/fleet/GuardedOperation.java
@@ -11,17 +11,13 @@
     /** Operations of the membership itself, at the request of an operator. */
     enum OperatorOperation implements GuardedOperation {
         /** Stops counting a lost relay. With fewer relays to count, a half may become a majority. */
-        DECOMMISSION_RELAY(EnumSet.of(QuorumState.MAJORITY, QuorumState.MINORITY, QuorumState.ISOLATED));
-
-        private final Set<QuorumState> states;
-
-        OperatorOperation(Set<QuorumState> states) {
-            this.states = states;
-        }
+        DECOMMISSION_RELAY;
 
         @Override
         public Set<QuorumState> allowedStates() {
-            return states;
+            return switch (this) {
+                case DECOMMISSION_RELAY -> EnumSet.of(QuorumState.MAJORITY, QuorumState.MINORITY, QuorumState.ISOLATED);
+            };
         }
     }
 }
--- a/src/main/java/sandstack/fleet/MemberTable.java
+++ b/src/main/java/sandstack/fleet/MemberTable.java
@@ -183,7 +183,7 @@
     /** Incarnation ids of all members but this one. */
     public List<String> otherMemberIds() {
         return entries.values().stream()
-                .filter(entry -> isMember(entry) && entry.incarnation != self)
+                .filter(entry -> isMember(entry) && !entry.incarnation.equals(self))
                 .map(entry -> entry.incarnation.id())
                 .toList();
     }
@@ -230,7 +230,7 @@
         MemberStatus status = status(entry, reachableCount, unreachableFrom.isEmpty());
         if (entry.lastStatus != status) {
             entry.lastStatus = status;
-            entry.lastStatusSinceMicros = entry.incarnation == self ? createdAtMicros : nowMicros;
+            entry.lastStatusSinceMicros = entry.incarnation.equals(self) ? createdAtMicros : nowMicros;
         }
         return new Row(
                 entry.incarnation, status, entry.lastStatusSinceMicros, reachableCount, reporterCount, unreachableFrom);
@@ -240,7 +240,7 @@
         if (entry.left) {
             return MemberStatus.LEFT;
         }
-        boolean present = entry.listedByLibrary || reachableFromSelf(entry.incarnation.id()) && reachableFromAll;
+        boolean present = entry.listedByLibrary || (reachableFromSelf(entry.incarnation.id()) && reachableFromAll);
         if (present && reachableFromAll) {
             return MemberStatus.ALIVE;
         }
--- a/src/main/java/sandstack/fleet/QuorumTracker.java
+++ b/src/main/java/sandstack/fleet/QuorumTracker.java
@@ -145,7 +145,7 @@
             return false;
         }
         return name.equals(selfName)
-                || reachableIds.contains(id) && (answeredSinceStall == null || answeredSinceStall.contains(id));
+                || (reachableIds.contains(id) && (answeredSinceStall == null || answeredSinceStall.contains(id)));
     }
 
     /**
--- a/src/main/java/sandstack/fleet/link/CallServer.java
+++ b/src/main/java/sandstack/fleet/link/CallServer.java
@@ -3,6 +3,7 @@
 import io.scalecube.cluster.transport.api.Message;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
+import sandstack.concurrent.Futures;
 import sandstack.fleet.FleetMessages;
 import sandstack.fleet.FleetMessages.CallRequest;
 import sandstack.fleet.FleetMessages.CallResponse;
@@ -32,9 +33,10 @@
         } else if (request.body() == null || request.body().length() > FleetMember.MAX_BODY_LENGTH) {
             respond(message, null, "a body longer than " + FleetMember.MAX_BODY_LENGTH);
         } else {
-            handler.handle(request.callerId(), request.body())
+            // the callback responds in both cases
+            Futures.ignore(handler.handle(request.callerId(), request.body())
                     .whenComplete((body, failure) ->
-                            respond(message, body, failure == null ? null : String.valueOf(failure.getMessage())));
+                            respond(message, body, failure == null ? null : String.valueOf(failure.getMessage()))));
         }
     }
 
--- a/src/main/java/sandstack/fleet/link/ClusterClient.java
+++ b/src/main/java/sandstack/fleet/link/ClusterClient.java
@@ -127,7 +127,7 @@
                 .requestResponse(target.address(), message)
                 .timeout(timeout, scheduler)
                 .publishOn(scheduler)
-                .map(response -> String.valueOf((Object) response.data()))
+                .map(response -> String.valueOf(response.<Object>data()))
                 .toFuture();
     }
 
--- a/src/main/java/sandstack/fleet/link/FleetExecutor.java
+++ b/src/main/java/sandstack/fleet/link/FleetExecutor.java
@@ -5,6 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import reactor.core.scheduler.Scheduler;
 import reactor.core.scheduler.Schedulers;
+import sandstack.concurrent.Futures;
 
 /**
  * The fleet's thread: the one thread on which the membership runs. Tasks must not block. A task that throws is logged and
@@ -49,7 +50,8 @@
     }
 
     void scheduleAtFixedRate(Runnable task, long intervalMicros) {
-        executor.scheduleAtFixedRate(() -> runGuarded(task), 0, intervalMicros, TimeUnit.MICROSECONDS);
+        // runGuarded handles failures; a shutdown of the executor ends the task
+        Futures.ignore(executor.scheduleAtFixedRate(() -> runGuarded(task), 0, intervalMicros, TimeUnit.MICROSECONDS));
     }
 
     private void runGuarded(Runnable task) {
--- a/src/main/java/sandstack/fleet/link/ProtocolTask.java
+++ b/src/main/java/sandstack/fleet/link/ProtocolTask.java
@@ -2,6 +2,7 @@
 
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
+import sandstack.concurrent.Futures;
 import sandstack.fleet.FleetMessages;
 import sandstack.fleet.FleetMessages.MemberState;
 import sandstack.fleet.FleetMessages.ProbeResponse;
@@ -60,9 +61,10 @@
 
     private void probe(Incarnation target) {
         String body = MessageJson.write(membership.probeRequest(target));
-        clusterClient
+        // the callback handles the failure too
+        Futures.ignore(clusterClient
                 .request(target, Qualifiers.PROBE_REQUEST, body, PROBE_TIMEOUT)
-                .whenComplete((response, failure) -> probeCompleted(target, response, failure));
+                .whenComplete((response, failure) -> probeCompleted(target, response, failure)));
     }
 
     private void probeCompleted(Incarnation target, String response, Throwable failure) {
--- a/src/main/java/sandstack/front/operators/OperatorDoor.java
+++ b/src/main/java/sandstack/front/operators/OperatorDoor.java
@@ -97,7 +97,7 @@
         @Override
         public void onBytesReceived(int count) {
             int end = peer.input().indexOf('\n');
-            if (end >= MAX_LINE_BYTES || end < 0 && peer.input().size() >= MAX_LINE_BYTES) {
+            if (end >= MAX_LINE_BYTES || (end < 0 && peer.input().size() >= MAX_LINE_BYTES)) {
                 sendAnswer("NAK the line is longer than 4 KiB\r\n");
             } else if (end >= 0) {
                 onLine(end);
--- a/src/main/java/sandstack/handover/ProcessMarker.java
+++ b/src/main/java/sandstack/handover/ProcessMarker.java
@@ -40,7 +40,7 @@
         }
         String header = file.substring(0, checksumSeparator);
         String content = file.substring(headerEnd + 1);
-        String[] fields = header.split(" ");
+        String[] fields = header.split(" ", 0);
         if (fields.length != HEADER_FIELDS
                 || !header.startsWith(FORMAT + " ")
                 || !file.substring(checksumSeparator + 1, headerEnd).equals(checksum(header, content))
--- a/src/main/java/sandstack/measure/CapacityMeasurement.java
+++ b/src/main/java/sandstack/measure/CapacityMeasurement.java
@@ -80,7 +80,8 @@
             OpenLoopLoad.Counts counts = awaitAllAnswered(testbed, load);
             progress.onProgress("idle, " + clients + " clients: " + counts);
             results.add(MetricResult.atLeast("idle: standing of " + clients, counts.established(), clients));
-            results.add(MetricResult.atMost("idle: refused of " + clients, counts.rejected() + counts.failed(), 0));
+            results.add(MetricResult.atMost(
+                    "idle: refused of " + clients, (double) (counts.rejected() + counts.failed()), 0));
         }
     }
 
@@ -152,7 +153,7 @@
         progress.onProgress("fleet at 80%: " + counts + ", shed " + shed);
         double answered = Math.max(1, counts.accepted() + counts.rejected() + counts.failed());
         results.add(MetricResult.atLeast("fleet at 80%: served share", counts.accepted() / answered, 0.99));
-        results.add(MetricResult.atMost("fleet at 80%: shed after the start", shed, 0));
+        results.add(MetricResult.atMost("fleet at 80%: shed after the start", (double) shed, 0));
     }
 
     private static void measureOverload(
@@ -176,8 +177,8 @@
                 "fleet at 150%: refused after, 99 in 100, ms", counts.rejectionP99Micros() / MICROS_PER_MILLI, 50));
         results.add(MetricResult.informational(
                 "fleet at 150%: refused after at the most, ms", counts.rejectionMaxMicros() / MICROS_PER_MILLI));
-        results.add(MetricResult.informational("fleet at 150%: failed", counts.failed()));
-        results.add(MetricResult.informational("fleet at 150%: lost", counts.lost()));
+        results.add(MetricResult.informational("fleet at 150%: failed", (double) counts.failed()));
+        results.add(MetricResult.informational("fleet at 150%: lost", (double) counts.lost()));
     }
 
     /** The mean of all servers' established connections over this many samples. */
--- a/src/main/java/sandstack/measure/ConnectionLimiter.java
+++ b/src/main/java/sandstack/measure/ConnectionLimiter.java
@@ -1,6 +1,5 @@
 package sandstack.measure;
 
-import java.util.function.Supplier;
 import sandstack.capacity.CapacityEstimate;
 import sandstack.capacity.CapacityModel;
 import sandstack.capacity.StatedCapacities;
@@ -38,30 +37,30 @@
     /** The algorithms that are compared. */
     enum Algorithm {
         /** Knows the capacity: the upper bound for all others. Has no limiter. */
-        ORACLE(() -> null),
+        ORACLE,
         /** The estimate that the load balancer uses. Reports print it as BRACKET. */
-        CAPACITY_ESTIMATE(CapacityEstimateLimiter::new) {
+        CAPACITY_ESTIMATE {
             @Override
             public String toString() {
                 return "BRACKET";
             }
         },
         /** Additive increase, multiplicative decrease (RFC 5681), as in Netflix's concurrency-limits. */
-        AIMD(AimdLimiter::new),
+        AIMD,
         /** The ratio of the long-term mean setup time to the latest one, as in Gradient2Limit of that library. */
-        GRADIENT(GradientLimiter::new),
+        GRADIENT,
         /** A Kalman filter: a random walk of the capacity, corrected by rejections; admits up to one sigma above the mean. */
-        KALMAN(KalmanLimiter::new);
-
-        private final Supplier<ConnectionLimiter> factory;
-
-        Algorithm(Supplier<ConnectionLimiter> factory) {
-            this.factory = factory;
-        }
+        KALMAN;
 
         /** Returns a new limiter; null for {@link #ORACLE}. */
         ConnectionLimiter newLimiter() {
-            return factory.get();
+            return switch (this) {
+                case ORACLE -> null;
+                case CAPACITY_ESTIMATE -> new CapacityEstimateLimiter();
+                case AIMD -> new AimdLimiter();
+                case GRADIENT -> new GradientLimiter();
+                case KALMAN -> new KalmanLimiter();
+            };
         }
     }
 
--- a/src/main/java/sandstack/measure/FleetUsage.java
+++ b/src/main/java/sandstack/measure/FleetUsage.java
@@ -24,7 +24,7 @@
         double ticks = 0;
         for (int i = 0; i < rig.size(); i++) {
             String stat = Files.readString(Path.of("/proc/" + rig.pid(i) + "/stat"));
-            String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+            String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
             ticks += Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]);
         }
         return ticks / TICKS_PER_SECOND;
--- a/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
+++ b/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
@@ -102,9 +102,9 @@
         int reached = 0;
         for (HollowControlMachine other : fleet.machines()) {
             boolean both = other == machine
-                    || isUp(other)
+                    || (isUp(other)
                             && fleet.network().passes(machine, other)
-                            && fleet.network().passes(other, machine);
+                            && fleet.network().passes(other, machine));
             reached += both ? 1 : 0;
         }
         return 2 * reached > fleet.machines().size();
--- a/src/main/java/sandstack/measure/page/CostModelValidator.java
+++ b/src/main/java/sandstack/measure/page/CostModelValidator.java
@@ -133,7 +133,7 @@
 
     private void requireEqual(CostModel costModel, String key, Double actual, Double expected)
             throws InvalidConfigurationException {
-        boolean equal = actual == null || expected == null
+        boolean equal = (actual == null || expected == null)
                 ? Objects.equals(actual, expected)
                 : Math.abs(actual - expected) <= RELATIVE_TOLERANCE * Math.max(Math.abs(expected), RELATIVE_TOLERANCE);
         if (!equal) {
--- a/src/main/java/sandstack/measure/scale/EndpointListProbe.java
+++ b/src/main/java/sandstack/measure/scale/EndpointListProbe.java
@@ -66,8 +66,8 @@
         EndpointListProbe probe = new EndpointListProbe();
         long allocatedBefore = allocatedBytes();
         probe.receive(fullList);
-        ProbeOutput.print(ALLOCATED, servers, allocatedBytes() - allocatedBefore);
-        ProbeOutput.print(HEAP, servers, ProbeClock.liveBytes() - heapBytesBefore);
+        ProbeOutput.print(ALLOCATED, servers, (double) (allocatedBytes() - allocatedBefore));
+        ProbeOutput.print(HEAP, servers, (double) (ProbeClock.liveBytes() - heapBytesBefore));
         ProbeOutput.print(FULL_LIST, servers, ProbeClock.medianMicros(ROUNDS, 1, () -> probe.receive(fullList)));
         ProbeOutput.print(
                 DELTA,
--- a/src/main/java/sandstack/measure/scale/FittedModel.java
+++ b/src/main/java/sandstack/measure/scale/FittedModel.java
@@ -55,7 +55,7 @@
 
     /** The residual with a penalty for each step of complexity. */
     private double penalizedResidual() {
-        return residualWithNoise() / Math.pow(COMPLEXITY_FACTOR, shape.ordinal());
+        return residualWithNoise() / Math.pow(COMPLEXITY_FACTOR, shape.complexity());
     }
 
     private static boolean isSignificant(FittedModel trend, FittedModel constant, int points) {
--- a/src/main/java/sandstack/measure/scale/LiveHeap.java
+++ b/src/main/java/sandstack/measure/scale/LiveHeap.java
@@ -36,7 +36,7 @@
     static long total(String histogram) throws IOException {
         for (String line : histogram.lines().toList()) {
             if (line.startsWith(TOTAL_LINE_PREFIX)) {
-                String[] columns = line.trim().split("\\s+");
+                String[] columns = line.trim().split("\\s+", 0);
                 return Long.parseLong(columns[2]);
             }
         }
--- a/src/main/java/sandstack/measure/scale/LoadBalancerProbe.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerProbe.java
@@ -34,7 +34,7 @@
         for (int i = 1; i < arguments.length; i++) {
             int connections = Integer.parseInt(arguments[i]);
             driver.establishAll(connections);
-            ProbeOutput.print(HEAP, connections, ProbeClock.liveBytes() - emptyHeapBytes);
+            ProbeOutput.print(HEAP, connections, (double) (ProbeClock.liveBytes() - emptyHeapBytes));
             ProbeOutput.print(PLACEMENT, connections, microsPerPlacement(driver));
             ProbeOutput.print(
                     DELTA,
--- a/src/main/java/sandstack/measure/scale/ProbeOutput.java
+++ b/src/main/java/sandstack/measure/scale/ProbeOutput.java
@@ -19,7 +19,7 @@
     static ProbeOutput read(List<String> lines) {
         ProbeOutput output = new ProbeOutput();
         for (String line : lines) {
-            String[] fields = line.split(" ");
+            String[] fields = line.split(" ", 0);
             Point point = new Point(Double.parseDouble(fields[1]), Double.parseDouble(fields[2]));
             output.curves.computeIfAbsent(fields[0], name -> new ArrayList<>()).add(point);
         }
--- a/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
@@ -121,7 +121,7 @@
                 byConnections.add(connections, deliver(load, deliveries, LINES_PER_SECOND, millis, idleMicros));
             }
             for (long rate : full ? RATES_FULL : RATES_QUICK) {
-                byRate.add(rate, deliver(load, deliveries, rate, millis, idleMicros));
+                byRate.add((double) rate, deliver(load, deliveries, rate, millis, idleMicros));
             }
         }
         List<Series> all = new ArrayList<>();
--- a/src/main/java/sandstack/measure/scale/Shape.java
+++ b/src/main/java/sandstack/measure/scale/Shape.java
@@ -3,41 +3,52 @@
 /** Growth of a cost with size, {@code base + slope * basis(size)}; ordered by complexity, which model selection uses. */
 public enum Shape {
     /** The same at every size. */
-    CONSTANT {
+    CONSTANT(0) {
         @Override
         public double basis(double size) {
             return 0;
         }
     },
     /** Grows with the natural logarithm of the size; sizes below one count as one. */
-    LOGARITHMIC {
+    LOGARITHMIC(1) {
         @Override
         public double basis(double size) {
             return Math.log(Math.max(size, 1));
         }
     },
     /** Grows with the size. */
-    LINEAR {
+    LINEAR(2) {
         @Override
         public double basis(double size) {
             return size;
         }
     },
     /** Grows with the size times its natural logarithm. */
-    N_LOG_N {
+    N_LOG_N(3) {
         @Override
         public double basis(double size) {
             return size * LOGARITHMIC.basis(size);
         }
     },
     /** Grows with the square of the size. */
-    SQUARE {
+    SQUARE(4) {
         @Override
         public double basis(double size) {
             return size * size;
         }
     };
 
+    private final int complexity;
+
+    Shape(int complexity) {
+        this.complexity = complexity;
+    }
+
+    /** Steps of complexity above {@link #CONSTANT}. */
+    int complexity() {
+        return complexity;
+    }
+
     /** The factor of the slope at a size. */
     public abstract double basis(double size);
 }
--- a/src/main/java/sandstack/measure/scale/hollow/SwimProtocolModel.java
+++ b/src/main/java/sandstack/measure/scale/hollow/SwimProtocolModel.java
@@ -119,7 +119,7 @@
         if (suspicion == 0) {
             return;
         }
-        long timeoutMicros = SUSPICION_MULTIPLIER * GossipModel.ceilLog2(relays.size()) * PING_INTERVAL_MICROS;
+        long timeoutMicros = (long) SUSPICION_MULTIPLIER * GossipModel.ceilLog2(relays.size()) * PING_INTERVAL_MICROS;
         clock.schedule(timeoutMicros, () -> {
             if (relay.isCurrentSuspicion(target, suspicion) && network.isUp(relay.index())) {
                 remove(relay, target, true);
--- a/src/main/java/sandstack/measure/scale/storm/RetryStormScale.java
+++ b/src/main/java/sandstack/measure/scale/storm/RetryStormScale.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.IntFunction;
-import java.util.function.ToDoubleFunction;
 import sandstack.measure.scale.Resource;
 import sandstack.measure.scale.Role;
 import sandstack.measure.scale.ScaleMeasurement;
@@ -34,24 +33,30 @@
 
     /** Reported metrics; the ids are part of the ids of series. */
     private enum Metric {
-        ATTEMPTS_AT_RELAY("attempts-at-relay", Resource.MESSAGES, "attempts a second", RetryStormResult::peakAttempts),
-        ATTEMPTS_AT_FEED_SERVER(
-                "attempts-at-feed-server", Resource.MESSAGES, "attempts a second", RetryStormResult::peakAtFeedServer),
-        ATTEMPTS_PER_CLIENT(
-                "attempts-each", Resource.MESSAGES, "attempts a client", RetryStormResult::attemptsPerClient),
-        OVERLOADED_SECONDS("seconds-over", Resource.LATENCY, "seconds", RetryStormResult::overloadedSeconds),
-        SECONDS_UNTIL_BACK("seconds-until-back", Resource.LATENCY, "seconds", RetryStormResult::secondsUntil99Percent);
+        ATTEMPTS_AT_RELAY("attempts-at-relay", Resource.MESSAGES, "attempts a second"),
+        ATTEMPTS_AT_FEED_SERVER("attempts-at-feed-server", Resource.MESSAGES, "attempts a second"),
+        ATTEMPTS_PER_CLIENT("attempts-each", Resource.MESSAGES, "attempts a client"),
+        OVERLOADED_SECONDS("seconds-over", Resource.LATENCY, "seconds"),
+        SECONDS_UNTIL_BACK("seconds-until-back", Resource.LATENCY, "seconds");
 
         private final String id;
         private final Resource resource;
         private final String unit;
-        private final ToDoubleFunction<RetryStormResult> value;
 
-        Metric(String id, Resource resource, String unit, ToDoubleFunction<RetryStormResult> value) {
+        Metric(String id, Resource resource, String unit) {
             this.id = id;
             this.resource = resource;
             this.unit = unit;
-            this.value = value;
+        }
+
+        double value(RetryStormResult result) {
+            return switch (this) {
+                case ATTEMPTS_AT_RELAY -> result.peakAttempts();
+                case ATTEMPTS_AT_FEED_SERVER -> result.peakAtFeedServer();
+                case ATTEMPTS_PER_CLIENT -> result.attemptsPerClient();
+                case OVERLOADED_SECONDS -> result.overloadedSeconds();
+                case SECONDS_UNTIL_BACK -> result.secondsUntil99Percent();
+            };
         }
     }
 
@@ -162,7 +167,7 @@
                 metric.unit,
                 per,
                 method(),
-                Series.points(samples, Sample::size, sample -> metric.value.applyAsDouble(sample.result())));
+                Series.points(samples, Sample::size, sample -> metric.value(sample.result())));
     }
 
     private String method() {
--- a/src/main/java/sandstack/net/OutboundConnector.java
+++ b/src/main/java/sandstack/net/OutboundConnector.java
@@ -8,6 +8,7 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
 /** One connection that is being made, and the listener that is notified of its end unless it is cancelled. */
+@SuppressWarnings("rawtypes") // Grizzly declares the overridden methods with the raw type
 final class OutboundConnector extends TCPNIOConnectorHandler implements EventLoop.PendingConnect {
     private final EmptyCompletionHandler<Connection> completionHandler;
     private Connection<?> connection;
--- a/src/main/java/sandstack/net/PeerIoStrategy.java
+++ b/src/main/java/sandstack/net/PeerIoStrategy.java
@@ -10,6 +10,7 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /** Same-thread processing; write readiness goes to the {@link Peer}'s buffer instead of Grizzly's write queue. */
+@SuppressWarnings("rawtypes") // Grizzly declares the overridden methods with the raw type
 final class PeerIoStrategy implements IOStrategy {
     private final IOStrategy sameThread = SameThreadIOStrategy.getInstance();
 
--- a/src/main/java/sandstack/rig/PairLink.java
+++ b/src/main/java/sandstack/rig/PairLink.java
@@ -169,7 +169,7 @@
                     }
                 });
             }
-            if (end != null && (other == null || !stopped() && held.isEmpty())) {
+            if (end != null && (other == null || (!stopped() && held.isEmpty()))) {
                 gone();
                 if (other != null) {
                     later(0, end);
--- a/src/main/java/sandstack/rig/Rules.java
+++ b/src/main/java/sandstack/rig/Rules.java
@@ -149,7 +149,7 @@
     /** Who acts as most is more than half of what staff state, and nobody acts on what was believed before a standstill. */
     private void stands(Stands s) {
         boolean most = s.ground() == QuorumState.MAJORITY || s.ground() == QuorumState.COMPLETE;
-        if (most && (2 * s.with() <= members || s.ground() == QuorumState.COMPLETE && s.with() < members)) {
+        if (most && (2 * s.with() <= members || (s.ground() == QuorumState.COMPLETE && s.with() < members))) {
             broken.add(new Broken(
                     "most is more than half of what staff state",
                     s.member() + " is " + s.ground() + " with " + s.with() + " of " + members));
--- a/src/main/java/sandstack/standin/FeedServer.java
+++ b/src/main/java/sandstack/standin/FeedServer.java
@@ -191,7 +191,7 @@
     }
 
     private static String value(String pairs, String name) {
-        for (String pair : pairs.split(",")) {
+        for (String pair : pairs.split(",", 0)) {
             if (pair.startsWith(name + "=")) {
                 return pair.substring(name.length() + 1);
             }
@@ -283,7 +283,7 @@
         }
 
         private void first(String line) {
-            String[] words = line.split(" ");
+            String[] words = line.split(" ", 0);
             if (words.length != 4 || !words[0].equals("OPEN")) {
                 syntax++;
                 end("SYNTAX\r\n");
--- a/src/test/java/sandstack/DocumentationTest.java
+++ b/src/test/java/sandstack/DocumentationTest.java
@@ -64,7 +64,7 @@
             return false;
         }
         String text = Files.readString(file);
-        for (String nested : code.group(2).split("\\.")) {
+        for (String nested : code.group(2).split("\\.", 0)) {
             if (!declares(text, nested)) {
                 return false;
             }
--- a/src/test/java/sandstack/EarlySignalTest.java
+++ b/src/test/java/sandstack/EarlySignalTest.java
@@ -121,8 +121,8 @@
     private static boolean answered(List<? extends String> heard) {
         String first = heard.isEmpty() ? "" : heard.get(0);
         // ERR where its time ran out: that may happen to anybody on a machine with too little time for all
-        return heard.size() == 1 && (first.startsWith("BUSY") || first.equals("ERR"))
-                || heard.size() == 2 && first.startsWith("UP ") && heard.get(1).equals("MOVE");
+        return (heard.size() == 1 && (first.startsWith("BUSY") || first.equals("ERR")))
+                || (heard.size() == 2 && first.startsWith("UP ") && heard.get(1).equals("MOVE"));
     }
 
     /** The one who came to the listener before the rest of the start was done was cut off without MOVE. */
--- a/src/test/java/sandstack/FirstTryTest.java
+++ b/src/test/java/sandstack/FirstTryTest.java
@@ -5,6 +5,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -82,7 +83,7 @@
     }
 
     private String ask(int i) throws IOException {
-        Socket client = new Socket("127.0.0.1", 3000);
+        Socket client = new Socket(InetAddress.getLoopbackAddress(), 3000);
         clients.add(client);
         client.setSoTimeout(5_000);
         client.getOutputStream()
--- a/src/test/java/sandstack/Program.java
+++ b/src/test/java/sandstack/Program.java
@@ -125,7 +125,7 @@
     /** Waits for a line with this text; returns the line. */
     String logged(String name, String text) throws Exception {
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(40); System.nanoTime() < end; Thread.sleep(20)) {
-            for (String line : log(name).split("\n")) {
+            for (String line : log(name).split("\n", 0)) {
                 if (line.contains(text)) {
                     return line;
                 }
--- a/src/test/java/sandstack/ReloadTest.java
+++ b/src/test/java/sandstack/ReloadTest.java
@@ -102,7 +102,7 @@
     }
 
     private String call(String call) throws Exception {
-        try (Socket socket = new Socket("127.0.0.1", door)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), door)) {
             socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
@@ -121,7 +121,7 @@
 
     /** The answer to a request of this class: its feed servers are not there, so a known class is refused. */
     private String open(String requestClass) throws Exception {
-        try (Socket socket = new Socket("127.0.0.1", clients)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), clients)) {
             socket.getOutputStream()
                     .write(("OPEN i" + ++asked + " k c=" + requestClass + ",d=300\r\n")
                             .getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/sandstack/SignalledStart.java
+++ b/src/test/java/sandstack/SignalledStart.java
@@ -2,6 +2,7 @@
 
 import java.io.OutputStream;
 import java.io.PrintStream;
+import java.nio.charset.Charset;
 import java.util.concurrent.TimeUnit;
 import sun.misc.Signal;
 
@@ -51,7 +52,7 @@
         public void write(byte[] bytes, int from, int count) {
             passedTo.write(bytes, from, count);
             passedTo.flush();
-            if (!signalled && new String(bytes, from, count).contains(text)) {
+            if (!signalled && new String(bytes, from, count, Charset.defaultCharset()).contains(text)) {
                 signalled = true;
                 stopHere();
             }
--- a/src/test/java/sandstack/SocketHolder.java
+++ b/src/test/java/sandstack/SocketHolder.java
@@ -5,6 +5,7 @@
 import java.io.InputStreamReader;
 import java.io.PrintStream;
 import java.lang.reflect.Method;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.channels.ServerSocketChannel;
@@ -30,8 +31,7 @@
 
     /** Starts a holder that keeps the logs of its children in this folder, which is their deploy folder too. */
     SocketHolder(Path folder) throws Exception {
-        try (java.net.ServerSocket listening =
-                new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+        try (java.net.ServerSocket listening = new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             listening.setSoTimeout(20_000);
             process = new ProcessBuilder(
                             java(),
@@ -70,28 +70,33 @@
     }
 
     @Override
-    public void close() throws Exception {
+    public void close() throws IOException {
         started.forEach(ProcessHandle::destroyForcibly);
         control.close();
-        process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
+        try {
+            process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
     }
 
     /** The holder itself: {@code CONTROL_PORT FOLDER}. */
     public static void main(String[] args) throws Exception {
-        ServerSocketChannel listening = ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0), 512);
+        ServerSocketChannel listening =
+                ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 512);
         java.lang.reflect.Field fd =
                 Class.forName("sun.nio.ch.ServerSocketChannelImpl").getDeclaredField("fdVal");
         Method dup2 = Class.forName("sun.nio.ch.InheritedChannel").getDeclaredMethod("dup2", int.class, int.class);
         fd.setAccessible(true);
         dup2.setAccessible(true);
         dup2.invoke(null, fd.getInt(listening), 0);
-        try (Socket control = new Socket("127.0.0.1", Integer.parseInt(args[0]))) {
+        try (Socket control = new Socket(InetAddress.getLoopbackAddress(), Integer.parseInt(args[0]))) {
             BufferedReader from =
                     new BufferedReader(new InputStreamReader(control.getInputStream(), StandardCharsets.UTF_8));
             PrintStream to = new PrintStream(control.getOutputStream(), true);
             to.println(((InetSocketAddress) listening.getLocalAddress()).getPort());
             for (String line = from.readLine(); line != null; line = from.readLine()) {
-                String[] words = line.split(" ");
+                String[] words = line.split(" ", 0);
                 ProcessBuilder relay = new ProcessBuilder(
                                 java(),
                                 "-cp",
@@ -104,7 +109,7 @@
                         .redirectOutput(Files.createFile(Path.of(args[1], words[0] + ".log"))
                                 .toFile());
                 for (int i = 1; i < words.length; i++) {
-                    relay.environment().put(words[i].split("=")[0], words[i].split("=")[1]);
+                    relay.environment().put(words[i].split("=", 0)[0], words[i].split("=", 0)[1]);
                 }
                 to.println(relay.start().pid());
             }
--- a/src/test/java/sandstack/UpgradeTest.java
+++ b/src/test/java/sandstack/UpgradeTest.java
@@ -5,6 +5,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
+import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -104,7 +105,7 @@
     }
 
     private static String call(int door, String call) {
-        try (Socket socket = new Socket("127.0.0.1", door)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), door)) {
             socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -114,7 +115,7 @@
 
     /** A client that stays until it is told to go; it tells its answer and how it ended. */
     private void client(int number) throws Exception {
-        Socket socket = new Socket("127.0.0.1", holder.port());
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), holder.port());
         socket.getOutputStream()
                 .write(("OPEN id" + number + " key" + number + " c=order-status,d=3000\r\n")
                         .getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/sandstack/config/ConfigurationErrorLinesTest.java
+++ b/src/test/java/sandstack/config/ConfigurationErrorLinesTest.java
@@ -55,7 +55,7 @@
         Path target = invalid.file().equals("config.json") ? folder : deploy;
         Files.writeString(target.resolve(invalid.file()), valid.replace(invalid.valid(), invalid.replacement()));
         InvalidConfigurationException error =
-                catchThrowableOfType(() -> read(invalid.file(), deploy), InvalidConfigurationException.class);
+                catchThrowableOfType(InvalidConfigurationException.class, () -> read(invalid.file(), deploy));
         assertThat(error).isNotNull();
         assertThat(error.getMessage().replace(folder + "/", "")).isEqualTo(invalid.line());
     }
--- a/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
@@ -37,7 +37,6 @@
     private static final class Disk implements ConfigurationStore {
         Loaded stored = new Loaded.Absent();
         boolean fails;
-        int writes;
 
         @Override
         public Loaded load() {
@@ -54,7 +53,6 @@
             if (fails) {
                 throw new ConfigurationStoreException("no space", null);
             }
-            writes++;
             stored = found(snapshot);
         }
 
--- a/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
@@ -186,7 +186,7 @@
         commit(WINDOW_CHANGES);
         hello("a", 1, ConfigurationVersion.NONE, 0);
         for (int i = 0; i < 30; i++) {
-            publisher.received("a", new RepairRequest(1, ConfigurationVersion.NONE), SECOND_MICROS + i * 1_000);
+            publisher.received("a", new RepairRequest(1, ConfigurationVersion.NONE), SECOND_MICROS + i * 1_000L);
         }
         assertThat(output.messages(Deltas.class)).hasSize(2);
     }
--- a/src/test/java/sandstack/configuration/consensus/SimulatedMachine.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedMachine.java
@@ -104,7 +104,7 @@
 
     /** Whether the disk has this change; for a real file, whether it was written, as flushes are not observed here. */
     boolean storesDurably(CommittedChange change) {
-        return store == null || store == disk ? disk.stores(change) : up && SimulatedDisk.stores(store, change);
+        return (store == null || store == disk) ? disk.stores(change) : (up && SimulatedDisk.stores(store, change));
     }
 
     void pause() {
--- a/src/test/java/sandstack/decisions/DecisionDigestTest.java
+++ b/src/test/java/sandstack/decisions/DecisionDigestTest.java
@@ -93,7 +93,7 @@
         try (InputStream in = DecisionDigestTest.class.getResourceAsStream(RESOURCE)) {
             assertThat(in).as(RESOURCE).isNotNull();
             List<String> digests = new ArrayList<>();
-            for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
+            for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n", 0)) {
                 if (line.startsWith(seed + " ")) {
                     digests.add(line.substring(line.lastIndexOf(' ') + 1));
                 }
--- a/src/test/java/sandstack/decisions/DigestCondition.java
+++ b/src/test/java/sandstack/decisions/DigestCondition.java
@@ -7,12 +7,12 @@
  * weights of the kinds of events, and how servers behave.
  */
 enum DigestCondition {
-    CALM(25_000, 24, 30, 10, 12, 12, 3, 3, 3),
-    BURST(3_000, 55, 28, 3, 5, 5, 2, 1, 1),
-    QUIET(300_000, 6, 10, 14, 20, 20, 8, 5, 10),
-    OVERLOAD(20_000, 30, 30, 2, 18, 24, 1, 1, 1),
-    FULL(15_000, 34, 44, 5, 5, 5, 2, 2, 3),
-    OUTAGE(20_000, 32, 36, 8, 5, 5, 8, 2, 2);
+    CALM(25_000),
+    BURST(3_000),
+    QUIET(300_000),
+    OVERLOAD(20_000),
+    FULL(15_000),
+    OUTAGE(20_000);
 
     private static final AttemptOutcome[] OUTCOMES = {
         AttemptOutcome.ERROR,
@@ -26,11 +26,9 @@
     };
 
     final int longestPauseMicros;
-    private final int[] weights;
 
-    DigestCondition(int longestPauseMicros, int... weights) {
+    DigestCondition(int longestPauseMicros) {
         this.longestPauseMicros = longestPauseMicros;
-        this.weights = weights;
     }
 
     /** The condition that follows: calm as often as all others together. */
@@ -47,6 +45,7 @@
 
     /** A kind of event by its position in the weights. */
     int kind(SplittableRandom random) {
+        int[] weights = weights();
         int draw = random.nextInt(100);
         for (int kind = 0; kind < weights.length; kind++) {
             draw -= weights[kind];
@@ -57,6 +56,17 @@
         return 0;
     }
 
+    private int[] weights() {
+        return switch (this) {
+            case CALM -> new int[] {24, 30, 10, 12, 12, 3, 3, 3};
+            case BURST -> new int[] {55, 28, 3, 5, 5, 2, 1, 1};
+            case QUIET -> new int[] {6, 10, 14, 20, 20, 8, 5, 10};
+            case OVERLOAD -> new int[] {30, 30, 2, 18, 24, 1, 1, 1};
+            case FULL -> new int[] {34, 44, 5, 5, 5, 2, 2, 3};
+            case OUTAGE -> new int[] {32, 36, 8, 5, 5, 8, 2, 2};
+        };
+    }
+
     /** Whether an attempt at the server of this number ends with a connection. */
     boolean succeeds(int server, SplittableRandom random) {
         return switch (this) {
--- a/src/test/java/sandstack/fleet/MembershipTest.java
+++ b/src/test/java/sandstack/fleet/MembershipTest.java
@@ -115,7 +115,7 @@
         /** Gossip reaches all members that a chain of members reaches. */
         void gossip(Incarnation from, MemberState state) {
             for (Incarnation to : reachableByChain(from, this::passes)) {
-                if (to != from) {
+                if (!to.equals(from)) {
                     after(5 * latencyMicros(), () -> {
                         if (running(to)) {
                             memberships.get(to.id()).stateReceived(from.id(), state, nowMicros);
@@ -162,7 +162,7 @@
                 Set<Incarnation> chain = reachableByChain(a, (x, y) -> passes(x, y) && passes(y, x));
                 for (Incarnation b : incarnations) {
                     String key = a.id() + ">" + b.id();
-                    if (a == b) {
+                    if (a.equals(b)) {
                         continue;
                     }
                     if (chain.contains(b)) {
--- a/src/test/java/sandstack/fleet/link/WireSizesTest.java
+++ b/src/test/java/sandstack/fleet/link/WireSizesTest.java
@@ -65,8 +65,8 @@
 
     private static boolean fits(Class<?> type, Object argument) {
         return type.isInstance(argument)
-                || type == int.class && argument instanceof Integer
-                || type == long.class && argument instanceof Long;
+                || (type == int.class && argument instanceof Integer)
+                || (type == long.class && argument instanceof Long);
     }
 
     private Object alive(int i) throws Exception {
--- a/src/test/java/sandstack/front/operators/OperatorDoorTest.java
+++ b/src/test/java/sandstack/front/operators/OperatorDoorTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -35,7 +36,7 @@
     }
 
     private Socket caller(String words) throws IOException {
-        Socket socket = new Socket("127.0.0.1", port);
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.getOutputStream().write(words.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
         return socket;
     }
--- a/src/test/java/sandstack/front/platform/CrossingsTest.java
+++ b/src/test/java/sandstack/front/platform/CrossingsTest.java
@@ -52,7 +52,8 @@
 
     /** Nothing was sent on in between: the next request that reaches a feed server is this one. */
     private void nextIs(String key) throws Exception {
-        try (End client = asking(key, "safe");
+        End client = asking(key, "safe");
+        try (client;
                 End ask = held.ask()) {
             assertThat(ask.key).isEqualTo(key);
         }
--- a/src/test/java/sandstack/front/platform/FiguresTest.java
+++ b/src/test/java/sandstack/front/platform/FiguresTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -95,11 +96,11 @@
         List<Socket> crowd = new ArrayList<>();
         long latest = 0;
         for (int i = 0; i < 1500; i++) {
-            crowd.add(new Socket("127.0.0.1", port));
+            crowd.add(new Socket(InetAddress.getLoopbackAddress(), port));
             if (i % 30 == 0) {
-                crowd.add(new Socket("127.0.0.1", door));
+                crowd.add(new Socket(InetAddress.getLoopbackAddress(), door));
                 long began = System.nanoTime();
-                try (Socket caller = new Socket("127.0.0.1", door)) {
+                try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), door)) {
                     caller.getOutputStream().write("INFO\r\n".getBytes(StandardCharsets.UTF_8));
                     assertThat(new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
                             .startsWith("ACK\r\n")
@@ -141,7 +142,7 @@
         }
         // one whose class is known and whose request makes no sense, and one whose class is not known
         for (String words : List.of("OPEN x k c=light,d=1500\r\nmore\r\n", "OPEN y k c=none,d=1500\r\n")) {
-            try (Socket socket = new Socket("127.0.0.1", port)) {
+            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 socket.getOutputStream().write(words.getBytes(StandardCharsets.UTF_8));
                 assertThat(new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
                         .isEqualTo("ERR\r\n");
--- a/src/test/java/sandstack/front/platform/HeldRelay.java
+++ b/src/test/java/sandstack/front/platform/HeldRelay.java
@@ -187,7 +187,7 @@
         End ask = way();
         String line = ask.hear();
         assertThat(line).startsWith("OPEN ");
-        ask.key = line.split(" ")[2];
+        ask.key = line.split(" ", 0)[2];
         return ask;
     }
 
--- a/src/test/java/sandstack/handover/SiblingProcessesTest.java
+++ b/src/test/java/sandstack/handover/SiblingProcessesTest.java
@@ -26,12 +26,12 @@
     private final AtomicLong now = new AtomicLong(System.currentTimeMillis() * 1000);
 
     /** A process with this state; it records what it is notified of the others. */
-    private static final class Process implements SiblingProcesses.LocalProcess {
+    private static final class RecordingProcess implements SiblingProcesses.LocalProcess {
         private final int descriptorsInUse;
         private final String endpointList;
         private final BlockingQueue<List<Integer>> received = new LinkedBlockingQueue<>();
 
-        Process(int used, String list) {
+        RecordingProcess(int used, String list) {
             this.descriptorsInUse = used;
             this.endpointList = list;
         }
@@ -67,9 +67,9 @@
 
     @Test
     void processesOfOneRelaySeeEachOtherAndTheNewOneHasTheList() throws Exception {
-        Process old = new Process(40, "the list");
-        Process fresh = new Process(2, "another");
-        Process stranger = new Process(9, "a third");
+        RecordingProcess old = new RecordingProcess(40, "the list");
+        RecordingProcess fresh = new RecordingProcess(2, "another");
+        RecordingProcess stranger = new RecordingProcess(9, "a third");
         try (SiblingProcesses first = siblings("n1");
                 SiblingProcesses other = siblings("n2")) {
             assertThat(first.find().endpointList()).isNull();
--- a/src/test/java/sandstack/measure/configuration/ConfigurationScaleTest.java
+++ b/src/test/java/sandstack/measure/configuration/ConfigurationScaleTest.java
@@ -22,7 +22,7 @@
         assertThat(SERIES).allMatch(s -> s.points().size() == 3);
         for (Series s : SERIES) {
             for (Point point : s.points()) {
-                switch (s.id().split("\\.")[1]) {
+                switch (s.id().split("\\.", 0)[1]) {
                     case "latency" -> assertThat(point.value()).as(s.id()).isBetween(0.0, SECONDS_TO_BE_IN_FORCE);
                     case "relay" -> assertThat(point.value()).as(s.id()).isBetween(0.1, BYTES_PER_SECOND);
                     default -> assertThat(point.value()).as(s.id()).isNotNegative();
--- a/src/test/java/sandstack/measure/scale/ProcessUsageTest.java
+++ b/src/test/java/sandstack/measure/scale/ProcessUsageTest.java
@@ -24,7 +24,7 @@
             Thread.onSpinWait();
         }
         // the kernel brings the figure up to date at its ticks
-        assertThat(ProcessUsage.of(OWN).processorMicrosSince(before)).isGreaterThan(micros * 9 / 10);
+        assertThat(ProcessUsage.of(OWN).processorMicrosSince(before)).isGreaterThan(micros * 9 / 10.0);
     }
 
     @Test
--- a/src/test/java/sandstack/measure/scale/ReachableObjectsTest.java
+++ b/src/test/java/sandstack/measure/scale/ReachableObjectsTest.java
@@ -9,8 +9,8 @@
 
 /** Objects that can be reached from one, counted by class. */
 class ReachableObjectsTest {
-    /** Something of this program that holds others. */
-    private static class Node {
+    /** Something of this program that holds others; not private, as some fields are read by reflection only. */
+    static class Node {
         final List<Object> next = new ArrayList<>();
         final Map<String, Object> byName = new java.util.HashMap<>();
         Node[] array = new Node[0];
@@ -18,7 +18,7 @@
     }
 
     /** The field of its superclass counts too. */
-    private static final class Leaf extends Node {
+    static final class Leaf extends Node {
         final Effort effort = Effort.ONE;
     }
 
--- a/src/test/java/sandstack/scenario/ScenarioTest.java
+++ b/src/test/java/sandstack/scenario/ScenarioTest.java
@@ -45,7 +45,7 @@
         List<DynamicTest> tests = new ArrayList<>();
         try (Stream<Path> files = Files.list(FOLDER.resolve(folder))) {
             for (Path file : files.sorted().toList()) {
-                for (String part : Files.readString(file).split("(?m)^== ")) {
+                for (String part : Files.readString(file).split("(?m)^== ", 0)) {
                     if (!part.isBlank()) {
                         List<String> lines = part.lines().toList();
                         tests.add(DynamicTest.dynamicTest(
@@ -116,9 +116,9 @@
     /** Waits until the figures are these; one for each class after its name, separated by commas. */
     private static void figures(Stage stage, String wanted) throws Exception {
         List<String> lines = new ArrayList<>();
-        for (String figure : wanted.split(" ")) {
+        for (String figure : wanted.split(" ", 0)) {
             String name = figure.substring(0, figure.indexOf('='));
-            String[] values = figure.substring(name.length() + 1).split(",");
+            String[] values = figure.substring(name.length() + 1).split(",", 0);
             for (int i = 0; i < values.length; i++) {
                 lines.add("edge_proxy." + (values.length == 1 ? name : "responses." + Stage.CLASSES.get(i) + "." + name)
                         + "=" + values[i]);
--- a/src/test/java/sandstack/scenario/TextActor.java
+++ b/src/test/java/sandstack/scenario/TextActor.java
@@ -18,7 +18,7 @@
     /** {@code ask CLASS KEY MILLIS [more]}, {@code up}, {@code line X}, or a line as it is after {@code raw}. */
     @Override
     void send(String what) throws IOException {
-        String[] words = what.split(" ");
+        String[] words = what.split(" ", 0);
         String line =
                 switch (words[0]) {
                     case "ask" -> "OPEN id" + ++lastId + " " + words[1 + 1] + " c=" + words[1] + ",d=" + words[3]
@@ -45,7 +45,7 @@
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
-            String[] words = line.split("[ ,]");
+            String[] words = line.split("[ ,]", 0);
             if (words[0].equals("OPEN")) {
                 key = words[2];
             }
--- a/src/test/java/sandstack/simulator/TranscriptTest.java
+++ b/src/test/java/sandstack/simulator/TranscriptTest.java
@@ -31,7 +31,7 @@
 
     @TestFactory
     List<DynamicTest> errorsAreThoseRecorded() throws IOException {
-        String[] blocks = withoutHeader(resource("malformed-input.txt")).split("\n\n");
+        String[] blocks = withoutHeader(resource("malformed-input.txt")).split("\n\n", 0);
         String start = blocks[0].strip();
         List<DynamicTest> tests = new ArrayList<>();
         for (int i = 1; i < blocks.length; i++) {
