--- a/src/test/java/sandstack/UpgradeTest.java
+++ b/src/test/java/sandstack/UpgradeTest.java
@@ -5,6 +5,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
+import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -115,7 +116,7 @@
 
     /** A client that stays until it is migrated; it records its answer and its last line. */
     private void client(int number) throws Exception {
-        Socket socket = new Socket("127.0.0.1", holder.port());
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), holder.port());
         socket.getOutputStream()
                 .write(("OPEN id" + number + " key" + number + " c=order-status,d=3000\r\n")
                         .getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/sandstack/front/platform/MetricsTest.java
+++ b/src/test/java/sandstack/front/platform/MetricsTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -145,7 +146,7 @@
         }
         // a malformed request of a known class, and a request of an unknown class
         for (String words : List.of("OPEN x k c=light,d=1500\r\nmore\r\n", "OPEN y k c=none,d=1500\r\n")) {
-            try (Socket socket = new Socket("127.0.0.1", port)) {
+            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 socket.getOutputStream().write(words.getBytes(StandardCharsets.UTF_8));
                 assertThat(new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
                         .isEqualTo("ERR\r\n");
--- a/src/test/java/sandstack/front/platform/PausableRelay.java
+++ b/src/test/java/sandstack/front/platform/PausableRelay.java
@@ -187,7 +187,7 @@
         RemoteEnd ask = nextUpstreamConnection();
         String line = ask.readLine();
         assertThat(line).startsWith("OPEN ");
-        ask.key = line.split(" ")[2];
+        ask.key = line.split(" ", 0)[2];
         return ask;
     }
 
