--- a/src/main/java/sandstack/capacity/CapacityEstimate.java
+++ b/src/main/java/sandstack/capacity/CapacityEstimate.java
@@ -102,7 +102,7 @@
     }
 
     /** The load that makes up this much utilization of the stated capacity. */
-    public double adaptiveLoadLimit(double utilization) {
+    public double loadForUtilization(double utilization) {
         return utilization * rating * stated.workPerRating();
     }
 
--- a/src/main/java/sandstack/decisions/LoadRebalancer.java
+++ b/src/main/java/sandstack/decisions/LoadRebalancer.java
@@ -43,7 +43,7 @@
         if (gap < MIN_UTILIZATION_GAP || headroom.utilization(busiest) < HeadroomWeight.NEARLY_FULL_UTILIZATION) {
             return;
         }
-        TrackedRequest heaviest = heaviestConnection(busiest, idlest.estimate.adaptiveLoadLimit(gap / 2));
+        TrackedRequest heaviest = heaviestConnection(busiest, idlest.estimate.loadForUtilization(gap / 2));
         if (heaviest != null) {
             context.addAction(new Migrate(heaviest.event.requestId()));
         }
--- a/src/main/java/sandstack/rig/FaultScheduleFile.java
+++ b/src/main/java/sandstack/faultinjection/FaultScheduleFile.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -14,8 +14,8 @@
 import java.util.stream.Collectors;
 import sandstack.config.DeployFiles;
 import sandstack.config.InvalidConfigurationException;
-import sandstack.rig.FaultSchedule.Action;
-import sandstack.rig.FaultSchedule.Step;
+import sandstack.faultinjection.FaultSchedule.Action;
+import sandstack.faultinjection.FaultSchedule.Step;
 
 /** The TOML form of a {@link FaultSchedule}. */
 final class FaultScheduleFile {
--- a/src/main/java/sandstack/rig/FaultScheduleGenerator.java
+++ b/src/main/java/sandstack/faultinjection/FaultScheduleGenerator.java
@@ -1,10 +1,10 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import sandstack.rig.FaultSchedule.Action;
-import sandstack.rig.FaultSchedule.Step;
+import sandstack.faultinjection.FaultSchedule.Action;
+import sandstack.faultinjection.FaultSchedule.Step;
 
 /**
  * Generates a random fault schedule. A seed always gives the same schedule, so the order of random draws must not
--- a/src/main/java/sandstack/rig/FaultScheduleRunner.java
+++ b/src/main/java/sandstack/faultinjection/FaultScheduleRunner.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -7,16 +7,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
+import sandstack.faultinjection.FaultSchedule.Action;
+import sandstack.faultinjection.FaultSchedule.Step;
+import sandstack.faultinjection.History.AllFaultsHealed;
+import sandstack.faultinjection.History.MemberEntry;
+import sandstack.faultinjection.History.QuorumObserved;
+import sandstack.faultinjection.History.StepApplied;
+import sandstack.faultinjection.History.ViewObserved;
+import sandstack.faultinjection.InvariantChecker.Violation;
 import sandstack.fleet.MemberStatus;
 import sandstack.fleet.QuorumState;
-import sandstack.rig.FaultSchedule.Action;
-import sandstack.rig.FaultSchedule.Step;
-import sandstack.rig.History.AllFaultsHealed;
-import sandstack.rig.History.MemberEntry;
-import sandstack.rig.History.QuorumObserved;
-import sandstack.rig.History.StepApplied;
-import sandstack.rig.History.ViewObserved;
-import sandstack.rig.InvariantChecker.Violation;
 
 /**
  * Runs one fault schedule against real processes and checks the invariants on what was observed. Single-threaded; polls
@@ -40,14 +40,14 @@
     record Outcome(List<Violation> violations, long convergedAfterMicros, String logs) {}
 
     private final FaultSchedule schedule;
-    private final FleetRig fleet;
+    private final ProcessFleet fleet;
     private final History history = new History();
     private final boolean[] running;
     private final boolean[] paused;
     private final long beganNanos;
     private long lastStartMicros = -MEMBER_START_TIMEOUT_MICROS;
 
-    private FaultScheduleRunner(FaultSchedule schedule, FleetRig fleet) {
+    private FaultScheduleRunner(FaultSchedule schedule, ProcessFleet fleet) {
         this.schedule = schedule;
         this.fleet = fleet;
         running = new boolean[schedule.members()];
@@ -67,10 +67,11 @@
      */
     static Outcome run(List<String> program, FaultSchedule schedule, Predicate<Step> visibleToChecker)
             throws IOException, InterruptedException {
-        try (FleetRig fleet = new FleetRig(program, schedule.members(), Math.min(MAX_ZONES, schedule.members()))) {
+        try (ProcessFleet fleet =
+                new ProcessFleet(program, schedule.members(), Math.min(MAX_ZONES, schedule.members()))) {
             fleet.startAll();
             FaultScheduleRunner start = new FaultScheduleRunner(schedule, fleet);
-            if (FleetRig.until(start::pollAllAlive, FLEET_START_TIMEOUT_SECONDS) < 0) {
+            if (ProcessFleet.awaitMicros(start::pollAllAlive, FLEET_START_TIMEOUT_SECONDS) < 0) {
                 Violation violation = new Violation(
                         Invariant.FLEET_STARTS_COMPLETE,
                         "not all views were complete within " + FLEET_START_TIMEOUT_SECONDS + " s");
@@ -125,11 +126,11 @@
         int member = step.member();
         int other = step.otherMember();
         switch (step.action()) {
-            case PARTITION -> fleet.cut(member, other);
+            case PARTITION -> fleet.partition(member, other);
             case ONE_WAY_PARTITION -> fleet.partitionOneWay(member, other);
             case HEAL -> healLink(member, other);
-            case RESET -> fleet.reset(member, other);
-            case SLOW -> fleet.slow(
+            case RESET -> fleet.resetConnections(member, other);
+            case SLOW -> fleet.setLatency(
                     member, other, SLOW_LINK_DELAY_MICROS, SLOW_LINK_DELAY_MICROS, SLOW_LINK_BYTES_PER_SECOND);
             default -> {
                 return applyToMember(step.action(), member);
@@ -140,7 +141,7 @@
 
     private void healLink(int member, int other) {
         fleet.heal(member, other);
-        fleet.slow(member, other, 0, 0, 0);
+        fleet.setLatency(member, other, 0, 0, 0);
     }
 
     private boolean applyToMember(Action action, int member) throws IOException, InterruptedException {
--- a/src/main/java/sandstack/rig/FaultsCommand.java
+++ b/src/main/java/sandstack/faultinjection/FaultsCommand.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import sandstack.config.InvalidConfigurationException;
-import sandstack.rig.FaultScheduleRunner.Outcome;
+import sandstack.faultinjection.FaultScheduleRunner.Outcome;
 
 /** {@code faults}: runs fault schedules against real members and checks the invariants; exits 0 where all hold. */
 @Command(
--- a/src/main/java/sandstack/rig/FleetLinks.java
+++ b/src/main/java/sandstack/faultinjection/FleetLinks.java
@@ -1,16 +1,16 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import java.util.function.IntFunction;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.TestServerLoop;
 
 /** The links of a fleet: one {@link MemberLink} for each ordered pair of members. Used by the thread of the fleet. */
 final class FleetLinks {
-    private final StandInLoop loop;
+    private final TestServerLoop loop;
     private final MemberLink[][] links;
     /** Whether what the first member sends reaches the second, whichever of them connected. */
     private final boolean[][] passes;
 
-    FleetLinks(StandInLoop loop, int[] ports, IntFunction<String> hosts) {
+    FleetLinks(TestServerLoop loop, int[] ports, IntFunction<String> hosts) {
         int size = ports.length;
         this.loop = loop;
         links = new MemberLink[size][size];
@@ -22,7 +22,7 @@
                     String host = hosts.apply(to);
                     int port = ports[to];
                     long seed = (long) from * size + to;
-                    links[from][to] = loop.make(() -> new MemberLink(loop, host, port, seed));
+                    links[from][to] = loop.create(() -> new MemberLink(loop, host, port, seed));
                 }
             }
         }
@@ -64,7 +64,7 @@
     }
 
     long forwardedBytes() {
-        return loop.on(() -> {
+        return loop.call(() -> {
             long bytes = 0;
             for (MemberLink[] fromOneMember : links) {
                 for (MemberLink link : fromOneMember) {
--- a/src/main/java/sandstack/rig/FleetView.java
+++ b/src/main/java/sandstack/faultinjection/FleetView.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
--- a/src/main/java/sandstack/rig/History.java
+++ b/src/main/java/sandstack/faultinjection/History.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/sandstack/rig/Invariant.java
+++ b/src/main/java/sandstack/faultinjection/Invariant.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 /** What must hold in every run, whatever the fault schedule. */
 enum Invariant {
--- a/src/main/java/sandstack/rig/InvariantChecker.java
+++ b/src/main/java/sandstack/faultinjection/InvariantChecker.java
@@ -1,18 +1,18 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import sandstack.faultinjection.FaultSchedule.Action;
+import sandstack.faultinjection.History.AllFaultsHealed;
+import sandstack.faultinjection.History.Event;
+import sandstack.faultinjection.History.MemberEntry;
+import sandstack.faultinjection.History.QuorumObserved;
+import sandstack.faultinjection.History.StepApplied;
+import sandstack.faultinjection.History.ViewObserved;
 import sandstack.fleet.MemberStatus;
 import sandstack.fleet.QuorumState;
-import sandstack.rig.FaultSchedule.Action;
-import sandstack.rig.History.AllFaultsHealed;
-import sandstack.rig.History.Event;
-import sandstack.rig.History.MemberEntry;
-import sandstack.rig.History.QuorumObserved;
-import sandstack.rig.History.StepApplied;
-import sandstack.rig.History.ViewObserved;
 
 /**
  * Checks the {@link Invariant}s on the history of a finished run. It knows the injected faults, and so which members
--- a/src/main/java/sandstack/rig/MemberConfiguration.java
+++ b/src/main/java/sandstack/faultinjection/MemberConfiguration.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,7 +9,7 @@
 import java.util.stream.IntStream;
 
 /**
- * The configuration files of one member of a {@link FleetRig}.
+ * The configuration files of one member of a {@link ProcessFleet}.
  *
  * @param name of this member
  * @param address at which the other members know it
--- a/src/main/java/sandstack/rig/MemberLink.java
+++ b/src/main/java/sandstack/faultinjection/MemberLink.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import java.io.IOException;
 import java.util.ArrayDeque;
@@ -11,7 +11,7 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 import sandstack.net.EventLoop;
 import sandstack.net.Peer;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.TestServerLoop;
 
 /**
  * A TCP proxy on the link from one member to another that injects network faults. It keeps the order of bytes. Each
@@ -24,7 +24,7 @@
 
     private static final long MICROS_PER_SECOND = 1_000_000;
 
-    private final StandInLoop loop;
+    private final TestServerLoop loop;
     private final String targetHost;
     private final int targetPort;
     private final SplittableRandom random;
@@ -39,7 +39,7 @@
 
     private long forwardedBytes;
 
-    MemberLink(StandInLoop loop, String targetHost, int targetPort, long seed) throws IOException {
+    MemberLink(TestServerLoop loop, String targetHost, int targetPort, long seed) throws IOException {
         this.loop = loop;
         this.targetHost = targetHost;
         this.targetPort = targetPort;
@@ -137,12 +137,12 @@
         }
 
         private void scheduleDelivery(int size, Runnable delivery) {
-            long nowMicros = loop.now();
+            long nowMicros = loop.nowMicros();
             long jitter = jitterMicros > 0 ? random.nextLong(jitterMicros) : 0;
             long transmissionMicros = bytesPerSecond > 0 ? size * MICROS_PER_SECOND / bytesPerSecond : 0;
             // never before the previous delivery, which would reorder bytes
             lastDeliveryMicros = Math.max(lastDeliveryMicros, nowMicros + delayMicros + jitter) + transmissionMicros;
-            loop.after(lastDeliveryMicros - nowMicros, delivery);
+            loop.schedule(lastDeliveryMicros - nowMicros, delivery);
         }
 
         @Override
--- a/src/main/java/sandstack/rig/MemberProcess.java
+++ b/src/main/java/sandstack/faultinjection/MemberProcess.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -20,7 +20,7 @@
 
 /**
  * One member that runs as a process of the program with its console on a pipe. Two threads read its output and its log.
- * The member's folder outlives the process and belongs to {@link FleetRig}.
+ * The member's folder outlives the process and belongs to {@link ProcessFleet}.
  */
 final class MemberProcess implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/sandstack/rig/FleetRig.java
+++ b/src/main/java/sandstack/faultinjection/ProcessFleet.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -14,17 +14,17 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import sandstack.standin.Discovery;
-import sandstack.standin.FeedServer;
-import sandstack.standin.Machine;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.FakeDiscovery;
+import sandstack.testserver.FakeFeedServer;
+import sandstack.testserver.ServerProfile;
+import sandstack.testserver.TestServerLoop;
 
 /**
  * A fleet of relays that run as real processes, each with its own address and folder, with a {@link MemberLink} for each
  * ordered pair to inject network faults. Listens on loopback only. Members are numbered from 0. Used by one thread; the
  * links run on the thread of the loop.
  */
-public final class FleetRig implements AutoCloseable {
+public final class ProcessFleet implements AutoCloseable {
     private static final List<String> JAVA = List.of(
             Path.of(System.getProperty("java.home"), "bin/java").toString(),
             "-Xmx64m",
@@ -41,8 +41,8 @@
     private final int zones;
     private final List<String> program;
     private final Path folder;
-    private final StandInLoop loop;
-    private final Discovery discovery;
+    private final TestServerLoop loop;
+    private final FakeDiscovery discovery;
     private final int[] ports;
     private final FleetLinks links;
     private final MemberProcess[] members;
@@ -53,15 +53,15 @@
      * @param program the arguments that follow {@code java} and its options, such as {@code -jar target/sandstack.jar}
      * @param zones number of zones over which the members are spread
      */
-    public FleetRig(List<String> program, int size, int zones) throws IOException {
+    public ProcessFleet(List<String> program, int size, int zones) throws IOException {
         this.program = program;
         this.size = size;
         this.zones = zones;
         this.folder = Files.createTempDirectory("sandstack-fleet");
-        this.loop = new StandInLoop();
-        this.discovery = loop.make(() -> new Discovery(loop));
-        FeedServer server = loop.make(() -> new FeedServer(loop, "s0", "zone-0", Machine.IDLE));
-        loop.run(() -> discovery.list(server, "box", 1, "ready"));
+        this.loop = new TestServerLoop();
+        this.discovery = loop.create(() -> new FakeDiscovery(loop));
+        FakeFeedServer server = loop.create(() -> new FakeFeedServer(loop, "s0", "zone-0", ServerProfile.UNLIMITED));
+        loop.run(() -> discovery.publish(server, "box", 1, "ready"));
         ports = new int[size];
         members = new MemberProcess[size];
         for (int i = 0; i < size; i++) {
@@ -69,7 +69,7 @@
                 ports[i] = freePort.getLocalPort();
             }
         }
-        links = new FleetLinks(loop, ports, FleetRig::host);
+        links = new FleetLinks(loop, ports, ProcessFleet::host);
     }
 
     /** A loopback address for each member, from 127.77.0.1. */
@@ -88,13 +88,13 @@
     }
 
     /** The name of a member. */
-    public static String name(int i) {
+    public static String memberName(int i) {
         return "m" + i;
     }
 
     /** Starts or restarts a member without waiting for it. */
     public void start(int i) throws IOException {
-        start(i, name(i));
+        start(i, memberName(i));
     }
 
     /** Starts a member under another name than its own. */
@@ -122,7 +122,7 @@
                 IntStream.range(0, Math.min(SEED_MEMBERS, size))
                         .mapToObj(this::address)
                         .toList(),
-                IntStream.range(0, size).mapToObj(FleetRig::name).toList(),
+                IntStream.range(0, size).mapToObj(ProcessFleet::memberName).toList(),
                 linkPorts,
                 discovery.port(),
                 zones);
@@ -167,7 +167,7 @@
     }
 
     /** Partitions two members from each other. */
-    public void cut(int a, int b) {
+    public void partition(int a, int b) {
         links.block(a, b);
         links.block(b, a);
     }
@@ -179,12 +179,12 @@
     }
 
     /** Resets all connections between two members; they can connect again. */
-    public void reset(int a, int b) {
+    public void resetConnections(int a, int b) {
         links.reset(a, b);
     }
 
     /** Sets delay, jitter and bandwidth of the link between two members; zeros end the fault. */
-    public void slow(int a, int b, long delayMicros, long jitterMicros, long bytesPerSecond) {
+    public void setLatency(int a, int b, long delayMicros, long jitterMicros, long bytesPerSecond) {
         links.setLatency(a, b, delayMicros, jitterMicros, bytesPerSecond);
     }
 
@@ -192,7 +192,7 @@
      * The status of each name in a member's view: that of the present incarnation, or else of the first one listed. Null where the
      * member does not respond.
      */
-    public Map<String, String> standings(int i) {
+    public Map<String, String> memberStatuses(int i) {
         JsonNode view = members[i].view();
         return view == null ? null : FleetView.statuses(view);
     }
@@ -200,7 +200,7 @@
     /** Whether every member sees every member alive. */
     public boolean allAlive() {
         for (int i = 0; i < size; i++) {
-            Map<String, String> statuses = standings(i);
+            Map<String, String> statuses = memberStatuses(i);
             if (statuses == null
                     || statuses.size() != size
                     || !statuses.values().stream().allMatch("ALIVE"::equals)) {
@@ -217,7 +217,7 @@
     }
 
     /** Waits until a condition holds; returns the microseconds that it took, or -1 after the timeout. */
-    public static long until(BooleanSupplier condition, double timeoutSeconds) {
+    public static long awaitMicros(BooleanSupplier condition, double timeoutSeconds) {
         long beganNanos = System.nanoTime();
         while (System.nanoTime() - beganNanos < timeoutSeconds * 1e9) {
             if (condition.getAsBoolean()) {
@@ -234,12 +234,12 @@
     }
 
     /** Bytes that the members have sent each other so far. */
-    public long bytes() {
+    public long forwardedBytes() {
         return links.forwardedBytes();
     }
 
     /** The process id of a member. */
-    public long pid(int i) {
+    public long processId(int i) {
         return members[i].pid();
     }
 
@@ -249,7 +249,7 @@
         for (int i = 0; i < size; i++) {
             if (members[i] != null) {
                 for (String line : members[i].log()) {
-                    all.append(name(i)).append("  ").append(line).append('\n');
+                    all.append(memberName(i)).append("  ").append(line).append('\n');
                 }
             }
         }
--- a/src/main/java/sandstack/rig/ReachabilityModel.java
+++ b/src/main/java/sandstack/faultinjection/ReachabilityModel.java
@@ -1,7 +1,7 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import java.util.Arrays;
-import sandstack.rig.FaultSchedule.Step;
+import sandstack.faultinjection.FaultSchedule.Step;
 
 /**
  * Which members could have reached each other during a run, derived from the injected faults alone. Pure; each step
--- a/src/main/java/sandstack/measure/CapacityMeasurement.java
+++ b/src/main/java/sandstack/measure/CapacityMeasurement.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import sandstack.standin.FeedServer;
-import sandstack.standin.Machine;
+import sandstack.testserver.FakeFeedServer;
+import sandstack.testserver.ServerProfile;
 
 /**
  * {@code measure capacity}: relays that have to estimate the capacity of their feed servers, without stated capacities:
@@ -72,8 +72,8 @@
     private static void measureIdleConnections(
             Options options, int clients, List<MetricResult> results, ProgressListener progress) throws Exception {
         try (Testbed testbed = new Testbed()) {
-            testbed.addFeedServer("box", 1, Machine.IDLE);
-            testbed.addFeedServer("box", 1, Machine.IDLE);
+            testbed.addFeedServer("box", 1, ServerProfile.UNLIMITED);
+            testbed.addFeedServer("box", 1, ServerProfile.UNLIMITED);
             List<String> jvmOptions = clients > MAX_CLIENTS_WITH_DEFAULT_HEAP ? LARGE_MEMORY_OPTIONS : List.of();
             testbed.startRelays(options.jar(), 1, NO_DEPLOY_FILES, jvmOptions);
             OpenLoopLoad load = new OpenLoopLoad(testbed.loop(), options.seed(), testbed.ports(), 20);
@@ -101,12 +101,12 @@
     /** Waits until all attempts were answered, up to five seconds. */
     private static OpenLoopLoad.Counts awaitAllAnswered(Testbed testbed, OpenLoopLoad load)
             throws InterruptedException {
-        OpenLoopLoad.Counts counts = testbed.loop().on(load::counts);
+        OpenLoopLoad.Counts counts = testbed.loop().call(load::counts);
         for (int i = 0;
                 i < MAX_ANSWER_POLLS && counts.accepted() + counts.rejected() + counts.failed() < counts.attempts();
                 i++) {
             pause(ANSWER_POLL_SECONDS);
-            counts = testbed.loop().on(load::counts);
+            counts = testbed.loop().call(load::counts);
         }
         return counts;
     }
@@ -126,7 +126,9 @@
                 int capacity = CAPACITY_STEP + i * CAPACITY_STEP;
                 totalCapacity += capacity;
                 testbed.addFeedServer(
-                        i % 2 == 0 ? "old-box" : "new-box", 1, Machine.IDLE.holding(capacity, i % 3 == 0));
+                        i % 2 == 0 ? "old-box" : "new-box",
+                        1,
+                        ServerProfile.UNLIMITED.withConnectionLimit(capacity, i % 3 == 0));
             }
             testbed.startRelays(options.jar(), 3, NO_DEPLOY_FILES, List.of("-Dsandstack.log=FINE"));
             OpenLoopLoad load = new OpenLoopLoad(testbed.loop(), options.seed(), testbed.ports(), 40);
@@ -146,10 +148,10 @@
             throws InterruptedException {
         setTargetConcurrency(testbed, load, 0.8 * totalCapacity, timing.meanLifetimeSeconds());
         pause(timing.warmUpSeconds());
-        OpenLoopLoad.Counts before = testbed.loop().on(load::counts);
+        OpenLoopLoad.Counts before = testbed.loop().call(load::counts);
         long shedBefore = shedConnections(testbed);
         pause(timing.observedSeconds());
-        OpenLoopLoad.Counts counts = testbed.loop().on(load::counts).since(before);
+        OpenLoopLoad.Counts counts = testbed.loop().call(load::counts).since(before);
         long shed = shedConnections(testbed) - shedBefore;
         progress.onProgress("fleet at 80%: " + counts + ", shed " + shed);
         double answered = Math.max(1, counts.accepted() + counts.rejected() + counts.failed());
@@ -168,9 +170,9 @@
         setTargetConcurrency(testbed, load, 1.5 * totalCapacity, timing.meanLifetimeSeconds());
         pause(timing.warmUpSeconds());
         testbed.loop().run(load::resetLatencies);
-        OpenLoopLoad.Counts before = testbed.loop().on(load::counts);
+        OpenLoopLoad.Counts before = testbed.loop().call(load::counts);
         double established = meanEstablished(testbed, (int) (timing.observedSeconds() * SAMPLES_PER_SECOND));
-        OpenLoopLoad.Counts counts = testbed.loop().on(load::counts).since(before);
+        OpenLoopLoad.Counts counts = testbed.loop().call(load::counts).since(before);
         progress.onProgress("fleet at 150%: " + counts + ", capacity " + totalCapacity
                 + "; all rejections by reason and attempts " + rejectionsByReason(testbed.logs()));
         results.add(MetricResult.atLeast("fleet at 150%: standing of what fits", established / totalCapacity, 0.9));
@@ -187,8 +189,8 @@
         double sum = 0;
         for (int i = 0; i < samples; i++) {
             pause(1 / SAMPLES_PER_SECOND);
-            sum += testbed.loop().on(() -> testbed.servers().stream()
-                    .mapToInt(server -> server.books().standing())
+            sum += testbed.loop().call(() -> testbed.servers().stream()
+                    .mapToInt(server -> server.counters().established())
                     .sum());
         }
         return sum / samples;
@@ -212,8 +214,8 @@
     }
 
     private static long shedConnections(Testbed testbed) {
-        return testbed.loop().on(() -> testbed.servers().stream()
-                .mapToLong(server -> server.books().shed())
+        return testbed.loop().call(() -> testbed.servers().stream()
+                .mapToLong(server -> server.counters().shed())
                 .sum());
     }
 
@@ -223,21 +225,21 @@
             throws Exception {
         try (Testbed testbed = new Testbed()) {
             for (int i = 0; i < NEIGHBOUR_SERVERS; i++) {
-                testbed.addFeedServer("box", 1, Machine.IDLE.working(2, 2_000, 6_000));
+                testbed.addFeedServer("box", 1, ServerProfile.UNLIMITED.withWork(2, 2_000, 6_000));
             }
             testbed.startRelays(jar, 2, NO_DEPLOY_FILES, List.of());
             OpenLoopLoad load = new OpenLoopLoad(testbed.loop(), options.seed(), testbed.ports(), 30);
             testbed.loop().run(() -> load.sendLines(LINE_INTERVAL_MICROS, LATE_LINE_MICROS));
             setTargetConcurrency(testbed, load, NEIGHBOUR_CONCURRENCY, NEIGHBOUR_LIFETIME_SECONDS);
             pause(options.quick() ? 4 : 10);
-            OpenLoopLoad.Counts before = testbed.loop().on(load::counts);
+            OpenLoopLoad.Counts before = testbed.loop().call(load::counts);
             setNeighbourLoad(testbed, NEIGHBOUR_LOAD);
             pause(options.quick() ? 4 : 10);
-            OpenLoopLoad.Counts during = testbed.loop().on(load::counts).since(before);
+            OpenLoopLoad.Counts during = testbed.loop().call(load::counts).since(before);
             setNeighbourLoad(testbed, 0);
-            OpenLoopLoad.Counts beforeRecovery = testbed.loop().on(load::counts);
+            OpenLoopLoad.Counts beforeRecovery = testbed.loop().call(load::counts);
             pause(options.quick() ? 3 : 10);
-            OpenLoopLoad.Counts after = testbed.loop().on(load::counts).since(beforeRecovery);
+            OpenLoopLoad.Counts after = testbed.loop().call(load::counts).since(beforeRecovery);
             progress.onProgress("neighbour" + suffix + ": during " + during + ", after " + after);
             results.add(MetricResult.informational("neighbour: late share during" + suffix, lateFraction(during)));
             results.add(MetricResult.informational("neighbour: late share after" + suffix, lateFraction(after)));
@@ -254,8 +256,8 @@
 
     private static void setNeighbourLoad(Testbed testbed, double fraction) {
         testbed.loop().run(() -> {
-            for (FeedServer server : testbed.servers().subList(0, SERVERS_WITH_NEIGHBOUR)) {
-                server.neighbour(fraction);
+            for (FakeFeedServer server : testbed.servers().subList(0, SERVERS_WITH_NEIGHBOUR)) {
+                server.setNoisyNeighbourShare(fraction);
             }
         });
     }
--- a/src/main/java/sandstack/measure/FleetMeasurement.java
+++ b/src/main/java/sandstack/measure/FleetMeasurement.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.SplittableRandom;
-import sandstack.rig.FleetRig;
+import sandstack.faultinjection.ProcessFleet;
 
 /**
  * {@code measure fleet}: failure detection in a fleet of twelve real processes. Measures how fast members detect that one
@@ -60,7 +60,7 @@
         List<String> program = List.of("-jar", options.jar().toString());
         List<MetricResult> results = new ArrayList<>();
         SplittableRandom random = new SplittableRandom(options.seed());
-        try (FleetRig rig = startFleet(program, MEMBERS)) {
+        try (ProcessFleet rig = startFleet(program, MEMBERS)) {
             for (Fault fault : Fault.values()) {
                 results.addAll(measureFault(rig, fault, random, options.quick(), progress));
             }
@@ -76,7 +76,7 @@
     }
 
     private static List<MetricResult> measureFault(
-            FleetRig rig, Fault fault, SplittableRandom random, boolean quick, ProgressListener progress)
+            ProcessFleet rig, Fault fault, SplittableRandom random, boolean quick, ProgressListener progress)
             throws IOException {
         DurationSamples detectionTimes = new DurationSamples();
         DurationSamples convergenceTimes = new DurationSamples();
@@ -101,10 +101,10 @@
         return results;
     }
 
-    private static FleetRig startFleet(List<String> program, int size) throws IOException {
-        FleetRig rig = new FleetRig(program, size, ZONES);
+    private static ProcessFleet startFleet(List<String> program, int size) throws IOException {
+        ProcessFleet rig = new ProcessFleet(program, size, ZONES);
         rig.startAll();
-        if (FleetRig.until(rig::allAlive, TIMEOUT_SECONDS + size) < 0) {
+        if (ProcessFleet.awaitMicros(rig::allAlive, TIMEOUT_SECONDS + size) < 0) {
             String logs = rig.logs();
             rig.close();
             throw new IOException("a fleet of " + size + " did not form a complete view; its logs: " + logs);
@@ -120,7 +120,7 @@
      * @return seconds from the end of the fault until convergence; infinite after a timeout
      */
     private static double injectFault(
-            FleetRig rig, Fault fault, int victim, DurationSamples detectionTimes, boolean untilLost)
+            ProcessFleet rig, Fault fault, int victim, DurationSamples detectionTimes, boolean untilLost)
             throws IOException {
         switch (fault) {
             case KILL -> rig.kill(victim);
@@ -129,22 +129,23 @@
         }
         awaitDetection(rig, victim, detectionTimes);
         int observer = (victim + 1) % rig.size();
-        FleetRig.until(
-                () -> !untilLost || LOST.equals(rig.standings(observer).get(FleetRig.name(victim))), TIMEOUT_SECONDS);
+        ProcessFleet.awaitMicros(
+                () -> !untilLost || LOST.equals(rig.memberStatuses(observer).get(ProcessFleet.memberName(victim))),
+                TIMEOUT_SECONDS);
         switch (fault) {
             case KILL -> rig.start(victim);
             case PAUSE -> rig.resume(victim);
             default -> setPartitioned(rig, victim, false);
         }
-        long micros = FleetRig.until(rig::allAlive, TIMEOUT_SECONDS);
+        long micros = ProcessFleet.awaitMicros(rig::allAlive, TIMEOUT_SECONDS);
         return micros < 0 ? Double.POSITIVE_INFINITY : micros / MICROS_PER_SECOND;
     }
 
-    private static void awaitDetection(FleetRig rig, int victim, DurationSamples detectionTimes) {
+    private static void awaitDetection(ProcessFleet rig, int victim, DurationSamples detectionTimes) {
         long startNanos = System.nanoTime();
         boolean[] detected = new boolean[rig.size()];
         detected[victim] = true;
-        FleetRig.until(
+        ProcessFleet.awaitMicros(
                 () -> {
                     boolean all = true;
                     for (int i = 0; i < rig.size(); i++) {
@@ -159,15 +160,15 @@
                 TIMEOUT_SECONDS);
     }
 
-    private static boolean detects(FleetRig rig, int observer, int victim) {
-        Map<String, String> statuses = rig.standings(observer);
-        return statuses != null && !ALIVE.equals(statuses.get(FleetRig.name(victim)));
+    private static boolean detects(ProcessFleet rig, int observer, int victim) {
+        Map<String, String> statuses = rig.memberStatuses(observer);
+        return statuses != null && !ALIVE.equals(statuses.get(ProcessFleet.memberName(victim)));
     }
 
-    private static void setPartitioned(FleetRig rig, int member, boolean partitioned) {
+    private static void setPartitioned(ProcessFleet rig, int member, boolean partitioned) {
         for (int i = 0; i < rig.size(); i++) {
             if (i != member && partitioned) {
-                rig.cut(member, i);
+                rig.partition(member, i);
             } else if (i != member) {
                 rig.heal(member, i);
             }
@@ -175,7 +176,7 @@
     }
 
     /** Counts entries of views that are not alive, while no fault is injected but one core is kept busy at times. */
-    private static double countFalseSuspicions(FleetRig rig, double seconds, ProgressListener progress)
+    private static double countFalseSuspicions(ProcessFleet rig, double seconds, ProgressListener progress)
             throws InterruptedException {
         long endNanos = System.nanoTime() + (long) (seconds * NANOS_PER_SECOND);
         int suspicions = 0;
@@ -183,7 +184,7 @@
             Thread busyThread = new Thread(FleetMeasurement::spin);
             busyThread.start();
             for (int i = 0; i < rig.size(); i++) {
-                Map<String, String> statuses = rig.standings(i);
+                Map<String, String> statuses = rig.memberStatuses(i);
                 suspicions += statuses == null ? 0 : countNotAlive(statuses);
             }
             busyThread.join();
@@ -208,17 +209,17 @@
 
     private static void measureMemberCost(List<String> program, int size, List<MetricResult> results)
             throws IOException, InterruptedException {
-        try (FleetRig rig = startFleet(program, size)) {
+        try (ProcessFleet rig = startFleet(program, size)) {
             // lets the load of the start pass
             Thread.sleep(START_UP_MILLIS);
-            long bytesBefore = rig.bytes();
+            long bytesBefore = rig.forwardedBytes();
             double processorSecondsBefore = FleetUsage.processorSeconds(rig);
             long startNanos = System.nanoTime();
             Thread.sleep(COST_MILLIS);
             double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
             String suffix = ", " + size + " members";
             results.add(MetricResult.informational(
-                    "bytes sent a second and member" + suffix, (rig.bytes() - bytesBefore) / seconds / size));
+                    "bytes sent a second and member" + suffix, (rig.forwardedBytes() - bytesBefore) / seconds / size));
             results.add(MetricResult.informational(
                     "processor ms a second and member" + suffix,
                     (FleetUsage.processorSeconds(rig) - processorSecondsBefore) * 1000 / seconds / size));
--- a/src/main/java/sandstack/measure/FleetUsage.java
+++ b/src/main/java/sandstack/measure/FleetUsage.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import sandstack.rig.FleetRig;
+import sandstack.faultinjection.ProcessFleet;
 
 /** Resource usage of the member processes of a fleet, from Linux's {@code /proc}. */
 public final class FleetUsage {
@@ -20,10 +20,10 @@
     private FleetUsage() {}
 
     /** Processor time of all members since their starts, in seconds. */
-    public static double processorSeconds(FleetRig rig) throws IOException {
+    public static double processorSeconds(ProcessFleet rig) throws IOException {
         double ticks = 0;
         for (int i = 0; i < rig.size(); i++) {
-            String stat = Files.readString(Path.of("/proc/" + rig.pid(i) + "/stat"));
+            String stat = Files.readString(Path.of("/proc/" + rig.processId(i) + "/stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
             ticks += Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]);
         }
@@ -31,19 +31,19 @@
     }
 
     /** Mean resident memory of a member, in bytes. */
-    public static double meanResidentBytes(FleetRig rig) throws IOException {
+    public static double meanResidentBytes(ProcessFleet rig) throws IOException {
         return meanOfStatusField(rig, "VmRSS") * BYTES_PER_KIB;
     }
 
     /** Mean number of threads of a member. */
-    public static double meanThreads(FleetRig rig) throws IOException {
+    public static double meanThreads(ProcessFleet rig) throws IOException {
         return meanOfStatusField(rig, "Threads");
     }
 
-    private static double meanOfStatusField(FleetRig rig, String field) throws IOException {
+    private static double meanOfStatusField(ProcessFleet rig, String field) throws IOException {
         double sum = 0;
         for (int i = 0; i < rig.size(); i++) {
-            for (String line : Files.readAllLines(Path.of("/proc/" + rig.pid(i) + "/status"))) {
+            for (String line : Files.readAllLines(Path.of("/proc/" + rig.processId(i) + "/status"))) {
                 if (line.startsWith(field + ":")) {
                     sum += Double.parseDouble(line.replaceAll("[^0-9]", ""));
                 }
--- a/src/main/java/sandstack/measure/OpenLoopLoad.java
+++ b/src/main/java/sandstack/measure/OpenLoopLoad.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
-import sandstack.standin.ShopClient;
-import sandstack.standin.ShopClient.Happened;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.LineClient;
+import sandstack.testserver.LineClient.EventType;
+import sandstack.testserver.TestServerLoop;
 
 /**
  * Open-loop load: clients arrive as a Poisson process, whether or not earlier ones were answered, and close their
@@ -17,11 +17,11 @@
     private static final long DEADLINE_MICROS = 3_000_000;
     private static final long MAX_RECORDED_MICROS = 60_000_000;
 
-    private final StandInLoop loop;
+    private final TestServerLoop loop;
     private final SplittableRandom random;
     private final List<Integer> ports;
     private final int groups;
-    private final Set<ShopClient> established = new LinkedHashSet<>();
+    private final Set<LineClient> established = new LinkedHashSet<>();
     private final Histogram rejectionMicros = new Histogram(MAX_RECORDED_MICROS, 3);
     private final Histogram setupMicros = new Histogram(MAX_RECORDED_MICROS, 3);
     private final Histogram lineMicros = new Histogram(MAX_RECORDED_MICROS, 3);
@@ -44,7 +44,7 @@
      * @param ports relays that clients connect to in turn
      * @param groups number of client groups; the first is the largest
      */
-    OpenLoopLoad(StandInLoop loop, long seed, List<Integer> ports, int groups) {
+    OpenLoopLoad(TestServerLoop loop, long seed, List<Integer> ports, int groups) {
         this.loop = loop;
         this.random = new SplittableRandom(seed);
         this.ports = ports;
@@ -145,7 +145,7 @@
             arriving = false;
             return;
         }
-        loop.after(Math.max(1, (long) (exponential() / arrivalsPerSecond * 1e6)), () -> {
+        loop.schedule(Math.max(1, (long) (exponential() / arrivalsPerSecond * 1e6)), () -> {
             scheduleNext();
             connectOne();
         });
@@ -161,7 +161,7 @@
                     case 1 -> "catalogue-feed";
                     default -> "order-status";
                 };
-        new ShopClient(
+        new LineClient(
                 loop,
                 ports.get((int) (number % ports.size())),
                 "i" + number,
@@ -171,34 +171,34 @@
                 this::onClientEvent);
     }
 
-    private void onClientEvent(ShopClient.Told event) {
-        ShopClient client = event.client();
-        if (event.what() != Happened.UP) {
+    private void onClientEvent(LineClient.ClientEvent event) {
+        LineClient client = event.client();
+        if (event.type() != EventType.ESTABLISHED) {
             established.remove(client);
         }
-        switch (event.what()) {
-            case UP -> onEstablished(client, event.after());
-            case BUSY -> {
+        switch (event.type()) {
+            case ESTABLISHED -> onEstablished(client, event.elapsedMicros());
+            case REJECTED -> {
                 rejected++;
-                rejectionMicros.recordValue(Math.min(event.after(), MAX_RECORDED_MICROS));
+                rejectionMicros.recordValue(Math.min(event.elapsedMicros(), MAX_RECORDED_MICROS));
             }
-            case FAILED, SILENT -> failed++;
+            case FAILED, TIMED_OUT -> failed++;
             case MOVED -> migrated++;
-            case LOST -> lost++;
-            case LEFT -> {}
-            default -> throw new IllegalStateException("unexpected client event: " + event.what());
+            case DISCONNECTED -> lost++;
+            case CLOSED -> {}
+            default -> throw new IllegalStateException("unexpected client event: " + event.type());
         }
     }
 
-    private void onEstablished(ShopClient client, long elapsedMicros) {
+    private void onEstablished(LineClient client, long elapsedMicros) {
         accepted++;
         setupMicros.recordValue(Math.min(elapsedMicros, MAX_RECORDED_MICROS));
         established.add(client);
         if (meanLifetimeSeconds > 0) {
-            loop.after((long) (exponential() * meanLifetimeSeconds * 1e6), client::leave);
+            loop.schedule((long) (exponential() * meanLifetimeSeconds * 1e6), client::close);
         }
         if (lineIntervalMicros > 0) {
-            client.talk(lineIntervalMicros, lasted -> {
+            client.sendLines(lineIntervalMicros, lasted -> {
                 lineMicros.recordValue(Math.min(lasted, MAX_RECORDED_MICROS));
                 lateLines += lasted > lateThresholdMicros ? 1 : 0;
             });
--- a/src/main/java/sandstack/measure/StandInCommand.java
+++ b/src/main/java/sandstack/measure/StandInCommand.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.CountDownLatch;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sandstack.standin.Discovery;
-import sandstack.standin.FeedServer;
-import sandstack.standin.Machine;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.FakeDiscovery;
+import sandstack.testserver.FakeFeedServer;
+import sandstack.testserver.ServerProfile;
+import sandstack.testserver.TestServerLoop;
 
 /** {@code standin}: runs stand-in feed servers and a stand-in discovery on loopback until interrupted. */
 @Command(
@@ -42,12 +42,16 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        try (StandInLoop loop = new StandInLoop()) {
-            Discovery discovery = new Discovery(loop, discoveryPort);
+        try (TestServerLoop loop = new TestServerLoop()) {
+            FakeDiscovery discovery = new FakeDiscovery(loop, discoveryPort);
             for (int i = 0; i < servers; i++) {
-                FeedServer server =
-                        new FeedServer(loop, "toy-" + (i + 1), "home", Machine.IDLE.holding(cap, false), firstPort + i);
-                loop.run(() -> discovery.list(server, "box", 1, "ready"));
+                FakeFeedServer server = new FakeFeedServer(
+                        loop,
+                        "toy-" + (i + 1),
+                        "home",
+                        ServerProfile.UNLIMITED.withConnectionLimit(cap, false),
+                        firstPort + i);
+                loop.run(() -> discovery.publish(server, "box", 1, "ready"));
             }
             System.out.println(servers + " feed servers from port " + firstPort + ", discovery at " + discoveryPort);
             new CountDownLatch(1).await();
--- a/src/main/java/sandstack/measure/Testbed.java
+++ b/src/main/java/sandstack/measure/Testbed.java
@@ -5,19 +5,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import sandstack.standin.Discovery;
-import sandstack.standin.FeedServer;
-import sandstack.standin.Machine;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.FakeDiscovery;
+import sandstack.testserver.FakeFeedServer;
+import sandstack.testserver.ServerProfile;
+import sandstack.testserver.TestServerLoop;
 
 /** Stand-in feed servers, a stand-in discovery and relay processes for one measurement, all in one zone. */
 public final class Testbed implements AutoCloseable {
     private static final int DEFAULT_MAX_DESCRIPTORS = 20_000;
 
     private final int maxDescriptors;
-    private final StandInLoop loop = new StandInLoop();
-    private final Discovery discovery;
-    private final List<FeedServer> servers = new ArrayList<>();
+    private final TestServerLoop loop = new TestServerLoop();
+    private final FakeDiscovery discovery;
+    private final List<FakeFeedServer> servers = new ArrayList<>();
     private final List<RelayProcess> relays = new ArrayList<>();
 
     /** Starts a discovery without feed servers; each relay may use 20,000 file descriptors. */
@@ -32,7 +32,7 @@
      */
     public Testbed(int maxDescriptors) throws IOException {
         this.maxDescriptors = maxDescriptors;
-        discovery = loop.make(() -> new Discovery(loop));
+        discovery = loop.create(() -> new FakeDiscovery(loop));
     }
 
     /**
@@ -41,11 +41,11 @@
      * @param model machine kind that discovery reports
      * @param hint relative capacity that discovery reports
      */
-    public FeedServer addFeedServer(String model, double hint, Machine machine) {
-        return loop.make(() -> {
-            FeedServer server = new FeedServer(loop, "s" + servers.size(), "home", machine);
+    public FakeFeedServer addFeedServer(String model, double hint, ServerProfile machine) {
+        return loop.create(() -> {
+            FakeFeedServer server = new FakeFeedServer(loop, "s" + servers.size(), "home", machine);
             servers.add(server);
-            discovery.list(server, model, hint, "ready");
+            discovery.publish(server, model, hint, "ready");
             return server;
         });
     }
@@ -67,7 +67,7 @@
                             List.of("home"),
                             0,
                             discovery.port(),
-                            loop.on(discovery::known),
+                            loop.call(discovery::knownInstances),
                             maxDescriptors,
                             files,
                             options)));
@@ -75,12 +75,12 @@
     }
 
     /** The event loop of all stand-ins and clients. */
-    public StandInLoop loop() {
+    public TestServerLoop loop() {
         return loop;
     }
 
     /** The feed servers in the order in which they were added. */
-    public List<FeedServer> servers() {
+    public List<FakeFeedServer> servers() {
         return servers;
     }
 
--- a/src/main/java/sandstack/measure/scale/ClientPool.java
+++ b/src/main/java/sandstack/measure/scale/ClientPool.java
@@ -3,9 +3,9 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.Consumer;
-import sandstack.standin.ShopClient;
-import sandstack.standin.ShopClient.Happened;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.LineClient;
+import sandstack.testserver.LineClient.EventType;
+import sandstack.testserver.TestServerLoop;
 
 /**
  * Closed-loop load: clients that connect to one relay and stay, with a bounded number of setups in flight. Gives up after
@@ -19,9 +19,9 @@
     private static final int CLIENTS_PER_GROUP = 40;
     private static final String[] REQUEST_CLASSES = {"order-status", "order-status", "catalogue-feed", "stock-check"};
 
-    private final StandInLoop loop;
+    private final TestServerLoop loop;
     private final int port;
-    private final Set<ShopClient> established = new LinkedHashSet<>();
+    private final Set<LineClient> established = new LinkedHashSet<>();
     private Consumer<String> onDelivery = line -> {};
     private int target;
     private int inFlight;
@@ -32,7 +32,7 @@
     private long failed;
     private long lost;
 
-    ClientPool(StandInLoop loop, int port) {
+    ClientPool(TestServerLoop loop, int port) {
         this.loop = loop;
         this.port = port;
     }
@@ -77,7 +77,7 @@
 
     /** Resets this many of the oldest connections. */
     void resetOldest(int count) {
-        established.stream().limit(count).toList().forEach(ShopClient::abort);
+        established.stream().limit(count).toList().forEach(LineClient::abort);
     }
 
     private void connectNext() {
@@ -87,7 +87,7 @@
         }
         inFlight++;
         long number = ++attempts;
-        new ShopClient(
+        new LineClient(
                 loop,
                 port,
                 "i" + number,
@@ -98,23 +98,23 @@
                 this::onClientEvent);
     }
 
-    private void onClientEvent(ShopClient.Told event) {
-        ShopClient client = event.client();
+    private void onClientEvent(LineClient.ClientEvent event) {
+        LineClient client = event.client();
         boolean wasEstablished = established.remove(client);
-        if (event.what() == Happened.UP) {
+        if (event.type() == EventType.ESTABLISHED) {
             accepted++;
             established.add(client);
             client.onDelivery(onDelivery);
-        } else if (event.what() == Happened.BUSY) {
+        } else if (event.type() == EventType.REJECTED) {
             rejected++;
         } else if (wasEstablished) {
-            lost += event.what() == Happened.LEFT ? 0 : 1;
+            lost += event.type() == EventType.CLOSED ? 0 : 1;
         } else {
             failed++;
         }
         if (!wasEstablished) {
             // deferred, as a connection that fails at once would recurse
-            loop.after(0, this::onAttemptEnded);
+            loop.schedule(0, this::onAttemptEnded);
         }
     }
 
--- a/src/main/java/sandstack/measure/scale/DeliveryLoad.java
+++ b/src/main/java/sandstack/measure/scale/DeliveryLoad.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.HdrHistogram.Histogram;
-import sandstack.standin.FeedServer;
-import sandstack.standin.FeedServer.Subscriber;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.FakeFeedServer;
+import sandstack.testserver.FakeFeedServer.Subscriber;
+import sandstack.testserver.TestServerLoop;
 
 /**
  * Open-loop load of deliveries: feed servers send lines to their clients in turn at a fixed rate. Each line carries its
@@ -20,7 +20,7 @@
     private static final String LINE_PREFIX = "push ";
     private static final String PADDING = ".".repeat(LINE_BYTES);
 
-    private final StandInLoop loop;
+    private final TestServerLoop loop;
     private final List<Subscriber> subscribers = new ArrayList<>();
     private final Histogram delayMicros = new Histogram(MAX_RECORDED_MICROS, 3);
     private int nextSubscriber;
@@ -30,7 +30,7 @@
     private long sentAtStart;
     private boolean sending;
 
-    DeliveryLoad(StandInLoop loop, ClientPool clients) {
+    DeliveryLoad(TestServerLoop loop, ClientPool clients) {
         this.loop = loop;
         clients.onDelivery(this::onDelivery);
     }
@@ -39,8 +39,8 @@
     record Result(long sent, long arrived, long medianMicros, long p99Micros) {}
 
     /** Sends one line to each current connection of these servers. */
-    void sendOneToEach(List<FeedServer> servers) {
-        for (FeedServer server : servers) {
+    void sendOneToEach(List<FakeFeedServer> servers) {
+        for (FakeFeedServer server : servers) {
             for (Subscriber subscriber : server.subscribers()) {
                 subscriber.send(line());
                 sent++;
@@ -49,11 +49,11 @@
     }
 
     /** Sends lines at a rate per second to the current connections of these servers, until {@link #stop}. */
-    void start(List<FeedServer> servers, long rate) {
+    void start(List<FakeFeedServer> servers, long rate) {
         subscribers.clear();
         servers.forEach(server -> subscribers.addAll(server.subscribers()));
         linesPerSecond = rate;
-        startMicros = loop.now();
+        startMicros = loop.nowMicros();
         sentAtStart = sent;
         sending = true;
         sendDue();
@@ -68,7 +68,7 @@
         delayMicros.reset();
         sent = 0;
         sentAtStart = 0;
-        startMicros = loop.now();
+        startMicros = loop.nowMicros();
     }
 
     Result result() {
@@ -83,16 +83,16 @@
         if (!sending) {
             return;
         }
-        long due = sentAtStart + (loop.now() - startMicros) * linesPerSecond / 1_000_000;
+        long due = sentAtStart + (loop.nowMicros() - startMicros) * linesPerSecond / 1_000_000;
         while (sent < due) {
             subscribers.get(nextSubscriber++ % subscribers.size()).send(line());
             sent++;
         }
-        loop.after(TICK_MICROS, this::sendDue);
+        loop.schedule(TICK_MICROS, this::sendDue);
     }
 
     private String line() {
-        String stamped = LINE_PREFIX + loop.now() + " ";
+        String stamped = LINE_PREFIX + loop.nowMicros() + " ";
         return stamped + PADDING.substring(stamped.length() + 1) + "\n";
     }
 
@@ -100,7 +100,7 @@
         if (line.startsWith(LINE_PREFIX)) {
             long sentAtMicros =
                     Long.parseLong(line.substring(LINE_PREFIX.length(), line.indexOf(' ', LINE_PREFIX.length())));
-            delayMicros.recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, loop.now() - sentAtMicros)));
+            delayMicros.recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, loop.nowMicros() - sentAtMicros)));
         }
     }
 }
--- a/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
@@ -109,7 +109,7 @@
         PointsBySize byConnections = new PointsBySize();
         PointsBySize byRate = new PointsBySize();
         try (RelayUnderLoad load = new RelayUnderLoad(jar, RelayUnderLoad.LARGE_MEMORY_OPTIONS)) {
-            DeliveryLoad deliveries = load.loop().on(() -> new DeliveryLoad(load.loop(), load.clients()));
+            DeliveryLoad deliveries = load.loop().call(() -> new DeliveryLoad(load.loop(), load.clients()));
             double idleMicros = 0;
             for (int connections : full ? CONNECTIONS_FULL : CONNECTIONS_QUICK) {
                 load.establish(connections);
@@ -171,7 +171,7 @@
         RelayUnderLoad.pause(ARRIVAL_TIMEOUT_MILLIS);
         double idle = idleMicros * (System.nanoTime() - startNanos) / 1e9;
         double busyMicros = load.usage().processorMicrosSince(before) - idle;
-        DeliveryLoad.Result result = load.loop().on(deliveries::result);
+        DeliveryLoad.Result result = load.loop().call(deliveries::result);
         if (result.arrived() < result.sent()) {
             throw new IllegalStateException("lost deliveries: " + result);
         }
--- a/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
@@ -117,10 +117,10 @@
     Exhaustion fill(int megabytes) throws Exception {
         List<String> heap = List.of("-Xms" + Math.min(32, megabytes) + "m", "-Xmx" + megabytes + "m");
         try (RelayUnderLoad load = new RelayUnderLoad(jar, heap)) {
-            DeliveryLoad deliveries = load.loop().on(() -> new DeliveryLoad(load.loop(), load.clients()));
+            DeliveryLoad deliveries = load.loop().call(() -> new DeliveryLoad(load.loop(), load.clients()));
             ClientPool.Counts atLimit = load.growTo(CONNECTION_TARGET);
             RelayUnderLoad.pause(SETTLE_MILLIS);
-            ClientPool.Counts after = load.loop().on(load.clients()::counts);
+            ClientPool.Counts after = load.loop().call(load.clients()::counts);
             long unresponsive = unresponsiveConnections(load, deliveries);
             long reconnectedClients = reconnected(load, after);
             return new Exhaustion(
@@ -142,7 +142,7 @@
             throws InterruptedException {
         load.loop().run(() -> deliveries.sendOneToEach(load.feedServers()));
         RelayUnderLoad.pause(SETTLE_MILLIS);
-        DeliveryLoad.Result result = load.loop().on(deliveries::result);
+        DeliveryLoad.Result result = load.loop().call(deliveries::result);
         return result.sent() - result.arrived();
     }
 
@@ -152,7 +152,7 @@
         }
         load.loop().run(() -> load.clients().resetOldest(RECONNECTING_CLIENTS));
         RelayUnderLoad.pause(SETTLE_MILLIS);
-        int remaining = load.loop().on(load.clients()::counts).established();
+        int remaining = load.loop().call(load.clients()::counts).established();
         return load.growTo(remaining + RECONNECTING_CLIENTS).accepted() - before.accepted();
     }
 }
--- a/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
+++ b/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.TimeUnit;
 import sandstack.measure.RelayProcess;
 import sandstack.measure.Testbed;
-import sandstack.standin.FeedServer;
-import sandstack.standin.Machine;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.FakeFeedServer;
+import sandstack.testserver.ServerProfile;
+import sandstack.testserver.TestServerLoop;
 
 /**
  * One relay process with two stand-in feed servers and a pool of clients, which share one thread of this process. Closing
@@ -40,8 +40,8 @@
     RelayUnderLoad(Path jar, List<String> options) throws IOException {
         testbed = new Testbed(MAX_DESCRIPTORS);
         try {
-            testbed.addFeedServer("box", 1, Machine.IDLE);
-            testbed.addFeedServer("box", 1, Machine.IDLE);
+            testbed.addFeedServer("box", 1, ServerProfile.UNLIMITED);
+            testbed.addFeedServer("box", 1, ServerProfile.UNLIMITED);
             testbed.startRelays(jar, 1, Map.of(), options);
         } catch (IOException | RuntimeException e) {
             testbed.close();
@@ -51,7 +51,7 @@
         clients = new ClientPool(testbed.loop(), relay.port());
     }
 
-    StandInLoop loop() {
+    TestServerLoop loop() {
         return testbed.loop();
     }
 
@@ -63,7 +63,7 @@
         return clients;
     }
 
-    List<FeedServer> feedServers() {
+    List<FakeFeedServer> feedServers() {
         return testbed.servers();
     }
 
@@ -82,10 +82,10 @@
     ClientPool.Counts growTo(int connections) throws InterruptedException {
         loop().run(() -> clients.growTo(connections, MAX_SETUPS_IN_FLIGHT));
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLE_TIMEOUT_MILLIS);
-        while (!loop().on(clients::isSettled) && System.nanoTime() < deadlineNanos) {
+        while (!loop().call(clients::isSettled) && System.nanoTime() < deadlineNanos) {
             pause(POLL_MILLIS);
         }
-        return loop().on(clients::counts);
+        return loop().call(clients::counts);
     }
 
     /**
@@ -107,7 +107,7 @@
     @Override
     public void close() {
         try {
-            loop().run(() -> feedServers().forEach(FeedServer::kill));
+            loop().run(() -> feedServers().forEach(FakeFeedServer::kill));
             pause(RESET_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/sandstack/measure/scale/SampleEndpointList.java
+++ b/src/main/java/sandstack/measure/scale/SampleEndpointList.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Locale;
-import sandstack.standin.InstanceList;
-import sandstack.standin.InstanceList.Instance;
+import sandstack.testserver.InstanceList;
+import sandstack.testserver.InstanceList.Instance;
 
 /** A discovery's endpoint list with feed servers in four zones, in its wire format. */
 final class SampleEndpointList {
@@ -40,12 +40,12 @@
 
     /** The full list as one line. */
     byte[] fullList() {
-        return line(list.whole());
+        return line(list.snapshot());
     }
 
     /** The last change as one line, in the format of a delta. */
     byte[] lastDelta() {
-        return line(list.since(list.revision() - 1));
+        return line(list.changesSince(list.revision() - 1));
     }
 
     private static byte[] line(ObjectNode object) {
--- a/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
+import sandstack.faultinjection.ProcessFleet;
 import sandstack.measure.FleetUsage;
 import sandstack.measure.RelayProcess;
 import sandstack.measure.scale.Resource;
 import sandstack.measure.scale.Role;
 import sandstack.measure.scale.ScaleMeasurement;
 import sandstack.measure.scale.Series;
-import sandstack.rig.FleetRig;
 
 /**
  * Fleets of real processes on loopback, for comparison with hollow ones: traffic, processor time and memory of a member, and
@@ -113,18 +113,18 @@
     }
 
     private Costs measure(int size) throws IOException, InterruptedException {
-        try (FleetRig rig = new FleetRig(List.of("-jar", jar.toString()), size, ZONES)) {
+        try (ProcessFleet rig = new ProcessFleet(List.of("-jar", jar.toString()), size, ZONES)) {
             rig.startAll();
-            if (FleetRig.until(rig::allAlive, TIMEOUT_SECONDS + size) < 0) {
+            if (ProcessFleet.awaitMicros(rig::allAlive, TIMEOUT_SECONDS + size) < 0) {
                 throw new IOException("did not see itself whole within " + (TIMEOUT_SECONDS + size) + " s");
             }
             Thread.sleep(SETTLE_MILLIS);
-            long bytesBefore = rig.bytes();
+            long bytesBefore = rig.forwardedBytes();
             double processorBefore = FleetUsage.processorSeconds(rig);
             long startNanos = System.nanoTime();
             Thread.sleep(OBSERVED_MILLIS);
             double memberSeconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND * size;
-            double bytesPerSecond = (rig.bytes() - bytesBefore) / memberSeconds;
+            double bytesPerSecond = (rig.forwardedBytes() - bytesBefore) / memberSeconds;
             double cpuMillisPerSecond =
                     (FleetUsage.processorSeconds(rig) - processorBefore) * MILLIS_PER_SECOND / memberSeconds;
             double resident = FleetUsage.meanResidentBytes(rig);
@@ -143,12 +143,13 @@
         }
     }
 
-    private static void awaitStatusEverywhere(FleetRig rig, int victim, Predicate<String> expected) throws IOException {
-        long micros = FleetRig.until(
+    private static void awaitStatusEverywhere(ProcessFleet rig, int victim, Predicate<String> expected)
+            throws IOException {
+        long micros = ProcessFleet.awaitMicros(
                 () -> {
                     for (int i = 0; i < victim; i++) {
-                        Map<String, String> statuses = rig.standings(i);
-                        if (statuses == null || !expected.test(statuses.get(FleetRig.name(victim)))) {
+                        Map<String, String> statuses = rig.memberStatuses(i);
+                        if (statuses == null || !expected.test(statuses.get(ProcessFleet.memberName(victim)))) {
                             return false;
                         }
                     }
--- a/src/main/java/sandstack/standin/Discovery.java
+++ b/src/main/java/sandstack/testserver/FakeDiscovery.java
@@ -1,4 +1,4 @@
-package sandstack.standin;
+package sandstack.testserver;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -16,12 +16,12 @@
  * A fake discovery: serves the list of feed servers by its published protocol, complete or as a watch. Scripted faults
  * delay its updates and make it unavailable. Used on the thread of its loop. A change costs O(watches).
  */
-public final class Discovery {
+public final class FakeDiscovery {
     private static final long KEEPALIVE_INTERVAL_MICROS = 2_000_000;
     private static final int MAX_REQUEST_LENGTH = 8192;
     private static final String REVISION_PARAMETER = "from=";
 
-    private final StandInLoop loop;
+    private final TestServerLoop loop;
     private final int port;
     private final InstanceList instances = new InstanceList();
     /** The connections that follow the list. */
@@ -32,12 +32,12 @@
     private boolean unavailable;
 
     /** Listens at a port that the system chooses. */
-    public Discovery(StandInLoop loop) throws IOException {
+    public FakeDiscovery(TestServerLoop loop) throws IOException {
         this(loop, 0);
     }
 
     /** Listens at a fixed port, or at one that the system chooses where it is 0. */
-    public Discovery(StandInLoop loop, int fixedPort) throws IOException {
+    public FakeDiscovery(TestServerLoop loop, int fixedPort) throws IOException {
         this.loop = loop;
         this.port = loop.listen(fixedPort, new BaseFilter() {
             @Override
@@ -46,7 +46,7 @@
                 return context.getStopAction();
             }
         });
-        loop.after(KEEPALIVE_INTERVAL_MICROS, this::sendKeepalives);
+        loop.schedule(KEEPALIVE_INTERVAL_MICROS, this::sendKeepalives);
     }
 
     /** The port at which discovery listens. */
@@ -55,12 +55,12 @@
     }
 
     /** Delays the watch events of later changes. */
-    public void delay(long micros) {
+    public void delayUpdates(long micros) {
         updateDelayMicros = micros;
     }
 
     /** While discovery is down it responds 503; going down resets all connections. */
-    public void down(boolean isDown) {
+    public void setUnavailable(boolean isDown) {
         unavailable = isDown;
         if (unavailable) {
             for (Connection connection : Set.copyOf(connections)) {
@@ -75,27 +75,28 @@
      *
      * @param state ready, draining or gone
      */
-    public void list(FeedServer server, String model, double hint, String state) {
+    public void publish(FakeFeedServer server, String model, double hint, String state) {
         long previousRevision = instances.revision();
         instances.put(new InstanceList.Instance(
                 server.uid(),
-                StandInLoop.LOOPBACK + ":" + server.port(),
+                TestServerLoop.LOOPBACK + ":" + server.port(),
                 server.zone(),
                 model,
                 hint,
                 state,
-                server.bootedAt() / 1000));
-        loop.after(updateDelayMicros, () -> Set.copyOf(watches).forEach(watch -> watch.sendChanges(previousRevision)));
+                server.bootedAtMicros() / 1000));
+        loop.schedule(
+                updateDelayMicros, () -> Set.copyOf(watches).forEach(watch -> watch.sendChanges(previousRevision)));
     }
 
     /** The complete list, in the form that a configuration holds under {@code known}. */
-    public ObjectNode known() {
-        return instances.whole();
+    public ObjectNode knownInstances() {
+        return instances.snapshot();
     }
 
     private void sendKeepalives() {
         List.copyOf(watches).forEach(Connection::sendKeepalive);
-        loop.after(KEEPALIVE_INTERVAL_MICROS, this::sendKeepalives);
+        loop.schedule(KEEPALIVE_INTERVAL_MICROS, this::sendKeepalives);
     }
 
     /** One connection of a client, with its watch where it requested one. */
@@ -138,7 +139,7 @@
                 watches.add(this);
                 sendChanges(sentRevision);
             } else {
-                sendResponse("200 OK", instances.whole() + "\n");
+                sendResponse("200 OK", instances.snapshot() + "\n");
             }
         }
 
@@ -153,7 +154,7 @@
 
         void sendChanges(long fromRevision) {
             if (!peer.isClosed() && watches.contains(this)) {
-                sendChunk(instances.since(Math.min(fromRevision, sentRevision)) + "\n");
+                sendChunk(instances.changesSince(Math.min(fromRevision, sentRevision)) + "\n");
                 sentRevision = instances.revision();
             }
         }
--- a/src/main/java/sandstack/standin/FeedServer.java
+++ b/src/main/java/sandstack/testserver/FakeFeedServer.java
@@ -1,4 +1,4 @@
-package sandstack.standin;
+package sandstack.testserver;
 
 import java.io.IOException;
 import java.util.HashMap;
@@ -15,38 +15,38 @@
 
 /**
  * A fake feed server of the line protocol with scripted behaviour: it sets connections up with the work that its {@link
- * Machine} states, echoes every line, rejects or sheds connections above its limit, drains, dies and restarts cold. Used
+ * ServerProfile} states, echoes every line, rejects or sheds connections above its limit, drains, dies and restarts cold. Used
  * on the thread of its loop. A line costs O(1), {@link #kill} O(connections).
  */
-public final class FeedServer {
+public final class FakeFeedServer {
     /**
      * What the server has counted.
      *
-     * @param standing established connections now
-     * @param mostStanding the most there were at once
+     * @param established established connections now
+     * @param maxEstablished the most there were at once
      * @param setups connections that were established
-     * @param turnedAway requests rejected with {@code BUSY}
+     * @param rejected requests rejected with {@code BUSY}
      * @param shed established connections that were dropped above the limit
      * @param lines lines received on established connections
-     * @param asked valid requests for a connection
-     * @param reads requests that were not valid
-     * @param busy microseconds for which cores were busy, summed over all
+     * @param requests valid requests for a connection
+     * @param syntaxErrors requests that were not valid
+     * @param busyMicros microseconds for which cores were busy, summed over all
      */
-    public record Books(
-            int standing,
-            int mostStanding,
+    public record Counters(
+            int established,
+            int maxEstablished,
             long setups,
-            long turnedAway,
+            long rejected,
             long shed,
             long lines,
-            long asked,
-            long reads,
-            double busy) {}
+            long requests,
+            long syntaxErrors,
+            double busyMicros) {}
 
-    private final StandInLoop loop;
+    private final TestServerLoop loop;
     private final String uid;
     private final String zone;
-    private final Machine machine;
+    private final ServerProfile profile;
     private final int port;
     private final Set<FeedSession> established = new LinkedHashSet<>();
     private final Set<FeedSession> sessions = new LinkedHashSet<>();
@@ -70,16 +70,17 @@
      * @param uid id by which discovery lists the server
      * @param zone name of its zone
      */
-    public FeedServer(StandInLoop loop, String uid, String zone, Machine machine) throws IOException {
+    public FakeFeedServer(TestServerLoop loop, String uid, String zone, ServerProfile machine) throws IOException {
         this(loop, uid, zone, machine, 0);
     }
 
     /** Listens at a fixed port, or at one that the system chooses where it is 0. */
-    public FeedServer(StandInLoop loop, String uid, String zone, Machine machine, int fixedPort) throws IOException {
+    public FakeFeedServer(TestServerLoop loop, String uid, String zone, ServerProfile machine, int fixedPort)
+            throws IOException {
         this.loop = loop;
         this.uid = uid;
         this.zone = zone;
-        this.machine = machine;
+        this.profile = machine;
         this.workQueue = new WorkQueue(loop, machine);
         this.port = loop.listen(fixedPort, new BaseFilter() {
             @Override
@@ -96,7 +97,7 @@
     }
 
     /** Asks all clients to move, as a draining feed server does. */
-    public void sendAway() {
+    public void moveClients() {
         for (FeedSession session : Set.copyOf(established)) {
             session.closeWith("MOVE\r\n");
         }
@@ -115,18 +116,18 @@
     public long restart() {
         killed = false;
         draining = false;
-        long nowMicros = loop.now();
+        long nowMicros = loop.nowMicros();
         workQueue.restarted(nowMicros);
         return nowMicros / 1_000;
     }
 
     /** Lets a noisy neighbour take this share of every core from now on; 0 ends it. */
-    public void neighbour(double share) {
+    public void setNoisyNeighbourShare(double share) {
         workQueue.setStolenShare(share);
     }
 
     /** Sends this load report, in microseconds of work a second, on every connection. */
-    public void tellLoads(double load) {
+    public void sendLoadReports(double load) {
         for (FeedSession session : established) {
             session.send("LOAD " + load + "\r\n");
         }
@@ -159,12 +160,12 @@
     }
 
     /** The machine on which the server runs. */
-    public Machine machine() {
-        return machine;
+    public ServerProfile profile() {
+        return profile;
     }
 
     /** When the process last restarted, in microseconds of the loop's clock; 0 where it has not. */
-    public long bootedAt() {
+    public long bootedAtMicros() {
         return workQueue.bootedAtMicros();
     }
 
@@ -174,8 +175,8 @@
     }
 
     /** A snapshot of the counters. */
-    public Books books() {
-        return new Books(
+    public Counters counters() {
+        return new Counters(
                 established.size(),
                 maxEstablished,
                 setups,
@@ -188,11 +189,11 @@
     }
 
     /** Seconds for which connections were established, by the value of one attribute of the request, such as the class. */
-    public Map<String, Double> standingSeconds(String name) {
+    public Map<String, Double> establishedSeconds(String name) {
         Map<String, Double> seconds = new LinkedHashMap<>();
         closedSessionMicros.forEach(
                 (attributes, micros) -> seconds.merge(value(attributes, name), micros / 1e6, Double::sum));
-        long nowMicros = loop.now();
+        long nowMicros = loop.nowMicros();
         for (FeedSession session : established) {
             seconds.merge(
                     value(session.attributes(), name), (nowMicros - session.establishedMicros()) / 1e6, Double::sum);
@@ -219,14 +220,14 @@
 
     void requestReceived(FeedSession session, String id) {
         requests++;
-        if (draining || (!machine.sheds() && isFullWith(1))) {
+        if (draining || (!profile.shedsNewest() && isFullWith(1))) {
             rejected++;
             session.closeWith("BUSY\r\n");
             return;
         }
         session.setupStarted();
         pendingSetups++;
-        workQueue.submit(machine.setup(), () -> setupCompleted(session, id));
+        workQueue.submit(profile.setupMicros(), () -> setupCompleted(session, id));
     }
 
     void invalidRequestReceived() {
@@ -241,8 +242,8 @@
         established.add(session);
         maxEstablished = Math.max(maxEstablished, established.size());
         setups++;
-        session.setupCompleted(loop.now(), "UP " + uid + "-" + id + "\r\n");
-        if (machine.sheds() && isFullWith(0)) {
+        session.setupCompleted(loop.nowMicros(), "UP " + uid + "-" + id + "\r\n");
+        if (profile.shedsNewest() && isFullWith(0)) {
             shed++;
             session.reset();
         }
@@ -250,7 +251,7 @@
 
     void lineReceived(FeedSession session, String line) {
         lines++;
-        workQueue.submit(machine.line(), () -> session.send(line));
+        workQueue.submit(profile.lineMicros(), () -> session.send(line));
     }
 
     void sessionClosed(FeedSession session) {
@@ -259,12 +260,13 @@
             pendingSetups--;
         }
         if (established.remove(session)) {
-            closedSessionMicros.merge(session.attributes(), loop.now() - session.establishedMicros(), Long::sum);
+            closedSessionMicros.merge(session.attributes(), loop.nowMicros() - session.establishedMicros(), Long::sum);
         }
     }
 
     /** Whether this many more connections would exceed the limit. */
     private boolean isFullWith(int additional) {
-        return machine.cap() > 0 && established.size() + pendingSetups + additional > machine.cap();
+        return profile.maxConnections() > 0
+                && established.size() + pendingSetups + additional > profile.maxConnections();
     }
 }
--- a/src/main/java/sandstack/standin/FeedSession.java
+++ b/src/main/java/sandstack/testserver/FeedSession.java
@@ -1,13 +1,13 @@
-package sandstack.standin;
+package sandstack.testserver;
 
 import sandstack.net.Peer;
 
-/** One connection of a {@link FeedServer}, from its request to its end. Used on the thread of its loop. */
-final class FeedSession implements Peer.Listener, FeedServer.Subscriber {
+/** One connection of a {@link FakeFeedServer}, from its request to its end. Used on the thread of its loop. */
+final class FeedSession implements Peer.Listener, FakeFeedServer.Subscriber {
     private static final int MAX_LINE_LENGTH = 4096;
     private static final int REQUEST_FIELDS = 4;
 
-    private final FeedServer server;
+    private final FakeFeedServer server;
     private final Peer peer;
     /** Null until the request has been read. */
     private String attributes;
@@ -16,7 +16,7 @@
     private long establishedMicros;
     private boolean closed;
 
-    FeedSession(FeedServer server, Peer peer) {
+    FeedSession(FakeFeedServer server, Peer peer) {
         this.server = server;
         this.peer = peer;
         peer.setListener(this);
--- a/src/main/java/sandstack/standin/InstanceList.java
+++ b/src/main/java/sandstack/testserver/InstanceList.java
@@ -1,4 +1,4 @@
-package sandstack.standin;
+package sandstack.testserver;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -22,12 +22,18 @@
      *
      * @param endpoint host and port
      * @param model machine type
-     * @param hint relative capacity
+     * @param capacityHint relative capacity
      * @param state ready, draining or gone
      * @param bootMillis when the process started, in Unix milliseconds; 0 for long ago
      */
     public record Instance(
-            String uid, String endpoint, String zone, String model, double hint, String state, long bootMillis) {}
+            String uid,
+            String endpoint,
+            String zone,
+            String model,
+            double capacityHint,
+            String state,
+            long bootMillis) {}
 
     /** An instance and the revision at which it last changed. */
     private record Listed(Instance instance, long revision) {}
@@ -46,12 +52,12 @@
     }
 
     /** The complete list, without the instances that are gone. */
-    public ObjectNode whole() {
-        return since(BEFORE_FIRST_REVISION);
+    public ObjectNode snapshot() {
+        return changesSince(BEFORE_FIRST_REVISION);
     }
 
     /** The changes after a revision; the complete list where the revision is negative. */
-    public ObjectNode since(long fromRevision) {
+    public ObjectNode changesSince(long fromRevision) {
         boolean all = fromRevision < 0;
         ObjectNode object = JSON.createObjectNode().put("rev", revision).put("all", all);
         ArrayNode targets = object.putArray("targets");
@@ -72,7 +78,7 @@
                 .put("model", instance.model())
                 .put("pod_group", 0)
                 .put("state", instance.state())
-                .put("capacity_hint", instance.hint())
+                .put("capacity_hint", instance.capacityHint())
                 .put("boot_ms", instance.bootMillis());
     }
 }
--- a/src/main/java/sandstack/standin/ShopClient.java
+++ b/src/main/java/sandstack/testserver/LineClient.java
@@ -1,4 +1,4 @@
-package sandstack.standin;
+package sandstack.testserver;
 
 import java.util.function.Consumer;
 import sandstack.core.DeadlineScheduler.Deadline;
@@ -9,38 +9,38 @@
  * A client of the line protocol for tests: opens a connection, sends lines at an interval and measures the round trips.
  * Reports each change of its state to a listener. Used on the thread of its loop. A line costs O(1).
  */
-public final class ShopClient {
+public final class LineClient {
     /** The changes of state of a client. */
-    public enum Happened {
+    public enum EventType {
         /** The connection is established. */
-        UP,
+        ESTABLISHED,
         /** The relay rejected the connection. */
-        BUSY,
+        REJECTED,
         /** The connection failed or closed before a response, or the response is invalid. */
         FAILED,
         /** No response within the timeout. */
-        SILENT,
+        TIMED_OUT,
         /** The relay asked the established connection to move. */
         MOVED,
         /** The established connection was reset or closed by the other side. */
-        LOST,
+        DISCONNECTED,
         /** The client closed the connection. */
-        LEFT
+        CLOSED
     }
 
     /**
      * One change of state.
      *
-     * @param after microseconds since the request, or since the connection was established for what ends it
-     * @param comeBack with {@code BUSY} the milliseconds until a retry; 0 where the relay states none
+     * @param elapsedMicros microseconds since the request, or since the connection was established for what ends it
+     * @param retryAfterMillis with {@code BUSY} the milliseconds until a retry; 0 where the relay states none
      */
-    public record Told(ShopClient client, Happened what, long after, long comeBack) {}
+    public record ClientEvent(LineClient client, EventType type, long elapsedMicros, long retryAfterMillis) {}
 
     private static final String BUSY_PREFIX = "BUSY ";
 
-    private final StandInLoop loop;
+    private final TestServerLoop loop;
     private final String key;
-    private final Consumer<Told> eventListener;
+    private final Consumer<ClientEvent> eventListener;
     private final ResponseReader responseReader = new ResponseReader();
     private Peer peer;
     private EventLoop.PendingConnect connecting;
@@ -49,14 +49,14 @@
     private boolean closed;
     private long lineIntervalMicros;
     private long lineSentMicros;
-    private LineHeard lineListener;
+    private RoundTripListener lineListener;
     private Consumer<String> deliveryListener;
     private Deadline responseTimeout;
 
     /** Receives the round trip of each line. */
-    public interface LineHeard {
+    public interface RoundTripListener {
         /** Called when a line came back, with its round trip in microseconds. */
-        void heard(long roundTripMicros);
+        void roundTrip(long roundTripMicros);
     }
 
     /**
@@ -67,20 +67,20 @@
      * @param timeoutMicros time limit for the response
      * @param eventListener is called on the thread of the loop
      */
-    public ShopClient(
-            StandInLoop loop,
+    public LineClient(
+            TestServerLoop loop,
             int port,
             String id,
             String key,
             String attributes,
             long timeoutMicros,
-            Consumer<Told> eventListener) {
+            Consumer<ClientEvent> eventListener) {
         this.loop = loop;
         this.key = key;
         this.eventListener = eventListener;
-        this.phaseStartMicros = loop.now();
-        this.responseTimeout = loop.after(timeoutMicros, () -> close(Happened.SILENT, 0));
-        connecting = loop.eventLoop().connect(StandInLoop.LOOPBACK, port, new EventLoop.ConnectListener() {
+        this.phaseStartMicros = loop.nowMicros();
+        this.responseTimeout = loop.schedule(timeoutMicros, () -> close(EventType.TIMED_OUT, 0));
+        connecting = loop.eventLoop().connect(TestServerLoop.LOOPBACK, port, new EventLoop.ConnectListener() {
             @Override
             public void connected(Peer connected) {
                 peer = connected;
@@ -90,7 +90,7 @@
 
             @Override
             public void failed() {
-                close(Happened.FAILED, 0);
+                close(EventType.FAILED, 0);
             }
         });
     }
@@ -101,12 +101,12 @@
     }
 
     /** Whether the connection is established and open. */
-    public boolean standing() {
+    public boolean isEstablished() {
         return established && !closed;
     }
 
     /** Sends a line at this interval from now on, but no more than one at a time. */
-    public void talk(long intervalMicros, LineHeard listener) {
+    public void sendLines(long intervalMicros, RoundTripListener listener) {
         lineIntervalMicros = intervalMicros;
         lineListener = listener;
         sendLine();
@@ -118,25 +118,25 @@
     }
 
     private void sendLine() {
-        if (!standing()) {
+        if (!isEstablished()) {
             return;
         }
         if (lineSentMicros == 0) {
-            lineSentMicros = loop.now();
+            lineSentMicros = loop.nowMicros();
             peer.send("line " + lineSentMicros + "\r\n");
         }
-        loop.after(lineIntervalMicros, this::sendLine);
+        loop.schedule(lineIntervalMicros, this::sendLine);
     }
 
     /** How long the line in flight has been waiting for its reply, in microseconds; 0 where none is in flight. */
-    public long waiting() {
-        return lineSentMicros == 0 ? 0 : loop.now() - lineSentMicros;
+    public long lineInFlightMicros() {
+        return lineSentMicros == 0 ? 0 : loop.nowMicros() - lineSentMicros;
     }
 
     /** Closes the connection, as a client does that has finished. */
-    public void leave() {
+    public void close() {
         if (!closed) {
-            close(Happened.LEFT, 0);
+            close(EventType.CLOSED, 0);
         }
     }
 
@@ -145,10 +145,10 @@
         if (!closed && peer != null) {
             peer.reset();
         }
-        leave();
+        close();
     }
 
-    private void close(Happened reason, long retryAfterMillis) {
+    private void close(EventType reason, long retryAfterMillis) {
         if (closed) {
             return;
         }
@@ -163,7 +163,7 @@
             peer.shutdownOutput();
             peer.close();
         }
-        eventListener.accept(new Told(this, reason, loop.now() - phaseStartMicros, retryAfterMillis));
+        eventListener.accept(new ClientEvent(this, reason, loop.nowMicros() - phaseStartMicros, retryAfterMillis));
     }
 
     /** Reads the responses and lines from the relay. */
@@ -185,13 +185,13 @@
             } else if (line.startsWith("UP")) {
                 established = true;
                 responseTimeout.cancel();
-                long setupMicros = loop.now() - phaseStartMicros;
-                phaseStartMicros = loop.now();
-                eventListener.accept(new Told(ShopClient.this, Happened.UP, setupMicros, 0));
+                long setupMicros = loop.nowMicros() - phaseStartMicros;
+                phaseStartMicros = loop.nowMicros();
+                eventListener.accept(new ClientEvent(LineClient.this, EventType.ESTABLISHED, setupMicros, 0));
             } else if (line.startsWith("BUSY")) {
-                close(Happened.BUSY, retryAfterMillis(line));
+                close(EventType.REJECTED, retryAfterMillis(line));
             } else {
-                close(Happened.FAILED, 0);
+                close(EventType.FAILED, 0);
             }
         }
 
@@ -203,11 +203,11 @@
 
         private void establishedLineReceived(String line) {
             if (line.equals("MOVE")) {
-                close(Happened.MOVED, 0);
+                close(EventType.MOVED, 0);
             } else if (line.startsWith("line ") && lineSentMicros != 0) {
-                long roundTripMicros = loop.now() - lineSentMicros;
+                long roundTripMicros = loop.nowMicros() - lineSentMicros;
                 lineSentMicros = 0;
-                lineListener.heard(roundTripMicros);
+                lineListener.roundTrip(roundTripMicros);
             } else if (deliveryListener != null) {
                 deliveryListener.accept(line);
             }
@@ -218,12 +218,12 @@
 
         @Override
         public void onEndOfInput() {
-            close(established ? Happened.LOST : Happened.FAILED, 0);
+            close(established ? EventType.DISCONNECTED : EventType.FAILED, 0);
         }
 
         @Override
         public void onConnectionLost() {
-            close(established ? Happened.LOST : Happened.FAILED, 0);
+            close(established ? EventType.DISCONNECTED : EventType.FAILED, 0);
         }
     }
 }
--- a/src/main/java/sandstack/standin/StandInLoop.java
+++ b/src/main/java/sandstack/testserver/TestServerLoop.java
@@ -1,4 +1,4 @@
-package sandstack.standin;
+package sandstack.testserver;
 
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
@@ -12,9 +12,9 @@
 
 /**
  * The event loop of the test servers and clients, with its thread and timers. They are created and used on that thread;
- * {@link #on} and {@link #run} get there from others. Servers listen on loopback only.
+ * {@link #call} and {@link #run} get there from others. Servers listen on loopback only.
  */
-public final class StandInLoop implements AutoCloseable {
+public final class TestServerLoop implements AutoCloseable {
     static final String LOOPBACK = "127.0.0.1";
     private static final long CALL_TIMEOUT_SECONDS = 30;
 
@@ -22,12 +22,12 @@
     private final DeadlineScheduler deadlines = new DeadlineScheduler();
 
     /** Starts the thread. */
-    public StandInLoop() throws IOException {
+    public TestServerLoop() throws IOException {
         eventLoop.start(() -> deadlines.runExpired(eventLoop.nowMicros()), deadlines::nextMicros);
     }
 
     /** Calls a task on the thread of the loop and returns its result; fails after a timeout. */
-    public <T> T on(Supplier<T> task) {
+    public <T> T call(Supplier<T> task) {
         CompletableFuture<T> result = new CompletableFuture<>();
         eventLoop.execute(() -> {
             try {
@@ -48,21 +48,21 @@
 
     /** Runs a task on the thread of the loop and waits until it is done. */
     public void run(Runnable task) {
-        on(() -> {
+        call(() -> {
             task.run();
             return true;
         });
     }
 
     /** Creates a server that may fail to listen. */
-    public interface Made<T> {
+    public interface ServerFactory<T> {
         /** Called on the thread of the eventLoop. */
         T create() throws IOException;
     }
 
     /** Creates a server on the thread of the loop and returns it. */
-    public <T> T make(Made<T> factory) {
-        return on(() -> {
+    public <T> T create(ServerFactory<T> factory) {
+        return call(() -> {
             try {
                 return factory.create();
             } catch (IOException e) {
@@ -72,7 +72,7 @@
     }
 
     /** Monotonic time in microseconds, close to Unix time. */
-    public long now() {
+    public long nowMicros() {
         return eventLoop.nowMicros();
     }
 
@@ -96,7 +96,7 @@
     }
 
     /** Schedules a task after a delay; it can be cancelled. To be called on the thread of the eventLoop. */
-    public DeadlineScheduler.Deadline after(long delayMicros, Runnable task) {
+    public DeadlineScheduler.Deadline schedule(long delayMicros, Runnable task) {
         return deadlines.schedule(eventLoop.nowMicros() + delayMicros, task);
     }
 
--- a/src/main/java/sandstack/standin/WorkQueue.java
+++ b/src/main/java/sandstack/testserver/WorkQueue.java
@@ -1,18 +1,18 @@
-package sandstack.standin;
+package sandstack.testserver;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
 
 /**
- * The simulated processor of a {@link FeedServer}: work waits in one queue for the first free core. Cores are slower
+ * The simulated processor of a {@link FakeFeedServer}: work waits in one queue for the first free core. Cores are slower
  * while the server warms up and while a noisy neighbour takes a part of them. Used on the thread of its loop.
  */
 final class WorkQueue {
     /** Keeps the duration of work finite when a neighbour takes all of every core. */
     private static final double MIN_SPEED = 1e-6;
 
-    private final StandInLoop loop;
-    private final Machine machine;
+    private final TestServerLoop loop;
+    private final ServerProfile profile;
     private final Deque<Task> waiting = new ArrayDeque<>();
     private int busyCores;
     private double stolenShare;
@@ -22,9 +22,9 @@
     /** Work in microseconds of a standard core, and what follows once it is done. */
     private record Task(long workMicros, Runnable completion) {}
 
-    WorkQueue(StandInLoop loop, Machine machine) {
+    WorkQueue(TestServerLoop loop, ServerProfile machine) {
         this.loop = loop;
-        this.machine = machine;
+        this.profile = machine;
     }
 
     /** Does work and then runs the completion, which runs at once where there is no work. */
@@ -63,22 +63,22 @@
     }
 
     private double speed() {
-        double warmedUp = machine.warmAfter() <= 0 || bootedAtMicros == 0
+        double warmedUp = profile.warmUpMicros() <= 0 || bootedAtMicros == 0
                 ? 1
-                : Math.min(1, (loop.now() - bootedAtMicros) / (double) machine.warmAfter());
-        double warmUpFactor = machine.coldFrom() + (1 - machine.coldFrom()) * warmedUp;
-        return machine.speed() * warmUpFactor * (1 - stolenShare);
+                : Math.min(1, (loop.nowMicros() - bootedAtMicros) / (double) profile.warmUpMicros());
+        double warmUpFactor = profile.initialSpeedFraction() + (1 - profile.initialSpeedFraction()) * warmedUp;
+        return profile.speed() * warmUpFactor * (1 - stolenShare);
     }
 
     private void startNext() {
-        if (busyCores >= machine.cores() || waiting.isEmpty()) {
+        if (busyCores >= profile.cores() || waiting.isEmpty()) {
             return;
         }
         Task task = waiting.poll();
         busyCores++;
         long durationMicros = Math.max(1, (long) (task.workMicros() / Math.max(MIN_SPEED, speed())));
         busyMicros += durationMicros;
-        loop.after(durationMicros, () -> {
+        loop.schedule(durationMicros, () -> {
             busyCores--;
             task.completion().run();
             startNext();
--- a/src/main/java/sandstack/standin/ZoneLink.java
+++ b/src/main/java/sandstack/testserver/ZoneLink.java
@@ -1,4 +1,4 @@
-package sandstack.standin;
+package sandstack.testserver;
 
 import java.io.IOException;
 import java.util.SplittableRandom;
@@ -13,7 +13,7 @@
  * delay with jitter. Used on the thread of its loop. Each delivery costs one timer.
  */
 public final class ZoneLink {
-    private final StandInLoop loop;
+    private final TestServerLoop loop;
     private final int port;
     private final int serverPort;
     private final long delayMicros;
@@ -28,7 +28,7 @@
      * @param delayMicros in each direction
      * @param jitterMicros upper bound of the random addition to the delay
      */
-    public ZoneLink(StandInLoop loop, int serverPort, long delayMicros, long jitterMicros, long seed)
+    public ZoneLink(TestServerLoop loop, int serverPort, long delayMicros, long jitterMicros, long seed)
             throws IOException {
         this.loop = loop;
         this.serverPort = serverPort;
@@ -56,7 +56,7 @@
 
     private void accepted(Peer client) {
         LinkEnd clientEnd = new LinkEnd(client);
-        loop.eventLoop().connect(StandInLoop.LOOPBACK, serverPort, new EventLoop.ConnectListener() {
+        loop.eventLoop().connect(TestServerLoop.LOOPBACK, serverPort, new EventLoop.ConnectListener() {
             @Override
             public void connected(Peer server) {
                 LinkEnd serverEnd = new LinkEnd(server);
@@ -89,8 +89,8 @@
             // never before the previous delivery, which would reorder bytes
             lastDeliveryMicros = Math.max(
                     lastDeliveryMicros,
-                    loop.now() + delayMicros + (jitterMicros > 0 ? random.nextLong(jitterMicros) : 0));
-            loop.after(lastDeliveryMicros - loop.now(), delivery);
+                    loop.nowMicros() + delayMicros + (jitterMicros > 0 ? random.nextLong(jitterMicros) : 0));
+            loop.schedule(lastDeliveryMicros - loop.nowMicros(), delivery);
         }
 
         @Override
--- a/src/test/java/sandstack/EarlySignalTest.java
+++ b/src/test/java/sandstack/EarlySignalTest.java
@@ -27,10 +27,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import sandstack.standin.Discovery;
-import sandstack.standin.FeedServer;
-import sandstack.standin.Machine;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.FakeDiscovery;
+import sandstack.testserver.FakeFeedServer;
+import sandstack.testserver.ServerProfile;
+import sandstack.testserver.TestServerLoop;
 
 /** SIGTERM and SIGKILL in the first second of a process: between any two lines of its start, and at stepped times. */
 @Timeout(90)
@@ -51,20 +51,21 @@
     @TempDir
     Path folder;
 
-    private StandInLoop standInLoop;
-    private Discovery discovery;
-    private final List<FeedServer> servers = new ArrayList<>();
+    private TestServerLoop standInLoop;
+    private FakeDiscovery discovery;
+    private final List<FakeFeedServer> servers = new ArrayList<>();
     private final List<Process> started = new ArrayList<>();
 
     @BeforeEach
     void makeStandIns() throws IOException {
-        standInLoop = new StandInLoop();
-        discovery = standInLoop.make(() -> new Discovery(standInLoop));
+        standInLoop = new TestServerLoop();
+        discovery = standInLoop.create(() -> new FakeDiscovery(standInLoop));
         for (int i = 1; i <= 2; i++) {
             String uid = "toy-" + i;
-            servers.add(standInLoop.make(() -> new FeedServer(standInLoop, uid, "home", Machine.IDLE)));
+            servers.add(
+                    standInLoop.create(() -> new FakeFeedServer(standInLoop, uid, "home", ServerProfile.UNLIMITED)));
         }
-        standInLoop.run(() -> servers.forEach(s -> discovery.list(s, "box", 1, "ready")));
+        standInLoop.run(() -> servers.forEach(s -> discovery.publish(s, "box", 1, "ready")));
     }
 
     @AfterEach
--- a/src/test/java/sandstack/ReloadUnderTrafficTest.java
+++ b/src/test/java/sandstack/ReloadUnderTrafficTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import sandstack.standin.Discovery;
-import sandstack.standin.FeedServer;
-import sandstack.standin.Machine;
-import sandstack.standin.ShopClient;
-import sandstack.standin.ShopClient.Happened;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.FakeDiscovery;
+import sandstack.testserver.FakeFeedServer;
+import sandstack.testserver.LineClient;
+import sandstack.testserver.LineClient.EventType;
+import sandstack.testserver.ServerProfile;
+import sandstack.testserver.TestServerLoop;
 
 /** SIGHUP after SIGHUP under steady traffic: settings and discovery change, and no client notices. */
 @Timeout(60)
@@ -40,11 +40,11 @@
     @TempDir
     Path folder;
 
-    private final StandInLoop standInLoop;
-    private final List<Discovery> discoveries = new ArrayList<>();
-    private final List<FeedServer> servers = new ArrayList<>();
-    private final Map<Happened, Integer> happened = new EnumMap<>(Happened.class);
-    private final List<ShopClient> stay = new ArrayList<>();
+    private final TestServerLoop standInLoop;
+    private final List<FakeDiscovery> discoveries = new ArrayList<>();
+    private final List<FakeFeedServer> servers = new ArrayList<>();
+    private final Map<EventType, Integer> happened = new EnumMap<>(EventType.class);
+    private final List<LineClient> stay = new ArrayList<>();
     private Process relay;
     private BufferedReader log;
     private int port;
@@ -53,14 +53,15 @@
     private boolean traffic = true;
 
     ReloadUnderTrafficTest() throws IOException {
-        standInLoop = new StandInLoop();
+        standInLoop = new TestServerLoop();
         for (int i = 0; i < 2; i++) {
-            discoveries.add(standInLoop.make(() -> new Discovery(standInLoop)));
+            discoveries.add(standInLoop.create(() -> new FakeDiscovery(standInLoop)));
             String uid = "s" + i;
-            servers.add(standInLoop.make(() -> new FeedServer(standInLoop, uid, "home", Machine.IDLE)));
+            servers.add(
+                    standInLoop.create(() -> new FakeFeedServer(standInLoop, uid, "home", ServerProfile.UNLIMITED)));
         }
         // both discoveries know both servers: a move between them changes no placement
-        standInLoop.run(() -> discoveries.forEach(d -> servers.forEach(s -> d.list(s, "box", 1, "ready"))));
+        standInLoop.run(() -> discoveries.forEach(d -> servers.forEach(s -> d.publish(s, "box", 1, "ready"))));
     }
 
     @AfterEach
@@ -102,12 +103,12 @@
                 .get(20, TimeUnit.SECONDS);
     }
 
-    private void heard(ShopClient.Told told) {
-        happened.merge(told.what(), 1, Integer::sum);
-        if (told.what() == Happened.UP) {
-            told.client().talk(LINE_EVERY, took -> lines++);
+    private void heard(LineClient.ClientEvent told) {
+        happened.merge(told.type(), 1, Integer::sum);
+        if (told.type() == EventType.ESTABLISHED) {
+            told.client().sendLines(LINE_EVERY, took -> lines++);
             if (!stay.contains(told.client())) {
-                standInLoop.after(STAYS, told.client()::leave);
+                standInLoop.schedule(STAYS, told.client()::close);
             }
         }
     }
@@ -116,13 +117,13 @@
     private void passing() {
         if (traffic) {
             client();
-            standInLoop.after(CLIENT_EVERY, this::passing);
+            standInLoop.schedule(CLIENT_EVERY, this::passing);
         }
     }
 
-    private ShopClient client() {
+    private LineClient client() {
         int number = asked++;
-        return new ShopClient(
+        return new LineClient(
                 standInLoop,
                 port,
                 "id" + number,
@@ -135,13 +136,13 @@
     /** Clients that have ended, in whatever way. */
     private int ended() {
         return happened.entrySet().stream()
-                .filter(e -> e.getKey() != Happened.UP)
+                .filter(e -> e.getKey() != EventType.ESTABLISHED)
                 .mapToInt(Map.Entry::getValue)
                 .sum();
     }
 
-    private int count(Happened what) {
-        return standInLoop.on(() -> happened.getOrDefault(what, 0));
+    private int count(EventType what) {
+        return standInLoop.call(() -> happened.getOrDefault(what, 0));
     }
 
     @Test
@@ -167,8 +168,8 @@
         });
         for (int reload = 1; reload <= RELOADS; reload++) {
             // polled, not slept on: so many more were served by these settings before the next ones apply
-            int up = count(Happened.UP);
-            while (count(Happened.UP) < up + 20) {
+            int up = count(EventType.ESTABLISHED);
+            while (count(EventType.ESTABLISHED) < up + 20) {
                 assertThat(relay.isAlive()).isTrue();
                 Thread.onSpinWait();
             }
@@ -180,24 +181,26 @@
             awaitLogged("configuration reloaded");
         }
         standInLoop.run(() -> traffic = false);
-        while (standInLoop.on(this::ended) < asked - STANDING) {
+        while (standInLoop.call(this::ended) < asked - STANDING) {
             assertThat(relay.isAlive()).isTrue();
             Thread.onSpinWait();
         }
-        assertThat(standInLoop.on(() -> Map.copyOf(happened)))
+        assertThat(standInLoop.call(() -> Map.copyOf(happened)))
                 .as("served and left, and nothing else")
-                .containsOnly(Map.entry(Happened.UP, asked), Map.entry(Happened.LEFT, asked - STANDING));
-        assertThat(standInLoop.on(
-                        () -> stay.stream().filter(ShopClient::standing).count()))
+                .containsOnly(Map.entry(EventType.ESTABLISHED, asked), Map.entry(EventType.CLOSED, asked - STANDING));
+        assertThat(standInLoop.call(
+                        () -> stay.stream().filter(LineClient::isEstablished).count()))
                 .isEqualTo(STANDING);
-        long heard = standInLoop.on(() -> lines);
+        long heard = standInLoop.call(() -> lines);
         assertThat(heard).as("lines that came back").isGreaterThan(asked);
-        assertThat(standInLoop.on(
-                        () -> stay.stream().mapToLong(ShopClient::waiting).max().orElse(0)))
+        assertThat(standInLoop.call(() -> stay.stream()
+                        .mapToLong(LineClient::lineInFlightMicros)
+                        .max()
+                        .orElse(0)))
                 .as("microseconds that a line has been out")
                 .isLessThan(1_000_000);
         long attempts = servers.stream()
-                .mapToLong(server -> standInLoop.on(server::books).setups())
+                .mapToLong(server -> standInLoop.call(server::counters).setups())
                 .sum();
         assertThat(attempts).as("one attempt each").isEqualTo(asked);
     }
--- a/src/test/java/sandstack/ReloadWhileDrainingTest.java
+++ b/src/test/java/sandstack/ReloadWhileDrainingTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import sandstack.standin.Discovery;
-import sandstack.standin.FeedServer;
-import sandstack.standin.Machine;
-import sandstack.standin.ShopClient;
-import sandstack.standin.ShopClient.Happened;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.FakeDiscovery;
+import sandstack.testserver.FakeFeedServer;
+import sandstack.testserver.LineClient;
+import sandstack.testserver.LineClient.EventType;
+import sandstack.testserver.ServerProfile;
+import sandstack.testserver.TestServerLoop;
 
 /** SIGHUP while clients drain: those of a relay that shuts down, and those of a feed server that drains. */
 @Timeout(60)
@@ -34,22 +34,23 @@
     @TempDir
     Path folder;
 
-    private final StandInLoop standInLoop;
-    private final List<Discovery> discoveries = new ArrayList<>();
-    private final List<FeedServer> servers = new ArrayList<>();
-    private final Map<Happened, Integer> happened = new EnumMap<>(Happened.class);
+    private final TestServerLoop standInLoop;
+    private final List<FakeDiscovery> discoveries = new ArrayList<>();
+    private final List<FakeFeedServer> servers = new ArrayList<>();
+    private final Map<EventType, Integer> happened = new EnumMap<>(EventType.class);
     private Program program;
     private Process relay;
     private int asked;
 
     ReloadWhileDrainingTest() throws IOException {
-        standInLoop = new StandInLoop();
+        standInLoop = new TestServerLoop();
         for (int i = 0; i < 2; i++) {
-            discoveries.add(standInLoop.make(() -> new Discovery(standInLoop)));
+            discoveries.add(standInLoop.create(() -> new FakeDiscovery(standInLoop)));
             String uid = "s" + i;
-            servers.add(standInLoop.make(() -> new FeedServer(standInLoop, uid, "home", Machine.IDLE)));
+            servers.add(
+                    standInLoop.create(() -> new FakeFeedServer(standInLoop, uid, "home", ServerProfile.UNLIMITED)));
         }
-        standInLoop.run(() -> discoveries.forEach(d -> servers.forEach(s -> d.list(s, "box", 1, "ready"))));
+        standInLoop.run(() -> discoveries.forEach(d -> servers.forEach(s -> d.publish(s, "box", 1, "ready"))));
     }
 
     @BeforeEach
@@ -85,10 +86,10 @@
                         + discoveries.get(discovery).port());
     }
 
-    private void heard(ShopClient.Told told) {
-        happened.merge(told.what(), 1, Integer::sum);
-        if (told.what() == Happened.UP) {
-            told.client().talk(LINE_EVERY, took -> {});
+    private void heard(LineClient.ClientEvent told) {
+        happened.merge(told.type(), 1, Integer::sum);
+        if (told.type() == EventType.ESTABLISHED) {
+            told.client().sendLines(LINE_EVERY, took -> {});
         }
     }
 
@@ -96,7 +97,7 @@
         int port = program.port("relay");
         standInLoop.run(() -> {
             for (int i = 0; i < clients; i++, asked++) {
-                new ShopClient(
+                new LineClient(
                         standInLoop,
                         port,
                         "id" + asked,
@@ -110,29 +111,29 @@
 
     /** Polled, not slept on. */
     private void until(BooleanSupplier state) throws Exception {
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); !standInLoop.on(state::getAsBoolean); ) {
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); !standInLoop.call(state::getAsBoolean); ) {
             assertThat(System.nanoTime())
                     .as(
                             "what became of %d clients: %s; %s",
-                            asked, standInLoop.on(() -> Map.copyOf(happened)), program.log("relay"))
+                            asked, standInLoop.call(() -> Map.copyOf(happened)), program.log("relay"))
                     .isLessThan(end);
             Thread.sleep(1);
         }
     }
 
-    private int count(Happened what) {
+    private int count(EventType what) {
         return happened.getOrDefault(what, 0);
     }
 
     private int standing(int server) {
-        return servers.get(server).books().standing();
+        return servers.get(server).counters().established();
     }
 
     /** Settings, deadlines and discovery change, twice, while the clients of a relay that shuts down wait for their migration. */
     @Test
     void aDrainingRelayMigratesItsClientsWhateverIsReloadedMeanwhile() throws Exception {
         come(CLIENTS);
-        until(() -> count(Happened.UP) == CLIENTS);
+        until(() -> count(EventType.ESTABLISHED) == CLIENTS);
         relay.destroy();
         assertThat(program.awaitLogged("relay", "graceful shutdown started")).endsWith(" count=" + CLIENTS);
         reload(1, 30_000_000);
@@ -140,42 +141,43 @@
         assertThat(relay.waitFor(20, TimeUnit.SECONDS)).isTrue();
         assertThat(relay.exitValue()).isEqualTo(TERMINATED);
         assertThat(program.log("relay")).contains("relay stopped").doesNotContain("SEVERE", "Exception");
-        assertThat(standInLoop.on(() -> Map.copyOf(happened)))
+        assertThat(standInLoop.call(() -> Map.copyOf(happened)))
                 .as("served, moved, and nothing else")
-                .containsOnly(Map.entry(Happened.UP, CLIENTS), Map.entry(Happened.MOVED, CLIENTS));
+                .containsOnly(Map.entry(EventType.ESTABLISHED, CLIENTS), Map.entry(EventType.MOVED, CLIENTS));
     }
 
     /** The agent that reported the drain is replaced, and the new one has not sent a list yet. */
     @Test
     void aDrainingFeedServerGetsNothingNewAcrossAChangeOfDiscovery() throws Exception {
         come(CLIENTS);
-        until(() -> count(Happened.UP) == CLIENTS && standing(0) > 0);
+        until(() -> count(EventType.ESTABLISHED) == CLIENTS && standing(0) > 0);
         // the relay may migrate some of them before their feed server does
-        int stood = standInLoop.on(() -> standing(0));
-        int atTheDrain = standInLoop.on(() -> {
-            discoveries.get(1).down(true);
+        int stood = standInLoop.call(() -> standing(0));
+        int atTheDrain = standInLoop.call(() -> {
+            discoveries.get(1).setUnavailable(true);
             servers.get(0).drain();
-            discoveries.get(0).list(servers.get(0), "box", 1, "draining");
-            return (int) servers.get(0).books().asked();
+            discoveries.get(0).publish(servers.get(0), "box", 1, "draining");
+            return (int) servers.get(0).counters().requests();
         });
         program.awaitLogged("relay", "endpoint state changed server=s0 state=DRAINING");
         reload(1, 1_000_000);
         come(CLIENTS);
-        until(() -> count(Happened.UP) == 2 * CLIENTS);
-        assertThat(standInLoop.on(() -> (int) servers.get(0).books().asked()))
+        until(() -> count(EventType.ESTABLISHED) == 2 * CLIENTS);
+        assertThat(standInLoop.call(() -> (int) servers.get(0).counters().requests()))
                 .as("sent to it after it drained")
                 .isEqualTo(atTheDrain);
         standInLoop.run(() -> {
-            discoveries.get(1).list(servers.get(0), "box", 1, "gone");
-            discoveries.get(1).down(false);
-            servers.get(0).sendAway();
+            discoveries.get(1).publish(servers.get(0), "box", 1, "gone");
+            discoveries.get(1).setUnavailable(false);
+            servers.get(0).moveClients();
         });
-        until(() -> count(Happened.MOVED) == stood);
+        until(() -> count(EventType.MOVED) == stood);
         come(CLIENTS);
-        until(() -> count(Happened.UP) == 3 * CLIENTS);
-        assertThat(standInLoop.on(() -> (int) servers.get(0).books().asked())).isEqualTo(atTheDrain);
-        assertThat(standInLoop.on(() -> Map.copyOf(happened)))
-                .containsOnly(Map.entry(Happened.UP, 3 * CLIENTS), Map.entry(Happened.MOVED, stood));
+        until(() -> count(EventType.ESTABLISHED) == 3 * CLIENTS);
+        assertThat(standInLoop.call(() -> (int) servers.get(0).counters().requests()))
+                .isEqualTo(atTheDrain);
+        assertThat(standInLoop.call(() -> Map.copyOf(happened)))
+                .containsOnly(Map.entry(EventType.ESTABLISHED, 3 * CLIENTS), Map.entry(EventType.MOVED, stood));
         assertThat(program.log("relay")).doesNotContain("SEVERE", "Exception");
     }
 }
--- a/src/test/java/sandstack/UpgradeTest.java
+++ b/src/test/java/sandstack/UpgradeTest.java
@@ -23,10 +23,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import sandstack.standin.Discovery;
-import sandstack.standin.FeedServer;
-import sandstack.standin.Machine;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.FakeDiscovery;
+import sandstack.testserver.FakeFeedServer;
+import sandstack.testserver.ServerProfile;
+import sandstack.testserver.TestServerLoop;
 
 /** An upgrade under load: real processes that inherit the clients' listening socket. */
 @Timeout(60)
@@ -34,21 +34,22 @@
     @TempDir
     Path folder;
 
-    private final StandInLoop standInLoop;
-    private final Discovery discovery;
-    private final List<FeedServer> servers = new ArrayList<>();
+    private final TestServerLoop standInLoop;
+    private final FakeDiscovery discovery;
+    private final List<FakeFeedServer> servers = new ArrayList<>();
     private final Queue<String> answers = new ConcurrentLinkedQueue<>();
     private final Queue<String> lastLines = new ConcurrentLinkedQueue<>();
     private final List<Thread> clients = new ArrayList<>();
     private SocketHolder holder;
 
     UpgradeTest() throws IOException {
-        standInLoop = new StandInLoop();
-        discovery = standInLoop.make(() -> new Discovery(standInLoop));
+        standInLoop = new TestServerLoop();
+        discovery = standInLoop.create(() -> new FakeDiscovery(standInLoop));
         for (int i = 0; i < 2; i++) {
             String uid = "s" + i;
-            servers.add(standInLoop.make(() -> new FeedServer(standInLoop, uid, "home", Machine.IDLE)));
-            standInLoop.run(() -> discovery.list(servers.get(servers.size() - 1), "box", 1, "ready"));
+            servers.add(
+                    standInLoop.create(() -> new FakeFeedServer(standInLoop, uid, "home", ServerProfile.UNLIMITED)));
+            standInLoop.run(() -> discovery.publish(servers.get(servers.size() - 1), "box", 1, "ready"));
         }
     }
 
@@ -172,7 +173,7 @@
         assertThat(answers).hasSize(number).allMatch(answer -> answer.startsWith("UP "));
         assertThat(lastLines).hasSize(number).containsOnly("MOVE");
         long setups = servers.stream()
-                .mapToLong(server -> standInLoop.on(server::books).setups())
+                .mapToLong(server -> standInLoop.call(server::counters).setups())
                 .sum();
         assertThat(setups).as("no attempt but the one that stood").isEqualTo(number);
     }
--- a/src/test/java/sandstack/rig/FaultSchedulesTest.java
+++ b/src/test/java/sandstack/faultinjection/FaultSchedulesTest.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/sandstack/rig/FleetProcessesTest.java
+++ b/src/test/java/sandstack/faultinjection/FleetProcessesTest.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -17,10 +17,10 @@
 class FleetProcessesTest {
     private static final List<String> PROGRAM = List.of("-cp", System.getProperty("java.class.path"), "sandstack.Main");
 
-    private FleetRig processes;
+    private ProcessFleet processes;
 
     private void startFleet(int size) throws IOException {
-        processes = new FleetRig(PROGRAM, size, 1);
+        processes = new ProcessFleet(PROGRAM, size, 1);
         processes.startAll();
         eventually("all members see all alive", 30, processes::allAlive);
     }
@@ -31,20 +31,20 @@
     }
 
     private void eventually(String description, double timeoutSeconds, BooleanSupplier condition) {
-        assertThat(FleetRig.until(condition, timeoutSeconds))
+        assertThat(ProcessFleet.awaitMicros(condition, timeoutSeconds))
                 .as(description + "\n" + processes.logs())
                 .isNotNegative();
     }
 
     private boolean sees(int observer, int subject, String status) {
-        var statuses = processes.standings(observer);
-        return statuses != null && status.equals(statuses.get(FleetRig.name(subject)));
+        var statuses = processes.memberStatuses(observer);
+        return statuses != null && status.equals(statuses.get(ProcessFleet.memberName(subject)));
     }
 
     @Test
     void aPartitionedPairIsPartiallyReachableUntilHealed() throws IOException {
         startFleet(5);
-        processes.cut(1, 3);
+        processes.partition(1, 3);
         eventually("all members report both partially reachable", 15, () -> {
             for (int i = 0; i < 5; i++) {
                 if (!sees(i, 1, "PARTLY") || !sees(i, 3, "PARTLY")) {
@@ -116,7 +116,7 @@
         // m4 alone reaches both halves
         for (int left : List.of(0, 1)) {
             for (int right : List.of(2, 3)) {
-                processes.cut(left, right);
+                processes.partition(left, right);
             }
         }
         eventually(
@@ -142,7 +142,7 @@
         startFleet(4);
         for (int left : List.of(0, 1)) {
             for (int right : List.of(2, 3)) {
-                processes.cut(left, right);
+                processes.partition(left, right);
             }
         }
         eventually(
--- a/src/test/java/sandstack/rig/InvariantCheckerTest.java
+++ b/src/test/java/sandstack/faultinjection/InvariantCheckerTest.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,15 +8,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import sandstack.faultinjection.FaultSchedule.Action;
+import sandstack.faultinjection.FaultSchedule.Step;
+import sandstack.faultinjection.History.AllFaultsHealed;
+import sandstack.faultinjection.History.MemberEntry;
+import sandstack.faultinjection.History.QuorumObserved;
+import sandstack.faultinjection.History.StepApplied;
+import sandstack.faultinjection.History.ViewObserved;
 import sandstack.fleet.MemberStatus;
 import sandstack.fleet.QuorumState;
-import sandstack.rig.FaultSchedule.Action;
-import sandstack.rig.FaultSchedule.Step;
-import sandstack.rig.History.AllFaultsHealed;
-import sandstack.rig.History.MemberEntry;
-import sandstack.rig.History.QuorumObserved;
-import sandstack.rig.History.StepApplied;
-import sandstack.rig.History.ViewObserved;
 
 /** Each invariant reports its violation, and none is reported where all hold. */
 class InvariantCheckerTest {
--- a/src/test/java/sandstack/rig/QuorumProcessesTest.java
+++ b/src/test/java/sandstack/faultinjection/QuorumProcessesTest.java
@@ -1,4 +1,4 @@
-package sandstack.rig;
+package sandstack.faultinjection;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,10 +18,10 @@
 class QuorumProcessesTest {
     private static final List<String> PROGRAM = List.of("-cp", System.getProperty("java.class.path"), "sandstack.Main");
 
-    private FleetRig processes;
+    private ProcessFleet processes;
 
     private void startFleet(int size) throws IOException {
-        processes = new FleetRig(PROGRAM, size, 1);
+        processes = new ProcessFleet(PROGRAM, size, 1);
         processes.startAll();
         eventually("all are complete", 40, () -> allHaveState(size, "WHOLE"));
     }
@@ -32,7 +32,7 @@
     }
 
     private void eventually(String description, double timeoutSeconds, BooleanSupplier condition) {
-        assertThat(FleetRig.until(condition, timeoutSeconds))
+        assertThat(ProcessFleet.awaitMicros(condition, timeoutSeconds))
                 .as(description + "\n" + processes.logs())
                 .isNotNegative();
     }
@@ -52,7 +52,7 @@
     }
 
     private void partition(List<Integer> left, List<Integer> right) {
-        left.forEach(a -> right.forEach(b -> processes.cut(a, b)));
+        left.forEach(a -> right.forEach(b -> processes.partition(a, b)));
     }
 
     private void heal(List<Integer> left, List<Integer> right) {
@@ -71,9 +71,9 @@
                         && hasState(2, "MOST")
                         && hasState(3, "MOST")
                         && hasState(4, "MOST"));
-        processes.cut(0, 1);
-        processes.cut(2, 3);
-        processes.cut(2, 4);
+        processes.partition(0, 1);
+        processes.partition(2, 3);
+        processes.partition(2, 4);
         eventually(
                 "three isolated members and a minority of two",
                 30,
@@ -119,8 +119,8 @@
                 40,
                 () -> hasState(0, "FEW")
                         && hasState(1, "FEW")
-                        && "LOST".equals(processes.standings(0).get("m3"))
-                        && "LOST".equals(processes.standings(0).get("m2")));
+                        && "LOST".equals(processes.memberStatuses(0).get("m3"))
+                        && "LOST".equals(processes.memberStatuses(0).get("m2")));
         assertThat(processes.member(0).execute("fleet take-out m1"))
                 .isEqualTo("not done: m1 is not lost: stop it first");
         assertThat(processes.member(0).execute("fleet take-out m9")).startsWith("not done: m9 is not among");
--- a/src/test/java/sandstack/front/platform/MetricsTest.java
+++ b/src/test/java/sandstack/front/platform/MetricsTest.java
@@ -30,12 +30,12 @@
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.EventLoop;
 import sandstack.settings.TestSettings;
-import sandstack.standin.FeedServer;
-import sandstack.standin.Machine;
-import sandstack.standin.ShopClient;
-import sandstack.standin.ShopClient.Happened;
-import sandstack.standin.ShopClient.Told;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.FakeFeedServer;
+import sandstack.testserver.LineClient;
+import sandstack.testserver.LineClient.ClientEvent;
+import sandstack.testserver.LineClient.EventType;
+import sandstack.testserver.ServerProfile;
+import sandstack.testserver.TestServerLoop;
 
 /** The relay's metrics against the counts of stand-in clients and feed servers after a mixed run. */
 @Timeout(30)
@@ -43,9 +43,9 @@
     private static final List<String> CLASSES = List.of("light", "heavy");
     private static final int CLIENTS = 60;
 
-    private final StandInLoop standIns = new StandInLoop();
+    private final TestServerLoop standIns = new TestServerLoop();
     private final EventLoop loop = new EventLoop();
-    private final BlockingQueue<Told> outcomes = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ClientEvent> outcomes = new LinkedBlockingQueue<>();
     private final Relay relay;
     private final int port;
 
@@ -81,8 +81,9 @@
         return figures;
     }
 
-    private FeedServer server(String uid, int cap) {
-        return standIns.make(() -> new FeedServer(standIns, uid, "home", Machine.IDLE.holding(cap, false)));
+    private FakeFeedServer server(String uid, int cap) {
+        return standIns.create(() ->
+                new FakeFeedServer(standIns, uid, "home", ServerProfile.UNLIMITED.withConnectionLimit(cap, false)));
     }
 
     private static EndpointRegistry.Endpoint endpoint(String uid, int at, EndpointState phase) {
@@ -120,7 +121,7 @@
 
     @Test
     void equalTheCountsOfClientsAndFeedServers() throws Exception {
-        List<FeedServer> servers = List.of(server("s1", 10), server("s2", 10));
+        List<FakeFeedServer> servers = List.of(server("s1", 10), server("s2", 10));
         // two draining servers, which are listed and get no requests
         loop.execute(() -> relay.onEndpointList(new EndpointRegistry.Update(
                 EndpointListKind.FULL,
@@ -132,15 +133,15 @@
         for (int i = 0; i < CLIENTS; i++) {
             String id = "i" + i;
             String cls = CLASSES.get(i % 2);
-            standIns.on(
-                    () -> new ShopClient(standIns, port, id, id, "c=" + cls + ",d=1500", 10_000_000, outcomes::add));
+            standIns.call(
+                    () -> new LineClient(standIns, port, id, id, "c=" + cls + ",d=1500", 10_000_000, outcomes::add));
         }
-        Map<Happened, Integer> outcomeCounts = new EnumMap<>(Happened.class);
-        List<ShopClient> establishedClients = new ArrayList<>();
+        Map<EventType, Integer> outcomeCounts = new EnumMap<>(EventType.class);
+        List<LineClient> establishedClients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            Told next = outcomes.take();
-            outcomeCounts.merge(next.what(), 1, Integer::sum);
-            if (next.what() == Happened.UP) {
+            ClientEvent next = outcomes.take();
+            outcomeCounts.merge(next.type(), 1, Integer::sum);
+            if (next.type() == EventType.ESTABLISHED) {
                 establishedClients.add(next.client());
             }
         }
@@ -153,12 +154,12 @@
             }
         }
         Map<String, Long> figures = metrics();
-        assertThat(outcomeCounts).containsOnlyKeys(Happened.UP, Happened.BUSY);
+        assertThat(outcomeCounts).containsOnlyKeys(EventType.ESTABLISHED, EventType.REJECTED);
         assertThat(figures.get("responses.light.ok") + figures.get("responses.heavy.ok"))
-                .isEqualTo(outcomeCounts.get(Happened.UP).longValue())
+                .isEqualTo(outcomeCounts.get(EventType.ESTABLISHED).longValue())
                 .isEqualTo(20);
         assertThat(figures.get("responses.light.shed") + figures.get("responses.heavy.shed"))
-                .isEqualTo(outcomeCounts.get(Happened.BUSY).longValue());
+                .isEqualTo(outcomeCounts.get(EventType.REJECTED).longValue());
         assertThat(figures)
                 .containsEntry("responses.light.errors", 1L)
                 .containsEntry("responses.heavy.errors", 0L)
@@ -168,12 +169,12 @@
                 .containsEntry("config_rejected", 0L);
         assertThat(figures.get("pool_ejected")).isBetween(2L, 4L);
         long serverRequests = servers.stream()
-                .mapToLong(server -> standIns.on(server::books).asked())
+                .mapToLong(server -> standIns.call(server::counters).requests())
                 .sum();
         assertThat(figures).containsEntry("tries", serverRequests);
         assertThat(figures.get("responses.light.tries") + figures.get("responses.heavy.tries"))
                 .isEqualTo(serverRequests);
-        establishedClients.forEach(client -> standIns.run(client::leave));
+        establishedClients.forEach(client -> standIns.run(client::close));
         while (metrics().get("active") > 0) {
             Thread.onSpinWait();
         }
--- a/src/test/java/sandstack/measure/scale/ClientPoolTest.java
+++ b/src/test/java/sandstack/measure/scale/ClientPoolTest.java
@@ -9,60 +9,60 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import sandstack.standin.FeedServer;
-import sandstack.standin.Machine;
-import sandstack.standin.StandInLoop;
+import sandstack.testserver.FakeFeedServer;
+import sandstack.testserver.ServerProfile;
+import sandstack.testserver.TestServerLoop;
 
 /** The load of the measurements, straight at a stand-in feed server. */
 class ClientPoolTest {
     private static final int CAP = 50;
 
-    private StandInLoop yard;
+    private TestServerLoop loop;
 
     @BeforeEach
     void open() throws IOException {
-        yard = new StandInLoop();
+        loop = new TestServerLoop();
     }
 
     @AfterEach
     void close() {
-        yard.close();
+        loop.close();
     }
 
-    private FeedServer server(Machine machine) {
-        return yard.make(() -> new FeedServer(yard, "s0", "home", machine));
+    private FakeFeedServer server(ServerProfile machine) {
+        return loop.create(() -> new FakeFeedServer(loop, "s0", "home", machine));
     }
 
-    private ClientPool pool(FeedServer server) {
-        return yard.on(() -> new ClientPool(yard, server.port()));
+    private ClientPool pool(FakeFeedServer server) {
+        return loop.call(() -> new ClientPool(loop, server.port()));
     }
 
     private ClientPool.Counts grow(ClientPool pool, int connections) throws InterruptedException {
-        yard.run(() -> pool.growTo(connections, 8));
+        loop.run(() -> pool.growTo(connections, 8));
         await(pool::isSettled);
-        return yard.on(pool::counts);
+        return loop.call(pool::counts);
     }
 
     private void await(BooleanSupplier holds) throws InterruptedException {
-        for (int i = 0; i < 500 && !yard.on(holds::getAsBoolean); i++) {
+        for (int i = 0; i < 500 && !loop.call(holds::getAsBoolean); i++) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
-        assertThat(yard.on(holds::getAsBoolean)).isTrue();
+        assertThat(loop.call(holds::getAsBoolean)).isTrue();
     }
 
     @Test
     void growsToExactlySoManyAndOnFromThere() throws InterruptedException {
-        FeedServer server = server(Machine.IDLE);
+        FakeFeedServer server = server(ServerProfile.UNLIMITED);
         ClientPool pool = pool(server);
 
         assertThat(grow(pool, 30)).isEqualTo(new ClientPool.Counts(30, 0, 30, 30, 0, 0, 0));
         assertThat(grow(pool, 45)).isEqualTo(new ClientPool.Counts(45, 0, 45, 45, 0, 0, 0));
-        assertThat(yard.on(server::books).standing()).isEqualTo(45);
+        assertThat(loop.call(server::counters).established()).isEqualTo(45);
     }
 
     @Test
     void givesUpWhereTheServerIsFullAndCountsTheRefused() throws InterruptedException {
-        ClientPool.Counts count = grow(pool(server(Machine.IDLE.holding(CAP, false))), 500);
+        ClientPool.Counts count = grow(pool(server(ServerProfile.UNLIMITED.withConnectionLimit(CAP, false))), 500);
 
         assertThat(count.established()).isEqualTo(CAP);
         assertThat(count.rejected()).isBetween((long) ClientPool.MAX_UNSERVED, ClientPool.MAX_UNSERVED + 8L);
@@ -71,8 +71,8 @@
 
     @Test
     void givesUpWhereNobodyListens() throws InterruptedException {
-        FeedServer server = server(Machine.IDLE);
-        yard.run(server::kill);
+        FakeFeedServer server = server(ServerProfile.UNLIMITED);
+        loop.run(server::kill);
 
         ClientPool.Counts count = grow(pool(server), 500);
 
@@ -82,50 +82,50 @@
 
     @Test
     void tellsLossesFromItsOwnResets() throws InterruptedException {
-        FeedServer server = server(Machine.IDLE);
+        FakeFeedServer server = server(ServerProfile.UNLIMITED);
         ClientPool pool = pool(server);
         grow(pool, 30);
 
-        yard.run(() -> pool.resetOldest(10));
-        await(() -> server.books().standing() == 20);
-        assertThat(yard.on(pool::counts).lost()).isZero();
-        assertThat(yard.on(pool::counts).established()).isEqualTo(20);
+        loop.run(() -> pool.resetOldest(10));
+        await(() -> server.counters().established() == 20);
+        assertThat(loop.call(pool::counts).lost()).isZero();
+        assertThat(loop.call(pool::counts).established()).isEqualTo(20);
 
-        yard.run(server::kill);
+        loop.run(server::kill);
         await(() -> pool.counts().established() == 0);
-        assertThat(yard.on(pool::counts).lost()).isEqualTo(20);
+        assertThat(loop.call(pool::counts).lost()).isEqualTo(20);
     }
 
     @Test
     void sendsOneLineToEachConnection() throws InterruptedException {
-        FeedServer server = server(Machine.IDLE);
+        FakeFeedServer server = server(ServerProfile.UNLIMITED);
         ClientPool pool = pool(server);
-        DeliveryLoad deliveries = yard.on(() -> new DeliveryLoad(yard, pool));
+        DeliveryLoad deliveries = loop.call(() -> new DeliveryLoad(loop, pool));
         grow(pool, 25);
 
-        yard.run(() -> deliveries.sendOneToEach(List.of(server)));
+        loop.run(() -> deliveries.sendOneToEach(List.of(server)));
         await(() -> deliveries.result().arrived() == 25);
-        assertThat(yard.on(deliveries::result).sent()).isEqualTo(25);
+        assertThat(loop.call(deliveries::result).sent()).isEqualTo(25);
     }
 
     @Test
     void deliversAtItsRateToAllInTurnAndTimesEachLine() throws InterruptedException {
-        FeedServer server = server(Machine.IDLE);
+        FakeFeedServer server = server(ServerProfile.UNLIMITED);
         ClientPool pool = pool(server);
-        DeliveryLoad deliveries = yard.on(() -> new DeliveryLoad(yard, pool));
+        DeliveryLoad deliveries = loop.call(() -> new DeliveryLoad(loop, pool));
         grow(pool, 10);
 
-        yard.run(() -> deliveries.start(List.of(server), 1_000));
+        loop.run(() -> deliveries.start(List.of(server), 1_000));
         TimeUnit.MILLISECONDS.sleep(500);
-        yard.run(deliveries::stop);
+        loop.run(deliveries::stop);
         await(() -> deliveries.result().arrived() == deliveries.result().sent());
 
-        DeliveryLoad.Result result = yard.on(deliveries::result);
+        DeliveryLoad.Result result = loop.call(deliveries::result);
         assertThat(result.sent()).isBetween(400L, 700L);
         assertThat(result.medianMicros()).isBetween(1L, result.p99Micros());
-        yard.run(deliveries::reset);
-        assertThat(yard.on(deliveries::result).sent()
-                        + yard.on(deliveries::result).arrived())
+        loop.run(deliveries::reset);
+        assertThat(loop.call(deliveries::result).sent()
+                        + loop.call(deliveries::result).arrived())
                 .isZero();
     }
 }
--- a/src/test/java/sandstack/standin/TestServersTest.java
+++ b/src/test/java/sandstack/testserver/TestServersTest.java
@@ -1,4 +1,4 @@
-package sandstack.standin;
+package sandstack.testserver;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -15,21 +15,21 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import sandstack.standin.ShopClient.Happened;
-import sandstack.standin.ShopClient.Told;
+import sandstack.testserver.LineClient.ClientEvent;
+import sandstack.testserver.LineClient.EventType;
 
 /** The test servers and clients against each other and against plain sockets. */
 class TestServersTest {
     private static final long TIMEOUT_MICROS = 10_000_000;
 
-    private final BlockingQueue<Told> events = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ClientEvent> events = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new ArrayList<>();
-    private StandInLoop loop;
+    private TestServerLoop loop;
     private int clientCount;
 
     @BeforeEach
     void start() throws IOException {
-        loop = new StandInLoop();
+        loop = new TestServerLoop();
     }
 
     @AfterEach
@@ -40,82 +40,83 @@
         }
     }
 
-    private FeedServer server(Machine machine) {
-        return loop.make(() -> new FeedServer(loop, "s1", "home", machine));
+    private FakeFeedServer server(ServerProfile machine) {
+        return loop.create(() -> new FakeFeedServer(loop, "s1", "home", machine));
     }
 
-    private ShopClient client(int port) {
+    private LineClient client(int port) {
         String id = "i" + ++clientCount;
-        return loop.on(
-                () -> new ShopClient(loop, port, id, "k", "c=order-status,d=10000,g=g1", TIMEOUT_MICROS, events::add));
+        return loop.call(
+                () -> new LineClient(loop, port, id, "k", "c=order-status,d=10000,g=g1", TIMEOUT_MICROS, events::add));
     }
 
-    private Told next() throws InterruptedException {
-        Told next = events.poll(20, TimeUnit.SECONDS);
+    private ClientEvent next() throws InterruptedException {
+        ClientEvent next = events.poll(20, TimeUnit.SECONDS);
         assertThat(next).as("a client event").isNotNull();
         return next;
     }
 
     @Test
     void rejectsAboveItsConnectionLimitAndCounts() throws Exception {
-        FeedServer server = server(Machine.IDLE.holding(2, false));
-        ShopClient first = client(server.port());
-        assertThat(next().what()).isEqualTo(Happened.UP);
+        FakeFeedServer server = server(ServerProfile.UNLIMITED.withConnectionLimit(2, false));
+        LineClient first = client(server.port());
+        assertThat(next().type()).isEqualTo(EventType.ESTABLISHED);
         client(server.port());
-        assertThat(next().what()).isEqualTo(Happened.UP);
+        assertThat(next().type()).isEqualTo(EventType.ESTABLISHED);
         client(server.port());
-        assertThat(next().what()).isEqualTo(Happened.BUSY);
-        loop.run(first::leave);
-        assertThat(next().what()).isEqualTo(Happened.LEFT);
-        FeedServer.Books books = loop.on(server::books);
-        while (books.standing() > 1) {
-            books = loop.on(server::books);
+        assertThat(next().type()).isEqualTo(EventType.REJECTED);
+        loop.run(first::close);
+        assertThat(next().type()).isEqualTo(EventType.CLOSED);
+        FakeFeedServer.Counters books = loop.call(server::counters);
+        while (books.established() > 1) {
+            books = loop.call(server::counters);
         }
         assertThat(books.setups()).isEqualTo(2);
-        assertThat(books.turnedAway()).isEqualTo(1);
-        assertThat(books.mostStanding()).isEqualTo(2);
-        assertThat(loop.on(() -> server.standingSeconds("c"))).containsOnlyKeys("order-status");
+        assertThat(books.rejected()).isEqualTo(1);
+        assertThat(books.maxEstablished()).isEqualTo(2);
+        assertThat(loop.call(() -> server.establishedSeconds("c"))).containsOnlyKeys("order-status");
     }
 
     @Test
     void shedsTheNewestConnectionAboveItsLimit() throws Exception {
-        FeedServer server = server(Machine.IDLE.holding(1, true));
-        ShopClient first = client(server.port());
-        assertThat(next().what()).isEqualTo(Happened.UP);
+        FakeFeedServer server = server(ServerProfile.UNLIMITED.withConnectionLimit(1, true));
+        LineClient first = client(server.port());
+        assertThat(next().type()).isEqualTo(EventType.ESTABLISHED);
         client(server.port());
-        Told last = next();
-        assertThat(last.what() == Happened.UP ? next().what() : last.what()).isIn(Happened.LOST, Happened.FAILED);
-        assertThat(loop.on(first::standing)).isTrue();
-        assertThat(loop.on(server::books).shed()).isEqualTo(1);
+        ClientEvent last = next();
+        assertThat(last.type() == EventType.ESTABLISHED ? next().type() : last.type())
+                .isIn(EventType.DISCONNECTED, EventType.FAILED);
+        assertThat(loop.call(first::isEstablished)).isTrue();
+        assertThat(loop.call(server::counters).shed()).isEqualTo(1);
     }
 
     @Test
     void drainsMovesClientsDiesAndRestarts() throws Exception {
-        FeedServer server = server(Machine.IDLE);
+        FakeFeedServer server = server(ServerProfile.UNLIMITED);
         client(server.port());
-        assertThat(next().what()).isEqualTo(Happened.UP);
+        assertThat(next().type()).isEqualTo(EventType.ESTABLISHED);
         loop.run(server::drain);
         client(server.port());
-        assertThat(next().what()).isEqualTo(Happened.BUSY);
-        loop.run(server::sendAway);
-        assertThat(next().what()).isEqualTo(Happened.MOVED);
+        assertThat(next().type()).isEqualTo(EventType.REJECTED);
+        loop.run(server::moveClients);
+        assertThat(next().type()).isEqualTo(EventType.MOVED);
         loop.run(server::kill);
         client(server.port());
-        assertThat(next().what()).isEqualTo(Happened.FAILED);
-        assertThat(loop.on(server::restart)).isPositive();
+        assertThat(next().type()).isEqualTo(EventType.FAILED);
+        assertThat(loop.call(server::restart)).isPositive();
         client(server.port());
-        assertThat(next().what()).isEqualTo(Happened.UP);
+        assertThat(next().type()).isEqualTo(EventType.ESTABLISHED);
     }
 
     @Test
     void aNoisyNeighbourSlowsLinesDown() throws Exception {
-        FeedServer server = server(Machine.IDLE.working(1, 0, 2_000));
-        ShopClient client = client(server.port());
-        assertThat(next().what()).isEqualTo(Happened.UP);
+        FakeFeedServer server = server(ServerProfile.UNLIMITED.withWork(1, 0, 2_000));
+        LineClient client = client(server.port());
+        assertThat(next().type()).isEqualTo(EventType.ESTABLISHED);
         BlockingQueue<Long> roundTripsMicros = new LinkedBlockingQueue<>();
-        loop.run(() -> client.talk(1_000, roundTripsMicros::add));
+        loop.run(() -> client.sendLines(1_000, roundTripsMicros::add));
         assertThat(roundTripsMicros.poll(20, TimeUnit.SECONDS)).isGreaterThanOrEqualTo(2_000);
-        loop.run(() -> server.neighbour(0.99));
+        loop.run(() -> server.setNoisyNeighbourShare(0.99));
         long longestMicros = 0;
         while (longestMicros < 200_000) {
             longestMicros = roundTripsMicros.poll(20, TimeUnit.SECONDS);
@@ -124,12 +125,12 @@
 
     @Test
     void aLinkDelaysBothDirectionsAndKeepsTheOrder() throws Exception {
-        FeedServer server = server(Machine.IDLE);
-        ZoneLink link = loop.make(() -> new ZoneLink(loop, server.port(), 20_000, 10_000, 3));
+        FakeFeedServer server = server(ServerProfile.UNLIMITED);
+        ZoneLink link = loop.create(() -> new ZoneLink(loop, server.port(), 20_000, 10_000, 3));
         client(link.port());
-        Told up = next();
-        assertThat(up.what()).isEqualTo(Happened.UP);
-        assertThat(up.after()).isGreaterThanOrEqualTo(40_000);
+        ClientEvent up = next();
+        assertThat(up.type()).isEqualTo(EventType.ESTABLISHED);
+        assertThat(up.elapsedMicros()).isGreaterThanOrEqualTo(40_000);
         BufferedReader in = open(link.port(), "OPEN a k c=x,d=9\r\n1\r\n2\r\n3\r\n");
         assertThat(in.readLine()).startsWith("UP");
         assertThat(List.of(in.readLine(), in.readLine(), in.readLine())).containsExactly("1", "2", "3");
@@ -145,15 +146,15 @@
 
     @Test
     void discoveryServesTheListItsChangesAndOutages() throws Exception {
-        FeedServer server = server(Machine.IDLE);
-        Discovery discovery = loop.make(() -> new Discovery(loop));
-        loop.run(() -> discovery.list(server, "box", 1, "ready"));
+        FakeFeedServer server = server(ServerProfile.UNLIMITED);
+        FakeDiscovery discovery = loop.create(() -> new FakeDiscovery(loop));
+        loop.run(() -> discovery.publish(server, "box", 1, "ready"));
         BufferedReader in = open(discovery.port(), "GET /registry/instances?watch=1 HTTP/1.1\r\nHost: x\r\n\r\n");
         assertThat(in.readLine()).isEqualTo("HTTP/1.1 200 OK");
         assertThat(awaitLineWith(in, "\"all\"")).contains("\"all\":true").contains("\"state\":\"ready\"");
-        loop.run(() -> discovery.list(server, "box", 1, "draining"));
+        loop.run(() -> discovery.publish(server, "box", 1, "draining"));
         assertThat(awaitLineWith(in, "\"all\"")).contains("\"all\":false").contains("\"state\":\"draining\"");
-        loop.run(() -> discovery.down(true));
+        loop.run(() -> discovery.setUnavailable(true));
         BufferedReader refused = open(discovery.port(), "GET /registry/instances HTTP/1.1\r\nHost: x\r\n\r\n");
         assertThat(refused.readLine()).isEqualTo("HTTP/1.1 503 Service Unavailable");
     }
