--- a/src/main/java/sandstack/capacity/CapacityEstimate.java
+++ b/src/main/java/sandstack/capacity/CapacityEstimate.java
@@ -1,14 +1,17 @@
 package sandstack.capacity;
 
 /**
- * What one server has in use from this relay and how much it can hold, by the evidence that this relay has. Connections and
- * load have a limit each: a server holds only so many connections and does only so much work. Other relays fill the same
+ * What one server has in use from this relay and how much it can hold, by the evidence that this relay has.
+ * Connections and
+ * load have a limit each: a server holds only so many connections and does only so much work. Other relays fill the
+ * same
  * server unseen, so a limit is what this relay may have there and not the size of the server.
  *
  * <p>Loads are microseconds of work a second on a standard core; ratings are the sizes in the endpoint list.
  *
  * <p>Owned by the load balancer's state of that server; used by one thread; every call is O(1) and allocates nothing.
- * Whatever is reported, no figure becomes negative or not a number, and a closed server is tried again within 2^8 slots.
+ * Whatever is reported, no figure becomes negative or not a number, and a closed server is tried again within 2^8
+ * slots.
  */
 public final class CapacityEstimate {
     /** Reported loads are cut to this, since a peer may report anything as often as it likes. */
@@ -107,7 +110,8 @@
     }
 
     /**
-     * How many average connections fill this server once it has warmed up: what is stated or, where no loads are known, no
+     * How many average connections fill this server once it has warmed up: what is stated or, where no loads are
+     * known, no
      * less than other servers hold now.
      */
     public double capacityInConnections() {
@@ -120,8 +124,10 @@
     }
 
     /**
-     * The fraction in use of the limits found here or, where there are none, of what servers of this machine kind usually
-     * hold; at most 1. It is 0 where nothing is known and where {@link #utilization} of a stated upper bound counts instead.
+     * The fraction in use of the limits found here or, where there are none, of what servers of this machine kind
+     * usually
+     * hold; at most 1. It is 0 where nothing is known and where {@link #utilization} of a stated upper bound counts
+     * instead.
      */
     public double occupancy() {
         if (stated.upperBound()) {
--- a/src/main/java/sandstack/capacity/ClassLoads.java
+++ b/src/main/java/sandstack/capacity/ClassLoads.java
@@ -4,7 +4,8 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * The mean load of each request class as its connections report it, and the fraction of each class that is shed while the
+ * The mean load of each request class as its connections report it, and the fraction of each class that is shed while
+ * the
  * servers are overloaded.
  *
  * <p>Loads are microseconds of work a second. Owned by the load balancer; used by one thread; every call is O(1) but
@@ -47,7 +48,8 @@
     }
 
     /**
-     * Decides which fraction of each class is shed so that this fraction of the load in use goes, lowest priority for its load
+     * Decides which fraction of each class is shed so that this fraction of the load in use goes, lowest priority for
+     * its load
      * first.
      *
      * @param priorityWeight of a class, by its index
--- a/src/main/java/sandstack/capacity/HeadroomWeight.java
+++ b/src/main/java/sandstack/capacity/HeadroomWeight.java
@@ -1,15 +1,17 @@
 package sandstack.capacity;
 
 /**
- * The factor by which a server's selection weight falls as the server fills up, from 1 for an idle server to 0 for one that
+ * The factor by which a server's selection weight falls as the server fills up, from 1 for an idle server to 0 for
+ * one that
  * is closed. Stateless; every method is O(1).
  *
- * <p>Utilization is the fraction in use of a stated upper bound; see {@link CapacityEstimate#utilization}. Occupancy is the
+ * <p>Utilization is the fraction in use of a stated upper bound; see {@link CapacityEstimate#utilization}. Occupancy
+ * is the
  * fraction in use of a limit that was learned; see {@link CapacityEstimate#occupancy}.
  */
 public final class HeadroomWeight {
     /** From this utilization on a server has the least weight. */
-    public static final double NEARLY_FULL_UTILIZATION = 0.4;
+    public static final double LEAST_WEIGHT_UTILIZATION = 0.4;
     /** From this utilization on a server takes no more connections. */
     public static final double CLOSED_UTILIZATION = 0.8;
     /** From this utilization on connections migrate away, as they do from a slow server. */
@@ -35,13 +37,14 @@
     /**
      * The weight at this utilization.
      *
-     * @param loadsKnown false where the utilization rests on a default load, which puts a server last but does not close it
+     * @param loadsKnown false where the utilization rests on a default load, which puts a server last but does not
+     *     close it
      */
     public static double byUtilization(double utilization, boolean loadsKnown) {
         if (utilization >= CLOSED_UTILIZATION && loadsKnown) {
             return CLOSED_WEIGHT;
         }
-        if (utilization >= NEARLY_FULL_UTILIZATION) {
+        if (utilization >= LEAST_WEIGHT_UTILIZATION) {
             return MIN_WEIGHT;
         }
         return utilization >= REDUCED_UTILIZATION ? REDUCED_WEIGHT : FULL_WEIGHT;
--- a/src/main/java/sandstack/capacity/OverloadCount.java
+++ b/src/main/java/sandstack/capacity/OverloadCount.java
@@ -1,7 +1,8 @@
 package sandstack.capacity;
 
 /**
- * Counts the servers of the home zone, or of all other zones, that one relay sees as overloaded in one evaluation. A server
+ * Counts the servers of the home zone, or of all other zones, that one relay sees as overloaded in one evaluation. A
+ * server
  * is observed if this relay has connections there or knows it to be overloaded. Used by one thread; every call is O(1).
  */
 public final class OverloadCount {
@@ -9,7 +10,10 @@
     private static final double OVERLOADED_FRACTION = 0.5;
     /** Weight of one more evaluation in the moving average. */
     private static final int SMOOTHING_DIVISOR = 2;
-    /** Decay of the moving average where too few servers are observed: slower, since that is no evidence of recovery. */
+    /**
+     * Decay of the moving average where too few servers are observed: slower, since that is no evidence of
+     * recovery.
+     */
     private static final int DECAY_DIVISOR = 4;
 
     private int readyCount;
@@ -20,7 +24,7 @@
     /**
      * Adds one server that is ready.
      *
-     * @param overloaded whether its latency or its utilization is too high
+     * @param overloaded whether it is ejected, or its latency or its utilization is too high
      * @param locallyFull whether that follows from this relay's own connections alone
      * @param hasConnections whether this relay has connections there
      */
@@ -53,8 +57,10 @@
     }
 
     /**
-     * Whether so many of the observed servers are overloaded that neither placing nor migrating connections can help. Servers
-     * that are full from here alone do not count while other zones have headroom: what a small zone cannot take goes there.
+     * Whether so many of the observed servers are overloaded that neither placing nor migrating connections can help.
+     * Servers
+     * that are full from here alone do not count while other zones have headroom: what a small zone cannot take goes
+     * there.
      */
     public static boolean isFleetOverloaded(OverloadCount home, OverloadCount away) {
         int observed = home.observedCount;
--- a/src/main/java/sandstack/capacity/SheddingPlan.java
+++ b/src/main/java/sandstack/capacity/SheddingPlan.java
@@ -12,7 +12,8 @@
     private SheddingPlan() {}
 
     /**
-     * The fraction that each class sheds so that a fraction of the whole load goes. Classes of the least density shed first;
+     * The fraction that each class sheds so that a fraction of the whole load goes. Classes of the least density shed
+     * first;
      * only one of them sheds a part of its load. O(classes squared).
      *
      * @param shedFraction of the whole load, from 0 to 1
@@ -62,7 +63,8 @@
     /**
      * The fraction of each tenant's connections that is beyond its quota, judged from the connections of one relay. Two
      * corrections keep tenants within their quota from being taken for excess: a count has to exceed its share by two
-     * standard deviations, and the share is no less than the tenant's part of all connections here, since a relay holds more
+     * standard deviations, and the share is no less than the tenant's part of all connections here, since a relay
+     * holds more
      * than its part while others are down. O(tenants).
      *
      * @param connectionCounts of each tenant on this relay
--- a/src/main/java/sandstack/capacity/SlowStartBudget.java
+++ b/src/main/java/sandstack/capacity/SlowStartBudget.java
@@ -3,15 +3,20 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * What one relay may send to a server in slow start, or to one that has just been overloaded. Permits come at random, at
- * this relay's share of the rate that the whole fleet is allowed; each is valid for one window and then expires. Permits of
- * many relays would otherwise accumulate while there is no demand and be spent together in the first burst. Expiry keeps
+ * What one relay may send to a server in slow start, or to one that has just been overloaded. Permits come at random,
+ * at
+ * this relay's share of the rate that the whole fleet is allowed; each is valid for one window and then expires.
+ * Permits of
+ * many relays would otherwise accumulate while there is no demand and be spent together in the first burst. Expiry
+ * keeps
  * what the fleet can spend at once to what it may spend in one window, without communication between the relays.
  *
- * <p>The method is our own: a Poisson process, thinned by the number of relays, that is sampled when there is something to
+ * <p>The method is our own: a Poisson process, thinned by the number of relays, that is sampled when there is
+ * something to
  * send.
  *
- * <p>Owned by the load balancer's state of that server; used by one thread; every call is O(1). The number and order of the
+ * <p>Owned by the load balancer's state of that server; used by one thread; every call is O(1). The number and order
+ * of the
  * draws that a call makes are part of its contract, since a run is reproduced from its seed.
  */
 public final class SlowStartBudget {
@@ -33,7 +38,8 @@
     private int sendCount;
 
     /**
-     * The rule of the settings by which a server in slow start is overloaded: in one window it gets more than a multiple of
+     * The rule of the settings by which a server in slow start is overloaded: in one window it gets more than a
+     * multiple of
      * what it can do then.
      *
      * @param overloadMultiple of the present capacity
@@ -62,7 +68,8 @@
 
         /**
          * The permits that all relays together get in a window. What remains of the allowed requests after those of new
-         * clients also has to bear a burst after a quiet time: the unspent permits, at most one at each relay of a zone, and
+         * clients also has to bear a burst after a quiet time: the unspent permits, at most one at each relay of a
+         * zone, and
          * on top of them those of one window.
          *
          * @param allowedRequests in a window
@@ -75,8 +82,10 @@
         }
 
         /**
-         * The mean number of requests in a window that stays below the overload. Relays draw independently of each other, but
-         * each counts its own sends, so their sum varies by sqrt(mean (relays - 1) / relays). The result is the mean m that
+         * The mean number of requests in a window that stays below the overload. Relays draw independently of each
+         * other, but
+         * each counts its own sends, so their sum varies by sqrt(mean (relays - 1) / relays). The result is the mean
+         * m that
          * solves m + 3 deviations = overload, and at most one root more than what is allowed.
          */
         private double safeRequests(double allowedRequests) {
@@ -101,7 +110,8 @@
      * @param processCount processes that make up this relay
      * @param requestsPerMicro what the server can take at present, in requests a microsecond
      * @param homeZone whether the server is in this relay's zone
-     * @param newClient whether the client connects for the first time; those that return do so together and need a permit
+     * @param newClient whether the client connects for the first time; those that return do so together and need a
+     *     permit
      * @param uniformDraws draws from [0, 1)
      */
     public boolean admitsDuringSlowStart(
@@ -140,8 +150,10 @@
     }
 
     /**
-     * Whether the request of a new client may be sent now. New clients come to the relays independently, not in bursts: the
-     * probability grows with the time since the last one asked, so that all relays together send what their rates add up to,
+     * Whether the request of a new client may be sent now. New clients come to the relays independently, not in
+     * bursts: the
+     * probability grows with the time since the last one asked, so that all relays together send what their rates add
+     * up to,
      * however seldom each is asked.
      */
     private boolean admitsNewClient(double requestsPerMicro, long nowMicros, double uniformDraw) {
--- a/src/main/java/sandstack/config/DeployFiles.java
+++ b/src/main/java/sandstack/config/DeployFiles.java
@@ -9,7 +9,10 @@
 import java.util.Iterator;
 import java.util.Set;
 
-/** The relay's own files under {@code deploy/}, each of which switches one part on or off; without its file, a part is off. */
+/**
+ * The relay's own files under {@code deploy/}, each of which switches one part on or off; without its file, a part
+ * is off.
+ */
 public final class DeployFiles {
     private final Path folder;
 
--- a/src/main/java/sandstack/config/PlatformConfig.java
+++ b/src/main/java/sandstack/config/PlatformConfig.java
@@ -98,7 +98,8 @@
 
     /**
      * Reads the configuration again after its file was replaced. The file now overrides the variable for discovery, as
-     * the variable still has the address of the start. A file that lacks a key of the previous one is rejected: it may
+     * the variable still has the address of the start. A file that lacks a key of this configuration is rejected: it
+     * may
      * be truncated or incomplete.
      */
     public PlatformConfig reload(Map<String, String> env) throws InvalidConfigurationException {
--- a/src/main/java/sandstack/configuration/ConfigurationFollower.java
+++ b/src/main/java/sandstack/configuration/ConfigurationFollower.java
@@ -22,7 +22,8 @@
  * <p><b>Failure model.</b> Relays and control machines crash and restart with their disk, without it or with an older
  * one, and pause for any time; links lose, delay, reorder and duplicate messages, and are cut one way or both. Members
  * do not lie. <b>Guaranteed:</b> every state that is activated was committed, and within one incarnation, or over a
- * restart with its disk, a later version is never replaced by an earlier one; the active state stays while no machine
+ * restart with a disk that has stored all of them, a later version is never replaced by an earlier one; the active
+ * state stays while no machine
  * is reached. <b>Not guaranteed:</b> that all relays hold one version at one moment, or that a relay whose disk is
  * older or wiped begins where it was.
  *
--- a/src/main/java/sandstack/configuration/ConfigurationPublisher.java
+++ b/src/main/java/sandstack/configuration/ConfigurationPublisher.java
@@ -117,7 +117,10 @@
         sessions.remove(peer);
     }
 
-    /** Sends the heartbeats that are due and closes the sessions of silent relays; to be called a few times a heartbeat. */
+    /**
+     * Sends the heartbeats that are due and closes the sessions of silent relays; to be called a few times a
+     * heartbeat.
+     */
     public void tick(long nowMicros) {
         List<String> silentPeers = new ArrayList<>();
         sessions.forEach((peer, session) -> {
--- a/src/main/java/sandstack/configuration/ConfigurationSnapshot.java
+++ b/src/main/java/sandstack/configuration/ConfigurationSnapshot.java
@@ -63,7 +63,8 @@
      * The state after a change.
      *
      * @param next the version of the change
-     * @throws IllegalArgumentException where the change is based on another version, or the next version does not follow
+     * @throws IllegalArgumentException where the change is based on another version, or the next version does not
+     * follow
      */
     public ConfigurationSnapshot apply(ConfigurationVersion next, ConfigurationChange change) {
         if (!change.baseVersion().equals(version) || !next.follows(version)) {
--- a/src/main/java/sandstack/configuration/RelaySession.java
+++ b/src/main/java/sandstack/configuration/RelaySession.java
@@ -5,7 +5,8 @@
 import sandstack.configuration.ConfigurationMessage.StatusReport;
 
 /**
- * What a publisher knows of one relay that it serves: a cursor into the shared history, the relay's last report, and the
+ * What a publisher knows of one relay that it serves: a cursor into the shared history, the relay's last report, and
+ * the
  * moments at which it was heard and served. Nothing is queued here. One thread; moments are microseconds of the
  * publisher's clock.
  */
--- a/src/main/java/sandstack/core/BalancerDriver.java
+++ b/src/main/java/sandstack/core/BalancerDriver.java
@@ -7,7 +7,8 @@
 import sandstack.decisions.LoadBalancer;
 
 /**
- * Gathers the events of a turn, hands them to the load balancer and dispatches its actions. Owns the event queue and the
+ * Gathers the events of a turn, hands them to the load balancer and dispatches its actions. Owns the event queue and
+ * the
  * load balancer; used on the event loop's thread only.
  */
 final class BalancerDriver {
@@ -42,6 +43,6 @@
     }
 
     boolean isEjected(String serverId) {
-        return loadBalancer.isEjected(serverId);
+        return loadBalancer.isClosedToNewRequests(serverId);
     }
 }
--- a/src/main/java/sandstack/core/ClientSession.java
+++ b/src/main/java/sandstack/core/ClientSession.java
@@ -23,7 +23,8 @@
     protected abstract ConnectionAttempt.Upstream startAttempt(ConnectionAttempt attempt);
 
     /**
-     * Reads what the client's side has sent or done by now, where the front can do so at once. A client that has left is
+     * Reads what the client's side has sent or done by now, where the front can do so at once. A client that has left
+     * is
      * reported as such before this returns: nothing is started for one that has gone.
      */
     protected void checkConnected() {}
--- a/src/main/java/sandstack/core/ConnectionOutcome.java
+++ b/src/main/java/sandstack/core/ConnectionOutcome.java
@@ -2,11 +2,14 @@
 
 import sandstack.decisions.AttemptOutcome;
 
-/** Every way in which an attempt or an established connection can end, and the outcome that the load balancer counts. */
+/**
+ * Every way in which an attempt or an established connection can end, and the outcome that the load balancer
+ * counts.
+ */
 public enum ConnectionOutcome {
     /** The feed server closed the connection in order. */
     SERVED(AttemptOutcome.OK),
-    /** The feed server sent its client away, as it does while it drains. */
+    /** The feed server sent its client away, as it does while it drains: may have been executed, and is no fault. */
     SERVER_DRAINING(AttemptOutcome.CANCELLED),
     /** The client ended it, or left before it was established. */
     CLIENT_LEFT(AttemptOutcome.CANCELLED),
--- a/src/main/java/sandstack/core/GracefulShutdown.java
+++ b/src/main/java/sandstack/core/GracefulShutdown.java
@@ -16,7 +16,8 @@
     /** The platform waits for the longest deadline before it kills, but no longer than this. */
     private static final long MAX_DRAIN_MICROS = 3_000_000;
     /**
-     * Migrations are drawn over this span, so that clients do not reconnect all at once. It ends as late as the platform
+     * Migrations are drawn over this span, so that clients do not reconnect all at once. It ends as late as the
+     * platform
      * allows: where relays are restarted one after another, clients that leave early reach one that is next, or none.
      */
     private static final long MIGRATION_SPAN_MICROS = 1_200_000;
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -26,7 +26,8 @@
 
 /**
  * The relay without sockets, as the fronts, the watch on discovery and the operators use it. Fronts report what they
- * see; each turn runs the expired deadlines, hands the gathered events to the load balancer and carries out its actions.
+ * see; each turn runs the expired deadlines, hands the gathered events to the load balancer and carries out its
+ * actions.
  *
  * <p>Not thread-safe: everything here and in the parts it delegates to runs on the event loop's thread.
  */
--- a/src/main/java/sandstack/core/RelayMetrics.java
+++ b/src/main/java/sandstack/core/RelayMetrics.java
@@ -17,10 +17,10 @@
 
     /** The counters of one class. */
     private static final class ClassCounters {
-        long ok;
-        long shed;
-        long errors;
-        long tries;
+        long established;
+        long rejected;
+        long failed;
+        long requestsWritten;
     }
 
     private final Map<String, ClassCounters> countersByClass = new LinkedHashMap<>();
@@ -40,21 +40,21 @@
 
     /** A connection of this class was established. */
     void connectionEstablished(String className) {
-        counters(className).ok++;
+        counters(className).established++;
     }
 
     /** A request of this class got this final answer. */
     void requestRejected(String className, Rejection.Kind kind) {
         if (kind == Rejection.Kind.REJECTED) {
-            counters(className).shed++;
+            counters(className).rejected++;
         } else {
-            counters(className).errors++;
+            counters(className).failed++;
         }
     }
 
     /** A request of this class was written completely to a feed server. */
     void requestWritten(String className) {
-        counters(className).tries++;
+        counters(className).requestsWritten++;
     }
 
     /** The load balancer rejected a request. */
@@ -100,11 +100,11 @@
         for (Map.Entry<String, ClassCounters> entry : countersByClass.entrySet()) {
             String prefix = PREFIX + "responses." + entry.getKey() + ".";
             ClassCounters counters = entry.getValue();
-            lines.add(prefix + "ok=" + counters.ok);
-            lines.add(prefix + "shed=" + counters.shed);
-            lines.add(prefix + "errors=" + counters.errors);
-            lines.add(prefix + "tries=" + counters.tries);
-            tries += counters.tries;
+            lines.add(prefix + "ok=" + counters.established);
+            lines.add(prefix + "shed=" + counters.rejected);
+            lines.add(prefix + "errors=" + counters.failed);
+            lines.add(prefix + "tries=" + counters.requestsWritten);
+            tries += counters.requestsWritten;
         }
         lines.add(PREFIX + "tries=" + tries);
         lines.add(PREFIX + "active=" + active);
--- a/src/main/java/sandstack/core/RequestRegistry.java
+++ b/src/main/java/sandstack/core/RequestRegistry.java
@@ -99,7 +99,10 @@
         failWithoutBalancer(client);
     }
 
-    /** Answers a request as failed without a decision of the load balancer, which is notified that its client has left. */
+    /**
+     * Answers a request as failed without a decision of the load balancer, which is notified that its client has
+     * left.
+     */
     void failWithoutBalancer(ClientSession client) {
         balancer.enqueue(new ClientDisconnected(client.id()));
         answer(client, Rejection.FAILED);
--- a/src/main/java/sandstack/core/TenantRegistry.java
+++ b/src/main/java/sandstack/core/TenantRegistry.java
@@ -4,8 +4,10 @@
 import java.util.List;
 import sandstack.decisions.Tenant;
 
-/** The tenants by name. A tenant keeps its position for the life of the process, as the load balancer keeps its state by
- * position. Used on the event loop's thread only. */
+/**
+ * The tenants by name. A tenant keeps its position for the life of the process, as the load balancer keeps its state by
+ * position. Used on the event loop's thread only.
+ */
 public final class TenantRegistry {
     /**
      * One tenant as its directory lists it.
@@ -17,7 +19,11 @@
 
     private final List<Entry> entries = new ArrayList<>();
 
-    /** Replaces the list; a tenant that is no longer listed has a quota of 0. Returns whether anything changed. */
+    /**
+     * Replaces the list. A tenant that is no longer listed keeps its position with a quota of 0, which the load
+     * balancer
+     * takes for none stated. Returns whether anything changed.
+     */
     boolean replace(List<Entry> listedEntries) {
         List<Entry> before = List.copyOf(entries);
         entries.replaceAll(entry -> new Entry(entry.name(), 0, 0));
--- a/src/main/java/sandstack/decisions/BalancerContext.java
+++ b/src/main/java/sandstack/decisions/BalancerContext.java
@@ -17,7 +17,7 @@
  * capacity model is shared by the estimates of all servers. One thread; all calls O(1).
  */
 final class BalancerContext {
-    /** A first back-off interval spans two slots; so many slots fit into the shortest set-up latency objective. */
+    /** So many slots fit into the shortest set-up latency objective. */
     private static final int SLOTS_PER_LATENCY_OBJECTIVE = 16;
 
     final CapacityModel capacity;
@@ -48,7 +48,11 @@
                 new CapacityModel(statedCapacities, slotMicros, settings.instanceCount(), settings.ratingsAreSizes());
     }
 
-    /** Puts new settings into force; estimates and back-off intervals are kept. */
+    /**
+     * Puts new settings into force. Estimates and back-off intervals are kept, and so are the slot, the number of
+     * instances
+     * and the meaning of ratings that the capacity model was created with.
+     */
     void applySettings(BalancerSettings newSettings) {
         settings = newSettings;
         slotMicros = Math.max(1, newSettings.shortestLatencyObjectiveMicros() / SLOTS_PER_LATENCY_OBJECTIVE);
--- a/src/main/java/sandstack/decisions/BalancerSettings.java
+++ b/src/main/java/sandstack/decisions/BalancerSettings.java
@@ -5,31 +5,36 @@
 
 /**
  * The settings of one balancer instance. The constructor rejects values out of range with an {@link
- * IllegalArgumentException} that names the setting.
+ * IllegalArgumentException} that names the setting. Components marked "not used" are accepted from the platform and
+ * decide
+ * nothing so far.
  *
- * @param instanceIndex number of this instance, from 0
+ * @param instanceIndex number of this instance, from 0; not used
  * @param instanceCount number of instances, this one included
  * @param homeZone zone of this instance
  * @param zoneCount number of zones
  * @param classes the request classes; at least one
  * @param tenants the tenants; may be empty
- * @param overQuotaWeight priority weight of a tenant's traffic beyond its quota, as a fraction of the usual weight
+ * @param overQuotaWeight priority weight of a tenant's traffic beyond its quota, as a fraction of the usual weight;
+ *     only whether
+ *     it is below 1 counts
  * @param weightPerUnitOfWork priority weights count per unit of work, not per request
- * @param passThrough packets pass through the balancer: when the set of instances changes, established connections
+ * @param passThrough not used: packets pass through the balancer: when the set of instances changes, established
+ *     connections
  *     arrive mid-flow at another instance; otherwise connections are terminated at the balancer
  * @param sharedGroups connections of one group share work on a server
  * @param endpointListPolled the endpoint list has to be polled; otherwise changes are pushed
  * @param pollIntervalMicros with {@code endpointListPolled}: longest time without a poll or a watch
  * @param maxAttempts attempts allowed for one request; at least 1
  * @param connectTimeoutMicros time after which an attempt to connect to a server counts as failed
- * @param retryAfterHonored clients honour Retry-After
+ * @param retryAfterHonored clients honour Retry-After; not used, as it is sent in any case
  * @param maxRetryAfterMicros the longest Retry-After that clients honour
- * @param healthChecksAllowed servers may be health-checked
- * @param healthCheckCost cost of one health check per request
- * @param gossipAllowed messages to other instances are allowed
- * @param gossipCost cost of 256 bytes delivered per request
- * @param crossZoneCost cost of a request that crosses zones, once
- * @param migrationCost cost of migrating a client, once
+ * @param healthChecksAllowed servers may be health-checked; not used
+ * @param healthCheckCost cost of one health check per request; not used
+ * @param gossipAllowed messages to other instances are allowed; not used
+ * @param gossipCost cost of 256 bytes delivered per request; not used
+ * @param crossZoneCost cost of a request that crosses zones, once; not used
+ * @param migrationCost cost of migrating a client, once; not used
  * @param drainGraceMicros how long a server may still get attempts after it was listed as draining or gone
  * @param slowStartInitialFraction fraction of its capacity that a server has when it starts, from 0 to 1
  * @param slowStartDurationMicros time after which it has all of its capacity
--- a/src/main/java/sandstack/decisions/LoadBalancer.java
+++ b/src/main/java/sandstack/decisions/LoadBalancer.java
@@ -83,8 +83,12 @@
         return context.actions();
     }
 
-    /** Whether the server gets no new connections now, except for the trial of an ejected one. */
-    public boolean isEjected(String serverId) {
+    /**
+     * Whether the server gets no new requests now, except for the trial of an ejected one: not listed, not ready,
+     * ejected,
+     * slow, or full by what this relay has there.
+     */
+    public boolean isClosedToNewRequests(String serverId) {
         ServerState server = endpoints.get(serverId);
         return server == null || !server.isReady() || headroom.isOverloaded(server);
     }
@@ -178,7 +182,12 @@
             }
         }
 
-        /** A connection's timer ends its server's trial, or its wait for migration where the server is draining. */
+        /**
+         * The one timer of an established connection, set for the end of its server's trial or for its migration off a
+         * draining server. Which of the two applies is decided by the server's state now: on a server that is ready,
+         * the
+         * connection counts as a trial that stayed up, also where the timer was set for a migration.
+         */
         private void onConnectionTimer(TrackedRequest request) {
             if (request.server.isReady()) {
                 request.server.outlierDetector.onTrialSucceeded();
--- a/src/main/java/sandstack/decisions/OutlierDetector.java
+++ b/src/main/java/sandstack/decisions/OutlierDetector.java
@@ -27,7 +27,7 @@
         }
     }
 
-    /** An attempt or a connection at this server has ended; another trial may start. */
+    /** Any attempt or connection at this server has ended, the trial or an older one; another trial may start. */
     void onAttemptEnded() {
         trialInFlight = false;
     }
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Whether the server may be picked: never failed, or half-open and without a trial in flight. */
+    /** Whether the server may be picked: no failures recorded, or half-open and without a trial in flight. */
     boolean isSelectable() {
         return consecutiveFailures == 0 || (context.nowMicros() >= ejectedUntilMicros && !trialInFlight);
     }
@@ -108,7 +108,10 @@
         return consecutiveFailures > 0 && context.nowMicros() < ejectedUntilMicros;
     }
 
-    /** The server's process was restarted: earlier failures say nothing about the new one. */
+    /**
+     * The server's process was restarted: earlier failures say nothing about the new one. The source of the last error is
+     * kept, so that an error of another group counts from the first one on.
+     */
     void onRestart() {
         consecutiveFailures = 0;
         ejectedUntilMicros = 0;
--- a/src/main/java/sandstack/decisions/RequestLifecycle.java
+++ b/src/main/java/sandstack/decisions/RequestLifecycle.java
@@ -83,12 +83,13 @@
     void place(TrackedRequest request) {
         request.state = State.WAITING;
         ServerState server = picker.pick(request);
-        RejectionReason allFull = picker.candidateSummary().rejectionReason(request.event.classIndex());
+        // read in any case: the summary is of this pick
+        RejectionReason noCandidateReason = picker.candidateSummary().rejectionReason(request.event.classIndex());
         if (server != null) {
             startAttempt(request, server);
-        } else if (allFull != null) {
+        } else if (noCandidateReason != null) {
             // a retry would meet the same servers: the client gets its Retry-After at once
-            completion.rejectWithBackoff(request, allFull);
+            completion.rejectWithBackoff(request, noCandidateReason);
         } else {
             retryOrReject(request);
         }
@@ -187,6 +188,7 @@
         AttemptOutcome outcome = event.outcome();
         capacityEvidence.onAttemptFailed(request.server, outcome);
         if (event.requestFinished()) {
+            // nothing is retried, so the server is blamed whether or not a shared dependency is slow
             request.server.outlierDetector.onAttemptFailed(request, outcome);
             requests.remove(request);
             return;
@@ -203,6 +205,7 @@
     }
 
     private void retryOrAnswer(TrackedRequest request, AttemptOutcome outcome) {
+        // the summary is of the latest pick of any request: scarcity is a state of the fleet, not of one request
         if (outcome == AttemptOutcome.REJECTED && picker.candidateSummary().isScarce()) {
             completion.rejectWithBackoff(request, RejectionReason.FULL);
         } else if (!retryPolicy.mayRetry(request)) {
--- a/src/main/java/sandstack/decisions/RetryBackoff.java
+++ b/src/main/java/sandstack/decisions/RetryBackoff.java
@@ -6,7 +6,7 @@
 /**
  * The retry number n and the back-off interval of each client key: binary exponential back-off with intervals that do
  * not overlap ("Exponential back-off, revisited"). Keeps the {@value #MAX_KEYS} keys that failed last; others start at
- * n = 0. One thread; all calls O(1).
+ * n = 0, of which the first failure makes 1. One thread; all calls O(1).
  */
 final class RetryBackoff {
     /** Interval n spans 2^n slots; n stops growing where one interval outlasts usual deadlines. */
--- a/src/main/java/sandstack/decisions/SlowStartAdmission.java
+++ b/src/main/java/sandstack/decisions/SlowStartAdmission.java
@@ -19,7 +19,11 @@
         this.endpoints = endpoints;
     }
 
-    /** Whether the request fits into the server's budget; may draw, and uses up what it draws. */
+    /**
+     * Whether the request fits into the server's budget. Draws at random, and what is drawn is used up even where
+     * another
+     * server is picked in the end.
+     */
     boolean admits(TrackedRequest request, ServerState server) {
         double slowStartFraction = server.slowStartFraction(context);
         if (slowStartFraction < 1) {
@@ -52,13 +56,13 @@
     /** The server may fill up over its recovery; every request needs a permit. */
     private boolean admitsDuringRecovery(ServerState server, long recoveryMicros) {
         double requestsPerMicro = server.estimate.capacityInConnections() / recoveryMicros;
-        double instanceShare = SlowStartBudget.relayShare(
+        double relayShare = SlowStartBudget.relayShare(
                         endpoints.isHome(server),
                         context.settings().instanceCount(),
                         context.settings().zoneCount())
                 / context.processCount();
         return server.slowStartBudget.hasPermit(
-                requestsPerMicro * instanceShare,
+                requestsPerMicro * relayShare,
                 context.settings().overloadWindowMicros(),
                 context.nowMicros(),
                 context::uniform);
--- a/src/main/java/sandstack/directory/TenantDirectory.java
+++ b/src/main/java/sandstack/directory/TenantDirectory.java
@@ -21,7 +21,8 @@
 import sandstack.core.TenantRegistry;
 
 /**
- * Reads the tenants from an LDAP directory at an interval, on a thread of its own, because the library blocks. While the
+ * Reads the tenants from an LDAP directory at an interval, on a thread of its own, because the library blocks. While
+ * the
  * directory is unreachable, the last list stays in force.
  */
 public final class TenantDirectory implements AutoCloseable {
--- a/src/main/java/sandstack/discovery/DiscoveryWatch.java
+++ b/src/main/java/sandstack/discovery/DiscoveryWatch.java
@@ -69,7 +69,8 @@
     }
 
     /**
-     * Watches at another address from now on. The list stays as it is, and the watch before remains in use until the new
+     * Watches at another address from now on. The list stays as it is, and the watch before remains in use until the
+     * new
      * one has sent the complete list.
      */
     public void switchTo(Address address) {
@@ -196,7 +197,10 @@
             }
         }
 
-        /** An incomplete list is no sign of life, however often a piece of it comes: its updates are as late as in silence. */
+        /**
+         * An incomplete list is no sign of life, however often a piece of it comes: its updates are as late as in
+         * silence.
+         */
         private void updateIncompleteListTimer() {
             if (closed || stream.hasPartialObject() == (incompleteListTimer != null)) {
                 return;
--- a/src/main/java/sandstack/faultinjection/ProcessFleet.java
+++ b/src/main/java/sandstack/faultinjection/ProcessFleet.java
@@ -20,7 +20,8 @@
 import sandstack.testserver.TestServerLoop;
 
 /**
- * A fleet of relays that run as real processes, each with its own address and folder, with a {@link MemberLink} for each
+ * A fleet of relays that run as real processes, each with its own address and folder, with a {@link MemberLink} for
+ * each
  * ordered pair to inject network faults. Listens on loopback only. Members are numbered from 0. Used by one thread; the
  * links run on the thread of the loop.
  */
@@ -189,7 +190,8 @@
     }
 
     /**
-     * The status of each name in a member's view: that of the present incarnation, or else of the first one listed. Null where the
+     * The status of each name in a member's view: that of the present incarnation, or else of the first one listed.
+     * Null where the
      * member does not respond.
      */
     public Map<String, String> memberStatuses(int i) {
--- a/src/main/java/sandstack/fleet/QuorumTracker.java
+++ b/src/main/java/sandstack/fleet/QuorumTracker.java
@@ -10,8 +10,10 @@
 import java.util.TreeSet;
 
 /**
- * Derives the {@link QuorumState} of this member. The size of the fleet is the number of relays that are configured, never
- * the number that is seen, so a partition cannot declare itself complete by losing the others. A relay that others reach
+ * Derives the {@link QuorumState} of this member. The size of the fleet is the number of relays that are configured,
+ * never
+ * the number that is seen, so a partition cannot declare itself complete by losing the others. A relay that others
+ * reach
  * and this one does not stays in that number but does not count as reachable. Any doubt shows at once as
  * {@link QuorumState#UNKNOWN}; any other change only after it has lasted for {@link #STABILITY_WINDOW_MICROS}.
  *
--- a/src/main/java/sandstack/fleet/link/CallClient.java
+++ b/src/main/java/sandstack/fleet/link/CallClient.java
@@ -13,7 +13,8 @@
 import sandstack.fleet.MemberTable;
 
 /**
- * Calls to other members. Calls in flight are bounded for each member and in total, so a slow member holds up only those
+ * Calls to other members. Calls in flight are bounded for each member and in total, so a slow member holds up only
+ * those
  * who call it. Any thread; responses arrive on the fleet's.
  */
 final class CallClient {
--- a/src/main/java/sandstack/front/amqp/AmqpClientSession.java
+++ b/src/main/java/sandstack/front/amqp/AmqpClientSession.java
@@ -230,7 +230,10 @@
                         (Receiver) upstreamLink, upstream.amqpConnection(), (Sender) link, amqpConnection, null, null);
     }
 
-    /** Closes the connection with {@code connectionError}, or, if that is null, detaches the link first with {@code linkError}. */
+    /**
+     * Closes the connection with {@code connectionError}, or, if that is null, detaches the link first with {@code
+     * linkError}.
+     */
     void close(ErrorCondition linkError, ErrorCondition connectionError) {
         if (ended) {
             return;
--- a/src/main/java/sandstack/front/amqp/AmqpFront.java
+++ b/src/main/java/sandstack/front/amqp/AmqpFront.java
@@ -82,7 +82,8 @@
     }
 
     /**
-     * Removes and returns the deliveries that an earlier connection of this link left unsettled; null if there are none.
+     * Removes and returns the deliveries that an earlier connection of this link left unsettled; null if there are
+     * none.
      * If the client has sent its unsettled map, only the deliveries in it count.
      */
     DeliveryTracker takeUnsettled(LinkId id, Map<Binary, DeliveryState> stillHeld) {
--- a/src/main/java/sandstack/front/amqp/AmqpMapping.java
+++ b/src/main/java/sandstack/front/amqp/AmqpMapping.java
@@ -63,7 +63,10 @@
         return text == null || text.isEmpty() || text.length() > MAX_TEXT_CHARS ? null : text;
     }
 
-    /** The properties as they are forwarded to a feed server: unchanged but for the deadline, which is the attempt's remaining time. */
+    /**
+     * The properties as they are forwarded to a feed server: unchanged but for the deadline, which is the attempt's
+     * remaining time.
+     */
     static Map<Symbol, Object> toUpstreamProperties(Map<Symbol, Object> properties, long remainingMillis) {
         Map<Symbol, Object> forwarded = new HashMap<>(properties);
         forwarded.put(DEADLINE_MILLIS, UnsignedInteger.valueOf(remainingMillis));
--- a/src/main/java/sandstack/front/amqp/UnsettledMapHandler.java
+++ b/src/main/java/sandstack/front/amqp/UnsettledMapHandler.java
@@ -10,7 +10,8 @@
 import org.apache.qpid.protonj2.types.transport.DeliveryState;
 
 /**
- * Handles the unsettled maps of attaches, which the engine does not expose: keeps the client's, and writes the states of
+ * Handles the unsettled maps of attaches, which the engine does not expose: keeps the client's, and writes the states
+ * of
  * its earlier deliveries into the answer. Used on the loop's thread only.
  */
 final class UnsettledMapHandler implements EngineHandler {
--- a/src/main/java/sandstack/front/platform/LoadReportClassifier.java
+++ b/src/main/java/sandstack/front/platform/LoadReportClassifier.java
@@ -5,7 +5,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Tells apart the two values that feed servers send as {@code LOAD X}: the load of a connection, in microseconds of work
+ * Tells apart the two values that feed servers send as {@code LOAD X}: the load of a connection, in microseconds of
+ * work
  * per second, and, where the settings say that delays are reported, the current message delay in milliseconds. An
  * overloaded server reports its delay once a second, on one connection of each relay. Taken for a load, it would make
  * that connection look idle and attract more load to an overloaded server.
--- a/src/main/java/sandstack/front/platform/OpenRequest.java
+++ b/src/main/java/sandstack/front/platform/OpenRequest.java
@@ -80,7 +80,10 @@
         return id;
     }
 
-    /** The line as it is forwarded to a feed server: unchanged but for the deadline, which is the attempt's remaining time. */
+    /**
+     * The line as it is forwarded to a feed server: unchanged but for the deadline, which is the attempt's
+     * remaining time.
+     */
     String toUpstreamLine(long remainingMillis) {
         StringBuilder line = new StringBuilder(PlatformProtocol.OPEN)
                 .append(' ')
--- a/src/main/java/sandstack/measure/CapacityMeasurement.java
+++ b/src/main/java/sandstack/measure/CapacityMeasurement.java
@@ -13,7 +13,8 @@
 
 /**
  * {@code measure capacity}: relays that have to estimate the capacity of their feed servers, without stated capacities:
- * with idle connections, with servers of different capacities, and with servers that lose processor time to a neighbour.
+ * with idle connections, with servers of different capacities, and with servers that lose processor time to a
+ * neighbour.
  */
 final class CapacityMeasurement implements Measurement {
     /** Log line of a rejection with its reason and attempts, also in the wording of earlier builds. */
--- a/src/main/java/sandstack/measure/ConnectionLimiter.java
+++ b/src/main/java/sandstack/measure/ConnectionLimiter.java
@@ -49,7 +49,10 @@
         AIMD,
         /** The ratio of the long-term mean setup time to the latest one, as in Gradient2Limit of that library. */
         GRADIENT,
-        /** A Kalman filter: a random walk of the capacity, corrected by rejections; admits up to one sigma above the mean. */
+        /**
+         * A Kalman filter: a random walk of the capacity, corrected by rejections; admits up to one sigma above the
+         * mean.
+         */
         KALMAN;
 
         /** Returns a new limiter; null for {@link #ORACLE}. */
--- a/src/main/java/sandstack/measure/OpenCommand.java
+++ b/src/main/java/sandstack/measure/OpenCommand.java
@@ -20,7 +20,8 @@
 
 /**
  * {@code open}: opens one connection through a relay as a client does, sends each argument as a line and prints the
- * answers. Blocks on one socket. Exits 0 after all lines were answered, 1 if the connection was rejected, failed or closed.
+ * answers. Blocks on one socket. Exits 0 after all lines were answered, 1 if the connection was rejected, failed or
+ * closed.
  */
 @Command(
         name = "open",
--- a/src/main/java/sandstack/measure/configuration/ConfigurationScale.java
+++ b/src/main/java/sandstack/measure/configuration/ConfigurationScale.java
@@ -6,8 +6,10 @@
 import sandstack.measure.scale.Series;
 
 /**
- * Costs and latencies of the configuration distribution by the size of the fleet: real publishers on seven control machines
- * and real followers on up to 5,600 relays, in simulated time on a simulated network. The consensus of the control machines
+ * Costs and latencies of the configuration distribution by the size of the fleet: real publishers on seven control
+ * machines
+ * and real followers on up to 5,600 relays, in simulated time on a simulated network. The consensus of the control
+ * machines
  * is modelled; its messages and processor time are not included.
  */
 public final class ConfigurationScale implements ScaleMeasurement {
--- a/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
@@ -124,7 +124,10 @@
                         && relay.follower().activeSnapshot().version().equals(version));
     }
 
-    /** Advances until the last committed snapshot is active at every relay; returns the microseconds, -1 after the timeout. */
+    /**
+     * Advances until the last committed snapshot is active at every relay; returns the microseconds, -1 after the
+     * timeout.
+     */
     public long advanceUntilActiveEverywhere(long stepMicros, long timeoutMicros) {
         long startMicros = clock.nowMicros();
         while (!isActiveEverywhere()) {
--- a/src/main/java/sandstack/measure/page/CapacityPageCommand.java
+++ b/src/main/java/sandstack/measure/page/CapacityPageCommand.java
@@ -13,7 +13,10 @@
 import picocli.CommandLine.Spec;
 import sandstack.config.InvalidConfigurationException;
 
-/** {@code measure capacity-page}: writes or checks the generated tables of the page; exits 1 if a check finds a difference. */
+/**
+ * {@code measure capacity-page}: writes or checks the generated tables of the page; exits 1 if a check finds a
+ * difference.
+ */
 @Command(
         name = "capacity-page",
         description =
--- a/src/main/java/sandstack/measure/page/Formula.java
+++ b/src/main/java/sandstack/measure/page/Formula.java
@@ -3,7 +3,8 @@
 import java.util.function.Function;
 
 /**
- * Parser and evaluator of formulas: numbers, variables, {@code + - * /} and parentheses. A variable is a planning number
+ * Parser and evaluator of formulas: numbers, variables, {@code + - * /} and parentheses. A variable is a planning
+ * number
  * such as {@code relays}, or the figure of another cost model, such as {@code [relay.memory]}.
  */
 final class Formula {
--- a/src/main/java/sandstack/measure/scale/ClientPool.java
+++ b/src/main/java/sandstack/measure/scale/ClientPool.java
@@ -8,7 +8,8 @@
 import sandstack.testserver.TestServerLoop;
 
 /**
- * Closed-loop load: clients that connect to one relay and stay, with a bounded number of setups in flight. Gives up after
+ * Closed-loop load: clients that connect to one relay and stay, with a bounded number of setups in flight. Gives up
+ * after
  * too many unserved attempts. All methods run on the thread of the event loop.
  */
 final class ClientPool {
--- a/src/main/java/sandstack/measure/scale/EndpointListProbe.java
+++ b/src/main/java/sandstack/measure/scale/EndpointListProbe.java
@@ -15,7 +15,8 @@
 import sandstack.discovery.JsonObjectStream;
 
 /**
- * Main class of a probe process that measures how a relay handles an endpoint list, from its bytes to the load balancer,
+ * Main class of a probe process that measures how a relay handles an endpoint list, from its bytes to the load
+ * balancer,
  * without sockets. Arguments: numbers of feed servers.
  */
 final class EndpointListProbe {
--- a/src/main/java/sandstack/measure/scale/LoadBalancerDriver.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerDriver.java
@@ -23,7 +23,8 @@
 import sandstack.settings.BalancerSettingsBuilder;
 
 /**
- * Drives one load balancer as a relay does, with connection requests, established and ended attempts and endpoint lists.
+ * Drives one load balancer as a relay does, with connection requests, established and ended attempts and endpoint
+ * lists.
  * No I/O; simulated time advances only in the methods that state it. Not thread-safe.
  */
 final class LoadBalancerDriver {
--- a/src/main/java/sandstack/measure/scale/LoadBalancerProbe.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerProbe.java
@@ -5,7 +5,8 @@
 import sandstack.measure.scale.LoadBalancerDriver.Connection;
 
 /**
- * Main class of a probe process that measures the load balancer alone. Arguments: the number of servers, then increasing
+ * Main class of a probe process that measures the load balancer alone. Arguments: the number of servers, then
+ * increasing
  * numbers of connections, which are the sizes of the printed points.
  */
 final class LoadBalancerProbe {
--- a/src/main/java/sandstack/measure/scale/ProbeProcess.java
+++ b/src/main/java/sandstack/measure/scale/ProbeProcess.java
@@ -10,7 +10,8 @@
 import sandstack.measure.RunCommand;
 
 /**
- * Runs the main method of a probe class in its own process, with the compiler and collector options of {@code run}, so that
+ * Runs the main method of a probe class in its own process, with the compiler and collector options of {@code run},
+ * so that
  * times and heap sizes are those of a relay.
  */
 final class ProbeProcess {
--- a/src/main/java/sandstack/measure/scale/ProcessUsage.java
+++ b/src/main/java/sandstack/measure/scale/ProcessUsage.java
@@ -31,7 +31,8 @@
     }
 
     /**
-     * Processor time since an earlier usage, in microseconds. Excludes threads that ended in between, such as idle compiler
+     * Processor time since an earlier usage, in microseconds. Excludes threads that ended in between, such as idle
+     * compiler
      * threads.
      */
     double processorMicrosSince(ProcessUsage before) {
--- a/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
@@ -7,7 +7,8 @@
 import sandstack.measure.RelayProcess;
 
 /**
- * Fills the heap of one relay with the options of {@code run} and measures how it behaves at its limit, by heap size. Runs
+ * Fills the heap of one relay with the options of {@code run} and measures how it behaves at its limit, by heap size.
+ * Runs
  * with {@link ScaleMeasurement.Effort#FULL} only.
  */
 public final class RelayHeapLimitScale implements ScaleMeasurement {
--- a/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
+++ b/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
@@ -12,7 +12,8 @@
 import sandstack.testserver.TestServerLoop;
 
 /**
- * One relay process with two stand-in feed servers and a pool of clients, which share one thread of this process. Closing
+ * One relay process with two stand-in feed servers and a pool of clients, which share one thread of this process.
+ * Closing
  * resets all connections, so that no port stays in TIME_WAIT.
  */
 final class RelayUnderLoad implements AutoCloseable {
--- a/src/main/java/sandstack/measure/scale/WatchOutage.java
+++ b/src/main/java/sandstack/measure/scale/WatchOutage.java
@@ -4,7 +4,8 @@
 import sandstack.staleness.EndpointListStaleness;
 
 /**
- * Simulates the calls that reach a discovery during and after an outage: all relays lose their watches at once and retry
+ * Simulates the calls that reach a discovery during and after an outage: all relays lose their watches at once and
+ * retry
  * with the backoff of {@link EndpointListStaleness}. Deterministic for a seed.
  */
 final class WatchOutage {
--- a/src/main/java/sandstack/measure/scale/hollow/FleetLayout.java
+++ b/src/main/java/sandstack/measure/scale/hollow/FleetLayout.java
@@ -9,7 +9,8 @@
 import sandstack.fleet.Incarnation;
 
 /**
- * Identities of the relays of a hollow fleet: round-robin over the zones, of which each half is a region. All names have
+ * Identities of the relays of a hollow fleet: round-robin over the zones, of which each half is a region. All names
+ * have
  * the same length at every size.
  *
  * @param size number of relays in the stated configuration, including those that join later
--- a/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
@@ -17,7 +17,8 @@
 import sandstack.fleet.Membership;
 
 /**
- * Measures memory and processor time of one {@link Membership} in a fleet, with peers that answer every probe. States are
+ * Measures memory and processor time of one {@link Membership} in a fleet, with peers that answer every probe. States
+ * are
  * decoded from JSON, so that none are shared in memory. Not thread-safe.
  */
 final class MembershipCost {
--- a/src/main/java/sandstack/measure/scale/package-info.java
+++ b/src/main/java/sandstack/measure/scale/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Scalability measurements: series of the same quantity at several sizes, and models fitted to them for extrapolation to
+ * Scalability measurements: series of the same quantity at several sizes, and models fitted to them for extrapolation
+ * to
  * the planned size.
  */
 package sandstack.measure.scale;
--- a/src/main/java/sandstack/net/ConnectionAdmission.java
+++ b/src/main/java/sandstack/net/ConnectionAdmission.java
@@ -34,7 +34,8 @@
         void reject();
 
         /**
-         * Its request did not arrive in time. A session that answers should then call {@link #closeAfterLinger}: a close
+         * Its request did not arrive in time. A session that answers should then call {@link #closeAfterLinger}: a
+         * close
          * over unread input resets the connection, and the answer is lost.
          */
         default void onRequestTimeout() {
--- a/src/main/java/sandstack/random/BoundedMap.java
+++ b/src/main/java/sandstack/random/BoundedMap.java
@@ -4,7 +4,8 @@
 import java.util.Map;
 
 /**
- * A map of bounded size: a new key beyond the bound evicts the one that was inserted first. Iterates in insertion order, as
+ * A map of bounded size: a new key beyond the bound evicts the one that was inserted first. Iterates in insertion
+ * order, as
  * its superclass does. Not safe for use by several threads; every call is O(1).
  */
 public final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
--- a/src/main/java/sandstack/service/ConfigurationReloader.java
+++ b/src/main/java/sandstack/service/ConfigurationReloader.java
@@ -10,7 +10,8 @@
 import sandstack.net.EventLoop;
 
 /**
- * Reads the configuration again on SIGHUP, and applies the complete settings and the address of discovery in one turn of
+ * Reads the configuration again on SIGHUP, and applies the complete settings and the address of discovery in one turn
+ * of
  * the event loop. A configuration that cannot be used changes nothing. Safe for use from any thread.
  */
 final class ConfigurationReloader {
--- a/src/main/java/sandstack/service/ServiceLifecycle.java
+++ b/src/main/java/sandstack/service/ServiceLifecycle.java
@@ -4,7 +4,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * How far this process is, and its hook on SIGTERM. The process serves at most once, and never after it has been told to
+ * How far this process is, and its hook on SIGTERM. The process serves at most once, and never after it has been told
+ * to
  * stop. Safe for use from any thread.
  */
 final class ServiceLifecycle {
@@ -20,7 +21,8 @@
     private final AtomicReference<Phase> phase = new AtomicReference<>(Phase.STARTING);
 
     /**
-     * Registers what SIGTERM starts where the process serves by then. To be called before any listener is open: a client
+     * Registers what SIGTERM starts where the process serves by then. To be called before any listener is open: a
+     * client
      * that connected between the two would be reset by SIGTERM. Does not return where the process is ending already.
      */
     void onShutdown(Runnable gracefulShutdown) {
--- a/src/main/java/sandstack/service/SiblingHandover.java
+++ b/src/main/java/sandstack/service/SiblingHandover.java
@@ -18,7 +18,8 @@
 
 /**
  * This process among the processes of the same relay, while one takes over from another: exchanges endpoint lists and
- * divides the descriptors. Joined on the starting thread before the event loop runs; its state is the loop's after that.
+ * divides the descriptors. Joined on the starting thread before the event loop runs; its state is the loop's after
+ * that.
  */
 final class SiblingHandover {
     private static final Logger LOG = Logger.getLogger("sandstack.service");
@@ -102,7 +103,10 @@
         }
     }
 
-    /** What the other processes are notified of, and what follows here from their state. Called on the siblings' thread. */
+    /**
+     * What the other processes are notified of, and what follows here from their state. Called on the siblings'
+     * thread.
+     */
     private final class LocalProcess implements SiblingProcesses.LocalProcess {
         @Override
         public SiblingProcesses.LocalState state(long writtenListVersion) throws InterruptedException {
--- a/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
+++ b/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
@@ -6,8 +6,10 @@
 import sandstack.decisions.Tenant;
 
 /**
- * Builds {@link BalancerSettings}. What is not set has a neutral default: one instance in one zone, no tenants, no costs,
- * nothing optional allowed, servers that start at full capacity. Values are checked by {@link #build} only. Not safe for use
+ * Builds {@link BalancerSettings}. What is not set has a neutral default: one instance in one zone, no tenants, no
+ * costs,
+ * nothing optional allowed, servers that start at full capacity. Values are checked by {@link #build} only. Not safe
+ * for use
  * by several threads.
  */
 public final class BalancerSettingsBuilder {
--- a/src/main/java/sandstack/simulator/EventFields.java
+++ b/src/main/java/sandstack/simulator/EventFields.java
@@ -7,7 +7,8 @@
 import sandstack.decisions.EndpointEntry;
 
 /**
- * The fields of one event as they were read. The accessors check type and presence; their errors name the type of the event
+ * The fields of one event as they were read. The accessors check type and presence; their errors name the type of the
+ * event
  * and the field. One thread.
  */
 final class EventFields {
--- a/src/main/java/sandstack/simulator/EventReader.java
+++ b/src/main/java/sandstack/simulator/EventReader.java
@@ -9,7 +9,8 @@
 import sandstack.decisions.EndpointEntry;
 
 /**
- * Reads the fields of one event, of whatever type: settings, load reports and list entries in their own form, the others as
+ * Reads the fields of one event, of whatever type: settings, load reports and list entries in their own form, the
+ * others as
  * scalars. Unknown objects and arrays are skipped, and so is null. One thread.
  */
 final class EventReader {
--- a/src/main/java/sandstack/simulator/WireInput.java
+++ b/src/main/java/sandstack/simulator/WireInput.java
@@ -7,7 +7,8 @@
 import java.io.IOException;
 
 /**
- * The input from the simulator as JSON tokens, with the position that errors name: the batch, or the one before it while the
+ * The input from the simulator as JSON tokens, with the position that errors name: the batch, or the one before it
+ * while the
  * serial number of the batch has not been read. One thread.
  */
 final class WireInput implements Closeable {
--- a/src/main/java/sandstack/testserver/FakeFeedServer.java
+++ b/src/main/java/sandstack/testserver/FakeFeedServer.java
@@ -15,7 +15,8 @@
 
 /**
  * A fake feed server of the line protocol with scripted behaviour: it sets connections up with the work that its {@link
- * ServerProfile} states, echoes every line, rejects or sheds connections above its limit, drains, dies and restarts cold. Used
+ * ServerProfile} states, echoes every line, rejects or sheds connections above its limit, drains, dies and restarts
+ * cold. Used
  * on the thread of its loop. A line costs O(1), {@link #kill} O(connections).
  */
 public final class FakeFeedServer {
@@ -188,7 +189,10 @@
                 workQueue.busyMicros());
     }
 
-    /** Seconds for which connections were established, by the value of one attribute of the request, such as the class. */
+    /**
+     * Seconds for which connections were established, by the value of one attribute of the request, such as the
+     * class.
+     */
     public Map<String, Double> establishedSeconds(String name) {
         Map<String, Double> seconds = new LinkedHashMap<>();
         closedSessionMicros.forEach(
--- a/src/main/java/sandstack/testserver/WorkQueue.java
+++ b/src/main/java/sandstack/testserver/WorkQueue.java
@@ -4,7 +4,8 @@
 import java.util.Deque;
 
 /**
- * The simulated processor of a {@link FakeFeedServer}: work waits in one queue for the first free core. Cores are slower
+ * The simulated processor of a {@link FakeFeedServer}: work waits in one queue for the first free core. Cores are
+ * slower
  * while the server warms up and while a noisy neighbour takes a part of them. Used on the thread of its loop.
  */
 final class WorkQueue {
--- a/src/test/java/sandstack/decisions/DigestStream.java
+++ b/src/test/java/sandstack/decisions/DigestStream.java
@@ -81,7 +81,7 @@
         }
         if (eventCount % EJECTION_CHECK_INTERVAL == 0) {
             String server = random.nextInt(20) == 0 ? "unknown" : servers.any().id;
-            digest.ejected(server, loadBalancer.isEjected(server));
+            digest.ejected(server, loadBalancer.isClosedToNewRequests(server));
         }
     }
 
--- a/src/test/java/sandstack/decisions/SettingsReloadTest.java
+++ b/src/test/java/sandstack/decisions/SettingsReloadTest.java
@@ -88,13 +88,13 @@
     void ejectionsSurviveAReload() {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings().build(), 6);
         harness.listServers(2, 1);
-        assertThat(harness.loadBalancer.isEjected("s0")).isFalse();
+        assertThat(harness.loadBalancer.isClosedToNewRequests("s0")).isFalse();
         harness.sendRequest("a", "k");
         String serverId = harness.latestAttempts.get("a").serverId();
         harness.send(new AttemptEnded("a", 0, serverId, AttemptOutcome.CONNECT_FAILED, false, 1000, null));
-        assertThat(harness.loadBalancer.isEjected(serverId)).isTrue();
+        assertThat(harness.loadBalancer.isClosedToNewRequests(serverId)).isTrue();
         harness.send(new SettingsChanged(withClass(harness.settings, NON_IDEMPOTENT)));
-        assertThat(harness.loadBalancer.isEjected(serverId)).isTrue();
+        assertThat(harness.loadBalancer.isClosedToNewRequests(serverId)).isTrue();
         harness.finish();
     }
 
