--- a/src/main/java/sandstack/console/Console.java
+++ b/src/main/java/sandstack/console/Console.java
@@ -24,6 +24,7 @@
     }
 
     /** Reads and answers until the input ends or the user quits. */
+    @SuppressWarnings("SystemConsoleNull") // on Java 17 it is null without a terminal; isTerminal came with 22
     public void run() throws IOException {
         if (System.console() == null) {
             runPlain(System.in, System.out);
--- a/src/main/java/sandstack/decisions/OutlierDetector.java
+++ b/src/main/java/sandstack/decisions/OutlierDetector.java
@@ -109,8 +109,8 @@
     }
 
     /**
-     * The server's process was restarted: earlier failures say nothing about the new one. The source of the last error is
-     * kept, so that an error of another group counts from the first one on.
+     * The server's process was restarted: earlier failures say nothing about the new one. The source of the last error
+     * is kept, so that an error of another group counts from the first one on.
      */
     void onRestart() {
         consecutiveFailures = 0;
--- a/src/main/java/sandstack/faultinjection/InvariantChecker.java
+++ b/src/main/java/sandstack/faultinjection/InvariantChecker.java
@@ -86,7 +86,7 @@
         QuorumState state = quorum.state();
         int reachable = quorum.reachable();
         boolean majority = state == QuorumState.MAJORITY || state == QuorumState.COMPLETE;
-        if (majority && (2 * reachable <= members || state == QuorumState.COMPLETE && reachable < members)) {
+        if (majority && (2 * reachable <= members || (state == QuorumState.COMPLETE && reachable < members))) {
             violated(
                     Invariant.MAJORITY_IS_MORE_THAN_HALF,
                     quorum.member() + " is " + state + " with " + reachable + " of " + members);
--- a/src/main/java/sandstack/faultinjection/MemberLink.java
+++ b/src/main/java/sandstack/faultinjection/MemberLink.java
@@ -166,7 +166,7 @@
                 byte[] bytes = buffered.remove();
                 scheduleDelivery(bytes.length, () -> deliver(bytes));
             }
-            if (pendingClose != null && (other == null || !blocked() && buffered.isEmpty())) {
+            if (pendingClose != null && (other == null || (!blocked() && buffered.isEmpty()))) {
                 discard();
                 if (other != null) {
                     scheduleDelivery(0, pendingClose);
--- a/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
+++ b/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
@@ -105,9 +105,9 @@
         int reachableMachines = 0;
         for (HollowControlMachine other : fleet.machines()) {
             boolean reachable = other == machine
-                    || isUp(other)
+                    || (isUp(other)
                             && fleet.network().canReach(machine, other)
-                            && fleet.network().canReach(other, machine);
+                            && fleet.network().canReach(other, machine));
             reachableMachines += reachable ? 1 : 0;
         }
         return 2 * reachableMachines > fleet.machines().size();
--- a/src/main/java/sandstack/testserver/FakeFeedServer.java
+++ b/src/main/java/sandstack/testserver/FakeFeedServer.java
@@ -206,7 +206,7 @@
     }
 
     private static String value(String attributes, String name) {
-        for (String pair : attributes.split(",")) {
+        for (String pair : attributes.split(",", 0)) {
             if (pair.startsWith(name + "=")) {
                 return pair.substring(name.length() + 1);
             }
--- a/src/main/java/sandstack/testserver/FeedSession.java
+++ b/src/main/java/sandstack/testserver/FeedSession.java
@@ -69,7 +69,7 @@
     }
 
     private void requestReceived(String line) {
-        String[] fields = line.split(" ");
+        String[] fields = line.split(" ", 0);
         if (fields.length != REQUEST_FIELDS || !fields[0].equals("OPEN")) {
             server.invalidRequestReceived();
             closeWith("SYNTAX\r\n");
--- a/src/test/java/sandstack/EarlySignalTest.java
+++ b/src/test/java/sandstack/EarlySignalTest.java
@@ -122,8 +122,8 @@
     private static boolean answered(List<? extends String> heard) {
         String first = heard.isEmpty() ? "" : heard.get(0);
         // ERR where its deadline passed: that may happen on an overloaded machine
-        return heard.size() == 1 && (first.startsWith("BUSY") || first.equals("ERR"))
-                || heard.size() == 2 && first.startsWith("UP ") && heard.get(1).equals("MOVE");
+        return (heard.size() == 1 && (first.startsWith("BUSY") || first.equals("ERR")))
+                || (heard.size() == 2 && first.startsWith("UP ") && heard.get(1).equals("MOVE"));
     }
 
     /** A client that connected before the rest of the start was done was reset without MOVE. */
--- a/src/test/java/sandstack/ReloadTest.java
+++ b/src/test/java/sandstack/ReloadTest.java
@@ -102,7 +102,7 @@
     }
 
     private String call(String call) throws Exception {
-        try (Socket socket = new Socket("127.0.0.1", operatorPort)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), operatorPort)) {
             socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
@@ -121,7 +121,7 @@
 
     /** The answer to a request of this class: its feed servers cannot be reached, so a known class is rejected. */
     private String open(String requestClass) throws Exception {
-        try (Socket socket = new Socket("127.0.0.1", clientPort)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), clientPort)) {
             socket.getOutputStream()
                     .write(("OPEN i" + ++requestCount + " k c=" + requestClass + ",d=300\r\n")
                             .getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/sandstack/UpgradeTest.java
+++ b/src/test/java/sandstack/UpgradeTest.java
@@ -107,7 +107,7 @@
     }
 
     private static String call(int operatorPort, String call) {
-        try (Socket socket = new Socket("127.0.0.1", operatorPort)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), operatorPort)) {
             socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
--- a/src/test/java/sandstack/front/platform/ConcurrentEventsTest.java
+++ b/src/test/java/sandstack/front/platform/ConcurrentEventsTest.java
@@ -52,9 +52,10 @@
 
     /** Asserts that no request was forwarded in between: the next one to reach a feed server is a new one with this key. */
     private void assertNextRequest(String key) throws Exception {
-        try (RemoteEnd client = clientWithRequest(key, "safe");
-                RemoteEnd ask = pausableRelay.nextUpstreamRequest()) {
-            assertThat(ask.key).isEqualTo(key);
+        RemoteEnd client = clientWithRequest(key, "safe");
+        try (client;
+                RemoteEnd upstreamRequest = pausableRelay.nextUpstreamRequest()) {
+            assertThat(upstreamRequest.key).isEqualTo(key);
         }
     }
 
--- a/src/test/java/sandstack/front/platform/MetricsTest.java
+++ b/src/test/java/sandstack/front/platform/MetricsTest.java
@@ -98,11 +98,11 @@
         List<Socket> idleConnections = new ArrayList<>();
         long longestNanos = 0;
         for (int i = 0; i < 1500; i++) {
-            idleConnections.add(new Socket("127.0.0.1", port));
+            idleConnections.add(new Socket(InetAddress.getLoopbackAddress(), port));
             if (i % 30 == 0) {
-                idleConnections.add(new Socket("127.0.0.1", operatorPort));
+                idleConnections.add(new Socket(InetAddress.getLoopbackAddress(), operatorPort));
                 long began = System.nanoTime();
-                try (Socket caller = new Socket("127.0.0.1", operatorPort)) {
+                try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), operatorPort)) {
                     caller.getOutputStream().write("INFO\r\n".getBytes(StandardCharsets.UTF_8));
                     assertThat(new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
                             .startsWith("ACK\r\n")
--- a/src/test/java/sandstack/testserver/TestServersTest.java
+++ b/src/test/java/sandstack/testserver/TestServersTest.java
@@ -5,6 +5,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -137,7 +138,7 @@
     }
 
     private BufferedReader open(int port, String request) throws IOException {
-        Socket socket = new Socket("127.0.0.1", port);
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         sockets.add(socket);
         socket.setSoTimeout(20_000);
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
