--- a/src/main/java/sandstack/Main.java
+++ b/src/main/java/sandstack/Main.java
@@ -10,8 +10,7 @@
 
 /**
  * Entry point. {@code serve} and {@code rehearse}, alone or with {@code --capacity FILE} as the platform starts them,
- * go
- * straight to the relay: the command line's library would cost start-up time and memory. Everything else goes to
+ * go straight to the relay: the command line's library would cost start-up time and memory. Everything else goes to
  * {@link SandstackCommand}.
  */
 public final class Main {
--- a/src/main/java/sandstack/capacity/AdaptiveLimit.java
+++ b/src/main/java/sandstack/capacity/AdaptiveLimit.java
@@ -3,20 +3,15 @@
 /**
  * The most that one server takes of one quantity (connections or load), learned from success and failure. The limit is
  * infinite until the first failure, which sets it to what was in use at that moment. From then on it is raised by
- * trials:
- * one connection past the limit, at a moment drawn uniformly from an interval of 2^n slots.
+ * trials: one connection past the limit, at a moment drawn uniformly from an interval of 2^n slots.
  *
  * <ul>
- * <li>A trial that succeeds resets n to its minimum and raises the limit towards the plateau, the value it had before
- * the
- *     failure: by a quarter of the gap, or by a step that doubles with each success, whichever is more, but by no
- *     more
- *     than a quarter of the limit. Past the plateau the steps begin at one again, as the window of CUBIC does (RFC
- *     9438,
- *       4.1).
- * <li>A trial that fails increments n, and the next interval starts where the current one ends, as in a backoff
- * between
- *       retries.
+ *   <li>A trial that succeeds resets n to its minimum and raises the limit towards the plateau, the value it had before
+ *       the failure: by a quarter of the gap, or by a step that doubles with each success, whichever is more, but by no
+ *       more than a quarter of the limit. Past the plateau the steps begin at one again, as the window of CUBIC does
+ *       (RFC 9438, 4.1).
+ *   <li>A trial that fails increments n, and the next interval starts where the current one ends, as in a backoff
+ *       between retries.
  * </ul>
  *
  * <p>Owned by one {@link CapacityEstimate}; used by one thread; every call is O(1) and allocates nothing.
--- a/src/main/java/sandstack/capacity/CandidateSummary.java
+++ b/src/main/java/sandstack/capacity/CandidateSummary.java
@@ -2,14 +2,11 @@
 
 /**
  * The servers that one selection looked at, summed up: how much is free, and why a request is rejected where none of
- * them
- * can take it.
+ * them can take it.
  *
  * <p>Classes of lower priority leave a part of the capacity free for those above them, which is trunk reservation (P.
- * Key,
- * 1990): where all servers are limited and nearly full it keeps nearly all of the capacity in use, and it has no
- * state that
- * could oscillate.
+ * Key, 1990): where all servers are limited and nearly full it keeps nearly all of the capacity in use, and it has no
+ * state that could oscillate.
  *
  * <p>Reused for each selection by {@link #reset}; used by one thread; every call is O(1).
  */
--- a/src/main/java/sandstack/capacity/CapacityEstimate.java
+++ b/src/main/java/sandstack/capacity/CapacityEstimate.java
@@ -1,11 +1,9 @@
 package sandstack.capacity;
 
 /**
- * What one server has in use from this relay and how much it can hold, by the evidence that this relay has.
- * Connections and
- * load have a limit each: a server holds only so many connections and does only so much work. Other relays fill the
- * same
- * server unseen, so a limit is what this relay may have there and not the size of the server.
+ * What one server has in use from this relay and how much it can hold, by the evidence that this relay has. Connections
+ * and load have a limit each: a server holds only so many connections and does only so much work. Other relays fill the
+ * same server unseen, so a limit is what this relay may have there and not the size of the server.
  *
  * <p>Loads are microseconds of work a second on a standard core; ratings are the sizes in the endpoint list.
  *
@@ -110,9 +108,8 @@
     }
 
     /**
-     * How many average connections fill this server once it has warmed up: what is stated or, where no loads are
-     * known, no
-     * less than other servers hold now.
+     * How many average connections fill this server once it has warmed up: what is stated or, where no loads are known,
+     * no less than other servers hold now.
      */
     public double capacityInConnections() {
         double statedPerRating =
@@ -125,9 +122,8 @@
 
     /**
      * The fraction in use of the limits found here or, where there are none, of what servers of this machine kind
-     * usually
-     * hold; at most 1. It is 0 where nothing is known and where {@link #utilization} of a stated upper bound counts
-     * instead.
+     * usually hold; at most 1. It is 0 where nothing is known and where {@link #utilization} of a stated upper bound
+     * counts instead.
      */
     public double occupancy() {
         if (stated.upperBound()) {
--- a/src/main/java/sandstack/capacity/CapacityModel.java
+++ b/src/main/java/sandstack/capacity/CapacityModel.java
@@ -4,14 +4,12 @@
  * What the estimates of one relay have in common: the capacities that the operator stated, the mean load of the relay's
  * connections, and what servers of one machine kind usually hold.
  *
- * <p>Loads are microseconds of work a second on a standard core. Owned by one load balancer; used by one thread;
- * every call
- * is O(1).
+ * <p>Loads are microseconds of work a second on a standard core. Owned by one load balancer; used by one thread; every
+ * call is O(1).
  */
 public final class CapacityModel {
     /**
-     * The mean starts as that of so many connections of the stated load: a few reports are not enough to replace
-     * it.
+     * The mean starts as that of so many connections of the stated load: a few reports are not enough to replace it.
      */
     private static final int ASSUMED_CONNECTIONS = 8;
     /** The mean covers at most so many connections, with more weight on the latest. */
@@ -101,9 +99,8 @@
     }
 
     /**
-     * A lower bound for the connections of all relays that a unit of rating can hold: as many as all servers hold
-     * now, or as
-     * the one that held most did. Both are scaled up from the connections of this relay.
+     * A lower bound for the connections of all relays that a unit of rating can hold: as many as all servers hold now,
+     * or as the one that held most did. Both are scaled up from the connections of this relay.
      */
     double observedConnectionsPerRating() {
         return relayCount * Math.max((connectionCount + 1) / readyRating, maxConnectionsPerRating);
@@ -140,8 +137,7 @@
 
     /**
      * Whether the mean load rests on more than a default: a connection came with its load or reported it, or the
-     * operator
-     * stated one. A default alone closes no server.
+     * operator stated one. A default alone closes no server.
      */
     public boolean loadsKnown() {
         return knownLoadCount > 0 || statedCapacities.others().defaultConnectionLoad() > 0;
--- a/src/main/java/sandstack/capacity/ClassLoads.java
+++ b/src/main/java/sandstack/capacity/ClassLoads.java
@@ -5,8 +5,7 @@
 
 /**
  * The mean load of each request class as its connections report it, and the fraction of each class that is shed while
- * the
- * servers are overloaded.
+ * the servers are overloaded.
  *
  * <p>Loads are microseconds of work a second. Owned by the load balancer; used by one thread; every call is O(1) but
  * {@link #shed}, which is O(classes squared).
@@ -49,8 +48,7 @@
 
     /**
      * Decides which fraction of each class is shed so that this fraction of the load in use goes, lowest priority for
-     * its load
-     * first.
+     * its load first.
      *
      * @param priorityWeight of a class, by its index
      * @param weightPerUnitOfWork whether the weights count per unit of work already, rather than per request
--- a/src/main/java/sandstack/capacity/ConnectionLimiter.java
+++ b/src/main/java/sandstack/capacity/ConnectionLimiter.java
@@ -4,9 +4,8 @@
 import java.util.Map;
 
 /**
- * Counts the requests of one relay from arrival to end, in all and by group, and holds the counts against the limits
- * of the
- * installation. Groups are counted only where they are limited. Used by one thread; every call is O(1).
+ * Counts the requests of one relay from arrival to end, in all and by group, and holds the counts against the limits of
+ * the installation. Groups are counted only where they are limited. Used by one thread; every call is O(1).
  */
 public final class ConnectionLimiter {
     private final InstallationLimits limits;
--- a/src/main/java/sandstack/capacity/HeadroomWeight.java
+++ b/src/main/java/sandstack/capacity/HeadroomWeight.java
@@ -1,13 +1,11 @@
 package sandstack.capacity;
 
 /**
- * The factor by which a server's selection weight falls as the server fills up, from 1 for an idle server to 0 for
- * one that
- * is closed. Stateless; every method is O(1).
+ * The factor by which a server's selection weight falls as the server fills up, from 1 for an idle server to 0 for one
+ * that is closed. Stateless; every method is O(1).
  *
- * <p>Utilization is the fraction in use of a stated upper bound; see {@link CapacityEstimate#utilization}. Occupancy
- * is the
- * fraction in use of a limit that was learned; see {@link CapacityEstimate#occupancy}.
+ * <p>Utilization is the fraction in use of a stated upper bound; see {@link CapacityEstimate#utilization}. Occupancy is
+ * the fraction in use of a limit that was learned; see {@link CapacityEstimate#occupancy}.
  */
 public final class HeadroomWeight {
     /** From this utilization on a server has the least weight. */
--- a/src/main/java/sandstack/capacity/OverloadCount.java
+++ b/src/main/java/sandstack/capacity/OverloadCount.java
@@ -2,8 +2,8 @@
 
 /**
  * Counts the servers of the home zone, or of all other zones, that one relay sees as overloaded in one evaluation. A
- * server
- * is observed if this relay has connections there or knows it to be overloaded. Used by one thread; every call is O(1).
+ * server is observed if this relay has connections there or knows it to be overloaded. Used by one thread; every call
+ * is O(1).
  */
 public final class OverloadCount {
     /** More than this fraction of the observed servers makes the fleet overloaded. */
@@ -11,8 +11,7 @@
     /** Weight of one more evaluation in the moving average. */
     private static final int SMOOTHING_DIVISOR = 2;
     /**
-     * Decay of the moving average where too few servers are observed: slower, since that is no evidence of
-     * recovery.
+     * Decay of the moving average where too few servers are observed: slower, since that is no evidence of recovery.
      */
     private static final int DECAY_DIVISOR = 4;
 
@@ -58,9 +57,8 @@
 
     /**
      * Whether so many of the observed servers are overloaded that neither placing nor migrating connections can help.
-     * Servers
-     * that are full from here alone do not count while other zones have headroom: what a small zone cannot take goes
-     * there.
+     * Servers that are full from here alone do not count while other zones have headroom: what a small zone cannot take
+     * goes there.
      */
     public static boolean isFleetOverloaded(OverloadCount home, OverloadCount away) {
         int observed = home.observedCount;
--- a/src/main/java/sandstack/capacity/SheddingPlan.java
+++ b/src/main/java/sandstack/capacity/SheddingPlan.java
@@ -13,8 +13,7 @@
 
     /**
      * The fraction that each class sheds so that a fraction of the whole load goes. Classes of the least density shed
-     * first;
-     * only one of them sheds a part of its load. O(classes squared).
+     * first; only one of them sheds a part of its load. O(classes squared).
      *
      * @param shedFraction of the whole load, from 0 to 1
      * @param heldLoads load of each class; where all are 0 every class sheds the same fraction
@@ -63,9 +62,8 @@
     /**
      * The fraction of each tenant's connections that is beyond its quota, judged from the connections of one relay. Two
      * corrections keep tenants within their quota from being taken for excess: a count has to exceed its share by two
-     * standard deviations, and the share is no less than the tenant's part of all connections here, since a relay
-     * holds more
-     * than its part while others are down. O(tenants).
+     * standard deviations, and the share is no less than the tenant's part of all connections here, since a relay holds
+     * more than its part while others are down. O(tenants).
      *
      * @param connectionCounts of each tenant on this relay
      * @param quotas connections of each tenant over all relays; 0 where none is stated
--- a/src/main/java/sandstack/capacity/SlowStartBudget.java
+++ b/src/main/java/sandstack/capacity/SlowStartBudget.java
@@ -4,20 +4,16 @@
 
 /**
  * What one relay may send to a server in slow start, or to one that has just been overloaded. Permits come at random,
- * at
- * this relay's share of the rate that the whole fleet is allowed; each is valid for one window and then expires.
- * Permits of
- * many relays would otherwise accumulate while there is no demand and be spent together in the first burst. Expiry
- * keeps
- * what the fleet can spend at once to what it may spend in one window, without communication between the relays.
+ * at this relay's share of the rate that the whole fleet is allowed; each is valid for one window and then expires.
+ * Permits of many relays would otherwise accumulate while there is no demand and be spent together in the first burst.
+ * Expiry keeps what the fleet can spend at once to what it may spend in one window, without communication between the
+ * relays.
  *
- * <p>The method is our own: a Poisson process, thinned by the number of relays, that is sampled when there is
- * something to
- * send.
+ * <p>The method is our own: a Poisson process, thinned by the number of relays, that is sampled when there is something
+ * to send.
  *
- * <p>Owned by the load balancer's state of that server; used by one thread; every call is O(1). The number and order
- * of the
- * draws that a call makes are part of its contract, since a run is reproduced from its seed.
+ * <p>Owned by the load balancer's state of that server; used by one thread; every call is O(1). The number and order of
+ * the draws that a call makes are part of its contract, since a run is reproduced from its seed.
  */
 public final class SlowStartBudget {
     /** Weight of a cold server with a permit against warm ones: the permit expires, and their headroom does not. */
@@ -39,8 +35,7 @@
 
     /**
      * The rule of the settings by which a server in slow start is overloaded: in one window it gets more than a
-     * multiple of
-     * what it can do then.
+     * multiple of what it can do then.
      *
      * @param overloadMultiple of the present capacity
      * @param windowMicros length of the window
@@ -69,8 +64,7 @@
         /**
          * The permits that all relays together get in a window. What remains of the allowed requests after those of new
          * clients also has to bear a burst after a quiet time: the unspent permits, at most one at each relay of a
-         * zone, and
-         * on top of them those of one window.
+         * zone, and on top of them those of one window.
          *
          * @param allowedRequests in a window
          * @param newClientRequests how many of the allowed requests are those of new clients
@@ -83,10 +77,8 @@
 
         /**
          * The mean number of requests in a window that stays below the overload. Relays draw independently of each
-         * other, but
-         * each counts its own sends, so their sum varies by sqrt(mean (relays - 1) / relays). The result is the mean
-         * m that
-         * solves m + 3 deviations = overload, and at most one root more than what is allowed.
+         * other, but each counts its own sends, so their sum varies by sqrt(mean (relays - 1) / relays). The result is
+         * the mean m that solves m + 3 deviations = overload, and at most one root more than what is allowed.
          */
         private double safeRequests(double allowedRequests) {
             double spread = SAFETY_DEVIATIONS * Math.sqrt((relayCount - 1.0) / relayCount);
@@ -150,11 +142,9 @@
     }
 
     /**
-     * Whether the request of a new client may be sent now. New clients come to the relays independently, not in
-     * bursts: the
-     * probability grows with the time since the last one asked, so that all relays together send what their rates add
-     * up to,
-     * however seldom each is asked.
+     * Whether the request of a new client may be sent now. New clients come to the relays independently, not in bursts:
+     * the probability grows with the time since the last one asked, so that all relays together send what their rates
+     * add up to, however seldom each is asked.
      */
     private boolean admitsNewClient(double requestsPerMicro, long nowMicros, double uniformDraw) {
         double probability = 1 - Math.exp(-requestsPerMicro * (nowMicros - newClientCheckedAtMicros));
--- a/src/main/java/sandstack/capacity/StatedCapacity.java
+++ b/src/main/java/sandstack/capacity/StatedCapacity.java
@@ -6,8 +6,7 @@
  * @param workPerRating work a second that a unit of rating does, in microseconds on a standard core
  * @param connectionsPerRating established connections that a unit of rating holds, over all relays
  * @param upperBound whether evidence may only lower what {@code workPerRating} gives, for effects that no relay can
- *     see,
- *     such as messages that are delayed behind the server
+ *     see, such as messages that are delayed behind the server
  * @param defaultConnectionLoad work a second of a connection that has not reported its load, in microseconds
  * @param groupOverheadConnections load that a group adds to its server, in average connections
  */
@@ -22,12 +21,9 @@
 
     /**
      * For servers whose ratings are sizes in cores. A load is work a second on a standard core, so a unit of rating
-     * does a
-     * second of work a second; the servers answer lines at once however delayed their messages are, so evidence may
-     * only lower
-     * that. The last two are defaults for what nothing reports: a sixteenth of a core for a connection, and three
-     * connections
-     * for a group.
+     * does a second of work a second; the servers answer lines at once however delayed their messages are, so evidence
+     * may only lower that. The last two are defaults for what nothing reports: a sixteenth of a core for a connection,
+     * and three connections for a group.
      */
     public static final StatedCapacity SIZE_BASED = new StatedCapacity(1_000_000, 0, true, 62_500, 3);
 
--- a/src/main/java/sandstack/capacity/TenantQuotas.java
+++ b/src/main/java/sandstack/capacity/TenantQuotas.java
@@ -4,8 +4,7 @@
 
 /**
  * The fraction of each tenant's connections that is beyond its quota, as a moving average over evaluations. Owned by
- * the load
- * balancer; used by one thread; {@link #setQuotas} and {@link #update} are O(tenants), the rest is O(1).
+ * the load balancer; used by one thread; {@link #setQuotas} and {@link #update} are O(tenants), the rest is O(1).
  */
 public final class TenantQuotas {
     /** Weight of one more evaluation in the moving average, as a divisor. */
--- a/src/main/java/sandstack/cli/FleetClassPath.java
+++ b/src/main/java/sandstack/cli/FleetClassPath.java
@@ -14,9 +14,8 @@
 
 /**
  * The class path of a fleet member: the program's own and the jars in {@code lib-fleet} beside it. Those are on no
- * other
- * command's path, as a relay that is no member would hold a descriptor for each of them. The command is run by classes
- * that a new class loader loads over the complete path.
+ * other command's path, as a relay that is no member would hold a descriptor for each of them. The command is run by
+ * classes that a new class loader loads over the complete path.
  */
 final class FleetClassPath {
     private static final String FLEET_OPTION = "--fleet";
--- a/src/main/java/sandstack/config/DeployFiles.java
+++ b/src/main/java/sandstack/config/DeployFiles.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * The relay's own files under {@code deploy/}, each of which switches one part on or off; without its file, a part
- * is off.
+ * The relay's own files under {@code deploy/}, each of which switches one part on or off; without its file, a part is
+ * off.
  */
 public final class DeployFiles {
     private final Path folder;
--- a/src/main/java/sandstack/config/PlatformConfig.java
+++ b/src/main/java/sandstack/config/PlatformConfig.java
@@ -99,8 +99,7 @@
     /**
      * Reads the configuration again after its file was replaced. The file now overrides the variable for discovery, as
      * the variable still has the address of the start. A file that lacks a key of this configuration is rejected: it
-     * may
-     * be truncated or incomplete.
+     * may be truncated or incomplete.
      */
     public PlatformConfig reload(Map<String, String> env) throws InvalidConfigurationException {
         Map<String, String> fileFirst = new HashMap<>(env);
--- a/src/main/java/sandstack/configuration/ActiveConfiguration.java
+++ b/src/main/java/sandstack/configuration/ActiveConfiguration.java
@@ -6,8 +6,7 @@
 /**
  * The configuration that is active at a relay. It is replaced only by a validated change that directly follows it, or
  * by a validated later snapshot of the same history. Each is stored before it is activated; where the store fails, it
- * is
- * activated all the same, and after a restart the relay begins with the version stored last. Not thread-safe.
+ * is activated all the same, and after a restart the relay begins with the version stored last. Not thread-safe.
  */
 final class ActiveConfiguration {
     /** What became of a change or a snapshot. */
--- a/src/main/java/sandstack/configuration/ConfigurationFollower.java
+++ b/src/main/java/sandstack/configuration/ConfigurationFollower.java
@@ -23,9 +23,8 @@
  * one, and pause for any time; links lose, delay, reorder and duplicate messages, and are cut one way or both. Members
  * do not lie. <b>Guaranteed:</b> every state that is activated was committed, and within one incarnation, or over a
  * restart with a disk that has stored all of them, a later version is never replaced by an earlier one; the active
- * state stays while no machine
- * is reached. <b>Not guaranteed:</b> that all relays hold one version at one moment, or that a relay whose disk is
- * older or wiped begins where it was.
+ * state stays while no machine is reached. <b>Not guaranteed:</b> that all relays hold one version at one moment, or
+ * that a relay whose disk is older or wiped begins where it was.
  *
  * <p>Not thread-safe; called on one thread that no client waits for. Moments are microseconds of a monotonic clock. A
  * message costs O(1) beside the states that it carries, a tick O(1).
--- a/src/main/java/sandstack/configuration/ConfigurationPublisher.java
+++ b/src/main/java/sandstack/configuration/ConfigurationPublisher.java
@@ -118,8 +118,7 @@
     }
 
     /**
-     * Sends the heartbeats that are due and closes the sessions of silent relays; to be called a few times a
-     * heartbeat.
+     * Sends the heartbeats that are due and closes the sessions of silent relays; to be called a few times a heartbeat.
      */
     public void tick(long nowMicros) {
         List<String> silentPeers = new ArrayList<>();
--- a/src/main/java/sandstack/configuration/ConfigurationSnapshot.java
+++ b/src/main/java/sandstack/configuration/ConfigurationSnapshot.java
@@ -64,7 +64,7 @@
      *
      * @param next the version of the change
      * @throws IllegalArgumentException where the change is based on another version, or the next version does not
-     * follow
+     *     follow
      */
     public ConfigurationSnapshot apply(ConfigurationVersion next, ConfigurationChange change) {
         if (!change.baseVersion().equals(version) || !next.follows(version)) {
--- a/src/main/java/sandstack/configuration/RelaySession.java
+++ b/src/main/java/sandstack/configuration/RelaySession.java
@@ -6,8 +6,7 @@
 
 /**
  * What a publisher knows of one relay that it serves: a cursor into the shared history, the relay's last report, and
- * the
- * moments at which it was heard and served. Nothing is queued here. One thread; moments are microseconds of the
+ * the moments at which it was heard and served. Nothing is queued here. One thread; moments are microseconds of the
  * publisher's clock.
  */
 final class RelaySession {
--- a/src/main/java/sandstack/configuration/SnapshotFetcher.java
+++ b/src/main/java/sandstack/configuration/SnapshotFetcher.java
@@ -5,9 +5,8 @@
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 
 /**
- * Fetches one snapshot at a time, chunk by chunk, and activates it when it is complete. A snapshot that is too large
- * or of
- * an unknown format is rejected at its first chunk, before memory is spent on it. One thread.
+ * Fetches one snapshot at a time, chunk by chunk, and activates it when it is complete. A snapshot that is too large or
+ * of an unknown format is rejected at its first chunk, before memory is spent on it. One thread.
  */
 final class SnapshotFetcher {
     /** What became of a chunk. */
--- a/src/main/java/sandstack/configuration/consensus/RestartableRaftNode.java
+++ b/src/main/java/sandstack/configuration/consensus/RestartableRaftNode.java
@@ -12,9 +12,9 @@
 import sandstack.concurrent.Futures;
 
 /**
- * The library's Raft node, which is rebuilt from its store where {@link SnapshotStallDetector} or {@link
- * SnapshotConsistencyCheck} finds that it cannot go on by itself. {@link #current} may be read on any thread; messages
- * are handled on the executor's.
+ * The library's Raft node, which is rebuilt from its store where {@link SnapshotStallDetector} or
+ * {@link SnapshotConsistencyCheck} finds that it cannot go on by itself. {@link #current} may be read on any thread;
+ * messages are handled on the executor's.
  */
 final class RestartableRaftNode {
     private final ControlNodeSettings settings;
--- a/src/main/java/sandstack/core/BalancerDriver.java
+++ b/src/main/java/sandstack/core/BalancerDriver.java
@@ -8,8 +8,7 @@
 
 /**
  * Gathers the events of a turn, hands them to the load balancer and dispatches its actions. Owns the event queue and
- * the
- * load balancer; used on the event loop's thread only.
+ * the load balancer; used on the event loop's thread only.
  */
 final class BalancerDriver {
     private final LoadBalancer loadBalancer;
--- a/src/main/java/sandstack/core/ClientRequest.java
+++ b/src/main/java/sandstack/core/ClientRequest.java
@@ -10,8 +10,8 @@
  * @param timeoutMicros how long the client waits for its connection to be established
  * @param expectedLoad an estimate of the connection's load; 0 where there is none
  * @param reconnecting the client reconnects after a reset or a migration
- * @param adoptedFrom the feed server at which this connection was established before the relay started;
- *     null for a new connection
+ * @param adoptedFrom the feed server at which this connection was established before the relay started; null for a new
+ *     connection
  */
 public record ClientRequest(
         String clientKey,
--- a/src/main/java/sandstack/core/ClientSession.java
+++ b/src/main/java/sandstack/core/ClientSession.java
@@ -24,8 +24,7 @@
 
     /**
      * Reads what the client's side has sent or done by now, where the front can do so at once. A client that has left
-     * is
-     * reported as such before this returns: nothing is started for one that has gone.
+     * is reported as such before this returns: nothing is started for one that has gone.
      */
     protected void checkConnected() {}
 
--- a/src/main/java/sandstack/core/ConnectionOutcome.java
+++ b/src/main/java/sandstack/core/ConnectionOutcome.java
@@ -3,8 +3,7 @@
 import sandstack.decisions.AttemptOutcome;
 
 /**
- * Every way in which an attempt or an established connection can end, and the outcome that the load balancer
- * counts.
+ * Every way in which an attempt or an established connection can end, and the outcome that the load balancer counts.
  */
 public enum ConnectionOutcome {
     /** The feed server closed the connection in order. */
--- a/src/main/java/sandstack/core/DeadlineScheduler.java
+++ b/src/main/java/sandstack/core/DeadlineScheduler.java
@@ -3,8 +3,7 @@
 import java.util.TreeSet;
 
 /**
- * Every deadline of the relay in one sorted set, run in each turn of the event loop. Used on that loop's thread
- * only.
+ * Every deadline of the relay in one sorted set, run in each turn of the event loop. Used on that loop's thread only.
  */
 public final class DeadlineScheduler {
     private final TreeSet<Deadline> sorted = new TreeSet<>();
--- a/src/main/java/sandstack/core/EffectiveSettings.java
+++ b/src/main/java/sandstack/core/EffectiveSettings.java
@@ -10,8 +10,7 @@
 
 /**
  * The settings that apply to the requests that come now, and the names of their classes. Immutable; a reload replaces
- * the
- * complete value. A class keeps its position for the life of the process, as state is kept by position: one that is
+ * the complete value. A class keeps its position for the life of the process, as state is kept by position: one that is
  * removed keeps its last settings there, for the requests in flight, and is not offered.
  *
  * @param settings of all classes, removed ones included
--- a/src/main/java/sandstack/core/EndpointRegistry.java
+++ b/src/main/java/sandstack/core/EndpointRegistry.java
@@ -8,8 +8,10 @@
 import sandstack.decisions.EndpointListKind;
 import sandstack.decisions.EndpointState;
 
-/** The feed servers as discovery last listed them to this relay, with their addresses. Used on the event loop's thread
- * only. */
+/**
+ * The feed servers as discovery last listed them to this relay, with their addresses. Used on the event loop's thread
+ * only.
+ */
 public final class EndpointRegistry {
     /** One feed server: its entry for the load balancer, and the address at which it accepts this relay. */
     public record Endpoint(EndpointEntry entry, String host, int port) {
--- a/src/main/java/sandstack/core/GracefulShutdown.java
+++ b/src/main/java/sandstack/core/GracefulShutdown.java
@@ -17,8 +17,8 @@
     private static final long MAX_DRAIN_MICROS = 3_000_000;
     /**
      * Migrations are drawn over this span, so that clients do not reconnect all at once. It ends as late as the
-     * platform
-     * allows: where relays are restarted one after another, clients that leave early reach one that is next, or none.
+     * platform allows: where relays are restarted one after another, clients that leave early reach one that is next,
+     * or none.
      */
     private static final long MIGRATION_SPAN_MICROS = 1_200_000;
     /** Requests that are still in flight are answered so long after the last migration. */
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -208,8 +208,8 @@
      * Migrates all clients and answers all requests; then calls back, once. Requests that come after that are rejected
      * at once.
      *
-     * @param unheardPeers how many peers have been accepted whose request has not come yet: they are waited for, as
-     *     no other process can read what they send
+     * @param unheardPeers how many peers have been accepted whose request has not come yet: they are waited for, as no
+     *     other process can read what they send
      */
     public void drain(IntSupplier unheardPeers, Runnable whenDrained) {
         shutdown.begin(unheardPeers, whenDrained);
--- a/src/main/java/sandstack/core/RequestRegistry.java
+++ b/src/main/java/sandstack/core/RequestRegistry.java
@@ -100,8 +100,7 @@
     }
 
     /**
-     * Answers a request as failed without a decision of the load balancer, which is notified that its client has
-     * left.
+     * Answers a request as failed without a decision of the load balancer, which is notified that its client has left.
      */
     void failWithoutBalancer(ClientSession client) {
         balancer.enqueue(new ClientDisconnected(client.id()));
--- a/src/main/java/sandstack/core/TenantRegistry.java
+++ b/src/main/java/sandstack/core/TenantRegistry.java
@@ -21,8 +21,7 @@
 
     /**
      * Replaces the list. A tenant that is no longer listed keeps its position with a quota of 0, which the load
-     * balancer
-     * takes for none stated. Returns whether anything changed.
+     * balancer takes for none stated. Returns whether anything changed.
      */
     boolean replace(List<Entry> listedEntries) {
         List<Entry> before = List.copyOf(entries);
--- a/src/main/java/sandstack/decisions/BalancerContext.java
+++ b/src/main/java/sandstack/decisions/BalancerContext.java
@@ -50,8 +50,7 @@
 
     /**
      * Puts new settings into force. Estimates and back-off intervals are kept, and so are the slot, the number of
-     * instances
-     * and the meaning of ratings that the capacity model was created with.
+     * instances and the meaning of ratings that the capacity model was created with.
      */
     void applySettings(BalancerSettings newSettings) {
         settings = newSettings;
--- a/src/main/java/sandstack/decisions/BalancerEvent.java
+++ b/src/main/java/sandstack/decisions/BalancerEvent.java
@@ -77,8 +77,7 @@
      * @param group connections of one group share work on a server; null where it has no group
      * @param deadlineMicros point in time when the client stops waiting
      * @param expectedLoad expected load in microseconds of work a second on a standard core; 0 where unknown
-     * @param midFlow packets of an established connection now arrive here, and its server continues it;
-     *     not used
+     * @param midFlow packets of an established connection now arrive here, and its server continues it; not used
      * @param reconnecting the client returns after a lost or migrated connection
      */
     record ConnectRequested(
@@ -150,8 +149,8 @@
      * @param attempt number of the attempt within its request, from 0
      * @param requestFinished the client has its final answer already; otherwise the load balancer still owes it
      * @param elapsedMicros time since the start of the attempt
-     * @param loadReport load report, in the order of the columns of the site's configuration; null where none came;
-     *     not used
+     * @param loadReport load report, in the order of the columns of the site's configuration; null where none came; not
+     *     used
      */
     record AttemptEnded(
             String requestId,
--- a/src/main/java/sandstack/decisions/BalancerSettings.java
+++ b/src/main/java/sandstack/decisions/BalancerSettings.java
@@ -4,10 +4,9 @@
 import sandstack.staleness.EndpointListStaleness;
 
 /**
- * The settings of one balancer instance. The constructor rejects values out of range with an {@link
- * IllegalArgumentException} that names the setting. Components marked "not used" are accepted from the platform and
- * decide
- * nothing so far.
+ * The settings of one balancer instance. The constructor rejects values out of range with an
+ * {@link IllegalArgumentException} that names the setting. Components marked "not used" are accepted from the platform
+ * and decide nothing so far.
  *
  * @param instanceIndex number of this instance, from 0; not used
  * @param instanceCount number of instances, this one included
@@ -16,12 +15,10 @@
  * @param classes the request classes; at least one
  * @param tenants the tenants; may be empty
  * @param overQuotaWeight priority weight of a tenant's traffic beyond its quota, as a fraction of the usual weight;
- *     only whether
- *     it is below 1 counts
+ *     only whether it is below 1 counts
  * @param weightPerUnitOfWork priority weights count per unit of work, not per request
  * @param passThrough not used: packets pass through the balancer: when the set of instances changes, established
- *     connections
- *     arrive mid-flow at another instance; otherwise connections are terminated at the balancer
+ *     connections arrive mid-flow at another instance; otherwise connections are terminated at the balancer
  * @param sharedGroups connections of one group share work on a server
  * @param endpointListPolled the endpoint list has to be polled; otherwise changes are pushed
  * @param pollIntervalMicros with {@code endpointListPolled}: longest time without a poll or a watch
--- a/src/main/java/sandstack/decisions/DuplicateExecutionGuard.java
+++ b/src/main/java/sandstack/decisions/DuplicateExecutionGuard.java
@@ -1,9 +1,9 @@
 package sandstack.decisions;
 
 /**
- * Keeps a request from taking effect twice. Once an attempt may have been executed by its server, a request that is
- * not idempotent is not attempted again, and one with an idempotency key only at servers that drop its duplicates and
- * only as long as they do. Stateless: the request holds its first attempt that may have been executed. All calls O(1).
+ * Keeps a request from taking effect twice. Once an attempt may have been executed by its server, a request that is not
+ * idempotent is not attempted again, and one with an idempotency key only at servers that drop its duplicates and only
+ * as long as they do. Stateless: the request holds its first attempt that may have been executed. All calls O(1).
  */
 final class DuplicateExecutionGuard {
     private DuplicateExecutionGuard() {}
--- a/src/main/java/sandstack/decisions/GroupPlacement.java
+++ b/src/main/java/sandstack/decisions/GroupPlacement.java
@@ -3,8 +3,8 @@
 import sandstack.random.SeededRandom;
 
 /**
- * Where the connections of one group go. A server pays for the shared work of a group once, so its connections prefer
- * a server that has some of them already, up to a bound on its load ("Consistent hashing with bounded loads", Mirrokni
+ * Where the connections of one group go. A server pays for the shared work of a group once, so its connections prefer a
+ * server that has some of them already, up to a bound on its load ("Consistent hashing with bounded loads", Mirrokni
  * 2016). One thread; O(servers).
  */
 final class GroupPlacement {
--- a/src/main/java/sandstack/decisions/LoadBalancer.java
+++ b/src/main/java/sandstack/decisions/LoadBalancer.java
@@ -85,8 +85,7 @@
 
     /**
      * Whether the server gets no new requests now, except for the trial of an ejected one: not listed, not ready,
-     * ejected,
-     * slow, or full by what this relay has there.
+     * ejected, slow, or full by what this relay has there.
      */
     public boolean isClosedToNewRequests(String serverId) {
         ServerState server = endpoints.get(serverId);
@@ -185,8 +184,7 @@
         /**
          * The one timer of an established connection, set for the end of its server's trial or for its migration off a
          * draining server. Which of the two applies is decided by the server's state now: on a server that is ready,
-         * the
-         * connection counts as a trial that stayed up, also where the timer was set for a migration.
+         * the connection counts as a trial that stayed up, also where the timer was set for a migration.
          */
         private void onConnectionTimer(TrackedRequest request) {
             if (request.server.isReady()) {
--- a/src/main/java/sandstack/decisions/LoadShedder.java
+++ b/src/main/java/sandstack/decisions/LoadShedder.java
@@ -9,8 +9,8 @@
 /**
  * Sheds a fraction of the load while most of the fleet is overloaded, where neither placement nor migration can help.
  * Load goes in the order of least priority weight per load. Of a tenant that is over its quota at least the excess
- * goes,
- * where the settings give such traffic a lower weight at all. One thread; an update costs O(requests), the rest O(1).
+ * goes, where the settings give such traffic a lower weight at all. One thread; an update costs O(requests), the rest
+ * O(1).
  */
 final class LoadShedder {
     /** Fraction of the load that each update sheds in addition while the fleet is overloaded. */
--- a/src/main/java/sandstack/decisions/RequestClass.java
+++ b/src/main/java/sandstack/decisions/RequestClass.java
@@ -5,8 +5,8 @@
  *
  * @param latencyObjectiveMicros time in which a connection should be established
  * @param deadlineMicros total time a client waits
- * @param priorityWeight value of serving one request, or one unit of work with {@link
- *     BalancerSettings#weightPerUnitOfWork}
+ * @param priorityWeight value of serving one request, or one unit of work with
+ *     {@link BalancerSettings#weightPerUnitOfWork}
  * @param idempotency whether a request may be executed more than once
  * @param deduplicationScope with {@link Idempotency#WITH_KEY}: which servers drop duplicates
  * @param deduplicationWindowMicros with {@link Idempotency#WITH_KEY}: how long duplicates are dropped, from the first
--- a/src/main/java/sandstack/decisions/RequestLifecycle.java
+++ b/src/main/java/sandstack/decisions/RequestLifecycle.java
@@ -12,9 +12,9 @@
 
 /**
  * Takes each request through its states: admitted or rejected on arrival, waiting, attempted at a server, established,
- * ended. The rules themselves are in other classes: {@link LoadShedder}, {@link ServerPicker}, {@link
- * RetryPolicy}, {@link AttemptTimeoutPolicy}, {@link CapacityEvidence} and {@link RequestCompletion}. One thread; a
- * placement costs what the picker does, the rest O(1).
+ * ended. The rules themselves are in other classes: {@link LoadShedder}, {@link ServerPicker}, {@link RetryPolicy},
+ * {@link AttemptTimeoutPolicy}, {@link CapacityEvidence} and {@link RequestCompletion}. One thread; a placement costs
+ * what the picker does, the rest O(1).
  */
 final class RequestLifecycle {
     private final BalancerContext context;
--- a/src/main/java/sandstack/decisions/RetryPolicy.java
+++ b/src/main/java/sandstack/decisions/RetryPolicy.java
@@ -5,9 +5,9 @@
 import sandstack.capacity.RejectionReason;
 
 /**
- * Whether and when a request is attempted again, and the Retry-After of a rejected client. The back-off
- * intervals themselves are kept by {@link RetryBackoff}, what a repeated attempt may do by {@link
- * DuplicateExecutionGuard}. Stateless beside these; one thread; all calls O(1).
+ * Whether and when a request is attempted again, and the Retry-After of a rejected client. The back-off intervals
+ * themselves are kept by {@link RetryBackoff}, what a repeated attempt may do by {@link DuplicateExecutionGuard}.
+ * Stateless beside these; one thread; all calls O(1).
  */
 final class RetryPolicy {
     private final BalancerContext context;
@@ -53,8 +53,8 @@
     }
 
     /**
-     * The Retry-After of a rejected client: the rest of its back-off interval. It is reported even where
-     * the settings do not promise that clients honour it: those that do relieve the servers.
+     * The Retry-After of a rejected client: the rest of its back-off interval. It is reported even where the settings
+     * do not promise that clients honour it: those that do relieve the servers.
      */
     long retryAfterMicros(TrackedRequest request) {
         return Math.min(
--- a/src/main/java/sandstack/decisions/ServerPicker.java
+++ b/src/main/java/sandstack/decisions/ServerPicker.java
@@ -4,9 +4,9 @@
 import sandstack.capacity.CandidateSummary;
 
 /**
- * Picks the server for a request: {@link SpilloverPolicy} or {@link GroupPlacement} choose the zones, {@link
- * CandidateFilter} excludes servers, {@link RendezvousWeight} ranks the others and {@link SlowStartAdmission} has the
- * last word on one that would win. One thread; a pick costs O(servers of the zones that it looks at).
+ * Picks the server for a request: {@link SpilloverPolicy} or {@link GroupPlacement} choose the zones,
+ * {@link CandidateFilter} excludes servers, {@link RendezvousWeight} ranks the others and {@link SlowStartAdmission}
+ * has the last word on one that would win. One thread; a pick costs O(servers of the zones that it looks at).
  */
 final class ServerPicker {
     private final BalancerContext context;
--- a/src/main/java/sandstack/decisions/SetupTimeTracker.java
+++ b/src/main/java/sandstack/decisions/SetupTimeTracker.java
@@ -1,8 +1,8 @@
 package sandstack.decisions;
 
 /**
- * How long successful set-ups take over all servers, and how many attempts in a row timed out. Owned by one {@link
- * LoadBalancer}; one thread; all calls O(1).
+ * How long successful set-ups take over all servers, and how many attempts in a row timed out. Owned by one
+ * {@link LoadBalancer}; one thread; all calls O(1).
  */
 final class SetupTimeTracker {
     /** A new sample counts for 1/4 in the moving average. */
--- a/src/main/java/sandstack/decisions/SlowStartAdmission.java
+++ b/src/main/java/sandstack/decisions/SlowStartAdmission.java
@@ -21,8 +21,7 @@
 
     /**
      * Whether the request fits into the server's budget. Draws at random, and what is drawn is used up even where
-     * another
-     * server is picked in the end.
+     * another server is picked in the end.
      */
     boolean admits(TrackedRequest request, ServerState server) {
         double slowStartFraction = server.slowStartFraction(context);
--- a/src/main/java/sandstack/decisions/TrackedRequest.java
+++ b/src/main/java/sandstack/decisions/TrackedRequest.java
@@ -5,9 +5,9 @@
 import sandstack.decisions.BalancerEvent.ConnectRequested;
 
 /**
- * The state of one request, from its arrival to its final answer or to the end of its connection. {@link
- * RequestLifecycle} owns {@link #state}, {@link #server} and the attempt; the other fields name their owners. One
- * thread.
+ * The state of one request, from its arrival to its final answer or to the end of its connection.
+ * {@link RequestLifecycle} owns {@link #state}, {@link #server} and the attempt; the other fields name their owners.
+ * One thread.
  */
 final class TrackedRequest {
     /** Phase of a request. */
--- a/src/main/java/sandstack/directory/TenantDirectory.java
+++ b/src/main/java/sandstack/directory/TenantDirectory.java
@@ -22,8 +22,7 @@
 
 /**
  * Reads the tenants from an LDAP directory at an interval, on a thread of its own, because the library blocks. While
- * the
- * directory is unreachable, the last list stays in force.
+ * the directory is unreachable, the last list stays in force.
  */
 public final class TenantDirectory implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("sandstack.directory");
--- a/src/main/java/sandstack/discovery/DiscoveryWatch.java
+++ b/src/main/java/sandstack/discovery/DiscoveryWatch.java
@@ -70,8 +70,7 @@
 
     /**
      * Watches at another address from now on. The list stays as it is, and the watch before remains in use until the
-     * new
-     * one has sent the complete list.
+     * new one has sent the complete list.
      */
     public void switchTo(Address address) {
         if (address.equals(discovery)) {
--- a/src/main/java/sandstack/discovery/JsonObjectStream.java
+++ b/src/main/java/sandstack/discovery/JsonObjectStream.java
@@ -12,9 +12,8 @@
 import java.util.List;
 
 /**
- * Splits a stream of bytes into JSON objects: one a line, several, or one over many lines. Bytes may come in pieces
- * of any
- * size. Not thread-safe; time is linear in the bytes, memory is that of one object, whose length is limited.
+ * Splits a stream of bytes into JSON objects: one a line, several, or one over many lines. Bytes may come in pieces of
+ * any size. Not thread-safe; time is linear in the bytes, memory is that of one object, whose length is limited.
  */
 public final class JsonObjectStream {
     /** The complete list of a large site is far below this. */
--- a/src/main/java/sandstack/faultinjection/FaultSchedule.java
+++ b/src/main/java/sandstack/faultinjection/FaultSchedule.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 
 /**
- * The faults to inject into a fleet and when. Generated from a seed by {@link FaultScheduleGenerator} or read by {@link
- * FaultScheduleFile}. Immutable.
+ * The faults to inject into a fleet and when. Generated from a seed by {@link FaultScheduleGenerator} or read by
+ * {@link FaultScheduleFile}. Immutable.
  *
  * @param members size of the fleet
  * @param steps ordered by time
--- a/src/main/java/sandstack/faultinjection/FaultScheduleRunner.java
+++ b/src/main/java/sandstack/faultinjection/FaultScheduleRunner.java
@@ -62,9 +62,8 @@
     }
 
     /**
-     * Runs the schedule but records only some of its steps. A fault that the checker does not know of has to look
-     * like a
-     * violation, otherwise the checker is blind.
+     * Runs the schedule but records only some of its steps. A fault that the checker does not know of has to look like
+     * a violation, otherwise the checker is blind.
      */
     static Outcome run(List<String> program, FaultSchedule schedule, Predicate<Step> visibleToChecker)
             throws IOException, InterruptedException {
--- a/src/main/java/sandstack/faultinjection/ProcessFleet.java
+++ b/src/main/java/sandstack/faultinjection/ProcessFleet.java
@@ -21,9 +21,8 @@
 
 /**
  * A fleet of relays that run as real processes, each with its own address and folder, with a {@link MemberLink} for
- * each
- * ordered pair to inject network faults. Listens on loopback only. Members are numbered from 0. Used by one thread; the
- * links run on the thread of the loop.
+ * each ordered pair to inject network faults. Listens on loopback only. Members are numbered from 0. Used by one
+ * thread; the links run on the thread of the loop.
  */
 public final class ProcessFleet implements AutoCloseable {
     private static final List<String> JAVA = List.of(
@@ -191,8 +190,7 @@
 
     /**
      * The status of each name in a member's view: that of the present incarnation, or else of the first one listed.
-     * Null where the
-     * member does not respond.
+     * Null where the member does not respond.
      */
     public Map<String, String> memberStatuses(int i) {
         JsonNode view = members[i].view();
--- a/src/main/java/sandstack/fleet/DecommissionedRelays.java
+++ b/src/main/java/sandstack/fleet/DecommissionedRelays.java
@@ -8,9 +8,8 @@
 
 /**
  * The relays that operators have decommissioned, merged from what all members publish under {@link #KEY}. Each member
- * publishes the merged set again, so it outlives the member at which an operator entered it. A relay counts again
- * once it
- * is a member.
+ * publishes the merged set again, so it outlives the member at which an operator entered it. A relay counts again once
+ * it is a member.
  *
  * <p>Not thread-safe; O(members) a call.
  */
--- a/src/main/java/sandstack/fleet/MemberTable.java
+++ b/src/main/java/sandstack/fleet/MemberTable.java
@@ -10,16 +10,13 @@
 
 /**
  * The membership table: all incarnations that this member knows, and the status of each. A status combines three
- * sources:
- * the members that the library lists, those that this member reaches directly, and those that other members report as
- * reachable. A member that is only known by gossip counts as soon as this one has had its response, however late the
- * library discovers it.
+ * sources: the members that the library lists, those that this member reaches directly, and those that other members
+ * report as reachable. A member that is only known by gossip counts as soon as this one has had its response, however
+ * late the library discovers it.
  *
  * <p>Guarantees: an incarnation that has left never returns, as a restart has another id; members that have received
- * the
- * same reports derive the same status; clocks of different machines are never compared. Not guaranteed: that two
- * members
- * agree at one moment. During a partition both sides call each other lost.
+ * the same reports derive the same status; clocks of different machines are never compared. Not guaranteed: that two
+ * members agree at one moment. During a partition both sides call each other lost.
  *
  * <p>Not thread-safe. {@link #rows} costs O(members squared), an event O(1) unless it removes members. Of departed
  * members the latest {@link #MAX_DEPARTED} are retained.
@@ -152,8 +149,7 @@
 
     /**
      * A member reports its reachability. Ignored if the library does not list the reporter and this member does not
-     * reach
-     * it, as the report may be stale.
+     * reach it, as the report may be stale.
      *
      * @param id incarnation id of the reporter
      * @param reachable ids that it reaches directly
--- a/src/main/java/sandstack/fleet/MemberValues.java
+++ b/src/main/java/sandstack/fleet/MemberValues.java
@@ -8,8 +8,7 @@
 /**
  * Small values that each member publishes to all others. Only a member itself changes its values, and each change
  * increments their version. Of two versions from the same incarnation the higher one is the later, whatever way it
- * came.
- * Values do not outlive the incarnation that published them.
+ * came. Values do not outlive the incarnation that published them.
  *
  * <p>Not thread-safe. A call costs O(1), besides copying the values of one member.
  */
--- a/src/main/java/sandstack/fleet/Membership.java
+++ b/src/main/java/sandstack/fleet/Membership.java
@@ -16,19 +16,16 @@
  * of other members, and decides whom to probe next. Decides nothing about client requests.
  *
  * <p><b>Failure model.</b> Members crash and restart with or without their disk, stall for any time, and are slow.
- * Links
- * lose and delay messages and fail in one direction or both. Members do not lie; malformed messages are rejected before
- * they arrive here.
+ * Links lose and delay messages and fail in one direction or both. Members do not lie; malformed messages are rejected
+ * before they arrive here.
  *
  * <p><b>Guaranteed.</b> Received values were published by their member, and a later version never gives way to an
- * earlier
- * one. A member is {@link MemberStatus#PARTIALLY_REACHABLE} and not lost while any member reports that it reaches it.
- * Of
- * two processes that start with one name, at most one owns it, provided that they reach each other at the start.
+ * earlier one. A member is {@link MemberStatus#PARTIALLY_REACHABLE} and not lost while any member reports that it
+ * reaches it. Of two processes that start with one name, at most one owns it, provided that they reach each other at
+ * the start.
  *
  * <p><b>Not guaranteed.</b> That all members have one view at one moment, or that a name has one owner across a
- * partition.
- * Both need consensus, which this protocol does not provide.
+ * partition. Both need consensus, which this protocol does not provide.
  *
  * <p>Not thread-safe. A tick costs O(members), {@link #view} O(members squared).
  */
--- a/src/main/java/sandstack/fleet/NameClaim.java
+++ b/src/main/java/sandstack/fleet/NameClaim.java
@@ -4,10 +4,8 @@
 
 /**
  * An incarnation's claim to its name. It owns the name if no conflict is known {@link #CLAIM_MICROS} after its first
- * tick,
- * and keeps it from then on. Of two that start at the same time, the one with the lower id wins. Two on different
- * sides of
- * a partition may both own the name.
+ * tick, and keeps it from then on. Of two that start at the same time, the one with the lower id wins. Two on different
+ * sides of a partition may both own the name.
  *
  * <p>Not thread-safe; O(1) a call.
  */
--- a/src/main/java/sandstack/fleet/QuorumTracker.java
+++ b/src/main/java/sandstack/fleet/QuorumTracker.java
@@ -11,10 +11,8 @@
 
 /**
  * Derives the {@link QuorumState} of this member. The size of the fleet is the number of relays that are configured,
- * never
- * the number that is seen, so a partition cannot declare itself complete by losing the others. A relay that others
- * reach
- * and this one does not stays in that number but does not count as reachable. Any doubt shows at once as
+ * never the number that is seen, so a partition cannot declare itself complete by losing the others. A relay that
+ * others reach and this one does not stays in that number but does not count as reachable. Any doubt shows at once as
  * {@link QuorumState#UNKNOWN}; any other change only after it has lasted for {@link #STABILITY_WINDOW_MICROS}.
  *
  * <p>Not thread-safe. An assessment costs O(members squared). Has no clock, I/O or thread of its own.
--- a/src/main/java/sandstack/fleet/ReachabilityProbe.java
+++ b/src/main/java/sandstack/fleet/ReachabilityProbe.java
@@ -12,12 +12,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Tracks which members this one reaches directly. The library probes indirectly where its own probe fails, and so
- * keeps a
- * member that some reach; the table also needs to know which ones do. Each member is probed once a round, in an order
+ * Tracks which members this one reaches directly. The library probes indirectly where its own probe fails, and so keeps
+ * a member that some reach; the table also needs to know which ones do. Each member is probed once a round, in an order
  * that is shuffled for each round. It takes {@link #CONSECUTIVE_RESULTS} results in a row to change what is known, so
- * one
- * lost packet is no failed link and one response no recovery.
+ * one lost packet is no failed link and one response no recovery.
  *
  * <p>Not thread-safe. A tick costs O(members).
  */
--- a/src/main/java/sandstack/fleet/link/CallClient.java
+++ b/src/main/java/sandstack/fleet/link/CallClient.java
@@ -14,8 +14,7 @@
 
 /**
  * Calls to other members. Calls in flight are bounded for each member and in total, so a slow member holds up only
- * those
- * who call it. Any thread; responses arrive on the fleet's.
+ * those who call it. Any thread; responses arrive on the fleet's.
  */
 final class CallClient {
     private static final int MAX_CALLS_PER_MEMBER = 8;
--- a/src/main/java/sandstack/fleet/link/CallServer.java
+++ b/src/main/java/sandstack/fleet/link/CallServer.java
@@ -9,8 +9,7 @@
 import sandstack.fleet.FleetMessages.CallResponse;
 
 /**
- * Passes the calls of other members to their handlers, on the fleet's thread. Handlers may be registered on any
- * thread.
+ * Passes the calls of other members to their handlers, on the fleet's thread. Handlers may be registered on any thread.
  */
 final class CallServer {
     private final ClusterClient clusterClient;
--- a/src/main/java/sandstack/fleet/link/FilteredMessageCodec.java
+++ b/src/main/java/sandstack/fleet/link/FilteredMessageCodec.java
@@ -14,9 +14,8 @@
 
 /**
  * The library's default serialisation, read through a filter: only its own types, collections and plain values, with
- * bounds on depth, number and size. Anything else is rejected before an object of it is created. Thread-safe;
- * O(bytes) a
- * message.
+ * bounds on depth, number and size. Anything else is rejected before an object of it is created. Thread-safe; O(bytes)
+ * a message.
  */
 final class FilteredMessageCodec implements MessageCodec {
     private static final int MAX_DEPTH = 12;
--- a/src/main/java/sandstack/fleet/link/FleetExecutor.java
+++ b/src/main/java/sandstack/fleet/link/FleetExecutor.java
@@ -9,8 +9,7 @@
 
 /**
  * The fleet's thread: the one thread on which the membership runs. Tasks must not block. A task that throws is logged
- * and
- * does not end the thread. All methods may be called on any thread.
+ * and does not end the thread. All methods may be called on any thread.
  */
 final class FleetExecutor {
     private static final String NAME = "fleet";
--- a/src/main/java/sandstack/fleet/link/FleetMember.java
+++ b/src/main/java/sandstack/fleet/link/FleetMember.java
@@ -95,7 +95,7 @@
      * Joins the fleet. Waits for a few seconds at most, and for no member: without any it is alone until one answers.
      *
      * @throws InvalidConfigurationException if it cannot listen at its address, or a running member owns its name; it
-     * is closed then
+     *     is closed then
      */
     public void start() throws InvalidConfigurationException {
         try {
@@ -129,10 +129,8 @@
 
     /**
      * Joins the fleet as soon as the address is free, on a thread of its own. During an upgrade two processes of a
-     * relay
-     * run side by side; the previous one stays the member until it has released the address. Until then the view
-     * contains
-     * this member alone.
+     * relay run side by side; the previous one stays the member until it has released the address. Until then the view
+     * contains this member alone.
      */
     public void startWhenAddressFree() {
         Thread thread = new Thread(this::awaitAddressAndStart, "fleet-join");
@@ -173,9 +171,8 @@
     }
 
     /**
-     * Decommissions a lost relay, see {@link Membership#decommission}. Completes on the fleet's thread, with the
-     * reason if
-     * it is refused.
+     * Decommissions a lost relay, see {@link Membership#decommission}. Completes on the fleet's thread, with the reason
+     * if it is refused.
      */
     public CompletableFuture<Optional<String>> decommission(String name) {
         CompletableFuture<Optional<String>> refusal = new CompletableFuture<>();
@@ -199,8 +196,7 @@
     /**
      * Calls one member, without a retry. Completes on the fleet's thread with the body of the response, or fails with a
      * {@link CallException}: no response in time, too many calls in flight, not a member, or rejected there. A call
-     * that
-     * fails may have been carried out.
+     * that fails may have been carried out.
      *
      * @param id incarnation id of the member
      * @param kind selects the handler there
--- a/src/main/java/sandstack/fleet/link/FleetViewFormatter.java
+++ b/src/main/java/sandstack/fleet/link/FleetViewFormatter.java
@@ -13,9 +13,8 @@
 import sandstack.fleet.QuorumAssessment;
 
 /**
- * Formats a view for the console. The words and the JSON keys are an interface to operators and other programs, and
- * do not
- * follow the names in the code. Stateless; O(members).
+ * Formats a view for the console. The words and the JSON keys are an interface to operators and other programs, and do
+ * not follow the names in the code. Stateless; O(members).
  */
 public final class FleetViewFormatter {
     private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/sandstack/fleet/link/ProtocolTask.java
+++ b/src/main/java/sandstack/fleet/link/ProtocolTask.java
@@ -11,8 +11,8 @@
 import sandstack.fleet.Membership;
 
 /**
- * The periodic part of the membership protocol: probes, gossip of the own state, updates of the view. On the
- * fleet's thread.
+ * The periodic part of the membership protocol: probes, gossip of the own state, updates of the view. On the fleet's
+ * thread.
  */
 final class ProtocolTask implements Runnable {
     private static final Duration PROBE_TIMEOUT = Duration.ofMillis(400);
--- a/src/main/java/sandstack/fleet/link/SingleAddressTransportFactory.java
+++ b/src/main/java/sandstack/fleet/link/SingleAddressTransportFactory.java
@@ -27,8 +27,7 @@
 
 /**
  * A TCP transport that listens at one address of the machine, where the library's own listens at all. It bounds the
- * number
- * of peers and the length of frames, and closes connections that are idle. Runs on the library's threads.
+ * number of peers and the length of frames, and closes connections that are idle. Runs on the library's threads.
  */
 final class SingleAddressTransportFactory implements TransportFactory {
     private static final int LENGTH_BYTES = 4;
--- a/src/main/java/sandstack/front/amqp/AmqpClientSession.java
+++ b/src/main/java/sandstack/front/amqp/AmqpClientSession.java
@@ -20,9 +20,7 @@
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.Peer;
 
-/**
- * The client side of one AMQP connection, whose single link is one request. Used on the loop's thread only.
- */
+/** The client side of one AMQP connection, whose single link is one request. Used on the loop's thread only. */
 final class AmqpClientSession extends ClientSession
         implements AmqpConnection.Listener, ConnectionAdmission.AcceptedPeer {
     private final AmqpFront front;
@@ -231,8 +229,8 @@
     }
 
     /**
-     * Closes the connection with {@code connectionError}, or, if that is null, detaches the link first with {@code
-     * linkError}.
+     * Closes the connection with {@code connectionError}, or, if that is null, detaches the link first with
+     * {@code linkError}.
      */
     void close(ErrorCondition linkError, ErrorCondition connectionError) {
         if (ended) {
--- a/src/main/java/sandstack/front/amqp/AmqpFront.java
+++ b/src/main/java/sandstack/front/amqp/AmqpFront.java
@@ -83,8 +83,7 @@
 
     /**
      * Removes and returns the deliveries that an earlier connection of this link left unsettled; null if there are
-     * none.
-     * If the client has sent its unsettled map, only the deliveries in it count.
+     * none. If the client has sent its unsettled map, only the deliveries in it count.
      */
     DeliveryTracker takeUnsettled(LinkId id, Map<Binary, DeliveryState> stillHeld) {
         DeliveryTracker unsettled = unsettledByLink.remove(id);
--- a/src/main/java/sandstack/front/amqp/UnsettledMapHandler.java
+++ b/src/main/java/sandstack/front/amqp/UnsettledMapHandler.java
@@ -11,8 +11,7 @@
 
 /**
  * Handles the unsettled maps of attaches, which the engine does not expose: keeps the client's, and writes the states
- * of
- * its earlier deliveries into the answer. Used on the loop's thread only.
+ * of its earlier deliveries into the answer. Used on the loop's thread only.
  */
 final class UnsettledMapHandler implements EngineHandler {
     private Map<Binary, DeliveryState> clientUnsettled;
--- a/src/main/java/sandstack/front/operators/OperatorDoor.java
+++ b/src/main/java/sandstack/front/operators/OperatorDoor.java
@@ -15,8 +15,7 @@
 /**
  * The operators' port: each connection carries one command, a line, and gets one answer that begins with {@code ACK} or
  * {@code NAK}. Holds at most {@value #MAX_CALLERS} connections, which do not count towards the admission of clients.
- * Runs
- * on the loop's thread; an accept, a command and an eviction cost O(1), {@code INFO} O(classes and feed servers).
+ * Runs on the loop's thread; an accept, a command and an eviction cost O(1), {@code INFO} O(classes and feed servers).
  */
 public final class OperatorDoor {
     /** Connections at one time; beyond that the oldest is closed. */
--- a/src/main/java/sandstack/front/platform/LoadReportClassifier.java
+++ b/src/main/java/sandstack/front/platform/LoadReportClassifier.java
@@ -6,8 +6,7 @@
 
 /**
  * Tells apart the two values that feed servers send as {@code LOAD X}: the load of a connection, in microseconds of
- * work
- * per second, and, where the settings say that delays are reported, the current message delay in milliseconds. An
+ * work per second, and, where the settings say that delays are reported, the current message delay in milliseconds. An
  * overloaded server reports its delay once a second, on one connection of each relay. Taken for a load, it would make
  * that connection look idle and attract more load to an overloaded server.
  *
@@ -39,9 +38,7 @@
         this.delaysReported = delaysReported;
     }
 
-    /**
-     * Whether this value, just reported by this feed server, is a delay.
-     */
+    /** Whether this value, just reported by this feed server, is a delay. */
     boolean isDelay(String server, double value, long nowMicros) {
         if (!delaysReported.getAsBoolean() || !(value >= 0) || value >= MAX_DELAY_MILLIS) {
             return false;
--- a/src/main/java/sandstack/front/platform/OpenRequest.java
+++ b/src/main/java/sandstack/front/platform/OpenRequest.java
@@ -8,8 +8,8 @@
 import sandstack.core.TenantRegistry;
 
 /**
- * A client's request, parsed from the first line of its connection:
- * {@code OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59}.
+ * A client's request, parsed from the first line of its connection: {@code OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655
+ * c=chat,d=2000,g=5c0f6e1a2b3d4c59}.
  */
 final class OpenRequest {
     private static final int FIELDS = 4;
@@ -81,8 +81,8 @@
     }
 
     /**
-     * The line as it is forwarded to a feed server: unchanged but for the deadline, which is the attempt's
-     * remaining time.
+     * The line as it is forwarded to a feed server: unchanged but for the deadline, which is the attempt's remaining
+     * time.
      */
     String toUpstreamLine(long remainingMillis) {
         StringBuilder line = new StringBuilder(PlatformProtocol.OPEN)
--- a/src/main/java/sandstack/handover/SiblingProcesses.java
+++ b/src/main/java/sandstack/handover/SiblingProcesses.java
@@ -20,12 +20,9 @@
 
 /**
  * The other processes of this relay, seen through the marker files that each keeps in a shared folder. Owns this
- * process's
- * files there and a thread that writes them and reads the others', four times a second; a heartbeat costs one small
- * file
- * written and one read for each process, and the endpoint list only where it has changed. {@link LocalProcess} is
- * called
- * on that thread.
+ * process's files there and a thread that writes them and reads the others', four times a second; a heartbeat costs one
+ * small file written and one read for each process, and the endpoint list only where it has changed.
+ * {@link LocalProcess} is called on that thread.
  */
 public final class SiblingProcesses implements AutoCloseable {
     /** How often a process writes its marker. */
--- a/src/main/java/sandstack/measure/FleetMeasurement.java
+++ b/src/main/java/sandstack/measure/FleetMeasurement.java
@@ -11,9 +11,8 @@
 
 /**
  * {@code measure fleet}: failure detection in a fleet of twelve real processes. Measures how fast members detect that
- * one
- * is killed, partitioned or paused, how soon all views converge again, false suspicions, and the cost of a member at
- * several fleet sizes. Views are polled member by member on one thread, so times are accurate to about 0.1 s.
+ * one is killed, partitioned or paused, how soon all views converge again, false suspicions, and the cost of a member
+ * at several fleet sizes. Views are polled member by member on one thread, so times are accurate to about 0.1 s.
  */
 final class FleetMeasurement implements Measurement {
     private static final int MEMBERS = 12;
--- a/src/main/java/sandstack/measure/RunCommand.java
+++ b/src/main/java/sandstack/measure/RunCommand.java
@@ -20,9 +20,7 @@
         return new TomlMapper().readTree(Files.readString(FILE)).path("run").asText();
     }
 
-    /**
-     * Its options of the virtual machine for compiler and collector, without heap sizes and class data archive.
-     */
+    /** Its options of the virtual machine for compiler and collector, without heap sizes and class data archive. */
     public static List<String> compilerAndCollector() throws IOException {
         return Arrays.stream(read().split(" "))
                 .filter(option -> option.startsWith("-X"))
--- a/src/main/java/sandstack/measure/ScaleTable.java
+++ b/src/main/java/sandstack/measure/ScaleTable.java
@@ -13,8 +13,7 @@
 import sandstack.measure.scale.Series;
 
 /**
- * Formats a report for a terminal: each series with its fitted shape, residual and extrapolation to the planned
- * size.
+ * Formats a report for a terminal: each series with its fitted shape, residual and extrapolation to the planned size.
  */
 final class ScaleTable {
     private static final String ROW_FORMAT = "%-44s %-12s %9s %18s  %s";
--- a/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
+++ b/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
@@ -17,10 +17,8 @@
 
 /**
  * Model of the consensus of the control machines. A change is committed if its proposer reaches a majority of all
- * machines
- * in both directions; a machine replicates committed changes while it reaches such a majority. Messages of the
- * consensus
- * are not counted. Not thread-safe.
+ * machines in both directions; a machine replicates committed changes while it reaches such a majority. Messages of the
+ * consensus are not counted. Not thread-safe.
  */
 public final class ModelledConsensus implements CommittedChangeListener {
     /** Time without a majority after which a machine reports that it has no quorum. */
--- a/src/main/java/sandstack/measure/page/CapacityTables.java
+++ b/src/main/java/sandstack/measure/page/CapacityTables.java
@@ -197,8 +197,7 @@
     }
 
     /**
-     * Costs that exceed their budget in some scenario, ordered by the fraction of the planned size at which they
-     * do.
+     * Costs that exceed their budget in some scenario, ordered by the fraction of the planned size at which they do.
      */
     private String breakingPointTable() throws InvalidConfigurationException {
         BreakingPoint point = new BreakingPoint(plan, costModels);
--- a/src/main/java/sandstack/measure/page/CostModel.java
+++ b/src/main/java/sandstack/measure/page/CostModel.java
@@ -15,8 +15,7 @@
 
 /**
  * How one cost of one role grows with size, its extrapolation to the planned size, and the mechanism that bears it.
- * Either
- * fitted to the points of a run, or derived by a formula.
+ * Either fitted to the points of a run, or derived by a formula.
  *
  * @param id id of the measured series
  * @param title name of the cost on the page
--- a/src/main/java/sandstack/measure/page/CostModelEvaluator.java
+++ b/src/main/java/sandstack/measure/page/CostModelEvaluator.java
@@ -9,11 +9,9 @@
 import sandstack.measure.scale.FittedModel;
 
 /**
- * Evaluates all derived figures of cost models: the planned size, the figure at that size, the budget, the
- * utilization and
- * the cost in each scenario. Formulas may refer to planning numbers, to {@code base}, {@code slope} and {@code
- * figure} of
- * their own model, and in brackets to the figure of an earlier model.
+ * Evaluates all derived figures of cost models: the planned size, the figure at that size, the budget, the utilization
+ * and the cost in each scenario. Formulas may refer to planning numbers, to {@code base}, {@code slope} and
+ * {@code figure} of their own model, and in brackets to the figure of an earlier model.
  */
 final class CostModelEvaluator {
     private final String file;
--- a/src/main/java/sandstack/measure/page/Formula.java
+++ b/src/main/java/sandstack/measure/page/Formula.java
@@ -4,8 +4,7 @@
 
 /**
  * Parser and evaluator of formulas: numbers, variables, {@code + - * /} and parentheses. A variable is a planning
- * number
- * such as {@code relays}, or the figure of another cost model, such as {@code [relay.memory]}.
+ * number such as {@code relays}, or the figure of another cost model, such as {@code [relay.memory]}.
  */
 final class Formula {
     private static final int MAX_DEPTH = 20;
--- a/src/main/java/sandstack/measure/page/Quantity.java
+++ b/src/main/java/sandstack/measure/page/Quantity.java
@@ -33,8 +33,7 @@
 
     /**
      * Formats a value with its unit, such as {@code 470 MB a second} for {@code 4.7e8} and {@code bytes a second}.
-     * Scales
-     * units that begin with bytes or seconds; appends others unchanged.
+     * Scales units that begin with bytes or seconds; appends others unchanged.
      */
     public static String format(double value, String unit) {
         Matcher unitMatcher = FIRST_WORD.matcher(unit);
--- a/src/main/java/sandstack/measure/scale/ClientPool.java
+++ b/src/main/java/sandstack/measure/scale/ClientPool.java
@@ -9,8 +9,7 @@
 
 /**
  * Closed-loop load: clients that connect to one relay and stay, with a bounded number of setups in flight. Gives up
- * after
- * too many unserved attempts. All methods run on the thread of the event loop.
+ * after too many unserved attempts. All methods run on the thread of the event loop.
  */
 final class ClientPool {
     /** After this many rejected or failed attempts the relay counts as full. */
--- a/src/main/java/sandstack/measure/scale/EndpointListProbe.java
+++ b/src/main/java/sandstack/measure/scale/EndpointListProbe.java
@@ -16,8 +16,7 @@
 
 /**
  * Main class of a probe process that measures how a relay handles an endpoint list, from its bytes to the load
- * balancer,
- * without sockets. Arguments: numbers of feed servers.
+ * balancer, without sockets. Arguments: numbers of feed servers.
  */
 final class EndpointListProbe {
     static final String HEAP = "heap";
--- a/src/main/java/sandstack/measure/scale/EndpointListScale.java
+++ b/src/main/java/sandstack/measure/scale/EndpointListScale.java
@@ -5,9 +5,8 @@
 import sandstack.measure.scale.Series.Point;
 
 /**
- * Cost of the endpoint list: its bytes, a relay's processor time and memory for it, and the computed load of all
- * relays on
- * one discovery. With {@link Effort#SMALL} no time and no heap is measured.
+ * Cost of the endpoint list: its bytes, a relay's processor time and memory for it, and the computed load of all relays
+ * on one discovery. With {@link Effort#SMALL} no time and no heap is measured.
  */
 public final class EndpointListScale implements ScaleMeasurement {
     private static final String SERVERS = "feed servers";
--- a/src/main/java/sandstack/measure/scale/FittedModel.java
+++ b/src/main/java/sandstack/measure/scale/FittedModel.java
@@ -12,11 +12,9 @@
  * A model {@code base + slope * basis(size)} of one shape, fitted to measured points by least squares.
  *
  * <p>The residual is the root mean square deviation divided by the mean magnitude of the values. Model selection
- * compares
- * residuals with a lower bound of {@link #NOISE_FLOOR}: a trend has to be significant against the constant (F-test at
- * the
- * 5% level), and a trend that is one step more complex than another needs at most {@link #COMPLEXITY_FACTOR} times its
- * residual.
+ * compares residuals with a lower bound of {@link #NOISE_FLOOR}: a trend has to be significant against the constant
+ * (F-test at the 5% level), and a trend that is one step more complex than another needs at most
+ * {@link #COMPLEXITY_FACTOR} times its residual.
  *
  * @param base value at basis zero
  * @param slope of the shape's basis; zero for a constant
--- a/src/main/java/sandstack/measure/scale/LoadBalancerDriver.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerDriver.java
@@ -24,8 +24,7 @@
 
 /**
  * Drives one load balancer as a relay does, with connection requests, established and ended attempts and endpoint
- * lists.
- * No I/O; simulated time advances only in the methods that state it. Not thread-safe.
+ * lists. No I/O; simulated time advances only in the methods that state it. Not thread-safe.
  */
 final class LoadBalancerDriver {
     /** Interval of the load balancer's sweep over all servers and connections: half of the shortest deadline. */
--- a/src/main/java/sandstack/measure/scale/LoadBalancerProbe.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerProbe.java
@@ -6,8 +6,7 @@
 
 /**
  * Main class of a probe process that measures the load balancer alone. Arguments: the number of servers, then
- * increasing
- * numbers of connections, which are the sizes of the printed points.
+ * increasing numbers of connections, which are the sizes of the printed points.
  */
 final class LoadBalancerProbe {
     static final String HEAP = "heap";
--- a/src/main/java/sandstack/measure/scale/ProbeProcess.java
+++ b/src/main/java/sandstack/measure/scale/ProbeProcess.java
@@ -10,9 +10,8 @@
 import sandstack.measure.RunCommand;
 
 /**
- * Runs the main method of a probe class in its own process, with the compiler and collector options of {@code run},
- * so that
- * times and heap sizes are those of a relay.
+ * Runs the main method of a probe class in its own process, with the compiler and collector options of {@code run}, so
+ * that times and heap sizes are those of a relay.
  */
 final class ProbeProcess {
     private static final List<String> HEAP_OPTIONS = List.of("-Xmx1g", LiveHeap.COMPACT_ALWAYS);
--- a/src/main/java/sandstack/measure/scale/ProcessUsage.java
+++ b/src/main/java/sandstack/measure/scale/ProcessUsage.java
@@ -32,8 +32,7 @@
 
     /**
      * Processor time since an earlier usage, in microseconds. Excludes threads that ended in between, such as idle
-     * compiler
-     * threads.
+     * compiler threads.
      */
     double processorMicrosSince(ProcessUsage before) {
         double micros = 0;
--- a/src/main/java/sandstack/measure/scale/ReachableObjects.java
+++ b/src/main/java/sandstack/measure/scale/ReachableObjects.java
@@ -14,8 +14,7 @@
 /**
  * Counts the objects that are reachable from one object: those of this program's classes, through their fields, and the
  * entries of maps, collections and arrays. Unlike bytes, the count is the same on every machine. Other objects of the
- * class
- * library, such as strings, are not counted. Linear in time and memory.
+ * class library, such as strings, are not counted. Linear in time and memory.
  */
 final class ReachableObjects {
     private static final String OWN_PACKAGE_PREFIX = "sandstack.";
--- a/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
@@ -8,8 +8,7 @@
 
 /**
  * Fills the heap of one relay with the options of {@code run} and measures how it behaves at its limit, by heap size.
- * Runs
- * with {@link ScaleMeasurement.Effort#FULL} only.
+ * Runs with {@link ScaleMeasurement.Effort#FULL} only.
  */
 public final class RelayHeapLimitScale implements ScaleMeasurement {
     private static final String METHOD =
--- a/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
+++ b/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
@@ -13,8 +13,7 @@
 
 /**
  * One relay process with two stand-in feed servers and a pool of clients, which share one thread of this process.
- * Closing
- * resets all connections, so that no port stays in TIME_WAIT.
+ * Closing resets all connections, so that no port stays in TIME_WAIT.
  */
 final class RelayUnderLoad implements AutoCloseable {
     /** A heap that no measured number of connections fills. */
--- a/src/main/java/sandstack/measure/scale/Series.java
+++ b/src/main/java/sandstack/measure/scale/Series.java
@@ -12,9 +12,8 @@
  * @param resource kind of cost
  * @param unit of the values, such as {@code bytes}
  * @param per what the sizes count, such as {@code connections}
- * @param method how the values were obtained, in one sentence; begins with {@value #COMPUTED_PREFIX} or {@value
- *     #SIMULATED_PREFIX}
- *     for values of a model
+ * @param method how the values were obtained, in one sentence; begins with {@value #COMPUTED_PREFIX} or
+ *     {@value #SIMULATED_PREFIX} for values of a model
  */
 public record Series(
         String id, Role role, Resource resource, String unit, String per, String method, List<Point> points) {
--- a/src/main/java/sandstack/measure/scale/Shape.java
+++ b/src/main/java/sandstack/measure/scale/Shape.java
@@ -1,8 +1,7 @@
 package sandstack.measure.scale;
 
 /**
- * Growth of a cost with size, {@code base + slope * basis(size)}; ordered by complexity, which model selection
- * uses.
+ * Growth of a cost with size, {@code base + slope * basis(size)}; ordered by complexity, which model selection uses.
  */
 public enum Shape {
     /** The same at every size. */
--- a/src/main/java/sandstack/measure/scale/WatchOutage.java
+++ b/src/main/java/sandstack/measure/scale/WatchOutage.java
@@ -5,8 +5,7 @@
 
 /**
  * Simulates the calls that reach a discovery during and after an outage: all relays lose their watches at once and
- * retry
- * with the backoff of {@link EndpointListStaleness}. Deterministic for a seed.
+ * retry with the backoff of {@link EndpointListStaleness}. Deterministic for a seed.
  */
 final class WatchOutage {
     private static final long MICROS_PER_SECOND = 1_000_000;
--- a/src/main/java/sandstack/measure/scale/hollow/FleetLayout.java
+++ b/src/main/java/sandstack/measure/scale/hollow/FleetLayout.java
@@ -10,8 +10,7 @@
 
 /**
  * Identities of the relays of a hollow fleet: round-robin over the zones, of which each half is a region. All names
- * have
- * the same length at every size.
+ * have the same length at every size.
  *
  * @param size number of relays in the stated configuration, including those that join later
  */
--- a/src/main/java/sandstack/measure/scale/hollow/GossipModel.java
+++ b/src/main/java/sandstack/measure/scale/hollow/GossipModel.java
@@ -8,11 +8,9 @@
 
 /**
  * Models infection-style dissemination as in the gossip library: in each period of {@link #PERIOD_MICROS} every
- * infected
- * member forwards a gossip to {@link #FANOUT} others, during {@link #REPEAT_MULTIPLIER} times the logarithm of the
- * members
- * periods, but not to members from which it received it. Uses the state of the network at the time of the call for the
- * whole dissemination. Counts each message.
+ * infected member forwards a gossip to {@link #FANOUT} others, during {@link #REPEAT_MULTIPLIER} times the logarithm of
+ * the members periods, but not to members from which it received it. Uses the state of the network at the time of the
+ * call for the whole dissemination. Counts each message.
  *
  * <p>O(members log members) per gossip; not thread-safe.
  */
--- a/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
@@ -20,9 +20,8 @@
 
 /**
  * Many hollow relays on one simulated clock. Each relay runs the real {@link Membership} and handles every message.
- * Views,
- * which cost most, are computed for a few observed relays only, as they do not affect what a relay sends. Relays share
- * states in memory, so heap is measured by {@link MembershipCost}.
+ * Views, which cost most, are computed for a few observed relays only, as they do not affect what a relay sends. Relays
+ * share states in memory, so heap is measured by {@link MembershipCost}.
  *
  * <p>Deterministic for a seed. Not thread-safe; {@link #formFullMembership} uses the common pool.
  */
@@ -88,8 +87,7 @@
     }
 
     /**
-     * Makes all relays members of each other with known states, as after a long time without changes, and starts
-     * them.
+     * Makes all relays members of each other with known states, as after a long time without changes, and starts them.
      */
     void formFullMembership() {
         long atMicros = clock.nowMicros();
--- a/src/main/java/sandstack/measure/scale/hollow/HollowFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowFleetScale.java
@@ -15,9 +15,8 @@
 
 /**
  * Fleets of hollow relays: the traffic of a relay in steady state, and the time and traffic until a join, a kill, the
- * loss
- * of a zone and the end of a partition are detected. A series ends before the first size that exceeds its wall-clock
- * limit.
+ * loss of a zone and the end of a partition are detected. A series ends before the first size that exceeds its
+ * wall-clock limit.
  */
 public final class HollowFleetScale implements ScaleMeasurement {
     private static final String PER = "relays";
--- a/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
@@ -18,8 +18,7 @@
 
 /**
  * Measures memory and processor time of one {@link Membership} in a fleet, with peers that answer every probe. States
- * are
- * decoded from JSON, so that none are shared in memory. Not thread-safe.
+ * are decoded from JSON, so that none are shared in memory. Not thread-safe.
  */
 final class MembershipCost {
     private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
@@ -18,8 +18,7 @@
 
 /**
  * Fleets of real processes on loopback, for comparison with hollow ones: traffic, processor time and memory of a
- * member, and
- * the time until a kill is detected.
+ * member, and the time until a kill is detected.
  */
 public final class RealFleetScale implements ScaleMeasurement {
     private static final String PER = "relays";
--- a/src/main/java/sandstack/measure/scale/hollow/SwimProtocolModel.java
+++ b/src/main/java/sandstack/measure/scale/hollow/SwimProtocolModel.java
@@ -8,10 +8,9 @@
 
 /**
  * Models the messages of the gossip library beneath the membership, which follows SWIM: a ping every half second,
- * indirect
- * pings through three other members, suspicion disseminated by gossip, and a full sync of the membership table with one
- * member every two seconds. The intervals are those that the program configures. Does not model processor time,
- * connections and lost packets.
+ * indirect pings through three other members, suspicion disseminated by gossip, and a full sync of the membership table
+ * with one member every two seconds. The intervals are those that the program configures. Does not model processor
+ * time, connections and lost packets.
  *
  * <p>O(1) per ping, O(members) per sync; not thread-safe.
  */
--- a/src/main/java/sandstack/measure/scale/storm/RetryStormSimulation.java
+++ b/src/main/java/sandstack/measure/scale/storm/RetryStormSimulation.java
@@ -4,11 +4,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Discrete-time simulation of a retry storm at a sample of the remaining relays, client by client; each attempt goes
- * to a
- * random relay of the sample. A relay sets up a bounded number of connections per second, queues those that it can
- * set up
- * within its maximum queueing delay, and rejects all others at once.
+ * Discrete-time simulation of a retry storm at a sample of the remaining relays, client by client; each attempt goes to
+ * a random relay of the sample. A relay sets up a bounded number of connections per second, queues those that it can
+ * set up within its maximum queueing delay, and rejects all others at once.
  *
  * <p>Deterministic for a seed. O(attempts); not thread-safe.
  */
--- a/src/main/java/sandstack/net/ConnectionAdmission.java
+++ b/src/main/java/sandstack/net/ConnectionAdmission.java
@@ -35,8 +35,7 @@
 
         /**
          * Its request did not arrive in time. A session that answers should then call {@link #closeAfterLinger}: a
-         * close
-         * over unread input resets the connection, and the answer is lost.
+         * close over unread input resets the connection, and the answer is lost.
          */
         default void onRequestTimeout() {
             reject();
--- a/src/main/java/sandstack/net/DescriptorBudget.java
+++ b/src/main/java/sandstack/net/DescriptorBudget.java
@@ -8,8 +8,7 @@
     /** Heap of a relay without connections, with the headroom of the garbage collector. */
     static final long BASE_BYTES = 12L << 20;
     /**
-     * Heap of an established connection: 5,554 bytes by {@code measure scale} (relay.memory.heap), and a sixth
-     * more.
+     * Heap of an established connection: 5,554 bytes by {@code measure scale} (relay.memory.heap), and a sixth more.
      */
     static final long CONNECTION_BYTES = 6_500;
     /** An established connection has one socket to its client and one to its feed server. */
--- a/src/main/java/sandstack/net/Peer.java
+++ b/src/main/java/sandstack/net/Peer.java
@@ -14,8 +14,8 @@
 
 /**
  * One non-blocking socket with a buffer for each direction. Input is reported to the {@link Listener}; output is
- * written
- * at once or as soon as the socket accepts it. A full input buffer stops the reading. Used on the loop's thread only.
+ * written at once or as soon as the socket accepts it. A full input buffer stops the reading. Used on the loop's thread
+ * only.
  */
 public final class Peer {
     /** Bytes that one direction buffers before reading stops. */
--- a/src/main/java/sandstack/random/BoundedMap.java
+++ b/src/main/java/sandstack/random/BoundedMap.java
@@ -5,8 +5,7 @@
 
 /**
  * A map of bounded size: a new key beyond the bound evicts the one that was inserted first. Iterates in insertion
- * order, as
- * its superclass does. Not safe for use by several threads; every call is O(1).
+ * order, as its superclass does. Not safe for use by several threads; every call is O(1).
  */
 public final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/sandstack/random/SeededRandom.java
+++ b/src/main/java/sandstack/random/SeededRandom.java
@@ -2,12 +2,10 @@
 
 /**
  * A pseudo-random number generator, SplitMix64 (Steele, Lea and Flood, 2014), and hashes by FNV-1a with the finalizer
- * of the
- * same generator. The same seed gives the same numbers on every machine. Not for cryptography.
+ * of the same generator. The same seed gives the same numbers on every machine. Not for cryptography.
  *
  * <p>An instance has one owner and is used by its thread only; the static methods may be called by any thread. Every
- * call
- * takes a few shifts and multiplications and allocates nothing.
+ * call takes a few shifts and multiplications and allocates nothing.
  */
 public final class SeededRandom {
     /** Increment of the state: 2^64 divided by the golden ratio, made odd. */
--- a/src/main/java/sandstack/service/ClientListener.java
+++ b/src/main/java/sandstack/service/ClientListener.java
@@ -84,8 +84,7 @@
 
     /**
      * Accepts at the inherited socket once this process can serve: a sibling process serves there meanwhile, and a
-     * client
-     * that was accepted too early would wait longer here.
+     * client that was accepted too early would wait longer here.
      */
     void acceptInheritedWhenReady(SiblingHandover handover) {
         long sinceStartMicros = loop.nowMicros() - startedAtMicros;
--- a/src/main/java/sandstack/service/ConfigurationReloader.java
+++ b/src/main/java/sandstack/service/ConfigurationReloader.java
@@ -11,8 +11,7 @@
 
 /**
  * Reads the configuration again on SIGHUP, and applies the complete settings and the address of discovery in one turn
- * of
- * the event loop. A configuration that cannot be used changes nothing. Safe for use from any thread.
+ * of the event loop. A configuration that cannot be used changes nothing. Safe for use from any thread.
  */
 final class ConfigurationReloader {
     private static final Logger LOG = Logger.getLogger("sandstack.service");
--- a/src/main/java/sandstack/service/ServiceLifecycle.java
+++ b/src/main/java/sandstack/service/ServiceLifecycle.java
@@ -5,8 +5,7 @@
 
 /**
  * How far this process is, and its hook on SIGTERM. The process serves at most once, and never after it has been told
- * to
- * stop. Safe for use from any thread.
+ * to stop. Safe for use from any thread.
  */
 final class ServiceLifecycle {
     /** How far the process is. */
@@ -22,8 +21,8 @@
 
     /**
      * Registers what SIGTERM starts where the process serves by then. To be called before any listener is open: a
-     * client
-     * that connected between the two would be reset by SIGTERM. Does not return where the process is ending already.
+     * client that connected between the two would be reset by SIGTERM. Does not return where the process is ending
+     * already.
      */
     void onShutdown(Runnable gracefulShutdown) {
         Thread hook = new Thread(
--- a/src/main/java/sandstack/service/SiblingHandover.java
+++ b/src/main/java/sandstack/service/SiblingHandover.java
@@ -104,8 +104,7 @@
     }
 
     /**
-     * What the other processes are notified of, and what follows here from their state. Called on the siblings'
-     * thread.
+     * What the other processes are notified of, and what follows here from their state. Called on the siblings' thread.
      */
     private final class LocalProcess implements SiblingProcesses.LocalProcess {
         @Override
--- a/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
+++ b/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
@@ -7,10 +7,8 @@
 
 /**
  * Builds {@link BalancerSettings}. What is not set has a neutral default: one instance in one zone, no tenants, no
- * costs,
- * nothing optional allowed, servers that start at full capacity. Values are checked by {@link #build} only. Not safe
- * for use
- * by several threads.
+ * costs, nothing optional allowed, servers that start at full capacity. Values are checked by {@link #build} only. Not
+ * safe for use by several threads.
  */
 public final class BalancerSettingsBuilder {
     private int instanceIndex;
--- a/src/main/java/sandstack/simulator/BatchReader.java
+++ b/src/main/java/sandstack/simulator/BatchReader.java
@@ -7,9 +7,8 @@
 import java.util.List;
 
 /**
- * Reads one batch at a time: the clock, the serial number and the events of each instance. Unknown fields are
- * skipped. The
- * result is valid until the next batch is read. One thread.
+ * Reads one batch at a time: the clock, the serial number and the events of each instance. Unknown fields are skipped.
+ * The result is valid until the next batch is read. One thread.
  */
 final class BatchReader {
     private final WireInput input;
--- a/src/main/java/sandstack/simulator/EventFields.java
+++ b/src/main/java/sandstack/simulator/EventFields.java
@@ -8,8 +8,7 @@
 
 /**
  * The fields of one event as they were read. The accessors check type and presence; their errors name the type of the
- * event
- * and the field. One thread.
+ * event and the field. One thread.
  */
 final class EventFields {
     static final String LOAD_REPORT = "stats";
--- a/src/main/java/sandstack/simulator/EventReader.java
+++ b/src/main/java/sandstack/simulator/EventReader.java
@@ -10,8 +10,7 @@
 
 /**
  * Reads the fields of one event, of whatever type: settings, load reports and list entries in their own form, the
- * others as
- * scalars. Unknown objects and arrays are skipped, and so is null. One thread.
+ * others as scalars. Unknown objects and arrays are skipped, and so is null. One thread.
  */
 final class EventReader {
     private static final String TYPE = "t";
--- a/src/main/java/sandstack/simulator/SimulatorSession.java
+++ b/src/main/java/sandstack/simulator/SimulatorSession.java
@@ -22,9 +22,8 @@
 import sandstack.decisions.LoadBalancer;
 
 /**
- * A session with the simulator: reads batches of events, passes each event to the {@link LoadBalancer} of its
- * instance and
- * writes the actions of a batch as one reply. It translates and decides nothing. One thread.
+ * A session with the simulator: reads batches of events, passes each event to the {@link LoadBalancer} of its instance
+ * and writes the actions of a batch as one reply. It translates and decides nothing. One thread.
  */
 public final class SimulatorSession {
     /** The type of the event that starts an instance. */
@@ -63,7 +62,7 @@
      * Replies to batches until the input ends.
      *
      * @throws MalformedMessageException if the input breaks the protocol; the reply to that batch is missing or cut
-     * short
+     *     short
      */
     public void run(InputStream input, OutputStream output) throws IOException, MalformedMessageException {
         JsonGenerator out = jsonFactory.createGenerator(output, JsonEncoding.UTF8);
--- a/src/main/java/sandstack/simulator/WireInput.java
+++ b/src/main/java/sandstack/simulator/WireInput.java
@@ -8,8 +8,7 @@
 
 /**
  * The input from the simulator as JSON tokens, with the position that errors name: the batch, or the one before it
- * while the
- * serial number of the batch has not been read. One thread.
+ * while the serial number of the batch has not been read. One thread.
  */
 final class WireInput implements Closeable {
     private final JsonParser json;
--- a/src/main/java/sandstack/staleness/EndpointListStaleness.java
+++ b/src/main/java/sandstack/staleness/EndpointListStaleness.java
@@ -1,15 +1,13 @@
 package sandstack.staleness;
 
 /**
- * Times of the endpoint list: how long a watch may be silent, the backoff before the next poll, how long a new
- * process waits
- * for its first list, and from when on a relay counts as notified of a change, for each path by which changes come.
+ * Times of the endpoint list: how long a watch may be silent, the backoff before the next poll, how long a new process
+ * waits for its first list, and from when on a relay counts as notified of a change, for each path by which changes
+ * come.
  *
  * <p>A relay that counts as notified is held to the change whether or not it has received it, so the other times are
- * chosen
- * to have the list before that. The backoff is drawn from the whole of an interval that doubles with each failure
- * ("full
- * jitter").
+ * chosen to have the list before that. The backoff is drawn from the whole of an interval that doubles with each
+ * failure ("full jitter").
  *
  * <p>An immutable value without a clock; all times are microseconds; every call is O(1).
  *
@@ -20,11 +18,9 @@
  */
 public record EndpointListStaleness(boolean pushed, long pollIntervalMicros) {
     /**
-     * A watch that is silent for this long has failed. A sound one sends something every 2 s, and discovery ends a
-     * long poll
-     * after 2 s at most; the rest is for the network and a relay that was held up. It leaves time for two more polls
-     * before
-     * {@link #MISSED_CHANGE_GRACE_MICROS} is over.
+     * A watch that is silent for this long has failed. A sound one sends something every 2 s, and discovery ends a long
+     * poll after 2 s at most; the rest is for the network and a relay that was held up. It leaves time for two more
+     * polls before {@link #MISSED_CHANGE_GRACE_MICROS} is over.
      */
     public static final long WATCH_SILENCE_TIMEOUT_MICROS = 2_500_000;
     /** A change missed on a silent watch counts as notified this long after the watch fell silent. */
@@ -42,16 +38,15 @@
     /** After a new configuration names another agent, the list of that agent counts as notified this much later. */
     public static final long NEW_CONFIGURATION_GRACE_MICROS = 4_000_000;
     /**
-     * A failed poll counts for this many times {@link #pollIntervalMicros}, but for no more than {@link
-     * #MISSED_CHANGE_GRACE_MICROS} after a change.
+     * A failed poll counts for this many times {@link #pollIntervalMicros}, but for no more than
+     * {@link #MISSED_CHANGE_GRACE_MICROS} after a change.
      */
     private static final int FAILED_POLL_INTERVALS = 4;
 
     /** The base of the backoff, which each failure doubles, is {@link #pollIntervalMicros} divided by this. */
     private static final int BASE_BACKOFF_DIVISOR = 64;
     /**
-     * The longest span is {@link #pollIntervalMicros} divided by this, so that the next poll fits into the
-     * interval.
+     * The longest span is {@link #pollIntervalMicros} divided by this, so that the next poll fits into the interval.
      */
     private static final int LONGEST_BACKOFF_DIVISOR = 2;
 
@@ -88,8 +83,7 @@
      *
      * @param changedAtMicros when discovery had the change or, if it was down, when it was back
      * @param sinceMicros when the silence began, the last poll was made or the new configuration came, whichever the
-     *     path
-     *     refers to; not used for a change that was delivered or cached
+     *     path refers to; not used for a change that was delivered or cached
      * @param longPollMicros how long the open poll may wait; 0 where it is no long poll
      */
     public long notifiedAtMicros(NotificationPath path, long changedAtMicros, long sinceMicros, long longPollMicros) {
@@ -161,8 +155,7 @@
     }
 
     /**
-     * How long a new process waits for its first list before it accepts clients with the one that it was started
-     * with.
+     * How long a new process waits for its first list before it accepts clients with the one that it was started with.
      */
     public long firstListTimeoutMicros() {
         return pushed ? FIRST_LIST_TIMEOUT_MICROS : 0;
--- a/src/main/java/sandstack/testserver/FakeFeedServer.java
+++ b/src/main/java/sandstack/testserver/FakeFeedServer.java
@@ -14,10 +14,9 @@
 import sandstack.net.Peer;
 
 /**
- * A fake feed server of the line protocol with scripted behaviour: it sets connections up with the work that its {@link
- * ServerProfile} states, echoes every line, rejects or sheds connections above its limit, drains, dies and restarts
- * cold. Used
- * on the thread of its loop. A line costs O(1), {@link #kill} O(connections).
+ * A fake feed server of the line protocol with scripted behaviour: it sets connections up with the work that its
+ * {@link ServerProfile} states, echoes every line, rejects or sheds connections above its limit, drains, dies and
+ * restarts cold. Used on the thread of its loop. A line costs O(1), {@link #kill} O(connections).
  */
 public final class FakeFeedServer {
     /**
@@ -190,8 +189,7 @@
     }
 
     /**
-     * Seconds for which connections were established, by the value of one attribute of the request, such as the
-     * class.
+     * Seconds for which connections were established, by the value of one attribute of the request, such as the class.
      */
     public Map<String, Double> establishedSeconds(String name) {
         Map<String, Double> seconds = new LinkedHashMap<>();
--- a/src/main/java/sandstack/testserver/WorkQueue.java
+++ b/src/main/java/sandstack/testserver/WorkQueue.java
@@ -5,8 +5,7 @@
 
 /**
  * The simulated processor of a {@link FakeFeedServer}: work waits in one queue for the first free core. Cores are
- * slower
- * while the server warms up and while a noisy neighbour takes a part of them. Used on the thread of its loop.
+ * slower while the server warms up and while a noisy neighbour takes a part of them. Used on the thread of its loop.
  */
 final class WorkQueue {
     /** Keeps the duration of work finite when a neighbour takes all of every core. */
--- a/src/main/java/sandstack/testserver/ZoneLink.java
+++ b/src/main/java/sandstack/testserver/ZoneLink.java
@@ -9,9 +9,8 @@
 import sandstack.net.Peer;
 
 /**
- * A TCP proxy on the link from one zone to a feed server of another: delivers bytes in both directions in order,
- * after a
- * delay with jitter. Used on the thread of its loop. Each delivery costs one timer.
+ * A TCP proxy on the link from one zone to a feed server of another: delivers bytes in both directions in order, after
+ * a delay with jitter. Used on the thread of its loop. Each delivery costs one timer.
  */
 public final class ZoneLink {
     private final TestServerLoop loop;
--- a/src/test/java/sandstack/EarlySignalTest.java
+++ b/src/test/java/sandstack/EarlySignalTest.java
@@ -74,7 +74,9 @@
         standInLoop.close();
     }
 
-    /** The example's configuration with our feed servers and short deadlines: a process that has served ends within 1 s. */
+    /**
+     * The example's configuration with our feed servers and short deadlines: a process that has served ends within 1 s.
+     */
     private String config(int discoveryPort) throws IOException {
         String text = Files.readString(Path.of("examples/config.json"))
                 .replace("127.0.0.1:3000", "127.0.0.1:0")
@@ -146,7 +148,10 @@
         assertThat(relay.waitFor()).isEqualTo(TERMINATED);
     }
 
-    /** A process that had been told to stop opened its listener all the same, and reset the clients it accepted when it ended. */
+    /**
+     * A process that had been told to stop opened its listener all the same, and reset the clients it accepted when it
+     * ended.
+     */
     @Test
     void aSignalBeforeTheListenerIsOpenKeepsItShut() throws Exception {
         String pushed = config(Program.freePort()).replace("on_request", "pushed");
@@ -224,7 +229,10 @@
         }
     }
 
-    /** Stops a process as soon as its first client has connected; returns how many milliseconds after its start that was. */
+    /**
+     * Stops a process as soon as its first client has connected; returns how many milliseconds after its start that
+     * was.
+     */
     private long stoppedAtItsFirstClient(Program program) throws Exception {
         long began = System.nanoTime();
         Start start = new Start(program, "first");
--- a/src/test/java/sandstack/Program.java
+++ b/src/test/java/sandstack/Program.java
@@ -19,8 +19,8 @@
 import sandstack.service.RelayService;
 
 /**
- * The program as {@code run} of deploy/balancer.toml starts it, from a jar and a class archive made of the classes under
- * test: neither is built yet when tests run. One log file a process, in the test's folder.
+ * The program as {@code run} of deploy/balancer.toml starts it, from a jar and a class archive made of the classes
+ * under test: neither is built yet when tests run. One log file a process, in the test's folder.
  */
 final class Program {
     private final Path folder;
@@ -70,7 +70,10 @@
         return Path.of(System.getProperty("java.home"), "bin/java").toString();
     }
 
-    /** The example's configuration with this discovery and so many descriptors; it listens at a port of the system's choice. */
+    /**
+     * The example's configuration with this discovery and so many descriptors; it listens at a port of the system's
+     * choice.
+     */
     Path config(String name, int discovery, int sockets) throws IOException {
         return Files.writeString(
                 folder.resolve(name + ".json"),
--- a/src/test/java/sandstack/ReloadWhileDrainingTest.java
+++ b/src/test/java/sandstack/ReloadWhileDrainingTest.java
@@ -129,7 +129,10 @@
         return servers.get(server).counters().established();
     }
 
-    /** Settings, deadlines and discovery change, twice, while the clients of a relay that shuts down wait for their migration. */
+    /**
+     * Settings, deadlines and discovery change, twice, while the clients of a relay that shuts down wait for their
+     * migration.
+     */
     @Test
     void aDrainingRelayMigratesItsClientsWhateverIsReloadedMeanwhile() throws Exception {
         come(CLIENTS);
--- a/src/test/java/sandstack/SignalledStart.java
+++ b/src/test/java/sandstack/SignalledStart.java
@@ -7,8 +7,8 @@
 import sun.misc.Signal;
 
 /**
- * The program, told to stop as it logs a certain line: whichever thread logs it stands until the shutdown has begun, so the
- * signal lies between that line and the next one every time. A process of its own, for {@link EarlySignalTest}.
+ * The program, told to stop as it logs a certain line: whichever thread logs it stands until the shutdown has begun, so
+ * the signal lies between that line and the next one every time. A process of its own, for {@link EarlySignalTest}.
  */
 final class SignalledStart {
     /** The shutdown takes so long at least, as with other parts that have something to take down. */
--- a/src/test/java/sandstack/capacity/SlowStartBudgetTest.java
+++ b/src/test/java/sandstack/capacity/SlowStartBudgetTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many relays send to one cold server without communication, each with a budget of its own: how often their sum overloads
- * the server, by the rule of the settings. All on one simulated clock.
+ * Many relays send to one cold server without communication, each with a budget of its own: how often their sum
+ * overloads the server, by the rule of the settings. All on one simulated clock.
  */
 class SlowStartBudgetTest {
     private static final long WINDOW_MICROS = 1_500_000;
@@ -126,7 +126,9 @@
         assertThat(result.overloads).isLessThanOrEqualTo(5);
     }
 
-    /** Each relay gets a request once in a quarter of a minute: permits alone leave nine tenths of the budget unused. */
+    /**
+     * Each relay gets a request once in a quarter of a minute: permits alone leave nine tenths of the budget unused.
+     */
     @Test
     void relaysWithFewRequestsEachSpendTheBudgetTogether() {
         double permitsAlone = play(500, 100, 1, 6, true, 0, false, 1).sentFraction;
--- a/src/test/java/sandstack/configuration/DistributionTrace.java
+++ b/src/test/java/sandstack/configuration/DistributionTrace.java
@@ -18,9 +18,9 @@
 import sandstack.configuration.ConfigurationEdit.Remove;
 
 /**
- * Eight relays and three control machines under drawn faults, on one thread in simulated time. Everything that they send,
- * close, put in force and log is written to a digest, with its moment and its bytes, the text of log lines excepted: two
- * builds that do the same in the same order give the same digest.
+ * Eight relays and three control machines under drawn faults, on one thread in simulated time. Everything that they
+ * send, close, put in force and log is written to a digest, with its moment and its bytes, the text of log lines
+ * excepted: two builds that do the same in the same order give the same digest.
  */
 final class DistributionTrace {
     private static final long SECOND_MICROS = 1_000_000;
--- a/src/test/java/sandstack/configuration/FixtureFile.java
+++ b/src/test/java/sandstack/configuration/FixtureFile.java
@@ -13,7 +13,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** A text resource of named values, one line each: the name, a space, the value. Lines that begin with # are comments. */
+/**
+ * A text resource of named values, one line each: the name, a space, the value. Lines that begin with # are comments.
+ */
 public final class FixtureFile {
     private static final String FOLDER = "/configuration/";
 
--- a/src/test/java/sandstack/configuration/consensus/ControlNodeTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ControlNodeTest.java
@@ -110,7 +110,9 @@
         assertComplete(cluster, 10);
     }
 
-    /** It reaches and hears all machines but the leader, so that it requests votes repeatedly; pre-vote must stop it. */
+    /**
+     * It reaches and hears all machines but the leader, so that it requests votes repeatedly; pre-vote must stop it.
+     */
     @Test
     void machineThatDoesNotHearTheLeaderDoesNotDisruptIt() {
         SimulatedCluster cluster = started(7);
--- a/src/test/java/sandstack/configuration/consensus/RaftSamples.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftSamples.java
@@ -22,9 +22,9 @@
 import sandstack.configuration.FixtureFile;
 
 /**
- * What Raft stores and sends, one of each kind. {@code main} writes the bytes, a store on disk and the traces of simulated
- * clusters with the build on the class path; the fixtures were made by this class as it was in the commit that added
- * them, compiled against the build that they name.
+ * What Raft stores and sends, one of each kind. {@code main} writes the bytes, a store on disk and the traces of
+ * simulated clusters with the build on the class path; the fixtures were made by this class as it was in the commit
+ * that added them, compiled against the build that they name.
  */
 final class RaftSamples {
     static final String MESSAGES = "raft-messages.txt";
--- a/src/test/java/sandstack/configuration/consensus/RandomFaultSchedulesTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RandomFaultSchedulesTest.java
@@ -6,8 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random faults: kills, pauses, one-way cuts, partitioned regions, lost messages. {@code -Dsandstack.consensus.schedules=N}
- * runs more than CI does, {@code -Dsandstack.consensus.first=SEED} from another seed on.
+ * Random faults: kills, pauses, one-way cuts, partitioned regions, lost messages.
+ * {@code -Dsandstack.consensus.schedules=N} runs more than CI does, {@code -Dsandstack.consensus.first=SEED} from
+ * another seed on.
  */
 class RandomFaultSchedulesTest {
     private static final int SCHEDULES_PER_RUN = Integer.getInteger("sandstack.consensus.schedules", 25);
@@ -31,7 +32,9 @@
         assertThat(faults).isGreaterThan(10 * SCHEDULES_PER_RUN);
     }
 
-    /** Without {@link SnapshotConsistencyCheck} and {@link SnapshotStallDetector} a machine stays behind for good here. */
+    /**
+     * Without {@link SnapshotConsistencyCheck} and {@link SnapshotStallDetector} a machine stays behind for good here.
+     */
     @Test
     void regressionSeedsConverge() {
         for (long seed : new long[] {1081, 1089, 20242}) {
--- a/src/test/java/sandstack/core/ConnectionAttemptTest.java
+++ b/src/test/java/sandstack/core/ConnectionAttemptTest.java
@@ -213,8 +213,8 @@
     }
 
     /**
-     * The platform kills by the settings that it had when it sent SIGTERM. A reload that came after changed the end: with a
-     * longer deadline the relay waited for its clients beyond that, with a shorter one it failed them early.
+     * The platform kills by the settings that it had when it sent SIGTERM. A reload that came after changed the end:
+     * with a longer deadline the relay waited for its clients beyond that, with a shorter one it failed them early.
      */
     @ParameterizedTest
     @ValueSource(longs = {300_000, 2_000_000, 30_000_000})
--- a/src/test/java/sandstack/decisions/ActionDigest.java
+++ b/src/test/java/sandstack/decisions/ActionDigest.java
@@ -16,8 +16,8 @@
 import sandstack.decisions.BalancerAction.WatchEndpointList;
 
 /**
- * Running SHA-256 over the values of actions. Every action is written with a code and a layout of this class, so
- * that the digest depends on no name of a type, component or constant. Counts the codes as well. One thread.
+ * Running SHA-256 over the values of actions. Every action is written with a code and a layout of this class, so that
+ * the digest depends on no name of a type, component or constant. Counts the codes as well. One thread.
  */
 final class ActionDigest implements BalancerAction.Handler<RuntimeException> {
     private static final int SHORT_BYTES = 8;
--- a/src/test/java/sandstack/decisions/DigestCondition.java
+++ b/src/test/java/sandstack/decisions/DigestCondition.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * State of the servers and clients of a {@link DigestStream} for some hundred events: the longest pause between two, the
- * weights of the kinds of events, and how servers behave.
+ * State of the servers and clients of a {@link DigestStream} for some hundred events: the longest pause between two,
+ * the weights of the kinds of events, and how servers behave.
  */
 enum DigestCondition {
     CALM(25_000),
--- a/src/test/java/sandstack/decisions/DigestStream.java
+++ b/src/test/java/sandstack/decisions/DigestStream.java
@@ -28,8 +28,8 @@
 import sandstack.decisions.BalancerEvent.TimerExpired;
 
 /**
- * Plays drawn events of one {@link DigestScenario} to a module, reacts to its actions and keeps the digest of them.
- * All draws come from the seed of the scenario. One thread.
+ * Plays drawn events of one {@link DigestScenario} to a module, reacts to its actions and keeps the digest of them. All
+ * draws come from the seed of the scenario. One thread.
  */
 final class DigestStream {
     private static final int EJECTION_CHECK_INTERVAL = 8;
--- a/src/test/java/sandstack/decisions/MemoryBoundTest.java
+++ b/src/test/java/sandstack/decisions/MemoryBoundTest.java
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Entries of all maps and collections that the load balancer and its parts hold, at any depth. Settings, servers and
-     * requests are left out.
+     * Entries of all maps and collections that the load balancer and its parts hold, at any depth. Settings, servers
+     * and requests are left out.
      */
     private static int keptEntries(Object part, Set<Object> visited) throws IllegalAccessException {
         int count = 0;
--- a/src/test/java/sandstack/decisions/OverloadTest.java
+++ b/src/test/java/sandstack/decisions/OverloadTest.java
@@ -131,7 +131,9 @@
         assertTrue(together > 6, "groups at one place, most clients being shed: " + together);
     }
 
-    /** Of a hundred relays each has two or three connections: none sees a full home zone before all servers are slow. */
+    /**
+     * Of a hundred relays each has two or three connections: none sees a full home zone before all servers are slow.
+     */
     @Test
     void groupsAreConsolidatedWhereRelaysOutnumberServers() {
         int together = countGroupsPlacedTogether(harnessesOfTwoZones(20), "many");
--- a/src/test/java/sandstack/decisions/ReleaseDuringDiscoveryOutageTest.java
+++ b/src/test/java/sandstack/decisions/ReleaseDuringDiscoveryOutageTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A hundred load balancers while discovery is down, seven in ten relays are killed and half of the servers are replaced,
- * over twelve seeds of 20 to 23 groups. Measured means are 0.486 of the weight served, 0.224 in the last third, and 1,101
- * connections dropped, with 112 pairs of group and server at the end; the bounds leave a margin.
+ * A hundred load balancers while discovery is down, seven in ten relays are killed and half of the servers are
+ * replaced, over twelve seeds of 20 to 23 groups. Measured means are 0.486 of the weight served, 0.224 in the last
+ * third, and 1,101 connections dropped, with 112 pairs of group and server at the end; the bounds leave a margin.
  */
 class ReleaseDuringDiscoveryOutageTest {
     private static final int SEED_COUNT = 12;
--- a/src/test/java/sandstack/decisions/RollingRestartTest.java
+++ b/src/test/java/sandstack/decisions/RollingRestartTest.java
@@ -9,8 +9,8 @@
 
 /**
  * A hundred load balancers while all relays restart and half of the servers are replaced, over twelve seeds. Measured
- * means are 0.475 of the weight served and 1,884 connections dropped; the bounds leave a margin, and a change that makes
- * either worse than that fails here in seconds.
+ * means are 0.475 of the weight served and 1,884 connections dropped; the bounds leave a margin, and a change that
+ * makes either worse than that fails here in seconds.
  */
 class RollingRestartTest {
     private static final int SEED_COUNT = 12;
--- a/src/test/java/sandstack/decisions/SimulatedFleet.java
+++ b/src/test/java/sandstack/decisions/SimulatedFleet.java
@@ -20,9 +20,9 @@
 import sandstack.decisions.BalancerEvent.TimerExpired;
 
 /**
- * Many load balancers, their servers and their clients in one simulated clock. A {@link SimulatedServer} queues the work
- * that it cannot do; past a second of it the newest connections are dropped. Relays learn of that only what happens to
- * their own connections, and hear of the endpoint list seconds late. Loads are reported once a connection is
+ * Many load balancers, their servers and their clients in one simulated clock. A {@link SimulatedServer} queues the
+ * work that it cannot do; past a second of it the newest connections are dropped. Relays learn of that only what
+ * happens to their own connections, and hear of the endpoint list seconds late. Loads are reported once a connection is
  * established. {@link FleetOperations} lets parts of the fleet fail and {@link FleetScenarios} says when.
  */
 final class SimulatedFleet {
--- a/src/test/java/sandstack/decisions/SimulatedServer.java
+++ b/src/test/java/sandstack/decisions/SimulatedServer.java
@@ -26,7 +26,9 @@
     EndpointEntry entry;
     boolean down;
     boolean draining;
-    /** Seconds of work that are queued at most. Where that is less than the delay of drops, it is slow and drops nobody. */
+    /**
+     * Seconds of work that are queued at most. Where that is less than the delay of drops, it is slow and drops nobody.
+     */
     double maxQueueSeconds = Double.POSITIVE_INFINITY;
 
     private double queuedWork;
--- a/src/test/java/sandstack/decisions/ZoneOutageTest.java
+++ b/src/test/java/sandstack/decisions/ZoneOutageTest.java
@@ -8,9 +8,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Ninety load balancers whose clients' groups lose a third of the servers at once, over 24 seeds with few connections and
- * 24 with more. With one place for each group 0.931 and 0.898 of the weight were served and 18 and 84 connections dropped:
- * a whole group that lost its server came to one other and overloaded it. With two places it is 0.965 and 0.918, 9 and 50.
+ * Ninety load balancers whose clients' groups lose a third of the servers at once, over 24 seeds with few connections
+ * and 24 with more. With one place for each group 0.931 and 0.898 of the weight were served and 18 and 84 connections
+ * dropped: a whole group that lost its server came to one other and overloaded it. With two places it is 0.965 and
+ * 0.918, 9 and 50.
  */
 class ZoneOutageTest {
     private static SimulationResult[] simulate(int clients) {
--- a/src/test/java/sandstack/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/sandstack/discovery/DiscoveryWatchTest.java
@@ -34,7 +34,10 @@
 import sandstack.settings.BalancerSettingsBuilder;
 import sandstack.staleness.EndpointListStaleness;
 
-/** The watch against a discovery of the test's own. The load balancer decides when to poll again: a poll follows each failure. */
+/**
+ * The watch against a discovery of the test's own. The load balancer decides when to poll again: a poll follows each
+ * failure.
+ */
 class DiscoveryWatchTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -195,8 +198,8 @@
     }
 
     /**
-     * Whatever backoff a failed poll allows, a change counts 6 s after discovery had it and could be reached: a backoff that
-     * doubled was longer. The last poll before the return falls silent, the one after it has to come in time.
+     * Whatever backoff a failed poll allows, a change counts 6 s after discovery had it and could be reached: a backoff
+     * that doubled was longer. The last poll before the return falls silent, the one after it has to come in time.
      */
     @Test
     void recoversWithin6SecondsHoweverOftenPollsHaveFailed() throws Exception {
@@ -269,7 +272,9 @@
         return read.get(10, TimeUnit.SECONDS);
     }
 
-    /** No update reports what was removed in the gap: it is only missing in the full list, whose version may be lower. */
+    /**
+     * No update reports what was removed in the gap: it is only missing in the full list, whose version may be lower.
+     */
     @ParameterizedTest
     @ValueSource(ints = {60, 7})
     void aFullListAfterAGapReplacesThePreviousOne(int rev) throws Exception {
--- a/src/test/java/sandstack/fleet/MembershipTest.java
+++ b/src/test/java/sandstack/fleet/MembershipTest.java
@@ -96,7 +96,9 @@
             });
         }
 
-        /** The running members that one reaches over a chain of running members, by links that satisfy the predicate. */
+        /**
+         * The running members that one reaches over a chain of running members, by links that satisfy the predicate.
+         */
         Set<Incarnation> reachableByChain(Incarnation from, BiPredicate<Incarnation, Incarnation> link) {
             Set<Incarnation> reachable = new HashSet<>(Set.of(from));
             for (boolean grew = true; grew; ) {
@@ -327,7 +329,10 @@
         assertThatThrownBy(() -> membership.publish("one more", "v", 0)).hasMessageContaining("at most");
     }
 
-    /** The library removes a member that it cannot probe if one other does not respond in time, although others reach it. */
+    /**
+     * The library removes a member that it cannot probe if one other does not respond in time, although others reach
+     * it.
+     */
     @Test
     void memberRemovedByTheLibraryStaysWhileAnotherReachesIt() {
         MemberTable table = new MemberTable(new Incarnation("me", "me", "z", "m", "a"), 0);
@@ -367,7 +372,10 @@
         assertThat(table.rows(10_000)).hasSize(1 + MemberTable.MAX_DEPARTED);
     }
 
-    /** Two that started on both sides of a partition: the library may discover one of them late, when all others know it. */
+    /**
+     * Two that started on both sides of a partition: the library may discover one of them late, when all others know
+     * it.
+     */
     @Test
     void memberDiscoveredByGossipIsProbedAndCountsOnceItAnswers() {
         Incarnation self = new Incarnation("a-0", "a", "z", "m", "a");
--- a/src/test/java/sandstack/front/platform/ConcurrentEventsTest.java
+++ b/src/test/java/sandstack/front/platform/ConcurrentEventsTest.java
@@ -50,7 +50,9 @@
         return client;
     }
 
-    /** Asserts that no request was forwarded in between: the next one to reach a feed server is a new one with this key. */
+    /**
+     * Asserts that no request was forwarded in between: the next one to reach a feed server is a new one with this key.
+     */
     private void assertNextRequest(String key) throws Exception {
         RemoteEnd client = clientWithRequest(key, "safe");
         try (client;
@@ -296,7 +298,10 @@
                 () -> assertThat(outcomeCount(ConnectionOutcome.NOT_CONNECTED)).isEqualTo(1));
     }
 
-    /** A request that no feed server has received completely has not run, and is retried although its class is not idempotent. */
+    /**
+     * A request that no feed server has received completely has not run, and is retried although its class is not
+     * idempotent.
+     */
     @Test
     void upstreamResetBeforeTheCompleteRequestIsRetried() throws Exception {
         pausableRelay.writes.limit(HALF_A_LINE);
@@ -338,7 +343,9 @@
         assertRetried(client);
     }
 
-    /** Servers missing from the list get no new requests; their clients are migrated or stay, and are not disconnected. */
+    /**
+     * Servers missing from the list get no new requests; their clients are migrated or stay, and are not disconnected.
+     */
     @Test
     void fullListAfterAGapAppliesToAConcurrentRequest() throws Exception {
         List<RemoteEnd> clients = new ArrayList<>();
--- a/src/test/java/sandstack/front/platform/PartialRequestTest.java
+++ b/src/test/java/sandstack/front/platform/PartialRequestTest.java
@@ -15,8 +15,8 @@
 import sandstack.front.platform.PausableRelay.RemoteEnd;
 
 /**
- * A valid request cut at every byte, on real sockets: an incomplete one is closed and not forwarded, one that is completed
- * later is answered as usual, and neither leaves state behind.
+ * A valid request cut at every byte, on real sockets: an incomplete one is closed and not forwarded, one that is
+ * completed later is answered as usual, and neither leaves state behind.
  */
 @Timeout(60)
 class PartialRequestTest {
@@ -69,7 +69,9 @@
         assertNothingLeft();
     }
 
-    /** Asserts that the next request to reach a feed server is this client's, and that its answer reaches the client. */
+    /**
+     * Asserts that the next request to reach a feed server is this client's, and that its answer reaches the client.
+     */
     private void assertServed(RemoteEnd client) throws Exception {
         try (RemoteEnd server = pausableRelay.nextUpstreamRequest()) {
             assertThat(server.key).isEqualTo("whole");
--- a/src/test/java/sandstack/front/platform/PausableRelay.java
+++ b/src/test/java/sandstack/front/platform/PausableRelay.java
@@ -37,8 +37,8 @@
 import sandstack.settings.BalancerSettingsBuilder;
 
 /**
- * A relay on loopback whose thread the test can pause: what arrives meanwhile is in the kernel's buffers when the thread
- * continues, regardless of the machine's speed. This makes races deterministic.
+ * A relay on loopback whose thread the test can pause: what arrives meanwhile is in the kernel's buffers when the
+ * thread continues, regardless of the machine's speed. This makes races deterministic.
  */
 final class PausableRelay implements AutoCloseable {
     /** The remote end of a connection of the relay: a client or a feed server. */
--- a/src/test/java/sandstack/measure/FittedShapesTest.java
+++ b/src/test/java/sandstack/measure/FittedShapesTest.java
@@ -12,7 +12,9 @@
 import sandstack.measure.scale.ScaleReport.Result;
 import sandstack.measure.scale.ScaleRun;
 
-/** Every series of {@code measure scale} with the small effort has the shape that a file states, and is deterministic. */
+/**
+ * Every series of {@code measure scale} with the small effort has the shape that a file states, and is deterministic.
+ */
 class FittedShapesTest {
     private static final String TOO_FEW_SIZES = "TOO_FEW_SIZES";
     private static final Path EXPECTED = Path.of("src/test/resources/measure/small-shapes.txt");
--- a/src/test/java/sandstack/measure/StoredFormsTest.java
+++ b/src/test/java/sandstack/measure/StoredFormsTest.java
@@ -27,7 +27,9 @@
 import sandstack.measure.scale.storm.ClientBehaviour;
 import sandstack.measure.scale.storm.RetryStormScale;
 
-/** The forms of files and of printed tables that earlier builds wrote; a renamed class or field must not change them. */
+/**
+ * The forms of files and of printed tables that earlier builds wrote; a renamed class or field must not change them.
+ */
 class StoredFormsTest {
     private static final Path STORED = Path.of("src/test/resources/measure/stored");
     private static final Path STORM_REPORT = STORED.resolve("storm-report.json");
--- a/src/test/java/sandstack/net/DescriptorBudgetTest.java
+++ b/src/test/java/sandstack/net/DescriptorBudgetTest.java
@@ -11,7 +11,9 @@
 /** What a process may hold is bounded by its descriptors and by its heap. */
 class DescriptorBudgetTest {
     private static final long MEGABYTE = 1L << 20;
-    /** Megabytes of heap, and connections at which it was measured to be exhausted: {@code relay.heap-limit.standing}. */
+    /**
+     * Megabytes of heap, and connections at which it was measured to be exhausted: {@code relay.heap-limit.standing}.
+     */
     private static final int[][] MEASURED_LIMITS = {{24, 3_777}, {32, 5_246}, {48, 8_154}};
 
     @Test
--- a/src/test/java/sandstack/scenario/ScenarioTest.java
+++ b/src/test/java/sandstack/scenario/ScenarioTest.java
@@ -15,8 +15,8 @@
 import sandstack.decisions.EndpointState;
 
 /**
- * Runs the scenarios under src/test/resources/scenarios. Each line is {@code ACTOR VERB WORDS}: clients are
- * c1, c2, ...; connections that reach a feed server are x1, x2, ... in their order; {@code relay} is the relay.
+ * Runs the scenarios under src/test/resources/scenarios. Each line is {@code ACTOR VERB WORDS}: clients are c1, c2,
+ * ...; connections that reach a feed server are x1, x2, ... in their order; {@code relay} is the relay.
  *
  * <ul>
  *   <li>{@code send}: the actor sends something
--- a/src/test/java/sandstack/scenario/Stage.java
+++ b/src/test/java/sandstack/scenario/Stage.java
@@ -135,8 +135,8 @@
     }
 
     /**
-     * The next request that reaches a feed server. An earlier one for the same key must end by itself: two
-     * attempts are never in flight at once.
+     * The next request that reaches a feed server. An earlier one for the same key must end by itself: two attempts are
+     * never in flight at once.
      */
     Actor nextUpstreamRequest() throws InterruptedException {
         Actor actor = upstreamRequests.poll(10, TimeUnit.SECONDS);
--- a/src/test/java/sandstack/staleness/EndpointListStalenessTest.java
+++ b/src/test/java/sandstack/staleness/EndpointListStalenessTest.java
@@ -50,8 +50,9 @@
     }
 
     /**
-     * However many polls have failed: the one that was open when discovery came back falls silent, the backoff is drawn, the
-     * next poll takes as long as a long poll may, and its list arrives before a change made at the return counts.
+     * However many polls have failed: the one that was open when discovery came back falls silent, the backoff is
+     * drawn, the next poll takes as long as a long poll may, and its list arrives before a change made at the return
+     * counts.
      */
     @Property
     void afterAnyFailureTheNextListArrivesBeforeAChangeCounts(
