--- a/src/main/java/sandstack/capacity/AdaptiveLimit.java
+++ b/src/main/java/sandstack/capacity/AdaptiveLimit.java
@@ -1,15 +1,16 @@
 package sandstack.capacity;
 
 /**
- * The most that one server takes of one quantity (connections or load), learned from success and failure. The limit is
- * infinite until the first failure, which sets it to what was in use at that moment. From then on it is raised by
- * trials: one connection past the limit, at a moment drawn uniformly from an interval of 2^n slots.
+ * An adaptive upper limit of what one server holds of one quantity (connections or load), learned from successes and
+ * failures. The limit is infinite until the first failure, which sets it to the amount in use at that time. After that
+ * only trials raise it. A trial exceeds the limit by one connection, at a time drawn uniformly from an interval of 2^n
+ * slots.
  *
  * <ul>
- *   <li>A trial that succeeds resets n to its minimum and raises the limit towards the plateau, the value it had before
- *       the failure: by a quarter of the gap, or by a step that doubles with each success, whichever is more, but by no
- *       more than a quarter of the limit. Past the plateau the steps begin at one again, as the window of CUBIC does
- *       (RFC 9438, 4.1).
+ *   <li>A trial that succeeds resets n to its minimum and raises the limit towards the plateau, which is the limit
+ *       before the failure. It raises it by a quarter of the gap or by a step that doubles with each success, whichever
+ *       is larger, but by at most a quarter of the limit. Past the plateau the step starts again at 1, like the window
+ *       growth of CUBIC (RFC 9438, section 4.1).
  *   <li>A trial that fails increments n, and the next interval starts where the current one ends, as in a backoff
  *       between retries.
  * </ul>
@@ -17,21 +18,26 @@
  * <p>Owned by one {@link CapacityEstimate}; used by one thread; every call is O(1) and allocates nothing.
  */
 final class AdaptiveLimit {
-    /** The longest interval between trials is 2 to this power, in slots. */
+    /** Largest n: the longest interval between trials is 2 to the power of this, in slots. */
     static final int MAX_BACKOFF_EXPONENT = 8;
-    /** The same for the shortest interval: a server shows the effect of a trial only after a while. */
+    /**
+     * Smallest n, for the shortest interval between trials; a server shows the effect of a trial only after some time.
+     */
     private static final int MIN_BACKOFF_EXPONENT = 4;
-    /** The largest step, as a fraction of the limit, so that no single trial admits a flood. */
+    /**
+     * Largest raise after one trial, as a fraction of the limit, so that no single trial admits a flood of connections.
+     */
     private static final double MAX_STEP_FRACTION = 0.25;
-    /** Where a step stops doubling, so that it cannot overflow. */
+    /** Upper bound of the step, so that repeated doubling cannot overflow. */
     private static final int MAX_STEP = 1 << 20;
     /** Half of the smallest value, so that adding a duration to it cannot underflow. */
     private static final long LONG_AGO_MICROS = Long.MIN_VALUE / 2;
 
     private final long slotMicros;
     private double limit = Double.POSITIVE_INFINITY;
+    /** Limit before the last failure; after a trial past it, about twice the amount that was in use then. */
     private double plateau;
-    /** In units of what one connection adds. */
+    /** Next raise of the limit, as a multiple of the amount that one connection adds. */
     private double step = 1;
 
     private int backoffExponent;
@@ -41,30 +47,30 @@
     private boolean trialSinceFailure;
 
     /**
-     * Creates a limit that is infinite.
+     * Creates an infinite limit.
      *
-     * @param slotMicros the unit of the intervals between trials
+     * @param slotMicros unit of the intervals between trials
      */
     AdaptiveLimit(long slotMicros) {
         this.slotMicros = slotMicros;
     }
 
-    /** The present limit; infinite before the first failure. */
+    /** The current limit; infinite until a failure or a stated capacity sets it. */
     double limit() {
         return limit;
     }
 
-    /** Whether a failure, or a stated start, has set a finite limit. */
+    /** Whether a failure or a stated capacity has set a finite limit. */
     boolean isLimited() {
         return limit < Double.POSITIVE_INFINITY;
     }
 
-    /** Whether this much more is within the limit, or a trial is due. */
+    /** Whether {@code added} more fits within the limit, or a trial is due. */
     boolean admits(double inUse, double added, long nowMicros) {
         return inUse + added <= limit || (!trialInFlight && nowMicros >= nextTrialMicros);
     }
 
-    /** This much more was sent; past the limit it is a trial. */
+    /** Records an attempt that adds {@code added}; if that exceeds the limit, the attempt is a trial. */
     void onSent(double inUse, double added) {
         if (inUse + added > limit) {
             trialInFlight = true;
@@ -72,17 +78,17 @@
         }
     }
 
-    /** A trial ended without evidence on the server: the client disconnected, or the attempt was never sent. */
+    /** Ends a trial that gave no evidence about the server: the client disconnected, or the attempt was never sent. */
     void onInconclusive() {
         trialInFlight = false;
     }
 
     /**
-     * What was sent is established.
+     * Records an established connection; if the amount in use exceeds the limit, the limit is raised.
      *
-     * @param inUse what is in use now, the new connection included
-     * @param unit what one connection adds on average
-     * @param uniformDraw from [0, 1)
+     * @param inUse amount in use, including the new connection
+     * @param unit average amount that one connection adds
+     * @param uniformDraw random draw from [0, 1) that determines the time of the next trial
      */
     void onEstablished(double inUse, double unit, long nowMicros, double uniformDraw) {
         if (inUse <= limit) {
@@ -102,13 +108,16 @@
         scheduleTrial(nowMicros, uniformDraw);
     }
 
-    /** Past the plateau nothing is known: small steps first, growing again. */
+    /** Past the plateau there is no evidence of the capacity, so the step starts again at 1 and doubles from there. */
     private void leavePlateau(double inUse) {
         step = 1;
         plateau = 2 * inUse + 1;
     }
 
-    /** Capacity lost at once mostly returns at once; the next failure ends the rise where it does not. */
+    /**
+     * Raises the limit in large steps, since capacity that was lost abruptly mostly returns abruptly. If it has not
+     * returned, the next failure ends the rise.
+     */
     private void raiseTowardsPlateau(double inUse, double unit) {
         double wantedStep = Math.max((step - 1) * unit, (plateau - inUse) * MAX_STEP_FRACTION);
         double allowedStep = Math.min(wantedStep, Math.min(inUse * MAX_STEP_FRACTION, plateau - inUse));
@@ -117,10 +126,10 @@
     }
 
     /**
-     * The server failed or rejected.
+     * Records that the server rejected or dropped a connection.
      *
-     * @param inUse what remained in use, which becomes the limit
-     * @param uniformDraw from [0, 1)
+     * @param inUse amount still in use, to which the limit is lowered
+     * @param uniformDraw random draw from [0, 1) that determines the time of the next trial
      */
     void onFailure(double inUse, long nowMicros, double uniformDraw) {
         if (!isPartOfBurst(nowMicros)) {
@@ -134,12 +143,18 @@
         trialSinceFailure = false;
     }
 
-    /** Failures within one interval that no trial caused count as one: the backoff grows once. */
+    /**
+     * Whether the failure continues a burst: failures within one interval, without a trial between them, count as one,
+     * so that the backoff grows only once.
+     */
     private boolean isPartOfBurst(long nowMicros) {
         return isLimited() && !trialSinceFailure && nowMicros < intervalEndMicros;
     }
 
-    /** The next interval starts at the end of the current one, but no later than the longest interval from now. */
+    /**
+     * Draws the time of the next trial. Its interval starts at the end of the current one or, if that is more than the
+     * longest interval ahead, one longest interval from now.
+     */
     private void scheduleTrial(long nowMicros, double uniformDraw) {
         long longestMicros = slotMicros << MAX_BACKOFF_EXPONENT;
         long beginMicros = Math.min(Math.max(nowMicros, intervalEndMicros), nowMicros + longestMicros);
@@ -148,15 +163,20 @@
         nextTrialMicros = beginMicros + (long) (uniformDraw * intervalMicros);
     }
 
-    /** Sets the limit that an operator states, before there is evidence; trials past it are due at once. */
-    void startAt(double stated) {
+    /**
+     * Sets the initial limit from a stated capacity, if there is no limit yet and the value is positive. Without
+     * earlier failures, a trial past it is due at once.
+     */
+    void setInitialLimit(double stated) {
         if (!isLimited() && stated > 0) {
             limit = stated;
             plateau = stated;
         }
     }
 
-    /** The server restarted: what was learned of the previous process limits nothing. */
+    /**
+     * Removes the limit after the server has restarted: evidence about the previous process does not limit the new one.
+     */
     void reset() {
         limit = Double.POSITIVE_INFINITY;
         trialInFlight = false;
--- a/src/main/java/sandstack/capacity/CandidateSummary.java
+++ b/src/main/java/sandstack/capacity/CandidateSummary.java
@@ -1,32 +1,43 @@
 package sandstack.capacity;
 
 /**
- * The servers that one selection looked at, summed up: how much is free, and why a request is rejected where none of
- * them can take it.
+ * Summary of the servers considered in one selection: how much capacity is free and, if none of them can take the
+ * request, the reason for its rejection.
  *
- * <p>Classes of lower priority leave a part of the capacity free for those above them, which is trunk reservation (P.
- * Key, 1990): where all servers are limited and nearly full it keeps nearly all of the capacity in use, and it has no
- * state that could oscillate.
+ * <p>Request classes of lower priority leave part of the capacity free for classes of higher priority (trunk
+ * reservation; P. Key, 1990). Where all servers are limited and nearly full, this keeps nearly all of the capacity in
+ * use, and it has no state that could oscillate.
  *
  * <p>Reused for each selection by {@link #reset}; used by one thread; every call is O(1).
  */
 public final class CandidateSummary {
-    /** Fraction of all limits that the class of lowest priority leaves free; those between leave less. */
+    /**
+     * Fraction of the sum of all limits that the class of lowest priority leaves free; classes between lowest and
+     * highest priority leave proportionally less.
+     */
     private static final double RESERVED_FRACTION = 0.03;
-    /** Below this fraction of all limits, other relays have mostly taken what looks free from here. */
+    /**
+     * Free capacity below this fraction of the sum of all limits is scarce: other relays have probably used most of
+     * what seems free to this relay.
+     */
     private static final double SCARCE_FRACTION = 0.1;
 
     private final double[] reservedFractionByClass;
+    /** Sum over the servers added; infinite until the first selection, so that every class is admitted. */
     private double freeConnections = Double.POSITIVE_INFINITY;
+    /** Sum of the connection limits of the servers added. */
     private double connectionLimits;
+
     private int fullCount;
-    private int limitedCount;
+    /** Servers that a limit of the installation closes. */
+    private int limitReachedCount;
+
     private int admittingCount;
 
     /**
-     * Creates a summary of no server, which admits every class.
+     * Creates a summary without servers, which admits every class.
      *
-     * @param priorityWeights of each class, by its index
+     * @param priorityWeights priority weight of each class, by class index
      */
     public CandidateSummary(double[] priorityWeights) {
         reservedFractionByClass = new double[priorityWeights.length];
@@ -49,17 +60,17 @@
         return count;
     }
 
-    /** Starts the next selection. */
+    /** Clears the summary for the next selection. */
     public void reset() {
         freeConnections = 0;
         connectionLimits = 0;
         fullCount = 0;
-        limitedCount = 0;
+        limitReachedCount = 0;
         admittingCount = 0;
     }
 
     /**
-     * Adds one more server that is ready and not an outlier.
+     * Adds a server that is ready and is not ejected as an outlier.
      *
      * @param limitReached whether a limit of the installation closes the server
      * @return whether the server may take one more connection
@@ -68,7 +79,7 @@
         freeConnections += server.freeConnections();
         connectionLimits += server.connectionLimit();
         if (limitReached) {
-            limitedCount++;
+            limitReachedCount++;
             return false;
         }
         if (!server.admits(nowMicros)) {
@@ -79,26 +90,29 @@
         return true;
     }
 
-    /** Whether so little is free that one more attempt would most likely be rejected too. */
+    /** Whether so little capacity is free that another attempt would most likely be rejected as well. */
     public boolean isScarce() {
         return freeConnections < connectionLimits * SCARCE_FRACTION;
     }
 
-    /** Whether a class may take some of what is free. */
+    /** Whether the free capacity is at least what this class leaves to classes of higher priority. */
     public boolean admits(int classIndex) {
         double reservedFraction = reservedFractionByClass[classIndex];
         boolean reserved = freeConnections < connectionLimits * reservedFraction;
         return reservedFraction == 0 || !reserved;
     }
 
-    /** Why a request of this class has to be rejected, where waiting would not help; null where it need not be. */
+    /**
+     * The reason to reject a request of this class if waiting would not help; null if a server may take it or if no
+     * server was added.
+     */
     public RejectionReason rejectionReason(int classIndex) {
         if (admittingCount > 0) {
             return admits(classIndex) ? null : RejectionReason.RESERVED;
         }
-        if (fullCount + limitedCount == 0) {
+        if (fullCount + limitReachedCount == 0) {
             return null;
         }
-        return limitedCount > fullCount ? RejectionReason.SERVER_LIMIT : RejectionReason.FULL;
+        return limitReachedCount > fullCount ? RejectionReason.SERVER_LIMIT : RejectionReason.FULL;
     }
 }
--- a/src/main/java/sandstack/capacity/CapacityEstimate.java
+++ b/src/main/java/sandstack/capacity/CapacityEstimate.java
@@ -1,20 +1,21 @@
 package sandstack.capacity;
 
 /**
- * What one server has in use from this relay and how much it can hold, by the evidence that this relay has. Connections
- * and load have a limit each: a server holds only so many connections and does only so much work. Other relays fill the
- * same server unseen, so a limit is what this relay may have there and not the size of the server.
+ * The connections and load that this relay has at one server, and an estimate of how much the server can hold, from
+ * evidence that this relay has. Connections and load have separate limits, since a server is bounded both in the number
+ * of connections it holds and in the work it does. Other relays use the same server, and this relay does not observe
+ * their use, so a limit is the part available to this relay and not the size of the server.
  *
- * <p>Loads are microseconds of work a second on a standard core; ratings are the sizes in the endpoint list.
+ * <p>Loads are microseconds of work per second on a standard core; ratings are the sizes in the endpoint list.
  *
  * <p>Owned by the load balancer's state of that server; used by one thread; every call is O(1) and allocates nothing.
- * Whatever is reported, no figure becomes negative or not a number, and a closed server is tried again within 2^8
- * slots.
+ * For any sequence of reports, no value becomes negative or NaN, and a closed server without a trial in flight gets its
+ * next trial within twice the longest interval, that is 2 * 2^8 slots.
  */
 public final class CapacityEstimate {
-    /** Reported loads are cut to this, since a peer may report anything as often as it likes. */
+    /** Upper bound of a reported load, since a peer may report any value any number of times. */
     private static final double MAX_LOAD = 1e9;
-    /** Ratings from here on are taken for an error in the list. */
+    /** Ratings from this value on count as errors in the endpoint list. */
     private static final double MAX_RATING = 1e9;
 
     private static final double DEFAULT_RATING = 1;
@@ -27,9 +28,9 @@
     private double rating = DEFAULT_RATING;
     private int establishedConnections;
     private int attemptsInFlight;
-    /** Of the established connections that reported a load. */
+    /** Sum of the loads that established connections have reported. */
     private double reportedLoad;
-    /** Established connections that reported none; each counts as the mean load at the time of asking. */
+    /** Established connections that have reported no load; each counts as the mean load at the time of the query. */
     private int connectionsWithoutLoad;
 
     CapacityEstimate(CapacityModel model) {
@@ -39,19 +40,17 @@
         this.stated = model.stated(0);
     }
 
-    // ---- what is known ----------------------------------------------------------------------------
-
-    /** Established connections and attempts to set one up. */
+    /** Number of established connections and of attempts in flight. */
     public int connectionsAndAttempts() {
         return establishedConnections + attemptsInFlight;
     }
 
-    /** Established connections. */
+    /** Number of established connections from this relay. */
     public int establishedConnections() {
         return establishedConnections;
     }
 
-    /** Load of the established connections; those that reported none count as the mean. */
+    /** Load of the established connections; a connection that has reported none counts as the mean load. */
     public double establishedLoad() {
         return reportedLoad + connectionsWithoutLoad * model.meanLoad();
     }
@@ -60,17 +59,17 @@
         return establishedLoad() + attemptsInFlight * model.meanLoad();
     }
 
-    /** Limit of connections from this relay; infinite where no evidence speaks against more. */
+    /** Limit of the connections from this relay; infinite while there is no evidence of a limit. */
     public double connectionLimit() {
         return connectionLimit.limit();
     }
 
-    /** Connections that fit below the limit; infinite where no evidence speaks against more. */
+    /** Number of further connections that fit within the limit; infinite while there is no evidence of a limit. */
     public double freeConnections() {
         return Math.max(0, connectionLimit.limit() - establishedConnections - attemptsInFlight);
     }
 
-    /** Whether one more connection fits below the limits, without a trial. */
+    /** Whether one more connection fits within the limits, without a trial. */
     public boolean hasHeadroom() {
         if (connectionsAndAttempts() + 1 > connectionLimit.limit()) {
             return false;
@@ -79,7 +78,7 @@
                 || establishedLoad() + (attemptsInFlight + 1) * model.meanLoad() <= loadLimit.limit();
     }
 
-    /** Whether one more connection may be sent: it fits below the limits, or a trial is due. */
+    /** Whether one more connection may be sent: it fits within the limits, or a trial is due. */
     public boolean admits(long nowMicros) {
         if (!connectionLimit.admits(connectionsAndAttempts(), 1, nowMicros)) {
             return false;
@@ -88,10 +87,10 @@
     }
 
     /**
-     * The fraction in use of a capacity that the operator stated as an upper bound; 0 where none is stated so.
+     * The fraction in use of the stated capacity, if the operator stated it as an upper bound; otherwise 0.
      *
-     * @param groupCount groups with a connection at this server, each of which adds an overhead
-     * @param slowStartFraction the fraction of its full capacity that the server has by now, above 0
+     * @param groupCount number of groups with a connection to this server, each of which adds an overhead
+     * @param slowStartFraction fraction of its full capacity that the server has reached, greater than 0
      */
     public double utilization(int groupCount, double slowStartFraction) {
         double availableWork = stated.upperBound() ? rating * slowStartFraction * stated.workPerRating() : 0;
@@ -102,14 +101,14 @@
         return (establishedLoad() + groupOverhead) / availableWork;
     }
 
-    /** The load that makes up this much utilization of the stated capacity. */
+    /** The load that corresponds to this utilization of the stated capacity. */
     public double loadForUtilization(double utilization) {
         return utilization * rating * stated.workPerRating();
     }
 
     /**
-     * How many average connections fill this server once it has warmed up: what is stated or, where no loads are known,
-     * no less than other servers hold now.
+     * The number of average connections that fills this server after its slow start: the stated capacity or, while no
+     * loads are known, at least what other servers currently hold.
      */
     public double capacityInConnections() {
         double statedPerRating =
@@ -121,9 +120,9 @@
     }
 
     /**
-     * The fraction in use of the limits found here or, where there are none, of what servers of this machine kind
-     * usually hold; at most 1. It is 0 where nothing is known and where {@link #utilization} of a stated upper bound
-     * counts instead.
+     * The fraction in use of the learned limits or, without them, of the usual limit of servers of this machine kind;
+     * at most 1. It is 0 if neither is known. It is also 0 if the capacity is stated as an upper bound, for which
+     * {@link #utilization} applies instead.
      */
     public double occupancy() {
         if (stated.upperBound()) {
@@ -143,27 +142,28 @@
         return limit <= 0 ? 1 : establishedConnections / limit;
     }
 
-    // ---- what happens -----------------------------------------------------------------------------
-
-    /** The endpoint list says this of the server. A rating that makes no sense counts as the default. */
+    /** Applies the server's entry in the endpoint list. A rating out of range is replaced by the default rating. */
     public void onEndpointListed(int listedKind, double listedRating) {
         machineKind = listedKind;
         rating = listedRating > 0 && listedRating < MAX_RATING ? listedRating : DEFAULT_RATING;
         stated = model.stated(listedKind);
         if (!stated.upperBound()) {
-            connectionLimit.startAt(Math.ceil(stated.connectionsPerRating() * rating / model.relayCount()));
-            loadLimit.startAt(stated.workPerRating() * rating / model.relayCount());
+            connectionLimit.setInitialLimit(Math.ceil(stated.connectionsPerRating() * rating / model.relayCount()));
+            loadLimit.setInitialLimit(stated.workPerRating() * rating / model.relayCount());
         }
     }
 
-    /** A new process runs on the same machine: it is limited by nothing that the old one did. */
+    /**
+     * Discards the learned limits: a new process runs on the same machine, and evidence about the previous process does
+     * not limit it.
+     */
     public void onRestart() {
         connectionLimit.reset();
         loadLimit.reset();
         onEndpointListed(machineKind, rating);
     }
 
-    /** An attempt to set up one more connection was sent. */
+    /** Records that an attempt to set up a connection was sent. */
     public void onAttemptStarted() {
         connectionLimit.onSent(connectionsAndAttempts(), 1);
         if (loadLimit.isLimited()) {
@@ -172,22 +172,22 @@
         attemptsInFlight++;
     }
 
-    /** An attempt in flight has ended, with whatever outcome. */
+    /** Records that an attempt in flight has ended, successfully or not. */
     public void onAttemptEnded() {
         attemptsInFlight = Math.max(0, attemptsInFlight - 1);
     }
 
-    /** The outcome of an attempt is no evidence on the server. */
+    /** Records that the outcome of an attempt gives no evidence about the server. */
     public void onInconclusiveAttempt() {
         connectionLimit.onInconclusive();
         loadLimit.onInconclusive();
     }
 
     /**
-     * A connection is established.
+     * Records that a connection is established.
      *
-     * @param load as reported; 0 where it reported none
-     * @param uniformDraw from [0, 1), decides when the next trial is due
+     * @param load as reported; 0 if none was reported
+     * @param uniformDraw random draw from [0, 1) that determines the time of the next trial
      */
     public void onEstablished(double load, long nowMicros, double uniformDraw) {
         establishedConnections++;
@@ -200,16 +200,21 @@
         model.onConnectionLimit(machineKind, rating, connectionLimit);
     }
 
-    /** An established connection reported a load; each of the two is 0 where there is none. */
-    public void onLoadChanged(double before, double after) {
-        removeConnectionLoad(before);
-        addConnectionLoad(after);
+    /**
+     * Records that an established connection reported a load.
+     *
+     * @param previousLoad load before the report; 0 if none was known
+     * @param newLoad load as reported; 0 if there is none
+     */
+    public void onLoadChanged(double previousLoad, double newLoad) {
+        removeConnectionLoad(previousLoad);
+        addConnectionLoad(newLoad);
     }
 
     /**
-     * An established connection has ended.
+     * Records that an established connection has ended.
      *
-     * @param load as last reported; 0 where it reported none
+     * @param load as last reported; 0 if none was reported
      */
     public void onClosed(double load) {
         establishedConnections = Math.max(0, establishedConnections - 1);
@@ -236,13 +241,15 @@
         }
     }
 
-    /** The server rejected a connection. */
+    /** Records that the server rejected a connection. */
     public void onRejected(long nowMicros, double uniformDraw) {
         connectionLimit.onFailure(establishedConnections, nowMicros, uniformDraw);
         model.onConnectionLimit(machineKind, rating, connectionLimit);
     }
 
-    /** The server dropped an established connection; called after {@link #onClosed} for it. */
+    /**
+     * Records that the server dropped an established connection; called after {@link #onClosed} for that connection.
+     */
     public void onConnectionDropped(long nowMicros, double uniformDraw) {
         connectionLimit.onFailure(establishedConnections, nowMicros, uniformDraw);
         if (model.loadsReported()) {
@@ -251,7 +258,7 @@
         model.onConnectionLimit(machineKind, rating, connectionLimit);
     }
 
-    /** The load that a report counts for: at most the largest plausible one, and 0 where it makes no sense. */
+    /** Returns a reported load cut to the largest plausible value, or 0 if it is negative or NaN. */
     public static double sanitizeLoad(double reported) {
         return reported > 0 ? Math.min(reported, MAX_LOAD) : 0;
     }
--- a/src/main/java/sandstack/capacity/ClassLoads.java
+++ b/src/main/java/sandstack/capacity/ClassLoads.java
@@ -4,66 +4,69 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * The mean load of each request class as its connections report it, and the fraction of each class that is shed while
- * the servers are overloaded.
+ * The mean load of each request class, from the reports of its connections, and the fraction of each class that is shed
+ * while the servers are overloaded.
  *
- * <p>Loads are microseconds of work a second. Owned by the load balancer; used by one thread; every call is O(1) but
- * {@link #shed}, which is O(classes squared).
+ * <p>Loads are microseconds of work per second. Owned by the load balancer; used by one thread; every call is O(1),
+ * except that {@link #updateShedFractions} is O(classes squared).
  */
 public final class ClassLoads {
-    /** Weight of one more report in the moving average of its class. */
+    /** Weight of one report in the moving average of its class. */
     private static final double REPORT_WEIGHT = 0.05;
 
     private double[] meanLoads = new double[0];
-    private double[] heldLoads = meanLoads;
+    /** Sum of the loads of the established connections, by class. */
+    private double[] establishedLoads = meanLoads;
+
     private double[] shedFractions = meanLoads;
 
-    /** Sets the number of classes; those that remain keep what is known of them. */
+    /** Sets the number of classes; classes that remain keep their values. */
     public void resize(int classCount) {
         meanLoads = Arrays.copyOf(meanLoads, classCount);
-        heldLoads = Arrays.copyOf(heldLoads, classCount);
+        establishedLoads = Arrays.copyOf(establishedLoads, classCount);
         shedFractions = Arrays.copyOf(shedFractions, classCount);
     }
 
-    /** A connection of this class reported its load; the first report is the mean. */
+    /** Adds the load that a connection of this class reported to the mean; the first report is the mean. */
     public void onLoadReported(int classIndex, double load) {
         double weight = meanLoads[classIndex] == 0 ? 1 : REPORT_WEIGHT;
         meanLoads[classIndex] += (load - meanLoads[classIndex]) * weight;
     }
 
-    /** The mean load of a connection of this class; 0 where none was reported. */
+    /** The mean load of a connection of this class; 0 if none was reported. */
     public double meanLoad(int classIndex) {
         return meanLoads[classIndex];
     }
 
-    /** Starts to sum up the loads in use again. */
-    public void clearHeld() {
-        Arrays.fill(heldLoads, 0);
+    /** Clears the sums of the loads of established connections. */
+    public void clearEstablishedLoads() {
+        Arrays.fill(establishedLoads, 0);
     }
 
-    /** Adds the load of one connection of this class. */
-    public void addHeld(int classIndex, double load) {
-        heldLoads[classIndex] += load;
+    /** Adds the load of one established connection to the sum of its class. */
+    public void addEstablishedLoad(int classIndex, double load) {
+        establishedLoads[classIndex] += load;
     }
 
     /**
-     * Decides which fraction of each class is shed so that this fraction of the load in use goes, lowest priority for
-     * its load first.
+     * Computes the fraction that each class sheds, so that the classes together shed {@code shedFraction} of the load
+     * of the established connections. Classes with the lowest priority weight per unit of load shed first.
      *
-     * @param priorityWeight of a class, by its index
-     * @param weightPerUnitOfWork whether the weights count per unit of work already, rather than per request
+     * @param priorityWeight priority weight of a class, by class index
+     * @param weightPerUnitOfWork whether priority weights count per unit of work, rather than per request
      */
-    public void shed(double shedFraction, IntToDoubleFunction priorityWeight, boolean weightPerUnitOfWork) {
-        double[] density = new double[heldLoads.length];
+    public void updateShedFractions(
+            double shedFraction, IntToDoubleFunction priorityWeight, boolean weightPerUnitOfWork) {
+        double[] density = new double[establishedLoads.length];
         for (int classIndex = 0; classIndex < density.length; classIndex++) {
             double weight = priorityWeight.applyAsDouble(classIndex);
-            boolean isDensity = weightPerUnitOfWork || meanLoads[classIndex] <= 0;
-            density[classIndex] = isDensity ? weight : weight / meanLoads[classIndex];
+            boolean weightIsDensity = weightPerUnitOfWork || meanLoads[classIndex] <= 0;
+            density[classIndex] = weightIsDensity ? weight : weight / meanLoads[classIndex];
         }
-        shedFractions = SheddingPlan.shedLeastDenseFirst(shedFraction, heldLoads, density);
+        shedFractions = SheddingPlan.shedLeastDenseFirst(shedFraction, establishedLoads, density);
     }
 
-    /** The fraction of this class that is shed, by the last call of {@link #shed}. */
+    /** The fraction of this class to shed, as computed by the last call of {@link #updateShedFractions}. */
     public double shedFraction(int classIndex) {
         return shedFractions[classIndex];
     }
--- a/src/main/java/sandstack/capacity/InstallationLimits.java
+++ b/src/main/java/sandstack/capacity/InstallationLimits.java
@@ -1,12 +1,13 @@
 package sandstack.capacity;
 
 /**
- * Limits that an installation sets for one relay; 0 sets no limit. Connections are counted with those being set up.
+ * Limits that an installation sets for one relay; 0 means no limit. Connections that are being set up count as
+ * connections.
  *
- * @param maxRelayConnections connections on the relay
+ * @param maxRelayConnections connections of the relay
  * @param maxServerConnections connections from the relay to one server
  * @param maxGroupConnections connections of one group on the relay
- * @param maxSetupsPerSecond connections that the relay sets up at one server in a second
+ * @param maxSetupsPerSecond connections that the relay sets up at one server per second
  */
 public record InstallationLimits(
         int maxRelayConnections, int maxServerConnections, int maxGroupConnections, double maxSetupsPerSecond) {
@@ -19,7 +20,8 @@
     /**
      * Checks the ranges.
      *
-     * @throws IllegalArgumentException naming the key in the settings file and its range
+     * @throws IllegalArgumentException if a value is out of range; the message names its key in the settings file and
+     *     the range
      */
     public InstallationLimits {
         requireInRange(maxRelayConnections, MAX_CONNECTIONS, "relay");
@@ -28,7 +30,7 @@
         requireInRange(maxSetupsPerSecond, MAX_SETUPS_PER_SECOND, "setups");
     }
 
-    /** The condition is false for a value that is not a number. */
+    /** Rejects NaN too, for which the condition is false. */
     private static void requireInRange(double value, double max, String name) {
         boolean inRange = value >= 0 && value <= max;
         if (!inRange) {
@@ -36,7 +38,7 @@
         }
     }
 
-    /** Whether a count has reached a limit; never where the limit is 0. */
+    /** Whether a count has reached a limit; false for limit 0, which means no limit. */
     public static boolean isReached(int limit, int count) {
         return limit > 0 && count >= limit;
     }
--- a/src/main/java/sandstack/capacity/OverloadCount.java
+++ b/src/main/java/sandstack/capacity/OverloadCount.java
@@ -1,17 +1,17 @@
 package sandstack.capacity;
 
 /**
- * Counts the servers of the home zone, or of all other zones, that one relay sees as overloaded in one evaluation. A
- * server is observed if this relay has connections there or knows it to be overloaded. Used by one thread; every call
- * is O(1).
+ * Counts the overloaded servers of the home zone, or of all other zones, in one evaluation by one relay. A server is
+ * observed if this relay has connections to it or finds it overloaded. Used by one thread; every call is O(1).
  */
 public final class OverloadCount {
-    /** More than this fraction of the observed servers makes the fleet overloaded. */
+    /** The fleet is overloaded if more than this fraction of the observed servers is. */
     private static final double OVERLOADED_FRACTION = 0.5;
-    /** Weight of one more evaluation in the moving average. */
+    /** Divisor of the change that one evaluation makes to the moving average. */
     private static final int SMOOTHING_DIVISOR = 2;
     /**
-     * Decay of the moving average where too few servers are observed: slower, since that is no evidence of recovery.
+     * The same if too few servers are observed; the average then decays more slowly, since that is no evidence of
+     * recovery.
      */
     private static final int DECAY_DIVISOR = 4;
 
@@ -23,9 +23,9 @@
     /**
      * Adds one server that is ready.
      *
-     * @param overloaded whether it is ejected, or its latency or its utilization is too high
-     * @param locallyFull whether that follows from this relay's own connections alone
-     * @param hasConnections whether this relay has connections there
+     * @param overloaded whether the server is ejected, or its latency or its utilization is too high
+     * @param locallyFull whether it is overloaded by the connections of this relay alone
+     * @param hasConnections whether this relay has connections to it
      */
     public void add(boolean overloaded, boolean locallyFull, boolean hasConnections) {
         readyCount++;
@@ -42,10 +42,10 @@
     }
 
     /**
-     * The moving average of the overloaded fraction of the observed servers.
+     * The moving average of the fraction of observed servers that are overloaded.
      *
-     * @param previousFraction result of the last evaluation
-     * @param minObserved the fewest observed servers that count as evidence
+     * @param previousFraction result of the previous evaluation
+     * @param minObserved smallest number of observed servers that counts as evidence
      */
     public double smoothedOverloadedFraction(double previousFraction, int minObserved) {
         if (observedCount < minObserved) {
@@ -56,20 +56,20 @@
     }
 
     /**
-     * Whether so many of the observed servers are overloaded that neither placing nor migrating connections can help.
-     * Servers that are full from here alone do not count while other zones have headroom: what a small zone cannot take
-     * goes there.
+     * Whether most of the observed servers are overloaded, so that neither placing nor migrating connections can help.
+     * Servers of the home zone that are full only because of this relay do not count while other zones have headroom:
+     * connections that a small zone cannot take go to those zones.
      */
-    public static boolean isFleetOverloaded(OverloadCount home, OverloadCount away) {
-        int observed = home.observedCount;
-        int overloaded = home.overloadedCount;
-        if (home.observedCount <= 1) {
-            // one server alone is no majority: the other zones decide
-            observed += away.observedCount;
-            overloaded += away.overloadedCount;
+    public static boolean isFleetOverloaded(OverloadCount homeZone, OverloadCount otherZones) {
+        int observed = homeZone.observedCount;
+        int overloaded = homeZone.overloadedCount;
+        if (homeZone.observedCount <= 1) {
+            // one server is no majority, so the servers of other zones count too
+            observed += otherZones.observedCount;
+            overloaded += otherZones.overloadedCount;
         }
-        if (home.locallyFullCount > 0 && away.hasHeadroom()) {
-            overloaded -= home.locallyFullCount;
+        if (homeZone.locallyFullCount > 0 && otherZones.hasHeadroom()) {
+            overloaded -= homeZone.locallyFullCount;
         }
         return observed > 1 && overloaded > observed * OVERLOADED_FRACTION;
     }
--- a/src/main/java/sandstack/capacity/ConnectionLimiter.java
+++ b/src/main/java/sandstack/capacity/RelayConnectionLimiter.java
@@ -4,21 +4,22 @@
 import java.util.Map;
 
 /**
- * Counts the requests of one relay from arrival to end, in all and by group, and holds the counts against the limits of
- * the installation. Groups are counted only where they are limited. Used by one thread; every call is O(1).
+ * Enforces the limits that an installation sets for the connections of one relay, in total and of one group. Each
+ * request counts from its arrival to its end. Groups are counted only if they are limited. Used by one thread; every
+ * call is O(1).
  */
-public final class ConnectionLimiter {
+public final class RelayConnectionLimiter {
     private final InstallationLimits limits;
     private final Map<String, Integer> countByGroup = new HashMap<>();
     private int totalCount;
 
-    /** Creates a limiter that has counted nothing. */
-    public ConnectionLimiter(InstallationLimits limits) {
+    /** Creates a limiter without requests. */
+    public RelayConnectionLimiter(InstallationLimits limits) {
         this.limits = limits;
     }
 
     /**
-     * The limit that one more request would exceed; null where there is none.
+     * The limit that one more request would exceed; null if it would exceed none.
      *
      * @param group null for a request without a group
      */
@@ -36,7 +37,7 @@
     }
 
     /**
-     * A request has arrived.
+     * Counts a request that has arrived.
      *
      * @param group null for a request without a group
      */
@@ -48,9 +49,9 @@
     }
 
     /**
-     * A request has ended.
+     * Stops counting a request that has ended.
      *
-     * @param group the one that it arrived with
+     * @param group the group that the request arrived with
      */
     public void onFinished(String group) {
         totalCount--;
--- a/src/main/java/sandstack/capacity/SetupRateLimiter.java
+++ b/src/main/java/sandstack/capacity/SetupRateLimiter.java
@@ -1,11 +1,12 @@
 package sandstack.capacity;
 
 /**
- * Limits the rate at which connections are set up at one server: a token bucket that holds the tokens of a tenth of a
- * second, at least one. Owned by the load balancer's state of that server; used by one thread; every call is O(1).
+ * Limits the rate at which one relay sets up connections at one server: a token bucket that holds the tokens of a tenth
+ * of a second, but at least one token. Owned by the load balancer's state of that server; used by one thread; every
+ * call is O(1).
  */
 public final class SetupRateLimiter {
-    /** Size of the bucket, as the time in which it fills. */
+    /** Capacity of the bucket, as the time in which an empty one fills. */
     private static final double BUCKET_SECONDS = 0.1;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -18,7 +19,7 @@
     /**
      * Creates a limiter whose bucket is full.
      *
-     * @param setupsPerSecond 0 for no limit
+     * @param setupsPerSecond rate of the tokens; 0 for no limit
      */
     public SetupRateLimiter(double setupsPerSecond, long nowMicros) {
         this.tokensPerMicro = setupsPerSecond / MICROS_PER_SECOND;
@@ -27,7 +28,7 @@
         this.refilledAtMicros = nowMicros;
     }
 
-    /** Whether there is a token for one set-up; takes none. */
+    /** Whether there is a token for one set-up; does not take it. */
     public boolean hasToken(long nowMicros) {
         if (tokensPerMicro <= 0) {
             return true;
--- a/src/main/java/sandstack/capacity/SheddingPlan.java
+++ b/src/main/java/sandstack/capacity/SheddingPlan.java
@@ -2,38 +2,43 @@
 
 import java.util.Arrays;
 
-/** How much each class or tenant gives up where not all load can be served. Pure functions of their arguments. */
+/**
+ * Computes the fraction that each class or tenant sheds if not all load can be served. Its methods depend on their
+ * arguments only.
+ */
 public final class SheddingPlan {
-    /** Marks a class that has not been assigned a fraction yet. */
+    /** Marks a class whose fraction is not computed yet. */
     private static final double UNASSIGNED = -1;
-    /** How far a count must exceed its expectation, in standard deviations, before it is taken for excess. */
+    /** Standard deviations by which a count must exceed its expected value to count as excess. */
     private static final double EXCESS_DEVIATIONS = 2;
 
     private SheddingPlan() {}
 
     /**
-     * The fraction that each class sheds so that a fraction of the whole load goes. Classes of the least density shed
-     * first; only one of them sheds a part of its load. O(classes squared).
+     * The fraction that each class sheds so that all classes together shed {@code shedFraction} of the total load.
+     * Classes with the lowest density shed first, and at most one class sheds only a part of its load. O(classes
+     * squared).
      *
-     * @param shedFraction of the whole load, from 0 to 1
-     * @param heldLoads load of each class; where all are 0 every class sheds the same fraction
-     * @param density priority weight for each unit of load, of each class
+     * @param shedFraction fraction of the total load, from 0 to 1
+     * @param classLoads load of each class; if all are 0, every class sheds the same fraction
+     * @param density priority weight per unit of load, of each class
      */
-    public static double[] shedLeastDenseFirst(double shedFraction, double[] heldLoads, double[] density) {
-        double[] shedFractions = new double[heldLoads.length];
-        double totalLoad = Arrays.stream(heldLoads).sum();
+    public static double[] shedLeastDenseFirst(double shedFraction, double[] classLoads, double[] density) {
+        double[] shedFractions = new double[classLoads.length];
+        double totalLoad = Arrays.stream(classLoads).sum();
         if (totalLoad <= 0) {
-            // without loads the density is the weight alone, and shedding a light class would not end the overload
+            // without loads, density is the priority weight alone, and shedding only the class of lowest weight might
+            // not end the overload
             Arrays.fill(shedFractions, shedFraction);
             return shedFractions;
         }
         Arrays.fill(shedFractions, UNASSIGNED);
-        double precedingShare = 0;
+        double assignedShare = 0;
         for (int rank = 0; rank < shedFractions.length; rank++) {
             int classIndex = leastDenseUnassigned(shedFractions, density);
-            double share = heldLoads[classIndex] / totalLoad;
-            shedFractions[classIndex] = shedFractionOfClass(shedFraction - precedingShare, share);
-            precedingShare += share;
+            double share = classLoads[classIndex] / totalLoad;
+            shedFractions[classIndex] = shedFractionOfClass(shedFraction - assignedShare, share);
+            assignedShare += share;
         }
         return shedFractions;
     }
@@ -50,23 +55,23 @@
     }
 
     /**
-     * The fraction of one class.
+     * The fraction of its load that one class sheds.
      *
-     * @param remaining fraction of the whole load that the classes before this one leave to shed
-     * @param share of this class in the whole load
+     * @param remaining fraction of the total load that is still to be shed after the classes of lower density
+     * @param share fraction of the total load that this class makes up
      */
     private static double shedFractionOfClass(double remaining, double share) {
         return share <= 0 ? 0 : Math.max(0, Math.min(1, remaining / share));
     }
 
     /**
-     * The fraction of each tenant's connections that is beyond its quota, judged from the connections of one relay. Two
-     * corrections keep tenants within their quota from being taken for excess: a count has to exceed its share by two
-     * standard deviations, and the share is no less than the tenant's part of all connections here, since a relay holds
-     * more than its part while others are down. O(tenants).
+     * The fraction of each tenant's connections that exceeds its quota, estimated from the connections of one relay.
+     * Two corrections avoid false excess of a tenant within its quota: a count has to exceed the tenant's share by two
+     * standard deviations, and the share is at least the tenant's fraction of all quotas applied to the connections of
+     * this relay, since a relay has more than its share of connections while other relays are down. O(tenants).
      *
-     * @param connectionCounts of each tenant on this relay
-     * @param quotas connections of each tenant over all relays; 0 where none is stated
+     * @param connectionCounts connections of each tenant on this relay
+     * @param quotas connections of each tenant over all relays; 0 if none is stated
      */
     public static double[] excessOverQuota(double[] connectionCounts, double[] quotas, int relayCount) {
         double totalCount = Arrays.stream(connectionCounts).sum();
@@ -83,7 +88,7 @@
     }
 
     private static double excessOverShare(double connectionCount, double share) {
-        double certainCount = connectionCount - EXCESS_DEVIATIONS * Math.sqrt(connectionCount);
-        return certainCount <= share ? 0 : 1 - share / certainCount;
+        double significantCount = connectionCount - EXCESS_DEVIATIONS * Math.sqrt(connectionCount);
+        return significantCount <= share ? 0 : 1 - share / significantCount;
     }
 }
--- a/src/main/java/sandstack/capacity/SlowStartBudget.java
+++ b/src/main/java/sandstack/capacity/SlowStartBudget.java
@@ -3,24 +3,30 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * What one relay may send to a server in slow start, or to one that has just been overloaded. Permits come at random,
- * at this relay's share of the rate that the whole fleet is allowed; each is valid for one window and then expires.
- * Permits of many relays would otherwise accumulate while there is no demand and be spent together in the first burst.
- * Expiry keeps what the fleet can spend at once to what it may spend in one window, without communication between the
- * relays.
+ * Limits the requests that one relay sends to a server in slow start, or to one that has recently been overloaded.
+ * Permits arrive at random, at this relay's share of the rate allowed to the whole fleet; each is valid for one window
+ * and then expires. Without expiry, permits of many relays would accumulate while there is no demand and be spent
+ * together in the first burst. With expiry, the fleet can spend at once only what it may spend in one window, without
+ * communication between the relays.
  *
- * <p>The method is our own: a Poisson process, thinned by the number of relays, that is sampled when there is something
- * to send.
+ * <p>The algorithm is specific to sandstack: the permits are a Poisson process, thinned by the number of relays, that
+ * is sampled when there is a request to send.
  *
  * <p>Owned by the load balancer's state of that server; used by one thread; every call is O(1). The number and order of
- * the draws that a call makes are part of its contract, since a run is reproduced from its seed.
+ * the random draws of a call are part of its contract, since a run is reproduced from its seed.
  */
 public final class SlowStartBudget {
-    /** Weight of a cold server with a permit against warm ones: the permit expires, and their headroom does not. */
+    /**
+     * Selection weight of a server in slow start for which there is a permit, relative to warm servers: the permit
+     * expires, while the headroom of warm servers does not.
+     */
     private static final double PERMIT_SELECTION_WEIGHT = 1_000;
-    /** Sends that one relay counts in a window; a server that takes more is so large that chance evens out. */
+    /**
+     * Most sends per window that one process of a relay counts, and so makes; random variation averages out at a server
+     * that takes more.
+     */
     private static final int MAX_COUNTED_SENDS = 32;
-    /** Share of a server's budget for the relays of its own zone together. */
+    /** Fraction of a server's budget for all relays of its own zone together. */
     private static final double HOME_ZONE_SHARE = 0.75;
 
     private static final long NO_PERMIT = Long.MIN_VALUE;
@@ -28,67 +34,71 @@
     private long permitCheckedAtMicros;
     private long newClientCheckedAtMicros;
     private long permitValidUntilMicros = NO_PERMIT;
-    /** Ring buffer of the latest sends; null before the first one. */
+    /** Ring buffer of the times of the latest sends; null before the first one. */
     private long[] sendTimesMicros;
-    /** Sends since the server started. */
+    /** Number of sends since the server started. */
     private int sendCount;
 
     /**
-     * The rule of the settings by which a server in slow start is overloaded: in one window it gets more than a
-     * multiple of what it can do then.
+     * When a server in slow start counts as overloaded, by the settings: it gets more requests in one window than a
+     * multiple of its current capacity.
      *
-     * @param overloadMultiple of the present capacity
+     * @param overloadMultiple multiple of the current capacity that is allowed in a window
      * @param windowMicros length of the window
-     * @param relayCount relays that connect to the server
-     * @param zoneCount zones over which they are spread
+     * @param relayCount number of relays that connect to the server
+     * @param zoneCount number of zones that the relays are spread over
      */
-    public record Rule(double overloadMultiple, long windowMicros, int relayCount, int zoneCount) {
-        /** A server is overloaded by N + 2 sqrt(N) + 2 requests in a window, where N of them are allowed. */
+    public record OverloadRule(double overloadMultiple, long windowMicros, int relayCount, int zoneCount) {
+        /** For a budget of N requests per window, N + 2 sqrt(N) + 2 requests in a window overload the server. */
         private static final double OVERLOAD_ROOT_MARGIN = 2;
 
         private static final double OVERLOAD_CONSTANT_MARGIN = 2;
-        /** How many standard deviations of what all relays send have to fit below the overload. */
+        /** Standard deviations of the total that all relays send which have to fit below the overload threshold. */
         private static final double SAFETY_DEVIATIONS = 3;
 
-        /** The requests in a window that overload a server, where so many are allowed. */
-        double overloadingRequests(double allowedRequests) {
+        /** The number of requests per window that overloads a server whose budget is {@code allowedRequests}. */
+        double overloadThreshold(double allowedRequests) {
             return allowedRequests + OVERLOAD_ROOT_MARGIN * Math.sqrt(allowedRequests) + OVERLOAD_CONSTANT_MARGIN;
         }
 
-        /** How many requests one process of a relay may send in a window: its share of an overload, at least one. */
+        /**
+         * The most requests that one process of a relay may send per window: its share of the overload threshold, at
+         * least 1.
+         */
         int maxSendsPerWindow(double allowedRequests, int processCount) {
-            double share = overloadingRequests(allowedRequests) / (relayCount * processCount);
+            double share = overloadThreshold(allowedRequests) / (relayCount * processCount);
             return (int) Math.min(MAX_COUNTED_SENDS, Math.max(1, share));
         }
 
         /**
-         * The permits that all relays together get in a window. What remains of the allowed requests after those of new
-         * clients also has to bear a burst after a quiet time: the unspent permits, at most one at each relay of a
-         * zone, and on top of them those of one window.
+         * The number of permits per window for all relays together. The part of the budget that the requests of new
+         * clients leave also has to cover a burst after a time without demand: the unspent permits, at most one at each
+         * relay of a zone, and the permits of one window in addition.
          *
-         * @param allowedRequests in a window
-         * @param newClientRequests how many of the allowed requests are those of new clients
+         * @param allowedRequests budget in requests per window
+         * @param newClientRequests requests of new clients in that budget
          */
         double permitsPerWindow(double allowedRequests, double newClientRequests) {
-            double remaining = Math.max(0, safeRequests(allowedRequests) - newClientRequests);
+            double remaining = Math.max(0, safeMeanRequests(allowedRequests) - newClientRequests);
             double afterBurst = (remaining - relaysPerZone(relayCount, zoneCount)) / (2 - HOME_ZONE_SHARE);
             return Math.max(remaining / 2, afterBurst);
         }
 
         /**
-         * The mean number of requests in a window that stays below the overload. Relays draw independently of each
-         * other, but each counts its own sends, so their sum varies by sqrt(mean (relays - 1) / relays). The result is
-         * the mean m that solves m + 3 deviations = overload, and at most one root more than what is allowed.
+         * The mean number of requests per window at which the total stays below the overload threshold. Relays draw
+         * independently of each other, but each counts its own sends, so the standard deviation of the total is
+         * sqrt(mean (relays - 1) / relays). The result is the mean that solves mean + 3 standard deviations =
+         * threshold, but at most allowedRequests + sqrt(allowedRequests) + 1.
          */
-        private double safeRequests(double allowedRequests) {
+        private double safeMeanRequests(double allowedRequests) {
             double spread = SAFETY_DEVIATIONS * Math.sqrt((relayCount - 1.0) / relayCount);
-            double overload = overloadingRequests(allowedRequests);
-            double rootOfMean = (Math.sqrt(spread * spread + 4 * overload) - spread) / 2;
+            double threshold = overloadThreshold(allowedRequests);
+            double rootOfMean = (Math.sqrt(spread * spread + 4 * threshold) - spread) / 2;
             return Math.min(rootOfMean * rootOfMean, allowedRequests + Math.sqrt(allowedRequests) + 1);
         }
     }
 
-    /** The server has just started. */
+    /** Starts anew for a server that has just started: without a permit and without sends. */
     public void onRestart(long nowMicros) {
         permitCheckedAtMicros = nowMicros;
         newClientCheckedAtMicros = nowMicros;
@@ -97,17 +107,17 @@
     }
 
     /**
-     * Whether a server in slow start may be sent one more request now.
+     * Whether one more request may be sent now to a server in slow start.
      *
-     * @param processCount processes that make up this relay
-     * @param requestsPerMicro what the server can take at present, in requests a microsecond
+     * @param processCount number of processes of this relay
+     * @param requestsPerMicro requests per microsecond that the server can currently take
      * @param homeZone whether the server is in this relay's zone
-     * @param newClient whether the client connects for the first time; those that return do so together and need a
+     * @param newClient whether the client connects for the first time; returning clients arrive in bursts and need a
      *     permit
-     * @param uniformDraws draws from [0, 1)
+     * @param uniformDraws random draws from [0, 1)
      */
     public boolean admitsDuringSlowStart(
-            Rule rule,
+            OverloadRule rule,
             int processCount,
             double requestsPerMicro,
             boolean homeZone,
@@ -136,15 +146,15 @@
         return count;
     }
 
-    /** When the send was that so many others have followed. */
+    /** The time of the send that was followed by {@code laterSends} more. */
     private long sendTimeMicros(int laterSends) {
         return sendTimesMicros[Math.floorMod(sendCount - 1 - laterSends, MAX_COUNTED_SENDS)];
     }
 
     /**
-     * Whether the request of a new client may be sent now. New clients come to the relays independently, not in bursts:
-     * the probability grows with the time since the last one asked, so that all relays together send what their rates
-     * add up to, however seldom each is asked.
+     * Whether the request of a new client may be sent now. New clients arrive at the relays independently, not in
+     * bursts. The probability of admission therefore grows with the time since the previous call, so that all relays
+     * together send at the sum of their rates, even if each is called rarely.
      */
     private boolean admitsNewClient(double requestsPerMicro, long nowMicros, double uniformDraw) {
         double probability = 1 - Math.exp(-requestsPerMicro * (nowMicros - newClientCheckedAtMicros));
@@ -153,11 +163,12 @@
     }
 
     /**
-     * Whether there is a permit now. Whether one came since the last call, and when, is drawn here.
+     * Whether there is a permit now. Draws whether one has arrived since the previous call, and when; does not use it
+     * up.
      *
      * @param permitsPerMicro rate of this relay's permits
-     * @param validityMicros how long a permit is valid
-     * @param uniformDraws draws from [0, 1)
+     * @param validityMicros time for which a permit is valid
+     * @param uniformDraws random draws from [0, 1)
      */
     public boolean hasPermit(double permitsPerMicro, long validityMicros, long nowMicros, DoubleSupplier uniformDraws) {
         long elapsedMicros = Math.min(validityMicros, nowMicros - permitCheckedAtMicros);
@@ -172,7 +183,7 @@
         return nowMicros < permitValidUntilMicros;
     }
 
-    /** A request was sent: its permit, if it needed one, is used up. */
+    /** Records that a request was sent, which uses up the permit if there is one. */
     public void onSent(long nowMicros) {
         permitValidUntilMicros = NO_PERMIT;
         if (sendTimesMicros == null) {
@@ -182,15 +193,19 @@
     }
 
     /**
-     * The factor of a server's selection weight, once there is a permit where it needs one.
+     * The factor of the selection weight of a server that admits the request, with a permit if it needs one.
      *
-     * @param slowStartFraction the fraction of its full capacity that the server has by now
+     * @param slowStartFraction fraction of its full capacity that the server has reached
      */
     public static double selectionWeight(double slowStartFraction) {
         return slowStartFraction < 1 ? PERMIT_SELECTION_WEIGHT : 1;
     }
 
-    /** The share of a server's budget for one relay, of the server's own zone or of another. */
+    /**
+     * The fraction of a server's budget for one relay.
+     *
+     * @param homeZone whether the server is in the relay's zone
+     */
     public static double relayShare(boolean homeZone, int relayCount, int zoneCount) {
         double relaysPerZone = relaysPerZone(relayCount, zoneCount);
         if (relaysPerZone >= relayCount) {
--- a/src/main/java/sandstack/capacity/StatedCapacities.java
+++ b/src/main/java/sandstack/capacity/StatedCapacities.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * What an operator states of each machine kind.
+ * Capacities that the operator states, by machine kind.
  *
- * @param others for kinds that are not in {@code byKind}
- * @param byKind by the number of the kind in endpoint lists
+ * @param defaultCapacity capacity of machine kinds that are not in {@code byKind}
+ * @param byKind capacities, by the number of the machine kind in endpoint lists
  */
-public record StatedCapacities(StatedCapacity others, List<StatedCapacity> byKind) {
-    /** Nothing is stated of any kind. */
-    public static final StatedCapacities NONE = new StatedCapacities(StatedCapacity.NOTHING, List.of());
+public record StatedCapacities(StatedCapacity defaultCapacity, List<StatedCapacity> byKind) {
+    /** No capacity is stated for any machine kind. */
+    public static final StatedCapacities NONE = new StatedCapacities(StatedCapacity.UNKNOWN, List.of());
 
-    /** Copies the list. */
+    /** Copies {@code byKind}, so that later changes of the argument have no effect. */
     public StatedCapacities {
         byKind = List.copyOf(byKind);
     }
 
-    /** What is stated of this machine kind; {@link #others} for one that is not in the list. */
+    /** The stated capacity of a machine kind, or {@link #defaultCapacity} for a kind without one. */
     public StatedCapacity forKind(int machineKind) {
-        return machineKind >= 0 && machineKind < byKind.size() ? byKind.get(machineKind) : others;
+        return machineKind >= 0 && machineKind < byKind.size() ? byKind.get(machineKind) : defaultCapacity;
     }
 }
--- a/src/main/java/sandstack/capacity/StatedCapacity.java
+++ b/src/main/java/sandstack/capacity/StatedCapacity.java
@@ -1,14 +1,15 @@
 package sandstack.capacity;
 
 /**
- * What an operator states of the servers, as a start for the estimates. Each figure may be 0, for not known.
+ * A server capacity that the operator states, with which the estimates start. Each number may be 0, which means that it
+ * is not known.
  *
- * @param workPerRating work a second that a unit of rating does, in microseconds on a standard core
- * @param connectionsPerRating established connections that a unit of rating holds, over all relays
- * @param upperBound whether evidence may only lower what {@code workPerRating} gives, for effects that no relay can
- *     see, such as messages that are delayed behind the server
- * @param defaultConnectionLoad work a second of a connection that has not reported its load, in microseconds
- * @param groupOverheadConnections load that a group adds to its server, in average connections
+ * @param workPerRating work per second of a unit of rating, in microseconds on a standard core
+ * @param connectionsPerRating established connections that a unit of rating holds, from all relays together
+ * @param upperBound whether {@code workPerRating} is an upper bound that evidence can only lower; for effects that no
+ *     relay can observe, such as messages that are delayed behind the server
+ * @param defaultConnectionLoad work per second of a connection that has not reported its load, in microseconds
+ * @param groupOverheadConnections load that a group adds to its server, as a number of average connections
  */
 public record StatedCapacity(
         double workPerRating,
@@ -16,14 +17,14 @@
         boolean upperBound,
         double defaultConnectionLoad,
         double groupOverheadConnections) {
-    /** Nothing is known: a server has capacity until evidence says otherwise. */
-    public static final StatedCapacity NOTHING = new StatedCapacity(0, 0, false, 0, 0);
+    /** Nothing is known: a server has free capacity until there is evidence of a limit. */
+    public static final StatedCapacity UNKNOWN = new StatedCapacity(0, 0, false, 0, 0);
 
     /**
-     * For servers whose ratings are sizes in cores. A load is work a second on a standard core, so a unit of rating
-     * does a second of work a second; the servers answer lines at once however delayed their messages are, so evidence
-     * may only lower that. The last two are defaults for what nothing reports: a sixteenth of a core for a connection,
-     * and three connections for a group.
+     * For servers whose ratings are sizes in cores. A load is work per second on a standard core, so a unit of rating
+     * does one second of work per second. It is an upper bound, because the servers answer protocol lines at once
+     * however long their messages are delayed. The last two arguments are defaults for what is not reported: a
+     * sixteenth of a core per connection, and three connections per group.
      */
     public static final StatedCapacity SIZE_BASED = new StatedCapacity(1_000_000, 0, true, 62_500, 3);
 
@@ -32,7 +33,8 @@
     /**
      * Checks the ranges.
      *
-     * @throws IllegalArgumentException naming the key in the settings file and its range
+     * @throws IllegalArgumentException if a value is out of range; the message names its key in the settings file and
+     *     the range
      */
     public StatedCapacity {
         requireInRange(workPerRating, "work");
@@ -41,7 +43,7 @@
         requireInRange(groupOverheadConnections, "group");
     }
 
-    /** The condition is false for a value that is not a number. */
+    /** Rejects NaN too, for which the condition is false. */
     private static void requireInRange(double value, String name) {
         boolean inRange = value >= 0 && value <= MAX_VALUE;
         if (!inRange) {
--- a/src/main/java/sandstack/capacity/TenantQuotas.java
+++ b/src/main/java/sandstack/capacity/TenantQuotas.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * The fraction of each tenant's connections that is beyond its quota, as a moving average over evaluations. Owned by
- * the load balancer; used by one thread; {@link #setQuotas} and {@link #update} are O(tenants), the rest is O(1).
+ * The fraction of each tenant's connections that exceeds its quota, as a moving average over evaluations. Owned by the
+ * load balancer; used by one thread; {@link #setQuotas} and {@link #update} are O(tenants), the other calls O(1).
  */
 public final class TenantQuotas {
-    /** Weight of one more evaluation in the moving average, as a divisor. */
+    /** Divisor of the change that one evaluation makes to the moving average. */
     private static final int SMOOTHING_DIVISOR = 4;
 
     private double[] connectionQuotas = new double[0];
@@ -17,7 +17,7 @@
     /**
      * Sets the quotas; tenants that remain keep their averages.
      *
-     * @param quotas connections of each tenant over all relays, by its index; 0 where none is stated
+     * @param quotas connections of each tenant over all relays, by tenant index; 0 if none is stated
      */
     public void setQuotas(double[] quotas) {
         connectionQuotas = quotas.clone();
@@ -25,14 +25,14 @@
         excessFractions = Arrays.copyOf(excessFractions, quotas.length);
     }
 
-    /** Counts one connection for this evaluation; none of a tenant that is not listed. */
+    /** Counts one connection in this evaluation; connections of a tenant that is not listed are not counted. */
     public void addConnection(int tenantIndex) {
         if (tenantIndex >= 0 && tenantIndex < connectionCounts.length) {
             connectionCounts[tenantIndex]++;
         }
     }
 
-    /** Ends an evaluation: adds the counts to the averages and clears them. */
+    /** Ends an evaluation: updates the averages from the counts and clears the counts. */
     public void update(int relayCount) {
         double[] excess = SheddingPlan.excessOverQuota(connectionCounts, connectionQuotas, relayCount);
         for (int tenantIndex = 0; tenantIndex < excess.length; tenantIndex++) {
@@ -42,7 +42,7 @@
         Arrays.fill(connectionCounts, 0);
     }
 
-    /** The fraction of this tenant's connections that is beyond its quota; 0 for a tenant that is not listed. */
+    /** The average fraction of this tenant's connections that exceeds its quota; 0 for a tenant that is not listed. */
     public double excessFraction(int tenantIndex) {
         return tenantIndex >= 0 && tenantIndex < excessFractions.length ? excessFractions[tenantIndex] : 0;
     }
--- a/src/main/java/sandstack/config/CapacityFile.java
+++ b/src/main/java/sandstack/config/CapacityFile.java
@@ -48,7 +48,7 @@
     private record Reader(String file) {
         CapacityFile read(JsonNode root) throws InvalidConfigurationException {
             requireKnownKeys(root, "", ROOT_KEYS);
-            StatedCapacity defaults = readCapacity(root.path("servers"), "servers", StatedCapacity.NOTHING);
+            StatedCapacity defaults = readCapacity(root.path("servers"), "servers", StatedCapacity.UNKNOWN);
             List<String> keys = new ArrayList<>();
             List<StatedCapacity> kinds = new ArrayList<>();
             requireTable(root.path("kinds"), "kinds");
--- a/src/main/java/sandstack/decisions/BalancerContext.java
+++ b/src/main/java/sandstack/decisions/BalancerContext.java
@@ -28,7 +28,7 @@
     private long slotMicros;
     private long updateIntervalMicros;
     private double shortestMessageLatencyObjectiveMicros;
-    private SlowStartBudget.Rule slowStartRule;
+    private SlowStartBudget.OverloadRule slowStartRule;
     private long nowMicros;
     private int processCount = 1;
     private List<BalancerAction> actions = new ArrayList<>();
@@ -57,7 +57,7 @@
         slotMicros = Math.max(1, newSettings.shortestLatencyObjectiveMicros() / SLOTS_PER_LATENCY_OBJECTIVE);
         updateIntervalMicros = Math.max(1, newSettings.shortestDeadlineMicros() / 2);
         shortestMessageLatencyObjectiveMicros = newSettings.shortestMessageLatencyObjectiveMicros();
-        slowStartRule = new SlowStartBudget.Rule(
+        slowStartRule = new SlowStartBudget.OverloadRule(
                 settings.overloadMultiple(),
                 settings.overloadWindowMicros(),
                 settings.instanceCount(),
@@ -86,7 +86,7 @@
         return shortestMessageLatencyObjectiveMicros;
     }
 
-    SlowStartBudget.Rule slowStartRule() {
+    SlowStartBudget.OverloadRule slowStartRule() {
         return slowStartRule;
     }
 
--- a/src/main/java/sandstack/decisions/LoadRebalancer.java
+++ b/src/main/java/sandstack/decisions/LoadRebalancer.java
@@ -40,7 +40,7 @@
             return;
         }
         double gap = headroom.utilization(busiest) - headroom.utilization(idlest);
-        if (gap < MIN_UTILIZATION_GAP || headroom.utilization(busiest) < HeadroomWeight.LEAST_WEIGHT_UTILIZATION) {
+        if (gap < MIN_UTILIZATION_GAP || headroom.utilization(busiest) < HeadroomWeight.MIN_WEIGHT_UTILIZATION) {
             return;
         }
         TrackedRequest heaviest = heaviestConnection(busiest, idlest.estimate.loadForUtilization(gap / 2));
--- a/src/main/java/sandstack/decisions/LoadShedder.java
+++ b/src/main/java/sandstack/decisions/LoadShedder.java
@@ -48,11 +48,11 @@
     void update(Collection<TrackedRequest> requests, boolean fleetOverloaded) {
         boolean calm = shedFraction == 0 && !fleetOverloaded;
         if (calm) {
-            classLoads.clearHeld();
+            classLoads.clearEstablishedLoads();
         }
         for (TrackedRequest request : requests) {
             if (request.state == TrackedRequest.State.ESTABLISHED) {
-                classLoads.addHeld(request.event.classIndex(), calm ? loadOf(request) : 0);
+                classLoads.addEstablishedLoad(request.event.classIndex(), calm ? loadOf(request) : 0);
                 tenantQuotas.addConnection(request.event.tenantIndex());
             }
         }
@@ -66,7 +66,7 @@
         shedFraction = fleetOverloaded
                 ? Math.min(MAX_SHED_FRACTION, shedFraction + SHED_FRACTION_STEP)
                 : Math.max(0, shedFraction - RECOVERY_FRACTION_STEP);
-        classLoads.shed(
+        classLoads.updateShedFractions(
                 shedFraction,
                 classIndex -> context.settings().classes().get(classIndex).priorityWeight(),
                 context.settings().weightPerUnitOfWork());
@@ -89,6 +89,6 @@
         double overQuotaFraction =
                 context.settings().overQuotaWeight() < 1 ? tenantQuotas.excessFraction(request.event.tenantIndex()) : 0;
         double fraction = Math.max(classLoads.shedFraction(request.event.classIndex()), overQuotaFraction);
-        return SeededRandom.unit(SeededRandom.mix(SeededRandom.hash(request.clientKey))) < fraction;
+        return SeededRandom.toUnitInterval(SeededRandom.mix(SeededRandom.hash(request.clientKey))) < fraction;
     }
 }
--- a/src/main/java/sandstack/decisions/RendezvousWeight.java
+++ b/src/main/java/sandstack/decisions/RendezvousWeight.java
@@ -40,7 +40,7 @@
     }
 
     private double weightedScore(TrackedRequest request, ServerState server, double headroomWeight, long seed) {
-        double score = Math.log(SeededRandom.unit(SeededRandom.mix(seed ^ server.hash)));
+        double score = Math.log(SeededRandom.toUnitInterval(SeededRandom.mix(seed ^ server.hash)));
         score /= server.rating
                 * SlowStartBudget.selectionWeight(server.slowStartFraction(context))
                 * (endpoints.isHome(server) ? HOME_ZONE_WEIGHT : 1);
--- a/src/main/java/sandstack/decisions/RequestTable.java
+++ b/src/main/java/sandstack/decisions/RequestTable.java
@@ -3,9 +3,9 @@
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import sandstack.capacity.ConnectionLimiter;
 import sandstack.capacity.InstallationLimits;
 import sandstack.capacity.RejectionReason;
+import sandstack.capacity.RelayConnectionLimiter;
 
 /**
  * The requests of this instance from their arrival to their final answer or the end of their connection, in the order
@@ -14,13 +14,13 @@
 final class RequestTable {
     private final BalancerContext context;
     private final ConnectionTracker connections;
-    private final ConnectionLimiter connectionLimiter;
+    private final RelayConnectionLimiter connectionLimiter;
     private final Map<String, TrackedRequest> requests = new LinkedHashMap<>();
 
     RequestTable(BalancerContext context, ConnectionTracker connections, InstallationLimits limits) {
         this.context = context;
         this.connections = connections;
-        connectionLimiter = new ConnectionLimiter(limits);
+        connectionLimiter = new RelayConnectionLimiter(limits);
     }
 
     /** The request with this id; null where there is none. */
--- a/src/main/java/sandstack/random/SeededRandom.java
+++ b/src/main/java/sandstack/random/SeededRandom.java
@@ -1,11 +1,11 @@
 package sandstack.random;
 
 /**
- * A pseudo-random number generator, SplitMix64 (Steele, Lea and Flood, 2014), and hashes by FNV-1a with the finalizer
- * of the same generator. The same seed gives the same numbers on every machine. Not for cryptography.
+ * A pseudo-random number generator, SplitMix64 (Steele, Lea and Flood, 2014), and a hash function, FNV-1a followed by
+ * the finalizer of SplitMix64. The same seed gives the same numbers on every machine. Not for cryptography.
  *
- * <p>An instance has one owner and is used by its thread only; the static methods may be called by any thread. Every
- * call takes a few shifts and multiplications and allocates nothing.
+ * <p>An instance has one owner and is used by that owner's thread only; the static methods are thread-safe. Every call
+ * but {@link #hash} is O(1), and none allocates memory.
  */
 public final class SeededRandom {
     /** Increment of the state: 2^64 divided by the golden ratio, made odd. */
@@ -13,7 +13,7 @@
 
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
-    /** A double holds 53 significant bits; the others are dropped. */
+    /** Number of low bits dropped, so that the rest fits into the 53-bit significand of a double. */
     private static final int DROPPED_BITS = Long.SIZE - 53;
 
     private static final double UNIT_IN_LAST_PLACE = 0x1.0p-53;
@@ -25,7 +25,7 @@
         state = mix(seed);
     }
 
-    /** The next 64 bits, each equally likely to be 0 or 1. */
+    /** The next number, uniform over all 64-bit values. */
     public long next() {
         state += GOLDEN_GAMMA;
         return mix(state);
@@ -36,14 +36,14 @@
         return (next() >>> DROPPED_BITS) * UNIT_IN_LAST_PLACE;
     }
 
-    /** The finalizer of SplitMix64, a bijection of the 64-bit numbers. */
+    /** The finalizer of SplitMix64, a bijection on 64-bit numbers. */
     public static long mix(long bits) {
         long mixed = (bits ^ (bits >>> 30)) * 0xbf58476d1ce4e5b9L;
         mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
         return mixed ^ (mixed >>> 31);
     }
 
-    /** The hash of a text: FNV-1a over its UTF-16 code units, mixed by {@link #mix}. */
+    /** A hash of the text: FNV-1a over its UTF-16 code units, followed by {@link #mix}. */
     public static long hash(String text) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
@@ -53,7 +53,7 @@
     }
 
     /** Maps a hash to (0, 1], so that its logarithm is finite. */
-    public static double unit(long hash) {
+    public static double toUnitInterval(long hash) {
         return ((hash >>> DROPPED_BITS) + 1) * UNIT_IN_LAST_PLACE;
     }
 }
--- a/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
+++ b/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
@@ -6,9 +6,9 @@
 import sandstack.decisions.Tenant;
 
 /**
- * Builds {@link BalancerSettings}. What is not set has a neutral default: one instance in one zone, no tenants, no
- * costs, nothing optional allowed, servers that start at full capacity. Values are checked by {@link #build} only. Not
- * safe for use by several threads.
+ * Builds {@link BalancerSettings}. Unset values have neutral defaults: one instance in one zone, no tenants, costs of
+ * 0, no optional feature allowed, servers that start at full capacity. Only {@link #build} checks values. Not
+ * thread-safe.
  */
 public final class BalancerSettingsBuilder {
     private int instanceIndex;
@@ -75,17 +75,17 @@
         ratingsAreSizes = settings.ratingsAreSizes();
     }
 
-    /** A builder with the defaults and these request classes. */
+    /** Creates a builder with the defaults and these request classes. */
     public static BalancerSettingsBuilder of(List<RequestClass> classes) {
         return new BalancerSettingsBuilder(classes);
     }
 
-    /** A builder that starts with a copy of these settings. */
+    /** Creates a builder that starts with a copy of these settings. */
     public static BalancerSettingsBuilder from(BalancerSettings settings) {
         return new BalancerSettingsBuilder(settings);
     }
 
-    /** Takes the instance index, home zone and zone count from the settings of that instance. */
+    /** Copies the instance index, home zone and zone count from the settings of an instance. */
     public BalancerSettingsBuilder forInstanceOf(BalancerSettings instance) {
         return instanceIndex(instance.instanceIndex())
                 .homeZone(instance.homeZone())
@@ -263,7 +263,7 @@
     /**
      * Builds the settings.
      *
-     * @throws IllegalArgumentException if a value is out of its range; names the setting
+     * @throws IllegalArgumentException if a value is out of range; the message names the setting
      */
     public BalancerSettings build() {
         return new BalancerSettings(
--- a/src/test/java/sandstack/capacity/CapacityEstimateTest.java
+++ b/src/test/java/sandstack/capacity/CapacityEstimateTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** How an estimate follows evidence, on a simulated clock. */
+/** Tests how an estimate follows the outcomes of connection attempts, with a simulated clock. */
 class CapacityEstimateTest {
     private static final long SLOT_MICROS = 20_000;
     private static final long LONGEST_INTERVAL_MICROS = SLOT_MICROS << AdaptiveLimit.MAX_BACKOFF_EXPONENT;
@@ -22,8 +22,11 @@
     private final CapacityEstimate server = model.newEstimate();
     private long nowMicros = 1_000_000_000;
 
-    /** Offers attempts to a server of this capacity where the estimate admits them; returns how many were rejected. */
-    private int offer(int attempts, int capacity) {
+    /**
+     * Offers attempts, 10 ms apart, to a server that holds {@code capacity} connections, and sends those that the
+     * estimate admits; returns how many the server rejected.
+     */
+    private int attemptConnections(int attempts, int capacity) {
         int rejected = 0;
         for (int i = 0; i < attempts; i++) {
             nowMicros += 10_000;
@@ -43,15 +46,15 @@
     }
 
     @Test
-    void withoutEvidenceEveryConnectionIsAdmitted() {
-        assertThat(offer(50_000, Integer.MAX_VALUE)).isZero();
+    void withoutAFailureEveryConnectionIsAdmitted() {
+        assertThat(attemptConnections(50_000, Integer.MAX_VALUE)).isZero();
         assertThat(server.establishedConnections()).isEqualTo(50_000);
         assertThat(server.occupancy()).isZero();
         assertThat(server.utilization(40, 1)).isZero();
     }
 
     @Test
-    void aLimitIsFoundAndThenTriedAtIntervalsOnly() {
+    void aLimitIsLearnedAndThenExceededByTrialsOnly() {
         for (int capacity : new int[] {3, 50, 5_000}) {
             CapacityEstimate other = new CapacityModel(StatedCapacities.NONE, SLOT_MICROS, 1).newEstimate();
             int rejected = 0;
@@ -69,35 +72,39 @@
                 }
             }
             assertThat(other.establishedConnections()).isEqualTo(capacity);
-            // 200 s of offers 10 ms apart: an interval of 2^8 slots is 5 s long
-            assertThat(rejected).as("rejected by a server of " + capacity).isBetween(20, 60);
+            // 200 s of attempts, 10 ms apart; an interval of 2^8 slots lasts 5 s
+            assertThat(rejected)
+                    .as("rejections by a server with capacity " + capacity)
+                    .isBetween(20, 60);
         }
     }
 
     @Test
-    void aCapacityThatFallsAndReturnsIsFollowed() {
-        offer(500, 200);
+    void theLimitFollowsACapacityThatFallsAndReturns() {
+        attemptConnections(500, 200);
         assertThat(server.establishedConnections()).isEqualTo(200);
-        // 74% are lost at once, newest first
+        // the server drops 74% of its connections at once
         while (server.establishedConnections() > 52) {
             server.onClosed(1);
             server.onConnectionDropped(nowMicros, random.nextDouble());
         }
         assertThat(server.connectionLimit()).isEqualTo(52);
         assertThat(server.admits(nowMicros)).isFalse();
-        int rejected = offer(300, 52);
-        assertThat(rejected).as("while it is small").isLessThan(12);
-        int before = server.establishedConnections();
-        offer(2_000, 200);
-        assertThat(before).isEqualTo(52);
+        int rejected = attemptConnections(300, 52);
+        assertThat(rejected)
+                .as("rejections while the server holds only 52 connections")
+                .isLessThan(12);
+        int connectionsBeforeReturn = server.establishedConnections();
+        attemptConnections(2_000, 200);
+        assertThat(connectionsBeforeReturn).isEqualTo(52);
         assertThat(server.establishedConnections())
-                .as("20 s after the capacity returned")
+                .as("connections 20 s after the capacity returned to 200")
                 .isEqualTo(200);
     }
 
     @Test
-    void aBurstOfEvidenceIsOneFailure() {
-        offer(200, 100);
+    void aBurstOfDroppedConnectionsCountsAsOneFailure() {
+        attemptConnections(200, 100);
         long delayMicros = 0;
         for (int i = 0; i < 60; i++) {
             server.onClosed(1);
@@ -111,7 +118,7 @@
     }
 
     @Test
-    void aStatedCapacityIsOnlyTheStartOfTheLimit() {
+    void aStatedCapacityIsOnlyTheInitialLimit() {
         CapacityModel statedModel = new CapacityModel(
                 new StatedCapacities(new StatedCapacity(0, 40, false, 0, 0), List.of()), SLOT_MICROS, 2);
         CapacityEstimate stated = statedModel.newEstimate();
@@ -123,7 +130,7 @@
             stated.onEstablished(1, nowMicros, random.nextDouble());
         }
         assertThat(stated.connectionLimit())
-                .as("40 for a unit of rating, shared by two relays")
+                .as("limit of a server of rating 2: 40 connections per unit of rating, shared by two relays")
                 .isEqualTo(40);
         for (int i = 0; i < 20_000 && stated.establishedConnections() < 400; i++) {
             nowMicros += 10_000;
@@ -134,12 +141,12 @@
             }
         }
         assertThat(stated.establishedConnections())
-                .as("a server ten times as large")
+                .as("connections of a server that is ten times as large as stated")
                 .isEqualTo(400);
     }
 
     @Test
-    void utilizationIsThatOfAStatedUpperBound() {
+    void utilizationIsTheFractionOfAStatedUpperBound() {
         CapacityModel statedModel = new CapacityModel(
                 new StatedCapacities(new StatedCapacity(1e6, 0, true, 1e5, 3), List.of()), SLOT_MICROS, 3);
         CapacityEstimate stated = statedModel.newEstimate();
@@ -154,7 +161,7 @@
     }
 
     @Test
-    void serversOfAKindShareTheirUsualLimit() {
+    void serversOfOneMachineKindShareTheirUsualLimit() {
         CapacityEstimate[] sameKind = {model.newEstimate(), model.newEstimate(), model.newEstimate()};
         for (CapacityEstimate estimate : sameKind) {
             estimate.onEndpointListed(2, 1);
@@ -167,10 +174,10 @@
             sameKind[1].onEstablished(1, nowMicros, 0.5);
         }
         assertThat(sameKind[1].occupancy())
-                .as("half of what another of its kind held")
+                .as("15 connections, where another server of the kind has a limit of 30")
                 .isCloseTo(0.5, org.assertj.core.data.Offset.offset(0.01));
         assertThat(sameKind[1].admits(nowMicros))
-                .as("closed by its own evidence only")
+                .as("not closed by the limit of another server")
                 .isTrue();
         CapacityEstimate otherKind = model.newEstimate();
         otherKind.onEndpointListed(1, 1);
@@ -178,10 +185,10 @@
         assertThat(otherKind.occupancy()).isZero();
     }
 
-    /** Whatever is reported in whatever order: figures stay in their range, and the server is tried again. */
+    /** For any sequence of reports, values stay in their ranges, and the server gets another trial. */
     @Property(tries = 300)
-    void noStreamOfEvidenceBreaksAnEstimate(
-            @ForAll @Size(max = 400) List<@IntRange(max = 9) Integer> kinds,
+    void anySequenceOfReportsKeepsTheEstimateValid(
+            @ForAll @Size(max = 400) List<@IntRange(max = 9) Integer> reportKinds,
             @ForAll @DoubleRange(min = -1e300, max = 1e300) double load,
             @ForAll long seed,
             @ForAll @LongRange(max = 10_000_000) long intervalMicros) {
@@ -195,26 +202,26 @@
         CapacityEstimate estimate = shared.newEstimate();
         estimate.onEndpointListed((int) seed, load);
         long timeMicros = 0;
-        double knownLoad = CapacityEstimate.sanitizeLoad(load);
-        for (int kind : kinds) {
+        double previousLoad = CapacityEstimate.sanitizeLoad(load);
+        for (int reportKind : reportKinds) {
             timeMicros += intervalMicros;
-            switch (kind) {
+            switch (reportKind) {
                 case 0 -> estimate.onAttemptStarted();
                 case 1 -> estimate.onAttemptEnded();
                 case 2, 3 -> {
-                    shared.onEstablished(knownLoad);
-                    estimate.onEstablished(knownLoad, timeMicros, draws.nextDouble());
+                    shared.onEstablished(previousLoad);
+                    estimate.onEstablished(previousLoad, timeMicros, draws.nextDouble());
                 }
                 case 4 -> {
                     shared.onClosed();
-                    estimate.onClosed(knownLoad);
+                    estimate.onClosed(previousLoad);
                 }
                 case 5 -> estimate.onRejected(timeMicros, draws.nextDouble());
                 case 6, 7 -> estimate.onConnectionDropped(timeMicros, draws.nextDouble());
                 case 8 -> {
-                    double changedLoad = CapacityEstimate.sanitizeLoad(draws.nextDouble() * load);
-                    shared.onLoadReported(knownLoad, changedLoad);
-                    estimate.onLoadChanged(knownLoad, changedLoad);
+                    double newLoad = CapacityEstimate.sanitizeLoad(draws.nextDouble() * load);
+                    shared.onLoadReported(previousLoad, newLoad);
+                    estimate.onLoadChanged(previousLoad, newLoad);
                 }
                 default -> estimate.onRestart();
             }
@@ -227,7 +234,7 @@
         }
         estimate.onInconclusiveAttempt();
         assertThat(estimate.admits(timeMicros + 2 * LONGEST_INTERVAL_MICROS))
-                .as("tried again")
+                .as("a trial is due after twice the longest interval")
                 .isTrue();
     }
 }
--- a/src/test/java/sandstack/capacity/HeadroomWeightTest.java
+++ b/src/test/java/sandstack/capacity/HeadroomWeightTest.java
@@ -7,7 +7,10 @@
 import net.jqwik.api.constraints.DoubleRange;
 import org.junit.jupiter.api.Test;
 
-/** The weight falls as a server fills up, and is 0 only where its load is known. */
+/**
+ * Tests that the weight decreases as a server fills up, and that it is 0 only if the load is known or the delay is too
+ * long.
+ */
 class HeadroomWeightTest {
     @Property
     void weightNeverRisesWithUtilization(
@@ -19,7 +22,7 @@
     }
 
     @Property
-    void aDefaultLoadNeverClosesAServer(@ForAll @DoubleRange(max = 100) double utilization) {
+    void occupancyAndDefaultLoadsNeverCloseAServer(@ForAll @DoubleRange(max = 100) double utilization) {
         assertThat(HeadroomWeight.byUtilization(utilization, false)).isPositive();
         assertThat(HeadroomWeight.byOccupancy(utilization)).isPositive();
     }
@@ -33,7 +36,7 @@
     }
 
     @Test
-    void aDelayIsInformativeFromAThirdOfTheObjectiveAndClosesAtIt() {
+    void aDelayIsInformativeAboveAThirdOfTheObjectiveAndClosesAtTheObjective() {
         assertThat(HeadroomWeight.isInformative(50, 150)).isFalse();
         assertThat(HeadroomWeight.isInformative(51, 150)).isTrue();
         assertThat(HeadroomWeight.byDelay(149, 150)).isEqualTo(0.3);
--- a/src/test/java/sandstack/capacity/InstallationLimitsTest.java
+++ b/src/test/java/sandstack/capacity/InstallationLimitsTest.java
@@ -6,11 +6,14 @@
 import org.assertj.core.data.Offset;
 import org.junit.jupiter.api.Test;
 
-/** The limits of an installation, reservation and load shedding. */
+/**
+ * Tests the limits of an installation, reserved capacity, tenant quotas, load shedding and the count of overloaded
+ * servers.
+ */
 class InstallationLimitsTest {
     @Test
-    void countsByRelayAndByGroup() {
-        ConnectionLimiter limiter = new ConnectionLimiter(new InstallationLimits(3, 0, 2, 0));
+    void connectionsAreLimitedByRelayAndByGroup() {
+        RelayConnectionLimiter limiter = new RelayConnectionLimiter(new InstallationLimits(3, 0, 2, 0));
         assertThat(limiter.reachedLimit("a")).isNull();
         limiter.onArrived("a");
         limiter.onArrived("a");
@@ -25,7 +28,7 @@
 
     @Test
     void withoutLimitsNothingIsRejected() {
-        ConnectionLimiter limiter = new ConnectionLimiter(InstallationLimits.NONE);
+        RelayConnectionLimiter limiter = new RelayConnectionLimiter(InstallationLimits.NONE);
         for (int i = 0; i < 100_000; i++) {
             limiter.onArrived("a");
         }
@@ -33,7 +36,7 @@
     }
 
     @Test
-    void aRateLimiterAdmitsItsRate() {
+    void aRateLimiterAdmitsSetupsAtItsRate() {
         SetupRateLimiter limiter = new SetupRateLimiter(50, 0);
         int admitted = 0;
         for (long nowMicros = 0; nowMicros < 10_000_000; nowMicros += 1_000) {
@@ -51,7 +54,7 @@
     }
 
     @Test
-    void valuesOutOfRangeAreRejectedByName() {
+    void theMessageForAValueOutOfRangeNamesItsKey() {
         assertThatThrownBy(() -> new InstallationLimits(-1, 0, 0, 0)).hasMessageContaining("relay");
         assertThatThrownBy(() -> new InstallationLimits(0, 0, 0, Double.NaN)).hasMessageContaining("setups");
         assertThatThrownBy(() -> new StatedCapacity(0, Double.POSITIVE_INFINITY, false, 0, 0))
@@ -68,14 +71,18 @@
     }
 
     @Test
-    void reservedCapacityIsClosedToTheLowestPriorityOnly() {
+    void reservedCapacityIsNotAvailableToTheLowestPriority() {
         CandidateSummary candidates = new CandidateSummary(new double[] {5, 1, 5});
         CapacityModel model = new CapacityModel(StatedCapacities.NONE, 1000, 1);
-        assertThat(candidates.admits(1)).as("before any server was added").isTrue();
+        assertThat(candidates.admits(1))
+                .as("summary without servers admits the lowest priority")
+                .isTrue();
         CapacityEstimate server = model.newEstimate();
         candidates.reset();
         candidates.add(server, false, 0);
-        assertThat(candidates.admits(1)).as("without evidence against more").isTrue();
+        assertThat(candidates.admits(1))
+                .as("server without a learned limit admits the lowest priority")
+                .isTrue();
         for (int i = 0; i < 100; i++) {
             server.onEstablished(1, 0, 0.5);
         }
@@ -84,7 +91,9 @@
         server.onClosed(1);
         candidates.reset();
         candidates.add(server, false, 0);
-        assertThat(candidates.admits(1)).as("two of a hundred are free").isFalse();
+        assertThat(candidates.admits(1))
+                .as("2 of 100 connections are free, less than the reserve of 3%")
+                .isFalse();
         assertThat(candidates.admits(0)).isTrue();
         for (int i = 0; i < 5; i++) {
             server.onClosed(1);
@@ -103,17 +112,17 @@
     }
 
     @Test
-    void anOverloadedZoneCountsUnlessItIsOnlyLocallyFullAndOthersHaveHeadroom() {
-        OverloadCount home = new OverloadCount();
-        home.add(true, true, true);
-        home.add(true, true, true);
-        home.add(false, false, true);
-        OverloadCount idle = new OverloadCount();
-        idle.add(false, false, false);
-        assertThat(OverloadCount.isFleetOverloaded(home, idle)).isFalse();
-        OverloadCount overloaded = new OverloadCount();
-        overloaded.add(true, false, true);
-        assertThat(OverloadCount.isFleetOverloaded(home, overloaded)).isTrue();
-        assertThat(home.smoothedOverloadedFraction(0, 2)).isCloseTo(1 / 3.0, Offset.offset(1e-9));
+    void aLocallyFullHomeZoneIsNotOverloadedWhileOtherZonesHaveHeadroom() {
+        OverloadCount homeZone = new OverloadCount();
+        homeZone.add(true, true, true);
+        homeZone.add(true, true, true);
+        homeZone.add(false, false, true);
+        OverloadCount idleZone = new OverloadCount();
+        idleZone.add(false, false, false);
+        assertThat(OverloadCount.isFleetOverloaded(homeZone, idleZone)).isFalse();
+        OverloadCount overloadedZone = new OverloadCount();
+        overloadedZone.add(true, false, true);
+        assertThat(OverloadCount.isFleetOverloaded(homeZone, overloadedZone)).isTrue();
+        assertThat(homeZone.smoothedOverloadedFraction(0, 2)).isCloseTo(1 / 3.0, Offset.offset(1e-9));
     }
 }
--- a/src/test/java/sandstack/capacity/SlowStartBudgetTest.java
+++ b/src/test/java/sandstack/capacity/SlowStartBudgetTest.java
@@ -9,34 +9,50 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many relays send to one cold server without communication, each with a budget of its own: how often their sum
- * overloads the server, by the rule of the settings. All on one simulated clock.
+ * Simulates many relays that send to one server in slow start without communication, each with its own budget, and
+ * checks how often their total overloads the server by the rule in the settings. All relays use one simulated clock.
  */
 class SlowStartBudgetTest {
     private static final long WINDOW_MICROS = 1_500_000;
     private static final double OVERLOAD_MULTIPLE = 3;
     private static final long DURATION_MICROS = 15_000_000;
 
-    /** Result of many starts of the server. */
-    private record Result(int overloads, double sentFraction, double worstFraction) {}
+    /**
+     * Totals of many starts of the server.
+     *
+     * @param overloadedStarts number of starts in which the server was overloaded
+     * @param sentFraction fraction of the server's budget that was sent
+     * @param worstWindowFraction most requests in a window, as a fraction of the overload threshold
+     */
+    private record Result(int overloadedStarts, double sentFraction, double worstWindowFraction) {}
 
-    /** Plays many starts: new clients arrive at random, and a burst of returning ones arrives at all relays at once. */
-    private static Result play(
+    /**
+     * Simulates many starts of the server: new clients arrive at random, and a burst of returning clients arrives at
+     * all relays at once.
+     *
+     * @param allowed budget in requests per window
+     * @param arrivalsPerSecond rate at which new clients arrive at all relays together
+     * @param uneven whether some relays get more clients than others
+     * @param burst number of returning clients
+     * @param newClients whether new clients are admitted without a permit
+     * @param permitMultiple factor by which each relay takes more than its share of permits
+     */
+    private static Result simulateStarts(
             int starts,
             int relays,
             double allowed,
-            double perSecond,
+            double arrivalsPerSecond,
             boolean uneven,
             int burst,
             boolean newClients,
             int permitMultiple) {
         SplittableRandom random = new SplittableRandom(relays * 31L + (long) (allowed * 100) + burst);
         double requestsPerMicro = allowed / OVERLOAD_MULTIPLE / WINDOW_MICROS;
-        SlowStartBudget.Rule rule =
-                new SlowStartBudget.Rule(OVERLOAD_MULTIPLE, WINDOW_MICROS, relays / permitMultiple, 1);
-        int overloads = 0;
+        SlowStartBudget.OverloadRule rule =
+                new SlowStartBudget.OverloadRule(OVERLOAD_MULTIPLE, WINDOW_MICROS, relays / permitMultiple, 1);
+        int overloadedStarts = 0;
         long sent = 0;
-        double worstFraction = 0;
+        double worstWindowFraction = 0;
         for (int start = 0; start < starts; start++) {
             SlowStartBudget[] budgets = new SlowStartBudget[relays];
             double[] weights = new double[relays];
@@ -56,10 +72,10 @@
             ArrayDeque<Long> window = new ArrayDeque<>();
             long burstAtMicros = 3_000_000 + random.nextLong(6_000_000);
             int pendingBurst = burst;
-            double limit = allowed + 2 * Math.sqrt(allowed) + 2;
+            double overloadThreshold = allowed + 2 * Math.sqrt(allowed) + 2;
             boolean overloaded = false;
             for (long nowMicros = 0; nowMicros < DURATION_MICROS; ) {
-                long nextMicros = nowMicros + 1 + (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e6);
+                long nextMicros = nowMicros + 1 + (long) (-Math.log(1 - random.nextDouble()) / arrivalsPerSecond * 1e6);
                 boolean returning = pendingBurst > 0 && nextMicros >= burstAtMicros;
                 if (returning) {
                     pendingBurst--;
@@ -83,15 +99,16 @@
                 while (!window.isEmpty() && window.peekFirst() <= nowMicros - WINDOW_MICROS) {
                     window.pollFirst();
                 }
-                worstFraction = Math.max(worstFraction, window.size() / limit);
-                overloaded |= window.size() > limit;
+                worstWindowFraction = Math.max(worstWindowFraction, window.size() / overloadThreshold);
+                overloaded |= window.size() > overloadThreshold;
             }
-            overloads += overloaded ? 1 : 0;
+            overloadedStarts += overloaded ? 1 : 0;
         }
-        return new Result(overloads, sent / (starts * allowed * DURATION_MICROS / WINDOW_MICROS), worstFraction);
+        return new Result(
+                overloadedStarts, sent / (starts * allowed * DURATION_MICROS / WINDOW_MICROS), worstWindowFraction);
     }
 
-    @ParameterizedTest(name = "{0} relays, {1} allowed, {2} a second, uneven {3}, a burst of {4}")
+    @ParameterizedTest(name = "{0} relays, {1} requests allowed, {2} arrivals/s, uneven {3}, burst of {4}")
     @CsvSource({
         "3, 1, 6, true, 40",
         "3, 3, 12, true, 80",
@@ -117,35 +134,41 @@
         "1,   5,  20, false, 100",
         "1,   1,  20, false, 100",
     })
-    void theSumOfAllRelaysOverloadsNoColdServer(
-            int relays, double allowed, double perSecond, boolean uneven, int burst) {
-        Result result = play(2_500, relays, allowed, perSecond, uneven, burst, true, 1);
+    void allRelaysTogetherRarelyOverloadAServerInSlowStart(
+            int relays, double allowed, double arrivalsPerSecond, boolean uneven, int burst) {
+        Result result = simulateStarts(2_500, relays, allowed, arrivalsPerSecond, uneven, burst, true, 1);
         System.out.printf(
-                "%d relays, %.0f allowed, burst %d: %d starts overloaded, %.2f of it sent, worst %.2f%n",
-                relays, allowed, burst, result.overloads, result.sentFraction, result.worstFraction);
-        assertThat(result.overloads).isLessThanOrEqualTo(5);
+                "%d relays, %.0f allowed, burst of %d: %d starts overloaded, %.2f of budget sent, worst window %.2f%n",
+                relays, allowed, burst, result.overloadedStarts, result.sentFraction, result.worstWindowFraction);
+        assertThat(result.overloadedStarts).isLessThanOrEqualTo(5);
     }
 
     /**
-     * Each relay gets a request once in a quarter of a minute: permits alone leave nine tenths of the budget unused.
+     * Each relay gets a request about every 17 s, and permits expire meanwhile: permits alone leave nine tenths of the
+     * budget unused.
      */
     @Test
-    void relaysWithFewRequestsEachSpendTheBudgetTogether() {
-        double permitsAlone = play(500, 100, 1, 6, true, 0, false, 1).sentFraction;
-        assertThat(play(500, 100, 1, 6, true, 0, true, 1).sentFraction).isGreaterThan(1.5 * permitsAlone);
+    void relaysWithFewRequestsEachStillUseTheBudgetTogether() {
+        double permitsAlone = simulateStarts(500, 100, 1, 6, true, 0, false, 1).sentFraction;
+        assertThat(simulateStarts(500, 100, 1, 6, true, 0, true, 1).sentFraction)
+                .isGreaterThan(1.5 * permitsAlone);
         assertThat(permitsAlone).isLessThan(0.15);
     }
 
-    /** Checks that the play above detects an overload: relays that take their number for a quarter of what it is. */
-    @ParameterizedTest(name = "{0} relays, {1} allowed, {2} a second, uneven {3}, a burst of {4}")
+    /**
+     * Checks that the simulation detects an overload: each relay assumes a quarter of the actual number of relays, and
+     * so takes four times its share of permits.
+     */
+    @ParameterizedTest(name = "{0} relays, {1} requests allowed, {2} arrivals/s, uneven {3}, burst of {4}")
     @CsvSource({
         "100, 5,  20, false, 400",
         "30,  3,  12, true,  120",
         "30,  5,  20, false, 200",
         "30,  15, 60, true,  400",
     })
-    void fourTimesThePermitsOverloadTheServer(int relays, double allowed, double perSecond, boolean uneven, int burst) {
-        assertThat(play(200, relays, allowed, perSecond, uneven, burst, true, 4).overloads)
+    void fourTimesThePermitsOverloadTheServer(
+            int relays, double allowed, double arrivalsPerSecond, boolean uneven, int burst) {
+        assertThat(simulateStarts(200, relays, allowed, arrivalsPerSecond, uneven, burst, true, 4).overloadedStarts)
                 .isGreaterThan(20);
     }
 }
--- a/src/test/java/sandstack/decisions/MultipleRelaysTest.java
+++ b/src/test/java/sandstack/decisions/MultipleRelaysTest.java
@@ -22,8 +22,8 @@
     private static final BalancerSettings SETTINGS = BalancerHarness.settings().build();
     /** Usual connections that fill a server, by the stated capacities. */
     private static final double CONNECTIONS_PER_SERVER =
-            BalancerHarness.PLATFORM_CAPACITIES.others().workPerRating()
-                    / BalancerHarness.PLATFORM_CAPACITIES.others().defaultConnectionLoad();
+            BalancerHarness.PLATFORM_CAPACITIES.defaultCapacity().workPerRating()
+                    / BalancerHarness.PLATFORM_CAPACITIES.defaultCapacity().defaultConnectionLoad();
 
     private final List<BalancerHarness> relays = new ArrayList<>();
     private final Random random = new Random(17);
--- a/src/test/java/sandstack/settings/TestSettings.java
+++ b/src/test/java/sandstack/settings/TestSettings.java
@@ -6,11 +6,11 @@
 import sandstack.decisions.Idempotency;
 import sandstack.decisions.RequestClass;
 
-/** Settings that are shared by tests of a complete relay. */
+/** Settings shared by tests of a complete relay. */
 public final class TestSettings {
     private TestSettings() {}
 
-    /** One relay in one zone, two equal classes, shared groups, a polled endpoint list. */
+    /** Settings of one relay in one zone, with two equal request classes, shared groups and a polled endpoint list. */
     public static BalancerSettings oneRelayWithGroups() {
         RequestClass requestClass =
                 new RequestClass(320_000, 2_000_000, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 100_000);
--- a/src/test/java/sandstack/staleness/EndpointListStalenessTest.java
+++ b/src/test/java/sandstack/staleness/EndpointListStalenessTest.java
@@ -11,9 +11,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sandstack.staleness.EndpointListStaleness.NotificationPath;
 
-/** The notification rules, a row for each case in milliseconds, and the backoff that keeps a relay within them. */
+/**
+ * Tests the time from which a relay counts as notified, one row per case in milliseconds, and the backoff that makes
+ * the list arrive before it.
+ */
 class EndpointListStalenessTest {
-    @ParameterizedTest(name = "{0}: changed {1}, since {2}, long poll {3}: notified {4}")
+    @ParameterizedTest(name = "{0}: changed at {1}, since {2}, long poll {3}: notified at {4}")
     @CsvSource({
         "DELIVERED,              9000, 0,    0,    9000",
         "CACHED_BY_AGENT,         9000, 0,    0,    9000",
@@ -29,7 +32,7 @@
         "NEW_CONFIGURATION,    500,  1000, 0,    5000",
         "NEW_CONFIGURATION,    6000, 1000, 0,    6000",
     })
-    void aChangeCountsAsNotifiedFromThatTimeOn(
+    void aChangeCountsAsNotifiedFromTheTimeOfItsPath(
             NotificationPath path, long changedMillis, long sinceMillis, long longPollMillis, long notifiedMillis) {
         EndpointListStaleness staleness =
                 new EndpointListStaleness(path == NotificationPath.CACHED_BY_AGENT, 10_000_000);
@@ -37,7 +40,7 @@
                 .isEqualTo(notifiedMillis * 1000);
     }
 
-    /** Two more polls fit in before a missed change counts, the first of them as long as a long poll may be. */
+    /** Two more polls end before a missed change counts as notified; the first takes as long as a long poll may. */
     @Property
     void aSilentWatchLeavesTimeForTwoPolls(
             @ForAll boolean pushed, @ForAll @DoubleRange(max = 0.99) double uniformDraw) {
@@ -50,12 +53,12 @@
     }
 
     /**
-     * However many polls have failed: the one that was open when discovery came back falls silent, the backoff is
-     * drawn, the next poll takes as long as a long poll may, and its list arrives before a change made at the return
-     * counts.
+     * After any number of failed polls: the poll that was open when discovery became available again is silent until
+     * its timeout, the backoff passes, the next poll takes as long as a long poll may, and its list arrives before a
+     * change made when discovery became available counts as notified.
      */
     @Property
-    void afterAnyFailureTheNextListArrivesBeforeAChangeCounts(
+    void afterAnyNumberOfFailuresTheNextListArrivesBeforeAChangeCountsAsNotified(
             @ForAll @LongRange(max = 100_000_000) long pollIntervalMicros,
             @ForAll @IntRange(min = 1) int failures,
             @ForAll @DoubleRange(max = 0.99) double uniformDraw) {
@@ -75,7 +78,7 @@
         assertThat(backoffMicros).isBetween(1L, pushed ? 80_000 : Math.max(160_000, pollIntervalMicros / 2 + 1));
     }
 
-    /** A relay may not go without a poll for longer than the settings say, whatever has failed before. */
+    /** A relay may not go without a poll for longer than the settings allow, after any number of failures. */
     @Property
     void theBackoffBetweenPollsIsShorterThanThePollInterval(
             @ForAll @LongRange(min = 1_000_000, max = 60_000_000) long pollIntervalMicros,
@@ -87,7 +90,7 @@
 
     @ParameterizedTest
     @CsvSource({"true, 1000000", "false, 0"})
-    void aNewProcessWaitsForTheListOfAnAgentOnly(boolean pushed, long timeoutMicros) {
+    void aNewProcessWaitsForItsFirstListOnlyIfAnAgentPushesLists(boolean pushed, long timeoutMicros) {
         assertThat(new EndpointListStaleness(pushed, 10_000_000).firstListTimeoutMicros())
                 .isEqualTo(timeoutMicros);
     }
