--- a/src/main/java/sandstack/configuration/ActiveConfiguration.java
+++ b/src/main/java/sandstack/configuration/ActiveConfiguration.java
@@ -4,24 +4,25 @@
 import sandstack.configuration.ChangeRejection.Reason;
 
 /**
- * The configuration that is active at a relay. It is replaced only by a validated change that directly follows it, or
- * by a validated later snapshot of the same history. Each is stored before it is activated; where the store fails, it
- * is activated all the same, and after a restart the relay begins with the version stored last. Not thread-safe.
+ * The configuration that is active at a relay. It is replaced only by a valid change that directly follows it, or by a
+ * valid later snapshot of the same history. The new state is stored before it is activated. If the store fails, the
+ * state is activated nevertheless, and after a restart the relay starts from the last version that was stored. Not
+ * thread-safe; times are in microseconds of the follower's clock.
  */
 final class ActiveConfiguration {
-    /** What became of a change or a snapshot. */
+    /** The result of applying a change or a snapshot that was received from a control machine. */
     enum ActivationResult {
-        /** It is active. */
+        /** The change or snapshot is active now. */
         ACTIVATED,
-        /** It, or a later version, was active already. */
+        /** The active version is the same or a later one; nothing changed. */
         STALE,
-        /** Changes between the active version and this one are missing. */
+        /** Changes between the active version and the received one are missing. */
         GAP,
-        /** It is not valid at this relay. */
+        /** The validator of this relay rejected the received state; the active one stays. */
         REJECTED,
-        /** It leads to another state than the control machines report. */
+        /** The state after the change has a different digest than the control machines computed. */
         DIGEST_MISMATCH,
-        /** It belongs to another history. */
+        /** The received version and the active one cannot be in the same history. */
         DIVERGENT
     }
 
@@ -30,7 +31,7 @@
     private final FollowerOutput output;
     private final RateLimitedLog storeFailureLog;
     private ConfigurationSnapshot current = ConfigurationSnapshot.EMPTY;
-    /** The highest index that was rejected since the last activation; 0 where none was. */
+    /** The highest index that was rejected since the last activation; 0 if none was. */
     private long rejectedIndex;
 
     private Optional<ChangeRejection> rejection = Optional.empty();
@@ -54,17 +55,20 @@
         return rejection;
     }
 
-    /** The highest index that is active or was rejected: only later states are worth fetching. */
+    /** The highest index that is active or was rejected; only states with a higher index need to be fetched. */
     long highestHandledIndex() {
         return Math.max(rejectedIndex, version().index());
     }
 
-    /** Whether a state later than the active one was rejected. */
+    /** Whether a version later than the active one was rejected. */
     boolean hasRejectedLaterVersion() {
         return rejectedIndex > version().index();
     }
 
-    /** Activates what was stored, if it is complete and valid. Called once, before anything else. */
+    /**
+     * Activates the stored configuration if it is readable, matches its digest and is valid. Called once, before any
+     * other method.
+     */
     void load() {
         ConfigurationStore.Loaded loaded = store.load();
         if (loaded instanceof ConfigurationStore.Loaded.Unreadable unreadable) {
@@ -92,7 +96,7 @@
         output.activated(snapshot);
     }
 
-    /** Stores and activates a change that directly follows the active version. */
+    /** Validates, stores and activates a change that directly follows the active version. */
     ActivationResult apply(CommittedChange committed, long nowMicros) {
         ConfigurationVersion version = committed.version();
         if (version.divergesFrom(version())) {
@@ -121,7 +125,7 @@
         return ActivationResult.ACTIVATED;
     }
 
-    /** Stores and activates a later snapshot of the same history. */
+    /** Validates, stores and activates a later snapshot of the same history. */
     ActivationResult replace(ConfigurationSnapshot snapshot, long nowMicros) {
         ConfigurationVersion version = snapshot.version();
         if (version.divergesFrom(version())) {
@@ -139,29 +143,29 @@
         return ActivationResult.ACTIVATED;
     }
 
-    /** A later state is not valid here: the active one stays. */
-    ActivationResult reject(ConfigurationVersion version, ChangeRejection why) {
+    /** Records and logs that a later version was rejected; the active configuration stays. */
+    ActivationResult reject(ConfigurationVersion version, ChangeRejection changeRejection) {
         rejectedIndex = Math.max(rejectedIndex, version.index());
-        rejection = Optional.of(why);
-        logRejection("configuration rejected version=" + version + " activeVersion=" + version(), why);
+        rejection = Optional.of(changeRejection);
+        logRejection("configuration rejected version=" + version + " activeVersion=" + version(), changeRejection);
         return ActivationResult.REJECTED;
     }
 
-    private void logRejection(String message, ChangeRejection why) {
-        output.log(message + " reason=" + why.reason() + " detail=" + why.detail());
+    private void logRejection(String message, ChangeRejection changeRejection) {
+        output.log(message + " reason=" + changeRejection.reason() + " detail=" + changeRejection.detail());
     }
 
-    /** Why this relay cannot read a format. */
+    /** Why this relay cannot read a format version; empty if it can. */
     Optional<ChangeRejection> validateFormat(int formatVersion) {
         return validator.validateFormat(formatVersion);
     }
 
-    /** Why an encoded snapshot of this size is not fetched. */
+    /** Why an encoded snapshot of this size is not fetched; empty if it is within the bound. */
     Optional<ChangeRejection> validateEncodedSize(int bytes, int maxBytes) {
         return bytes <= maxBytes
                 ? Optional.empty()
                 : Optional.of(new ChangeRejection(
-                        Reason.CONFIGURATION_TOO_LARGE, bytes + " bytes in a snapshot, the most is " + maxBytes));
+                        Reason.CONFIGURATION_TOO_LARGE, bytes + " bytes in a snapshot, the maximum is " + maxBytes));
     }
 
     private void activate(ConfigurationSnapshot next) {
@@ -171,15 +175,18 @@
         output.activated(next);
     }
 
-    /** An operation of the store. */
-    private interface StoreStep {
+    /** A write to the store, which may fail. */
+    private interface StoreOperation {
         void run() throws ConfigurationStoreException;
     }
 
-    /** A relay whose disk fails goes on with the committed state, and catches up after its next start. */
-    private void store(StoreStep step, long nowMicros) {
+    /**
+     * Runs a write to the store and only logs its failure: a relay whose disk fails continues with the committed state
+     * and catches up after its next start.
+     */
+    private void store(StoreOperation operation, long nowMicros) {
         try {
-            step.run();
+            operation.run();
         } catch (ConfigurationStoreException e) {
             storeFailureLog.log(
                     "configuration could not be stored problem=" + LogText.singleLine(String.valueOf(e.getMessage())),
--- a/src/main/java/sandstack/configuration/ChangeRejection.java
+++ b/src/main/java/sandstack/configuration/ChangeRejection.java
@@ -3,45 +3,45 @@
 import java.util.Objects;
 
 /**
- * Why a change or a state was rejected.
+ * Why a change or a configuration was rejected. Immutable.
  *
- * @param reason sent to control machines by its ordinal, so that constants are only ever appended
- * @param detail for operators, one bounded line
+ * @param reason the kind of violation
+ * @param detail the violation in one line of bounded length, for operators
  */
 public record ChangeRejection(Reason reason, String detail) {
-    /** What is wrong. Sent by ordinal: append only. */
+    /** The kind of violation. Relays send it to control machines by its ordinal, so new constants go at the end. */
     public enum Reason {
-        /** The change has no edit. */
+        /** The change has no edits. */
         EMPTY_CHANGE,
-        /** The change edits a key twice. */
+        /** The change edits the same key more than once. */
         DUPLICATE_KEY,
-        /** A key is empty or too long. */
+        /** A key is blank or longer than {@link ConfigurationLimits#maxKeyBytes}. */
         INVALID_KEY,
-        /** A value is too long. */
+        /** A value is longer than {@link ConfigurationLimits#maxValueBytes}. */
         VALUE_TOO_LARGE,
-        /** The author is missing, or author or reason is too long. */
+        /** The author is blank, or the author or the reason exceeds its maximum length. */
         INVALID_AUTHOR,
-        /** The change has too many edits or bytes. */
+        /** The change has more edits or bytes than the limits allow. */
         CHANGE_TOO_LARGE,
-        /** The configuration has, or would have, too many entries or bytes. */
+        /** The configuration has, or would have after the change, more entries or bytes than the limits allow. */
         CONFIGURATION_TOO_LARGE,
-        /** It is written in a format version that this release does not know. */
+        /** The format version is not supported by this release. */
         UNKNOWN_FORMAT,
-        /** Another change was committed since the version that it is based on. */
+        /** Another change was committed after the base version of this one. */
         CONFLICTING_BASE,
-        /** Its version or digest belongs to another history. */
+        /** The version or the digest belongs to another history. */
         DIVERGENT_HISTORY,
-        /** Its bytes are not of this format. */
+        /** The bytes cannot be decoded, or a text is not valid Unicode. */
         MALFORMED,
-        /** The program cannot use the resulting configuration. */
+        /** The {@link ConfigurationCheck} found the resulting configuration unusable. */
         UNUSABLE,
-        /** No quorum of the control machines is reached, so nothing can be committed. */
+        /** The control machine reaches no quorum, so it cannot commit a change. */
         NO_QUORUM,
-        /** More proposals are pending than are accepted. */
+        /** The number of pending proposals is at its maximum. */
         TOO_MANY
     }
 
-    /** Bounds the detail to one line. */
+    /** Replaces line breaks and control characters in the detail and bounds its length. */
     public ChangeRejection {
         Objects.requireNonNull(reason, "reason");
         detail = LogText.singleLine(detail);
--- a/src/main/java/sandstack/configuration/ChangeValidator.java
+++ b/src/main/java/sandstack/configuration/ChangeValidator.java
@@ -8,59 +8,62 @@
 import sandstack.configuration.ChangeRejection.Reason;
 
 /**
- * Decides whether a change may be committed and whether a state may be activated. Immutable; the same inputs give the
- * same answer on every machine. Stops at the first violation, so that a large input costs no more than its bound.
+ * Decides whether a change may be committed and whether a configuration may be activated. Deterministic: the same
+ * inputs give the same result on every machine. Stops at the first violation, so that an oversized input costs no more
+ * time than one at the limit. Immutable and thread-safe if the check is.
  */
 public final class ChangeValidator {
     private final ConfigurationLimits limits;
     private final ConfigurationCheck check;
 
     /**
-     * Validates by bounds and by what the program can use.
+     * Creates a validator of sizes and usability.
      *
-     * @param check gives the same answer on every machine
+     * @param limits the same on all control machines
+     * @param check evaluated last; must give the same result for the same configuration on every machine
      */
     public ChangeValidator(ConfigurationLimits limits, ConfigurationCheck check) {
         this.limits = limits;
         this.check = check;
     }
 
-    /** The bounds by which this validates. */
+    /** The limits on keys, values, changes and the complete configuration that this validator enforces. */
     public ConfigurationLimits limits() {
         return limits;
     }
 
-    /** Why the change cannot follow the current state; empty where it can. */
+    /** Why a change cannot be committed directly after the current configuration; empty if it can. */
     public Optional<ChangeRejection> validate(ConfigurationSnapshot current, ConfigurationChange change) {
         return validateContent(change).or(() -> validateBase(current, change)).or(() -> {
-            // the term does not matter to whether the result is valid
+            // validity does not depend on the term, so the current one stands in for that of the commit
             ConfigurationVersion next = current.version().next(current.version().term());
             return validateSnapshot(current.apply(next, change));
         });
     }
 
-    /** Why a change is rejected whatever the current state is. */
+    /** Why a change is invalid independently of the current configuration; empty if it is valid. */
     public Optional<ChangeRejection> validateContent(ConfigurationChange change) {
         return validateFormat(change.formatVersion())
                 .or(() -> validateAuthor(change))
                 .or(() -> validateEdits(change));
     }
 
-    /** Why a complete state is rejected. */
+    /** Why a complete configuration is invalid; empty if it is valid. */
     public Optional<ChangeRejection> validateSnapshot(ConfigurationSnapshot snapshot) {
         return validateFormat(snapshot.formatVersion())
                 .or(() -> validateSize(snapshot))
                 .or(() -> check.findProblem(snapshot).map(problem -> new ChangeRejection(Reason.UNUSABLE, problem)));
     }
 
-    /** Why a format version is rejected. */
+    /** Why a format version is rejected; empty if this release supports it. */
     Optional<ChangeRejection> validateFormat(int formatVersion) {
         if (formatVersion >= 1 && formatVersion <= ConfigurationChange.FORMAT_VERSION) {
             return Optional.empty();
         }
         return rejection(
                 Reason.UNKNOWN_FORMAT,
-                "format " + formatVersion + ", this release knows up to " + ConfigurationChange.FORMAT_VERSION);
+                "format version " + formatVersion + ", this release supports up to "
+                        + ConfigurationChange.FORMAT_VERSION);
     }
 
     private Optional<ChangeRejection> validateBase(ConfigurationSnapshot current, ConfigurationChange change) {
@@ -69,33 +72,34 @@
         }
         return rejection(
                 Reason.CONFLICTING_BASE,
-                "the change is based on version " + change.baseVersion() + ", current is " + current.version());
+                "the change is based on version " + change.baseVersion() + ", the current version is "
+                        + current.version());
     }
 
     private Optional<ChangeRejection> validateAuthor(ConfigurationChange change) {
         if (change.author().isBlank()) {
-            return rejection(Reason.INVALID_AUTHOR, "the change names no author");
+            return rejection(Reason.INVALID_AUTHOR, "the author of the change is blank");
         }
         if (exceeds(change.author(), limits.maxAuthorBytes()) || exceeds(change.reason(), limits.maxReasonBytes())) {
             return rejection(
                     Reason.INVALID_AUTHOR,
-                    "author or reason is longer than " + limits.maxAuthorBytes() + " and " + limits.maxReasonBytes()
-                            + " bytes");
+                    "author or reason exceeds its maximum of " + limits.maxAuthorBytes() + " or "
+                            + limits.maxReasonBytes() + " bytes");
         }
         if (!isUnicode(change.author()) || !isUnicode(change.reason())) {
-            return rejection(Reason.MALFORMED, "author or reason is no valid Unicode");
+            return rejection(Reason.MALFORMED, "author or reason is not valid Unicode");
         }
         return Optional.empty();
     }
 
     private Optional<ChangeRejection> validateEdits(ConfigurationChange change) {
         if (change.edits().isEmpty()) {
-            return rejection(Reason.EMPTY_CHANGE, "the change edits nothing");
+            return rejection(Reason.EMPTY_CHANGE, "the change has no edits");
         }
         if (change.edits().size() > limits.maxEditsPerChange()) {
             return rejection(
                     Reason.CHANGE_TOO_LARGE,
-                    change.edits().size() + " edits, the most is " + limits.maxEditsPerChange());
+                    change.edits().size() + " edits in one change, the maximum is " + limits.maxEditsPerChange());
         }
         long bytes = 0;
         Set<String> keys = new HashSet<>();
@@ -105,7 +109,7 @@
                 return rejection;
             }
             if (!keys.add(edit.key())) {
-                return rejection(Reason.DUPLICATE_KEY, "key " + edit.key() + " is edited twice");
+                return rejection(Reason.DUPLICATE_KEY, "key " + edit.key() + " is edited more than once");
             }
             String value = edit instanceof ConfigurationEdit.Put put ? put.value() : "";
             bytes += ConfigurationSize.ofEntry(edit.key(), value, limits);
@@ -123,13 +127,15 @@
                     isUnicode(edit.key()) && (!(edit instanceof ConfigurationEdit.Put put) || isUnicode(put.value()));
             return valid
                     ? Optional.empty()
-                    : rejection(Reason.MALFORMED, "key or value of " + edit.key() + " is no valid Unicode");
+                    : rejection(Reason.MALFORMED, "key or value of " + edit.key() + " is not valid Unicode");
         });
     }
 
     private Optional<ChangeRejection> validateLength(ConfigurationEdit edit) {
         if (edit.key().isBlank() || exceeds(edit.key(), limits.maxKeyBytes())) {
-            return rejection(Reason.INVALID_KEY, "a key has 1 to " + limits.maxKeyBytes() + " bytes: " + edit.key());
+            return rejection(
+                    Reason.INVALID_KEY,
+                    "a key must not be blank and has at most " + limits.maxKeyBytes() + " bytes: " + edit.key());
         }
         if (edit instanceof ConfigurationEdit.Put put && exceeds(put.value(), limits.maxValueBytes())) {
             return rejection(
@@ -143,7 +149,7 @@
         if (snapshot.entries().size() > limits.maxEntries()) {
             return rejection(
                     Reason.CONFIGURATION_TOO_LARGE,
-                    snapshot.entries().size() + " entries, the most is " + limits.maxEntries());
+                    snapshot.entries().size() + " entries, the maximum is " + limits.maxEntries());
         }
         long bytes = 0;
         for (Map.Entry<String, String> entry : snapshot.entries().entrySet()) {
@@ -157,12 +163,15 @@
         return Optional.empty();
     }
 
-    /** Whether a text has more bytes in UTF-8; the bytes of one with more characters than that are not counted. */
+    /**
+     * Whether the UTF-8 encoding of a text exceeds a number of bytes. A text has at least one byte per {@code char}, so
+     * the bytes of one with more chars than {@code maxBytes} are not counted.
+     */
     private static boolean exceeds(String text, int maxBytes) {
         return text.length() > maxBytes || ConfigurationSize.ofText(text) > maxBytes;
     }
 
-    /** Whether a text can be encoded in UTF-8: an unpaired surrogate cannot. */
+    /** Whether a text can be encoded in UTF-8, which is impossible if it contains an unpaired surrogate. */
     private static boolean isUnicode(String text) {
         return StandardCharsets.UTF_8.newEncoder().canEncode(text);
     }
--- a/src/main/java/sandstack/configuration/CommittedChangeListener.java
+++ b/src/main/java/sandstack/configuration/CommittedChangeListener.java
@@ -1,13 +1,16 @@
 package sandstack.configuration;
 
 /**
- * Receives what the control machines committed, in order and without gaps. The consensus calls it on each control
- * machine, on the thread of its state machine, and never before the commit.
+ * Receives the committed changes in order and without gaps. On each control machine the consensus calls it after the
+ * commit, on the thread of its state machine.
  */
 public interface CommittedChangeListener {
-    /** The next change; its version directly follows that of the last call. */
+    /** Called with the next committed change, whose version directly follows the version of the previous call. */
     void committed(CommittedChange change);
 
-    /** A snapshot in place of the changes up to it, at start or where this machine was far behind. */
+    /**
+     * Called with a snapshot that replaces all changes up to its version: at start, or after the consensus caught up
+     * from far behind by installing a snapshot.
+     */
     void restored(ConfigurationSnapshot snapshot);
 }
--- a/src/main/java/sandstack/configuration/ConfigurationChange.java
+++ b/src/main/java/sandstack/configuration/ConfigurationChange.java
@@ -4,13 +4,14 @@
 import java.util.Objects;
 
 /**
- * Edits that take effect together or not at all. A rollback is an ordinary change whose edits restore the earlier
- * values.
+ * A proposal of edits that take effect together or not at all. A rollback is an ordinary change whose edits restore the
+ * earlier values. Immutable.
  *
- * @param formatVersion the format version that a reader has to know, {@link #FORMAT_VERSION} as written here
- * @param baseVersion the version that the author saw; the change is rejected where another was committed since
- * @param author who proposes the change
- * @param reason why, for the operators' log
+ * @param formatVersion the format version that a reader must support; this release writes {@link #FORMAT_VERSION}
+ * @param baseVersion the current version when the change was written; the change is rejected if another was committed
+ *     since then
+ * @param author the name of the operator or tool that proposes the change
+ * @param reason the purpose of the change, for the operators' log
  */
 public record ConfigurationChange(
         int formatVersion,
@@ -18,10 +19,10 @@
         String author,
         String reason,
         List<ConfigurationEdit> edits) {
-    /** The newest format that this release reads, and the one that it writes. */
+    /** The newest format version that this release reads, and the one that it writes. */
     public static final int FORMAT_VERSION = 1;
 
-    /** Copies the edits; rejects null. */
+    /** Takes an immutable copy of the edits. Sizes and contents are checked by {@link ChangeValidator}. */
     public ConfigurationChange {
         Objects.requireNonNull(baseVersion, "baseVersion");
         Objects.requireNonNull(author, "author");
@@ -29,7 +30,7 @@
         edits = List.copyOf(edits);
     }
 
-    /** A change in the format of this release. */
+    /** Creates a change in the format version that this release writes, {@link #FORMAT_VERSION}. */
     public static ConfigurationChange of(
             ConfigurationVersion basedOn, String author, String reason, List<ConfigurationEdit> edits) {
         return new ConfigurationChange(FORMAT_VERSION, basedOn, author, reason, edits);
--- a/src/main/java/sandstack/configuration/ConfigurationCheck.java
+++ b/src/main/java/sandstack/configuration/ConfigurationCheck.java
@@ -3,13 +3,14 @@
 import java.util.Optional;
 
 /**
- * Whether the program can use a configuration; evaluated before a change is committed and before a state is activated.
+ * Decides whether the software can use a configuration. Evaluated before a change is committed and before a
+ * configuration is activated, so it must be deterministic: the same on every machine.
  */
 @FunctionalInterface
 public interface ConfigurationCheck {
-    /** Accepts every state. */
+    /** Accepts every configuration. */
     ConfigurationCheck NONE = snapshot -> Optional.empty();
 
-    /** What makes this state unusable, in one line that names the key; empty where it is usable. */
+    /** Why a configuration is unusable, in one line that names the key; empty if it is usable. */
     Optional<String> findProblem(ConfigurationSnapshot snapshot);
 }
--- a/src/main/java/sandstack/configuration/ConfigurationCodec.java
+++ b/src/main/java/sandstack/configuration/ConfigurationCodec.java
@@ -7,10 +7,10 @@
 import java.util.TreeMap;
 
 /**
- * The binary form of changes and snapshots, for the consensus log, the network and the disk. Integers are big-endian,
- * texts and byte arrays follow their length. Input is bounded by the limits, and nothing is allocated by a length that
- * was not checked. An unknown format version is decoded where the fields are the same; the validator rejects it, with
- * its reason. Immutable.
+ * Encodes and decodes changes and snapshots for the consensus log, the network and the disk. Integers are big-endian,
+ * texts and byte arrays follow their length. Input is bounded by the limits, and every length is checked before memory
+ * is allocated for it. An unknown format version is decoded if its fields are the same, so that the validator can
+ * reject it with the reason {@code UNKNOWN_FORMAT}. Immutable.
  */
 public final class ConfigurationCodec {
     private static final int PUT = 1;
@@ -18,17 +18,17 @@
     private static final int VERSION_BYTES = 2 * Long.BYTES;
     private static final int MIN_EDIT_BYTES = Byte.BYTES + Integer.BYTES;
     private static final int MIN_ENTRY_BYTES = 2 * Integer.BYTES;
-    /** Bounds the lengths and numbers of a change or snapshot beside its texts. */
+    /** Upper bound of the fixed fields of a change or snapshot: versions, digest, counts and lengths. */
     private static final int MAX_HEADER_BYTES = 256;
 
     private final ConfigurationLimits limits;
 
-    /** Decodes no more than these limits allow. */
+    /** Creates a codec that rejects input beyond these limits; encoding does not check them. */
     public ConfigurationCodec(ConfigurationLimits limits) {
         this.limits = limits;
     }
 
-    /** The longest encoded change that is decoded. */
+    /** The maximum size in bytes of an encoded change; longer input is rejected. */
     public int maxChangeBytes() {
         return limits.maxChangeBytes()
                 + limits.maxEditsPerChange() * (MIN_EDIT_BYTES + Integer.BYTES)
@@ -37,19 +37,19 @@
                 + MAX_HEADER_BYTES;
     }
 
-    /** The longest encoded snapshot that is decoded. */
+    /** The maximum size in bytes of an encoded snapshot; longer input is rejected. */
     public int maxSnapshotBytes() {
         return limits.maxConfigurationBytes() + limits.maxEntries() * MIN_ENTRY_BYTES + MAX_HEADER_BYTES;
     }
 
-    /** Encodes a proposal. */
+    /** Encodes a proposed change, as the consensus log stores it. */
     public byte[] encode(ConfigurationChange change) {
         FieldWriter out = new FieldWriter();
         write(out, change);
         return out.toBytes();
     }
 
-    /** Decodes a proposal. */
+    /** Decodes a proposed change. Checks only its encoding; {@link ChangeValidator} decides whether it is valid. */
     public ConfigurationChange decodeChange(byte[] bytes) throws MalformedConfigurationException {
         requireAtMost(bytes, maxChangeBytes());
         BoundedReader in = new BoundedReader(bytes);
@@ -58,14 +58,14 @@
         return change;
     }
 
-    /** Encodes a committed change. */
+    /** Encodes a committed change with its version and digest. */
     public byte[] encode(CommittedChange committed) {
         FieldWriter out = new FieldWriter();
         write(out, committed);
         return out.toBytes();
     }
 
-    /** Decodes a committed change. */
+    /** Decodes a committed change; one whose version does not directly follow its base version is malformed. */
     public CommittedChange decodeCommittedChange(byte[] bytes) throws MalformedConfigurationException {
         requireAtMost(bytes, maxChangeBytes());
         BoundedReader in = new BoundedReader(bytes);
@@ -74,7 +74,7 @@
         return committed;
     }
 
-    /** Encodes a snapshot with its entries in the order of their keys; equal states give equal bytes. */
+    /** Encodes a snapshot. Entries are sorted by key, so equal snapshots have equal bytes. */
     public byte[] encode(ConfigurationSnapshot snapshot) {
         FieldWriter out = new FieldWriter().writeInt(snapshot.formatVersion());
         snapshot.version().writeTo(out);
@@ -85,7 +85,7 @@
         return out.toBytes();
     }
 
-    /** Decodes a snapshot; one whose entries do not match its digest is malformed. */
+    /** Decodes a snapshot; one with a repeated key or with entries that do not match its digest is malformed. */
     public ConfigurationSnapshot decodeSnapshot(byte[] bytes) throws MalformedConfigurationException {
         requireAtMost(bytes, maxSnapshotBytes());
         BoundedReader in = new BoundedReader(bytes);
@@ -116,12 +116,13 @@
         ConfigurationDigest digest = ConfigurationDigest.readFrom(in);
         ConfigurationChange change = readChange(in);
         if (!version.follows(change.baseVersion())) {
-            throw new MalformedConfigurationException(version + " does not follow " + change.baseVersion());
+            throw new MalformedConfigurationException(
+                    version + " does not directly follow the base version " + change.baseVersion());
         }
         return new CommittedChange(version, change, digest);
     }
 
-    /** The fewest bytes of a committed change, for the bounds of counts. */
+    /** The smallest encoded size of a committed change, by which a count of changes in a frame is checked. */
     int minCommittedChangeBytes() {
         return 2 * VERSION_BYTES + 2 * Long.BYTES + 4 * Integer.BYTES;
     }
--- a/src/main/java/sandstack/configuration/ConfigurationDigest.java
+++ b/src/main/java/sandstack/configuration/ConfigurationDigest.java
@@ -7,15 +7,18 @@
 import java.util.Map;
 
 /**
- * A digest of a set of entries that does not depend on their order and can be updated by the entries that change: two
- * sums modulo 2^64 over the halves of each entry's SHA-256. It detects states that differ by a fault; it is no
- * protection against a forger.
+ * An order-independent, incrementally updatable digest of a set of entries: two sums modulo 2^64, over the first and
+ * the second 64 bits of each entry's SHA-256. It detects configurations that differ because of a fault; it does not
+ * protect against deliberate forgery. Immutable.
+ *
+ * @param high the sum of the first 64 bits
+ * @param low the sum of the second 64 bits
  */
 public record ConfigurationDigest(long high, long low) {
-    /** The digest of no entries. */
+    /** The digest of the empty set of entries. */
     public static final ConfigurationDigest EMPTY = new ConfigurationDigest(0, 0);
 
-    /** The digest of all entries of a map. */
+    /** Computes the digest of a map; costs one SHA-256 per entry. */
     public static ConfigurationDigest of(Map<String, String> entries) {
         ConfigurationDigest digest = EMPTY;
         for (Map.Entry<String, String> entry : entries.entrySet()) {
@@ -24,24 +27,24 @@
         return digest;
     }
 
-    /** The digest with one more entry. */
+    /** The digest after an entry is added that is not in the set. */
     public ConfigurationDigest with(String key, String value) {
         ConfigurationDigest entry = ofEntry(key, value);
         return new ConfigurationDigest(high + entry.high, low + entry.low);
     }
 
-    /** The digest without an entry that is in it. */
+    /** The digest after an entry is removed that is in the set. */
     public ConfigurationDigest without(String key, String value) {
         ConfigurationDigest entry = ofEntry(key, value);
         return new ConfigurationDigest(high - entry.high, low - entry.low);
     }
 
-    /** Writes both halves. */
+    /** Writes 16 bytes, {@code high} first. */
     void writeTo(FieldWriter out) {
         out.writeLong(high).writeLong(low);
     }
 
-    /** Reads what {@link #writeTo} wrote. */
+    /** Reads the 16 bytes that {@link #writeTo} writes. */
     static ConfigurationDigest readFrom(BoundedReader in) throws MalformedConfigurationException {
         return new ConfigurationDigest(in.readLong(), in.readLong());
     }
@@ -59,7 +62,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("every Java platform provides SHA-256", e);
         }
     }
 
--- a/src/main/java/sandstack/configuration/ConfigurationEdit.java
+++ b/src/main/java/sandstack/configuration/ConfigurationEdit.java
@@ -2,23 +2,23 @@
 
 import java.util.Objects;
 
-/** One edit of a change: sets or removes the value of a key. */
+/** One edit of a change: sets or removes the value of a key. Immutable. */
 public sealed interface ConfigurationEdit {
-    /** The key that is edited. */
+    /** The key whose value this edit sets or removes. */
     String key();
 
-    /** Sets the value of a key. */
+    /** Sets the value of a key, which may be new. */
     record Put(String key, String value) implements ConfigurationEdit {
-        /** Rejects null. */
+        /** Creates an edit of any length; {@link ChangeValidator} checks the sizes. */
         public Put {
             Objects.requireNonNull(key, "key");
             Objects.requireNonNull(value, "value");
         }
     }
 
-    /** Removes the value of a key, if it has one. */
+    /** Removes a key and its value; has no effect if the key is absent. */
     record Remove(String key) implements ConfigurationEdit {
-        /** Rejects null. */
+        /** Creates an edit of any length; {@link ChangeValidator} checks the sizes. */
         public Remove {
             Objects.requireNonNull(key, "key");
         }
--- a/src/main/java/sandstack/configuration/ConfigurationFollower.java
+++ b/src/main/java/sandstack/configuration/ConfigurationFollower.java
@@ -17,27 +17,30 @@
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
 /**
- * A relay's side of the distribution: follows one control machine and activates what was committed there.
+ * The relay's side of the configuration distribution: follows one control machine and activates the changes that are
+ * committed there.
  *
- * <p><b>Failure model.</b> Relays and control machines crash and restart with their disk, without it or with an older
- * one, and pause for any time; links lose, delay, reorder and duplicate messages, and are cut one way or both. Members
- * do not lie. <b>Guaranteed:</b> every state that is activated was committed, and within one incarnation, or over a
- * restart with a disk that has stored all of them, a later version is never replaced by an earlier one; the active
- * state stays while no machine is reached. <b>Not guaranteed:</b> that all relays hold one version at one moment, or
- * that a relay whose disk is older or wiped begins where it was.
+ * <p><b>Failure model.</b> Relays and control machines crash and restart with their disk, with an empty disk or with an
+ * older copy of it, and pause for any time. Links lose, delay, reorder and duplicate messages, and can be cut in one
+ * direction or both. Byzantine faults are out of scope: members do not send false data.
  *
- * <p>Not thread-safe; called on one thread that no client waits for. Moments are microseconds of a monotonic clock. A
- * message costs O(1) beside the states that it carries, a tick O(1).
+ * <p><b>Guaranteed:</b> every activated configuration was committed. A later version is never replaced by an earlier
+ * one within one incarnation, nor over a restart if the disk has stored all activated versions. The active
+ * configuration stays while no control machine is reachable. <b>Not guaranteed:</b> that all relays have the same
+ * version at the same time, or that a relay with an older or empty disk restarts from its last version.
+ *
+ * <p>Not thread-safe; called on one thread, which serves no client connections. Times are in microseconds of a
+ * monotonic clock. A message costs O(1) plus the cost of the changes or snapshot in it; a tick costs O(1).
  */
 public final class ConfigurationFollower {
     private static final long NOT_LAGGING = -1;
 
     /**
-     * What is active at this relay.
+     * The active configuration of this relay and its session, for operators and metrics.
      *
-     * @param machine the control machine that is followed; empty where none is
-     * @param head what that machine holds; empty where none is followed
-     * @param rejection why a later version is not active here
+     * @param machine the control machine that this relay follows; empty if there is no session
+     * @param head the latest committed state that this machine reported; empty if there is no session
+     * @param rejection why a later version is not active here; empty if none was rejected since the last activation
      */
     public record Status(
             ConfigurationVersion activeVersion,
@@ -52,14 +55,17 @@
     private final FetchSchedule fetchSchedule;
     private final SnapshotFetcher snapshots;
     private final RateLimitedLog divergenceLog;
-    /** The active index when the machine last reported a later one; {@link #NOT_LAGGING} where it did not. */
+    /**
+     * The active index at the last heartbeat or welcome that reported a later one, or {@link #NOT_LAGGING}. If it is
+     * still the active index at the next heartbeat, changes were lost rather than in flight.
+     */
     private long laggingIndex = NOT_LAGGING;
 
     /**
-     * Loads and activates what is stored.
+     * Loads the stored configuration, and activates it if it is valid.
      *
      * @param machines all control machines, at least one
-     * @param random for the backoff, the failback and the ids of sessions
+     * @param random the source of backoff delays, failback times and session ids
      */
     public ConfigurationFollower(
             FollowerSettings settings,
@@ -71,7 +77,8 @@
             RandomGenerator random,
             long nowMicros) {
         if (machines.isEmpty()) {
-            throw new IllegalArgumentException("machines is empty: a relay needs a control machine to follow");
+            throw new IllegalArgumentException(
+                    "machines is empty: a relay needs at least one control machine to follow");
         }
         this.settings = settings;
         this.activeConfiguration = new ActiveConfiguration(validator, store, output);
@@ -83,12 +90,12 @@
         activeConfiguration.load();
     }
 
-    /** The configuration that is active at this relay. */
+    /** The active configuration; {@link ConfigurationSnapshot#EMPTY} before the first activation. */
     public ConfigurationSnapshot activeSnapshot() {
         return activeConfiguration.current();
     }
 
-    /** Which version is active and which machine this relay follows. */
+    /** The active version, the control machine that this relay follows, and the last rejection. */
     public Status status() {
         return new Status(
                 activeConfiguration.version(),
@@ -98,24 +105,24 @@
                 activeConfiguration.rejection());
     }
 
-    /** A message of a control machine arrived; one of another session or attempt is ignored. */
+    /** Handles a message of a control machine; ignores it if it is not of the current session or attempt. */
     public void received(String machine, PublisherMessage message, long nowMicros) {
         if (session.isCurrentAttempt(machine, message.sessionId())) {
             handleAttemptReply(message, nowMicros);
         } else if (session.isCurrentSession(machine, message.sessionId())) {
-            session.heard(nowMicros);
+            session.messageReceived(nowMicros);
             handle(message, nowMicros);
         }
     }
 
-    /** The connection with a control machine is gone, or could not be made. */
+    /** Called when the connection to a control machine is closed or could not be established. */
     public void disconnected(String machine, long nowMicros) {
         if (session.disconnected(machine, nowMicros)) {
             resetSessionState();
         }
     }
 
-    /** Does what is due; to be called a few times a second. */
+    /** Runs timeouts, retries and due connection attempts; to be called several times per second. */
     public void tick(long nowMicros) {
         if (session.detectPause(nowMicros) && session.isOpen()) {
             sendReport();
@@ -131,7 +138,7 @@
             if (welcome.head().version().divergesFrom(activeConfiguration.version())) {
                 logDivergence(welcome.head().version(), nowMicros);
                 session.attemptFailed(nowMicros);
-            } else if (session.welcomed(welcome.head(), activeConfiguration.version(), nowMicros)) {
+            } else if (session.welcomeReceived(welcome.head(), activeConfiguration.version(), nowMicros)) {
                 resetSessionState();
                 compareWithHead(welcome.head(), nowMicros);
             }
@@ -152,13 +159,14 @@
         } else if (message instanceof SnapshotChunk chunk) {
             handleChunk(chunk, nowMicros);
         } else if (message instanceof SessionRejected) {
-            session.lost(nowMicros);
+            session.sessionLost(nowMicros);
             resetSessionState();
         }
     }
 
     /**
-     * Distinguishes a machine that holds the active state or an earlier one, a later one, or one of another history.
+     * Compares the committed state of the machine with the active one: abandons a machine of another history, and
+     * requests missing changes if the machine is ahead at two heartbeats without an activation between them.
      */
     private void compareWithHead(ConfigurationHead head, long nowMicros) {
         ConfigurationVersion version = activeConfiguration.version();
@@ -169,7 +177,7 @@
         } else if (head.version().index() <= activeConfiguration.highestHandledIndex()) {
             laggingIndex = NOT_LAGGING;
         } else if (laggingIndex == version.index()) {
-            // it lagged at the last heartbeat too, and nothing was activated since
+            // the machine was ahead at the last heartbeat too, and nothing was activated since
             requestMissing(nowMicros);
         } else {
             laggingIndex = version.index();
@@ -195,7 +203,7 @@
         switch (result) {
             case GAP -> requestMissing(nowMicros);
             case DIGEST_MISMATCH -> {
-                divergenceLog.log("change does not lead to its digest version=" + version, nowMicros);
+                divergenceLog.log("state after the change does not match its digest version=" + version, nowMicros);
                 requestSnapshot(version.index(), nowMicros);
             }
             case DIVERGENT -> abandonDivergentMachine(version, nowMicros);
@@ -242,7 +250,10 @@
         sendReport();
     }
 
-    /** Requests what is missing; after a rejected state only a later snapshot helps. */
+    /**
+     * Requests the missing changes. After a rejected version it requests a later snapshot instead, as changes apply
+     * only directly after the active version.
+     */
     private void requestMissing(long nowMicros) {
         if (activeConfiguration.hasRejectedLaterVersion()) {
             requestSnapshot(activeConfiguration.highestHandledIndex() + 1, nowMicros);
@@ -268,10 +279,10 @@
         session.send(id -> new StatusReport(id, active.version(), active.digest(), reason));
     }
 
-    /** The machine holds another history: the active state stays, and another machine is tried. */
+    /** Ends the session with a machine of another history. The active state stays, and another machine is tried. */
     private void abandonDivergentMachine(ConfigurationVersion machineVersion, long nowMicros) {
         logDivergence(machineVersion, nowMicros);
-        session.lost(nowMicros);
+        session.sessionLost(nowMicros);
         resetSessionState();
     }
 
--- a/src/main/java/sandstack/configuration/ConfigurationHead.java
+++ b/src/main/java/sandstack/configuration/ConfigurationHead.java
@@ -3,12 +3,18 @@
 import java.util.Objects;
 
 /**
- * What a control machine holds as the latest committed state.
+ * The latest committed state of a control machine, without its entries. Immutable.
  *
- * @param hasQuorum whether the machine is in touch with a quorum; without one its state may be old
+ * @param version the version of the last committed change
+ * @param digest the digest of the configuration at that version
+ * @param hasQuorum whether the machine reaches a quorum; if not, later changes may have been committed elsewhere
  */
 public record ConfigurationHead(ConfigurationVersion version, ConfigurationDigest digest, boolean hasQuorum) {
-    /** Rejects null. */
+    /**
+     * Creates a head.
+     *
+     * @throws NullPointerException if the version or the digest is null
+     */
     public ConfigurationHead {
         Objects.requireNonNull(version, "version");
         Objects.requireNonNull(digest, "digest");
--- a/src/main/java/sandstack/configuration/ConfigurationHistory.java
+++ b/src/main/java/sandstack/configuration/ConfigurationHistory.java
@@ -3,18 +3,18 @@
 import java.util.Optional;
 
 /**
- * The replicated state machine of the configuration on each control machine: committed proposals are applied in the
- * order of the log, and committed changes go to the listener. The outcome depends on nothing but the proposals before
- * (State Machine Safety, section 5.4 of the Raft paper), so that a proposal whose base is no longer current is rejected
- * alike on all machines. Not thread-safe.
+ * The replicated state machine of the configuration on each control machine: applies committed proposals in log order
+ * and passes the resulting changes to the listener. The outcome of a proposal depends only on the proposals before it
+ * (State Machine Safety, section 5.4 of the Raft paper), so that a proposal whose base version is no longer current is
+ * rejected on all machines alike. Not thread-safe.
  */
 public final class ConfigurationHistory {
-    /** What became of a committed proposal. */
+    /** The outcome of a proposal that the consensus committed to its log. */
     public sealed interface Outcome {
-        /** It is the next change. */
+        /** The proposal is valid and became the next change of the history. */
         record Accepted(CommittedChange change) implements Outcome {}
 
-        /** It changes nothing. */
+        /** The proposal is invalid at its position in the log; the configuration is unchanged. */
         record Rejected(ChangeRejection rejection) implements Outcome {}
     }
 
@@ -22,26 +22,29 @@
     private final CommittedChangeListener listener;
     private ConfigurationSnapshot current = ConfigurationSnapshot.EMPTY;
 
-    /** Begins before the first change. */
+    /** Creates an empty history, at {@link ConfigurationVersion#NONE}. */
     public ConfigurationHistory(ChangeValidator validator, CommittedChangeListener listener) {
         this.validator = validator;
         this.listener = listener;
     }
 
-    /** The state after the last change. */
+    /** The configuration after the last committed change. */
     public ConfigurationSnapshot current() {
         return current;
     }
 
-    /** Why a proposal would be rejected if it were committed now; checked before it is replicated. */
+    /**
+     * Why a proposal would be rejected if it were the next in the log; empty if it would be accepted. For a check
+     * before the proposal is replicated.
+     */
     public Optional<ChangeRejection> validate(ConfigurationChange change) {
         return validator.validate(current, change);
     }
 
     /**
-     * Applies a committed proposal.
+     * Applies a committed proposal. An accepted change is passed to the listener before this returns.
      *
-     * @param term of the leader that proposed it, as the log says, so that all machines see the same
+     * @param term the term of the log entry, which is the same on all machines
      */
     public Outcome applyCommitted(long term, ConfigurationChange change) {
         Optional<ChangeRejection> rejection = validator.validate(current, change);
@@ -55,7 +58,7 @@
         return new Outcome.Accepted(committed);
     }
 
-    /** Replaces the state by a snapshot that the consensus installs; the same version or an earlier one is ignored. */
+    /** Replaces the state by a snapshot that the consensus installs; ignores one that is not later than the state. */
     public void restore(ConfigurationSnapshot snapshot) {
         if (snapshot.version().index() <= current.version().index()) {
             return;
--- a/src/main/java/sandstack/configuration/ConfigurationLimits.java
+++ b/src/main/java/sandstack/configuration/ConfigurationLimits.java
@@ -1,9 +1,12 @@
 package sandstack.configuration;
 
 /**
- * Bounds of what is committed and stored; sizes are in bytes of UTF-8. All control machines have to use the same.
+ * The maximum sizes of a change and of the complete configuration, in bytes of UTF-8. All control machines must use the
+ * same limits, or they would disagree on which proposals are valid. Immutable.
  *
- * @param entryOverheadBytes counted for each entry in addition to its key and value
+ * @param maxChangeBytes the sum of keys, values and entry overheads over all edits of a change
+ * @param maxConfigurationBytes the sum of keys, values and entry overheads over all entries
+ * @param entryOverheadBytes added to the size of each entry or edit, in addition to its key and value; may be 0
  */
 public record ConfigurationLimits(
         int maxKeyBytes,
@@ -15,7 +18,7 @@
         int maxEntries,
         int maxConfigurationBytes,
         int entryOverheadBytes) {
-    /** The default limits: 1 MB in all. */
+    /** The default limits: at most 10,000 entries and 1 MiB in total. */
     public static final ConfigurationLimits DEFAULT = new ConfigurationLimits(
             256, // maxKeyBytes
             64 << 10, // maxValueBytes
@@ -27,14 +30,18 @@
             1 << 20, // maxConfigurationBytes
             16); // entryOverheadBytes
 
-    /** Rejects bounds that are not positive. */
+    /**
+     * Checks that all limits are positive and the overhead is not negative.
+     *
+     * @throws IllegalArgumentException if one is not
+     */
     public ConfigurationLimits {
-        int smallest = Math.min(Math.min(maxKeyBytes, maxValueBytes), Math.min(maxAuthorBytes, maxReasonBytes));
-        smallest = Math.min(smallest, Math.min(maxEditsPerChange, maxChangeBytes));
-        smallest = Math.min(smallest, Math.min(maxEntries, maxConfigurationBytes));
-        if (smallest <= 0 || entryOverheadBytes < 0) {
-            throw new IllegalArgumentException("the smallest limit is " + smallest + " and entryOverheadBytes is "
-                    + entryOverheadBytes + "; limits are positive, the overhead is not negative");
+        int smallestLimit = Math.min(Math.min(maxKeyBytes, maxValueBytes), Math.min(maxAuthorBytes, maxReasonBytes));
+        smallestLimit = Math.min(smallestLimit, Math.min(maxEditsPerChange, maxChangeBytes));
+        smallestLimit = Math.min(smallestLimit, Math.min(maxEntries, maxConfigurationBytes));
+        if (smallestLimit <= 0 || entryOverheadBytes < 0) {
+            throw new IllegalArgumentException("the smallest limit is " + smallestLimit + " and entryOverheadBytes is "
+                    + entryOverheadBytes + "; limits must be positive, and the overhead must not be negative");
         }
     }
 }
--- a/src/main/java/sandstack/configuration/ConfigurationMessage.java
+++ b/src/main/java/sandstack/configuration/ConfigurationMessage.java
@@ -6,27 +6,29 @@
 import java.util.Optional;
 
 /**
- * The messages between a relay (follower) and a control machine (publisher). Each names the session that it belongs to.
+ * The messages between a relay (follower) and a control machine (publisher). Each carries the id of its session.
+ * Immutable.
  */
 public sealed interface ConfigurationMessage {
-    /** The session; the relay draws the id at random for each hello. */
+    /** The id of the session, which the relay chooses at random for each hello. */
     long sessionId();
 
-    /** From a relay to a control machine. */
+    /** A message from a relay to a control machine. */
     sealed interface FollowerMessage extends ConfigurationMessage {}
 
-    /** From a control machine to a relay. */
+    /** A message from a control machine to a relay. */
     sealed interface PublisherMessage extends ConfigurationMessage {}
 
     /**
      * Requests a session.
      *
+     * @param relay the name of the relay
      * @param formatVersion the newest format version that the relay reads
-     * @param activeVersion the version from which changes are sent
+     * @param activeVersion the active version at the relay; changes after it are sent
      */
     record Hello(long sessionId, String relay, int formatVersion, ConfigurationVersion activeVersion)
             implements FollowerMessage {
-        /** Rejects null. */
+        /** Creates a hello; the codec bounds the length of the relay's name when it decodes one. */
         public Hello {
             Objects.requireNonNull(relay, "relay");
             Objects.requireNonNull(activeVersion, "activeVersion");
@@ -34,9 +36,11 @@
     }
 
     /**
-     * Acknowledges the active version, after each activation and at each heartbeat.
+     * Reports the active version; sent after each activation, rejection and heartbeat. It acknowledges the changes up
+     * to that version.
      *
-     * @param rejectionReason why a later version was rejected; empty where none was
+     * @param digest the digest of the active configuration
+     * @param rejectionReason why a later version was rejected; empty if none was
      */
     record StatusReport(
             long sessionId,
@@ -44,7 +48,7 @@
             ConfigurationDigest digest,
             Optional<ChangeRejection.Reason> rejectionReason)
             implements FollowerMessage {
-        /** Rejects null. */
+        /** Creates a report of an active version, which is {@link ConfigurationVersion#NONE} before any activation. */
         public StatusReport {
             Objects.requireNonNull(activeVersion, "activeVersion");
             Objects.requireNonNull(digest, "digest");
@@ -52,63 +56,68 @@
         }
     }
 
-    /** Changes were lost: requests all changes after the active version. */
+    /** Requests all changes after the active version again, because some were lost. */
     record RepairRequest(long sessionId, ConfigurationVersion activeVersion) implements FollowerMessage {
-        /** Rejects null. */
+        /** Creates a request for the changes that directly follow the active version. */
         public RepairRequest {
             Objects.requireNonNull(activeVersion, "activeVersion");
         }
     }
 
-    /** Changes cannot help: requests the first chunk of a snapshot with this index or a later one. */
+    /**
+     * Requests the first chunk of a snapshot with index {@code minIndex} or a later one, because changes cannot bring
+     * the relay up to date.
+     */
     record SnapshotRequest(long sessionId, long minIndex) implements FollowerMessage {}
 
-    /** Requests the chunk of a snapshot that begins at an offset in bytes. */
+    /** Requests the chunk of a snapshot that begins at a byte offset. */
     record ChunkRequest(long sessionId, ConfigurationVersion version, int offset) implements FollowerMessage {
-        /** Rejects null. */
+        /** Creates a request; the publisher ignores an offset outside the snapshot. */
         public ChunkRequest {
             Objects.requireNonNull(version, "version");
         }
     }
 
-    /** Closes the session. */
+    /** Closes the session; the relay follows another machine. */
     record Goodbye(long sessionId) implements FollowerMessage {}
 
-    /** Opens the session. */
+    /** Opens the session that a hello requested. */
     record Welcome(long sessionId, ConfigurationHead head) implements PublisherMessage {
-        /** Rejects null. */
+        /**
+         * Creates a welcome with the machine's latest committed state, by which the relay decides whether to follow it.
+         */
         public Welcome {
             Objects.requireNonNull(head, "head");
         }
     }
 
-    /** The session is not opened, or is closed. */
+    /** Rejects the requested session, or closes an open one. */
     record SessionRejected(long sessionId, SessionRejectionReason reason) implements PublisherMessage {
-        /** Rejects null. */
+        /** Creates a rejection with the reason that the relay receives. */
         public SessionRejected {
             Objects.requireNonNull(reason, "reason");
         }
     }
 
-    /** Shows that the control machine is alive, and what it holds. */
+    /** Reports the machine's latest committed state at regular intervals, and keeps the session from timing out. */
     record Heartbeat(long sessionId, ConfigurationHead head) implements PublisherMessage {
-        /** Rejects null. */
+        /** Creates a heartbeat; {@code head.hasQuorum()} shows whether the state may be outdated. */
         public Heartbeat {
             Objects.requireNonNull(head, "head");
         }
     }
 
-    /** Consecutive committed changes. */
+    /** Consecutive committed changes in the order of the history. */
     record Deltas(long sessionId, List<CommittedChange> changes) implements PublisherMessage {
-        /** Copies the changes. */
+        /** Takes an immutable copy of the changes. */
         public Deltas {
             changes = List.copyOf(changes);
         }
     }
 
-    /** The changes that the relay lacks are no longer in the history; it may request a snapshot. */
+    /** Reports that the changes that the relay lacks are no longer kept, so it should request a snapshot. */
     record SnapshotOffer(long sessionId, ConfigurationVersion version, int formatVersion) implements PublisherMessage {
-        /** Rejects null. */
+        /** Creates an offer of the snapshot at the machine's current version. */
         public SnapshotOffer {
             Objects.requireNonNull(version, "version");
         }
@@ -117,13 +126,14 @@
     /**
      * A chunk of an encoded snapshot.
      *
-     * @param totalBytes size of the complete encoded snapshot
-     * @param offset of this chunk in it, in bytes
+     * @param formatVersion the format version that a reader of the snapshot must support
+     * @param totalBytes the size of the complete encoded snapshot
+     * @param offset the position of this chunk in it, in bytes
      */
     record SnapshotChunk(
             long sessionId, ConfigurationVersion version, int formatVersion, int totalBytes, int offset, byte[] bytes)
             implements PublisherMessage {
-        /** Rejects null; the bytes are not copied and must not be modified. */
+        /** Creates a chunk. The bytes are not copied and must not be modified afterwards. */
         public SnapshotChunk {
             Objects.requireNonNull(version, "version");
             Objects.requireNonNull(bytes, "bytes");
@@ -146,15 +156,15 @@
         }
     }
 
-    /** Why there is no session. */
+    /** The reason for which a control machine rejects or closes a session. */
     enum SessionRejectionReason {
-        /** The machine has as many sessions as it serves. */
+        /** The number of sessions is at its maximum. */
         FULL(0),
-        /** More hellos arrive than are admitted. */
+        /** The hellos of all relays together exceed the admitted rate. */
         BUSY(1),
-        /** The machine does not know the session; it may have been restarted. */
+        /** The machine has no such session; it may have restarted since the session was opened. */
         UNKNOWN_SESSION(2),
-        /** The relay exceeds its rate of messages. */
+        /** The relay exceeds its message rate. */
         FLOOD(3);
 
         private final int wireCode;
@@ -163,7 +173,7 @@
             this.wireCode = wireCode;
         }
 
-        /** The byte that is sent for it, which never changes. */
+        /** The byte that represents this reason in a frame; it never changes. */
         int wireCode() {
             return wireCode;
         }
--- a/src/main/java/sandstack/configuration/ConfigurationMessageCodec.java
+++ b/src/main/java/sandstack/configuration/ConfigurationMessageCodec.java
@@ -20,43 +20,43 @@
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
 /**
- * The binary form of messages: a kind, the session and the fields of the kind. Input is bounded; each frame is one
- * message. Immutable.
+ * Encodes and decodes {@link ConfigurationMessage}s. A frame is one message: a byte for its kind, the session id and
+ * the fields of that kind. Input is bounded by the limits of the configuration. Immutable.
  */
 public final class ConfigurationMessageCodec {
-    /** The longest name of a relay, in bytes of UTF-8. */
+    /** The maximum length of a relay's name, in bytes of UTF-8. */
     public static final int MAX_RELAY_NAME_BYTES = 128;
 
     private static final byte HELLO = 1;
-    private static final byte REPORT = 2;
+    private static final byte STATUS_REPORT = 2;
     private static final byte REPAIR_REQUEST = 3;
     private static final byte SNAPSHOT_REQUEST = 4;
     private static final byte CHUNK_REQUEST = 5;
     private static final byte GOODBYE = 6;
     private static final byte WELCOME = 7;
-    private static final byte REJECTED = 8;
+    private static final byte SESSION_REJECTED = 8;
     private static final byte HEARTBEAT = 9;
     private static final byte DELTAS = 10;
     private static final byte SNAPSHOT_CHUNK = 11;
     private static final byte SNAPSHOT_OFFER = 12;
-    /** Bounds the numbers of a message beside its changes or chunk. */
+    /** Upper bound of the fixed fields of a message, in addition to its changes or chunk. */
     private static final int MAX_HEADER_BYTES = 64;
-    /** Stands in a report for the ordinal of a reason where there is none. */
+    /** Encodes the absence of a rejection reason in a status report, in place of its ordinal. */
     private static final int NO_REJECTION = -1;
 
     private final ConfigurationCodec codec;
 
-    /** Decodes changes within the limits of this codec. */
+    /** Creates a codec whose frames are bounded by the limits of the codec of changes. */
     public ConfigurationMessageCodec(ConfigurationCodec codec) {
         this.codec = codec;
     }
 
-    /** The longest frame that is decoded. */
+    /** The maximum size in bytes of a frame; longer input is rejected. */
     public int maxFrameBytes() {
         return codec.maxChangeBytes() + MAX_HEADER_BYTES;
     }
 
-    /** Encodes a message. */
+    /** Encodes a message as one frame; does not check its size. */
     public byte[] encode(ConfigurationMessage message) {
         FieldWriter out = new FieldWriter();
         if (message instanceof FollowerMessage followerMessage) {
@@ -69,7 +69,7 @@
 
     private void writeFollowerMessage(FieldWriter out, FollowerMessage message) {
         if (message instanceof StatusReport report) {
-            write(begin(out, REPORT, message), report);
+            write(begin(out, STATUS_REPORT, message), report);
         } else if (message instanceof Hello hello) {
             begin(out, HELLO, message).writeInt(hello.formatVersion()).writeText(hello.relay());
             hello.activeVersion().writeTo(out);
@@ -99,11 +99,11 @@
         } else if (message instanceof Welcome welcome) {
             write(begin(out, WELCOME, message), welcome.head());
         } else if (message instanceof SessionRejected rejected) {
-            begin(out, REJECTED, message).writeByte(rejected.reason().wireCode());
+            begin(out, SESSION_REJECTED, message).writeByte(rejected.reason().wireCode());
         }
     }
 
-    /** Decodes one message. */
+    /** Decodes a frame, which must be exactly one message. */
     public ConfigurationMessage decode(byte[] frame) throws MalformedConfigurationException {
         if (frame.length > maxFrameBytes()) {
             throw new MalformedConfigurationException(
@@ -115,13 +115,13 @@
         ConfigurationMessage message =
                 switch (kind) {
                     case HELLO -> readHello(in, sessionId);
-                    case REPORT -> readReport(in, sessionId);
+                    case STATUS_REPORT -> readStatusReport(in, sessionId);
                     case REPAIR_REQUEST -> new RepairRequest(sessionId, ConfigurationVersion.readFrom(in));
                     case SNAPSHOT_REQUEST -> new SnapshotRequest(sessionId, in.readLong());
                     case CHUNK_REQUEST -> new ChunkRequest(sessionId, ConfigurationVersion.readFrom(in), in.readInt());
                     case GOODBYE -> new Goodbye(sessionId);
                     case WELCOME -> new Welcome(sessionId, readHead(in));
-                    case REJECTED -> new SessionRejected(sessionId, readSessionRejectionReason(in.readByte()));
+                    case SESSION_REJECTED -> new SessionRejected(sessionId, readSessionRejectionReason(in.readByte()));
                     case HEARTBEAT -> new Heartbeat(sessionId, readHead(in));
                     case DELTAS -> readDeltas(in, sessionId);
                     case SNAPSHOT_OFFER -> new SnapshotOffer(
@@ -154,7 +154,7 @@
         out.writeByte(report.rejectionReason().map(Enum::ordinal).orElse(NO_REJECTION));
     }
 
-    private StatusReport readReport(BoundedReader in, long sessionId) throws MalformedConfigurationException {
+    private StatusReport readStatusReport(BoundedReader in, long sessionId) throws MalformedConfigurationException {
         ConfigurationVersion activeVersion = ConfigurationVersion.readFrom(in);
         ConfigurationDigest digest = ConfigurationDigest.readFrom(in);
         byte rejectionOrdinal = in.readByte();
@@ -206,12 +206,14 @@
                 return reason;
             }
         }
-        throw new MalformedConfigurationException("constant " + wireCode + " is not one of " + reasons.length);
+        throw new MalformedConfigurationException(
+                "session rejection reason " + wireCode + " is unknown, the number of reasons is " + reasons.length);
     }
 
     private static <T> T readConstant(T[] constants, byte ordinal) throws MalformedConfigurationException {
         if (ordinal < 0 || ordinal >= constants.length) {
-            throw new MalformedConfigurationException("constant " + ordinal + " is not one of " + constants.length);
+            throw new MalformedConfigurationException(
+                    "ordinal " + ordinal + " is out of range, the number of constants is " + constants.length);
         }
         return constants[ordinal];
     }
--- a/src/main/java/sandstack/configuration/ConfigurationPublisher.java
+++ b/src/main/java/sandstack/configuration/ConfigurationPublisher.java
@@ -21,26 +21,32 @@
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
 /**
- * A control machine's side of the distribution: sends the committed changes in order to every relay with a session.
+ * The control machine's side of the configuration distribution: sends the committed changes in order to every relay
+ * with a session.
  *
- * <p><b>Bounded.</b> A session is a cursor into one shared history and a few numbers; nothing is queued for it. A relay
- * that does not acknowledge gets no more than a window of changes; one that is behind the history gets a snapshot in
- * chunks that it requests. Sessions, hellos, messages of one relay and bytes of snapshots are limited.
- * <b>Guaranteed:</b> what is sent was committed. <b>Not guaranteed:</b> that it arrives; the relay requests it again.
+ * <p><b>Bounded memory and load.</b> A session is a cursor into one shared list of recent changes and a few numbers;
+ * nothing is queued per session. A relay that does not acknowledge is sent at most one window of changes. A relay that
+ * lacks changes older than the list requests a snapshot in chunks. The number of sessions, the rate of hellos, the
+ * message rate of each relay and the rate of snapshot bytes are limited.
  *
- * <p>Not thread-safe. Moments are microseconds of a monotonic clock. A committed change and a tick cost O(sessions), a
- * message O(1) beside what it sends.
+ * <p><b>Guaranteed:</b> only committed changes and snapshots are sent. <b>Not guaranteed:</b> delivery; a relay
+ * requests lost changes and chunks again.
+ *
+ * <p>Not thread-safe. Times are in microseconds of a monotonic clock. A committed change and a tick cost O(sessions), a
+ * message O(1) plus the cost of its reply.
  */
 public final class ConfigurationPublisher implements CommittedChangeListener {
-    /** Changes are repaired for one relay no more often than this. */
+    /** The minimum interval between two repairs of one relay; requests within it are ignored. */
     private static final long MIN_REPAIR_INTERVAL_MICROS = 500_000;
 
     /**
-     * What is active at the relays that this machine serves.
+     * The active versions of the relays that this machine serves, as they last reported them.
      *
-     * @param relaysByVersion number of relays for each version
-     * @param relaysRejecting names of relays that rejected a later version, with the reason
-     * @param relaysWithDigestMismatch names of relays that hold another state at the version that is current here
+     * @param head the latest committed state of this machine
+     * @param relaysByVersion the number of relays for each active version
+     * @param relaysRejecting the names of the relays that rejected a later version, with the reason
+     * @param relaysWithDigestMismatch the names of the relays whose digest differs from this machine's at the same
+     *     version
      */
     public record Overview(
             ConfigurationHead head,
@@ -58,7 +64,7 @@
     private ConfigurationSnapshot current = ConfigurationSnapshot.EMPTY;
     private boolean quorumReached;
 
-    /** Begins before the first change, without a quorum. */
+    /** Creates a publisher without sessions or quorum, at {@link ConfigurationVersion#NONE}. */
     public ConfigurationPublisher(
             PublisherSettings settings, ConfigurationCodec codec, PublisherOutput output, long nowMicros) {
         this.settings = settings;
@@ -69,7 +75,7 @@
         this.rejectionLog = new RateLimitedLog(output::log);
     }
 
-    /** Whether this machine is in touch with a quorum, according to the consensus; heartbeats carry it. */
+    /** Sets whether the consensus on this machine reaches a quorum; welcomes and heartbeats report it to the relays. */
     public void setQuorumReached(boolean reached) {
         quorumReached = reached;
     }
@@ -92,7 +98,7 @@
         sessions.forEach(this::sendChanges);
     }
 
-    /** A message of a peer arrived; one that is not admitted closes its session. */
+    /** Handles a message of a peer. A message that exceeds the peer's rate closes its session. */
     public void received(String peer, FollowerMessage message, long nowMicros) {
         if (message instanceof Hello hello) {
             openSession(peer, hello, nowMicros);
@@ -107,18 +113,18 @@
         if (rejection.isPresent()) {
             reject(peer, session.id(), rejection.get(), nowMicros);
         } else {
-            session.heard(nowMicros);
+            session.messageReceived(nowMicros);
             handle(peer, session, message, nowMicros);
         }
     }
 
-    /** The connection to a peer is gone. */
+    /** Called when the connection to a peer is closed; ends its session. */
     public void disconnected(String peer) {
         sessions.remove(peer);
     }
 
     /**
-     * Sends the heartbeats that are due and closes the sessions of silent relays; to be called a few times a heartbeat.
+     * Sends due heartbeats and closes the sessions of silent relays; to be called several times per heartbeat interval.
      */
     public void tick(long nowMicros) {
         List<String> silentPeers = new ArrayList<>();
@@ -132,17 +138,17 @@
         silentPeers.forEach(this::closeSession);
     }
 
-    /** What this machine holds as the latest committed state. */
+    /** The latest committed state of this machine, as it is reported to relays. */
     public ConfigurationHead head() {
         return new ConfigurationHead(current.version(), current.digest(), quorumReached);
     }
 
-    /** Relays that are served now. */
+    /** The number of open sessions. */
     public int sessionCount() {
         return sessions.size();
     }
 
-    /** What is active at the relays that are served; O(sessions). */
+    /** Summarizes the last reports of all relays with a session; costs O(sessions). */
     public Overview overview() {
         Map<ConfigurationVersion, Integer> byVersion = new TreeMap<>();
         Map<String, ChangeRejection.Reason> rejecting = new TreeMap<>();
@@ -197,13 +203,16 @@
     }
 
     private void handleReport(String peer, RelaySession session, StatusReport report) {
-        session.reported(report, current);
+        session.reportReceived(report, current);
         if (report.rejectionReason().isEmpty()) {
             sendChanges(peer, session);
         }
     }
 
-    /** Sends the next batch of changes, as far as the window of changes in flight has headroom. */
+    /**
+     * Sends the next batch of changes if the window of changes in flight has headroom. If the changes are no longer
+     * kept, offers a snapshot instead.
+     */
     private void sendChanges(String peer, RelaySession session) {
         long headroom = settings.windowChanges() - session.changesInFlight();
         if (session.sentVersion().index() >= current.version().index() || headroom <= 0) {
@@ -226,7 +235,7 @@
     }
 
     private void rejectUnknownSession(String peer, FollowerMessage message, long nowMicros) {
-        if (!(message instanceof Goodbye) && admission.mayAnswerUnknownSession(nowMicros)) {
+        if (!(message instanceof Goodbye) && admission.tryAnswerUnknownSession(nowMicros)) {
             output.send(peer, new SessionRejected(message.sessionId(), SessionRejectionReason.UNKNOWN_SESSION));
         }
         if (!sessions.containsKey(peer)) {
--- a/src/main/java/sandstack/configuration/ConfigurationSize.java
+++ b/src/main/java/sandstack/configuration/ConfigurationSize.java
@@ -1,10 +1,10 @@
 package sandstack.configuration;
 
-/** Sizes in bytes of UTF-8, counted without encoding. */
+/** Computes sizes in bytes of UTF-8 without encoding the text. */
 final class ConfigurationSize {
     private ConfigurationSize() {}
 
-    /** The bytes of a text; an unpaired surrogate counts as the one byte that replaces it. */
+    /** The size of a text. An unpaired surrogate counts as one byte, as the encoder replaces it by a question mark. */
     static long ofText(String text) {
         return text.codePoints().mapToLong(ConfigurationSize::ofCodePoint).sum();
     }
@@ -22,7 +22,7 @@
         return Character.isSupplementaryCodePoint(codePoint) ? 4 : 3;
     }
 
-    /** The bytes of an entry, with the overhead that the limits count for each. */
+    /** The size of a key and its value, plus {@link ConfigurationLimits#entryOverheadBytes}. */
     static long ofEntry(String key, String value, ConfigurationLimits limits) {
         return ofText(key) + ofText(value) + limits.entryOverheadBytes();
     }
--- a/src/main/java/sandstack/configuration/ConfigurationSnapshot.java
+++ b/src/main/java/sandstack/configuration/ConfigurationSnapshot.java
@@ -6,11 +6,11 @@
 import java.util.Objects;
 
 /**
- * The complete configuration at one version. Immutable; applying a change costs O(entries) and digests only what
- * changes.
+ * The complete configuration at one version. Immutable. Applying a change costs O(entries) for the copy, but only the
+ * edited entries are hashed for the digest.
  */
 public final class ConfigurationSnapshot {
-    /** The state before the first change. */
+    /** The configuration before the first change: no entries at {@link ConfigurationVersion#NONE}. */
     public static final ConfigurationSnapshot EMPTY = new ConfigurationSnapshot(
             ConfigurationVersion.NONE, ConfigurationChange.FORMAT_VERSION, Map.of(), ConfigurationDigest.EMPTY);
 
@@ -27,44 +27,44 @@
         this.digest = digest;
     }
 
-    /** The state with these entries; digests them all. */
+    /** Creates a snapshot with a copy of the entries; hashes all of them for the digest. */
     public static ConfigurationSnapshot of(
             ConfigurationVersion version, int formatVersion, Map<String, String> entries) {
         Map<String, String> copy = Collections.unmodifiableMap(new HashMap<>(entries));
         return new ConfigurationSnapshot(version, formatVersion, copy, ConfigurationDigest.of(copy));
     }
 
-    /** The version of the last change. */
+    /** The version of the last change that is applied; {@link ConfigurationVersion#NONE} before the first. */
     public ConfigurationVersion version() {
         return version;
     }
 
-    /** The format version of the last change; a reader of this state has to know it. */
+    /** The format version of the last change; a reader of this snapshot must support it. */
     public int formatVersion() {
         return formatVersion;
     }
 
-    /** All keys with their values; unmodifiable. */
+    /** All keys with their values, in no particular order; unmodifiable. */
     public Map<String, String> entries() {
         return entries;
     }
 
-    /** The digest of the entries. */
+    /** The digest of the entries, which does not cover the version. */
     public ConfigurationDigest digest() {
         return digest;
     }
 
-    /** Whether the entries still match the digest; reads them all. */
+    /** Whether the digest matches the entries; recomputes it from all of them. */
     public boolean matchesDigest() {
         return ConfigurationDigest.of(entries).equals(digest);
     }
 
     /**
-     * The state after a change.
+     * Creates the snapshot after a change.
      *
      * @param next the version of the change
-     * @throws IllegalArgumentException where the change is based on another version, or the next version does not
-     *     follow
+     * @throws IllegalArgumentException if the change has another base version, or {@code next} does not directly follow
+     *     the version of this snapshot
      */
     public ConfigurationSnapshot apply(ConfigurationVersion next, ConfigurationChange change) {
         if (!change.baseVersion().equals(version) || !next.follows(version)) {
@@ -74,11 +74,11 @@
         Map<String, String> changed = new HashMap<>(entries);
         ConfigurationDigest changedDigest = digest;
         for (ConfigurationEdit edit : change.edits()) {
-            String before = edit instanceof ConfigurationEdit.Put put
+            String previousValue = edit instanceof ConfigurationEdit.Put put
                     ? changed.put(put.key(), put.value())
                     : changed.remove(edit.key());
-            if (before != null) {
-                changedDigest = changedDigest.without(edit.key(), before);
+            if (previousValue != null) {
+                changedDigest = changedDigest.without(edit.key(), previousValue);
             }
             if (edit instanceof ConfigurationEdit.Put put) {
                 changedDigest = changedDigest.with(put.key(), put.value());
--- a/src/main/java/sandstack/configuration/ConfigurationStore.java
+++ b/src/main/java/sandstack/configuration/ConfigurationStore.java
@@ -2,17 +2,17 @@
 
 import java.util.Map;
 
-/** Keeps the last active configuration of a relay over a restart. Called on the follower's thread. */
+/** Persists the active configuration of a relay across restarts. Called only on the follower's thread. */
 public interface ConfigurationStore {
-    /** What a store holds, not yet verified. */
+    /** The result of loading; its content is not verified yet. */
     sealed interface Loaded {
-        /** Nothing was stored. */
+        /** The store is empty, as at the first start of a relay. */
         record Absent() implements Loaded {}
 
-        /** The stored state cannot be read. */
+        /** The stored data cannot be read, for example because it is damaged; {@code problem} is for the log. */
         record Unreadable(String problem) implements Loaded {}
 
-        /** A state as it was stored, with the digest that was stored with it. */
+        /** A stored configuration with the digest that was stored with it; the caller compares the digest. */
         record Found(
                 ConfigurationVersion version,
                 int formatVersion,
@@ -21,20 +21,21 @@
                 implements Loaded {}
     }
 
-    /** Reads what is stored; called once, at start. */
+    /** Loads the stored configuration; called once, at start. */
     Loaded load();
 
     /**
-     * Stores a change and the state after it, atomically.
+     * Stores a change and the complete configuration after it, atomically.
      *
-     * @throws ConfigurationStoreException where it may not have been stored
+     * @param after the configuration after the change, for stores that keep complete configurations
+     * @throws ConfigurationStoreException if the change may not have been stored
      */
     void apply(CommittedChange change, ConfigurationSnapshot after) throws ConfigurationStoreException;
 
     /**
-     * Stores a complete state in place of the stored one.
+     * Stores a complete configuration in place of the stored one.
      *
-     * @throws ConfigurationStoreException where it may not have been stored
+     * @throws ConfigurationStoreException if the configuration may not have been stored
      */
     void replace(ConfigurationSnapshot snapshot) throws ConfigurationStoreException;
 }
--- a/src/main/java/sandstack/configuration/ConfigurationVersion.java
+++ b/src/main/java/sandstack/configuration/ConfigurationVersion.java
@@ -1,50 +1,56 @@
 package sandstack.configuration;
 
 /**
- * A position in the history of committed changes. The index rises by one with each change; the term is that of the
- * leader under which the change was committed and never falls along the history. Two versions with one index and
- * different terms belong to different histories (the Log Matching property of Raft, section 5.3 of its paper).
+ * A position in the history of committed changes. The index increases by one with each change. The term is that of the
+ * leader that proposed the change, and never decreases along a history. Two versions with the same index and different
+ * terms belong to different histories (the Log Matching property, section 5.3 of the Raft paper). Immutable.
  *
- * @param term of the consensus, 0 before the first change
- * @param index number of changes committed so far
+ * @param term the term of the consensus; 0 before the first change
+ * @param index the number of changes committed so far
  */
 public record ConfigurationVersion(long term, long index) implements Comparable<ConfigurationVersion> {
-    /** Before the first change. */
+    /** The version before the first change. */
     public static final ConfigurationVersion NONE = new ConfigurationVersion(0, 0);
 
-    /** Rejects negative numbers. */
+    /**
+     * Creates a version.
+     *
+     * @throws IllegalArgumentException if the term or the index is negative
+     */
     public ConfigurationVersion {
         if (term < 0 || index < 0) {
             throw new IllegalArgumentException("negative version " + term + "/" + index);
         }
     }
 
-    /** The version of the change that is committed next, in this term or a later one. */
+    /**
+     * The version of the next change, if it is committed in {@code commitTerm}; a lower term than this one is raised.
+     */
     public ConfigurationVersion next(long commitTerm) {
         return new ConfigurationVersion(Math.max(term, commitTerm), index + 1);
     }
 
-    /** Whether a change with this version can come directly after the other. */
+    /** Whether a change with this version can directly follow the other version. */
     public boolean follows(ConfigurationVersion other) {
         return index == other.index + 1 && term >= other.term;
     }
 
-    /** Whether this is later than the other, and one history can hold both. */
+    /** Whether this version is later than the other and both can be in the same history. */
     public boolean isAfter(ConfigurationVersion other) {
         return index > other.index && term >= other.term;
     }
 
-    /** Whether no single history holds both this and the other. */
+    /** Whether no single history can contain both versions. Symmetric. */
     public boolean divergesFrom(ConfigurationVersion other) {
         return index == other.index ? term != other.term : index > other.index ? term < other.term : term > other.term;
     }
 
-    /** Writes the term and the index. */
+    /** Writes 16 bytes, the term first. */
     public void writeTo(FieldWriter out) {
         out.writeLong(term).writeLong(index);
     }
 
-    /** Reads what {@link #writeTo} wrote; negative numbers are malformed. */
+    /** Reads the 16 bytes that {@link #writeTo} writes; a negative term or index is malformed. */
     public static ConfigurationVersion readFrom(BoundedReader in) throws MalformedConfigurationException {
         long term = in.readLong();
         long index = in.readLong();
@@ -54,7 +60,7 @@
         return new ConfigurationVersion(term, index);
     }
 
-    /** Orders by index, then by term. */
+    /** Compares the index first, then the term. */
     @Override
     public int compareTo(ConfigurationVersion other) {
         int byIndex = Long.compare(index, other.index);
--- a/src/main/java/sandstack/configuration/ControlConnection.java
+++ b/src/main/java/sandstack/configuration/ControlConnection.java
@@ -1,26 +1,26 @@
 package sandstack.configuration;
 
 /**
- * What a relay knows of its connection with one control machine, from the hello on. Not thread-safe; moments are
+ * A relay's view of its connection to one control machine, from the hello on. Not thread-safe; times are in
  * microseconds of the relay's clock.
  */
 final class ControlConnection {
     private final String machine;
     private final long sessionId;
-    /** Null until the machine welcomed this relay. */
+    /** The last head that the machine reported; null before its welcome. */
     private ConfigurationHead head;
 
     private boolean isSatisfactory = true;
-    /** Since when the machine lacks a quorum or is behind; meaningless while it is satisfactory. */
+    /** The time at which the machine became unsatisfactory; undefined while it is satisfactory. */
     private long unsatisfactorySinceMicros;
 
-    private long lastHeardMicros;
+    private long silentSinceMicros;
     private long openedMicros;
 
     ControlConnection(String machine, long sessionId, long nowMicros) {
         this.machine = machine;
         this.sessionId = sessionId;
-        this.lastHeardMicros = nowMicros;
+        this.silentSinceMicros = nowMicros;
         this.openedMicros = nowMicros;
     }
 
@@ -32,7 +32,7 @@
         return sessionId;
     }
 
-    /** What the machine last reported that it holds; null until it welcomed this relay. */
+    /** The latest committed state that the machine reported; null before its welcome. */
     ConfigurationHead head() {
         return head;
     }
@@ -41,20 +41,20 @@
         return sessionId == otherSessionId && machine.equals(otherMachine);
     }
 
-    /** Something of the machine arrived, or its silence is not to be counted. */
-    void heard(long nowMicros) {
-        lastHeardMicros = nowMicros;
+    /** Restarts the silence timeout, because a message arrived or this process was paused. */
+    void restartSilenceTimeout(long nowMicros) {
+        silentSinceMicros = nowMicros;
     }
 
-    /** The machine is followed from now on. */
+    /** Records that the relay follows this machine from now on. */
     void opened(long nowMicros) {
         openedMicros = nowMicros;
     }
 
     /**
-     * The machine reported what it holds.
+     * Records the latest committed state of the machine.
      *
-     * @return whether it has just become unsatisfactory
+     * @return whether this report made the machine unsatisfactory
      */
     boolean headReceived(ConfigurationHead received, ConfigurationVersion activeVersion, long nowMicros) {
         head = received;
@@ -76,10 +76,10 @@
     }
 
     boolean isSilentFor(long durationMicros, long nowMicros) {
-        return nowMicros - lastHeardMicros >= durationMicros;
+        return nowMicros - silentSinceMicros >= durationMicros;
     }
 
-    /** Whether the machine is satisfactory and has been followed for so long. */
+    /** Whether the machine is satisfactory and the relay has followed it for at least the duration. */
     boolean isStableFor(long durationMicros, long nowMicros) {
         return isSatisfactory && nowMicros - openedMicros >= durationMicros;
     }
--- a/src/main/java/sandstack/configuration/ControlMachine.java
+++ b/src/main/java/sandstack/configuration/ControlMachine.java
@@ -6,20 +6,26 @@
 import sandstack.random.SeededRandom;
 
 /**
- * One of the machines that replicate the configuration.
+ * One of the machines that replicate the configuration. Immutable.
  *
- * @param name by which the transport reaches it
+ * @param name the unique name by which the transport addresses the machine
+ * @param region the region in which it runs; relays of the same region prefer it
  */
 public record ControlMachine(String name, String region) {
-    /** Rejects null. */
+    /**
+     * Creates a control machine.
+     *
+     * @throws NullPointerException if the name or the region is null
+     */
     public ControlMachine {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(region, "region");
     }
 
     /**
-     * The order in which a relay tries machines: those of its region first, and within each part by rendezvous hashing
-     * (highest random weight), so that relays spread evenly and those of a failed machine spread over all others.
+     * The order in which a relay tries machines: first those of its region, then the others, each group ordered by
+     * rendezvous hashing (highest random weight). Relays are spread evenly over the machines, and the relays of a
+     * failed machine are spread over all others.
      */
     static List<ControlMachine> inPreferenceOrder(RelayIdentity relay, List<ControlMachine> machines) {
         return machines.stream()
--- a/src/main/java/sandstack/configuration/ControlSession.java
+++ b/src/main/java/sandstack/configuration/ControlSession.java
@@ -9,12 +9,13 @@
 import sandstack.configuration.ConfigurationMessage.Hello;
 
 /**
- * The session of a relay with the control machine that it follows. Tries another machine where there is no session,
- * where the machine lacks a quorum or is behind, and from time to time where it is not the preferred one (failback).
- * One attempt at a time. Not thread-safe; moments are microseconds of the relay's clock.
+ * The session of a relay with the control machine that it follows. The relay tries another machine if it has no
+ * session, if its machine lacks a quorum or is behind the relay's active version, and periodically if its machine is
+ * not the preferred one (failback). There is at most one attempt at a time. Not thread-safe; times are in microseconds
+ * of the relay's clock.
  */
 final class ControlSession {
-    /** A tick that comes this much after the one before means that the process was paused. */
+    /** An interval between two ticks that is at least this long means that the process was paused. */
     private static final long MIN_PAUSE_MICROS = 2_000_000;
 
     private final FollowerSettings settings;
@@ -23,9 +24,9 @@
     private final FollowerOutput output;
     private final RandomGenerator random;
     private final ReconnectBackoff backoff;
-    /** The machine that is followed; null where there is none. */
+    /** The connection to the machine that the relay follows; null if there is no session. */
     private ControlConnection session;
-    /** The machine that was sent a hello and has not replied; null where there is none. */
+    /** The connection to a machine that has not replied to a hello yet; null if there is no attempt. */
     private ControlConnection attempt;
 
     private long nextAttemptMicros;
@@ -33,9 +34,10 @@
     private long lastTickMicros;
 
     /**
-     * Makes the first attempt within one slot of the backoff.
+     * Schedules the first attempt at a random time within one slot of the backoff.
      *
-     * @param machines in this relay's order of preference
+     * @param relay the name of the relay
+     * @param machines all control machines, in this relay's order of preference
      */
     ControlSession(
             FollowerSettings settings,
@@ -55,12 +57,12 @@
         this.lastTickMicros = nowMicros;
     }
 
-    /** Whether a message belongs to the session with the machine that is followed. */
+    /** Whether a message belongs to the open session. */
     boolean isCurrentSession(String machine, long sessionId) {
         return session != null && session.matches(machine, sessionId);
     }
 
-    /** Whether a message replies to the hello of the current attempt. */
+    /** Whether a message is a reply to the hello of the current attempt. */
     boolean isCurrentAttempt(String machine, long sessionId) {
         return attempt != null && attempt.matches(machine, sessionId);
     }
@@ -69,41 +71,45 @@
         return session != null;
     }
 
-    /** The machine that is followed. */
+    /** The name of the machine that the relay follows; empty if there is no session. */
     Optional<String> machine() {
         return Optional.ofNullable(session).map(ControlConnection::machine);
     }
 
-    /** What the machine that is followed last reported. */
+    /** The latest committed state that this machine reported; empty if there is no session. */
     Optional<ConfigurationHead> head() {
         return Optional.ofNullable(session).map(ControlConnection::head);
     }
 
     /**
-     * Sends to the machine that is followed; only while the session is open.
+     * Sends a message within the session, which must be open.
      *
-     * @param message makes the message of a session's id
+     * @param message creates the message from the session id
      */
     void send(LongFunction<FollowerMessage> message) {
         output.send(session.machine(), message.apply(session.sessionId()));
     }
 
-    /** A message of the session arrived. */
-    void heard(long nowMicros) {
-        session.heard(nowMicros);
+    /** Restarts the silence timeout of the session, which must be open. */
+    void messageReceived(long nowMicros) {
+        session.restartSilenceTimeout(nowMicros);
     }
 
-    /** The machine that is followed reported what it holds. */
+    /** Handles a report of the committed state of the machine that the relay follows; the session must be open. */
     void headReceived(ConfigurationHead head, ConfigurationVersion activeVersion, long nowMicros) {
-        session.heard(nowMicros);
+        session.restartSilenceTimeout(nowMicros);
         if (session.headReceived(head, activeVersion, nowMicros)) {
-            // all relays of a machine learn of it at once and must not try the others at once
-            nextAttemptMicros = nowMicros + settings.unsatisfiedGraceMicros() + backoff.randomMaxDelayMicros();
+            // all relays of the machine detect this at the same time; the random delay spreads their attempts
+            nextAttemptMicros = nowMicros + settings.unsatisfactoryGraceMicros() + backoff.randomMaxDelayMicros();
         }
     }
 
-    /** The machine of the attempt welcomed this relay; whether it is followed from now on. */
-    boolean welcomed(ConfigurationHead head, ConfigurationVersion activeVersion, long nowMicros) {
+    /**
+     * Handles the welcome of the current attempt. The relay switches to the machine unless its present one is better.
+     *
+     * @return whether the relay follows the machine of the attempt from now on
+     */
+    boolean welcomeReceived(ConfigurationHead head, ConfigurationVersion activeVersion, long nowMicros) {
         if (session != null) {
             boolean isPreferred = rotation.isPreferredTo(attempt.machine(), session.machine());
             if (!MachineSelection.isBetter(head, isPreferred, session, activeVersion)) {
@@ -123,7 +129,7 @@
         return true;
     }
 
-    /** The machine of the attempt rejected this relay, did not reply in time, or is not reached. */
+    /** Ends the current attempt: the machine rejected this relay, did not reply in time, or is unreachable. */
     void attemptFailed(long nowMicros) {
         output.close(attempt.machine());
         attempt = null;
@@ -131,8 +137,8 @@
         scheduleFailback(nowMicros);
     }
 
-    /** The session ended: the next machine is tried after a backoff. */
-    void lost(long nowMicros) {
+    /** Ends the session; the next machine in the order of preference is tried after a backoff. */
+    void sessionLost(long nowMicros) {
         output.close(session.machine());
         rotation.continueAfter(session.machine());
         session = null;
@@ -141,56 +147,69 @@
         }
     }
 
-    /** The connection with a machine is gone; whether it was the session's. */
+    /**
+     * Called when the connection to a machine is closed; ends the attempt or the session on it.
+     *
+     * @return whether the session ended
+     */
     boolean disconnected(String machine, long nowMicros) {
         if (attempt != null && attempt.machine().equals(machine)) {
             attemptFailed(nowMicros);
         }
         boolean isSession = session != null && session.machine().equals(machine);
         if (isSession) {
-            lost(nowMicros);
+            sessionLost(nowMicros);
         }
         return isSession;
     }
 
-    /** Whether this process was paused since the last tick; no machine counts as silent for what was missed then. */
+    /**
+     * Detects a pause of this process since the last tick. After a pause it restarts the silence timeouts, because
+     * messages that arrived during the pause were missed or are not handled yet.
+     *
+     * @return whether the process was paused
+     */
     boolean detectPause(long nowMicros) {
         boolean paused = nowMicros - lastTickMicros >= MIN_PAUSE_MICROS;
         lastTickMicros = nowMicros;
         if (paused && session != null) {
-            session.heard(nowMicros);
+            session.restartSilenceTimeout(nowMicros);
         }
         if (paused && attempt != null) {
-            attempt.heard(nowMicros);
+            attempt.restartSilenceTimeout(nowMicros);
         }
         return paused;
     }
 
-    /** Gives up silent machines and begins an attempt where one is due; whether the session was given up. */
+    /**
+     * Ends a session or attempt whose machine is silent, and starts a new attempt if one is due.
+     *
+     * @return whether the session ended because of silence
+     */
     boolean tick(ConfigurationVersion activeVersion, long nowMicros) {
         if (attempt != null && attempt.isSilentFor(settings.attemptTimeoutMicros(), nowMicros)) {
             attemptFailed(nowMicros);
         }
         boolean silent = session != null && session.isSilentFor(settings.silenceTimeoutMicros(), nowMicros);
         if (silent) {
-            lost(nowMicros);
+            sessionLost(nowMicros);
         }
         if (session != null && session.isStableFor(settings.stableSessionMicros(), nowMicros)) {
             backoff.reset();
         }
-        if (attempt == null && nowMicros >= nextAttemptMicros && wantsAnother(nowMicros)) {
+        if (attempt == null && nowMicros >= nextAttemptMicros && shouldTryAnotherMachine(nowMicros)) {
             beginAttempt(activeVersion, nowMicros);
         }
         return silent;
     }
 
-    private boolean wantsAnother(long nowMicros) {
+    private boolean shouldTryAnotherMachine(long nowMicros) {
         return session == null
-                || session.isUnsatisfactoryFor(settings.unsatisfiedGraceMicros(), nowMicros)
-                || wantsFailback(nowMicros);
+                || session.isUnsatisfactoryFor(settings.unsatisfactoryGraceMicros(), nowMicros)
+                || isFailbackDue(nowMicros);
     }
 
-    private boolean wantsFailback(long nowMicros) {
+    private boolean isFailbackDue(long nowMicros) {
         return session != null
                 && session.isSatisfactory()
                 && nowMicros >= failbackMicros
@@ -198,15 +217,15 @@
     }
 
     private void beginAttempt(ConfigurationVersion activeVersion, long nowMicros) {
-        if (wantsFailback(nowMicros)) {
-            rotation.restart();
+        if (isFailbackDue(nowMicros)) {
+            rotation.restartFromPreferred();
         }
         String candidate = rotation.next();
         if (isFollowed(candidate)) {
             candidate = rotation.next();
         }
         if (isFollowed(candidate)) {
-            // there is no other machine
+            // the relay follows the only machine
             nextAttemptMicros = backoff.nextAttemptMicros(nowMicros);
             return;
         }
@@ -220,7 +239,8 @@
     }
 
     /**
-     * The next failback is drawn at random over the span, after a quarter of it, so that relays do not return together.
+     * Schedules the next failback at a random time between 1/4 and 5/4 of the span from now, so that relays do not
+     * return to their preferred machine at the same time.
      */
     private void scheduleFailback(long nowMicros) {
         failbackMicros = nowMicros + settings.failbackSpanMicros() / 4 + random.nextLong(settings.failbackSpanMicros());
--- a/src/main/java/sandstack/configuration/FetchSchedule.java
+++ b/src/main/java/sandstack/configuration/FetchSchedule.java
@@ -1,11 +1,12 @@
 package sandstack.configuration;
 
 /**
- * When a relay may request what it lacks. Two requests of one kind are at least the repair interval apart; after a
- * rejected state, snapshots wait for a backoff that doubles with each further rejection. Not thread-safe.
+ * Limits how often a relay requests missing changes and snapshots. Two requests of the same kind are at least the
+ * repair interval apart. After a rejected state the next snapshot request waits for a backoff that doubles with each
+ * further rejection. Not thread-safe; times are in microseconds of the relay's clock.
  */
 final class FetchSchedule {
-    /** Bounds the backoff after rejections; the shift below must not overflow. */
+    /** The maximum number of doublings of the rejection backoff; also keeps the shift by it from overflowing. */
     private static final int MAX_REJECTION_DOUBLINGS = 7;
 
     private final long repairIntervalMicros;
@@ -14,7 +15,7 @@
     private long nextSnapshotMicros;
     private int consecutiveRejections;
 
-    /** Allows both requests from now on. */
+    /** Creates a schedule in which both kinds of requests are allowed now. */
     FetchSchedule(FollowerSettings settings, long nowMicros) {
         this.repairIntervalMicros = settings.repairIntervalMicros();
         this.rejectionBackoffMicros = settings.rejectionBackoffMicros();
@@ -22,7 +23,7 @@
         this.nextSnapshotMicros = nowMicros;
     }
 
-    /** Whether a repair may be requested now; then the next one waits for the interval. */
+    /** Whether missing changes may be requested now; if so, the next such request waits for the interval. */
     boolean tryRepair(long nowMicros) {
         if (nowMicros < nextRepairMicros) {
             return false;
@@ -31,7 +32,7 @@
         return true;
     }
 
-    /** Whether a snapshot may be requested now; then the next one waits for the interval. */
+    /** Whether a snapshot may be requested now; if so, the next such request waits for the interval. */
     boolean trySnapshot(long nowMicros) {
         if (nowMicros < nextSnapshotMicros) {
             return false;
@@ -40,14 +41,14 @@
         return true;
     }
 
-    /** A state was rejected: the next snapshot request waits for the backoff. */
+    /** Records a rejected state: the next snapshot request waits for the backoff. */
     void rejected(long nowMicros) {
         int doublings = Math.min(consecutiveRejections, MAX_REJECTION_DOUBLINGS);
         consecutiveRejections++;
         nextSnapshotMicros = nowMicros + (rejectionBackoffMicros << doublings);
     }
 
-    /** A later state became active: the backoff is reset. */
+    /** Records that a later state became active: the next rejection starts with the shortest backoff. */
     void activated() {
         consecutiveRejections = 0;
     }
--- a/src/main/java/sandstack/configuration/FollowerOutput.java
+++ b/src/main/java/sandstack/configuration/FollowerOutput.java
@@ -1,16 +1,22 @@
 package sandstack.configuration;
 
-/** The effects of a follower: its messages, activated states and log lines. No call may block or call back. */
+/**
+ * The outbound port of a {@link ConfigurationFollower}: messages, activated configurations and log lines. Called on the
+ * follower's thread. An implementation must neither block nor call the follower.
+ */
 public interface FollowerOutput {
-    /** Sends a message to a control machine, connecting first where there is no connection. */
+    /**
+     * Sends a message to a control machine, and connects to it first if there is no connection. Delivery is not
+     * guaranteed.
+     */
     void send(String machine, ConfigurationMessage.FollowerMessage message);
 
-    /** Closes the connection with a control machine after what was sent. */
+    /** Closes the connection to a control machine after the messages sent before. */
     void close(String machine);
 
-    /** This state is active from now on; the store was called before, and may have failed. */
+    /** Called when a configuration becomes active. The store was called before, and may have failed. */
     void activated(ConfigurationSnapshot snapshot);
 
-    /** Writes one line to the log. */
+    /** Writes one line to the relay's log. */
     void log(String text);
 }
--- a/src/main/java/sandstack/configuration/FollowerSettings.java
+++ b/src/main/java/sandstack/configuration/FollowerSettings.java
@@ -1,37 +1,39 @@
 package sandstack.configuration;
 
 /**
- * How a relay follows the configuration.
+ * The timeouts and intervals of a relay that follows a control machine. Immutable.
  *
- * @param silenceTimeoutMicros after which a silent control machine is abandoned
- * @param attemptTimeoutMicros for the reply to a hello
- * @param backoffSlotMicros slot of the backoff between attempts
- * @param maxBackoffDoublings of the slot
- * @param unsatisfiedGraceMicros for which a machine may lack a quorum or be behind before others are tried
- * @param stableSessionMicros after which a session resets the backoff
- * @param failbackSpanMicros over which the return to the preferred machine is drawn
- * @param repairIntervalMicros between two requests for what is missing
- * @param rejectionBackoffMicros before a snapshot is fetched after a rejection; doubles with each further one
+ * @param silenceTimeoutMicros time without a message after which the relay ends the session
+ * @param attemptTimeoutMicros time limit for the reply to a hello
+ * @param backoffSlotMicros length of the shortest backoff interval between attempts
+ * @param maxBackoffDoublings how often the backoff interval is doubled at most
+ * @param unsatisfactoryGraceMicros time for which a machine may lack a quorum or be behind the active version before
+ *     others are tried
+ * @param stableSessionMicros time after which an open session resets the backoff
+ * @param failbackSpanMicros length of the interval in which the return to the preferred machine is scheduled at random
+ * @param repairIntervalMicros minimum time between two requests for missing changes, for a snapshot or for a chunk
+ * @param rejectionBackoffMicros time after a rejection before a snapshot is fetched; doubles with each further
+ *     rejection
  */
 public record FollowerSettings(
         long silenceTimeoutMicros,
         long attemptTimeoutMicros,
         long backoffSlotMicros,
         int maxBackoffDoublings,
-        long unsatisfiedGraceMicros,
+        long unsatisfactoryGraceMicros,
         long stableSessionMicros,
         long failbackSpanMicros,
         long repairIntervalMicros,
         long rejectionBackoffMicros) {
     private static final long SECOND_MICROS = 1_000_000;
 
-    /** The default settings. */
+    /** The default settings; the silence timeout is three heartbeat intervals of {@link PublisherSettings#DEFAULT}. */
     public static final FollowerSettings DEFAULT = new FollowerSettings(
             6 * SECOND_MICROS, // silenceTimeoutMicros
             SECOND_MICROS, // attemptTimeoutMicros
             SECOND_MICROS / 4, // backoffSlotMicros
             4, // maxBackoffDoublings
-            3 * SECOND_MICROS, // unsatisfiedGraceMicros
+            3 * SECOND_MICROS, // unsatisfactoryGraceMicros
             10 * SECOND_MICROS, // stableSessionMicros
             600 * SECOND_MICROS, // failbackSpanMicros
             SECOND_MICROS, // repairIntervalMicros
--- a/src/main/java/sandstack/configuration/LogText.java
+++ b/src/main/java/sandstack/configuration/LogText.java
@@ -1,6 +1,6 @@
 package sandstack.configuration;
 
-/** Makes foreign text safe for the log: one line of bounded length, so that it cannot forge another. */
+/** Sanitizes text from outside the process for the log: one line of bounded length, so it cannot forge log lines. */
 final class LogText {
     private static final int MAX_CHARACTERS = 200;
 
--- a/src/main/java/sandstack/configuration/MachineRotation.java
+++ b/src/main/java/sandstack/configuration/MachineRotation.java
@@ -2,29 +2,32 @@
 
 import java.util.List;
 
-/** The control machines in a relay's order of preference, and the one that is tried next. Not thread-safe. */
+/**
+ * The control machines in a relay's order of preference, with the position of the one to try next. The first machine is
+ * the preferred one. Not thread-safe.
+ */
 final class MachineRotation {
     private final List<ControlMachine> machines;
     private int nextIndex;
 
-    /** Begins with the preferred machine, which is the first. */
+    /** Starts with the preferred machine. */
     MachineRotation(List<ControlMachine> machinesInPreferenceOrder) {
         this.machines = List.copyOf(machinesInPreferenceOrder);
     }
 
-    /** The name of the machine to try now; after the last comes the first. */
+    /** The name of the machine to try now; advances to the following one, and wraps around after the last. */
     String next() {
         String machine = machines.get(nextIndex % machines.size()).name();
         nextIndex = (nextIndex + 1) % machines.size();
         return machine;
     }
 
-    /** The preferred machine is tried next. */
-    void restart() {
+    /** Makes the preferred machine the next one. */
+    void restartFromPreferred() {
         nextIndex = 0;
     }
 
-    /** The machine after this one is tried next. */
+    /** Makes the machine after the given one the next one. */
     void continueAfter(String machine) {
         nextIndex = positionOf(machine) + 1;
     }
--- a/src/main/java/sandstack/configuration/MachineSelection.java
+++ b/src/main/java/sandstack/configuration/MachineSelection.java
@@ -1,19 +1,20 @@
 package sandstack.configuration;
 
-/** The rules by which a relay chooses between control machines. Without state; heads are what the machines reported. */
+/** The rules by which a relay chooses between control machines, from the heads that they reported. Stateless. */
 final class MachineSelection {
     private MachineSelection() {}
 
-    /** Whether a relay may stay with a machine: it has a quorum and is not behind the active version of the relay. */
+    /** Whether a machine has a quorum and is not behind the active version of the relay. */
     static boolean isSatisfactory(ConfigurationHead head, ConfigurationVersion activeVersion) {
         return head.hasQuorum() && head.version().index() >= activeVersion.index();
     }
 
     /**
-     * Whether a relay leaves the machine that it follows for one that welcomed it: a satisfactory machine only for a
-     * satisfactory one that is preferred, any other also for one that is further ahead, where neither has a quorum.
+     * Whether a relay switches from its current machine to a candidate that welcomed it. It leaves a satisfactory
+     * machine only for a satisfactory candidate that it prefers. It leaves an unsatisfactory one for any satisfactory
+     * candidate, and, if the current machine has no quorum, also for a candidate with a later version.
      *
-     * @param isPreferred whether the candidate comes before the current machine in the relay's order of preference
+     * @param isPreferred whether the candidate precedes the current machine in the relay's order of preference
      */
     static boolean isBetter(
             ConfigurationHead candidate,
--- a/src/main/java/sandstack/configuration/MalformedConfigurationException.java
+++ b/src/main/java/sandstack/configuration/MalformedConfigurationException.java
@@ -1,11 +1,11 @@
 package sandstack.configuration;
 
-/** Bytes that are no configuration, change or message of this format, or that exceed its bounds. */
+/** Signals bytes that cannot be decoded to a configuration, change or message, or that exceed a size limit. */
 public final class MalformedConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
-     * Names what is malformed.
+     * Creates an exception that describes the malformed field.
      *
      * @param message one line, without the bytes themselves
      */
@@ -13,7 +13,7 @@
         super(message);
     }
 
-    /** As a rejection with the reason {@code MALFORMED}. */
+    /** Converts this to a rejection with the reason {@code MALFORMED} and the message as its detail. */
     public ChangeRejection toRejection() {
         return new ChangeRejection(ChangeRejection.Reason.MALFORMED, getMessage());
     }
--- a/src/main/java/sandstack/configuration/PublisherOutput.java
+++ b/src/main/java/sandstack/configuration/PublisherOutput.java
@@ -1,15 +1,20 @@
 package sandstack.configuration;
 
-/** The effects of a publisher: its messages and log lines. No call may block or call back. */
+/**
+ * The outbound port of a {@link ConfigurationPublisher}: messages and log lines. Called on the publisher's thread. An
+ * implementation must neither block nor call the publisher.
+ */
 public interface PublisherOutput {
     /**
-     * Sends a message to a peer; false where the transport takes nothing more for it now, and then nothing was sent.
+     * Sends a message to a peer.
+     *
+     * @return false if the message was not sent because the transport accepts no more data for the peer now
      */
     boolean send(String peer, ConfigurationMessage.PublisherMessage message);
 
-    /** Closes the connection with a peer after what was sent. */
+    /** Closes the connection to a peer after the messages sent before. */
     void close(String peer);
 
-    /** Writes one line to the log. */
+    /** Writes one line to the control machine's log. */
     void log(String text);
 }
--- a/src/main/java/sandstack/configuration/PublisherSettings.java
+++ b/src/main/java/sandstack/configuration/PublisherSettings.java
@@ -1,21 +1,21 @@
 package sandstack.configuration;
 
 /**
- * How a control machine serves relays.
+ * The limits and intervals of a control machine that serves relays. Immutable.
  *
- * @param maxSessions relays that are served at once
- * @param heartbeatIntervalMicros between two heartbeats of a session
- * @param silenceTimeoutMicros after which the session of a silent relay is closed
- * @param windowChanges changes that may be in flight to one relay
- * @param maxBatchBytes of changes in one message with more than one
- * @param maxHistoryChanges changes in the history for relays that are behind
- * @param maxHistoryBytes encoded bytes in that history
- * @param maxChunkBytes bytes of a snapshot in one message
- * @param maxSnapshotLagChanges changes after which the cached encoded snapshot is renewed
- * @param snapshotBytesPerSecond of snapshots to all relays together
- * @param hellosPerSecond of all relays together that are admitted
- * @param messagesPerSecond that one relay may send on average
- * @param messageBurst that one relay may send at once
+ * @param maxSessions maximum number of relays with a session
+ * @param heartbeatIntervalMicros time between two heartbeats of a session
+ * @param silenceTimeoutMicros time without a message after which the session of a relay is closed
+ * @param windowChanges maximum number of changes in flight to one relay, that is sent and not yet reported as active
+ * @param maxBatchBytes maximum encoded size of the changes in one message; a single change may be larger
+ * @param maxHistoryChanges maximum number of recent changes that are kept for relays that are behind
+ * @param maxHistoryBytes maximum encoded size of these changes
+ * @param maxChunkBytes maximum number of snapshot bytes in one message
+ * @param maxSnapshotLagChanges number of changes after which the cached encoded snapshot is replaced by a current one
+ * @param snapshotBytesPerSecond rate of snapshot bytes to all relays together
+ * @param hellosPerSecond rate of admitted hellos of all relays together
+ * @param messagesPerSecond average rate of messages of one relay
+ * @param messageBurst number of messages that one relay may send at once
  */
 public record PublisherSettings(
         int maxSessions,
@@ -33,7 +33,7 @@
         int messageBurst) {
     private static final long SECOND_MICROS = 1_000_000;
 
-    /** The default settings. */
+    /** The default settings; the silence timeout is four heartbeat intervals, at which relays send status reports. */
     public static final PublisherSettings DEFAULT = new PublisherSettings(
             2_000, // maxSessions
             2 * SECOND_MICROS, // heartbeatIntervalMicros
--- a/src/main/java/sandstack/configuration/RateLimitedLog.java
+++ b/src/main/java/sandstack/configuration/RateLimitedLog.java
@@ -3,8 +3,8 @@
 import java.util.function.Consumer;
 
 /**
- * Writes at most one line of a kind in an interval and counts the lines that are suppressed; the next line that is
- * written tells their number. Not thread-safe; a call costs O(1).
+ * Writes at most one line per interval of 10 seconds. The next line that is written ends with the number of lines that
+ * were suppressed. One instance is for lines of one kind. Not thread-safe; a call costs O(1).
  */
 final class RateLimitedLog {
     private static final long INTERVAL_MICROS = 10_000_000;
--- a/src/main/java/sandstack/configuration/RecentChanges.java
+++ b/src/main/java/sandstack/configuration/RecentChanges.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The latest committed changes without a gap, bounded by number and encoded bytes. Not thread-safe. */
+/** The latest committed changes without gaps, bounded by their number and encoded size. Not thread-safe. */
 final class RecentChanges {
-    /** A change with the size of its encoded form. */
+    /** A change with its encoded size in bytes. */
     private record Entry(CommittedChange change, int bytes) {}
 
     private final ConfigurationCodec codec;
@@ -22,7 +22,10 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Adds the next change and drops the oldest ones beyond the bounds; one that does not follow starts anew. */
+    /**
+     * Adds the next change and drops the oldest ones beyond the bounds. A change that does not directly follow the last
+     * one replaces all.
+     */
     void add(CommittedChange change) {
         if (!byIndex.isEmpty()
                 && !change.change()
@@ -43,14 +46,16 @@
         bytes = 0;
     }
 
-    /** Whether the change directly after a version is here, and so all later ones. */
+    /** Whether the change directly after a version is kept, which implies that all later ones are. */
     boolean continuesFrom(ConfigurationVersion version) {
         Entry next = byIndex.get(version.index() + 1);
         return next != null && next.change().change().baseVersion().equals(version);
     }
 
     /**
-     * The changes after a version, at least one and within both bounds beyond the first; empty where they are not here.
+     * The changes that directly follow a version, within both bounds; the first is included even if it exceeds them.
+     *
+     * @return at least one change; empty if the change directly after the version is not kept
      */
     Optional<List<CommittedChange>> changesAfter(ConfigurationVersion version, int maxCount, int maxBatchBytes) {
         if (!continuesFrom(version)) {
--- a/src/main/java/sandstack/configuration/ReconnectBackoff.java
+++ b/src/main/java/sandstack/configuration/ReconnectBackoff.java
@@ -3,9 +3,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a relay next tries a control machine. Each failure raises the exponent n, and the attempt is drawn over the
- * complete next interval of 2^n slots, which begins where the current one ends: relays that lost a machine together
- * return at a falling rate. Not thread-safe.
+ * Schedules a relay's attempts to connect to a control machine. Each failure increments the exponent n, up to a
+ * maximum. The next attempt is at a uniformly random time in the next interval of 2^n slots, which begins at the end of
+ * the current interval. Relays that lost a machine at the same time therefore reconnect at a decreasing rate. Not
+ * thread-safe; times are in microseconds of the relay's clock.
  */
 final class ReconnectBackoff {
     private final long slotMicros;
@@ -21,23 +22,23 @@
         this.intervalEndMicros = nowMicros;
     }
 
-    /** The moment of the first attempt, which follows no failure. */
+    /** The time of the first attempt, before any failure: within one slot. */
     long firstAttemptMicros(long nowMicros) {
         return randomAttemptMicros(nowMicros);
     }
 
-    /** The moment of the attempt after a failure. */
+    /** Records a failure and returns the time of the next attempt. */
     long nextAttemptMicros(long nowMicros) {
         exponent = Math.min(exponent + 1, maxExponent);
         return randomAttemptMicros(nowMicros);
     }
 
-    /** A delay over the widest interval, for attempts that are not urgent. */
+    /** A random delay of at most the longest interval, for attempts that are not urgent. */
     long randomMaxDelayMicros() {
         return random.nextLong(slotMicros << maxExponent);
     }
 
-    /** A session was stable: the next failure begins with the smallest interval. */
+    /** Records that a session was stable: the interval after the next failure is 2 slots long. */
     void reset() {
         exponent = 0;
     }
--- a/src/main/java/sandstack/configuration/RelayIdentity.java
+++ b/src/main/java/sandstack/configuration/RelayIdentity.java
@@ -3,13 +3,17 @@
 import java.util.Objects;
 
 /**
- * The identity of a relay towards the control machines.
+ * The identity of a relay, which it sends to control machines and by which it orders them. Immutable.
  *
- * @param name unique in the fleet
- * @param region in which it runs; the control machines of the region are preferred
+ * @param name the name of the relay, unique in the fleet
+ * @param region the region in which it runs; the control machines of this region are preferred
  */
 public record RelayIdentity(String name, String region) {
-    /** Rejects null. */
+    /**
+     * Creates an identity.
+     *
+     * @throws NullPointerException if the name or the region is null
+     */
     public RelayIdentity {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(region, "region");
--- a/src/main/java/sandstack/configuration/RelaySession.java
+++ b/src/main/java/sandstack/configuration/RelaySession.java
@@ -5,31 +5,31 @@
 import sandstack.configuration.ConfigurationMessage.StatusReport;
 
 /**
- * What a publisher knows of one relay that it serves: a cursor into the shared history, the relay's last report, and
- * the moments at which it was heard and served. Nothing is queued here. One thread; moments are microseconds of the
+ * A publisher's state for one relay: a cursor into the shared history, the relay's last report, and the times of its
+ * last message, repair and heartbeat. Nothing is queued here. Not thread-safe; times are in microseconds of the
  * publisher's clock.
  */
 final class RelaySession {
     private final long id;
     private final String relayName;
     private final TokenBucket messageRate;
-    /** The last change that was sent, or what the relay reported where that is later. */
+    /** The version of the last change that was sent, or the version that the relay reported if that is later. */
     private ConfigurationVersion sentVersion;
 
     private ConfigurationVersion reportedVersion;
     private boolean hasDigestMismatch;
     private Optional<ChangeRejection.Reason> rejectionReason = Optional.empty();
     private boolean snapshotOffered;
-    private long lastHeardMicros;
+    private long lastMessageMicros;
     private long lastRepairMicros;
     private long nextHeartbeatMicros;
 
     /**
-     * A session from the version on that the relay has.
+     * Creates a session whose cursor is at the relay's active version.
      *
-     * @param messageRate the messages that the peer may send, kept over its sessions
-     * @param firstHeartbeatMicros when the first heartbeat is due
-     * @param lastRepairMicros the moment from which the interval between two repairs counts
+     * @param messageRate the message rate limit of the peer, shared by its consecutive sessions
+     * @param firstHeartbeatMicros the time at which the first heartbeat is due
+     * @param lastRepairMicros the start of the interval in which no repair is allowed
      */
     RelaySession(
             Hello hello, TokenBucket messageRate, long nowMicros, long firstHeartbeatMicros, long lastRepairMicros) {
@@ -38,7 +38,7 @@
         this.messageRate = messageRate;
         this.sentVersion = hello.activeVersion();
         this.reportedVersion = hello.activeVersion();
-        this.lastHeardMicros = nowMicros;
+        this.lastMessageMicros = nowMicros;
         this.nextHeartbeatMicros = firstHeartbeatMicros;
         this.lastRepairMicros = lastRepairMicros;
     }
@@ -47,7 +47,7 @@
         return id;
     }
 
-    /** The relay's name, fit for a log line. */
+    /** The relay's name, sanitized for log lines. */
     String relayName() {
         return relayName;
     }
@@ -64,26 +64,26 @@
         return reportedVersion;
     }
 
-    /** Whether the relay last reported another state at the version that was current then. */
+    /** Whether the last report had a different digest than this machine at the then current version. */
     boolean hasDigestMismatch() {
         return hasDigestMismatch;
     }
 
-    /** Why the relay rejected a later version, as it last reported. */
+    /** Why the relay rejected a later version, according to its last report; empty if it did not. */
     Optional<ChangeRejection.Reason> rejectionReason() {
         return rejectionReason;
     }
 
-    /** The relay sent a message that was admitted. */
-    void heard(long nowMicros) {
-        lastHeardMicros = nowMicros;
+    /** Restarts the silence timeout, because an admitted message arrived. */
+    void messageReceived(long nowMicros) {
+        lastMessageMicros = nowMicros;
     }
 
     boolean isSilent(long nowMicros, long timeoutMicros) {
-        return nowMicros - lastHeardMicros > timeoutMicros;
+        return nowMicros - lastMessageMicros > timeoutMicros;
     }
 
-    /** Whether a heartbeat is due now; then the next one is due an interval later. */
+    /** Whether a heartbeat is due now; if so, the next one is due an interval later. */
     boolean tryHeartbeat(long nowMicros, long intervalMicros) {
         if (nowMicros < nextHeartbeatMicros) {
             return false;
@@ -92,7 +92,11 @@
         return true;
     }
 
-    /** Moves the cursor back to what the relay has, no more often than the interval; whether it did. */
+    /**
+     * Moves the cursor back to the relay's active version, at most once per interval.
+     *
+     * @return whether the cursor was moved, so that the changes after it are to be sent again
+     */
     boolean tryRepair(ConfigurationVersion activeVersion, long nowMicros, long intervalMicros) {
         if (nowMicros - lastRepairMicros < intervalMicros) {
             return false;
@@ -105,11 +109,11 @@
     }
 
     /**
-     * The relay reported what is active there.
+     * Records the active version that the relay reported, and advances the cursor if the relay is ahead of it.
      *
-     * @param current the latest state of this machine
+     * @param current the latest committed configuration of this machine
      */
-    void reported(StatusReport report, ConfigurationSnapshot current) {
+    void reportReceived(StatusReport report, ConfigurationSnapshot current) {
         reportedVersion = report.activeVersion();
         hasDigestMismatch = report.activeVersion().equals(current.version())
                 && !report.digest().equals(current.digest());
@@ -120,7 +124,7 @@
         }
     }
 
-    /** How many changes were sent and not yet reported as active. */
+    /** The number of changes that were sent and not yet reported as active. */
     long changesInFlight() {
         return sentVersion.index() - reportedVersion.index();
     }
@@ -129,7 +133,7 @@
         sentVersion = lastSent;
     }
 
-    /** Whether a snapshot was offered since the relay last moved on. */
+    /** Whether a snapshot was offered since the cursor was last moved by a report or a repair. */
     boolean isSnapshotOffered() {
         return snapshotOffered;
     }
--- a/src/main/java/sandstack/configuration/SessionAdmission.java
+++ b/src/main/java/sandstack/configuration/SessionAdmission.java
@@ -4,14 +4,15 @@
 import sandstack.configuration.ConfigurationMessage.SessionRejectionReason;
 
 /**
- * Decides which hellos and messages of relays a publisher admits, by rates and by the number of sessions. One thread;
- * each decision costs O(1).
+ * Admission control of a publisher: limits the rate of hellos, the message rate of each relay and the number of
+ * sessions. Not thread-safe; each decision costs O(1). Times are in microseconds of the publisher's clock.
  */
 final class SessionAdmission {
     /**
-     * Why a relay is rejected.
+     * The reason for which a hello or message is rejected.
      *
-     * @param detail for the log, one line
+     * @param reason the reason that is sent to the relay
+     * @param detail one line for the log
      */
     record Rejection(SessionRejectionReason reason, String detail) {}
 
@@ -23,32 +24,38 @@
         this.helloRate = new TokenBucket(settings.hellosPerSecond(), settings.hellosPerSecond(), nowMicros);
     }
 
-    /** The messages that a peer without a session may send; a new session of the same peer goes on with them. */
+    /** Creates the message rate limit of a peer without a session; later sessions of the peer reuse it. */
     TokenBucket newMessageRate(long nowMicros) {
         return new TokenBucket(settings.messagesPerSecond(), settings.messageBurst(), nowMicros);
     }
 
     /**
-     * Decides on a hello. The peer's own rate is charged first, so that one peer cannot use up the rate of all.
+     * Decides on a hello. It is charged to the peer's message rate first, so that one peer cannot exhaust the hello
+     * rate of all peers.
      *
-     * @param sessionCount relays that are served now
-     * @return why the hello is rejected; empty where it is admitted
+     * @param messageRate the message rate limit of the peer
+     * @param sessionCount the number of open sessions, without one of this peer
+     * @return why the hello is rejected; empty if it is admitted
      */
     Optional<Rejection> checkHello(TokenBucket messageRate, int sessionCount, long nowMicros) {
         if (!messageRate.tryTake(1, nowMicros)) {
-            return Optional.of(new Rejection(SessionRejectionReason.FLOOD, "too many hellos of one peer"));
+            return Optional.of(new Rejection(SessionRejectionReason.FLOOD, "too many hellos from one peer"));
         }
         if (!helloRate.tryTake(1, nowMicros)) {
-            return Optional.of(new Rejection(SessionRejectionReason.BUSY, "too many hellos of all peers"));
+            return Optional.of(new Rejection(SessionRejectionReason.BUSY, "too many hellos from all peers together"));
         }
         if (sessionCount >= settings.maxSessions()) {
-            return Optional.of(
-                    new Rejection(SessionRejectionReason.FULL, sessionCount + " sessions are open, the maximum"));
+            return Optional.of(new Rejection(
+                    SessionRejectionReason.FULL, sessionCount + " sessions are open, which is the maximum"));
         }
         return Optional.empty();
     }
 
-    /** Decides on a message within a session; why it ends the session, empty where it is admitted. */
+    /**
+     * Decides on a message of an open session.
+     *
+     * @return why the message is rejected; empty if it is admitted
+     */
     Optional<Rejection> checkMessage(RelaySession session, long nowMicros) {
         if (session.messageRate().tryTake(1, nowMicros)) {
             return Optional.empty();
@@ -57,8 +64,8 @@
                 new Rejection(SessionRejectionReason.FLOOD, session.relayName() + " sends too many messages"));
     }
 
-    /** Whether a message of an unknown session is answered; it is charged to the rate of hellos. */
-    boolean mayAnswerUnknownSession(long nowMicros) {
+    /** Whether a message of an unknown session may be answered; the answer is charged to the rate of hellos. */
+    boolean tryAnswerUnknownSession(long nowMicros) {
         return helloRate.tryTake(1, nowMicros);
     }
 }
--- a/src/main/java/sandstack/configuration/SnapshotChunkSource.java
+++ b/src/main/java/sandstack/configuration/SnapshotChunkSource.java
@@ -6,29 +6,30 @@
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 
 /**
- * Cuts one encoded snapshot into the chunks that relays request, within a rate of bytes for all relays together. The
- * encoded snapshot is kept while the history continues from it, so that a slow relay finds the next chunk. One thread.
+ * Serves the chunks of a snapshot that relays request, within one byte rate for all relays together. The encoded
+ * snapshot is cached while the recent changes continue from it, so that a slow relay can fetch the following chunks of
+ * the same snapshot. Not thread-safe; times are in microseconds of the publisher's clock.
  */
 final class SnapshotChunkSource {
-    /** A snapshot is encoded no more often than this. */
+    /** The minimum interval between two encodings of a snapshot. */
     private static final long MIN_ENCODE_INTERVAL_MICROS = 500_000;
 
-    /** A snapshot as it is sent. */
+    /** A snapshot in the encoded form whose chunks are sent. */
     private record EncodedSnapshot(ConfigurationVersion version, int formatVersion, byte[] bytes) {}
 
     private final PublisherSettings settings;
     private final ConfigurationCodec codec;
     private final RecentChanges recentChanges;
     private final TokenBucket byteRate;
-    /** Null where none is encoded. */
+    /** The cached encoded snapshot; null if there is none. */
     private EncodedSnapshot encoded;
 
     private long encodedAtMicros;
 
     /**
-     * Begins without an encoded snapshot.
+     * Creates a source without a cached snapshot.
      *
-     * @param recentChanges the history that relays go on with after a snapshot
+     * @param recentChanges the changes that relays receive after a snapshot
      */
     SnapshotChunkSource(
             PublisherSettings settings, ConfigurationCodec codec, RecentChanges recentChanges, long nowMicros) {
@@ -39,15 +40,15 @@
                 new TokenBucket(settings.snapshotBytesPerSecond(), settings.snapshotBytesPerSecond(), nowMicros);
     }
 
-    /** Forgets the encoded snapshot, as the history does not continue from it. */
+    /** Drops the cached snapshot, because the recent changes no longer continue from it. */
     void invalidate() {
         encoded = null;
     }
 
     /**
-     * The first chunk of a snapshot with this index or a later one.
+     * The first chunk of a snapshot with index {@code minIndex} or a later one.
      *
-     * @return empty where there is no such snapshot yet, or the rate is used up; the relay requests it again
+     * @return empty if there is no such snapshot yet or the byte rate is exhausted; the relay requests it again
      */
     Optional<SnapshotChunk> firstChunk(long sessionId, ConfigurationSnapshot current, long minIndex, long nowMicros) {
         if (current.version().index() < minIndex) {
@@ -60,7 +61,11 @@
         return encoded.version().index() >= minIndex ? cutChunk(sessionId, 0, nowMicros) : Optional.empty();
     }
 
-    /** The requested chunk, or the first one of a later snapshot where the requested one is no longer kept. */
+    /**
+     * The requested chunk, or the first chunk of a later snapshot if the requested snapshot is no longer cached.
+     *
+     * @return empty if the offset is outside the snapshot, or for the same reasons as {@link #firstChunk}
+     */
     Optional<SnapshotChunk> chunk(long sessionId, ConfigurationSnapshot current, ChunkRequest request, long nowMicros) {
         if (encoded == null || !encoded.version().equals(request.version())) {
             return firstChunk(sessionId, current, request.version().index(), nowMicros);
@@ -71,7 +76,10 @@
         return cutChunk(sessionId, request.offset(), nowMicros);
     }
 
-    /** Whether the encoded snapshot is kept: it is current, recent and late enough, or was encoded just now. */
+    /**
+     * Whether the cached snapshot is used again. It is if it is current, if it is recent and not earlier than
+     * {@code minIndex}, or if it was encoded less than {@link #MIN_ENCODE_INTERVAL_MICROS} ago.
+     */
     private boolean isUsable(ConfigurationSnapshot current, long minIndex, long nowMicros) {
         if (encoded == null) {
             return false;
--- a/src/main/java/sandstack/configuration/SnapshotDownload.java
+++ b/src/main/java/sandstack/configuration/SnapshotDownload.java
@@ -4,11 +4,11 @@
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 
 /**
- * The chunks of one encoded snapshot, in order. Bounded by the size that was accepted with the first chunk. Not
- * thread-safe.
+ * Assembles one encoded snapshot from its chunks, in order. Its memory is bounded by the total size that the first
+ * chunk states, which the caller has checked. Not thread-safe.
  */
 final class SnapshotDownload {
-    /** Requests for the same chunk before the download is abandoned. */
+    /** The number of repeated requests for the same chunk after which the download is abandoned. */
     private static final int MAX_RETRIES = 8;
 
     private final ConfigurationVersion version;
@@ -31,7 +31,7 @@
         return received.size();
     }
 
-    /** Takes the chunk if it is the next one; whether it was. */
+    /** Appends the chunk if it is the next one of this snapshot; returns whether it is. */
     boolean accept(SnapshotChunk chunk, long nowMicros) {
         boolean isNext = chunk.version().equals(version)
                 && chunk.totalBytes() == totalBytes
@@ -54,8 +54,8 @@
         return received.toByteArray();
     }
 
-    /** Whether the next chunk is to be requested again now; this counts as a retry. */
-    boolean retryIsDue(long nowMicros, long retryTimeoutMicros) {
+    /** Whether the timeout for the next chunk has expired; if so, counts a retry and restarts the timeout. */
+    boolean tryRetry(long nowMicros, long retryTimeoutMicros) {
         if (nowMicros - waitingSinceMicros < retryTimeoutMicros) {
             return false;
         }
@@ -64,7 +64,7 @@
         return true;
     }
 
-    /** Whether the same chunk was requested too often. */
+    /** Whether the maximum number of retries for the same chunk is exceeded. */
     boolean isExhausted() {
         return retries > MAX_RETRIES;
     }
--- a/src/main/java/sandstack/configuration/SnapshotFetcher.java
+++ b/src/main/java/sandstack/configuration/SnapshotFetcher.java
@@ -6,24 +6,25 @@
 
 /**
  * Fetches one snapshot at a time, chunk by chunk, and activates it when it is complete. A snapshot that is too large or
- * of an unknown format is rejected at its first chunk, before memory is spent on it. One thread.
+ * has an unsupported format version is rejected at its first chunk, before memory is allocated for it. Not thread-safe;
+ * times are in microseconds of the follower's clock.
  */
 final class SnapshotFetcher {
-    /** What became of a chunk. */
+    /** The state of the download after a chunk. */
     sealed interface Progress {
-        /** The chunk was not the next one of a snapshot that is wanted. */
+        /** The chunk is not the next one of the snapshot that is being fetched, or its version is no longer needed. */
         record Ignored() implements Progress {}
 
-        /** The chunk was taken; this one is requested next. */
+        /** The chunk was accepted; the caller requests the chunk at this offset, in bytes, next. */
         record NextChunk(ConfigurationVersion version, int offset) implements Progress {}
 
-        /** The snapshot is complete or rejected; nothing is fetched any more. */
+        /** The snapshot is complete or rejected; no download is in progress. */
         record Finished(ActivationResult result) implements Progress {}
     }
 
     private final ConfigurationCodec codec;
     private final ActiveConfiguration activeConfiguration;
-    /** Null where nothing is fetched. */
+    /** The download in progress; null if there is none. */
     private SnapshotDownload download;
 
     SnapshotFetcher(ConfigurationCodec codec, ActiveConfiguration activeConfiguration) {
@@ -35,12 +36,12 @@
         return download != null;
     }
 
-    /** Drops what was fetched, as the session with the machine that sent it ended. */
+    /** Drops the download in progress, because the session with the sending machine ended. */
     void abort() {
         download = null;
     }
 
-    /** Takes a chunk of the history that is active here. */
+    /** Handles a chunk whose version does not diverge from the active one; the caller has checked that. */
     Progress accept(SnapshotChunk chunk, long nowMicros) {
         if (chunk.version().index() <= activeConfiguration.highestHandledIndex()) {
             return new Progress.Ignored();
@@ -59,9 +60,13 @@
         return download.isComplete() ? finish(nowMicros) : nextChunk();
     }
 
-    /** The chunk to request again where none came for so long; empty where none is due, or after too many retries. */
+    /**
+     * The chunk to request again after a timeout without progress. Abandons the download after too many retries.
+     *
+     * @return empty if no request is due or the download was abandoned
+     */
     Optional<Progress.NextChunk> retry(long nowMicros, long timeoutMicros) {
-        if (download == null || !download.retryIsDue(nowMicros, timeoutMicros)) {
+        if (download == null || !download.tryRetry(nowMicros, timeoutMicros)) {
             return Optional.empty();
         }
         if (download.isExhausted()) {
@@ -92,7 +97,7 @@
         try {
             ConfigurationSnapshot snapshot = codec.decodeSnapshot(bytes);
             if (!snapshot.version().equals(version)) {
-                String detail = "a snapshot of " + version + " says " + snapshot.version();
+                String detail = "the chunks of snapshot " + version + " contain snapshot " + snapshot.version();
                 return rejected(version, new ChangeRejection(ChangeRejection.Reason.MALFORMED, detail));
             }
             return new Progress.Finished(activeConfiguration.replace(snapshot, nowMicros));
--- a/src/main/java/sandstack/configuration/TokenBucket.java
+++ b/src/main/java/sandstack/configuration/TokenBucket.java
@@ -1,6 +1,9 @@
 package sandstack.configuration;
 
-/** Limits a rate to so many tokens a second with a burst of its capacity. Not thread-safe; O(1). */
+/**
+ * A token bucket: limits the average rate to {@code tokensPerSecond} and a burst to {@code capacity} tokens. Starts
+ * full. Not thread-safe; a call costs O(1). Times are in microseconds of a monotonic clock.
+ */
 final class TokenBucket {
     private static final double MICROS_PER_SECOND = 1_000_000;
 
@@ -16,7 +19,10 @@
         this.refilledMicros = nowMicros;
     }
 
-    /** Takes tokens where there are enough. More than the capacity is taken from a full bucket and leaves a debt. */
+    /**
+     * Takes tokens if there are enough; returns whether it did. An amount above the capacity is taken from a full
+     * bucket and leaves a negative balance, which is refilled first.
+     */
     boolean tryTake(double amount, long nowMicros) {
         tokens = Math.min(
                 capacity, tokens + Math.max(0, nowMicros - refilledMicros) / MICROS_PER_SECOND * tokensPerSecond);
--- a/src/main/java/sandstack/configuration/package-info.java
+++ b/src/main/java/sandstack/configuration/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Distribution of one configuration to a fleet. Control machines commit changes in one order
- * ({@link sandstack.configuration.ConfigurationHistory}, driven by {@code sandstack.configuration.consensus}); each
- * sends them to relays through a {@link sandstack.configuration.ConfigurationPublisher}, and every relay activates a
- * validated state of that order through its {@link sandstack.configuration.ConfigurationFollower}.
+ * Distribution of one configuration to a fleet of relays. The control machines agree on one order of changes
+ * ({@link sandstack.configuration.ConfigurationHistory}, driven by {@code sandstack.configuration.consensus}). Each of
+ * them sends the committed changes to relays through a {@link sandstack.configuration.ConfigurationPublisher}. Every
+ * relay validates and activates them through its {@link sandstack.configuration.ConfigurationFollower}.
  *
- * <p>Nothing here does I/O, reads a clock or starts a thread: moments (microseconds of a monotonic clock), randomness,
- * the transport and the store are passed in. Unless a class says otherwise it is not thread-safe.
+ * <p>Nothing in this package does I/O, reads a clock or starts a thread: the current time (microseconds of a monotonic
+ * clock), randomness, the transport and the store are passed in. Classes are not thread-safe unless their comment
+ * states it.
  */
 package sandstack.configuration;
--- a/src/test/java/sandstack/configuration/ChangeValidatorTest.java
+++ b/src/test/java/sandstack/configuration/ChangeValidatorTest.java
@@ -11,7 +11,7 @@
 import sandstack.configuration.ConfigurationEdit.Put;
 import sandstack.configuration.ConfigurationEdit.Remove;
 
-/** Each rejection has its reason and one bounded line. */
+/** Invalid changes are rejected with the matching reason and a detail of one bounded line. */
 class ChangeValidatorTest {
     private static final ConfigurationLimits LIMITS = ConfigurationLimits.DEFAULT;
 
@@ -22,9 +22,9 @@
     }
 
     private void assertRejected(ConfigurationChange change, Reason reason) {
-        Optional<ChangeRejection> refusal = validator.validate(ConfigurationSnapshot.EMPTY, change);
-        assertThat(refusal).map(ChangeRejection::reason).contains(reason);
-        assertThat(refusal.orElseThrow().toString()).hasSizeLessThan(300).doesNotContain("\n");
+        Optional<ChangeRejection> rejection = validator.validate(ConfigurationSnapshot.EMPTY, change);
+        assertThat(rejection).map(ChangeRejection::reason).contains(reason);
+        assertThat(rejection.orElseThrow().toString()).hasSizeLessThan(300).doesNotContain("\n");
     }
 
     @Test
@@ -73,28 +73,28 @@
 
     @Test
     void manySmallChangesCannotExceedTheConfigurationBound() {
-        List<ChangeRejection> refusals = new ArrayList<>();
+        List<ChangeRejection> rejections = new ArrayList<>();
         ConfigurationHistory history = new ConfigurationHistory(validator, new RecordingListener());
         for (int i = 0; i < 40; i++) {
-            ConfigurationChange next = ConfigurationChange.of(
+            ConfigurationChange change = ConfigurationChange.of(
                     history.current().version(), "ann", "more", List.of(new Put("key-" + i, "v".repeat(60_000))));
-            if (history.applyCommitted(1, next) instanceof ConfigurationHistory.Outcome.Rejected refused) {
-                refusals.add(refused.rejection());
+            if (history.applyCommitted(1, change) instanceof ConfigurationHistory.Outcome.Rejected rejected) {
+                rejections.add(rejected.rejection());
             }
         }
         assertThat(history.current().entries()).hasSize(17);
-        assertThat(refusals).hasSize(23).allMatch(r -> r.reason() == Reason.CONFIGURATION_TOO_LARGE);
+        assertThat(rejections).hasSize(23).allMatch(rejection -> rejection.reason() == Reason.CONFIGURATION_TOO_LARGE);
     }
 
     @Test
     void unknownFormatIsRejected() {
-        ConfigurationChange future = new ConfigurationChange(
+        ConfigurationChange changeOfNextFormat = new ConfigurationChange(
                 ConfigurationChange.FORMAT_VERSION + 1,
                 ConfigurationVersion.NONE,
                 "ann",
                 "why",
                 List.of(new Put("a", "1")));
-        assertRejected(future, Reason.UNKNOWN_FORMAT);
+        assertRejected(changeOfNextFormat, Reason.UNKNOWN_FORMAT);
     }
 
     @Test
@@ -107,12 +107,12 @@
 
     @Test
     void configurationThatTheProgramCannotUseIsRejected() {
-        ChangeValidator checked = new ChangeValidator(
+        ChangeValidator validatorWithCheck = new ChangeValidator(
                 LIMITS,
                 state -> state.entries().containsKey("port") ? Optional.empty() : Optional.of("port is missing"));
-        assertThat(checked.validate(ConfigurationSnapshot.EMPTY, change(new Put("a", "1"))))
+        assertThat(validatorWithCheck.validate(ConfigurationSnapshot.EMPTY, change(new Put("a", "1"))))
                 .contains(new ChangeRejection(Reason.UNUSABLE, "port is missing"));
-        assertThat(checked.validate(ConfigurationSnapshot.EMPTY, change(new Put("port", "1"))))
+        assertThat(validatorWithCheck.validate(ConfigurationSnapshot.EMPTY, change(new Put("port", "1"))))
                 .isEmpty();
     }
 }
--- a/src/test/java/sandstack/configuration/CommittedHistory.java
+++ b/src/test/java/sandstack/configuration/CommittedHistory.java
@@ -5,12 +5,13 @@
 import java.util.Map;
 import sandstack.configuration.ConfigurationEdit.Put;
 
-/** A history of committed changes for tests. */
+/** Builds a history of valid committed changes for tests, with the configuration after each. */
 final class CommittedHistory {
     final List<CommittedChange> changes = new ArrayList<>();
+    /** The configuration at each index; {@code states.get(0)} is the empty one. */
     final List<ConfigurationSnapshot> states = new ArrayList<>(List.of(ConfigurationSnapshot.EMPTY));
 
-    /** Commits one more change in this format version and term. */
+    /** Commits a change that puts these entries, in a format version and a term. */
     CommittedChange commit(int formatVersion, long term, Map<String, String> puts) {
         ConfigurationSnapshot current = current();
         List<ConfigurationEdit> edits = new ArrayList<>();
@@ -39,7 +40,7 @@
         return states.get(states.size() - 1);
     }
 
-    /** The head of a machine that has all of this history and reaches a quorum. */
+    /** The head of a control machine that has the complete history and reaches a quorum. */
     ConfigurationHead headWithQuorum() {
         return new ConfigurationHead(current().version(), current().digest(), true);
     }
--- a/src/test/java/sandstack/configuration/ConfigurationCodecTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationCodecTest.java
@@ -19,7 +19,7 @@
 import sandstack.configuration.ConfigurationEdit.Put;
 import sandstack.configuration.ConfigurationEdit.Remove;
 
-/** Round trips of changes and snapshots, and the rejection of damaged and oversized input. */
+/** Round trips of changes and snapshots, and rejection of damaged and oversized input. */
 class ConfigurationCodecTest {
     private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
 
@@ -36,9 +36,9 @@
                 .map(text -> text.length() % 2 == 0 ? new Put(text, text + text) : new Remove(text))
                 .map(ConfigurationEdit.class::cast)
                 .toList();
-        CommittedChange agreed = committedChange(edits);
-        assertThat(codec.decodeCommittedChange(codec.encode(agreed))).isEqualTo(agreed);
-        assertThat(codec.decodeChange(codec.encode(agreed.change()))).isEqualTo(agreed.change());
+        CommittedChange committed = committedChange(edits);
+        assertThat(codec.decodeCommittedChange(codec.encode(committed))).isEqualTo(committed);
+        assertThat(codec.decodeChange(codec.encode(committed.change()))).isEqualTo(committed.change());
     }
 
     @Property(tries = 100)
@@ -50,7 +50,10 @@
         assertThat(codec.decodeSnapshot(codec.encode(snapshot))).isEqualTo(snapshot);
     }
 
-    /** Truncated or changed anywhere: one typed exception, or another valid value. */
+    /**
+     * Input that is truncated or has one changed byte is rejected with a {@link MalformedConfigurationException}, or
+     * decodes to another valid value. Truncated input never decodes.
+     */
     @Property(tries = 500)
     void damagedBytesAreRejectedOrDecoded(
             @ForAll @IntRange(max = 400) int at, @ForAll @ByteRange byte value, @ForAll boolean cut) {
@@ -93,24 +96,26 @@
                 .isInstanceOf(MalformedConfigurationException.class);
         assertThatThrownBy(() -> codec.decodeChange(new byte[60 << 20]))
                 .isInstanceOf(MalformedConfigurationException.class);
-        byte[] claims = codec.encode(committedChange(List.of(new Put("a", "1"))).change());
-        // the length of the author, after format and base version
-        ByteBuffer.wrap(claims).putInt(Integer.BYTES + 2 * Long.BYTES, Integer.MAX_VALUE);
-        assertThatThrownBy(() -> codec.decodeChange(claims)).isInstanceOf(MalformedConfigurationException.class);
+        byte[] forged = codec.encode(committedChange(List.of(new Put("a", "1"))).change());
+        // overwrites the length of the author, which follows the format version and the base version
+        ByteBuffer.wrap(forged).putInt(Integer.BYTES + 2 * Long.BYTES, Integer.MAX_VALUE);
+        assertThatThrownBy(() -> codec.decodeChange(forged)).isInstanceOf(MalformedConfigurationException.class);
     }
 
-    /** The bounds of the codec are no tighter than those of the validator. */
+    /** The size limits of the codec accept every change that the validator accepts. */
     @Test
     void largestValidChangeCanBeDecoded() throws Exception {
         ConfigurationLimits limits = new ConfigurationLimits(8, 16, 4, 4, 10, 200, 20, 300, 0);
-        ConfigurationCodec small = new ConfigurationCodec(limits);
+        ConfigurationCodec smallCodec = new ConfigurationCodec(limits);
         List<ConfigurationEdit> edits = java.util.stream.IntStream.range(0, 10)
                 .mapToObj(i -> (ConfigurationEdit) new Put("key-key" + i, "012345678901"))
                 .toList();
         ConfigurationChange change = ConfigurationChange.of(ConfigurationVersion.NONE, "abcd", "efgh", edits);
         assertThat(new ChangeValidator(limits, ConfigurationCheck.NONE).validate(ConfigurationSnapshot.EMPTY, change))
                 .isEmpty();
-        CommittedChange agreed = new CommittedChange(new ConfigurationVersion(1, 1), change, ConfigurationDigest.EMPTY);
-        assertThat(small.decodeCommittedChange(small.encode(agreed))).isEqualTo(agreed);
+        CommittedChange committed =
+                new CommittedChange(new ConfigurationVersion(1, 1), change, ConfigurationDigest.EMPTY);
+        assertThat(smallCodec.decodeCommittedChange(smallCodec.encode(committed)))
+                .isEqualTo(committed);
     }
 }
--- a/src/test/java/sandstack/configuration/ConfigurationFixturesTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationFixturesTest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What an earlier build stored and sent is read, and the same is written, byte for byte. */
+/** Compatibility with earlier builds: their bytes are decoded, and the same values are encoded to the same bytes. */
 class ConfigurationFixturesTest {
     private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
     private final ConfigurationMessageCodec messages = new ConfigurationMessageCodec(codec);
--- a/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationFollowerTest.java
@@ -24,7 +24,7 @@
 import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
-/** What a relay activates and rejects, and which control machine it follows. */
+/** Which changes and snapshots a relay activates or rejects, and which control machine it follows. */
 class ConfigurationFollowerTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long TICK_MICROS = 100_000;
@@ -33,7 +33,7 @@
             new ControlMachine("north-2", "north"),
             new ControlMachine("south-1", "south"));
 
-    /** A disk whose content and failures the test sets. */
+    /** An in-memory store whose content and failures the test controls. */
     private static final class Disk implements ConfigurationStore {
         Loaded stored = new Loaded.Absent();
         boolean fails;
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Runs while the machine that is followed sends heartbeats with this head. */
+    /** Runs the follower for a duration while its control machine sends one heartbeat per second with this head. */
     private void runWithHeartbeats(ConfigurationHead head, long micros) {
         String machine = follower.status().machine().orElseThrow();
         long session = session();
@@ -120,10 +120,10 @@
         follow(history.headWithoutQuorum());
     }
 
-    /** Runs until a hello is sent and welcomes it with this head. */
+    /** Runs the follower until it sends a hello, and replies with a welcome with this head. */
     private void follow(ConfigurationHead head) {
-        int before = output.messages(Hello.class).size();
-        while (output.messages(Hello.class).size() == before) {
+        int hellosBefore = output.messages(Hello.class).size();
+        while (output.messages(Hello.class).size() == hellosBefore) {
             run(TICK_MICROS);
         }
         follower.received(lastContactedMachine(), new Welcome(lastHello().sessionId(), head), nowMicros);
@@ -145,13 +145,13 @@
         receive(new Deltas(session(), history.changes.subList(from, to)));
     }
 
-    /** Sends all chunks of a snapshot. */
-    private void sendSnapshot(ConfigurationSnapshot snapshot, int partBytes) {
+    /** Delivers all chunks of a snapshot to the follower, without waiting for its requests. */
+    private void sendSnapshot(ConfigurationSnapshot snapshot, int chunkBytes) {
         byte[] bytes = codec.encode(snapshot);
-        for (int offset = 0; offset < bytes.length; offset += partBytes) {
-            byte[] part = Arrays.copyOfRange(bytes, offset, Math.min(bytes.length, offset + partBytes));
+        for (int offset = 0; offset < bytes.length; offset += chunkBytes) {
+            byte[] chunk = Arrays.copyOfRange(bytes, offset, Math.min(bytes.length, offset + chunkBytes));
             receive(new SnapshotChunk(
-                    session(), snapshot.version(), snapshot.formatVersion(), bytes.length, offset, part));
+                    session(), snapshot.version(), snapshot.formatVersion(), bytes.length, offset, chunk));
         }
     }
 
@@ -202,22 +202,22 @@
         disk.stored = Disk.found(history.current());
         start();
         assertThat(output.activated).containsExactly(history.current());
-        int before = output.messages(Hello.class).size();
+        int hellosBefore = output.messages(Hello.class).size();
         run(SECOND_MICROS);
-        assertThat(output.messages(Hello.class)).hasSize(before + 1);
-        String older = lastContactedMachine();
+        assertThat(output.messages(Hello.class)).hasSize(hellosBefore + 1);
+        String lagging = lastContactedMachine();
         ConfigurationSnapshot old = history.states.get(2);
         follower.received(
-                older, new Welcome(session(), new ConfigurationHead(old.version(), old.digest(), true)), nowMicros);
+                lagging, new Welcome(session(), new ConfigurationHead(old.version(), old.digest(), true)), nowMicros);
         sendSnapshot(old, 1_000);
         assertThat(follower.activeSnapshot()).isEqualTo(history.current());
         runWithHeartbeats(new ConfigurationHead(old.version(), old.digest(), true), 8 * SECOND_MICROS);
-        // it is behind, so others are tried
-        assertThat(lastContactedMachine()).isNotEqualTo(older);
-        long again = session();
-        follower.received(lastContactedMachine(), new Welcome(again, history.headWithQuorum()), nowMicros);
+        // the machine is behind the active version, so others are tried
+        assertThat(lastContactedMachine()).isNotEqualTo(lagging);
+        long newSession = session();
+        follower.received(lastContactedMachine(), new Welcome(newSession, history.headWithQuorum()), nowMicros);
         assertThat(follower.status().machine()).contains(lastContactedMachine());
-        assertThat(output.sent).anyMatch(sent -> sent.machine().equals(older) && sent.message() instanceof Goodbye);
+        assertThat(output.sent).anyMatch(sent -> sent.machine().equals(lagging) && sent.message() instanceof Goodbye);
     }
 
     @Test
@@ -319,7 +319,7 @@
                 .contains(ChangeRejection.Reason.UNKNOWN_FORMAT);
         assertThat(follower.activeSnapshot()).isEqualTo(history.states.get(1));
         assertThat(output.logLines).hasSize(1);
-        // no snapshot is requested while there is no later version
+        // a heartbeat with the rejected version does not cause a snapshot request
         runWithHeartbeats(history.headWithQuorum(), 10 * SECOND_MICROS);
         assertThat(output.messages(SnapshotRequest.class)).isEmpty();
         history.commit("a", "1");
@@ -343,7 +343,7 @@
                 .contains(ChangeRejection.Reason.UNUSABLE);
     }
 
-    /** A relay that rejects what all others accept must not load the control machines. */
+    /** A relay that rejects what all others accept must not load the control machines with snapshot requests. */
     @Test
     void rejectedStatesAreFetchedWithBackoff() {
         check = state -> state.entries().containsKey("bad") ? Optional.of("bad is there") : Optional.empty();
@@ -351,14 +351,14 @@
         followMachineWithQuorum();
         history.commit("bad", "1");
         deltas(0, 1);
-        int sentSnapshots = 0;
+        int answeredRequests = 0;
         for (int i = 0; i < 300; i++) {
             run(SECOND_MICROS);
             history.commit("other", "" + i);
             deltas(i + 1, i + 2);
             heartbeatWithQuorum();
-            if (output.messages(SnapshotRequest.class).size() > sentSnapshots) {
-                sentSnapshots = output.messages(SnapshotRequest.class).size();
+            if (output.messages(SnapshotRequest.class).size() > answeredRequests) {
+                answeredRequests = output.messages(SnapshotRequest.class).size();
                 sendSnapshot(history.current(), 10_000);
             }
         }
@@ -368,17 +368,17 @@
     @Test
     void damagedStoredStateIsRejectedAndFetchedAgain() {
         history.commitMany(2);
-        ConfigurationSnapshot good = history.current();
-        Map<String, String> damaged = new HashMap<>(good.entries());
+        ConfigurationSnapshot committed = history.current();
+        Map<String, String> damaged = new HashMap<>(committed.entries());
         damaged.put("key-0", "damaged");
-        disk.stored = new ConfigurationStore.Loaded.Found(good.version(), 1, damaged, good.digest());
+        disk.stored = new ConfigurationStore.Loaded.Found(committed.version(), 1, damaged, committed.digest());
         start();
         assertThat(output.activated).isEmpty();
         assertThat(output.logLines).hasSize(1).allMatch(line -> line.contains("does not match its digest"));
         followMachineWithQuorum();
         assertThat(lastHello().activeVersion()).isEqualTo(ConfigurationVersion.NONE);
         deltas(0, 2);
-        assertThat(disk.stored).isEqualTo(Disk.found(good));
+        assertThat(disk.stored).isEqualTo(Disk.found(committed));
     }
 
     @Test
@@ -395,18 +395,18 @@
     @Test
     void machinesOfTheOwnRegionAreTriedFirst() {
         start();
-        List<String> contacted = new ArrayList<>();
-        while (contacted.size() < 3) {
-            int before = output.messages(Hello.class).size();
+        List<String> contactedMachines = new ArrayList<>();
+        while (contactedMachines.size() < 3) {
+            int hellosBefore = output.messages(Hello.class).size();
             run(TICK_MICROS);
-            if (output.messages(Hello.class).size() > before) {
-                contacted.add(lastContactedMachine());
+            if (output.messages(Hello.class).size() > hellosBefore) {
+                contactedMachines.add(lastContactedMachine());
                 follower.received(
                         lastContactedMachine(), new SessionRejected(session(), SessionRejectionReason.FULL), nowMicros);
             }
         }
-        assertThat(contacted.subList(0, 2)).containsExactlyInAnyOrder("north-1", "north-2");
-        assertThat(contacted.get(2)).isEqualTo("south-1");
+        assertThat(contactedMachines.subList(0, 2)).containsExactlyInAnyOrder("north-1", "north-2");
+        assertThat(contactedMachines.get(2)).isEqualTo("south-1");
     }
 
     @Test
@@ -415,15 +415,15 @@
         start();
         followMachineWithQuorum();
         deltas(0, 1);
-        String first = follower.status().machine().orElseThrow();
+        String firstMachine = follower.status().machine().orElseThrow();
         run(7 * SECOND_MICROS);
         assertThat(follower.status().machine()).isEmpty();
         run(2 * SECOND_MICROS);
-        assertThat(lastContactedMachine()).isNotEqualTo(first);
+        assertThat(lastContactedMachine()).isNotEqualTo(firstMachine);
         assertThat(follower.activeSnapshot()).isEqualTo(history.current());
     }
 
-    /** After a pause of its own process a relay must not count the machine as silent. */
+    /** The silence timeout does not expire because of a pause of the relay's own process. */
     @Test
     void pauseOfTheRelayKeepsTheSession() {
         start();
@@ -438,40 +438,41 @@
     void sessionIsKeptWhileNoMachineHasAQuorum() {
         start();
         followMachineWithoutQuorum();
-        String first = follower.status().machine().orElseThrow();
+        String firstMachine = follower.status().machine().orElseThrow();
         for (int i = 0; i < 60; i++) {
             run(SECOND_MICROS);
             long attempt = session();
-            if (!lastContactedMachine().equals(first)) {
+            if (!lastContactedMachine().equals(firstMachine)) {
                 follower.received(lastContactedMachine(), new Welcome(attempt, history.headWithoutQuorum()), nowMicros);
             }
             follower.received(
-                    first,
+                    firstMachine,
                     new Heartbeat(output.messages(Hello.class).get(0).sessionId(), history.headWithoutQuorum()),
                     nowMicros);
         }
-        assertThat(follower.status().machine()).contains(first);
+        assertThat(follower.status().machine()).contains(firstMachine);
         assertThat(output.messages(Hello.class).size()).isBetween(8, 30);
     }
 
-    /** The n-th attempt after a failure is drawn over an interval of 2^n slots that follows the one before. */
+    /** The attempt after the n-th failure is uniform over 2^n slots, which begin where the previous interval ends. */
     @Test
     void attemptsAreSpreadOverGrowingIntervals() {
         FollowerSettings settings = FollowerSettings.DEFAULT;
         long slot = settings.backoffSlotMicros();
-        List<Long> second = new ArrayList<>();
+        List<Long> secondAttempts = new ArrayList<>();
         for (int relay = 0; relay < 2_000; relay++) {
-            ReconnectBackoff backOff =
+            ReconnectBackoff backoff =
                     new ReconnectBackoff(slot, settings.maxBackoffDoublings(), new SplittableRandom(relay), 0);
-            long first = backOff.firstAttemptMicros(0);
+            long first = backoff.firstAttemptMicros(0);
             assertThat(first).isBetween(0L, slot - 1);
-            long next = backOff.nextAttemptMicros(first);
+            long next = backoff.nextAttemptMicros(first);
             assertThat(next).isBetween(slot, 3 * slot - 1);
-            second.add(next);
-            long after = backOff.nextAttemptMicros(next);
+            secondAttempts.add(next);
+            long after = backoff.nextAttemptMicros(next);
             assertThat(after).isBetween(3 * slot, 7 * slot - 1);
         }
-        long early = second.stream().filter(at -> at < 2 * slot).count();
-        assertThat(early).isBetween(900L, 1_100L);
+        long inFirstHalf =
+                secondAttempts.stream().filter(micros -> micros < 2 * slot).count();
+        assertThat(inFirstHalf).isBetween(900L, 1_100L);
     }
 }
--- a/src/test/java/sandstack/configuration/ConfigurationHistoryTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationHistoryTest.java
@@ -14,7 +14,7 @@
 import sandstack.configuration.ConfigurationEdit.Remove;
 import sandstack.configuration.ConfigurationHistory.Outcome;
 
-/** One order of changes, the same on every machine. */
+/** The same proposals in the same order lead to the same configuration on every machine. */
 class ConfigurationHistoryTest {
     private static final ChangeValidator VALIDATOR =
             new ChangeValidator(ConfigurationLimits.DEFAULT, ConfigurationCheck.NONE);
@@ -25,7 +25,7 @@
         return ConfigurationChange.of(base, "ann", "drawn", List.of(edit, new Put("other", "" + random.nextInt(3))));
     }
 
-    /** Some proposals have an old base, as happens when two are proposed at once. */
+    /** Some proposals have an outdated base version, as happens when two changes are proposed concurrently. */
     @Property(tries = 200)
     void sameProposalsLeadToTheSameState(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -38,7 +38,7 @@
                     ? new ConfigurationVersion(0, i)
                     : first.current().version();
             ConfigurationChange change = randomChange(random, base);
-            // a leader that lost its term and won a later one may have proposed under the earlier
+            // a leader that lost its term and won a later one may have proposed this change in the earlier term
             long term = Math.max(0, 1 + i / 10 - random.nextInt(2));
             ConfigurationVersion before = first.current().version();
             Outcome outcome = first.applyCommitted(term, change);
--- a/src/test/java/sandstack/configuration/ConfigurationMessageCodecTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationMessageCodecTest.java
@@ -24,12 +24,12 @@
 import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
-/** Round trips of all messages, and the rejection of damaged and oversized frames. */
+/** Round trips of all messages, and rejection of damaged and oversized frames. */
 class ConfigurationMessageCodecTest {
     private final ConfigurationMessageCodec codec =
             new ConfigurationMessageCodec(new ConfigurationCodec(ConfigurationLimits.DEFAULT));
 
-    private static List<ConfigurationMessage> all(long session) {
+    private static List<ConfigurationMessage> oneOfEachKind(long session) {
         CommittedHistory history = new CommittedHistory().commitMany(3);
         ConfigurationVersion version = history.current().version();
         ConfigurationDigest digest = history.current().digest();
@@ -51,10 +51,10 @@
 
     @Test
     void messagesSurviveARoundTrip() throws Exception {
-        assertThat(all(1).stream().map(Object::getClass).distinct())
+        assertThat(oneOfEachKind(1).stream().map(Object::getClass).distinct())
                 .hasSize(ConfigurationMessage.FollowerMessage.class.getPermittedSubclasses().length
                         + ConfigurationMessage.PublisherMessage.class.getPermittedSubclasses().length);
-        for (ConfigurationMessage message : all(-5)) {
+        for (ConfigurationMessage message : oneOfEachKind(-5)) {
             assertThat(codec.decode(codec.encode(message))).isEqualTo(message);
         }
     }
@@ -62,7 +62,7 @@
     @Property(tries = 300)
     void damagedFramesAreRejectedOrDecoded(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        for (ConfigurationMessage message : all(random.nextLong())) {
+        for (ConfigurationMessage message : oneOfEachKind(random.nextLong())) {
             byte[] frame = codec.encode(message);
             byte[] damaged = Arrays.copyOf(frame, random.nextInt(frame.length + 1));
             for (int i = 0; i < 3 && damaged.length > 0; i++) {
@@ -80,16 +80,16 @@
     void oversizedFramesAreRejectedBeforeTheyAreRead() {
         assertThatThrownBy(() -> codec.decode(new byte[codec.maxFrameBytes() + 1]))
                 .isInstanceOf(MalformedConfigurationException.class);
-        // a count of changes that the frame cannot hold
-        byte[] claims = codec.encode(new Deltas(1, List.of()));
-        Arrays.fill(claims, claims.length - Integer.BYTES, claims.length, (byte) 0x7f);
-        assertThatThrownBy(() -> codec.decode(claims)).isInstanceOf(MalformedConfigurationException.class);
+        // overwrites the number of changes with one whose changes cannot fit in the frame
+        byte[] forged = codec.encode(new Deltas(1, List.of()));
+        Arrays.fill(forged, forged.length - Integer.BYTES, forged.length, (byte) 0x7f);
+        assertThatThrownBy(() -> codec.decode(forged)).isInstanceOf(MalformedConfigurationException.class);
     }
 
     @Test
     void heartbeatsAndReportsHave42Bytes() {
         CommittedHistory history = new CommittedHistory().commitMany(1);
         assertThat(codec.encode(new Heartbeat(1, history.headWithQuorum()))).hasSize(42);
-        assertThat(codec.encode(all(1).get(1))).hasSize(42);
+        assertThat(codec.encode(oneOfEachKind(1).get(1))).hasSize(42);
     }
 }
--- a/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
@@ -18,7 +18,7 @@
 import sandstack.configuration.ConfigurationMessage.StatusReport;
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
-/** What a control machine sends to its relays, and its bounds. */
+/** The messages that a control machine sends to its relays, and the limits on sessions, rates and changes in flight. */
 class ConfigurationPublisherTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final int WINDOW_CHANGES = 4;
@@ -43,8 +43,8 @@
     private final ConfigurationPublisher publisher = new ConfigurationPublisher(SETTINGS, codec, output, 0);
     private final CommittedHistory history = new CommittedHistory();
 
-    private void hello(String peer, long session, ConfigurationVersion inForce, long nowMicros) {
-        publisher.received(peer, new Hello(session, "relay-" + peer, 1, inForce), nowMicros);
+    private void hello(String peer, long session, ConfigurationVersion activeVersion, long nowMicros) {
+        publisher.received(peer, new Hello(session, "relay-" + peer, 1, activeVersion), nowMicros);
     }
 
     private void commit(int changes) {
@@ -75,13 +75,13 @@
         assertThat(output.messages(Heartbeat.class)).containsExactly(new Heartbeat(1, history.headWithQuorum()));
     }
 
-    /** A slow relay costs a cursor: nothing is sent beyond the window, and nothing is queued. */
+    /** A relay that does not report gets no changes beyond the window, and nothing is queued for it. */
     @Test
     void relayThatDoesNotReportGetsNoMoreThanTheWindow() {
         hello("a", 1, ConfigurationVersion.NONE, 0);
         commit(HISTORY_CHANGES * 10);
         assertThat(output.messages(Deltas.class).stream()
-                        .mapToInt(d -> d.changes().size())
+                        .mapToInt(deltas -> deltas.changes().size())
                         .sum())
                 .isEqualTo(WINDOW_CHANGES);
         report("a", 1, history.states.get(WINDOW_CHANGES), 0);
@@ -96,19 +96,19 @@
         hello("a", 1, ConfigurationVersion.NONE, 0);
         publisher.received("a", new SnapshotRequest(1, 1), 0);
         SnapshotChunk first = output.messages(SnapshotChunk.class).get(0);
-        byte[] whole = new byte[first.totalBytes()];
+        byte[] assembled = new byte[first.totalBytes()];
         int offset = 0;
-        while (offset < whole.length) {
+        while (offset < assembled.length) {
             SnapshotChunk chunk = output.messages(SnapshotChunk.class)
                     .get(output.messages(SnapshotChunk.class).size() - 1);
             assertThat(chunk.offset()).isEqualTo(offset);
-            System.arraycopy(chunk.bytes(), 0, whole, offset, chunk.bytes().length);
+            System.arraycopy(chunk.bytes(), 0, assembled, offset, chunk.bytes().length);
             offset += chunk.bytes().length;
-            // changes are committed meanwhile; the snapshot stays while the history continues from it
+            // changes committed during the download do not replace the snapshot while the kept changes continue from it
             commit(offset == chunk.bytes().length ? 2 : 0);
             publisher.received("a", new ChunkRequest(1, first.version(), offset), 0);
         }
-        assertThat(codec.decodeSnapshot(whole)).isEqualTo(history.states.get(HISTORY_CHANGES + 5));
+        assertThat(codec.decodeSnapshot(assembled)).isEqualTo(history.states.get(HISTORY_CHANGES + 5));
     }
 
     @Test
@@ -158,7 +158,7 @@
                 .containsExactly("relay rejected reason=FLOOD detail=relay no fault x sends too many messages");
     }
 
-    /** The hellos of one peer are charged to it: those of others are still admitted. */
+    /** Hellos are charged to the peer that sends them, so the hellos of other peers are still admitted. */
     @Test
     void hellosOfOnePeerAreRateLimited() {
         for (int i = 0; i < 10_000; i++) {
--- a/src/test/java/sandstack/configuration/ConfigurationSamples.java
+++ b/src/test/java/sandstack/configuration/ConfigurationSamples.java
@@ -23,9 +23,10 @@
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
 /**
- * One value of each form that is stored or sent, with every constant that a form holds. {@code main} writes their bytes
- * and the distribution traces with the build on the class path. The fixtures were made by this class as it was in the
- * commit that added them, compiled against the build that they name.
+ * One value of each encoded form that is stored or sent, and one for each constant that a form can contain.
+ * {@code main} writes the fixture files: the encoded values and the distribution traces of the build on the class path.
+ * The existing fixtures are from the version of this class in the commit that added them, compiled against the build
+ * that the files name in their first line.
  */
 final class ConfigurationSamples {
     static final String FORMS = "forms.txt";
@@ -51,7 +52,7 @@
         return ConfigurationSnapshot.of(BASE, 1, Map.of("a", "1", "b", "é", "key-10", "value", "key-2", ""));
     }
 
-    /** Each message, and those with constants once for each constant. */
+    /** One message of each kind by its fixture name; kinds with a reason have one message for each reason. */
     static Map<String, ConfigurationMessage> messages() {
         Map<String, ConfigurationMessage> messages = new LinkedHashMap<>();
         ConfigurationVersion version = BASE;
@@ -76,7 +77,7 @@
         return messages;
     }
 
-    /** The bytes of every sample. */
+    /** The encoded bytes of every sample, by its fixture name. */
     static Map<String, byte[]> encoded() {
         ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
         ConfigurationMessageCodec messages = new ConfigurationMessageCodec(codec);
@@ -89,7 +90,11 @@
         return encoded;
     }
 
-    /** Writes the fixtures into the folder that is named first, with the command and commit that is named second. */
+    /**
+     * Writes the fixture files.
+     *
+     * @param arguments the target folder, and the comment for the first line: the command and the commit of the build
+     */
     public static void main(String[] arguments) throws IOException {
         Path folder = Path.of(arguments[0]);
         FixtureFile.write(folder.resolve(FORMS), arguments[1], FixtureFile.toHex(encoded()));
--- a/src/test/java/sandstack/configuration/DistributionTrace.java
+++ b/src/test/java/sandstack/configuration/DistributionTrace.java
@@ -18,9 +18,9 @@
 import sandstack.configuration.ConfigurationEdit.Remove;
 
 /**
- * Eight relays and three control machines under drawn faults, on one thread in simulated time. Everything that they
- * send, close, put in force and log is written to a digest, with its moment and its bytes, the text of log lines
- * excepted: two builds that do the same in the same order give the same digest.
+ * Simulates eight relays and three control machines under random faults, on one thread in simulated time. Every
+ * message, closed connection, activated configuration and log line is added to a digest, with its time and its bytes;
+ * the text of log lines is left out. Two builds with the same behaviour in the same order have the same digest.
  */
 final class DistributionTrace {
     private static final long SECOND_MICROS = 1_000_000;
@@ -45,7 +45,7 @@
             new ControlMachine("north-2", "north"),
             new ControlMachine("south-1", "south"));
 
-    /** Something that arrives; what arrives at one moment does so in the order of sending. */
+    /** A scheduled delivery. Deliveries at the same time run in the order in which they were scheduled. */
     private record Delivery(long atMicros, long order, Runnable action) {}
 
     private final SplittableRandom random;
@@ -59,7 +59,7 @@
     private final Map<String, Publisher> publishers = new LinkedHashMap<>();
     private final List<Relay> relays = new ArrayList<>();
     private final ConfigurationHistory history;
-    private long order;
+    private long nextOrder;
     private long nowMicros = SECOND_MICROS;
     private boolean regionsPartitioned;
     private double lossShare;
@@ -78,24 +78,24 @@
         history = new ConfigurationHistory(validator, new CommittedChangeListener() {
             @Override
             public void committed(CommittedChange change) {
-                publishers.values().forEach(publisher -> publisher.agreed(change));
+                publishers.values().forEach(publisher -> publisher.committed(change));
             }
 
             @Override
             public void restored(ConfigurationSnapshot snapshot) {
-                throw new AssertionError("nothing is restored here");
+                throw new AssertionError("no snapshot is installed in this simulation");
             }
         });
     }
 
-    /** Plays the seed; the number of events by kind, and the digest of all. */
+    /** Runs the simulation; returns the number of events of each kind and the digest of all events. */
     String run() {
         while (nowMicros < RUN_MICROS) {
             nowMicros += TICK_MICROS;
             injectRandomFault();
             deliver();
-            publishers.values().forEach(Publisher::turn);
-            relays.forEach(Relay::turn);
+            publishers.values().forEach(Publisher::tick);
+            relays.forEach(Relay::tick);
         }
         publishers.values().forEach(Publisher::recordOverview);
         relays.forEach(Relay::recordStatus);
@@ -126,11 +126,11 @@
             case 11 -> relay.start();
             case 12 -> relay.store.wipe();
             case 13 -> relay.store.fails = !relay.store.fails;
-            case 14 -> relay.pausedUntil = nowMicros + 3 * SECOND_MICROS;
-            case 15 -> relay.selective = !relay.selective;
+            case 14 -> relay.pausedUntilMicros = nowMicros + 3 * SECOND_MICROS;
+            case 15 -> relay.rejectsUnusableKey = !relay.rejectsUnusableKey;
             case 16 -> publisher.setQuorum(false);
             case 17, 18 -> publisher.setQuorum(true);
-            case 19 -> publisher.full = !publisher.full;
+            case 19 -> publisher.sendBufferFull = !publisher.sendBufferFull;
             case 20 -> relay.flood();
             case 21 -> relay.store.damage();
             default -> {}
@@ -152,7 +152,10 @@
         return 1 + nowMicros / (60 * SECOND_MICROS);
     }
 
-    /** Sends what was not agreed on: a change of a later format, or one that leads to another state than it says. */
+    /**
+     * Sends a relay a change that was not committed: its digest does not match its edits, and its format version may be
+     * unsupported.
+     */
     private void forge(ConfigurationVersion base, ConfigurationEdit edit) {
         int formatVersion = 1 + random.nextInt(2);
         ConfigurationChange change = new ConfigurationChange(formatVersion, base, "ann", "forged", List.of(edit));
@@ -168,21 +171,21 @@
         return !(regionsPartitioned && !oneRegion.equals(otherRegion)) && random.nextDouble() >= lossShare;
     }
 
-    private void later(Runnable action) {
-        network.add(new Delivery(nowMicros + random.nextInt(MAX_DELAY_MICROS), order++, action));
+    private void deliverLater(Runnable action) {
+        network.add(new Delivery(nowMicros + random.nextInt(MAX_DELAY_MICROS), nextOrder++, action));
     }
 
-    private void record(String kind, String who, byte[] bytes) {
+    private void record(String kind, String subject, byte[] bytes) {
         counts.merge(kind, 1, Integer::sum);
-        digest.update((nowMicros + " " + kind + " " + who + " ").getBytes(StandardCharsets.UTF_8));
+        digest.update((nowMicros + " " + kind + " " + subject + " ").getBytes(StandardCharsets.UTF_8));
         digest.update(bytes);
     }
 
-    private void record(String kind, String who, String text) {
-        record(kind, who, text.getBytes(StandardCharsets.UTF_8));
+    private void record(String kind, String subject, String text) {
+        record(kind, subject, text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String textOf(ConfigurationHead head) {
+    private static String describe(ConfigurationHead head) {
         return head.version() + " " + head.digest() + " " + head.hasQuorum();
     }
 
@@ -190,19 +193,19 @@
         try {
             return messages.decode(frame);
         } catch (MalformedConfigurationException e) {
-            throw new AssertionError("a message does not survive its codec", e);
+            throw new AssertionError("an encoded message could not be decoded", e);
         }
     }
 
-    /** A control machine that can restart without sessions, and lag behind what was agreed. */
+    /** A control machine that can restart, which loses its sessions, and lag behind the committed history. */
     private final class Publisher implements PublisherOutput {
         final ControlMachine machine;
         private final List<CommittedChange> withheld = new ArrayList<>();
         private boolean lagging;
         private boolean quorum = true;
         private ConfigurationPublisher publisher;
-        boolean full;
-        /** The session that each relay was last sent something in. */
+        boolean sendBufferFull;
+        /** The id of the session in which each relay was last sent a message, by relay name. */
         final Map<String, Long> sessions = new HashMap<>();
 
         Publisher(ControlMachine machine) {
@@ -223,7 +226,7 @@
             lagging = true;
         }
 
-        /** Takes what it lacks, as changes or as a state. */
+        /** Applies the changes that it lacks: as a snapshot if there are more than three, else one by one. */
         void catchUp() {
             lagging = false;
             if (withheld.size() > 3) {
@@ -242,7 +245,7 @@
             publisher.setQuorumReached(reached);
         }
 
-        void agreed(CommittedChange change) {
+        void committed(CommittedChange change) {
             if (lagging) {
                 withheld.add(change);
             } else {
@@ -250,7 +253,7 @@
             }
         }
 
-        void turn() {
+        void tick() {
             publisher.tick(nowMicros);
         }
 
@@ -259,13 +262,13 @@
             record(
                     "overview",
                     machine.name(),
-                    textOf(overview.head()) + " " + overview.relaysByVersion() + " " + overview.relaysRejecting() + " "
-                            + overview.relaysWithDigestMismatch() + " " + publisher.sessionCount());
+                    describe(overview.head()) + " " + overview.relaysByVersion() + " " + overview.relaysRejecting()
+                            + " " + overview.relaysWithDigestMismatch() + " " + publisher.sessionCount());
         }
 
         @Override
         public boolean send(String peer, ConfigurationMessage.PublisherMessage message) {
-            if (full && random.nextInt(3) == 0) {
+            if (sendBufferFull && random.nextInt(3) == 0) {
                 return false;
             }
             sessions.put(peer, message.sessionId());
@@ -273,7 +276,7 @@
             record("from-publisher." + frame[0], machine.name() + ">" + peer, frame);
             Relay relay = relays.get(Integer.parseInt(peer.substring("relay-".length())));
             if (reachable(machine.region(), relay.identity.region())) {
-                later(() -> relay.received(machine.name(), frame));
+                deliverLater(() -> relay.received(machine.name(), frame));
             }
             return true;
         }
@@ -282,7 +285,7 @@
         public void close(String peer) {
             record("publisher-closes", machine.name() + ">" + peer, "");
             Relay relay = relays.get(Integer.parseInt(peer.substring("relay-".length())));
-            later(() -> relay.follower.disconnected(machine.name(), nowMicros));
+            deliverLater(() -> relay.follower.disconnected(machine.name(), nowMicros));
         }
 
         @Override
@@ -291,13 +294,13 @@
         }
     }
 
-    /** A relay that can restart with its disk, and refuse what it cannot use. */
+    /** A relay that can restart with its disk, pause, and reject configurations that contain one key. */
     private final class Relay implements FollowerOutput {
         final RelayIdentity identity;
         final MemoryStore store = new MemoryStore();
         ConfigurationFollower follower;
-        boolean selective;
-        long pausedUntil;
+        boolean rejectsUnusableKey;
+        long pausedUntilMicros;
 
         Relay(RelayIdentity identity) {
             this.identity = identity;
@@ -307,8 +310,8 @@
         void start() {
             ChangeValidator relayValidator = new ChangeValidator(
                     ConfigurationLimits.DEFAULT,
-                    state -> selective && state.entries().containsKey("unusable")
-                            ? Optional.of("unusable is there")
+                    state -> rejectsUnusableKey && state.entries().containsKey("unusable")
+                            ? Optional.of("key unusable is present")
                             : Optional.empty());
             follower = new ConfigurationFollower(
                     FOLLOWER_SETTINGS,
@@ -322,18 +325,18 @@
         }
 
         void received(String machine, byte[] frame) {
-            if (nowMicros >= pausedUntil) {
+            if (nowMicros >= pausedUntilMicros) {
                 follower.received(machine, (ConfigurationMessage.PublisherMessage) decode(frame), nowMicros);
             }
         }
 
-        void turn() {
-            if (nowMicros >= pausedUntil) {
+        void tick() {
+            if (nowMicros >= pausedUntilMicros) {
                 follower.tick(nowMicros);
             }
         }
 
-        /** Many copies of one message at once. */
+        /** Sends many copies of one message at the same time. */
         void flood() {
             follower.status().machine().ifPresent(machine -> {
                 Publisher publisher = publishers.get(machine);
@@ -351,7 +354,7 @@
                     "status",
                     identity.name(),
                     status.activeVersion() + " " + status.digest() + " " + status.machine() + " "
-                            + status.head().map(DistributionTrace::textOf) + " "
+                            + status.head().map(DistributionTrace::describe) + " "
                             + status.rejection().map(ChangeRejection::reason));
         }
 
@@ -361,7 +364,7 @@
             record("from-follower." + frame[0], identity.name() + ">" + machine, frame);
             Publisher publisher = publishers.get(machine);
             if (reachable(identity.region(), publisher.machine.region())) {
-                later(() -> publisher.publisher.received(
+                deliverLater(() -> publisher.publisher.received(
                         identity.name(), (ConfigurationMessage.FollowerMessage) decode(frame), nowMicros));
             }
         }
@@ -369,7 +372,7 @@
         @Override
         public void close(String machine) {
             record("follower-closes", identity.name() + ">" + machine, "");
-            later(() -> publishers.get(machine).publisher.disconnected(identity.name()));
+            deliverLater(() -> publishers.get(machine).publisher.disconnected(identity.name()));
         }
 
         @Override
@@ -383,7 +386,7 @@
         }
     }
 
-    /** A disk that can fail, be wiped and be damaged. */
+    /** An in-memory store that can fail to write, be emptied and be damaged. */
     private final class MemoryStore implements ConfigurationStore {
         private Loaded stored = new Loaded.Absent();
         boolean fails;
--- a/src/test/java/sandstack/configuration/FixtureFile.java
+++ b/src/test/java/sandstack/configuration/FixtureFile.java
@@ -14,14 +14,15 @@
 import java.util.Map;
 
 /**
- * A text resource of named values, one line each: the name, a space, the value. Lines that begin with # are comments.
+ * Reads and writes fixture files: text with one named value per line, as name, space and value. Lines that begin with #
+ * are comments.
  */
 public final class FixtureFile {
     private static final String FOLDER = "/configuration/";
 
     private FixtureFile() {}
 
-    /** Reads a resource; the values in the order of the file. */
+    /** Reads a test resource; returns the values by name, in the order of the file. */
     public static Map<String, String> read(String name) {
         Map<String, String> values = new LinkedHashMap<>();
         try (BufferedReader reader = new BufferedReader(
@@ -38,21 +39,21 @@
         return values;
     }
 
-    /** Reads a resource whose values are bytes in hexadecimal digits. */
+    /** Reads a test resource whose values are byte arrays in hexadecimal. */
     public static Map<String, byte[]> readBytes(String name) {
         Map<String, byte[]> values = new LinkedHashMap<>();
         read(name).forEach((key, hex) -> values.put(key, HexFormat.of().parseHex(hex)));
         return values;
     }
 
-    /** Writes a file that {@link #read} reads, with a comment that says by which command it was written. */
+    /** Writes a file for {@link #read}, with a comment as its first line that names the command that wrote it. */
     public static void write(Path file, String comment, Map<String, String> values) throws IOException {
         List<String> lines = new ArrayList<>(List.of("# " + comment));
         values.forEach((name, value) -> lines.add(name + " " + value));
         Files.write(file, lines);
     }
 
-    /** Bytes as values of such a file. */
+    /** Converts byte arrays to hexadecimal values for {@link #write}. */
     public static Map<String, String> toHex(Map<String, byte[]> values) {
         Map<String, String> hex = new LinkedHashMap<>();
         values.forEach((name, bytes) -> hex.put(name, HexFormat.of().formatHex(bytes)));
