--- a/src/test/java/sandstack/configuration/RecordingFollowerOutput.java
+++ b/src/test/java/sandstack/configuration/RecordingFollowerOutput.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Records what a follower sends, closes, activates and logs. */
+/** Records the messages, closed connections, activated configurations and log lines of a follower. */
 final class RecordingFollowerOutput implements FollowerOutput {
-    /** A message and the machine that it went to. */
+    /** A message with the control machine that it was sent to. */
     record Sent(String machine, ConfigurationMessage.FollowerMessage message) {}
 
     final List<Sent> sent = new ArrayList<>();
--- a/src/test/java/sandstack/configuration/RecordingListener.java
+++ b/src/test/java/sandstack/configuration/RecordingListener.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Records committed changes and restored snapshots. */
+/** Records the changes and snapshots that it is called with, in order. */
 final class RecordingListener implements CommittedChangeListener {
     final List<CommittedChange> committed = new ArrayList<>();
     final List<ConfigurationSnapshot> restored = new ArrayList<>();
--- a/src/test/java/sandstack/configuration/RecordingPublisherOutput.java
+++ b/src/test/java/sandstack/configuration/RecordingPublisherOutput.java
@@ -3,14 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Records what a publisher sends, closes and logs. */
+/** Records the messages, closed connections and log lines of a publisher. */
 final class RecordingPublisherOutput implements PublisherOutput {
-    /** A message and the peer that it went to. */
+    /** A message with the peer that it was sent to. */
     record Sent(String peer, ConfigurationMessage.PublisherMessage message) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<String> closed = new ArrayList<>();
     final List<String> logLines = new ArrayList<>();
+    /** Whether the transport accepts no message, so that {@link #send} returns false. */
     boolean full;
 
     @Override
