--- a/src/main/java/sandstack/configuration/ConfigurationMessage.java
+++ b/src/main/java/sandstack/configuration/ConfigurationMessage.java
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Closes the session; the relay follows another machine. */
+    /** Closes the session, because the relay follows another machine. */
     record Goodbye(long sessionId) implements FollowerMessage {}
 
     /** Opens the session that a hello requested. */
--- a/src/main/java/sandstack/configuration/ControlConnection.java
+++ b/src/main/java/sandstack/configuration/ControlConnection.java
@@ -1,8 +1,8 @@
 package sandstack.configuration;
 
 /**
- * A relay's view of its connection to one control machine, from the hello on. Not thread-safe; times are in
- * microseconds of the relay's clock.
+ * A relay's view of its connection to one control machine, from the hello on. The machine is satisfactory by the rule
+ * of {@link MachineSelection#isSatisfactory}. Not thread-safe; times are in microseconds of the relay's clock.
  */
 final class ControlConnection {
     private final String machine;
--- a/src/main/java/sandstack/configuration/FollowerSettings.java
+++ b/src/main/java/sandstack/configuration/FollowerSettings.java
@@ -5,8 +5,8 @@
  *
  * @param silenceTimeoutMicros time without a message after which the relay ends the session
  * @param attemptTimeoutMicros time limit for the reply to a hello
- * @param backoffSlotMicros length of the shortest backoff interval between attempts
- * @param maxBackoffDoublings how often the backoff interval is doubled at most
+ * @param backoffSlotMicros length of a backoff slot; the interval after the n-th failure in a row is 2^n slots
+ * @param maxBackoffDoublings maximum of that n
  * @param unsatisfactoryGraceMicros time for which a machine may lack a quorum or be behind the active version before
  *     others are tried
  * @param stableSessionMicros time after which an open session resets the backoff
--- a/src/main/java/sandstack/configuration/SnapshotChunkSource.java
+++ b/src/main/java/sandstack/configuration/SnapshotChunkSource.java
@@ -77,8 +77,9 @@
     }
 
     /**
-     * Whether the cached snapshot is used again. It is if it is current, if it is recent and not earlier than
-     * {@code minIndex}, or if it was encoded less than {@link #MIN_ENCODE_INTERVAL_MICROS} ago.
+     * Whether the cached snapshot is used again. It is if it is current, if it was encoded less than
+     * {@link #MIN_ENCODE_INTERVAL_MICROS} ago, or if it is not earlier than {@code minIndex}, lags by fewer changes
+     * than the maximum of the settings, and all changes after it are kept.
      */
     private boolean isUsable(ConfigurationSnapshot current, long minIndex, long nowMicros) {
         if (encoded == null) {
