--- a/src/bench/java/sandstack/decisions/DecisionBenchmark.java
+++ b/src/bench/java/sandstack/decisions/DecisionBenchmark.java
@@ -24,7 +24,7 @@
 import sandstack.decisions.BalancerEvent.EndpointListUpdate;
 import sandstack.settings.BalancerSettingsBuilder;
 
-/** One connection from its request to its end, among 1,000 servers and 100,000 established connections. */
+/** Measures one connection from its request to its end, with 1,000 servers and 100,000 established connections. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -41,14 +41,14 @@
     private long nowMicros = 1_000_000_000;
     private long requestCount;
 
-    /** Fills the load balancer with servers and established connections. */
+    /** Sets up the load balancer with servers and established connections. */
     @Setup
     public void fill() {
         RequestClass requestClass =
                 new RequestClass(500_000, 3_000_000, 5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 150_000);
         loadBalancer = new LoadBalancer(
                 BalancerSettingsBuilder.of(List.of(requestClass, requestClass))
-                        .instanceCount(3)
+                        .relayCount(3)
                         .zoneCount(3)
                         .sharedGroups(true)
                         .endpointListPolled(true)
@@ -76,7 +76,7 @@
         for (int i = 0; i < ESTABLISHED_COUNT; i++) {
             loadBalancer.handle(new ConnectionAdopted(connectRequest("a" + i), "s" + i % SERVER_COUNT), nowMicros);
         }
-        // with a delay reported, utilization by default loads closes no server
+        // once a message delay is reported, utilization from default loads closes no server
         loadBalancer.handle(new DelayReported("a0", 0, "s0", 1_000), nowMicros);
     }
 
@@ -94,7 +94,7 @@
                 false);
     }
 
-    /** The cost of one connection. */
+    /** Requests, establishes and ends one connection. */
     @Benchmark
     public Object oneConnection() {
         nowMicros += 100;
--- a/src/main/java/sandstack/config/SettingsReader.java
+++ b/src/main/java/sandstack/config/SettingsReader.java
@@ -43,8 +43,8 @@
 
     private void readInstance(BalancerSettingsBuilder builder, List<Tenant> tenants)
             throws InvalidConfigurationException {
-        builder.instanceIndex(values.requiredInt("me"))
-                .instanceCount(values.requiredInt("siblings"))
+        builder.relayIndex(values.requiredInt("me"))
+                .relayCount(values.requiredInt("siblings"))
                 .homeZone(values.requiredInt("locality"))
                 .zoneCount(values.requiredSize("zones"))
                 .tenants(tenants);
--- a/src/main/java/sandstack/core/EffectiveSettings.java
+++ b/src/main/java/sandstack/core/EffectiveSettings.java
@@ -71,7 +71,7 @@
                     "setting classes has more than " + MAX_CLASSES + " names over all reloads");
         }
         BalancerSettings mergedSettings = BalancerSettingsBuilder.from(next.settings)
-                .forInstanceOf(settings)
+                .forRelayOf(settings)
                 .classes(requestClasses)
                 .build();
         return new EffectiveSettings(mergedSettings, mergedNames, next.offeredClasses, next.delaysReported);
--- a/src/main/java/sandstack/decisions/AttemptOutcome.java
+++ b/src/main/java/sandstack/decisions/AttemptOutcome.java
@@ -2,21 +2,21 @@
 
 /** How an attempt, an established connection or a health check ended. */
 public enum AttemptOutcome {
-    /** Served to its end; for a health check: answered. */
+    /** The connection was served to its end; for a health check: the server answered. */
     OK(false),
     /** The server answered with an error. */
     ERROR(false),
-    /** Rejected before it was processed: the server is full or draining. */
+    /** The server rejected it before processing: it is full or draining. */
     REJECTED(true),
-    /** No answer in time. */
+    /** The server did not answer in time. */
     TIMEOUT(false),
-    /** No connection could be made. */
+    /** No connection to the server could be made. */
     CONNECT_FAILED(true),
-    /** The connection broke. */
+    /** The connection was reset. */
     RESET(false),
-    /** Cancelled, or the client disconnected. */
+    /** It was cancelled, or the client disconnected. */
     CANCELLED(false),
-    /** Never sent: the request had ended or had no attempts left. */
+    /** It was never sent, because the request had ended or had no attempts left. */
     NOT_SENT(true);
 
     /** Whether this outcome proves that the server did not execute the attempt. */
@@ -26,7 +26,10 @@
         this.notExecuted = notExecuted;
     }
 
-    /** Whether the attempt failed at its server. */
+    /**
+     * Whether the server failed the attempt, as opposed to a normal end, a cancellation or an attempt that was never
+     * sent.
+     */
     public boolean failed() {
         return this != OK && this != CANCELLED && this != NOT_SENT;
     }
--- a/src/main/java/sandstack/decisions/AttemptTimeoutPolicy.java
+++ b/src/main/java/sandstack/decisions/AttemptTimeoutPolicy.java
@@ -1,15 +1,15 @@
 package sandstack.decisions;
 
 /**
- * The timeout of one attempt: a fraction of the time left until the request's deadline, so that a retry at another
- * server remains possible, but never so short that a usual set-up would fail. Stateless; one thread; O(1).
+ * Determines the timeout of one attempt: a fraction of the time left until the deadline of the request, so that a retry
+ * at another server remains possible, but never so short that a usual set-up would fail. Stateless; O(1).
  */
 final class AttemptTimeoutPolicy {
     /** Fraction of the remaining time that one attempt may use while a retry is possible. */
     private static final double ATTEMPT_TIME_FRACTION = 0.4;
-    /** An attempt gets at least this multiple of the average set-up time: shorter ones would only repeat the work. */
+    /** Least timeout as a multiple of the average set-up time; shorter attempts would only repeat the work. */
     private static final int MIN_SETUP_TIMES = 3;
-    /** And at least this multiple of the connect timeout, which it may use up before the set-up begins. */
+    /** Least timeout as a multiple of the connect timeout, since connecting may use up one before the set-up begins. */
     private static final int MIN_CONNECT_TIMEOUTS = 2;
 
     private final BalancerContext context;
@@ -25,8 +25,8 @@
     /**
      * The timeout of the attempt that starts now.
      *
-     * @param request counts this attempt already
-     * @param remainingMicros time until the request's deadline
+     * @param request the request; its attempt count already includes this attempt
+     * @param remainingMicros time left until the deadline of the request
      */
     long timeoutMicros(TrackedRequest request, long remainingMicros) {
         long minTimeoutMicros = Math.max(
@@ -38,6 +38,6 @@
 
     private boolean isRetryPossible(TrackedRequest request) {
         return request.remainingAttempts(context.settings()) > 0
-                && endpoints.homeServers.length + endpoints.awayServers.length > 1;
+                && endpoints.homeZoneServers.length + endpoints.otherZoneServers.length > 1;
     }
 }
--- a/src/main/java/sandstack/decisions/BalancerAction.java
+++ b/src/main/java/sandstack/decisions/BalancerAction.java
@@ -3,43 +3,43 @@
 import sandstack.capacity.RejectionReason;
 
 /**
- * A decision of the {@link LoadBalancer}. Its host carries the actions of an event out at once and in order; times are
- * microseconds.
+ * A decision of the {@link LoadBalancer}. The host carries out the actions of an event immediately and in order. Times
+ * are in microseconds.
  */
 public sealed interface BalancerAction {
     /** Calls the handler's method for this kind of action. */
     <E extends Exception> void dispatch(Handler<E> handler) throws E;
 
     /**
-     * Carries actions out: one method for each kind.
+     * Visitor of actions, with one method for each kind.
      *
-     * @param <E> exception that carrying out may throw; {@link RuntimeException} where there is no checked one
+     * @param <E> exception that the methods may throw; {@link RuntimeException} if there is no checked one
      */
     interface Handler<E extends Exception> {
-        /** Starts an attempt at a server. */
+        /** Starts an attempt, whose end the host reports as {@link BalancerEvent.AttemptEnded}. */
         void startAttempt(StartAttempt action) throws E;
 
-        /** Rejects a request. */
+        /** Sends the client its final answer: rejected. */
         void reject(Reject action) throws E;
 
-        /** Fails a request. */
+        /** Sends the client its final answer: failed. */
         void fail(Fail action) throws E;
 
-        /** Migrates an established connection. */
+        /** Closes an established connection so that its client reconnects. */
         void migrate(Migrate action) throws E;
 
-        /** Sets a timer. */
+        /** Starts a timer. */
         void setTimer(SetTimer action) throws E;
 
-        /** Watches the endpoint list. */
+        /** Requests the endpoint list and its changes. */
         void watchEndpointList(WatchEndpointList action) throws E;
     }
 
     /**
-     * Attempt to establish the request's connection at this server.
+     * Start an attempt to establish the connection of a request at a server.
      *
-     * @param timeoutMicros time after which the attempt ends as {@link AttemptOutcome#TIMEOUT}; 0 for the request's
-     *     deadline
+     * @param timeoutMicros time after which the attempt ends as {@link AttemptOutcome#TIMEOUT}; 0 for the deadline of
+     *     the request
      */
     record StartAttempt(String requestId, String serverId, long timeoutMicros) implements BalancerAction {
         @Override
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Final answer: rejected. A retry by the client is harmless.
+     * Final answer: rejected. The client may safely retry.
      *
-     * @param retryAfterMicros how long the client should wait before it retries; 0 for no advice
+     * @param retryAfterMicros Retry-After, the time that the client should wait before it retries; 0 for none
      */
     record Reject(String requestId, long retryAfterMicros, RejectionReason reason) implements BalancerAction {
         @Override
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Final answer: failed. The request may have taken effect. */
+    /** Final answer: failed. The request may have been executed. */
     record Fail(String requestId) implements BalancerAction {
         @Override
         public <E extends Exception> void dispatch(Handler<E> handler) throws E {
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Close this established connection gracefully; its client reconnects, as a new request. */
+    /** Close this established connection gracefully; its client reconnects with a new request. */
     record Migrate(String requestId) implements BalancerAction {
         @Override
         public <E extends Exception> void dispatch(Handler<E> handler) throws E {
@@ -79,7 +79,7 @@
     /**
      * Send {@link BalancerEvent.TimerExpired} with this token after the delay.
      *
-     * @param delayMicros from the time of the event; above 0
+     * @param delayMicros counted from the time of the event; above 0
      */
     record SetTimer(long delayMicros, long token) implements BalancerAction {
         @Override
@@ -88,7 +88,9 @@
         }
     }
 
-    /** Request the endpoint list and its changes from now on; a {@link BalancerEvent.EndpointListUpdate} answers. */
+    /**
+     * Request the endpoint list and its changes from now on; each arrives as {@link BalancerEvent.EndpointListUpdate}.
+     */
     record WatchEndpointList() implements BalancerAction {
         @Override
         public <E extends Exception> void dispatch(Handler<E> handler) throws E {
--- a/src/main/java/sandstack/decisions/BalancerContext.java
+++ b/src/main/java/sandstack/decisions/BalancerContext.java
@@ -12,12 +12,12 @@
 import sandstack.random.SeededRandom;
 
 /**
- * What the parts of one {@link LoadBalancer} share. It owns the settings and the intervals that follow from them, the
- * time of the current event, the random generator, the actions of the current event and the timers of requests. The
- * capacity model is shared by the estimates of all servers. One thread; all calls O(1).
+ * State that the parts of one {@link LoadBalancer} share: the settings and the intervals derived from them, the time
+ * and the actions of the current event, the random generator, the timers of requests, and the capacity model for the
+ * estimates of all servers. Confined to the thread of the load balancer. All calls are O(1).
  */
 final class BalancerContext {
-    /** So many slots fit into the shortest set-up latency objective. */
+    /** Number of slots in the shortest set-up latency objective. */
     private static final int SLOTS_PER_LATENCY_OBJECTIVE = 16;
 
     final CapacityModel capacity;
@@ -44,13 +44,12 @@
         this.random = new SeededRandom(seed);
         this.nowMicros = nowMicros;
         applySettings(settings);
-        capacity =
-                new CapacityModel(statedCapacities, slotMicros, settings.instanceCount(), settings.ratingsAreSizes());
+        capacity = new CapacityModel(statedCapacities, slotMicros, settings.relayCount(), settings.ratingsAreSizes());
     }
 
     /**
-     * Puts new settings into force. Estimates and back-off intervals are kept, and so are the slot, the number of
-     * instances and the meaning of ratings that the capacity model was created with.
+     * Applies new settings. Estimates and backoff intervals are kept. The capacity model keeps the slot length, the
+     * number of relays and the meaning of ratings that it was created with.
      */
     void applySettings(BalancerSettings newSettings) {
         settings = newSettings;
@@ -60,7 +59,7 @@
         slowStartRule = new SlowStartBudget.Rule(
                 settings.overloadMultiple(),
                 settings.overloadWindowMicros(),
-                settings.instanceCount(),
+                settings.relayCount(),
                 settings.zoneCount());
     }
 
@@ -68,20 +67,20 @@
         return settings;
     }
 
-    /** Time unit of all back-off intervals, which span 2^n slots. */
+    /** Unit of backoff intervals, which span 2^n slots. */
     long slotMicros() {
         return slotMicros;
     }
 
     /**
      * Interval of the {@linkplain LoadBalancer periodic updates} and unit of ejection times: half of the shortest
-     * deadline, so that at least one falls into the time that a client waits.
+     * deadline, so that at least one update runs while a client waits.
      */
     long updateIntervalMicros() {
         return updateIntervalMicros;
     }
 
-    /** The shortest latency objective for messages of any class; very large where no class has one. */
+    /** The shortest message latency objective of all classes; {@link Double#MAX_VALUE} if no class has one. */
     double shortestMessageLatencyObjectiveMicros() {
         return shortestMessageLatencyObjectiveMicros;
     }
@@ -90,7 +89,7 @@
         return slowStartRule;
     }
 
-    /** Processes that share the role of this instance, and with it its part of every slow-start budget. */
+    /** Number of processes of this relay, which split its share of every slow-start budget. */
     int processCount() {
         return processCount;
     }
@@ -99,7 +98,7 @@
         processCount = Math.max(1, count);
     }
 
-    /** Starts the next event: time never goes back, and there are no actions yet. */
+    /** Starts an event: clears the actions and advances the time, which never goes back. */
     void beginEvent(long eventMicros) {
         nowMicros = Math.max(nowMicros, eventMicros);
         actions = new ArrayList<>(2);
@@ -119,17 +118,17 @@
         return actions;
     }
 
-    /** The next random number, uniform over [0, 1). */
+    /** Draws a number uniformly from [0, 1). */
     double uniform() {
         return random.uniform();
     }
 
-    /** The next 64 random bits. */
+    /** Draws 64 random bits. */
     long nextRandom() {
         return random.next();
     }
 
-    /** Sets the only timer of a request, in place of an earlier one. */
+    /** Sets the timer of a request. A request has only one timer, so this replaces an earlier one. */
     void scheduleTimer(TrackedRequest request, long dueMicros) {
         timers.remove(request.timerToken);
         request.timerToken = ++lastToken;
@@ -137,7 +136,7 @@
         actions.add(new SetTimer(Math.max(1, dueMicros - nowMicros), request.timerToken));
     }
 
-    /** The request of an expired timer; null where the timer was replaced or cancelled. */
+    /** The request of an expired timer; null if the timer was replaced or cancelled. */
     TrackedRequest takeExpired(long token) {
         return timers.remove(token);
     }
--- a/src/main/java/sandstack/decisions/BalancerEvent.java
+++ b/src/main/java/sandstack/decisions/BalancerEvent.java
@@ -3,62 +3,63 @@
 import java.util.List;
 
 /**
- * An input of the {@link LoadBalancer}: what its host has observed on the network, from clients or in its
- * configuration. Identifiers are those of the host; times and durations are microseconds.
+ * An input of the {@link LoadBalancer}: an observation of its host, the program that embeds it, on the network, at
+ * clients or in the configuration. The host assigns all identifiers. Times and durations are in microseconds.
  */
 public sealed interface BalancerEvent {
     /** Calls the handler's method for this kind of event. */
     void dispatch(Handler handler);
 
-    /** Takes events: one method for each kind. */
+    /** Visitor of events, with one method for each kind. */
     interface Handler {
-        /** Takes an update of the endpoint list. */
+        /** The endpoint list or a change of it has arrived, or could not be obtained. */
         void endpointListUpdate(EndpointListUpdate event);
 
-        /** Takes a client's request for a connection. */
+        /** A client requests a connection. */
         void connectRequested(ConnectRequested event);
 
-        /** Takes over an established connection. */
+        /** A connection that was established elsewhere now passes through this relay. */
         void connectionAdopted(ConnectionAdopted event);
 
-        /** Takes the success of an attempt. */
+        /** An attempt has established its connection. */
         void connectionEstablished(ConnectionEstablished event);
 
-        /** Takes the load of an established connection. */
+        /** An established connection has reported its load. */
         void loadReported(LoadReported event);
 
-        /** Takes the message delay of a server. */
+        /** The message delay of a server has been reported. */
         void delayReported(DelayReported event);
 
-        /** Takes the end of an attempt or of an established connection. */
+        /** An attempt or an established connection has ended. */
         void attemptEnded(AttemptEnded event);
 
-        /** Takes the departure of a client. */
+        /** A client has disconnected. */
         void clientDisconnected(ClientDisconnected event);
 
-        /** Takes the expiry of a timer. */
+        /** A timer of the load balancer has expired. */
         void timerExpired(TimerExpired event);
 
-        /** Takes the result of a health check. */
+        /** Another component has completed a health check. */
         void healthCheckEnded(HealthCheckEnded event);
 
-        /** Takes the new list of tenants. */
+        /** The list of tenants has changed. */
         void tenantsChanged(TenantsChanged event);
 
-        /** Takes new settings. */
+        /** The settings have changed. */
         void settingsChanged(SettingsChanged event);
 
-        /** Takes the new number of processes of this instance. */
+        /** The number of processes of this relay has changed. */
         void processCountChanged(ProcessCountChanged event);
 
-        /** Takes a message of another instance. */
+        /** Another relay has sent a message. */
         void peerMessage(PeerMessage event);
     }
 
     /**
-     * An update of the endpoint list.
+     * The endpoint list or a change of it.
      *
-     * @param entries the endpoints; empty with {@link EndpointListKind#FAILED}, where the previous list stays in force
+     * @param entries the servers; empty with {@link EndpointListKind#FAILED}, after which the previous list stays in
+     *     force
      */
     record EndpointListUpdate(EndpointListKind kind, List<EndpointEntry> entries) implements BalancerEvent {
         @Override
@@ -68,17 +69,19 @@
     }
 
     /**
-     * A client requests a connection; the instance owes exactly one final answer by the deadline.
+     * A client requests a connection. By the deadline the connection is established, or the load balancer gives exactly
+     * one final answer: {@link BalancerAction.Reject} or {@link BalancerAction.Fail}.
      *
      * @param requestId identifies the request until its final answer or the end of its connection
-     * @param classIndex position of its class in {@link BalancerSettings#classes}
-     * @param tenantIndex position of its tenant in {@link BalancerSettings#tenants}
-     * @param clientKey identifies the client over all of its requests; null where unknown
-     * @param group connections of one group share work on a server; null where it has no group
-     * @param deadlineMicros point in time when the client stops waiting
-     * @param expectedLoad expected load in microseconds of work a second on a standard core; 0 where unknown
-     * @param midFlow packets of an established connection now arrive here, and its server continues it; not used
-     * @param reconnecting the client returns after a lost or migrated connection
+     * @param classIndex index of its class in {@link BalancerSettings#classes}
+     * @param tenantIndex index of its tenant in {@link BalancerSettings#tenants}
+     * @param clientKey identifies the client across its requests; null if unknown
+     * @param group group whose connections share work on a server; null if it has none
+     * @param deadlineMicros time at which the client stops waiting
+     * @param expectedLoad expected load in microseconds of work per second on a standard core; 0 if unknown
+     * @param midFlow whether packets of an established connection now arrive here while its server continues it; not
+     *     used
+     * @param reconnecting whether the client returns after a lost or migrated connection
      */
     record ConnectRequested(
             String requestId,
@@ -97,7 +100,10 @@
         }
     }
 
-    /** An established connection now passes through this instance; attempt 0 counts as made. */
+    /**
+     * An established connection, taken over from another relay or process, now passes through this relay. It counts as
+     * established by attempt 0.
+     */
     record ConnectionAdopted(ConnectRequested request, String serverId) implements BalancerEvent {
         @Override
         public void dispatch(Handler handler) {
@@ -106,7 +112,7 @@
     }
 
     /**
-     * The connection is established; it has no deadline any more.
+     * An attempt has established its connection; the deadline of the request no longer applies.
      *
      * @param attempt number of the attempt within its request, from 0
      * @param setupMicros duration of the attempt
@@ -120,9 +126,9 @@
     }
 
     /**
-     * The load of an established connection has changed.
+     * An established connection has reported its load.
      *
-     * @param load microseconds of work a second on a standard core
+     * @param load microseconds of work per second on a standard core
      */
     record LoadReported(String requestId, int attempt, String serverId, double load) implements BalancerEvent {
         @Override
@@ -132,9 +138,9 @@
     }
 
     /**
-     * The current delay of messages at a server.
+     * An established connection has reported the current message delay of its server.
      *
-     * @param delayMicros from the arrival of a message at the server to its processing
+     * @param delayMicros time from the arrival of a message at the server to its processing
      */
     record DelayReported(String requestId, int attempt, String serverId, double delayMicros) implements BalancerEvent {
         @Override
@@ -144,13 +150,14 @@
     }
 
     /**
-     * An attempt or an established connection ended; exactly one such event follows each attempt.
+     * An attempt, or the connection that it established, has ended. The host sends exactly one such event for each
+     * attempt.
      *
      * @param attempt number of the attempt within its request, from 0
-     * @param requestFinished the client has its final answer already; otherwise the load balancer still owes it
+     * @param requestFinished whether the client already has its final answer; if not, the load balancer has to give it
      * @param elapsedMicros time since the start of the attempt
-     * @param loadReport load report, in the order of the columns of the site's configuration; null where none came; not
-     *     used
+     * @param loadReport load report, with the columns in the order of the site's configuration; null if there is none;
+     *     not used
      */
     record AttemptEnded(
             String requestId,
@@ -167,7 +174,7 @@
         }
     }
 
-    /** The client disconnected; no answer is owed any more. */
+    /** The client has disconnected and needs no answer. */
     record ClientDisconnected(String requestId) implements BalancerEvent {
         @Override
         public void dispatch(Handler handler) {
@@ -175,7 +182,7 @@
         }
     }
 
-    /** A timer set by {@link SetTimer} expired. */
+    /** A timer set by {@link BalancerAction.SetTimer} has expired. */
     record TimerExpired(long token) implements BalancerEvent {
         @Override
         public void dispatch(Handler handler) {
@@ -184,10 +191,10 @@
     }
 
     /**
-     * The result of a health check that another component sent; the load balancer sends none.
+     * Another component has completed a health check; the load balancer sends none. Not used.
      *
      * @param elapsedMicros duration of the health check
-     * @param loadReport as in {@link AttemptEnded}; null where none came
+     * @param loadReport as in {@link AttemptEnded}; null if there is none
      */
     record HealthCheckEnded(String serverId, AttemptOutcome outcome, long elapsedMicros, double[] loadReport)
             implements BalancerEvent {
@@ -197,7 +204,7 @@
         }
     }
 
-    /** The list of tenants has changed; known tenants keep their positions, new ones are appended. */
+    /** The list of tenants has changed. Known tenants keep their indexes, and new ones are appended. */
     record TenantsChanged(List<Tenant> tenants) implements BalancerEvent {
         @Override
         public void dispatch(Handler handler) {
@@ -206,8 +213,9 @@
     }
 
     /**
-     * New settings of the same instance. Known classes keep their positions, new ones are appended. Pending requests
-     * keep their class and the lower of the two attempt limits.
+     * The settings of this relay have changed. Known classes keep their indexes, and new ones are appended. Pending
+     * requests keep their class, and the lower of the old and the new {@link BalancerSettings#maxAttempts} applies to
+     * them.
      */
     record SettingsChanged(BalancerSettings settings) implements BalancerEvent {
         @Override
@@ -217,7 +225,7 @@
     }
 
     /**
-     * The number of processes that share this instance's role has changed.
+     * The number of processes of this relay has changed.
      *
      * @param count usually 1; 2 while one process hands over to another
      */
@@ -228,7 +236,11 @@
         }
     }
 
-    /** A message of another instance, by its index. */
+    /**
+     * Another relay has sent a message. Not used.
+     *
+     * @param from index of that relay
+     */
     record PeerMessage(int from, String text) implements BalancerEvent {
         @Override
         public void dispatch(Handler handler) {
--- a/src/main/java/sandstack/decisions/BalancerSettings.java
+++ b/src/main/java/sandstack/decisions/BalancerSettings.java
@@ -4,44 +4,45 @@
 import sandstack.staleness.EndpointListStaleness;
 
 /**
- * The settings of one balancer instance. The constructor rejects values out of range with an
- * {@link IllegalArgumentException} that names the setting. Components marked "not used" are accepted from the platform
- * and decide nothing so far.
+ * The settings of the load balancer of one relay. Components marked "not used" are part of the settings that the
+ * platform supplies, but no decision depends on them.
  *
- * @param instanceIndex number of this instance, from 0; not used
- * @param instanceCount number of instances, this one included
- * @param homeZone zone of this instance
+ * @param relayIndex index of this relay, from 0; not used
+ * @param relayCount number of relays, including this one
+ * @param homeZone index of the zone of this relay
  * @param zoneCount number of zones
  * @param classes the request classes; at least one
  * @param tenants the tenants; may be empty
  * @param overQuotaWeight priority weight of a tenant's traffic beyond its quota, as a fraction of the usual weight;
- *     only whether it is below 1 counts
- * @param weightPerUnitOfWork priority weights count per unit of work, not per request
- * @param passThrough not used: packets pass through the balancer: when the set of instances changes, established
- *     connections arrive mid-flow at another instance; otherwise connections are terminated at the balancer
- * @param sharedGroups connections of one group share work on a server
- * @param endpointListPolled the endpoint list has to be polled; otherwise changes are pushed
+ *     decisions only depend on whether it is below 1
+ * @param weightPerUnitOfWork whether priority weights count per unit of work instead of per request
+ * @param passThrough whether packets pass through the relay, so that established connections arrive mid-flow at another
+ *     relay when the set of relays changes; otherwise connections are terminated at the relay; not used
+ * @param sharedGroups whether connections of one group share work on a server
+ * @param endpointListPolled whether the endpoint list has to be polled; otherwise changes are pushed
  * @param pollIntervalMicros with {@code endpointListPolled}: longest time without a poll or a watch
  * @param maxAttempts attempts allowed for one request; at least 1
  * @param connectTimeoutMicros time after which an attempt to connect to a server counts as failed
- * @param retryAfterHonored clients honour Retry-After; not used, as it is sent in any case
+ * @param retryAfterHonored whether clients honour Retry-After; not used, since it is sent in any case
  * @param maxRetryAfterMicros the longest Retry-After that clients honour
- * @param healthChecksAllowed servers may be health-checked; not used
+ * @param healthChecksAllowed whether servers may be health-checked; not used
  * @param healthCheckCost cost of one health check per request; not used
- * @param gossipAllowed messages to other instances are allowed; not used
+ * @param gossipAllowed whether messages to other relays are allowed; not used
  * @param gossipCost cost of 256 bytes delivered per request; not used
- * @param crossZoneCost cost of a request that crosses zones, once; not used
- * @param migrationCost cost of migrating a client, once; not used
- * @param drainGraceMicros how long a server may still get attempts after it was listed as draining or gone
- * @param slowStartInitialFraction fraction of its capacity that a server has when it starts, from 0 to 1
- * @param slowStartDurationMicros time after which it has all of its capacity
- * @param overloadMultiple multiple of its present capacity at which a server in slow start becomes overloaded...
- * @param overloadWindowMicros ...if its load stays there for this long
- * @param ratingsAreSizes a server's rating is about its size; otherwise ratings are 1 or change with the load
+ * @param crossZoneCost one-time cost of a request that crosses zones; not used
+ * @param migrationCost one-time cost of migrating a client; not used
+ * @param drainGraceMicros time during which a server may still get attempts after it was listed as draining or gone
+ * @param slowStartInitialFraction fraction of its full capacity that a server has when it starts, from 0 to 1
+ * @param slowStartDurationMicros time from its start after which a server has its full capacity
+ * @param overloadMultiple load, as a multiple of its present capacity, that overloads a server in slow start if it
+ *     lasts for {@code overloadWindowMicros}
+ * @param overloadWindowMicros time for which a load of {@code overloadMultiple} has to last to overload a server
+ * @param ratingsAreSizes whether the rating of a server is approximately its size; otherwise ratings are 1 or change
+ *     with the load
  */
 public record BalancerSettings(
-        int instanceIndex,
-        int instanceCount,
+        int relayIndex,
+        int relayCount,
         int homeZone,
         int zoneCount,
         List<RequestClass> classes,
@@ -69,7 +70,11 @@
         long overloadWindowMicros,
         boolean ratingsAreSizes) {
 
-    /** Checks the values; an {@link IllegalArgumentException} names the one that is out of range. */
+    /**
+     * Checks the ranges of the values.
+     *
+     * @throws IllegalArgumentException if a value is out of range; the message names the setting
+     */
     public BalancerSettings {
         classes = List.copyOf(classes);
         tenants = List.copyOf(tenants);
@@ -81,8 +86,8 @@
             require(requestClass.deduplicationWindowMicros() >= 0, "classes.window", "is negative");
             require(requestClass.messageLatencyObjectiveMicros() >= 0, "classes.messageAim", "is negative");
         }
-        require(instanceCount >= 1, "instances", "must be at least 1");
-        require(instanceIndex >= 0, "self", "is negative");
+        require(relayCount >= 1, "instances", "must be at least 1");
+        require(relayIndex >= 0, "self", "is negative");
         require(zoneCount >= 1, "zones", "must be at least 1");
         require(homeZone >= 0 && homeZone < zoneCount, "homeZone", "is out of range");
         require(maxAttempts >= 1, "maxAttempts", "must be at least 1");
@@ -100,12 +105,12 @@
         require(overloadWindowMicros >= 0, "tipAfter", "is negative");
     }
 
-    /** When the endpoint list is stale, and when to poll it again. */
+    /** The rules for a stale endpoint list and the backoff of its polls that follow from these settings. */
     public EndpointListStaleness endpointListStaleness() {
         return new EndpointListStaleness(!endpointListPolled, pollIntervalMicros);
     }
 
-    /** Whether there is a class at this position. */
+    /** Whether {@link #classes} has this index. */
     public boolean hasClass(int classIndex) {
         return classIndex >= 0 && classIndex < classes.size();
     }
@@ -128,7 +133,7 @@
         return classes.stream().mapToLong(RequestClass::deadlineMicros).max().orElseThrow();
     }
 
-    /** The shortest message latency objective of the classes that have one; very large where none does. */
+    /** The shortest message latency objective of the classes that have one; {@link Double#MAX_VALUE} if none has. */
     public double shortestMessageLatencyObjectiveMicros() {
         return classes.stream()
                 .mapToDouble(RequestClass::messageLatencyObjectiveMicros)
@@ -137,7 +142,7 @@
                 .orElse(Double.MAX_VALUE);
     }
 
-    /** The fraction of its capacity that a server has reached; 1 after its slow start, or for a start time of 0. */
+    /** The fraction of its full capacity that a server has; 1 after its slow start, or if its start time is 0. */
     public double slowStartFraction(long startedAtMicros, long nowMicros) {
         if (startedAtMicros == 0 || slowStartDurationMicros == 0) {
             return 1;
--- a/src/main/java/sandstack/decisions/CandidateFilter.java
+++ b/src/main/java/sandstack/decisions/CandidateFilter.java
@@ -5,8 +5,9 @@
 import sandstack.capacity.InstallationLimits;
 
 /**
- * Which servers may take a request at all, and a summary of those seen for one request: it tells why none may, and
- * whether the free capacity is reserved for classes of higher priority. One thread; O(1).
+ * Decides which servers may take a request and summarizes the servers examined for it. The summary gives the reason why
+ * no server may take the request, and whether the free capacity is reserved for classes of higher priority. Confined to
+ * the thread of the load balancer. All calls are O(1).
  */
 final class CandidateFilter {
     /** Weight of a server that may not take the request. */
@@ -33,15 +34,15 @@
     }
 
     /**
-     * The weight factor that a server's headroom leaves it, up to 1, or {@link #EXCLUDED}. There is no fallback to
-     * servers whose messages are slow: a connection added there serves nobody, and where all are slow, rejecting is
-     * what lets them recover.
+     * The weight factor of the headroom of a server, at most 1, or {@link #EXCLUDED}. There is no fallback to servers
+     * whose messages are slow: a connection added there is not served, and if all servers are slow, rejecting requests
+     * is what lets them recover.
      */
     double weight(TrackedRequest request, ServerState server) {
         return isPermitted(request, server) && hasCapacity(server) ? headroom.weightFactor(server) : EXCLUDED;
     }
 
-    /** By the endpoint list, the request's earlier attempts and outlier detection. */
+    /** Checks the endpoint list, the earlier attempts of the request and outlier detection. */
     private boolean isPermitted(TrackedRequest request, ServerState server) {
         return server.isReady()
                 && !request.hadErrorAt(server)
@@ -49,7 +50,10 @@
                 && server.outlierDetector.isSelectable();
     }
 
-    /** By the limits of the installation and the estimate of the server's capacity. */
+    /**
+     * Checks the limits of the installation and the capacity estimate of the server, and adds the server to the
+     * summary.
+     */
     private boolean hasCapacity(ServerState server) {
         boolean limitReached = InstallationLimits.isReached(
                         context.limits.maxServerConnections(), server.estimate.connectionsAndAttempts())
@@ -57,12 +61,14 @@
         return summary.add(server.estimate, limitReached, context.nowMicros());
     }
 
-    /** Whether the capacity seen so far is open to the request's class, rather than reserved for others. */
+    /**
+     * Whether the free capacity examined so far is open to the class of the request rather than reserved for others.
+     */
     boolean admitsClassOf(TrackedRequest request) {
         return summary.admits(request.event.classIndex());
     }
 
-    /** The servers seen for the latest request. */
+    /** Summary of the servers examined for the latest request. */
     CandidateSummary summary() {
         return summary;
     }
--- a/src/main/java/sandstack/decisions/CapacityEvidence.java
+++ b/src/main/java/sandstack/decisions/CapacityEvidence.java
@@ -1,8 +1,8 @@
 package sandstack.decisions;
 
 /**
- * What the end of an attempt or of an established connection says about its server's capacity. Stateless; one thread;
- * all calls O(1).
+ * Derives evidence of the capacity of a server from the end of an attempt or of an established connection. Stateless;
+ * all calls are O(1).
  */
 final class CapacityEvidence {
     private final BalancerContext context;
@@ -14,7 +14,7 @@
     /** An attempt ended without a connection. */
     void onAttemptFailed(ServerState server, AttemptOutcome outcome) {
         server.estimate.onAttemptEnded();
-        // some full servers drop the newest connection where others reject the next one
+        // a full server may drop its newest connection instead of rejecting the next one
         boolean dropped = outcome == AttemptOutcome.RESET && server.estimate.establishedConnections() > 0;
         if (outcome == AttemptOutcome.REJECTED || dropped) {
             server.estimate.onRejected(context.nowMicros(), context.uniform());
@@ -23,13 +23,16 @@
         }
     }
 
-    /** An attempt ended whose request has ended or is at a later attempt: its outcome is not used. */
+    /** An attempt ended after its request had ended or started a later attempt; the outcome is not used. */
     void onStaleAttemptEnded(ServerState server) {
         server.estimate.onAttemptEnded();
         server.estimate.onInconclusiveAttempt();
     }
 
-    /** An established connection was reset, and is not counted any more. A draining server says nothing by that. */
+    /**
+     * An established connection was reset. Called after {@link ConnectionTracker#onClosed}. A reset by a draining
+     * server is no evidence of its capacity.
+     */
     void onConnectionReset(ServerState server) {
         if (server.isReady()) {
             server.estimate.onConnectionDropped(context.nowMicros(), context.uniform());
--- a/src/main/java/sandstack/decisions/ConnectionTracker.java
+++ b/src/main/java/sandstack/decisions/ConnectionTracker.java
@@ -1,8 +1,8 @@
 package sandstack.decisions;
 
 /**
- * Counts the established connections of each server and their loads, in the server's estimate and in the capacity
- * model. One thread; all calls O(1).
+ * Counts the established connections of each server and their loads, in the estimate of the server and in the capacity
+ * model. Confined to the thread of the load balancer. All calls are O(1).
  */
 final class ConnectionTracker {
     private final BalancerContext context;
@@ -12,9 +12,9 @@
     }
 
     /**
-     * A connection has been established at its request's server.
+     * A connection has been established at the server of its request.
      *
-     * @param load in microseconds of work a second; 0 where unknown
+     * @param load in microseconds of work per second; 0 if unknown
      */
     void onEstablished(TrackedRequest request, double load) {
         ServerState server = request.server;
@@ -27,7 +27,7 @@
         }
     }
 
-    /** The load of an established connection has changed. */
+    /** An established connection has reported its load. */
     void onLoadReported(TrackedRequest request, double load) {
         request.server.estimate.onLoadChanged(request.assumedLoad, load);
         context.capacity.onLoadReported(request.reportedLoad, load);
@@ -35,7 +35,7 @@
         request.assumedLoad = load;
     }
 
-    /** The request's connection has ended; without effect where none is established. */
+    /** The connection of a request has ended; no effect if none is established. */
     void onClosed(TrackedRequest request) {
         ServerState server = request.server;
         if (server == null || server.established.remove(request.event.requestId()) == null) {
--- a/src/main/java/sandstack/decisions/DrainMigration.java
+++ b/src/main/java/sandstack/decisions/DrainMigration.java
@@ -3,12 +3,14 @@
 import sandstack.decisions.BalancerAction.Migrate;
 
 /**
- * Migrates the connections of a server that is draining or gone from the endpoint list, which may not close them by
- * itself. Each connection draws a moment of its own, so that their clients do not reconnect all at once. One thread;
- * O(connections of the server).
+ * Migrates the connections of a server that is draining or gone from the endpoint list, since the server may not close
+ * them itself. Each connection migrates at a time drawn at random, so that their clients do not reconnect all at once.
+ * Confined to the thread of the load balancer. Calls cost up to O(connections of the server).
  */
 final class DrainMigration {
-    /** The moments spread over 2^6 slots: 4 times the shortest set-up latency objective. */
+    /**
+     * Exponent of the interval of the migrations, which is 2^6 slots: 4 times the shortest set-up latency objective.
+     */
     private static final int INTERVAL_EXPONENT = 6;
 
     private final BalancerContext context;
@@ -17,7 +19,7 @@
         this.context = context;
     }
 
-    /** A ready server starts draining: schedules the migration of its connections. */
+    /** Schedules the migration of the connections of a server that was ready and starts draining. */
     void onDraining(ServerState server) {
         long intervalMicros = context.slotMicros() << INTERVAL_EXPONENT;
         for (TrackedRequest request : server.established.values()) {
@@ -26,7 +28,7 @@
         }
     }
 
-    /** The moment of an established connection has come, and its server is still not ready. */
+    /** Migrates an established connection at its drawn time, if its server is still not ready. */
     void migrate(TrackedRequest request) {
         context.addAction(new Migrate(request.event.requestId()));
     }
--- a/src/main/java/sandstack/decisions/EndpointEntry.java
+++ b/src/main/java/sandstack/decisions/EndpointEntry.java
@@ -1,10 +1,11 @@
 package sandstack.decisions;
 
 /**
- * One entry of the endpoint list.
+ * A server in the endpoint list.
  *
- * @param cell group of servers that share deduplication keys; unique within its zone
- * @param machineKind kind of machine; servers of one kind have similar capacity per rating
+ * @param zone index of its zone
+ * @param cell index of its cell, a set of servers that share idempotency keys; unique within the zone
+ * @param machineKind kind of its machine; servers of one kind have similar capacity per unit of rating
  * @param startedAtMicros when its process was last started; 0 means long ago
  * @param rating size relative to other servers; above 0
  */
--- a/src/main/java/sandstack/decisions/EndpointListKind.java
+++ b/src/main/java/sandstack/decisions/EndpointListKind.java
@@ -1,13 +1,13 @@
 package sandstack.decisions;
 
-/** What an update of the endpoint list contains. */
+/** Kind of an endpoint list update. */
 public enum EndpointListKind {
-    /** All servers; one that is missing is gone. */
+    /** All servers; a server that is missing is gone. */
     FULL,
-    /** Only the servers that have changed. */
+    /** Only the servers that changed. */
     DELTA,
-    /** All servers as cached before a restart; may be stale. */
+    /** All servers, from a cache that was written before a restart; may be stale. */
     CACHED,
-    /** The poll or the watch has failed; there are no entries. */
+    /** A poll or a watch failed; there are no entries. */
     FAILED
 }
--- a/src/main/java/sandstack/decisions/EndpointListPoller.java
+++ b/src/main/java/sandstack/decisions/EndpointListPoller.java
@@ -4,11 +4,11 @@
 import sandstack.decisions.BalancerAction.WatchEndpointList;
 
 /**
- * When the endpoint list is requested: after a restart with a cached list, and again after failures. One thread; all
- * calls O(1).
+ * Decides when the endpoint list is requested: after a restart with a cached list, and again after each failure.
+ * Confined to the thread of the load balancer. All calls are O(1).
  */
 final class EndpointListPoller {
-    /** Token of the poll timer; those of requests are above 0. */
+    /** Token of the poll timer; tokens of request timers are above 0. */
     static final long TIMER_TOKEN = -1;
 
     private final BalancerContext context;
@@ -19,14 +19,14 @@
         this.context = context;
     }
 
-    /** A request failed: repeats it after a back-off that the settings bound. */
+    /** A poll or a watch failed: repeats it after the backoff of {@link BalancerSettings#endpointListStaleness}. */
     void onFailure() {
         scheduled = false;
         consecutiveFailures++;
         schedule();
     }
 
-    /** A list has arrived; a cached one may be old, so where lists are polled a current one is requested. */
+    /** A list has arrived. A cached list may be stale, so a current one is requested if lists are polled. */
     void onList(EndpointListKind kind) {
         if (kind != EndpointListKind.CACHED) {
             consecutiveFailures = 0;
--- a/src/main/java/sandstack/decisions/EndpointState.java
+++ b/src/main/java/sandstack/decisions/EndpointState.java
@@ -1,10 +1,10 @@
 package sandstack.decisions;
 
-/** State of a server in the endpoint list. */
+/** State of a server according to the endpoint list. */
 public enum EndpointState {
-    /** Takes new connections. */
+    /** Accepts new connections. */
     READY,
-    /** Serves its connections and takes no new ones. */
+    /** Serves its connections and accepts no new ones. */
     DRAINING,
     /** Removed from the list. */
     GONE
--- a/src/main/java/sandstack/decisions/EndpointTable.java
+++ b/src/main/java/sandstack/decisions/EndpointTable.java
@@ -10,8 +10,8 @@
 import sandstack.decisions.BalancerEvent.EndpointListUpdate;
 
 /**
- * The servers that this instance knows, as the endpoint list names them. One thread; an update costs O(its entries and
- * the known servers), the rest O(1).
+ * The servers that this relay knows from the endpoint list. Confined to the thread of the load balancer. An update
+ * costs O(its entries + known servers), other calls O(1).
  */
 final class EndpointTable {
     private static final ServerState[] NO_SERVERS = {};
@@ -21,16 +21,19 @@
     private final EndpointListPoller poller;
     private final Map<String, ServerState> servers = new LinkedHashMap<>();
 
-    /** All servers that are not gone, in the order in which they were first named. */
+    /** All servers that are not gone, in the order in which they were first listed. */
     ServerState[] listedServers = NO_SERVERS;
-    /** Those of the home zone. */
-    ServerState[] homeServers = NO_SERVERS;
-    /** Those of the other zones. */
-    ServerState[] awayServers = NO_SERVERS;
-    /** Sum of the ratings of the home zone's ready servers. */
-    double readyHomeRating;
-    /** Mean rating over the home zone's servers, of which only ready ones count; 1 where none is ready. */
-    double meanHomeRating = 1;
+    /** The listed servers of the home zone. */
+    ServerState[] homeZoneServers = NO_SERVERS;
+    /** The listed servers of all other zones. */
+    ServerState[] otherZoneServers = NO_SERVERS;
+    /** Sum of the ratings of the ready servers of the home zone. */
+    double readyHomeZoneRating;
+    /**
+     * {@link #readyHomeZoneRating} divided by the number of listed servers of the home zone; 1 if none of them is
+     * ready.
+     */
+    double meanHomeZoneRating = 1;
 
     EndpointTable(BalancerContext context, DrainMigration drainMigration, EndpointListPoller poller) {
         this.context = context;
@@ -38,12 +41,15 @@
         this.poller = poller;
     }
 
-    /** All known servers, also those that are gone while they hold connections or their drain grace runs. */
+    /**
+     * All known servers, including those that are gone but have connections or a trial in flight, or are within their
+     * drain grace.
+     */
     Collection<ServerState> all() {
         return servers.values();
     }
 
-    /** The server with this id; null where it is not known. */
+    /** The server with this id; null if unknown. */
     ServerState get(String serverId) {
         return servers.get(serverId);
     }
@@ -52,7 +58,7 @@
         return servers.computeIfAbsent(serverId, id -> new ServerState(id, context));
     }
 
-    boolean isHome(ServerState server) {
+    boolean isInHomeZone(ServerState server) {
         return server.zone == context.settings().homeZone();
     }
 
@@ -67,8 +73,8 @@
         for (EndpointEntry entry : update.entries()) {
             apply(entry);
         }
-        removeGone();
-        rebuild();
+        removeGoneServers();
+        rebuildServerLists();
         poller.onList(update.kind());
     }
 
@@ -106,7 +112,7 @@
         server.state = state;
     }
 
-    private void removeGone() {
+    private void removeGoneServers() {
         servers.values()
                 .removeIf(server -> server.state == EndpointState.GONE
                         && server.established.isEmpty()
@@ -115,21 +121,25 @@
                                 > context.settings().drainGraceMicros());
     }
 
-    private void rebuild() {
+    private void rebuildServerLists() {
         listedServers = servers.values().stream()
                 .filter(server -> server.state != EndpointState.GONE)
                 .toArray(ServerState[]::new);
-        homeServers = Arrays.stream(listedServers).filter(this::isHome).toArray(ServerState[]::new);
-        awayServers =
-                Arrays.stream(listedServers).filter(server -> !isHome(server)).toArray(ServerState[]::new);
-        readyHomeRating = 0;
-        for (ServerState server : homeServers) {
-            readyHomeRating += server.isReady() ? server.rating : 0;
+        homeZoneServers =
+                Arrays.stream(listedServers).filter(this::isInHomeZone).toArray(ServerState[]::new);
+        otherZoneServers = Arrays.stream(listedServers)
+                .filter(server -> !isInHomeZone(server))
+                .toArray(ServerState[]::new);
+        readyHomeZoneRating = 0;
+        for (ServerState server : homeZoneServers) {
+            readyHomeZoneRating += server.isReady() ? server.rating : 0;
         }
         context.capacity.onReadyRating(Arrays.stream(listedServers)
                 .filter(ServerState::isReady)
                 .mapToDouble(server -> server.rating)
                 .sum());
-        meanHomeRating = homeServers.length == 0 || readyHomeRating <= 0 ? 1 : readyHomeRating / homeServers.length;
+        meanHomeZoneRating = homeZoneServers.length == 0 || readyHomeZoneRating <= 0
+                ? 1
+                : readyHomeZoneRating / homeZoneServers.length;
     }
 }
--- a/src/main/java/sandstack/decisions/FleetOverloadDetector.java
+++ b/src/main/java/sandstack/decisions/FleetOverloadDetector.java
@@ -3,43 +3,45 @@
 import sandstack.capacity.OverloadCount;
 
 /**
- * How much of the fleet is overloaded, in the home zone and elsewhere, as far as this instance has connections to
- * observe it. {@link SpilloverPolicy}, {@link GroupPlacement} and {@link LoadShedder} act on it. One thread; an update
- * costs O(servers).
+ * Determines which fraction of the servers is overloaded, in the home zone and in the other zones, among the servers
+ * that this relay can observe by its connections. Input of {@link SpilloverPolicy}, {@link GroupPlacement} and
+ * {@link LoadShedder}. Confined to the thread of the load balancer. An update costs O(servers).
  */
 final class FleetOverloadDetector {
-    /** The home fraction is updated only where at least so many servers are observed: one alone is chance. */
-    private static final int MIN_OBSERVED_HOME = 2;
-    /** Elsewhere one server is enough: few connections go there. */
-    private static final int MIN_OBSERVED_AWAY = 1;
+    /** Fewest observed servers of the home zone that count as evidence; a single one may be overloaded by chance. */
+    private static final int MIN_OBSERVED_HOME_ZONE = 2;
+    /** Fewest observed servers of the other zones that count as evidence; few connections go there. */
+    private static final int MIN_OBSERVED_OTHER_ZONES = 1;
 
     private final EndpointTable endpoints;
     private final ServerHeadroom headroom;
-    private double overloadedHomeFraction;
-    private double overloadedAwayFraction;
+    private double overloadedHomeZoneFraction;
+    private double overloadedOtherZonesFraction;
 
     FleetOverloadDetector(EndpointTable endpoints, ServerHeadroom headroom) {
         this.endpoints = endpoints;
         this.headroom = headroom;
     }
 
-    /** Smoothed fraction of the observed servers of the home zone that are overloaded. */
-    double overloadedHomeFraction() {
-        return overloadedHomeFraction;
+    /** Moving average of the overloaded fraction of the observed servers of the home zone. */
+    double overloadedHomeZoneFraction() {
+        return overloadedHomeZoneFraction;
     }
 
-    /** Smoothed fraction of the observed servers of other zones that are overloaded. */
-    double overloadedAwayFraction() {
-        return overloadedAwayFraction;
+    /** Moving average of the overloaded fraction of the observed servers of the other zones. */
+    double overloadedOtherZonesFraction() {
+        return overloadedOtherZonesFraction;
     }
 
     /** Updates the fractions; returns whether most of the observed fleet is overloaded now. */
     boolean update() {
-        OverloadCount away = countOverloaded(endpoints.awayServers);
-        OverloadCount home = countOverloaded(endpoints.homeServers);
-        overloadedHomeFraction = home.smoothedOverloadedFraction(overloadedHomeFraction, MIN_OBSERVED_HOME);
-        overloadedAwayFraction = away.smoothedOverloadedFraction(overloadedAwayFraction, MIN_OBSERVED_AWAY);
-        return OverloadCount.isFleetOverloaded(home, away);
+        OverloadCount otherZones = countOverloaded(endpoints.otherZoneServers);
+        OverloadCount homeZone = countOverloaded(endpoints.homeZoneServers);
+        overloadedHomeZoneFraction =
+                homeZone.smoothedOverloadedFraction(overloadedHomeZoneFraction, MIN_OBSERVED_HOME_ZONE);
+        overloadedOtherZonesFraction =
+                otherZones.smoothedOverloadedFraction(overloadedOtherZonesFraction, MIN_OBSERVED_OTHER_ZONES);
+        return OverloadCount.isFleetOverloaded(homeZone, otherZones);
     }
 
     private OverloadCount countOverloaded(ServerState[] servers) {
--- a/src/main/java/sandstack/decisions/LoadBalancer.java
+++ b/src/main/java/sandstack/decisions/LoadBalancer.java
@@ -22,12 +22,13 @@
 import sandstack.decisions.TrackedRequest.State;
 
 /**
- * The load balancer of one instance: {@link BalancerEvent}s go in through {@link #handle}, the {@link BalancerAction}s
- * to carry out come back. docs/design.md lists the rules and the class that holds each. There is no I/O, clock, thread
- * or shared state: the same settings, seed and events give the same actions.
+ * The load balancer of one relay. {@link #handle} takes a {@link BalancerEvent} and returns the {@link BalancerAction}s
+ * that the host has to carry out. There is no I/O, clock, thread or shared state: the same settings, seed and events
+ * give the same actions.
  *
- * <p>This class wires the parts, dispatches events and starts the periodic update. Called on one thread. An event costs
- * O(servers); once every update interval one costs O(servers and requests).
+ * <p>This class wires the parts, dispatches events to them and runs the periodic update; docs/design.md lists the class
+ * that implements each rule. Not thread-safe: all calls are made on one thread. An event costs O(servers), and the
+ * first event after each update interval O(servers + requests).
  */
 public final class LoadBalancer {
     private final BalancerContext context;
@@ -47,11 +48,12 @@
     private long nextUpdateMicros;
 
     /**
-     * Creates a load balancer that knows no servers yet.
+     * Creates a load balancer without servers.
      *
-     * @param statedCapacities what the operator states of the servers' capacities
+     * @param statedCapacities capacities of the servers as the operator states them
      * @param limits limits of the installation on connections and set-ups
      * @param seed seed of all random draws
+     * @param nowMicros time of the creation, on the clock of the events
      */
     public LoadBalancer(
             BalancerSettings initialSettings,
@@ -75,7 +77,11 @@
         nextUpdateMicros = nowMicros;
     }
 
-    /** Takes one event at its time; returns the actions to carry out, in order. */
+    /**
+     * Processes an event and returns the actions to carry out, in order.
+     *
+     * @param nowMicros time of the event; if it is before the time of a previous event, the latter applies
+     */
     public List<BalancerAction> handle(BalancerEvent event, long nowMicros) {
         context.beginEvent(nowMicros);
         updateIfDue();
@@ -84,15 +90,15 @@
     }
 
     /**
-     * Whether the server gets no new requests now, except for the trial of an ejected one: not listed, not ready,
-     * ejected, slow, or full by what this relay has there.
+     * Whether the server gets no new requests now, other than the trial of an ejected server: it is unknown, not ready,
+     * ejected, slow, or full with the connections of this relay.
      */
     public boolean isClosedToNewRequests(String serverId) {
         ServerState server = endpoints.get(serverId);
         return server == null || !server.isReady() || headroom.isOverloaded(server);
     }
 
-    /** The periodic update, by the first event of each {@link BalancerContext#updateIntervalMicros}. */
+    /** Runs the periodic update on the first event of each {@link BalancerContext#updateIntervalMicros}. */
     private void updateIfDue() {
         if (context.nowMicros() < nextUpdateMicros) {
             return;
@@ -104,7 +110,7 @@
         shedder.update(requests.all(), fleetOverloaded);
     }
 
-    /** Hands each event to the part that it concerns. */
+    /** Passes each event to the part that handles it. */
     private final class EventHandler implements BalancerEvent.Handler {
         @Override
         public void endpointListUpdate(EndpointListUpdate event) {
@@ -182,9 +188,9 @@
         }
 
         /**
-         * The one timer of an established connection, set for the end of its server's trial or for its migration off a
-         * draining server. Which of the two applies is decided by the server's state now: on a server that is ready,
-         * the connection counts as a trial that stayed up, also where the timer was set for a migration.
+         * Handles the only timer of an established connection, which is set for the end of a trial of its server or for
+         * the migration off a draining server. The present state of the server decides which of the two applies: on a
+         * ready server the connection counts as a successful trial, even if the timer was set for a migration.
          */
         private void onConnectionTimer(TrackedRequest request) {
             if (request.server.isReady()) {
@@ -196,7 +202,7 @@
 
         @Override
         public void healthCheckEnded(HealthCheckEnded event) {
-            // attempts are the only health evidence: a health check does not prove that a server serves requests
+            // ignored: a health check does not prove that a server serves requests, so only attempts are evidence
         }
 
         @Override
@@ -218,7 +224,7 @@
 
         @Override
         public void peerMessage(PeerMessage event) {
-            // instances exchange no messages: each decides by its own evidence
+            // ignored: relays exchange no messages, and each decides by its own evidence
         }
     }
 }
--- a/src/main/java/sandstack/decisions/LoadRebalancer.java
+++ b/src/main/java/sandstack/decisions/LoadRebalancer.java
@@ -4,14 +4,14 @@
 import sandstack.decisions.BalancerAction.Migrate;
 
 /**
- * Migrates a heavy connection from the most to the least utilized server, one with each periodic update: a few heavy
- * connections make most of a server's load, and placement cannot foresee them. One thread; O(servers, and connections
- * of one server).
+ * Migrates a heavy connection from the most to the least utilized server, one per periodic update: a few heavy
+ * connections cause most of the load of a server, and placement cannot foresee them. Confined to the thread of the load
+ * balancer. An update costs O(servers + connections of one server).
  */
 final class LoadRebalancer {
-    /** Smallest gap in utilization that is narrowed: where {@link SpilloverPolicy} spills all requests over. */
+    /** Smallest gap in utilization that is narrowed, at which {@link SpilloverPolicy} spills all requests over. */
     private static final double MIN_UTILIZATION_GAP = 2 * SpilloverPolicy.UTILIZATION_GAP;
-    /** A connection must have been up for so many update intervals, so that it is not migrated again and again. */
+    /** Number of update intervals that a connection must have been up, so that it is not migrated repeatedly. */
     private static final int SETTLED_UPDATE_INTERVALS = 2;
 
     private final BalancerContext context;
@@ -24,26 +24,31 @@
         this.headroom = headroom;
     }
 
-    /** Migrates the heaviest connection that narrows a large gap between a nearly full server and the idlest one. */
+    /**
+     * Migrates the heaviest connection that narrows a large gap between the most and the least utilized server, if the
+     * former has reached {@link HeadroomWeight#LEAST_WEIGHT_UTILIZATION}.
+     */
     void update() {
-        ServerState busiest = null;
-        ServerState idlest = null;
+        ServerState mostUtilized = null;
+        ServerState leastUtilized = null;
         for (ServerState server : endpoints.all()) {
             if (!isEligible(server)) {
                 continue;
             }
             double utilization = headroom.utilization(server);
-            busiest = busiest == null || utilization > headroom.utilization(busiest) ? server : busiest;
-            idlest = idlest == null || utilization < headroom.utilization(idlest) ? server : idlest;
+            mostUtilized =
+                    mostUtilized == null || utilization > headroom.utilization(mostUtilized) ? server : mostUtilized;
+            leastUtilized =
+                    leastUtilized == null || utilization < headroom.utilization(leastUtilized) ? server : leastUtilized;
         }
-        if (busiest == null) {
+        if (mostUtilized == null) {
             return;
         }
-        double gap = headroom.utilization(busiest) - headroom.utilization(idlest);
-        if (gap < MIN_UTILIZATION_GAP || headroom.utilization(busiest) < HeadroomWeight.LEAST_WEIGHT_UTILIZATION) {
+        double gap = headroom.utilization(mostUtilized) - headroom.utilization(leastUtilized);
+        if (gap < MIN_UTILIZATION_GAP || headroom.utilization(mostUtilized) < HeadroomWeight.LEAST_WEIGHT_UTILIZATION) {
             return;
         }
-        TrackedRequest heaviest = heaviestConnection(busiest, idlest.estimate.loadForUtilization(gap / 2));
+        TrackedRequest heaviest = heaviestConnection(mostUtilized, leastUtilized.estimate.loadForUtilization(gap / 2));
         if (heaviest != null) {
             context.addAction(new Migrate(heaviest.event.requestId()));
         }
@@ -53,7 +58,10 @@
         return server.isReady() && server.outlierDetector.isSelectable() && server.slowStartFraction(context) >= 1;
     }
 
-    /** The heaviest settled connection above the cost of a group and up to this load; null where there is none. */
+    /**
+     * The heaviest settled connection whose load is above the shared load of a group and at most {@code maxLoad}; null
+     * if there is none.
+     */
     private TrackedRequest heaviestConnection(ServerState server, double maxLoad) {
         TrackedRequest heaviest = null;
         double heaviestLoad = context.capacity.groupOverheadLoad();
--- a/src/main/java/sandstack/decisions/LoadShedder.java
+++ b/src/main/java/sandstack/decisions/LoadShedder.java
@@ -7,17 +7,19 @@
 import sandstack.random.SeededRandom;
 
 /**
- * Sheds a fraction of the load while most of the fleet is overloaded, where neither placement nor migration can help.
- * Load goes in the order of least priority weight per load. Of a tenant that is over its quota at least the excess
- * goes, where the settings give such traffic a lower weight at all. One thread; an update costs O(requests), the rest
- * O(1).
+ * Sheds a fraction of the load while most of the fleet is overloaded and neither placement nor migration can help. Load
+ * is shed in the order of increasing priority weight per load. Of a tenant beyond its quota at least the excess is
+ * shed, provided that the settings give such traffic a lower weight. Confined to the thread of the load balancer. An
+ * update costs O(requests), other calls O(1).
  */
 final class LoadShedder {
-    /** Fraction of the load that each update sheds in addition while the fleet is overloaded. */
+    /** Increase of the shed fraction per update while the fleet is overloaded. */
     private static final double SHED_FRACTION_STEP = 0.2;
-    /** Fraction that each update sheds less afterwards: slower, lest the overload returns at once. */
+    /**
+     * Decrease of the shed fraction per update afterwards; slower, so that the overload does not return immediately.
+     */
     private static final double RECOVERY_FRACTION_STEP = SHED_FRACTION_STEP / 8;
-    /** The most that is shed: some load is always served. */
+    /** Limit of the shed fraction, so that some load is always served. */
     private static final double MAX_SHED_FRACTION = 0.9;
 
     private final BalancerContext context;
@@ -44,20 +46,23 @@
         return shedFraction > 0;
     }
 
-    /** Adjusts the fraction to shed; while none is shed, also the load by class that it is taken from. */
+    /**
+     * Adjusts the shed fraction. While nothing is shed, measures the load of each class, from which a later shed
+     * fraction is taken.
+     */
     void update(Collection<TrackedRequest> requests, boolean fleetOverloaded) {
-        boolean calm = shedFraction == 0 && !fleetOverloaded;
-        if (calm) {
+        boolean measureLoads = shedFraction == 0 && !fleetOverloaded;
+        if (measureLoads) {
             classLoads.clearHeld();
         }
         for (TrackedRequest request : requests) {
             if (request.state == TrackedRequest.State.ESTABLISHED) {
-                classLoads.addHeld(request.event.classIndex(), calm ? loadOf(request) : 0);
+                classLoads.addHeld(request.event.classIndex(), measureLoads ? loadOf(request) : 0);
                 tenantQuotas.addConnection(request.event.tenantIndex());
             }
         }
-        tenantQuotas.update(context.settings().instanceCount());
-        if (!calm) {
+        tenantQuotas.update(context.settings().relayCount());
+        if (!measureLoads) {
             adjustShedFraction(fleetOverloaded);
         }
     }
@@ -72,7 +77,9 @@
                 context.settings().weightPerUnitOfWork());
     }
 
-    /** The load of a connection: as reported, else the mean of its class; 0 where neither is known. */
+    /**
+     * The load of a connection: the reported load, or the mean of its class if it reported none; 0 if both are unknown.
+     */
     double loadOf(TrackedRequest request) {
         return request.reportedLoad > 0 ? request.reportedLoad : classLoads.meanLoad(request.event.classIndex());
     }
@@ -81,7 +88,10 @@
         classLoads.onLoadReported(request.event.classIndex(), load);
     }
 
-    /** Decided by a hash of the client key, so that the same clients are shed and the others served completely. */
+    /**
+     * Whether the client of this request is shed. A hash of the client key decides, so that the same clients are shed
+     * each time and all others are served completely.
+     */
     boolean shouldShed(TrackedRequest request) {
         if (shedFraction <= 0) {
             return false;
--- a/src/main/java/sandstack/decisions/OutlierDetector.java
+++ b/src/main/java/sandstack/decisions/OutlierDetector.java
@@ -1,33 +1,39 @@
 package sandstack.decisions;
 
 /**
- * Ejects one server after failures that are blamed on it, in the way of a circuit breaker. Each consecutive failure
+ * The circuit breaker of one server: ejects it after failures that are attributed to it. Each consecutive failure
  * doubles the ejection time, up to a limit. After that time the server is half-open: one attempt goes there as a trial,
- * and a connection that stays up closes the breaker. One for each server; one thread; all calls O(1).
+ * and a connection that stays up closes the breaker. Confined to the thread of the load balancer. All calls are O(1).
  */
 final class OutlierDetector {
-    /** Failures past this number do not prolong the ejection, which is then 4 update intervals. */
+    /**
+     * Limit of the failure count: further failures do not prolong the ejection, which then lasts 4 update intervals.
+     */
     private static final int MAX_CONSECUTIVE_FAILURES = 3;
 
     private final BalancerContext context;
     private int consecutiveFailures;
     private long ejectedUntilMicros;
     private boolean trialInFlight;
-    /** Group or client of the last request answered with an error; null once the server has served a request. */
+    /**
+     * Group or client of the last request that the server answered with an error; null once it has served a request.
+     */
     private String lastErrorSource;
 
     OutlierDetector(BalancerContext context) {
         this.context = context;
     }
 
-    /** An attempt starts at this server: the trial where failures have been recorded. */
+    /** An attempt starts at this server; it is the trial if failures are recorded. */
     void onAttemptStarted() {
         if (consecutiveFailures > 0) {
             trialInFlight = true;
         }
     }
 
-    /** Any attempt or connection at this server has ended, the trial or an older one; another trial may start. */
+    /**
+     * An attempt or a connection at this server has ended, whether the trial or an older one; another trial may start.
+     */
     void onAttemptEnded() {
         trialInFlight = false;
     }
@@ -37,10 +43,10 @@
     }
 
     /**
-     * Blames this server for an attempt that ended without a connection, as far as the outcome speaks against it: a
-     * rejection says only that it is full, and an error may be the request's own fault.
+     * Records an attempt that ended without a connection as a failure of this server, unless the outcome is no evidence
+     * against it: a rejection only shows that the server is full, and an error may be caused by the request itself.
      *
-     * @param request whose latest attempt was at this server
+     * @param request a request whose latest attempt was at this server
      */
     void onAttemptFailed(TrackedRequest request, AttemptOutcome outcome) {
         if (outcome == AttemptOutcome.ERROR) {
@@ -51,9 +57,9 @@
     }
 
     /**
-     * Some requests are answered with an error wherever they go, and ejecting servers for them would empty the fleet.
-     * The server is blamed once it also errs on a request of another group or client, or {@linkplain #onServed once
-     * another server serves this one}.
+     * Some requests are answered with an error by every server, and ejecting servers for them would empty the fleet. An
+     * error is recorded as a failure if the previous error was for another group or client, or {@linkplain #onServed
+     * once another server serves the request}.
      */
     private void onError(TrackedRequest request) {
         String errorSource = request.event.group() != null ? request.event.group() : request.clientKey;
@@ -64,7 +70,10 @@
         request.recordErrorAtServer();
     }
 
-    /** This server has established a request's connection: blames those that answered it with an error before. */
+    /**
+     * This server has established the connection of a request: records failures at the servers that answered it with an
+     * error before.
+     */
     void onServed(TrackedRequest request) {
         lastErrorSource = null;
         request.takeServersWithErrors().forEach(server -> server.outlierDetector.recordFailure());
@@ -76,14 +85,14 @@
         ejectedUntilMicros = context.nowMicros() + (context.updateIntervalMicros() << consecutiveFailures >> 1);
     }
 
-    /** Whether failures have been recorded that no trial has cleared. */
+    /** Whether failures are recorded that no successful trial has cleared. */
     boolean hasFailures() {
         return consecutiveFailures > 0;
     }
 
     /**
-     * When the trial that has just established a connection succeeds, if the connection is still up: an overloaded
-     * server may accept a connection and drop it soon after.
+     * When a trial that has just established a connection counts as successful if the connection is still up. An
+     * overloaded server may accept a connection and drop it soon after.
      */
     long trialEndMicros() {
         return context.nowMicros() + context.updateIntervalMicros();
@@ -98,19 +107,22 @@
         }
     }
 
-    /** Whether the server may be picked: no failures recorded, or half-open and without a trial in flight. */
+    /** Whether the server may be picked: no failures are recorded, or it is half-open without a trial in flight. */
     boolean isSelectable() {
         return consecutiveFailures == 0 || (context.nowMicros() >= ejectedUntilMicros && !trialInFlight);
     }
 
-    /** Whether the ejection time runs. A half-open server does not count as ejected, or load would be shed for it. */
+    /**
+     * Whether the ejection time is still running. A half-open server does not count as ejected; otherwise load would be
+     * shed because of it.
+     */
     boolean isEjected() {
         return consecutiveFailures > 0 && context.nowMicros() < ejectedUntilMicros;
     }
 
     /**
-     * The server's process was restarted: earlier failures say nothing about the new one. The source of the last error
-     * is kept, so that an error of another group counts from the first one on.
+     * The process of the server was restarted: failures of the previous process do not apply to the new one. The source
+     * of the last error is kept, so that the first error for another group or client counts.
      */
     void onRestart() {
         consecutiveFailures = 0;
--- a/src/main/java/sandstack/decisions/RendezvousWeight.java
+++ b/src/main/java/sandstack/decisions/RendezvousWeight.java
@@ -4,16 +4,22 @@
 import sandstack.random.SeededRandom;
 
 /**
- * Scores servers by weighted rendezvous hashing (highest random weight): each server gets log(u) / weight, where u in
- * (0, 1] is a hash of the request's seed and the server, and the highest score wins. A server is chosen in proportion
- * to its weight, and where a server is lost only its own requests move. One thread; O(1).
+ * Scores servers by weighted rendezvous hashing (highest random weight): the score of a server is log(u) / weight,
+ * where u in (0, 1] is a hash of the seed of the request and the server, and the highest score wins. Servers are chosen
+ * in proportion to their weights, and the loss of a server moves only the requests that were placed there. Confined to
+ * the thread of the load balancer. All calls are O(1).
  */
 final class RendezvousWeight {
-    /** Weight factor of a server of the home zone where a choice is over all zones. */
+    /** Weight factor of the servers of the home zone when all zones are selected. */
     private static final double HOME_ZONE_WEIGHT = 2;
-    /** A group's server at utilization 1 is as far behind as if its weight were divided by one more than this. */
+    /**
+     * For a request of a group, utilization 1 has the same effect as dividing the weight of the server by 1 plus this.
+     */
     private static final double GROUP_UTILIZATION_PENALTY = 3;
-    /** Puts a server without headroom behind all others: there the request is a trial that may be rejected. */
+    /**
+     * Subtracted from the score of a server without headroom, so that it ranks below all others: a request there is a
+     * trial that may be rejected.
+     */
     private static final double NO_HEADROOM_PENALTY = 1e12;
 
     private final BalancerContext context;
@@ -29,10 +35,10 @@
     }
 
     /**
-     * The score of a server for a request; at most 0, and the highest wins.
+     * The score of a server for a request, at most 0; the highest score wins.
      *
-     * @param headroomWeight weight factor left by the server's load, above 0
-     * @param seed hash of the request's group and place, or a random number where it has no group
+     * @param headroomWeight weight factor of the headroom of the server, above 0
+     * @param seed hash of the group and the subgroup of the request, or a random number if it has no group
      */
     double score(TrackedRequest request, ServerState server, double headroomWeight, long seed) {
         double score = weightedScore(request, server, headroomWeight, seed);
@@ -43,7 +49,7 @@
         double score = Math.log(SeededRandom.unit(SeededRandom.mix(seed ^ server.hash)));
         score /= server.rating
                 * SlowStartBudget.selectionWeight(server.slowStartFraction(context))
-                * (endpoints.isHome(server) ? HOME_ZONE_WEIGHT : 1);
+                * (endpoints.isInHomeZone(server) ? HOME_ZONE_WEIGHT : 1);
         double relativeLoad = relativeLoad(server);
         if (request.event.group() == null) {
             return score / headroomWeight * (1 + relativeLoad);
@@ -53,13 +59,13 @@
     }
 
     /**
-     * This instance's load on a server of mean rating, in mean connections. Counted by load where that is known, so
-     * that two heavy connections go to different servers.
+     * The load of this relay on a server, in mean connections and relative to a server of mean rating. Counts loads if
+     * they are known, so that two heavy connections go to different servers.
      */
     private double relativeLoad(ServerState server) {
         double connections = context.capacity.loadsKnown()
                 ? server.estimate.establishedLoad() / context.capacity.meanLoad()
                 : server.established.size();
-        return connections * (endpoints.meanHomeRating / server.rating);
+        return connections * (endpoints.meanHomeZoneRating / server.rating);
     }
 }
--- a/src/main/java/sandstack/decisions/RequestCompletion.java
+++ b/src/main/java/sandstack/decisions/RequestCompletion.java
@@ -5,8 +5,9 @@
 import sandstack.decisions.BalancerAction.Reject;
 
 /**
- * The final answer of a request that gets no connection: rejected where a retry by the client is known to be harmless,
- * else failed, which claims nothing. One thread; all calls O(1).
+ * Gives the final answer to a request that gets no connection: rejected if a retry by the client is known to be
+ * harmless, otherwise failed, which leaves open whether the request was executed. Confined to the thread of the load
+ * balancer. All calls are O(1).
  */
 final class RequestCompletion {
     private final BalancerContext context;
@@ -22,7 +23,10 @@
         this.retryPolicy = retryPolicy;
     }
 
-    /** Rejects with the rest of the client's back-off interval as Retry-After. */
+    /**
+     * Rejects a request with the rest of the client's backoff interval as Retry-After, or fails it if a retry by the
+     * client might execute it a second time.
+     */
     void reject(TrackedRequest request, RejectionReason reason) {
         if (!DuplicateExecutionGuard.allowsRejection(request)) {
             fail(request);
@@ -32,7 +36,10 @@
         requests.remove(request);
     }
 
-    /** Rejects without a retry of our own: counts as a failed placement, and the client waits out the next interval. */
+    /**
+     * Rejects a request that is not retried here. Counts as a failed placement, so that the Retry-After includes the
+     * client's next backoff interval.
+     */
     void rejectWithBackoff(TrackedRequest request, RejectionReason reason) {
         retryBackoff.recordFailure(request.clientKey);
         reject(request, reason);
--- a/src/main/java/sandstack/decisions/RequestLifecycle.java
+++ b/src/main/java/sandstack/decisions/RequestLifecycle.java
@@ -11,10 +11,10 @@
 import sandstack.decisions.TrackedRequest.State;
 
 /**
- * Takes each request through its states: admitted or rejected on arrival, waiting, attempted at a server, established,
- * ended. The rules themselves are in other classes: {@link LoadShedder}, {@link ServerPicker}, {@link RetryPolicy},
- * {@link AttemptTimeoutPolicy}, {@link CapacityEvidence} and {@link RequestCompletion}. One thread; a placement costs
- * what the picker does, the rest O(1).
+ * Moves each request through its states: admitted or rejected on arrival, waiting, attempted at a server, established,
+ * ended. The rules are in other classes: {@link LoadShedder}, {@link ServerPicker}, {@link RetryPolicy},
+ * {@link AttemptTimeoutPolicy}, {@link CapacityEvidence} and {@link RequestCompletion}. Confined to the thread of the
+ * load balancer. A placement costs as much as {@link ServerPicker#pick}, everything else O(1).
  */
 final class RequestLifecycle {
     private final BalancerContext context;
@@ -63,15 +63,15 @@
             completion.reject(request, reachedLimit);
             return;
         }
-        OptionalLong delayEndMicros = retryPolicy.drawArrivalDelayEndMicros(request);
-        if (delayEndMicros.isPresent()) {
-            waitUntil(request, delayEndMicros.getAsLong());
+        OptionalLong firstAttemptMicros = retryPolicy.drawFirstAttemptMicros(request);
+        if (firstAttemptMicros.isPresent()) {
+            waitUntil(request, firstAttemptMicros.getAsLong());
             return;
         }
         place(request);
     }
 
-    /** Tracks a connection that another instance or process has established. */
+    /** Tracks a connection that another relay or process has established. */
     void onAdopted(ConnectionAdopted event, ServerState server) {
         TrackedRequest request = new TrackedRequest(event.request(), context.settings());
         request.onAdopted(server);
@@ -79,16 +79,16 @@
         markEstablished(request);
     }
 
-    /** Picks a server and starts an attempt there; where there is none, rejects or retries later. */
+    /** Picks a server and starts an attempt there. If there is none, rejects the request or schedules a retry. */
     void place(TrackedRequest request) {
         request.state = State.WAITING;
         ServerState server = picker.pick(request);
-        // read in any case: the summary is of this pick
+        // the summary covers the servers examined by the pick above
         RejectionReason noCandidateReason = picker.candidateSummary().rejectionReason(request.event.classIndex());
         if (server != null) {
             startAttempt(request, server);
         } else if (noCandidateReason != null) {
-            // a retry would meet the same servers: the client gets its Retry-After at once
+            // a retry would find the same servers, so the client gets its Retry-After immediately
             completion.rejectWithBackoff(request, noCandidateReason);
         } else {
             retryOrReject(request);
@@ -98,7 +98,7 @@
     private void startAttempt(TrackedRequest request, ServerState server) {
         long remainingMicros = request.event.deadlineMicros() - context.nowMicros();
         if (!retryPolicy.mayRetry(request)) {
-            // the deduplication window may have closed while the retry waited
+            // the deduplication window may have ended while the request waited for its retry
             completion.fail(request);
             return;
         }
@@ -174,7 +174,7 @@
             request.server.outlierDetector.recordFailure();
             connections.onClosed(request);
             capacityEvidence.onConnectionReset(request.server);
-            // counts as a failed placement, or clients of a full fleet would reconnect without a pause
+            // counts as a failed placement; otherwise clients of a full fleet would reconnect without a backoff
             retryBackoff.recordFailure(request.clientKey);
         }
         if (event.requestFinished()) {
@@ -188,7 +188,7 @@
         AttemptOutcome outcome = event.outcome();
         capacityEvidence.onAttemptFailed(request.server, outcome);
         if (event.requestFinished()) {
-            // nothing is retried, so the server is blamed whether or not a shared dependency is slow
+            // there is no retry, so the failure counts against the server even if a shared dependency is slow
             request.server.outlierDetector.onAttemptFailed(request, outcome);
             requests.remove(request);
             return;
@@ -205,7 +205,7 @@
     }
 
     private void retryOrAnswer(TrackedRequest request, AttemptOutcome outcome) {
-        // the summary is of the latest pick of any request: scarcity is a state of the fleet, not of one request
+        // the latest pick may have been for another request, but scarcity is a state of the fleet
         if (outcome == AttemptOutcome.REJECTED && picker.candidateSummary().isScarce()) {
             completion.rejectWithBackoff(request, RejectionReason.FULL);
         } else if (!retryPolicy.mayRetry(request)) {
--- a/src/main/java/sandstack/decisions/RequestTable.java
+++ b/src/main/java/sandstack/decisions/RequestTable.java
@@ -8,8 +8,9 @@
 import sandstack.capacity.RejectionReason;
 
 /**
- * The requests of this instance from their arrival to their final answer or the end of their connection, in the order
- * of arrival, and the connection limits of the installation that count them. One thread; all calls O(1).
+ * The requests of this relay in the order of their arrival, each until its final answer or the end of its connection.
+ * Counts them against the connection limits of the installation. Confined to the thread of the load balancer. All calls
+ * are O(1).
  */
 final class RequestTable {
     private final BalancerContext context;
@@ -23,7 +24,7 @@
         connectionLimiter = new ConnectionLimiter(limits);
     }
 
-    /** The request with this id; null where there is none. */
+    /** The request with this id; null if there is none. */
     TrackedRequest get(String requestId) {
         return requests.get(requestId);
     }
@@ -32,7 +33,7 @@
         return requests.values();
     }
 
-    /** The limit that one more request of this group would exceed; null where there is none. */
+    /** The limit that one more request of this group would exceed; null if there is none. */
     RejectionReason reachedLimit(String group) {
         return connectionLimiter.reachedLimit(group);
     }
@@ -42,7 +43,7 @@
         connectionLimiter.onArrived(request.event.group());
     }
 
-    /** Releases all that the request holds; without effect for one that was removed already. */
+    /** Removes a request and releases what it holds. A request that was removed before has nothing left to release. */
     void remove(TrackedRequest request) {
         connections.onClosed(request);
         if (requests.remove(request.event.requestId()) != null) {
--- a/src/main/java/sandstack/decisions/RetryBackoff.java
+++ b/src/main/java/sandstack/decisions/RetryBackoff.java
@@ -4,18 +4,18 @@
 import sandstack.random.BoundedMap;
 
 /**
- * The retry number n and the back-off interval of each client key: binary exponential back-off with intervals that do
- * not overlap ("Exponential back-off, revisited"). Keeps the {@value #MAX_KEYS} keys that failed last; others start at
- * n = 0, of which the first failure makes 1. One thread; all calls O(1).
+ * The retry number n and the backoff interval of each client key: binary exponential backoff with intervals that do not
+ * overlap ("Exponential back-off, revisited"). Holds the {@value #MAX_KEYS} keys that failed last; any other key is at
+ * n = 0, and its first failure sets n to 1. Confined to the thread of the load balancer. All calls are O(1).
  */
 final class RetryBackoff {
-    /** Interval n spans 2^n slots; n stops growing where one interval outlasts usual deadlines. */
+    /** Interval n spans 2^n slots. The limit of n, at which one interval is longer than usual deadlines. */
     static final int MAX_EXPONENT = 8;
 
-    /** Bounds the memory for client keys. */
+    /** Limit of the client keys held, which bounds the memory. */
     private static final int MAX_KEYS = 4096;
 
-    /** Retry state of one client key. */
+    /** Retry number, as the exponent n of the interval, and current backoff interval of one client key. */
     static final class RetryState {
         private int exponent;
         private long intervalEndMicros;
@@ -28,7 +28,7 @@
         this.context = context;
     }
 
-    /** A failed placement: n rises, and the next interval starts where the current one ends. */
+    /** Records a failed placement: increments n and starts the next interval at the end of the current one. */
     RetryState recordFailure(String clientKey) {
         RetryState state = stateByClientKey.remove(clientKey);
         if (state == null) {
@@ -41,19 +41,22 @@
         return state;
     }
 
-    /** Draws a moment, uniformly over the current interval. */
+    /** Draws a time uniformly from the current interval. */
     long drawRetryMicros(RetryState state) {
         long intervalMicros = context.slotMicros() << state.exponent;
         return state.intervalEndMicros - intervalMicros + (long) (context.uniform() * intervalMicros);
     }
 
-    /** Time until the end of the current interval; 0 where there is none. */
+    /** Time until the end of the current interval; 0 if there is none. */
     long remainingMicros(String clientKey) {
         RetryState state = stateByClientKey.get(clientKey);
         return state == null ? 0 : Math.max(0, state.intervalEndMicros - context.nowMicros());
     }
 
-    /** A connection has ended: clears the retry number if it lasted an update interval and outlasted the back-off. */
+    /**
+     * Clears the retry number when a connection has ended that lasted longer than an update interval and beyond the end
+     * of the backoff interval.
+     */
     void clearAfterLongConnection(TrackedRequest request) {
         RetryState state = stateByClientKey.get(request.clientKey);
         if (state != null
--- a/src/main/java/sandstack/decisions/RetryPolicy.java
+++ b/src/main/java/sandstack/decisions/RetryPolicy.java
@@ -5,9 +5,9 @@
 import sandstack.capacity.RejectionReason;
 
 /**
- * Whether and when a request is attempted again, and the Retry-After of a rejected client. The back-off intervals
- * themselves are kept by {@link RetryBackoff}, what a repeated attempt may do by {@link DuplicateExecutionGuard}.
- * Stateless beside these; one thread; all calls O(1).
+ * Decides whether and when a request is attempted again, and the Retry-After of a rejected client. {@link RetryBackoff}
+ * holds the backoff intervals, and {@link DuplicateExecutionGuard} restricts repeated attempts. Stateless itself;
+ * confined to the thread of the load balancer. All calls are O(1).
  */
 final class RetryPolicy {
     private final BalancerContext context;
@@ -18,18 +18,18 @@
         this.backoff = backoff;
     }
 
-    /** Whether the client still waits and one more attempt cannot take effect twice. */
+    /** Whether the deadline has not passed and one more attempt cannot take effect twice. */
     boolean mayRetry(TrackedRequest request) {
         return context.nowMicros() < request.event.deadlineMicros()
                 && DuplicateExecutionGuard.allowsAttempt(request, context.nowMicros());
     }
 
-    /** Counts a failed placement and draws the time of the retry, uniformly over the next back-off interval. */
+    /** Records a failed placement and draws the time of the retry, uniformly from the next backoff interval. */
     long drawRetryMicros(TrackedRequest request) {
         return backoff.drawRetryMicros(backoff.recordFailure(request.clientKey));
     }
 
-    /** Why a retry at this time is not possible; empty where it is. */
+    /** Why the request cannot be retried at this time; empty if it can. */
     Optional<RejectionReason> giveUpReason(TrackedRequest request, long retryMicros) {
         if (request.remainingAttempts(context.settings()) <= 0) {
             return Optional.of(RejectionReason.ATTEMPTS);
@@ -40,10 +40,11 @@
     }
 
     /**
-     * Where a client returns before its back-off interval has ended: the time of its first attempt, drawn uniformly
-     * over the rest of the interval. Empty where it can be attempted at once, or would have no time left.
+     * Draws the time of the first attempt for a client that returns before its backoff interval has ended, uniformly
+     * from the rest of the interval. Empty if no interval is running, or if an attempt at that time would be too late
+     * for the deadline: the request is then placed immediately.
      */
-    OptionalLong drawArrivalDelayEndMicros(TrackedRequest request) {
+    OptionalLong drawFirstAttemptMicros(TrackedRequest request) {
         long remainingMicros = backoff.remainingMicros(request.clientKey);
         if (remainingMicros <= 0) {
             return OptionalLong.empty();
@@ -53,15 +54,15 @@
     }
 
     /**
-     * The Retry-After of a rejected client: the rest of its back-off interval. It is reported even where the settings
-     * do not promise that clients honour it: those that do relieve the servers.
+     * The Retry-After of a rejected client: the rest of its backoff interval, limited by the settings. It is sent even
+     * if the settings do not promise that clients honour it, since each client that does relieves the servers.
      */
     long retryAfterMicros(TrackedRequest request) {
         return Math.min(
                 backoff.remainingMicros(request.clientKey), context.settings().maxRetryAfterMicros());
     }
 
-    /** The last moment at which an attempt can still succeed before the deadline. */
+    /** The latest start of an attempt that can still succeed before the deadline. */
     private long latestAttemptStartMicros(TrackedRequest request) {
         return request.event.deadlineMicros()
                 - Math.max(context.settings().connectTimeoutMicros(), context.slotMicros());
--- a/src/main/java/sandstack/decisions/ServerHeadroom.java
+++ b/src/main/java/sandstack/decisions/ServerHeadroom.java
@@ -3,12 +3,13 @@
 import sandstack.capacity.HeadroomWeight;
 
 /**
- * How much headroom servers have as seen from this instance: by the delay of their messages where it is reported, else
- * by the utilization that this instance's connections cause, and by the evidence of their capacity estimates. One
- * thread; all calls O(1) unless noted.
+ * The headroom of servers as seen by this relay. A recent report of the message delay determines it if the delay is
+ * long enough to be informative; otherwise the utilization that the connections of this relay cause does. The occupancy
+ * of the capacity estimate reduces it further. Confined to the thread of the load balancer. All calls are O(1) unless
+ * noted.
  */
 final class ServerHeadroom {
-    /** A report of the message delay is used for so many update intervals. */
+    /** Number of update intervals for which a reported message delay is used. */
     private static final int DELAY_VALIDITY_UPDATE_INTERVALS = 2;
 
     private final BalancerContext context;
@@ -18,7 +19,10 @@
         this.context = context;
     }
 
-    /** The part of a server's weight that its load leaves it, in [0, 1]; 0 while its messages are slow. */
+    /**
+     * Factor, in [0, 1], by which the load of a server reduces its selection weight; 0 while its messages are slow or
+     * it is full.
+     */
     double weightFactor(ServerState server) {
         return weightByDelayOrUtilization(server) * HeadroomWeight.byOccupancy(server.estimate.occupancy());
     }
@@ -32,8 +36,9 @@
     }
 
     /**
-     * The fraction of a server's capacity that this instance's connections use, by reported or mean loads; other
-     * instances may add to it. 0 where delays are reported, which say more.
+     * The fraction of its capacity that the connections of this relay use at a server, by their reported loads or the
+     * mean load; other relays may use more of it. Always 0 once a connection has reported a message delay, which is
+     * better evidence.
      */
     double utilization(ServerState server) {
         return delaysReported
@@ -43,7 +48,7 @@
                         server.slowStartFraction(context));
     }
 
-    /** Whether a server is closed by nothing but the utilization that this instance causes. */
+    /** Whether a server that is not ejected is closed by the utilization that this relay causes. */
     boolean isLocallyFull(ServerState server) {
         return utilization(server) >= HeadroomWeight.CLOSED_UTILIZATION
                 && context.capacity.loadsKnown()
@@ -55,7 +60,7 @@
         return server.outlierDetector.isEjected() || weightByDelayOrUtilization(server) <= 0;
     }
 
-    /** The lowest utilization of the servers that may be picked; 1 where there are none. Costs O(servers). */
+    /** The lowest utilization of the servers that may be picked; 1 if there are none. Costs O(servers). */
     double lowestUtilization(ServerState[] candidates) {
         double lowest = 1;
         for (ServerState server : candidates) {
@@ -72,7 +77,7 @@
         server.delayReportedAtMicros = context.nowMicros();
     }
 
-    /** Whether the last report of the message delay is recent enough to be used. */
+    /** Whether the last reported message delay is recent enough to be used. */
     boolean isDelayReportFresh(ServerState server) {
         return context.nowMicros() - server.delayReportedAtMicros
                 <= context.updateIntervalMicros() * DELAY_VALIDITY_UPDATE_INTERVALS;
--- a/src/main/java/sandstack/decisions/ServerPicker.java
+++ b/src/main/java/sandstack/decisions/ServerPicker.java
@@ -4,9 +4,10 @@
 import sandstack.capacity.CandidateSummary;
 
 /**
- * Picks the server for a request: {@link SpilloverPolicy} or {@link GroupPlacement} choose the zones,
- * {@link CandidateFilter} excludes servers, {@link RendezvousWeight} ranks the others and {@link SlowStartAdmission}
- * has the last word on one that would win. One thread; a pick costs O(servers of the zones that it looks at).
+ * Picks the server for a request. {@link SpilloverPolicy} or {@link GroupPlacement} selects the zones,
+ * {@link CandidateFilter} excludes servers, {@link RendezvousWeight} scores the others, and {@link SlowStartAdmission}
+ * may still exclude a server with the best score. Confined to the thread of the load balancer. A pick costs O(servers
+ * of the selected zones).
  */
 final class ServerPicker {
     private final BalancerContext context;
@@ -35,20 +36,20 @@
         filter.setClasses(classes);
     }
 
-    /** The server for this request; null where none can take it, see {@link #candidateSummary}. */
+    /** Picks the server for a request; null if none can take it, for which {@link #candidateSummary} has the reason. */
     ServerState pick(TrackedRequest request) {
         boolean grouped = request.event.group() != null;
-        long seed = grouped ? groups.placeHash(request) : context.nextRandom();
+        long seed = grouped ? groups.subgroupHash(request) : context.nextRandom();
         filter.reset();
         ServerState best = null;
         if (grouped && groups.shouldConsolidate()) {
             best = pickAmong(request, endpoints.listedServers, seed);
-        } else if (spillover.staysHome()) {
-            best = pickAmong(request, endpoints.homeServers, seed);
+        } else if (spillover.staysInHomeZone()) {
+            best = pickAmong(request, endpoints.homeZoneServers, seed);
         }
         if (best == null || !filter.admitsClassOf(request)) {
-            ServerState awayServer = pickAmong(request, endpoints.awayServers, seed);
-            best = awayServer != null ? awayServer : best;
+            ServerState otherZoneServer = pickAmong(request, endpoints.otherZoneServers, seed);
+            best = otherZoneServer != null ? otherZoneServer : best;
         }
         return filter.admitsClassOf(request) ? best : null;
     }
@@ -62,7 +63,7 @@
                 continue;
             }
             double score = rendezvous.score(request, server, headroomWeight, seed);
-            // last, since each check may use up some of the slow-start budget
+            // checked last, since each check may consume slow-start budget
             if (score > bestScore && slowStart.admits(request, server)) {
                 bestScore = score;
                 best = server;
@@ -71,7 +72,7 @@
         return best;
     }
 
-    /** The servers that the latest pick has seen. */
+    /** Summary of the servers that the latest pick examined. */
     CandidateSummary candidateSummary() {
         return filter.summary();
     }
--- a/src/main/java/sandstack/decisions/ServerState.java
+++ b/src/main/java/sandstack/decisions/ServerState.java
@@ -8,18 +8,18 @@
 import sandstack.random.SeededRandom;
 
 /**
- * What this instance knows of one server. The fields belong to the parts of the load balancer that are named with them;
- * others only read them. One thread; all calls O(1).
+ * What this relay knows about one server. A field belongs to the class named as its owner; other classes only read it.
+ * Confined to the thread of the load balancer. All calls are O(1).
  */
 final class ServerState {
-    /** Time of an event that never happened, far enough back for any difference. */
+    /** Time of an event that has not happened; differences to it are large and do not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     final String id;
     /** Hash of the id, for {@link RendezvousWeight}. */
     final long hash;
 
-    // as the endpoint list says; owner: EndpointTable
+    // from the endpoint list; owner: EndpointTable
     int zone;
     int cell;
     /** Size relative to other servers; above 0. */
@@ -34,19 +34,19 @@
     final SetupRateLimiter setupLimiter;
     final SlowStartBudget slowStartBudget = new SlowStartBudget();
 
-    /** Delay of messages as last reported. Owner: {@link ServerHeadroom}. */
+    /** Last reported message delay. Owner: {@link ServerHeadroom}. */
     double messageDelayMicros;
-    /** Time of that report. Owner: {@link ServerHeadroom}. */
+    /** Time of the last report of the message delay. Owner: {@link ServerHeadroom}. */
     long delayReportedAtMicros = NEVER_MICROS;
 
-    /** When the message delay last exceeded its objective. Owner: {@link SlowServerMigration}. */
+    /** When a report last missed the message latency objective. Owner: {@link SlowServerMigration}. */
     long lastSlowAtMicros = NEVER_MICROS;
     /** Owner: {@link SlowServerMigration}. */
     final SlowServerMigration.Interval migrationInterval = new SlowServerMigration.Interval();
 
-    /** Established connections by request id, in order. Owner: {@link ConnectionTracker}. */
+    /** Established connections by request id, in the order of their establishment. Owner: {@link ConnectionTracker}. */
     final Map<String, TrackedRequest> established = new LinkedHashMap<>();
-    /** Number of them by group. Owner: {@link ConnectionTracker}. */
+    /** Number of established connections by group, without groups that have none. Owner: {@link ConnectionTracker}. */
     final Map<String, Integer> connectionsByGroup = new LinkedHashMap<>();
 
     ServerState(String id, BalancerContext context) {
@@ -61,12 +61,15 @@
         return state == EndpointState.READY;
     }
 
-    /** Fraction of its capacity that the server has reached in its slow start; 1 afterwards. */
+    /** Fraction of its full capacity that the server has; 1 after its slow start. */
     double slowStartFraction(BalancerContext context) {
         return context.settings().slowStartFraction(startedAtMicros, context.nowMicros());
     }
 
-    /** Notes when the server's process was started; a new process starts slowly and without a history. */
+    /**
+     * Sets the start time of the server's process. A new process goes through a slow start; the ejection, the message
+     * delay and the capacity limits of the previous process do not apply to it.
+     */
     void onStartTime(long newStartedAtMicros, BalancerContext context) {
         if (newStartedAtMicros == startedAtMicros) {
             return;
--- a/src/main/java/sandstack/decisions/SetupTimeTracker.java
+++ b/src/main/java/sandstack/decisions/SetupTimeTracker.java
@@ -1,13 +1,15 @@
 package sandstack.decisions;
 
 /**
- * How long successful set-ups take over all servers, and how many attempts in a row timed out. Owned by one
- * {@link LoadBalancer}; one thread; all calls O(1).
+ * The average time of successful set-ups over all servers, and the number of consecutive timeouts. Confined to the
+ * thread of the load balancer. All calls are O(1).
  */
 final class SetupTimeTracker {
-    /** A new sample counts for 1/4 in the moving average. */
+    /** The weight of a new sample in the moving average is 1 divided by this. */
     private static final int SMOOTHING_DIVISOR = 4;
-    /** Consecutive timeouts that are blamed on their servers; further ones point to something that servers share. */
+    /**
+     * Consecutive timeouts that count against their servers. More of them point to a dependency that the servers share.
+     */
     private static final int MAX_BLAMED_CONSECUTIVE_TIMEOUTS = 2;
 
     private int consecutiveTimeouts;
@@ -20,9 +22,9 @@
     }
 
     /**
-     * An attempt timed out after this time: set-ups take at least as long.
+     * An attempt timed out after this time, so set-ups take at least as long.
      *
-     * @param deadlineMicros deadline of the request's class; the average grows no further
+     * @param deadlineMicros deadline of the class of the request; limits the average
      */
     void onTimeout(long elapsedMicros, long deadlineMicros) {
         smoothedSetupMicros = Math.max(smoothedSetupMicros, Math.min(elapsedMicros, deadlineMicros));
@@ -30,8 +32,8 @@
     }
 
     /**
-     * Whether so many attempts timed out in a row that a shared dependency is slow rather than the servers. Ejecting
-     * servers for it would empty the fleet.
+     * Whether there were so many consecutive timeouts that a shared dependency is slow rather than the servers.
+     * Ejecting servers for these timeouts would empty the fleet.
      */
     boolean isSharedDependencySlow() {
         return consecutiveTimeouts > MAX_BLAMED_CONSECUTIVE_TIMEOUTS;
--- a/src/main/java/sandstack/decisions/SlowServerMigration.java
+++ b/src/main/java/sandstack/decisions/SlowServerMigration.java
@@ -5,16 +5,17 @@
 import sandstack.decisions.BalancerAction.Migrate;
 
 /**
- * Migrates connections away from a server that is overloaded or whose messages are slow. As with retries, each
- * connection draws a moment over an interval of 2^n slots and migrates if the server is still slow then; the next,
- * longer interval starts where this one ends. One thread; O(connections of the server).
+ * Migrates connections off a server that is overloaded or whose messages are slow. As for retries, each connection
+ * draws a time within an interval of 2^n slots and migrates if the server is still slow then; the next, longer interval
+ * starts where this one ends. Confined to the thread of the load balancer. Calls cost up to O(connections of the
+ * server).
  */
 final class SlowServerMigration {
-    /** The first interval is as long as the longest back-off interval of retries. */
+    /** The first interval is as long as the longest backoff interval of retries. */
     private static final int MIN_INTERVAL_EXPONENT = RetryBackoff.MAX_EXPONENT;
-    /** Intervals stop growing after so many. */
+    /** Number of intervals after which their length no longer grows. */
     private static final int MAX_INTERVALS = 4;
-    /** Draw of a connection that has none in the current interval, or has used it. */
+    /** Draw of a connection that has none in the current interval or has already used it. */
     static final double NO_DRAW = -1;
 
     /** Current migration interval of one server. */
@@ -42,7 +43,7 @@
         this.shedder = shedder;
     }
 
-    /** Takes a report of the message delay and migrates connections while it misses the objective. */
+    /** Records a reported message delay, and migrates connections while the delay misses the objective. */
     void onDelayReported(ServerState server, double delayMicros) {
         boolean recovering = isRecovering(server, delayMicros);
         headroom.onDelayReported(server, delayMicros);
@@ -57,15 +58,15 @@
     }
 
     /**
-     * Whether the delay falls so fast that, extrapolated by twice the change since the previous report, it meets the
-     * objective. The server is working off its backlog then, and further migrations would empty it.
+     * Whether the delay falls so fast that it meets the objective when extrapolated by twice the change since the
+     * previous report. The server is then working off its backlog, and further migrations would empty it.
      */
     private boolean isRecovering(ServerState server, double delayMicros) {
         return 3 * delayMicros - 2 * server.messageDelayMicros < context.shortestMessageLatencyObjectiveMicros()
                 && headroom.isDelayReportFresh(server);
     }
 
-    /** Migrates connections from servers that are overloaded by the load of this instance's connections alone. */
+    /** Migrates connections off servers that are overloaded by the load of the connections of this relay alone. */
     void update() {
         for (ServerState server : endpoints.all()) {
             if (isOverloaded(server) && context.capacity.loadsKnown() && server.isReady()) {
@@ -86,7 +87,7 @@
         for (TrackedRequest request : List.copyOf(server.established.values())) {
             boolean slowForRequest =
                     overloaded || server.messageDelayMicros >= request.requestClass.messageLatencyObjectiveMicros();
-            // while load is shed, migrated connections are rejected: only those that are shed have to go
+            // while load is shed, a client that migrates is rejected, so only clients that are to be shed migrate
             boolean migrate = shedder.isShedding()
                     ? shedder.shouldShed(request)
                     : slowForRequest && isDue(request, server.migrationInterval);
--- a/src/main/java/sandstack/decisions/SlowStartAdmission.java
+++ b/src/main/java/sandstack/decisions/SlowStartAdmission.java
@@ -3,12 +3,12 @@
 import sandstack.capacity.SlowStartBudget;
 
 /**
- * Whether a server in slow start, or one whose messages were slow a moment ago, may be sent a request. Both take new
- * connections at a limited rate, of which this instance has its part; {@link SlowStartBudget} counts it. One thread;
- * O(1).
+ * Decides whether a server in slow start, or one whose messages were slow recently, may be sent a request. Both take
+ * new connections at a limited rate, of which this relay has a share that {@link SlowStartBudget} keeps account of.
+ * Confined to the thread of the load balancer. All calls are O(1).
  */
 final class SlowStartAdmission {
-    /** A server recovers over an interval of 2^n slots: twice the longest back-off interval. */
+    /** Exponent of the recovery time, which is 2^n slots: twice the longest backoff interval. */
     private static final int RECOVERY_EXPONENT = RetryBackoff.MAX_EXPONENT + 1;
 
     private final BalancerContext context;
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Whether the request fits into the server's budget. Draws at random, and what is drawn is used up even where
-     * another server is picked in the end.
+     * Whether the request fits into the budget of the server. The check draws random numbers, and the budget that it
+     * consumes stays consumed even if another server is picked.
      */
     boolean admits(TrackedRequest request, ServerState server) {
         double slowStartFraction = server.slowStartFraction(context);
@@ -34,8 +34,8 @@
     }
 
     /**
-     * The server may fill up over its slow start. New clients arrive at a steady rate and are admitted at the rate the
-     * server can take; returning clients come in bursts and need a permit.
+     * Admits requests at a rate that fills the server over its slow start. New clients arrive at a steady rate and are
+     * admitted at the rate that the server can take; returning clients come in bursts and need a permit.
      */
     private boolean admitsDuringSlowStart(TrackedRequest request, ServerState server, double slowStartFraction) {
         double requestsPerMicro = server.estimate.capacityInConnections()
@@ -46,18 +46,18 @@
                 context.slowStartRule(),
                 context.processCount(),
                 requestsPerMicro,
-                endpoints.isHome(server),
+                endpoints.isInHomeZone(server),
                 newClient,
                 context.nowMicros(),
                 context::uniform);
     }
 
-    /** The server may fill up over its recovery; every request needs a permit. */
+    /** Admits requests at a rate that fills the server over its recovery; each request needs a permit. */
     private boolean admitsDuringRecovery(ServerState server, long recoveryMicros) {
         double requestsPerMicro = server.estimate.capacityInConnections() / recoveryMicros;
         double relayShare = SlowStartBudget.relayShare(
-                        endpoints.isHome(server),
-                        context.settings().instanceCount(),
+                        endpoints.isInHomeZone(server),
+                        context.settings().relayCount(),
                         context.settings().zoneCount())
                 / context.processCount();
         return server.slowStartBudget.hasPermit(
--- a/src/main/java/sandstack/decisions/SpilloverPolicy.java
+++ b/src/main/java/sandstack/decisions/SpilloverPolicy.java
@@ -1,18 +1,24 @@
 package sandstack.decisions;
 
 /**
- * Whether a request stays in the home zone or spills over to another. The home zone is preferred; requests spill over
- * with the largest probability that one of three rules gives: lost capacity, overloaded servers, and utilization above
- * that elsewhere. One thread; O(servers).
+ * Decides whether a request stays in the home zone, which is preferred, or spills over to another zone. Three rules
+ * each give a probability of spilling over, and the highest applies: lost capacity, overloaded servers, and a higher
+ * utilization than in the other zones. Confined to the thread of the load balancer. A decision costs O(servers).
  */
 final class SpilloverPolicy {
-    /** The home zone keeps all requests while at least this fraction of its ready rating is usable. */
+    /**
+     * No request spills over because of lost capacity while at least this fraction of the ready rating of the home zone
+     * is usable.
+     */
     private static final double USABLE_RATING_THRESHOLD = 0.5;
-    /** Nor does it spill over while no more than this fraction of its observed servers is overloaded. */
+    /**
+     * No request spills over because of overloaded servers while at most this fraction of the observed servers of the
+     * home zone is overloaded.
+     */
     private static final double TOLERATED_OVERLOADED_FRACTION = 0.1;
     /**
-     * Nor while its least utilized server exceeds the least utilized one elsewhere by no more than this, as a fraction
-     * of a server; at twice this gap all requests spill over.
+     * No request spills over because of utilization while the lowest utilization of a server in the home zone exceeds
+     * the lowest one in the other zones by at most this; at twice this gap all requests spill over.
      */
     static final double UTILIZATION_GAP = 0.15;
 
@@ -32,36 +38,42 @@
         this.overloadDetector = overloadDetector;
     }
 
-    /** Draws whether the next request stays in the home zone; it always does where there is no other zone. */
-    boolean staysHome() {
+    /** Draws whether the next request stays in the home zone; always true if the other zones have no servers. */
+    boolean staysInHomeZone() {
         double homeProbability = Math.min(Math.min(byUsableRating(), byOverloadedFraction()), byUtilizationGap());
-        return homeProbability >= 1 || endpoints.awayServers.length == 0 || context.uniform() < homeProbability;
+        return homeProbability >= 1 || endpoints.otherZoneServers.length == 0 || context.uniform() < homeProbability;
     }
 
-    /** Usable are servers that are neither ejected nor draining, as far as they are through their slow start. */
+    /**
+     * Probability of staying by usable rating: that of the servers that are neither ejected nor draining, in proportion
+     * to the progress of their slow start.
+     */
     private double byUsableRating() {
         double usableRating = 0;
-        for (ServerState server : endpoints.homeServers) {
+        for (ServerState server : endpoints.homeZoneServers) {
             usableRating += server.isReady() && server.outlierDetector.isSelectable()
                     ? server.rating * server.slowStartFraction(context)
                     : 0;
         }
-        return endpoints.readyHomeRating <= 0
+        return endpoints.readyHomeZoneRating <= 0
                 ? 0
-                : usableRating / (endpoints.readyHomeRating * USABLE_RATING_THRESHOLD);
+                : usableRating / (endpoints.readyHomeZoneRating * USABLE_RATING_THRESHOLD);
     }
 
-    /** Spills over like the overloaded fraction, as far as servers elsewhere are not overloaded themselves. */
+    /**
+     * Probability of staying by overload: requests spill over in proportion to the overloaded fraction of the home zone
+     * beyond the tolerated one, and to the fraction of the other zones that is not overloaded.
+     */
     private double byOverloadedFraction() {
         return 1
-                - Math.max(0, overloadDetector.overloadedHomeFraction() - TOLERATED_OVERLOADED_FRACTION)
-                        * (1 - overloadDetector.overloadedAwayFraction());
+                - Math.max(0, overloadDetector.overloadedHomeZoneFraction() - TOLERATED_OVERLOADED_FRACTION)
+                        * (1 - overloadDetector.overloadedOtherZonesFraction());
     }
 
     private double byUtilizationGap() {
         return 1
-                - (headroom.lowestUtilization(endpoints.homeServers)
-                                - headroom.lowestUtilization(endpoints.awayServers)
+                - (headroom.lowestUtilization(endpoints.homeZoneServers)
+                                - headroom.lowestUtilization(endpoints.otherZoneServers)
                                 - UTILIZATION_GAP)
                         / UTILIZATION_GAP;
     }
--- a/src/main/java/sandstack/decisions/TrackedRequest.java
+++ b/src/main/java/sandstack/decisions/TrackedRequest.java
@@ -5,24 +5,24 @@
 import sandstack.decisions.BalancerEvent.ConnectRequested;
 
 /**
- * The state of one request, from its arrival to its final answer or to the end of its connection.
- * {@link RequestLifecycle} owns {@link #state}, {@link #server} and the attempt; the other fields name their owners.
- * One thread.
+ * The state of one request, from its arrival to its final answer or the end of its connection. {@link RequestLifecycle}
+ * owns {@link #state}, {@link #server} and the attempt; the owners of other fields are named there. Confined to the
+ * thread of the load balancer.
  */
 final class TrackedRequest {
     /** Phase of a request. */
     enum State {
-        /** Held until a timer expires; also the state after its end. */
+        /** Waits for a timer; also the state of a request that has ended. */
         WAITING,
         /** An attempt at {@link #server} is in flight. */
         ATTEMPTING,
-        /** Its connection at {@link #server} is established. */
+        /** The connection to {@link #server} is established. */
         ESTABLISHED
     }
 
     final ConnectRequested event;
     final RequestClass requestClass;
-    /** Identifies the client; the request's own id where the client is unknown. */
+    /** Identifies the client; the id of the request if the client is unknown. */
     final String clientKey;
 
     private final int maxAttempts;
@@ -34,16 +34,25 @@
     private int attemptCount;
     private long attemptStartedAtMicros;
     private long establishedAtMicros;
-    private ServerState possiblyExecutedAt;
-    private long possiblyExecutedSinceMicros;
+    private ServerState possibleExecutionServer;
+    private long possibleExecutionStartMicros;
 
-    /** Reported load, in microseconds of work a second; 0 where unknown. Owner: {@link ConnectionTracker}. */
+    /**
+     * Last reported load in microseconds of work per second, or the expected load before the first report; 0 if
+     * unknown. Owner: {@link ConnectionTracker}.
+     */
     double reportedLoad;
-    /** Load that its server's estimate counts: reported, or the mean of its class. Owner: {@link ConnectionTracker}. */
+    /**
+     * Load that the estimate of its server counts: the reported load or the mean of its class; 0 if both are unknown.
+     * Owner: {@link ConnectionTracker}.
+     */
     double assumedLoad;
-    /** Token of its timer; 0 where it never had one. Owner: {@link BalancerContext#scheduleTimer}. */
+    /** Token of its latest timer; 0 if it never had one. Owner: {@link BalancerContext#scheduleTimer}. */
     long timerToken;
-    /** Position in its server's migration interval, in [0, 1), or none. Owner: {@link SlowServerMigration}. */
+    /**
+     * Position in the migration interval of its server at which it migrates, in [0, 1), or
+     * {@link SlowServerMigration#NO_DRAW}. Owner: {@link SlowServerMigration}.
+     */
     double migrationDraw = SlowServerMigration.NO_DRAW;
 
     private List<ServerState> serversWithErrors = List.of();
@@ -65,7 +74,7 @@
         return attemptCount == 0;
     }
 
-    /** Whether this is the number, from 0, of the latest attempt. */
+    /** Whether this is the number of the latest attempt, counted from 0. */
     boolean isLatestAttempt(int attempt) {
         return attempt == attemptCount - 1;
     }
@@ -77,7 +86,7 @@
         attemptCount++;
     }
 
-    /** Its connection was established elsewhere, by what counts as attempt 0. */
+    /** The connection was established elsewhere, which counts as attempt 0. */
     void onAdopted(ServerState adoptedServer) {
         server = adoptedServer;
         attemptCount = 1;
@@ -88,30 +97,30 @@
         establishedAtMicros = nowMicros;
     }
 
-    /** The latest attempt ended without a connection; notes the first one that its server may have executed. */
+    /** The latest attempt ended without a connection. Records the first attempt that its server may have executed. */
     void onAttemptFailed(AttemptOutcome outcome) {
         state = State.WAITING;
-        if (!outcome.notExecuted && possiblyExecutedAt == null) {
-            possiblyExecutedAt = server;
-            possiblyExecutedSinceMicros = attemptStartedAtMicros;
+        if (!outcome.notExecuted && possibleExecutionServer == null) {
+            possibleExecutionServer = server;
+            possibleExecutionStartMicros = attemptStartedAtMicros;
         }
     }
 
-    /** Server of the first attempt that may have been executed; null where none may. */
-    ServerState possiblyExecutedAt() {
-        return possiblyExecutedAt;
+    /** Server of the first attempt that may have been executed; null if there is none. */
+    ServerState possibleExecutionServer() {
+        return possibleExecutionServer;
     }
 
-    /** Start of that attempt. */
-    long possiblyExecutedSinceMicros() {
-        return possiblyExecutedSinceMicros;
+    /** Start of the first attempt that may have been executed. */
+    long possibleExecutionStartMicros() {
+        return possibleExecutionStartMicros;
     }
 
     long establishedAtMicros() {
         return establishedAtMicros;
     }
 
-    /** The server of the latest attempt answered it with an error. */
+    /** The server of the latest attempt answered with an error. */
     void recordErrorAtServer() {
         serversWithErrors = new ArrayList<>(serversWithErrors);
         serversWithErrors.add(server);
@@ -121,7 +130,7 @@
         return serversWithErrors.contains(candidate);
     }
 
-    /** The servers that answered it with an error, in that order; they are forgotten. */
+    /** Returns the servers that answered with an error, in that order, and clears the list. */
     List<ServerState> takeServersWithErrors() {
         List<ServerState> taken = serversWithErrors;
         serversWithErrors = List.of();
--- a/src/main/java/sandstack/decisions/package-info.java
+++ b/src/main/java/sandstack/decisions/package-info.java
@@ -1,8 +1,14 @@
 /**
- * The load balancing decisions of one relay instance: which server gets a request, when it is retried, rejected or
- * shed, which server is ejected and which connections migrate. {@link sandstack.decisions.LoadBalancer} is the entry;
- * docs/design.md names the class that holds each rule. The package uses {@code sandstack.capacity},
- * {@code sandstack.random}, {@code sandstack.staleness} and the JDK, and nothing that blocks, reads a clock or does
- * I/O.
+ * The load balancing decisions of one relay: at which server a request is attempted, when it is retried, rejected or
+ * shed, which servers are ejected and which connections migrate. {@link sandstack.decisions.LoadBalancer} is the entry
+ * point; docs/design.md lists the class that implements each rule.
+ *
+ * <p>A client's request for a long-lived connection leads to one or more attempts to establish it at a feed server.
+ * Connections of one group share work on a server, so a server does that work once for all of them. Loads are
+ * microseconds of work per second on a standard core, and a rating is the size of a server relative to other servers.
+ * The home zone is the zone of the relay.
+ *
+ * <p>Nothing here blocks, reads a clock or does I/O. The package depends on {@code sandstack.capacity},
+ * {@code sandstack.random}, {@code sandstack.staleness} and the JDK.
  */
 package sandstack.decisions;
--- a/src/main/java/sandstack/measure/scale/LoadBalancerDriver.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerDriver.java
@@ -69,7 +69,7 @@
         RequestClass lowLatency = new RequestClass(
                 300_000, SHORT_DEADLINE_MICROS, 5, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 150_000);
         return BalancerSettingsBuilder.of(List.of(regular, lowLatency))
-                .instanceCount(RELAYS)
+                .relayCount(RELAYS)
                 .zoneCount(ZONES)
                 .sharedGroups(true)
                 .endpointListPolled(true)
--- a/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
+++ b/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
@@ -11,8 +11,8 @@
  * safe for use by several threads.
  */
 public final class BalancerSettingsBuilder {
-    private int instanceIndex;
-    private int instanceCount = 1;
+    private int relayIndex;
+    private int relayCount = 1;
     private int homeZone;
     private int zoneCount = 1;
     private List<RequestClass> classes;
@@ -45,8 +45,8 @@
     }
 
     private BalancerSettingsBuilder(BalancerSettings settings) {
-        instanceIndex = settings.instanceIndex();
-        instanceCount = settings.instanceCount();
+        relayIndex = settings.relayIndex();
+        relayCount = settings.relayCount();
         homeZone = settings.homeZone();
         zoneCount = settings.zoneCount();
         classes = settings.classes();
@@ -86,21 +86,19 @@
     }
 
     /** Takes the instance index, home zone and zone count from the settings of that instance. */
-    public BalancerSettingsBuilder forInstanceOf(BalancerSettings instance) {
-        return instanceIndex(instance.instanceIndex())
-                .homeZone(instance.homeZone())
-                .zoneCount(instance.zoneCount());
+    public BalancerSettingsBuilder forRelayOf(BalancerSettings instance) {
+        return relayIndex(instance.relayIndex()).homeZone(instance.homeZone()).zoneCount(instance.zoneCount());
     }
 
-    /** Sets {@link BalancerSettings#instanceIndex}. */
-    public BalancerSettingsBuilder instanceIndex(int value) {
-        instanceIndex = value;
+    /** Sets {@link BalancerSettings#relayIndex}. */
+    public BalancerSettingsBuilder relayIndex(int value) {
+        relayIndex = value;
         return this;
     }
 
-    /** Sets {@link BalancerSettings#instanceCount}. */
-    public BalancerSettingsBuilder instanceCount(int value) {
-        instanceCount = value;
+    /** Sets {@link BalancerSettings#relayCount}. */
+    public BalancerSettingsBuilder relayCount(int value) {
+        relayCount = value;
         return this;
     }
 
@@ -267,8 +265,8 @@
      */
     public BalancerSettings build() {
         return new BalancerSettings(
-                instanceIndex,
-                instanceCount,
+                relayIndex,
+                relayCount,
                 homeZone,
                 zoneCount,
                 classes,
--- a/src/test/java/sandstack/decisions/ActionDigest.java
+++ b/src/test/java/sandstack/decisions/ActionDigest.java
@@ -16,8 +16,8 @@
 import sandstack.decisions.BalancerAction.WatchEndpointList;
 
 /**
- * Running SHA-256 over the values of actions. Every action is written with a code and a layout of this class, so that
- * the digest depends on no name of a type, component or constant. Counts the codes as well. One thread.
+ * Running SHA-256 over the values of actions. Each action is written with a code and a layout defined here, so that the
+ * digest does not depend on the names of types, components or constants. Also counts the codes. Not thread-safe.
  */
 final class ActionDigest implements BalancerAction.Handler<RuntimeException> {
     private static final int SHORT_BYTES = 8;
@@ -33,19 +33,19 @@
         }
     }
 
-    /** Starts the actions of one event. */
+    /** Adds the number and the time of an event, whose actions follow. */
     void event(int number, long now) {
         code('E');
         number(number);
         number(now);
     }
 
-    /** Whether the module avoids a server at the moment. */
-    void ejected(String server, boolean isEjected) {
+    /** Adds whether a server is closed to new requests. */
+    void closed(String server, boolean isClosed) {
         code('V');
         text(server);
-        number(isEjected ? 1 : 0);
-        count(isEjected ? "avoided" : "not avoided");
+        number(isClosed ? 1 : 0);
+        count(isClosed ? "closed" : "not closed");
     }
 
     /** Counts an occurrence that is not part of the digest. */
@@ -57,13 +57,13 @@
         return counts;
     }
 
-    /** The first 16 hexadecimal digits of the digest of everything so far. */
-    String soFar() {
-        return full().substring(0, 2 * SHORT_BYTES);
+    /** The first 16 hexadecimal digits of the digest of everything added so far. */
+    String shortDigest() {
+        return fullDigest().substring(0, 2 * SHORT_BYTES);
     }
 
-    /** The digest of everything so far. */
-    String full() {
+    /** The digest of everything added so far. */
+    String fullDigest() {
         try {
             return HexFormat.of().formatHex(((MessageDigest) digest.clone()).digest());
         } catch (CloneNotSupportedException e) {
@@ -86,7 +86,7 @@
         number(action.retryAfterMicros());
         int reason = codeOf(action.reason());
         number(reason);
-        count("cause " + reason);
+        count("reason " + reason);
     }
 
     @Override
--- a/src/test/java/sandstack/decisions/ActionText.java
+++ b/src/test/java/sandstack/decisions/ActionText.java
@@ -8,8 +8,8 @@
 import sandstack.decisions.BalancerAction.WatchEndpointList;
 
 /**
- * Writes an action as the records of commit 9af99ae did by themselves. Stored digests are over that text, so it does
- * not follow renamed types or components.
+ * Formats an action like the {@code toString} of the records of commit 9af99ae. Stored digests cover this text, so it
+ * does not follow the names of types or components.
  */
 final class ActionText implements BalancerAction.Handler<RuntimeException> {
     private String text;
--- a/src/test/java/sandstack/decisions/BalancerHarness.java
+++ b/src/test/java/sandstack/decisions/BalancerHarness.java
@@ -21,14 +21,14 @@
 import sandstack.decisions.BalancerEvent.EndpointListUpdate;
 import sandstack.decisions.BalancerEvent.TimerExpired;
 
-/** Feeds one load balancer in simulated time; a {@link RuleChecker} checks each of its actions. */
+/** Drives one load balancer in simulated time; a {@link RuleChecker} checks each of its actions. */
 final class BalancerHarness {
-    /** Capacities as an operator may state them: a load, and the cost of a group. */
+    /** Capacities as an operator may state them: the load of a connection and the overhead of a group. */
     static final StatedCapacities PLATFORM_CAPACITIES =
             new StatedCapacities(new StatedCapacity(1e6, 0, true, 1e6 / 15, 3), List.of());
 
     static final long LATENCY_OBJECTIVE_MICROS = 320_000;
-    /** Unit of back-off intervals. */
+    /** Unit of backoff intervals. */
     static final long SLOT_MICROS = LATENCY_OBJECTIVE_MICROS / 16;
 
     static final long DEADLINE_MICROS = 2_000_000;
@@ -48,7 +48,7 @@
     final Map<String, StartAttempt> latestAttempts;
     /** Number of attempts of each request. */
     final Map<String, Integer> attemptCounts;
-    /** Requests that are answered or closed. */
+    /** Requests that have their final answer or whose connection has ended. */
     final Set<String> answeredRequests;
 
     final List<BalancerAction> allActions = new ArrayList<>();
@@ -75,7 +75,7 @@
         return new HarnessSettings();
     }
 
-    /** Lists so many servers, every third of them in the other zone. */
+    /** Lists this many servers, every third of them in the other zone. */
     List<BalancerAction> listServers(int count, int serversPerCell) {
         for (int i = 0; i < count; i++) {
             endpoints.put(
@@ -143,7 +143,7 @@
         return actions;
     }
 
-    /** Lets time pass; timers expire, and attempts time out. */
+    /** Advances the clock; due timers expire, and attempts time out. */
     void advance(long durationMicros) {
         long endMicros = nowMicros + durationMicros;
         while (true) {
@@ -170,7 +170,7 @@
         nowMicros = endMicros;
     }
 
-    /** Sends a hundred requests; returns how many are attempted at servers of this zone. */
+    /** Sends 100 requests; returns how many are attempted at servers of this zone. */
     int countPlacedInZone(int zone, String prefix) {
         int count = 0;
         for (int i = 0; i < 100; i++) {
@@ -211,17 +211,17 @@
         return serverId;
     }
 
-    /** The delay of the timer that these actions set for a request. */
+    /** The delay of the request timer that these actions set. */
     static long requestTimerMicros(List<BalancerAction> actions) {
         for (BalancerAction action : actions) {
             if (action instanceof SetTimer timer && timer.token() > 0) {
                 return timer.delayMicros();
             }
         }
-        throw new AssertionError("no timer in " + actions);
+        throw new AssertionError("no request timer in " + actions);
     }
 
-    /** Ends a random attempt or established connection in a random way. */
+    /** Ends or establishes a random attempt, or ends a random connection, with a random outcome. */
     void endRandomAttempt(Random random) {
         boolean chooseEstablished = checker.attemptsInFlight.isEmpty() || random.nextInt(3) == 0;
         Map<String, StartAttempt> candidates =
@@ -245,7 +245,7 @@
         endAttempt(requestId, impossible ? AttemptOutcome.REJECTED : outcome);
     }
 
-    /** Disconnects the client of the oldest open request, unless an attempt or a connection of it is active. */
+    /** Disconnects the client of the oldest open request, unless it has an attempt in flight or a connection. */
     void disconnectWaitingClient() {
         if (checker.openRequests.isEmpty()) {
             return;
@@ -256,12 +256,12 @@
         }
     }
 
-    /** Ends everything; every request must have been answered. */
+    /** Lets all deadlines pass and closes all connections; checks that every request was answered. */
     void finish() {
         advance(3 * DEADLINE_MICROS);
         for (String requestId : new ArrayList<>(checker.establishedAttempts.keySet())) {
             endAttempt(requestId, AttemptOutcome.OK);
         }
-        assertTrue(checker.openRequests.isEmpty(), "never answered: " + checker.openRequests.keySet());
+        assertTrue(checker.openRequests.isEmpty(), "requests without an answer: " + checker.openRequests.keySet());
     }
 }
--- a/src/test/java/sandstack/decisions/CapacityEvidenceTest.java
+++ b/src/test/java/sandstack/decisions/CapacityEvidenceTest.java
@@ -19,7 +19,7 @@
 import sandstack.decisions.BalancerEvent.ConnectionEstablished;
 import sandstack.decisions.BalancerEvent.LoadReported;
 
-/** How the load balancer uses the evidence of its servers and the limits of an installation. */
+/** Use of capacity evidence and of the limits of an installation. */
 class CapacityEvidenceTest {
     private static BalancerHarness newHarness(InstallationLimits limits, int servers) {
         BalancerHarness harness =
@@ -28,7 +28,7 @@
         return harness;
     }
 
-    /** A client requests a connection, which is established; null where it is rejected. */
+    /** Requests a connection and establishes it; null if no attempt was started. */
     private static StartAttempt establish(BalancerHarness harness, String id, int requestClass, String group) {
         harness.nowMicros += 1_000;
         harness.send(new ConnectRequested(
@@ -40,7 +40,7 @@
         return attempt;
     }
 
-    /** Clients request connections until each of these servers has rejected one. */
+    /** Sends requests until each of these servers has rejected one. */
     private static void fillServers(BalancerHarness harness, List<String> servers) {
         Set<String> full = new HashSet<>();
         for (int i = 0; !full.containsAll(servers); i++) {
@@ -68,7 +68,7 @@
         BalancerHarness harness = newHarness(InstallationLimits.NONE, 2);
         for (int i = 0; i < 1_000; i++) {
             assertThat(establish(harness, "r" + i, 0, "g" + i % 20))
-                    .as("client " + i)
+                    .as("attempt of client " + i)
                     .isNotNull();
         }
         assertThat(rejections(harness)).isEmpty();
@@ -95,15 +95,17 @@
             rejected.add(id);
         }
         assertThat(harness.answeredRequests)
-                .as("answered without any time passing")
+                .as("requests answered without time passing")
                 .containsAll(rejected);
         assertThat(rejections(harness))
                 .hasSize(before + 40)
                 .allMatch(r -> r.reason() == RejectionReason.FULL && r.retryAfterMicros() > 0);
         long attempted =
                 rejected.stream().filter(harness.latestAttempts::containsKey).count();
-        assertThat(attempted).as("one attempt at each server was enough").isLessThanOrEqualTo(6);
-        // a connection that ends makes room for one
+        assertThat(attempted)
+                .as("requests attempted, of 40, since one attempt per server is enough")
+                .isLessThanOrEqualTo(6);
+        // the end of a connection frees capacity for another
         harness.send(new AttemptEnded(
                 "r0", 0, harness.latestAttempts.get("r0").serverId(), AttemptOutcome.OK, true, 1, null));
         harness.nowMicros += 2 * BalancerHarness.DEADLINE_MICROS;
@@ -147,7 +149,7 @@
             establish(rate, "r" + i, 0, null);
         }
         assertThat(rejections(rate))
-                .as("50 in 50 ms, of 10 a second each")
+                .as("rejections of 50 requests in 50 ms, with 10 set-ups per second at each server")
                 .hasSizeGreaterThan(45)
                 .allMatch(r -> r.reason() == RejectionReason.SERVER_LIMIT);
     }
--- a/src/test/java/sandstack/decisions/ConnectionMigrationTest.java
+++ b/src/test/java/sandstack/decisions/ConnectionMigrationTest.java
@@ -15,7 +15,7 @@
 
 /** Migration of connections off draining, overloaded and slow servers. */
 class ConnectionMigrationTest {
-    /** A feed server may drain without sending its clients away. */
+    /** A feed server may drain without closing its connections, so the relay migrates them. */
     @Test
     void connectionsOfADrainingServerMigrateWithinAnInterval() {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings().build(), 3);
@@ -30,7 +30,7 @@
         assertEquals(List.of(new Migrate("r")), due);
     }
 
-    /** Connections migrate off a server that is loaded beyond its capacity, as off a slow one. */
+    /** Connections migrate off a server whose load exceeds its capacity, as off a slow one. */
     @Test
     void connectionsMigrateOffAnOverloadedServer() {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings().build(), 3);
@@ -61,7 +61,7 @@
             }
             harness.nowMicros += 1_000_000;
         }
-        assertTrue(migrations > 0 && migrations < 30, migrations + " of 40 migrated in two seconds");
+        assertTrue(migrations > 0 && migrations < 30, migrations + " of 40 connections migrated in two seconds");
         assertTrue(harness.send(new DelayReported("c0", 0, "s0", BalancerHarness.MESSAGE_OBJECTIVE_MICROS / 2))
                 .isEmpty());
     }
--- a/src/test/java/sandstack/decisions/DecisionDigestTest.java
+++ b/src/test/java/sandstack/decisions/DecisionDigestTest.java
@@ -17,18 +17,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Plays drawn event streams to the module and compares running digests of its actions with stored ones, so that a
- * change of names or shape is seen to change no decision.
+ * Sends random event streams to the load balancer and compares running digests of its actions with stored ones, to
+ * detect a change of decisions by a change of names or structure.
  *
- * <p>With the system property {@value #REGENERATE} set to the short id of a commit, the comparison writes
- * {@code target/decision-digests.txt} in the form of the resource {@value #RESOURCE} instead and fails: copying the
- * file is a step of its own, for a commit that means to change decisions.
+ * <p>With the system property {@value #REGENERATE} set to the short id of a commit, the comparison instead writes
+ * {@code target/decision-digests.txt} in the format of the resource {@value #RESOURCE}, and fails. Copying the file is
+ * a separate step, for a commit that is meant to change decisions.
  */
 class DecisionDigestTest {
     private static final String REGENERATE = "sandstack.digest.regenerate";
     private static final String RESOURCE = "/decisions/decision-digests.txt";
-    private static final int EVENTS = 8_000;
-    private static final int CHECK_EVERY = 250;
+    private static final int EVENT_COUNT = 8_000;
+    private static final int CHECK_INTERVAL_EVENTS = 250;
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
@@ -38,20 +38,23 @@
             regenerate(commit);
             fail("wrote target/decision-digests.txt; nothing was compared");
         }
-        List<String> expected = stored(seed);
+        List<String> expected = storedDigests(seed);
         List<String> actual = play(new DigestStream(DigestScenario.of(seed)));
         assertThat(expected).as("stored digests of seed %d", seed).hasSameSizeAs(actual);
         for (int i = 0; i < actual.size(); i++) {
-            int last = Math.min(EVENTS, (i + 1) * CHECK_EVERY);
+            int last = Math.min(EVENT_COUNT, (i + 1) * CHECK_INTERVAL_EVENTS);
             assertThat(actual.get(i))
                     .as(
-                            "seed %d: the first difference is at one of the events %d to %d",
-                            seed, Math.max(0, last - CHECK_EVERY), last - 1)
+                            "seed %d: the first difference is between the events %d and %d",
+                            seed, Math.max(0, last - CHECK_INTERVAL_EVENTS), last - 1)
                     .isEqualTo(expected.get(i));
         }
     }
 
-    /** The streams are not hollow: they reach every kind of action, every cause, and the rarer decisions. */
+    /**
+     * The streams reach every kind of action, every rejection reason, and the rarer decisions; otherwise equal digests
+     * would prove little.
+     */
     @Test
     void streamsReachEveryKindOfDecision() {
         Map<String, Integer> counts = new TreeMap<>();
@@ -63,33 +66,37 @@
         for (char code : "ARFMTWV".toCharArray()) {
             assertThat(counts).containsKey("code " + code);
         }
-        for (int cause = 1; cause <= 8; cause++) {
-            assertThat(counts).containsKey("cause " + cause);
+        for (int reason = 1; reason <= 8; reason++) {
+            assertThat(counts).containsKey("reason " + reason);
         }
         assertThat(counts)
                 .containsKeys(
-                        "home", "other zone", "trial after failure", "trial after rejection", "avoided", "not avoided");
-        assertThat(counts.get("code A")).as("attempts").isGreaterThan(10_000);
-        assertThat(counts.get("code M")).as("relocations").isGreaterThan(1_000);
-        assertThat(counts.get("cause 1")).as("shed").isGreaterThan(1_000);
-        assertThat(counts.get("other zone")).as("spilled").isGreaterThan(1_000);
-        assertThat(counts.get("trial after failure")).as("trials").isGreaterThan(100);
+                        "home", "other zone", "trial after failure", "trial after rejection", "closed", "not closed");
+        assertThat(counts.get("code A")).as("attempts of all streams").isGreaterThan(10_000);
+        assertThat(counts.get("code M")).as("migrations of all streams").isGreaterThan(1_000);
+        assertThat(counts.get("reason 1")).as("requests shed in all streams").isGreaterThan(1_000);
+        assertThat(counts.get("other zone"))
+                .as("attempts in other zones in all streams")
+                .isGreaterThan(1_000);
+        assertThat(counts.get("trial after failure"))
+                .as("trials after failures in all streams")
+                .isGreaterThan(100);
     }
 
-    /** The short digests after every {@value #CHECK_EVERY} events, then the complete one at the end. */
+    /** The short digests after each {@value #CHECK_INTERVAL_EVENTS} events, then the complete digest at the end. */
     private static List<String> play(DigestStream stream) {
         List<String> digests = new ArrayList<>();
-        for (int event = 1; event <= EVENTS; event++) {
+        for (int event = 1; event <= EVENT_COUNT; event++) {
             stream.step();
-            if (event % CHECK_EVERY == 0) {
-                digests.add(stream.digest.soFar());
+            if (event % CHECK_INTERVAL_EVENTS == 0) {
+                digests.add(stream.digest.shortDigest());
             }
         }
-        digests.add(stream.digest.full());
+        digests.add(stream.digest.fullDigest());
         return digests;
     }
 
-    private static List<String> stored(int seed) throws IOException {
+    private static List<String> storedDigests(int seed) throws IOException {
         try (InputStream in = DecisionDigestTest.class.getResourceAsStream(RESOURCE)) {
             assertThat(in).as(RESOURCE).isNotNull();
             List<String> digests = new ArrayList<>();
@@ -109,7 +116,7 @@
         for (int seed = 0; seed < DigestScenario.COUNT; seed++) {
             List<String> digests = play(new DigestStream(DigestScenario.of(seed)));
             for (int i = 0; i < digests.size(); i++) {
-                text.append(seed).append(' ').append(Math.min(EVENTS, (i + 1) * CHECK_EVERY));
+                text.append(seed).append(' ').append(Math.min(EVENT_COUNT, (i + 1) * CHECK_INTERVAL_EVENTS));
                 text.append(' ').append(digests.get(i)).append('\n');
             }
         }
--- a/src/test/java/sandstack/decisions/DigestCondition.java
+++ b/src/test/java/sandstack/decisions/DigestCondition.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * State of the servers and clients of a {@link DigestStream} for some hundred events: the longest pause between two,
- * the weights of the kinds of events, and how servers behave.
+ * A condition of the servers and clients of a {@link DigestStream} that lasts for some hundred events. It determines
+ * the longest pause between events, the frequencies of the kinds of events, and the behaviour of servers.
  */
 enum DigestCondition {
     CALM(25_000),
@@ -31,7 +31,7 @@
         this.longestPauseMicros = longestPauseMicros;
     }
 
-    /** The condition that follows: calm as often as all others together. */
+    /** Draws the next condition: calm in half of all cases. */
     static DigestCondition next(SplittableRandom random) {
         return switch (random.nextInt(10)) {
             case 0 -> BURST;
@@ -43,7 +43,7 @@
         };
     }
 
-    /** A kind of event by its position in the weights. */
+    /** Draws a kind of event, as an index into the weights. */
     int kind(SplittableRandom random) {
         int[] weights = weights();
         int draw = random.nextInt(100);
@@ -67,7 +67,7 @@
         };
     }
 
-    /** Whether an attempt at the server of this number ends with a connection. */
+    /** Whether an attempt at the server with this number establishes a connection. */
     boolean succeeds(int server, SplittableRandom random) {
         return switch (this) {
             case FULL -> random.nextInt(10) < 4;
@@ -77,7 +77,7 @@
         };
     }
 
-    /** How an attempt ends that ends without a connection. */
+    /** Draws the outcome of an attempt that establishes no connection. */
     AttemptOutcome failure(SplittableRandom random) {
         return switch (this) {
             case FULL -> random.nextInt(8) > 0 ? AttemptOutcome.REJECTED : any(random);
@@ -101,9 +101,9 @@
         };
     }
 
-    /** The delay of messages that a server comes closer to. */
+    /** Draws the message delay that the delay of a server moves towards. */
     double delayMicros(SplittableRandom random) {
-        double part = this == OVERLOAD ? 0.7 + random.nextDouble() * 2 : random.nextDouble() * 0.8;
-        return DigestScenario.MESSAGE_OBJECTIVE_MICROS * part;
+        double objectiveMultiple = this == OVERLOAD ? 0.7 + random.nextDouble() * 2 : random.nextDouble() * 0.8;
+        return DigestScenario.MESSAGE_OBJECTIVE_MICROS * objectiveMultiple;
     }
 }
--- a/src/test/java/sandstack/decisions/DigestScenario.java
+++ b/src/test/java/sandstack/decisions/DigestScenario.java
@@ -9,14 +9,14 @@
 import sandstack.settings.BalancerSettingsBuilder;
 
 /**
- * What one seed of {@link DecisionDigestTest} is set up with.
+ * The configuration of the load balancer and of the event stream for one seed of {@link DecisionDigestTest}.
  *
- * @param seed seed of the module and of the stream of events
- * @param settings settings at the start
+ * @param seed seed of the load balancer and of the event stream
+ * @param settings initial settings
  * @param statedCapacities stated capacities
  * @param limits limits of the installation
  * @param loadsReported whether connections report their loads
- * @param delaysReported whether connections report the delays of their messages
+ * @param delaysReported whether connections report message delays
  */
 record DigestScenario(
         int seed,
@@ -28,45 +28,47 @@
     static final int COUNT = 10;
     static final long MESSAGE_OBJECTIVE_MICROS = 100_000;
 
-    private static final int[] INSTANCES = {1, 3, 100, 1, 3, 1, 100, 3, 1, 3};
-    private static final int[] ZONES = {3, 3, 1, 1, 3, 3, 3, 1, 3, 3};
-    private static final int[] HOME = {0, 1, 0, 0, 2, 1, 0, 0, 0, 2};
+    private static final int[] RELAY_COUNTS = {1, 3, 100, 1, 3, 1, 100, 3, 1, 3};
+    private static final int[] ZONE_COUNTS = {3, 3, 1, 1, 3, 3, 3, 1, 3, 3};
+    private static final int[] HOME_ZONES = {0, 1, 0, 0, 2, 1, 0, 0, 0, 2};
     private static final int[] CAPACITY_KINDS = {1, 0, 3, 2, 2, 0, 1, 3, 2, 1};
     private static final boolean[] LIMITED = {false, false, false, true, false, true, false, false, false, true};
-    private static final boolean[] LOADS = {true, false, true, true, true, false, true, true, false, true};
-    private static final boolean[] DELAYS = {false, true, false, false, true, true, true, false, false, true};
-    private static final boolean[] GROUPS = {true, true, false, false, true, false, true, true, false, true};
+    private static final boolean[] LOADS_REPORTED = {true, false, true, true, true, false, true, true, false, true};
+    private static final boolean[] DELAYS_REPORTED = {false, true, false, false, true, true, true, false, false, true};
+    private static final boolean[] SHARED_GROUPS = {true, true, false, false, true, false, true, true, false, true};
     private static final List<DeduplicationScope> SCOPES =
             List.of(DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.CELL);
-    private static final StatedCapacity FIRM = new StatedCapacity(1e6, 0, true, 1e6 / 15, 3);
-    private static final StatedCapacity FIRM_AND_LARGE = new StatedCapacity(3e6, 0, true, 1e6 / 30, 1);
-    private static final StatedCapacity LOOSE = new StatedCapacity(1_500_000, 20, false, 40_000, 2);
+    private static final StatedCapacity UPPER_BOUND = new StatedCapacity(1e6, 0, true, 1e6 / 15, 3);
+    private static final StatedCapacity LARGE_UPPER_BOUND = new StatedCapacity(3e6, 0, true, 1e6 / 30, 1);
+    private static final StatedCapacity START_ESTIMATE = new StatedCapacity(1_500_000, 20, false, 40_000, 2);
 
-    /** The scenario of a seed from 0 to {@link #COUNT}, exclusive. */
+    /** The scenario of a seed, from 0 to {@link #COUNT} - 1. */
     static DigestScenario of(int seed) {
         StatedCapacities statedCapacities =
                 switch (CAPACITY_KINDS[seed]) {
                     case 0 -> StatedCapacities.NONE;
-                    case 1 -> new StatedCapacities(FIRM, List.of());
-                    case 3 -> new StatedCapacities(FIRM_AND_LARGE, List.of());
+                    case 1 -> new StatedCapacities(UPPER_BOUND, List.of());
+                    case 3 -> new StatedCapacities(LARGE_UPPER_BOUND, List.of());
                     default -> new StatedCapacities(
-                            LOOSE, List.of(LOOSE, new StatedCapacity(2_000_000, 15, false, 40_000, 2)));
+                            START_ESTIMATE,
+                            List.of(START_ESTIMATE, new StatedCapacity(2_000_000, 15, false, 40_000, 2)));
                 };
         InstallationLimits limits = LIMITED[seed] ? new InstallationLimits(170, 14, 9, 20) : InstallationLimits.NONE;
-        return new DigestScenario(seed, settings(seed), statedCapacities, limits, LOADS[seed], DELAYS[seed]);
+        return new DigestScenario(
+                seed, settings(seed), statedCapacities, limits, LOADS_REPORTED[seed], DELAYS_REPORTED[seed]);
     }
 
     private static BalancerSettings settings(int seed) {
         return BalancerSettingsBuilder.of(classes(seed))
-                .instanceIndex(seed % INSTANCES[seed])
-                .instanceCount(INSTANCES[seed])
-                .homeZone(HOME[seed])
-                .zoneCount(ZONES[seed])
+                .relayIndex(seed % RELAY_COUNTS[seed])
+                .relayCount(RELAY_COUNTS[seed])
+                .homeZone(HOME_ZONES[seed])
+                .zoneCount(ZONE_COUNTS[seed])
                 .tenants(List.of(new Tenant(20, 0.5), new Tenant(60, 0.3), new Tenant(0, 0.2)))
                 .overQuotaWeight(seed % 3 == 0 ? 1 : 0.2)
                 .weightPerUnitOfWork(seed % 3 == 1)
                 .passThrough(seed % 4 == 3)
-                .sharedGroups(GROUPS[seed])
+                .sharedGroups(SHARED_GROUPS[seed])
                 .endpointListPolled(seed % 2 == 0)
                 .pollIntervalMicros(10_000_000)
                 .maxAttempts(2 + seed % 4)
@@ -100,7 +102,10 @@
                 new RequestClass(500_000, 3_000_000, 2, Idempotency.NOT_IDEMPOTENT, scope, 0, 0));
     }
 
-    /** Settings for a reload: perhaps one class more, other attempts, other aims, another number of instances. */
+    /**
+     * Draws settings for a reload: possibly one more class, and other attempt limits, latency objectives and numbers of
+     * relays.
+     */
     static BalancerSettings reloaded(BalancerSettings from, SplittableRandom random) {
         List<RequestClass> classes = new ArrayList<>();
         for (RequestClass old : from.classes()) {
@@ -126,7 +131,7 @@
         return BalancerSettingsBuilder.from(from)
                 .classes(classes)
                 .maxAttempts(1 + random.nextInt(6))
-                .instanceCount(Math.max(from.instanceIndex() + 1, from.instanceCount() + random.nextInt(3) - 1))
+                .relayCount(Math.max(from.relayIndex() + 1, from.relayCount() + random.nextInt(3) - 1))
                 .build();
     }
 }
--- a/src/test/java/sandstack/decisions/DigestServers.java
+++ b/src/test/java/sandstack/decisions/DigestServers.java
@@ -5,7 +5,10 @@
 import java.util.SplittableRandom;
 import sandstack.decisions.BalancerEvent.EndpointListUpdate;
 
-/** The servers of one stream of {@link DecisionDigestTest}: their list, its changes, and their delays. One thread. */
+/**
+ * The servers of the event stream of a {@link DigestScenario}: the endpoint list, its changes, and the message delays
+ * of the servers. Not thread-safe.
+ */
 final class DigestServers {
     private static final int INITIAL_COUNT = 14;
     private static final int MAX_COUNT = 20;
@@ -14,7 +17,7 @@
     private final int zones;
     private final List<Machine> machines = new ArrayList<>();
 
-    /** One server as it is listed, with what the stream remembers of it. */
+    /** A server as it is listed, and the state that the event stream keeps for it. */
     static final class Machine {
         final String id;
         final int zone;
@@ -48,7 +51,7 @@
 
     private Machine add() {
         int number = machines.size();
-        // few servers in zone 0
+        // a fifth of the servers is in zone 0
         int zone = zones == 1 ? 0 : number % 5 == 0 ? 0 : 1 + number % (zones - 1);
         Machine machine = new Machine(number, zone, 0.7 + number % 4 * 0.3);
         machines.add(machine);
@@ -63,7 +66,7 @@
         return machines.get(Integer.parseInt(id.substring(1)));
     }
 
-    /** All servers that are not gone. */
+    /** An update with all servers that are not gone. */
     EndpointListUpdate fullList(EndpointListKind kind) {
         return new EndpointListUpdate(
                 kind,
@@ -73,7 +76,7 @@
                         .toList());
     }
 
-    /** The next event of the list: mostly a change of one server. */
+    /** Draws the next endpoint list event, mostly a change of one server. */
     EndpointListUpdate next(long now) {
         int draw = random.nextInt(24);
         if (draw == 0) {
@@ -86,16 +89,16 @@
             return listWithoutOne();
         }
         if (draw == 4 && machines.size() < MAX_COUNT) {
-            Machine fresh = add();
-            fresh.startedAtMicros = now;
-            return delta(fresh);
+            Machine added = add();
+            added.startedAtMicros = now;
+            return delta(added);
         }
         Machine machine = any();
         change(machine, now);
         return random.nextInt(5) == 0 ? delta(machine, any()) : delta(machine);
     }
 
-    /** A complete list without one server that is still there. */
+    /** A complete list that lacks one server. */
     private EndpointListUpdate listWithoutOne() {
         String missing = any().id;
         List<EndpointEntry> entries = fullList(EndpointListKind.FULL).entries().stream()
--- a/src/test/java/sandstack/decisions/DigestStream.java
+++ b/src/test/java/sandstack/decisions/DigestStream.java
@@ -28,12 +28,12 @@
 import sandstack.decisions.BalancerEvent.TimerExpired;
 
 /**
- * Plays drawn events of one {@link DigestScenario} to a module, reacts to its actions and keeps the digest of them. All
- * draws come from the seed of the scenario. One thread.
+ * Sends the random events of one {@link DigestScenario} to a load balancer, reacts to its actions and digests them. All
+ * random draws use the seed of the scenario. Not thread-safe.
  */
 final class DigestStream {
     private static final int EJECTION_CHECK_INTERVAL = 8;
-    /** An attempt that is out, or a connection that is open. */
+    /** An attempt in flight or an established connection. */
     private record Connection(ConnectRequested request, String server, int attempt) {}
 
     private final DigestScenario scenario;
@@ -64,7 +64,7 @@
         followUps.add(servers.fullList(scenario.seed() % 2 == 0 ? EndpointListKind.CACHED : EndpointListKind.FULL));
     }
 
-    /** Plays one event. */
+    /** Sends one event. */
     void step() {
         if (eventCount >= conditionEndEvent) {
             condition = DigestCondition.next(random);
@@ -73,7 +73,7 @@
         nowMicros += random.nextInt(condition.longestPauseMicros);
         BalancerEvent event = nextEvent();
         digest.event(eventCount++, nowMicros);
-        // the caller's clock may stand still, and the module must not go back with it
+        // the clock of the caller may go back, but the time of the load balancer must not
         for (BalancerAction action :
                 loadBalancer.handle(event, random.nextInt(40) == 0 ? nowMicros - 5_000 : nowMicros)) {
             action.dispatch(digest);
@@ -81,7 +81,7 @@
         }
         if (eventCount % EJECTION_CHECK_INTERVAL == 0) {
             String server = random.nextInt(20) == 0 ? "unknown" : servers.any().id;
-            digest.ejected(server, loadBalancer.isClosedToNewRequests(server));
+            digest.closed(server, loadBalancer.isClosedToNewRequests(server));
         }
     }
 
@@ -192,7 +192,7 @@
         Connection connection = establishedConnections.get(random.nextInt(establishedConnections.size()));
         double load = condition.load(random);
         if (load > 1e6) {
-            // a load that fills any server does not stay, or the stream would see nothing else
+            // followed by a normal load: a load that fills any server would otherwise dominate the rest of the stream
             followUps.add(loadReported(connection, 50_000));
         }
         return loadReported(connection, load);
@@ -293,9 +293,9 @@
 
     private void reconnect(ConnectRequested request) {
         if (followUps.size() < 20) {
-            ConnectRequested again = randomRequest(request.clientKey(), true);
-            requests.put(again.requestId(), again);
-            followUps.add(again);
+            ConnectRequested retry = randomRequest(request.clientKey(), true);
+            requests.put(retry.requestId(), retry);
+            followUps.add(retry);
         }
     }
 }
--- a/src/test/java/sandstack/decisions/DigestTimers.java
+++ b/src/test/java/sandstack/decisions/DigestTimers.java
@@ -4,11 +4,11 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** The timers of a {@link DigestStream}: some come due late. One thread. */
+/** The timers of a {@link DigestStream}, some of which expire late. Not thread-safe. */
 final class DigestTimers {
     private static final int MAX_DELAY_MICROS = 200_000;
 
-    /** A timer in the order of its due time, then of its setting. */
+    /** A timer; ordered by due time, then by the order of setting. */
     private record Timer(long dueMicros, int order, long token) implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
@@ -24,7 +24,7 @@
         timers.add(new Timer(dueMicros, count++, token));
     }
 
-    /** The token of a timer that is due; empty where none is, or where the next is put off. */
+    /** The token of an expired timer; empty if none has expired, or if the next one is delayed. */
     OptionalLong due(long now, SplittableRandom random) {
         if (timers.isEmpty() || timers.peek().dueMicros > now) {
             return OptionalLong.empty();
--- a/src/test/java/sandstack/decisions/FleetOperations.java
+++ b/src/test/java/sandstack/decisions/FleetOperations.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import sandstack.decisions.BalancerEvent.EndpointListUpdate;
 
-/** What operators and failures do to a {@link SimulatedFleet}: restarts, crashes, replacements, lost discovery. */
+/** Operations and failures of a {@link SimulatedFleet}: restarts, crashes, replacements, and outages of discovery. */
 final class FleetOperations {
-    /** Seconds of work that a server queues at least and at most, where that is bounded. */
+    /** Limits of the queue of a server with a bounded queue, in seconds of work. */
     private static final double MIN_QUEUE_SECONDS = 0.8;
 
     private static final double MAX_QUEUE_SECONDS = 2;
@@ -16,25 +16,25 @@
         this.fleet = fleet;
     }
 
-    /** Bounds a server's queue: work beyond it is lost silently. */
+    /** Bounds the queue of a server; work beyond the bound is lost silently. */
     void boundQueue(SimulatedServer server) {
         server.maxQueueSeconds =
                 MIN_QUEUE_SECONDS + (MAX_QUEUE_SECONDS - MIN_QUEUE_SECONDS) * fleet.random.nextDouble();
     }
 
-    /** Discovery fails: relays keep the list of this moment. */
+    /** Starts a discovery outage: relays keep the present list. */
     void failDiscovery() {
         List<EndpointEntry> lastList = fleet.endpointList();
         fleet.relays.forEach(relay -> relay.cachedList = lastList);
     }
 
-    /** Discovery works again for one relay. */
+    /** Ends the discovery outage for one relay. */
     void restoreDiscovery(SimulatedRelay relay) {
         relay.cachedList = null;
         fleet.send(relay, new EndpointListUpdate(EndpointListKind.FULL, fleet.endpointList()));
     }
 
-    /** All relays learn of a server's state, each when its update arrives. */
+    /** Sends the state of a server to all relays, each after its own delay. */
     void announce(SimulatedServer server) {
         EndpointListUpdate update = new EndpointListUpdate(EndpointListKind.DELTA, List.of(server.listed()));
         fleet.relays.forEach(relay -> fleet.clock.schedule(fleet.between(1_000_000, 2_500_000), () -> {
@@ -44,11 +44,11 @@
         }));
     }
 
-    /** A server sends all its clients away and takes no new ones. */
+    /** Drains a server: it closes its connections and accepts no new ones. */
     void drain(SimulatedServer server) {
         server.draining = true;
         for (SimulatedClient client : List.copyOf(server.clients)) {
-            // what its relay learns of one may migrate another away first
+            // the events of one ended connection may have made its relay migrate this client already
             if (client.server == server) {
                 fleet.endConnection(client, AttemptOutcome.CANCELLED);
                 fleet.reconnect(client, 20_000, 200_000);
@@ -57,7 +57,7 @@
         announce(server);
     }
 
-    /** A new server starts under this name; the old one drains and ends soon after. */
+    /** Replaces a server: a new one starts under this name, then the old one drains and stops. */
     void replace(SimulatedServer old, String name) {
         SimulatedServer replacement = fleet.addServer(name, old.entry.rating(), fleet.clock.nowMicros());
         boundQueue(replacement);
@@ -69,7 +69,7 @@
         });
     }
 
-    /** A server's process dies with all its connections. */
+    /** Crashes the process of a server, which resets all its connections. */
     void crash(SimulatedServer server) {
         server.crash();
         for (SimulatedClient client : List.copyOf(server.clients)) {
@@ -80,13 +80,16 @@
         }
     }
 
-    /** A crashed server starts again, with a slow start. */
+    /** Starts a crashed server again; it goes through a slow start. */
     void restart(SimulatedServer server) {
         server.restart(fleet.clock.nowMicros());
         announce(server);
     }
 
-    /** SIGKILL: all clients of a relay reconnect elsewhere; the process starts again with its cached list. */
+    /**
+     * Kills a relay (SIGKILL): its clients reconnect to other relays, and the process starts again with its cached
+     * list.
+     */
     void kill(SimulatedRelay relay) {
         disconnectAll(relay);
         relay.loadBalancer = null;
@@ -94,7 +97,10 @@
         fleet.clock.schedule(fleet.between(1_000_000, 3_000_000), () -> fleet.startRelay(relay));
     }
 
-    /** SIGTERM: clients migrate over some time, then the process ends and starts again without any state. */
+    /**
+     * Restarts a relay (SIGTERM): its clients migrate over some time, then the process stops and starts again without
+     * state.
+     */
     void restart(SimulatedRelay relay) {
         relay.draining = true;
         int incarnation = relay.incarnation;
--- a/src/test/java/sandstack/decisions/FleetScenarios.java
+++ b/src/test/java/sandstack/decisions/FleetScenarios.java
@@ -3,17 +3,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Incidents that a {@link SimulatedFleet} goes through, each with its timeline. Stateless. */
+/** Incident scenarios of a {@link SimulatedFleet}, each with its timeline. Stateless. */
 final class FleetScenarios {
     private static final int ZONE_COUNT = 3;
-    /** Units of work a second of a server of rating 1. */
+    /** Mean units of work per second of a server of rating 1. */
     private static final double MEAN_UNITS_PER_SECOND = 19.5;
-    /** The same where clients arrive through the relays: their groups are spread over more servers than they need. */
+    /**
+     * The same for scenarios whose clients connect through the relays, which spreads groups over more servers than they
+     * need.
+     */
     private static final double MEAN_UNITS_PER_SECOND_SPREAD = 23.4;
 
     private FleetScenarios() {}
 
-    /** A fleet in which all clients have been connected for a second; counts start now. */
+    /** A fleet whose clients have all been connected for one second; counts start now. */
     private static SimulatedFleet connectedFleet(
             long seed, int relayCount, int serverCount, int clientCount, int groupCount, boolean omniscient) {
         SimulatedFleet fleet = new SimulatedFleet(seed, relayCount, ZONE_COUNT, MEAN_UNITS_PER_SECOND, omniscient);
@@ -30,7 +33,7 @@
     }
 
     /**
-     * Half of the servers are replaced in steps while all relays restart, a tenth at a time.
+     * Half of the servers are replaced in steps while all relays restart, a tenth of them at a time.
      *
      * @param omniscient servers are chosen by their true state instead of by the load balancers
      */
@@ -56,7 +59,7 @@
         return fleet.measure(24_000_000);
     }
 
-    /** All servers of a zone crash 9 s after the start; each starts again 4 to 5.5 s later. */
+    /** All servers of one zone crash after 9 s; each starts again 4 to 5.5 s later. */
     static SimulationResult zoneOutage(long seed, int relayCount, int serverCount, int clientCount, int groupCount) {
         SimulatedFleet fleet = connectedFleet(seed, relayCount, serverCount, clientCount, groupCount, false);
         FleetOperations operations = new FleetOperations(fleet);
@@ -70,9 +73,9 @@
     }
 
     /**
-     * Discovery is down while seven in ten relays are killed and a release begins that replaces half of the servers.
-     * Clients arrive through the relays, so that groups are on more servers than they need. Lists reach the relays
-     * seconds late; restarted relays have the list of before the outage.
+     * During a discovery outage, 70 % of the relays are killed and a release starts that replaces half of the servers.
+     * Clients connect through the relays, so that groups are on more servers than they need. Endpoint lists reach the
+     * relays seconds late, and restarted relays have the list from before the outage.
      *
      * @param omniscient servers are chosen by their true state instead of by the load balancers
      */
--- a/src/test/java/sandstack/decisions/HarnessSettings.java
+++ b/src/test/java/sandstack/decisions/HarnessSettings.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import sandstack.settings.BalancerSettingsBuilder;
 
-/** Builds the settings of a {@link BalancerHarness}, with the values that a test varies. */
+/** Builds the settings of a {@link BalancerHarness}; tests set the values that they vary. */
 final class HarnessSettings {
     private List<RequestClass> classes = List.of(requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
     private int maxAttempts = 4;
     private int homeZone;
-    private int instanceCount = 10;
+    private int relayCount = 10;
     private long drainGraceMicros = BalancerHarness.DRAIN_GRACE_MICROS;
     private boolean endpointListPolled;
     private boolean retryAfterHonored = true;
@@ -55,8 +55,8 @@
         return this;
     }
 
-    HarnessSettings instanceCount(int count) {
-        instanceCount = count;
+    HarnessSettings relayCount(int count) {
+        relayCount = count;
         return this;
     }
 
@@ -77,7 +77,7 @@
 
     BalancerSettings build() {
         return BalancerSettingsBuilder.of(classes)
-                .instanceCount(instanceCount)
+                .relayCount(relayCount)
                 .homeZone(homeZone)
                 .zoneCount(2)
                 .sharedGroups(true)
--- a/src/test/java/sandstack/decisions/IdempotencyTest.java
+++ b/src/test/java/sandstack/decisions/IdempotencyTest.java
@@ -9,7 +9,7 @@
 import sandstack.decisions.BalancerAction.Fail;
 import sandstack.decisions.BalancerAction.Reject;
 
-/** Requests that may have been executed: where and whether they are retried or rejected. */
+/** Retries and rejections of requests that may have been executed. */
 class IdempotencyTest {
     @Test
     void nonIdempotentRequestThatMayHaveBeenExecutedIsNotRetried() {
--- a/src/test/java/sandstack/decisions/LoadBalancerTest.java
+++ b/src/test/java/sandstack/decisions/LoadBalancerTest.java
@@ -24,7 +24,7 @@
 import sandstack.decisions.BalancerEvent.PeerMessage;
 import sandstack.decisions.BalancerEvent.TimerExpired;
 
-/** Placement, ejection, the endpoint list, settings and invalid events, and all rules on random events. */
+/** Placement, ejection, the endpoint list, settings, invalid events, and all rules for random events. */
 class LoadBalancerTest {
     @Test
     void firstAttemptPrefersTheHomeZone() {
@@ -36,26 +36,28 @@
         }
     }
 
-    /** Real feed servers report no delays: loads alone must keep a busy one from filling until it drops connections. */
+    /**
+     * Real feed servers report no delays: reported loads alone must close a busy server before it drops connections.
+     */
     @Test
     void reportedLoadsCloseAServerUntilADelayIsReported() {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings().build(), 3);
         harness.listServers(2, 2);
         String full = harness.establish("r", "k");
         harness.send(new LoadReported("r", 0, full, 450_000));
-        int there = 0;
+        int placedOnFull = 0;
         for (int i = 0; i < 50; i++) {
             harness.sendRequest("a" + i, "k" + i);
-            there += harness.latestAttempts.get("a" + i).serverId().equals(full) ? 1 : 0;
+            placedOnFull += harness.latestAttempts.get("a" + i).serverId().equals(full) ? 1 : 0;
         }
-        assertEquals(0, there);
+        assertEquals(0, placedOnFull);
         harness.send(new DelayReported("r", 0, full, 1));
         for (int i = 0; i < 50; i++) {
             harness.sendRequest("b" + i, "l" + i);
-            there += harness.latestAttempts.get("b" + i).serverId().equals(full) ? 1 : 0;
+            placedOnFull += harness.latestAttempts.get("b" + i).serverId().equals(full) ? 1 : 0;
         }
-        // its connections still count in the choice: a fifth of the weight of an empty one, where it was closed before
-        assertTrue(there > 5, "a low delay says more than the loads");
+        // its load still reduces its weight to a fifth of that of an empty server, but no longer closes it
+        assertTrue(placedOnFull > 5, "a low message delay did not reopen the server that its load had closed");
     }
 
     @Test
@@ -75,9 +77,9 @@
     @Test
     void slowStartBudgetHoldsUnderABurst() {
         int sent = 0;
-        for (int b = 0; b < 20; b++) {
+        for (int seed = 0; seed < 20; seed++) {
             BalancerHarness harness =
-                    new BalancerHarness(BalancerHarness.settings().build(), b);
+                    new BalancerHarness(BalancerHarness.settings().build(), seed);
             harness.listServers(6, 1);
             for (int i = 0; i < 10; i++) {
                 harness.nowMicros += 1_000_000;
@@ -89,7 +91,7 @@
                 sent += harness.latestAttempts.get("r" + i).serverId().equals("s0") ? 1 : 0;
             }
         }
-        assertTrue(sent <= 20, "a burst of 1000 put " + sent + " on a server in slow start at once");
+        assertTrue(sent <= 20, "a burst of 1000 requests put " + sent + " on a server in slow start");
     }
 
     @Test
@@ -161,15 +163,17 @@
 
     @Test
     void settingsOutOfRangeAreRejectedByName() {
-        Map<String, Runnable> ejected = new HashMap<>();
-        ejected.put("classes", () -> BalancerHarness.settings().noClasses().build());
-        ejected.put("homeZone", () -> BalancerHarness.settings().homeZone(9).build());
-        ejected.put(
+        Map<String, Runnable> invalidSettings = new HashMap<>();
+        invalidSettings.put(
+                "classes", () -> BalancerHarness.settings().noClasses().build());
+        invalidSettings.put(
+                "homeZone", () -> BalancerHarness.settings().homeZone(9).build());
+        invalidSettings.put(
                 "maxAttempts", () -> BalancerHarness.settings().maxAttempts(0).build());
-        ejected.put(
+        invalidSettings.put(
                 "drainGrace",
                 () -> BalancerHarness.settings().drainGraceMicros(-1).build());
-        ejected.forEach((name, build) -> {
+        invalidSettings.forEach((name, build) -> {
             String message =
                     assertThrows(IllegalArgumentException.class, build::run).getMessage();
             assertTrue(message.contains(name), message);
@@ -186,17 +190,17 @@
     @Test
     void randomRunsViolateNoRule() {
         for (int seed = 0; seed < 60; seed++) {
-            HarnessSettings b = BalancerHarness.settings();
+            HarnessSettings settings = BalancerHarness.settings();
             if (seed % 3 == 1) {
-                b.idempotency(Idempotency.WITH_KEY, DeduplicationScope.values()[seed % 9 / 3]);
+                settings.idempotency(Idempotency.WITH_KEY, DeduplicationScope.values()[seed % 9 / 3]);
             } else if (seed % 3 == 2) {
-                b.idempotency(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+                settings.idempotency(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
             }
-            randomRun(seed, b.build());
+            randomRun(seed, settings.build());
         }
     }
 
-    /** Plays random events; the harness checks every rule. Returns all actions. */
+    /** Sends random events, with every rule checked by the harness; returns all actions. */
     private static List<BalancerAction> randomRun(int seed, BalancerSettings settings) {
         Random random = new Random(seed);
         BalancerHarness harness = new BalancerHarness(settings, seed);
--- a/src/test/java/sandstack/decisions/MemoryBoundTest.java
+++ b/src/test/java/sandstack/decisions/MemoryBoundTest.java
@@ -16,7 +16,7 @@
 import sandstack.decisions.BalancerEvent.ConnectRequested;
 import sandstack.decisions.BalancerEvent.ConnectionEstablished;
 
-/** The state that the load balancer keeps has a bound, whatever clients do. */
+/** The state that the load balancer keeps is bounded, whatever clients do. */
 class MemoryBoundTest {
     @Test
     void memoryStaysBoundedOverALongRun() throws IllegalAccessException {
@@ -47,23 +47,23 @@
                 }
             }
             if (i % 1000 == 0) {
-                maxEntries = Math.max(maxEntries, keptEntries(harness.loadBalancer));
+                maxEntries = Math.max(maxEntries, heldEntries(harness.loadBalancer));
             }
         }
         harness.advance(10 * BalancerHarness.DEADLINE_MICROS);
         assertTrue(
-                keptEntries(harness.loadBalancer) < 5000,
-                keptEntries(harness.loadBalancer) + " entries kept at the end");
-        assertTrue(maxEntries < 12_000, maxEntries + " entries kept at the most");
-        // the retry state of client keys fills up to its bound of 4,096, so the count has reached it
-        assertTrue(maxEntries > 4_096, maxEntries + " entries kept at the most");
+                heldEntries(harness.loadBalancer) < 5000,
+                heldEntries(harness.loadBalancer) + " entries held at the end");
+        assertTrue(maxEntries < 12_000, maxEntries + " entries held at most");
+        // the backoff states of client keys have reached their limit of 4,096
+        assertTrue(maxEntries > 4_096, maxEntries + " entries held at most");
     }
 
     /**
-     * Entries of all maps and collections that the load balancer and its parts hold, at any depth. Settings, servers
-     * and requests are left out.
+     * The number of entries in all maps and collections that the load balancer and its parts hold, at any depth.
+     * Excludes settings, servers and requests.
      */
-    private static int keptEntries(Object part, Set<Object> visited) throws IllegalAccessException {
+    private static int heldEntries(Object part, Set<Object> visited) throws IllegalAccessException {
         int count = 0;
         for (Field field : part.getClass().getDeclaredFields()) {
             field.setAccessible(true);
@@ -75,7 +75,7 @@
             } else if (value instanceof Collection<?> collection) {
                 count += visited.add(value) ? collection.size() : 0;
             } else if (value != null && isPart(value) && visited.add(value)) {
-                count += keptEntries(value, visited);
+                count += heldEntries(value, visited);
             }
         }
         return count;
@@ -88,7 +88,7 @@
                         || value instanceof TrackedRequest);
     }
 
-    private static int keptEntries(LoadBalancer loadBalancer) throws IllegalAccessException {
-        return keptEntries(loadBalancer, Collections.newSetFromMap(new IdentityHashMap<>()));
+    private static int heldEntries(LoadBalancer loadBalancer) throws IllegalAccessException {
+        return heldEntries(loadBalancer, Collections.newSetFromMap(new IdentityHashMap<>()));
     }
 }
--- a/src/test/java/sandstack/decisions/ModuleSourceTest.java
+++ b/src/test/java/sandstack/decisions/ModuleSourceTest.java
@@ -12,10 +12,10 @@
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
 
-/** What the sources must satisfy that deploy/balancer.toml names as policy. */
+/** Requirements on the source files that deploy/balancer.toml lists as policy. */
 class ModuleSourceTest {
-    /** Columns to which the formatter lays code out; it joins shorter lines up to that. */
-    private static final int FORMATTER_WIDTH = 120;
+    /** Line length of the formatter, which joins shorter lines up to it. */
+    private static final int FORMATTER_LINE_LENGTH = 120;
 
     private static List<Path> policyFiles() throws IOException {
         List<Path> files = new ArrayList<>();
@@ -35,13 +35,13 @@
 
     @Test
     void linesFitTheFormatterWidth() throws IOException {
-        long full = 0;
+        long lineCount = 0;
         for (Path file : policyFiles()) {
             List<String> lines = Files.readAllLines(file);
-            full += lines.stream().filter(l -> !l.isBlank()).count();
-            assertThat(lines).as(file.toString()).allMatch(line -> line.length() <= FORMATTER_WIDTH);
+            lineCount += lines.stream().filter(l -> !l.isBlank()).count();
+            assertThat(lines).as(file.toString()).allMatch(line -> line.length() <= FORMATTER_LINE_LENGTH);
         }
-        assertThat(full).isGreaterThanOrEqualTo(300L);
+        assertThat(lineCount).isGreaterThanOrEqualTo(300L);
     }
 
     @Test
--- a/src/test/java/sandstack/decisions/MultipleRelaysTest.java
+++ b/src/test/java/sandstack/decisions/MultipleRelaysTest.java
@@ -15,12 +15,14 @@
 import sandstack.decisions.BalancerEvent.ConnectionEstablished;
 import sandstack.decisions.BalancerEvent.DelayReported;
 
-/** Fourteen load balancers in one simulated clock: bounds on what servers get from all of them together. */
+/**
+ * Runs 14 load balancers on one simulated clock and checks the limits of what a server gets from all of them together.
+ */
 class MultipleRelaysTest {
     private static final int RELAY_COUNT = 14;
     private static final long STEP_MICROS = 100_000;
     private static final BalancerSettings SETTINGS = BalancerHarness.settings().build();
-    /** Usual connections that fill a server, by the stated capacities. */
+    /** Number of mean connections that fill a server, by the stated capacities. */
     private static final double CONNECTIONS_PER_SERVER =
             BalancerHarness.PLATFORM_CAPACITIES.others().workPerRating()
                     / BalancerHarness.PLATFORM_CAPACITIES.others().defaultConnectionLoad();
@@ -34,7 +36,7 @@
         for (int i = 0; i < RELAY_COUNT; i++) {
             BalancerHarness harness = new BalancerHarness(
                     BalancerHarness.settings()
-                            .instanceCount(RELAY_COUNT)
+                            .relayCount(RELAY_COUNT)
                             .homeZone(i % 2)
                             .build(),
                     i);
@@ -47,12 +49,12 @@
         return relays.get(0).nowMicros;
     }
 
-    /** Moves the clock of all relays on by one step. */
+    /** Advances the clocks of all relays by one step. */
     private void advance() {
         relays.forEach(harness -> harness.advance(STEP_MICROS));
     }
 
-    /** A client connects through a random relay; where it gets an attempt, that succeeds at once. */
+    /** Sends the request of a new client to a random relay; an attempt succeeds immediately. */
     private void sendClient() {
         sendClient(false);
     }
@@ -78,7 +80,7 @@
                         + (1 - SETTINGS.slowStartInitialFraction()) * ageMicros / SETTINGS.slowStartDurationMicros());
     }
 
-    /** Six in ten servers are replaced within 7 s. */
+    /** 35 of 60 servers are replaced within 7 s. */
     @Test
     void replacedServersAreUsedDuringSlowStartWithinTheirBudget() {
         startRelays(60);
@@ -116,14 +118,16 @@
                         / SETTINGS.slowStartDurationMicros()
                         * SETTINGS.overloadWindowMicros()
                         * slowStartFraction(from - server.getValue());
-                // a Poisson number of permits around half the budget stays under it and three more
+                // permits come as a Poisson process with about half the budget as its mean: budget + 3 is not exceeded
                 assertThat((double) inWindow).as(server.getKey()).isLessThanOrEqualTo(budget + 3);
             }
         }
-        assertThat(slowStartAttempts).as("of %d placements", 120 * 4).isGreaterThan(150);
+        assertThat(slowStartAttempts)
+                .as("attempts at servers in slow start, of %d placements", 120 * 4)
+                .isGreaterThan(150);
     }
 
-    /** All relays learn at the same time that a server has recovered: they must not send it a burst. */
+    /** All relays observe at the same time that a server has recovered; they must not send it a burst. */
     @Test
     void recoveredServerIsFilledGradually() {
         startRelays(2);
@@ -150,14 +154,14 @@
         int attemptsInFirstSecond =
                 attemptTimesByServer.getOrDefault("s0", List.of()).size();
         assertThat(attemptsInFirstSecond)
-                .as("in the first second, of %d", offered)
+                .as("attempts at s0 in the first second, of %d requests", offered)
                 .isLessThan((int) Math.round(CONNECTIONS_PER_SERVER));
         for (int step = 0; step < 140; step++) {
             advance();
             sendClient();
         }
         assertThat(attemptTimesByServer.get("s0").size())
-                .as("later")
+                .as("attempts at s0 after its recovery")
                 .isGreaterThan(attemptsInFirstSecond + (int) Math.round(CONNECTIONS_PER_SERVER));
     }
 
@@ -177,18 +181,21 @@
             }
             harness.nowMicros += 1_000_000;
         }
-        assertThat(migrations[1]).as("stays slow").isPositive();
+        assertThat(migrations[1])
+                .as("migrations while the delay stays the same")
+                .isPositive();
         assertThat(migrations[2] + migrations[3])
-                .as("meets the objective two reports on")
+                .as("migrations while the delay falls fast enough to meet the objective")
                 .isZero();
-        assertThat(migrations[4] + migrations[5]).as("falls too slowly").isPositive();
+        assertThat(migrations[4] + migrations[5])
+                .as("migrations while the delay falls too slowly")
+                .isPositive();
     }
 
-    /** One relay and two servers: the slow-start budget must not starve a small site. */
+    /** One relay and two servers: the slow-start budget must not be too small for a small site. */
     @Test
     void singleRelayFillsAServerInSlowStart() {
-        relays.add(
-                new BalancerHarness(BalancerHarness.settings().instanceCount(1).build(), 5));
+        relays.add(new BalancerHarness(BalancerHarness.settings().relayCount(1).build(), 5));
         BalancerHarness harness = relays.get(0);
         harness.listServers(2, 1);
         harness.setState("s1", EndpointState.DRAINING);
@@ -198,7 +205,7 @@
             sendClient();
         }
         assertThat(attemptTimesByServer.get("s0").size())
-                .as("in 8 s, at the only server")
+                .as("attempts within 8 s at the only ready server")
                 .isGreaterThanOrEqualTo(4);
     }
 }
--- a/src/test/java/sandstack/decisions/OmniscientPlacement.java
+++ b/src/test/java/sandstack/decisions/OmniscientPlacement.java
@@ -2,11 +2,14 @@
 
 import java.util.Collection;
 
-/** Chooses servers of a {@link SimulatedFleet} by their true state: the bound that no load balancer can exceed. */
+/** Chooses servers of a {@link SimulatedFleet} by their true state, as an upper bound for load balancers. */
 final class OmniscientPlacement {
     private OmniscientPlacement() {}
 
-    /** The server with the most headroom; one of the client's group first where that has headroom. */
+    /**
+     * The server with the most headroom; servers with connections of the group of the client rank first if they have
+     * headroom.
+     */
     static SimulatedServer initialServer(SimulatedClient client, Collection<SimulatedServer> servers) {
         SimulatedServer best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
@@ -22,7 +25,7 @@
         return best;
     }
 
-    /** The least utilized server; one of the client's group first where that has headroom. */
+    /** The server with the lowest utilization; servers with connections of the group of the client are preferred. */
     static SimulatedServer server(SimulatedClient client, Collection<SimulatedServer> servers, long nowMicros) {
         SimulatedServer best = null;
         double lowestCost = Double.MAX_VALUE;
--- a/src/test/java/sandstack/decisions/OutlierDetectionTest.java
+++ b/src/test/java/sandstack/decisions/OutlierDetectionTest.java
@@ -9,9 +9,9 @@
 import sandstack.decisions.BalancerEvent.ConnectRequested;
 import sandstack.decisions.BalancerEvent.ConnectionEstablished;
 
-/** Which errors and timeouts are blamed on servers and eject them. */
+/** Errors and timeouts that do and do not eject servers. */
 class OutlierDetectionTest {
-    /** Sends a request that gets an error at every server; returns the number of its attempts. */
+    /** Sends a request that is answered with an error by every server; returns the number of its attempts. */
     private static int sendFailingRequest(BalancerHarness harness, String id, String group) {
         harness.send(new ConnectRequested(
                 id, 0, 0, id, group, harness.nowMicros + BalancerHarness.DEADLINE_MICROS, 0, false, false));
@@ -50,11 +50,13 @@
         harness.send(new AttemptEnded("r", 0, faulty, AttemptOutcome.ERROR, false, 1000, null));
         harness.advance(BalancerHarness.LATENCY_OBJECTIVE_MICROS);
         String healthy = harness.latestAttempts.get("r").serverId();
-        assertTrue(!healthy.equals(faulty), "retried at the server that gave an error");
+        assertTrue(!healthy.equals(faulty), "retried at the server that answered with an error");
         harness.send(new ConnectionEstablished("r", 1, healthy, 1000));
         for (int i = 0; i < 100; i++) {
             harness.sendRequest("q" + i, "q" + i);
-            assertTrue(!harness.latestAttempts.get("q" + i).serverId().equals(faulty), "not ejected");
+            assertTrue(
+                    !harness.latestAttempts.get("q" + i).serverId().equals(faulty),
+                    "the server that failed the request is not ejected");
         }
     }
 
@@ -74,6 +76,6 @@
         assertEquals(
                 0,
                 harness.zoneOf(harness.latestAttempts.get("last").serverId()),
-                "the home zone was emptied by ejections");
+                "timeouts at all servers ejected the whole home zone");
     }
 }
