--- a/src/test/java/sandstack/decisions/OverloadTest.java
+++ b/src/test/java/sandstack/decisions/OverloadTest.java
@@ -14,7 +14,7 @@
 import sandstack.decisions.BalancerEvent.LoadReported;
 import sandstack.decisions.BalancerEvent.TimerExpired;
 
-/** Load shedding, spill-over, group placement and rebalancing. */
+/** Load shedding, spillover, group placement and rebalancing. */
 class OverloadTest {
     private static int reportSlowFleet(BalancerHarness harness, int updateCount) {
         int migrations = 0;
@@ -70,33 +70,35 @@
         return attempt == null ? null : attempt.serverId();
     }
 
-    /** How many of 60 groups two relays place at the same server. */
+    /** The number of groups, of 60, that two relays place at the same server. */
     private static int countGroupsPlacedTogether(BalancerHarness[] harnesses, String prefix) {
         int together = 0;
-        int home = 0;
+        int homeCount = 0;
         int placed = 0;
         for (int i = 0; i < 60; i++) {
             String first = place(harnesses[0], prefix + i, prefix + i);
             String second = place(harnesses[1], prefix + i, prefix + i);
             together += first != null && first.equals(second) ? 1 : 0;
             placed += first != null ? 1 : 0;
-            home += first != null && harnesses[0].zoneOf(first) == 0 ? 1 : 0;
+            homeCount += first != null && harnesses[0].zoneOf(first) == 0 ? 1 : 0;
         }
-        assertTrue(home * 2 > placed, "the home zone is still preferred: " + home + " of " + placed);
+        assertTrue(
+                homeCount * 2 > placed,
+                "groups placed in the home zone, which is preferred: " + homeCount + " of " + placed);
         return together;
     }
 
-    private static BalancerHarness[] harnessesOfTwoZones(int instances) {
+    private static BalancerHarness[] harnessesOfTwoZones(int relayCount) {
         BalancerHarness[] harnesses = {
             new BalancerHarness(
                     BalancerHarness.settings()
-                            .instanceCount(instances)
+                            .relayCount(relayCount)
                             .homeZone(0)
                             .build(),
                     6),
             new BalancerHarness(
                     BalancerHarness.settings()
-                            .instanceCount(instances)
+                            .relayCount(relayCount)
                             .homeZone(1)
                             .build(),
                     7)
@@ -110,7 +112,9 @@
         return harnesses;
     }
 
-    /** With places of its own in each zone, a full fleet would pay for every group in every zone. */
+    /**
+     * If each zone placed its groups separately, a full fleet would do the shared work of every group in every zone.
+     */
     @Test
     void groupsAreConsolidatedOverZonesWhileServersAreSlow() {
         BalancerHarness[] harnesses = harnessesOfTwoZones(4);
@@ -118,7 +122,9 @@
             for (int i = 0; i < 20; i++) {
                 String server = place(harness, "before" + i, "g" + i);
                 assertEquals(
-                        harness.settings.homeZone(), harness.zoneOf(server), "home zone first while no server is slow");
+                        harness.settings.homeZone(),
+                        harness.zoneOf(server),
+                        "zone of the server while no server is slow");
             }
             for (int update = 0; update < 3; update++) {
                 for (int s = 0; s < 6; s++) {
@@ -128,20 +134,21 @@
             }
         }
         int together = countGroupsPlacedTogether(harnesses, "during");
-        assertTrue(together > 6, "groups at one place, most clients being shed: " + together);
+        assertTrue(together > 6, "groups placed at the same server while most clients are shed: " + together);
     }
 
     /**
-     * Of a hundred relays each has two or three connections: none sees a full home zone before all servers are slow.
+     * If relays outnumber servers, no relay observes a full home zone before all servers are slow: each of 100 relays,
+     * for example, has only two or three connections.
      */
     @Test
     void groupsAreConsolidatedWhereRelaysOutnumberServers() {
         int together = countGroupsPlacedTogether(harnessesOfTwoZones(20), "many");
-        assertTrue(together > 20, "groups at one place: " + together);
+        assertTrue(together > 20, "groups placed at the same server: " + together);
         assertEquals(
                 0,
                 countGroupsPlacedTogether(harnessesOfTwoZones(4), "few"),
-                "groups at one place where relays see enough");
+                "groups placed at the same server although servers outnumber relays");
     }
 
     @Test
@@ -213,7 +220,7 @@
                 rejections[0] > 50 && rejections[1] == 0, rejections[0] + " and " + rejections[1] + " of 200 rejected");
     }
 
-    /** One connection of this load is established at each of these servers. */
+    /** A harness with one connection of this load at each of these servers. */
     private static BalancerHarness harnessWithLoad(int load, Integer... servers) {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings().build(), 6);
         harness.listServers(6, 2);
@@ -230,18 +237,18 @@
         for (int i = 0; i < 6; i++) {
             runPeriodicUpdate(harness);
         }
-        assertEquals(100, harness.countPlacedInZone(1, "r"), "rejected though the other zone is empty");
+        assertEquals(100, harness.countPlacedInZone(1, "r"), "requests placed in the other zone, which has headroom");
     }
 
     @Test
     void requestsSpillOverWhileOtherZonesAreLessUtilized() {
         BalancerHarness harness = harnessWithLoad(100_000, 0, 1, 3, 4);
-        assertEquals(0, harness.countPlacedInZone(1, "a"), "left the home zone without a reason");
+        assertEquals(0, harness.countPlacedInZone(1, "a"), "requests spilled over although the home zone has headroom");
         for (int s : List.of(0, 1, 3, 4)) {
             harness.send(new LoadReported("c" + s, 0, "s" + s, 225_000));
         }
-        int away = harness.countPlacedInZone(1, "b");
-        assertTrue(away > 20 && away < 80, away + " of 100 placed where servers are idle");
+        int otherZoneCount = harness.countPlacedInZone(1, "b");
+        assertTrue(otherZoneCount > 20 && otherZoneCount < 80, otherZoneCount + " of 100 placed in the idle zone");
     }
 
     private static List<BalancerAction> runPeriodicUpdate(BalancerHarness harness) {
@@ -257,10 +264,12 @@
             harness.send(new ConnectionAdopted(harness.connectRequest("c" + i, "c" + i), "s0"));
             harness.send(new LoadReported("c" + i, 0, "s0", i == 1 ? 400_000 : i == 2 ? 200_000 : 5_000));
         }
-        assertEquals(List.of(), runPeriodicUpdate(harness), "migrated what was just established");
+        assertEquals(List.of(), runPeriodicUpdate(harness), "migrated a connection that was just established");
         runPeriodicUpdate(harness);
         assertEquals(
-                List.of(new Migrate("c2")), runPeriodicUpdate(harness), "400000 of 700000 would only reverse the gap");
+                List.of(new Migrate("c2")),
+                runPeriodicUpdate(harness),
+                "migrating the load of 400000 of 700000 would only reverse the gap");
     }
 
     @Test
@@ -277,7 +286,7 @@
                 "placed in the home zone, where each server has 15 connections without reported load");
     }
 
-    /** A relay that takes over from another has the connections of both: that is no overload. */
+    /** A relay that takes over from another process has the connections of both, which is no overload. */
     @Test
     void halfUtilizedFleetIsNotOverloaded() {
         BalancerHarness harness = harnessWithLoad(500_000, 0, 1, 2, 3, 4, 5);
@@ -296,15 +305,15 @@
             harness.nowMicros += BalancerHarness.DEADLINE_MICROS / 2;
         }
         harness.send(new DelayReported("c0", 0, "s0", BalancerHarness.MESSAGE_OBJECTIVE_MICROS * 3));
-        int away = 0;
+        int otherZoneCount = 0;
         for (int i = 0; i < 300; i++) {
             harness.sendRequest("r" + i, "r" + i);
             StartAttempt attempt = harness.latestAttempts.get("r" + i);
             if (attempt != null) {
                 assertTrue(!attempt.serverId().equals("s0"), "placed at a slow server");
-                away += harness.zoneOf(attempt.serverId()) == 1 ? 1 : 0;
+                otherZoneCount += harness.zoneOf(attempt.serverId()) == 1 ? 1 : 0;
             }
         }
-        assertTrue(away > 5 && away < 150, away + " of 300 spilled");
+        assertTrue(otherZoneCount > 5 && otherZoneCount < 150, otherZoneCount + " of 300 spilled over");
     }
 }
--- a/src/test/java/sandstack/decisions/ReadmeExampleTest.java
+++ b/src/test/java/sandstack/decisions/ReadmeExampleTest.java
@@ -15,14 +15,17 @@
 import sandstack.decisions.BalancerEvent.TimerExpired;
 import sandstack.settings.BalancerSettingsBuilder;
 
-/** The example of the README: one request through a failed attempt, back-off, placement and end. */
+/**
+ * The example of the README: one request through a failed attempt, a backoff, a second attempt and the end of its
+ * connection.
+ */
 class ReadmeExampleTest {
     @Test
     void requestIsRetriedEstablishedAndEnded() {
         RequestClass feed =
                 new RequestClass(500_000, 2_000_000, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 100_000);
         BalancerSettings settings = BalancerSettingsBuilder.of(List.of(feed))
-                .instanceCount(4)
+                .relayCount(4)
                 .maxAttempts(3)
                 .connectTimeoutMicros(100_000)
                 .retryAfterHonored(true)
@@ -59,7 +62,7 @@
         StartAttempt second = (StartAttempt) loadBalancer
                 .handle(new TimerExpired(retryTimer.token()), nowMicros)
                 .get(0);
-        assertTrue(!second.serverId().equals(first.serverId()), "the failed server is marked");
+        assertTrue(!second.serverId().equals(first.serverId()), "the retry goes to the server that failed");
 
         loadBalancer.handle(new ConnectionEstablished("r1", 1, second.serverId(), 9_000), nowMicros + 9_000);
         nowMicros += 60_000_000;
--- a/src/test/java/sandstack/decisions/ReleaseDuringDiscoveryOutageTest.java
+++ b/src/test/java/sandstack/decisions/ReleaseDuringDiscoveryOutageTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A hundred load balancers while discovery is down, seven in ten relays are killed and half of the servers are
- * replaced, over twelve seeds of 20 to 23 groups. Measured means are 0.486 of the weight served, 0.224 in the last
- * third, and 1,101 connections dropped, with 112 pairs of group and server at the end; the bounds leave a margin.
+ * Runs 100 load balancers while discovery is down, 70 % of the relays are killed and half of the servers are replaced,
+ * over 12 seeds with 20 to 23 groups. The means are 0.486 of the weight served, 0.224 in the last third, and 1,101
+ * connections dropped, with 112 pairs of group and server at the end; the bounds leave a margin.
  */
 class ReleaseDuringDiscoveryOutageTest {
     private static final int SEED_COUNT = 12;
 
-    private static SimulationResult[] simulate(boolean bySight) {
+    private static SimulationResult[] simulate(boolean omniscient) {
         return LongStream.rangeClosed(1, SEED_COUNT)
                 .parallel()
                 .mapToObj(seed -> FleetScenarios.releaseDuringDiscoveryOutage(
@@ -25,7 +25,7 @@
                         27 + (int) (seed % 3) * 3,
                         400 + (int) (seed % 4) * 20,
                         20 + (int) (seed % 4),
-                        bySight))
+                        omniscient))
                 .toArray(SimulationResult[]::new);
     }
 
@@ -33,13 +33,18 @@
     void servedWeightAndDropsStayWithinTheirBounds() {
         SimulationResult[] results = simulate(false);
         assertThat(served(results)).as("served fraction of the weight").isGreaterThan(0.465);
-        assertThat(servedLast(results)).as("the same in the last third").isGreaterThan(0.205);
+        assertThat(servedLast(results))
+                .as("served fraction of the weight in the last third")
+                .isGreaterThan(0.205);
         assertThat(dropped(results))
-                .as("connections that servers dropped, a run")
+                .as("connections that servers dropped per run")
                 .isLessThan(1_250);
     }
 
-    /** The loss is due to missing information: by the true state of the servers most is served on the same seeds. */
+    /**
+     * The loss is due to missing information: placement by the true state of the servers serves most of the weight for
+     * the same seeds.
+     */
     @Test
     void omniscientPlacementServesMostOfTheLastThird() {
         SimulationResult[] results = simulate(true);
--- a/src/test/java/sandstack/decisions/RetryBackoffTest.java
+++ b/src/test/java/sandstack/decisions/RetryBackoffTest.java
@@ -11,10 +11,10 @@
 import sandstack.decisions.BalancerEvent.AttemptEnded;
 import sandstack.decisions.BalancerEvent.ConnectionEstablished;
 
-/** Back-off intervals, retries and Retry-After. */
+/** Backoff intervals, retries and Retry-After. */
 class RetryBackoffTest {
     @Test
-    void retryIsUniformOverTheIntervalAndGenerationsNeverOverlap() {
+    void retryIsUniformOverTheIntervalAndIntervalsNeverOverlap() {
         double smallest = 1;
         double largest = 0;
         for (int seed = 0; seed < 200; seed++) {
@@ -33,13 +33,13 @@
                     + BalancerHarness.requestTimerMicros(harness.failAttempt("r", AttemptOutcome.REJECTED));
             assertTrue(
                     second >= start + 2 * BalancerHarness.SLOT_MICROS,
-                    "the second retry waits for the end of the first interval");
+                    "the second retry is before the end of the first interval");
             assertTrue(second <= start + 2 * BalancerHarness.SLOT_MICROS + 4 * BalancerHarness.SLOT_MICROS + 1);
         }
         assertTrue(smallest < 0.05 && largest > 0.95, "draws span " + smallest + " to " + largest);
     }
 
-    /** Without a Retry-After, rejected clients would return at once. */
+    /** Without a Retry-After, rejected clients would return immediately. */
     @Test
     void rejectionCarriesRetryAfterEvenWhereClientsMayNotHonourIt() {
         BalancerHarness harness = new BalancerHarness(
@@ -90,7 +90,7 @@
         assertTrue(
                 BalancerHarness.requestTimerMicros(harness.failAttempt("b", AttemptOutcome.REJECTED))
                         <= 2 * BalancerHarness.SLOT_MICROS + 1,
-                "back to the first interval");
+                "the retry is not drawn from the first interval");
     }
 
     @Test
@@ -110,6 +110,6 @@
             }
             harness.advance(BalancerHarness.requestTimerMicros(actions));
         }
-        throw new AssertionError("never rejected");
+        throw new AssertionError("the request was never rejected");
     }
 }
--- a/src/test/java/sandstack/decisions/RollingRestartTest.java
+++ b/src/test/java/sandstack/decisions/RollingRestartTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A hundred load balancers while all relays restart and half of the servers are replaced, over twelve seeds. Measured
- * means are 0.475 of the weight served and 1,884 connections dropped; the bounds leave a margin, and a change that
- * makes either worse than that fails here in seconds.
+ * Runs 100 load balancers while all relays restart and half of the servers are replaced, over 12 seeds. The means are
+ * 0.475 of the weight served and 1,884 connections dropped; the bounds leave a margin, and a regression of either
+ * beyond it fails here within seconds.
  */
 class RollingRestartTest {
     private static final int SEED_COUNT = 12;
 
-    private static SimulationResult[] simulate(boolean bySight) {
+    private static SimulationResult[] simulate(boolean omniscient) {
         return LongStream.rangeClosed(1, SEED_COUNT)
                 .parallel()
                 .mapToObj(seed -> FleetScenarios.rollingRestart(
@@ -24,7 +24,7 @@
                         18 + (int) (seed % 4) * 3,
                         230 + (int) (seed % 3) * 30,
                         10 + (int) (seed % 5),
-                        bySight))
+                        omniscient))
                 .toArray(SimulationResult[]::new);
     }
 
@@ -33,11 +33,14 @@
         SimulationResult[] results = simulate(false);
         assertThat(served(results)).as("served fraction of the weight").isGreaterThan(0.45);
         assertThat(dropped(results))
-                .as("connections that servers dropped, a run")
+                .as("connections that servers dropped per run")
                 .isLessThan(2_200);
     }
 
-    /** The scenario can be served: by the true state of the servers nearly everything is, and few are dropped. */
+    /**
+     * The scenario can be served: placement by the true state of the servers serves nearly everything and drops few
+     * connections.
+     */
     @Test
     void omniscientPlacementServesNearlyEverything() {
         SimulationResult[] results = simulate(true);
--- a/src/test/java/sandstack/decisions/RuleChecker.java
+++ b/src/test/java/sandstack/decisions/RuleChecker.java
@@ -23,8 +23,9 @@
 import sandstack.decisions.BalancerEvent.ConnectionEstablished;
 
 /**
- * Checks the actions of one load balancer against the rules: one answer for each request, by its deadline; attempts one
- * at a time, within their limits, not at drained servers, and never with an effect twice.
+ * Checks the actions of one load balancer against its contract: each request gets one answer by its deadline; attempts
+ * are made one at a time, within the limits, not at drained servers, and never so that a request could take effect
+ * twice.
  */
 final class RuleChecker implements BalancerAction.Handler<RuntimeException> {
     /** The latest attempt of each request. */
@@ -32,7 +33,7 @@
 
     final Map<String, Integer> attemptCounts = new HashMap<>();
     final Set<String> answeredRequests = new HashSet<>();
-    /** Requests that need an answer, in order of arrival; also those with an established connection. */
+    /** Open requests in the order of their arrival, including those with an established connection. */
     final Map<String, ConnectRequested> openRequests = new LinkedHashMap<>();
 
     final Map<String, StartAttempt> attemptsInFlight = new LinkedHashMap<>();
@@ -42,10 +43,10 @@
     private final LongSupplier clockMicros;
     private final Map<String, Long> drainingSinceMicros = new HashMap<>();
     private final Map<String, Long> attemptStartMicros = new HashMap<>();
-    /** Server of each request's first attempt that may have been executed, and its start. */
-    private final Map<String, EndpointEntry> possiblyExecutedAt = new HashMap<>();
+    /** Server of the first attempt of each request that may have been executed. */
+    private final Map<String, EndpointEntry> possibleExecutionServer = new HashMap<>();
 
-    private final Map<String, Long> possiblyExecutedSinceMicros = new HashMap<>();
+    private final Map<String, Long> possibleExecutionStartMicros = new HashMap<>();
 
     RuleChecker(BalancerSettings settings, Map<String, EndpointEntry> endpoints, LongSupplier clockMicros) {
         this.settings = settings;
@@ -65,7 +66,7 @@
         drainingSinceMicros.putIfAbsent(serverId, clockMicros.getAsLong());
     }
 
-    /** Takes an event before the load balancer does. */
+    /** Records an event; called before the load balancer handles it. */
     void onEvent(BalancerEvent event) {
         if (event instanceof ConnectRequested request) {
             if (request.classIndex() < settings.classes().size()) {
@@ -88,10 +89,10 @@
         attemptsInFlight.remove(requestId);
         establishedAttempts.remove(requestId);
         if (!ended.outcome().notExecuted
-                && !possiblyExecutedAt.containsKey(requestId)
+                && !possibleExecutionServer.containsKey(requestId)
                 && endpoints.containsKey(ended.serverId())) {
-            possiblyExecutedAt.put(requestId, endpoints.get(ended.serverId()));
-            possiblyExecutedSinceMicros.put(
+            possibleExecutionServer.put(requestId, endpoints.get(ended.serverId()));
+            possibleExecutionStartMicros.put(
                     requestId, attemptStartMicros.getOrDefault(requestId, clockMicros.getAsLong()));
         }
         if (ended.requestFinished()) {
@@ -110,17 +111,17 @@
         long nowMicros = clockMicros.getAsLong();
         String requestId = action.requestId();
         ConnectRequested request = openRequests.get(requestId);
-        assertNotNull(request, "attempt for a request that is over: " + action);
-        assertTrue(nowMicros <= request.deadlineMicros(), "attempt past the deadline");
-        assertNull(attemptsInFlight.put(requestId, action), "two attempts in flight");
+        assertNotNull(request, "attempt for a request that is not open: " + action);
+        assertTrue(nowMicros <= request.deadlineMicros(), "attempt after the deadline");
+        assertNull(attemptsInFlight.put(requestId, action), "second attempt while one is in flight");
         assertFalse(establishedAttempts.containsKey(requestId), "attempt while the connection is established");
         Long drainingMicros = drainingSinceMicros.get(action.serverId());
         assertTrue(
                 drainingMicros == null || nowMicros - drainingMicros <= settings.drainGraceMicros(),
-                "attempt past the drain grace");
+                "attempt after the drain grace");
         int attemptCount = attemptCounts.merge(requestId, 1, Integer::sum);
-        assertTrue(attemptCount <= settings.maxAttempts(), "too many attempts");
-        if (possiblyExecutedAt.containsKey(requestId)) {
+        assertTrue(attemptCount <= settings.maxAttempts(), "more attempts than maxAttempts");
+        if (possibleExecutionServer.containsKey(requestId)) {
             checkDuplicate(action, settings.classes().get(request.classIndex()));
         }
         latestAttempts.put(requestId, action);
@@ -131,30 +132,30 @@
         assertTrue(requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT, "non-idempotent request retried");
         if (requestClass.idempotency() == Idempotency.WITH_KEY) {
             assertTrue(
-                    clockMicros.getAsLong() - possiblyExecutedSinceMicros.get(action.requestId())
+                    clockMicros.getAsLong() - possibleExecutionStartMicros.get(action.requestId())
                             <= requestClass.deduplicationWindowMicros(),
-                    "retried past the deduplication window");
-            EndpointEntry executedAt = possiblyExecutedAt.get(action.requestId());
+                    "retried after the deduplication window");
+            EndpointEntry executedAt = possibleExecutionServer.get(action.requestId());
             EndpointEntry target = endpoints.get(action.serverId());
             assertTrue(
                     requestClass.deduplicationScope() == DeduplicationScope.ALL || target.zone() == executedAt.zone(),
-                    "retried outside its zone");
+                    "retried outside the zone of the deduplication scope");
             assertTrue(
                     requestClass.deduplicationScope() != DeduplicationScope.CELL || target.cell() == executedAt.cell(),
-                    "retried outside its cell");
+                    "retried outside the cell of the deduplication scope");
         }
     }
 
     @Override
     public void reject(Reject action) {
         recordAnswer(action.requestId());
-        if (possiblyExecutedAt.containsKey(action.requestId())) {
+        if (possibleExecutionServer.containsKey(action.requestId())) {
             RequestClass requestClass = settings.classes().get(0);
             assertTrue(
                     requestClass.idempotency() == Idempotency.IDEMPOTENT
                             || (requestClass.idempotency() == Idempotency.WITH_KEY
                                     && requestClass.deduplicationScope() == DeduplicationScope.ALL),
-                    "rejected what may have been executed");
+                    "rejected a request that may have been executed");
         }
     }
 
@@ -168,7 +169,7 @@
     private void recordAnswer(String requestId) {
         ConnectRequested request = openRequests.remove(requestId);
         assertNotNull(request, "answered twice: " + requestId);
-        assertTrue(clockMicros.getAsLong() <= request.deadlineMicros(), "answered late");
+        assertTrue(clockMicros.getAsLong() <= request.deadlineMicros(), "answered after the deadline");
         assertFalse(attemptsInFlight.containsKey(requestId), "answered with an attempt in flight");
         answeredRequests.add(requestId);
     }
@@ -188,13 +189,13 @@
         // allowed at any time
     }
 
-    /** No open request without a connection may be past its deadline. */
+    /** Checks that no open request without a connection is past its deadline. */
     void checkDeadlines() {
         for (ConnectRequested request : openRequests.values()) {
             assertTrue(
                     establishedAttempts.containsKey(request.requestId())
                             || clockMicros.getAsLong() <= request.deadlineMicros(),
-                    "no answer in time: " + request.requestId());
+                    "no answer by the deadline: " + request.requestId());
         }
     }
 }
--- a/src/test/java/sandstack/decisions/SettingsReloadTest.java
+++ b/src/test/java/sandstack/decisions/SettingsReloadTest.java
@@ -15,7 +15,7 @@
 import sandstack.decisions.BalancerEvent.SettingsChanged;
 import sandstack.settings.BalancerSettingsBuilder;
 
-/** Settings that change while requests are pending. */
+/** Settings reloads while requests are pending. */
 class SettingsReloadTest {
     private static final RequestClass NON_IDEMPOTENT = new RequestClass(
             BalancerHarness.LATENCY_OBJECTIVE_MICROS,
@@ -78,7 +78,7 @@
             }
             harness.finish();
             assertThat(harness.attemptCounts.get("a"))
-                    .as("from %d to %d", change[0], change[1])
+                    .as("attempts with maxAttempts changed from %d to %d", change[0], change[1])
                     .isLessThanOrEqualTo(change[2]);
             assertThat(harness.allActions).anyMatch(Reject.class::isInstance);
         }
@@ -98,7 +98,7 @@
         harness.finish();
     }
 
-    /** While one process takes over from another, both share the slow-start budget of one. */
+    /** During a handover, both processes share the slow-start budget of one relay. */
     @Test
     void twoProcessesShareTheSlowStartBudget() {
         int alone = 0;
@@ -113,7 +113,7 @@
 
     private static int countSlowStartAttempts(int seed, int processes) {
         BalancerHarness harness =
-                new BalancerHarness(BalancerHarness.settings().instanceCount(2).build(), seed);
+                new BalancerHarness(BalancerHarness.settings().relayCount(2).build(), seed);
         harness.listServers(2, 1);
         harness.send(new ProcessCountChanged(processes));
         harness.restartServer("s0");
--- a/src/test/java/sandstack/decisions/SimulatedClient.java
+++ b/src/test/java/sandstack/decisions/SimulatedClient.java
@@ -1,12 +1,12 @@
 package sandstack.decisions;
 
-/** A client of a {@link SimulatedFleet}, which wants its connection all the time. */
+/** A client of a {@link SimulatedFleet}, which reconnects whenever it has no connection. */
 final class SimulatedClient {
-    /** Load of a connection by class, in units of work a second. */
+    /** Load of a connection by class, in units of work per second. */
     private static final double[] LOAD_BY_CLASS = {0.57, 0.2, 3.4};
     /** Priority weight by class. */
     static final double[] WEIGHT_BY_CLASS = {5, 1, 5};
-    /** What one unit of work a second is in the load reports of connections. */
+    /** Reported load, in microseconds of work per second, of one unit of work per second. */
     private static final double MICROS_PER_UNIT = 66_000;
 
     final String key;
@@ -18,10 +18,14 @@
     String requestId;
     /** Relay of that request; null while the client is disconnected. */
     SimulatedRelay relay;
-    /** Server of its established connection; null where there is none. */
+    /** Server of its established connection; null if there is none. */
     SimulatedServer server;
 
-    /** Creates a disconnected client, whose class a number from [0, 1) draws. */
+    /**
+     * Creates a disconnected client.
+     *
+     * @param uniformDraw from [0, 1), determines its class
+     */
     SimulatedClient(String key, String group, int zone, double uniformDraw) {
         this.key = key;
         this.group = group;
@@ -29,12 +33,12 @@
         this.classIndex = uniformDraw < 0.5 ? 0 : uniformDraw < 0.81 ? 1 : 2;
     }
 
-    /** Units of work a second of its connection. */
+    /** Load of its connection in units of work per second. */
     double load() {
         return LOAD_BY_CLASS[classIndex];
     }
 
-    /** The same as connections report it. */
+    /** Load of its connection as it is reported, in microseconds of work per second. */
     double reportedLoad() {
         return load() * MICROS_PER_UNIT;
     }
--- a/src/test/java/sandstack/decisions/SimulatedClock.java
+++ b/src/test/java/sandstack/decisions/SimulatedClock.java
@@ -2,9 +2,9 @@
 
 import java.util.PriorityQueue;
 
-/** Simulated time with tasks that are due at points of it. Tasks of equal time run in the order of their scheduling. */
+/** Simulated time with scheduled tasks. Tasks due at the same time run in the order in which they were scheduled. */
 final class SimulatedClock {
-    /** A task and its time; {@code order} settles equal times. */
+    /** A task and its due time; {@code order} breaks ties. */
     private record Task(long dueMicros, long order, Runnable action) implements Comparable<Task> {
         @Override
         public int compareTo(Task other) {
@@ -25,7 +25,7 @@
         tasks.add(new Task(nowMicros + delayMicros, scheduledCount++, action));
     }
 
-    /** Moves time on by so much and runs the tasks that come due, each at its time. */
+    /** Advances the time by this duration and runs the tasks that become due, each at its time. */
     void advance(long durationMicros) {
         long endMicros = nowMicros + durationMicros;
         while (!tasks.isEmpty() && tasks.peek().dueMicros <= endMicros) {
--- a/src/test/java/sandstack/decisions/SimulatedFleet.java
+++ b/src/test/java/sandstack/decisions/SimulatedFleet.java
@@ -20,31 +20,32 @@
 import sandstack.decisions.BalancerEvent.TimerExpired;
 
 /**
- * Many load balancers, their servers and their clients in one simulated clock. A {@link SimulatedServer} queues the
- * work that it cannot do; past a second of it the newest connections are dropped. Relays learn of that only what
- * happens to their own connections, and hear of the endpoint list seconds late. Loads are reported once a connection is
- * established. {@link FleetOperations} lets parts of the fleet fail and {@link FleetScenarios} says when.
+ * Many load balancers with their servers and clients, on one simulated clock. A {@link SimulatedServer} queues the work
+ * that it cannot do; when the queue exceeds one second of work, it drops its newest connections. Relays only observe
+ * what happens to their own connections, and they receive endpoint list updates seconds late. Loads are reported once a
+ * connection is established. {@link FleetOperations} applies restarts and failures, and {@link FleetScenarios} defines
+ * when.
  */
 final class SimulatedFleet {
     private static final long STEP_MICROS = 20_000;
     private static final long SETUP_MICROS = 30_000;
-    /** Delay of messages at which a server drops connections. */
+    /** Message delay at which a server drops connections. */
     private static final long DROP_DELAY_MICROS = 1_000_000;
-    /** Fraction of a server's capacity that its remaining connections need after a drop. */
+    /** Fraction of a server's capacity that its remaining connections use after a drop. */
     private static final double REMAINING_LOAD_FRACTION = 0.2;
 
     final SimulatedClock clock = new SimulatedClock();
     final Random random;
     final List<SimulatedRelay> relays = new ArrayList<>();
     private final boolean omniscient;
-    /** Units of work a second of a server of rating 1, before a draw. */
+    /** Mean units of work per second of a server of rating 1. */
     private final double meanUnitsPerSecond;
 
     private final int zoneCount;
     private final Map<String, SimulatedServer> servers = new LinkedHashMap<>();
     private final List<SimulatedClient> clients = new ArrayList<>();
     private int requestCount;
-    private double wantedWeight;
+    private double requestedWeight;
     private double servedWeight;
     private int droppedCount;
     private int rejectedCount;
@@ -68,12 +69,12 @@
         return servers.values();
     }
 
-    /** A random duration between two. */
+    /** Draws a duration between two. */
     long between(long minMicros, long maxMicros) {
         return minMicros + (long) (random.nextDouble() * (maxMicros - minMicros));
     }
 
-    /** Adds a server with 0.9 to 1.5 times the mean capacity of its rating. */
+    /** Adds a server with 0.9 to 1.5 times the mean capacity for its rating. */
     SimulatedServer addServer(String name, double rating, long startedAtMicros) {
         int zone = Math.floorMod(name.hashCode(), 97) % zoneCount;
         SimulatedServer server = new SimulatedServer(
@@ -83,7 +84,7 @@
         return server;
     }
 
-    /** Adds a disconnected client; group sizes are the more uneven the greater the skew. */
+    /** Adds a disconnected client. The greater the skew, the more uneven are the sizes of groups. */
     SimulatedClient addClient(int number, int groupCount, double skew) {
         String group = "g" + (int) (groupCount * Math.pow(random.nextDouble(), skew));
         SimulatedClient client =
@@ -92,7 +93,7 @@
         return client;
     }
 
-    /** Starts a relay's process, which knows nothing but a cached list. */
+    /** Starts the process of a relay, which only has a cached endpoint list. */
     void startRelay(SimulatedRelay relay) {
         relay.loadBalancer = new LoadBalancer(
                 relay.settings(relays.size(), zoneCount),
@@ -106,7 +107,7 @@
         send(relay, new EndpointListUpdate(EndpointListKind.CACHED, list));
     }
 
-    /** The list that discovery has. */
+    /** The endpoint list of discovery. */
     List<EndpointEntry> endpointList() {
         return servers.values().stream()
                 .filter(server -> !server.down)
@@ -114,7 +115,10 @@
                 .toList();
     }
 
-    /** Establishes a client's connection at a good server before the simulation begins. */
+    /**
+     * Establishes the connection of a client, at a server chosen by {@link OmniscientPlacement}, before the simulation
+     * begins.
+     */
     void adopt(SimulatedClient client) {
         SimulatedServer server = OmniscientPlacement.initialServer(client, servers.values());
         List<SimulatedRelay> homeRelays =
@@ -133,7 +137,7 @@
         relay.clients.put(client.requestId, client);
     }
 
-    /** A client requests a connection from a random relay of its zone, once one is up. */
+    /** Sends the connection request of a client to a random relay of its zone, once one is running. */
     void connect(SimulatedClient client) {
         List<SimulatedRelay> available = relays.stream()
                 .filter(relay -> relay.loadBalancer != null && !relay.draining && relay.zone == client.zone)
@@ -152,7 +156,7 @@
         clock.schedule(between(minDelayMicros, maxDelayMicros), () -> connect(client));
     }
 
-    /** A client loses its relay, and with it its connection. */
+    /** Removes a client from its relay, which also closes its connection. */
     void disconnect(SimulatedClient client) {
         if (client.relay != null) {
             client.relay.clients.remove(client.requestId);
@@ -164,14 +168,14 @@
         }
     }
 
-    /** An established connection ends, and its relay observes how. */
+    /** Ends an established connection; its relay observes the outcome. */
     void endConnection(SimulatedClient client, AttemptOutcome outcome) {
         SimulatedServer server = client.server;
         SimulatedRelay relay = client.relay;
         String requestId = client.requestId;
         disconnect(client);
         if (outcome == AttemptOutcome.CANCELLED && server.draining) {
-            // a relay takes a server that sends its clients away for draining
+            // a relay treats a server that closes its connections in this way as draining
             send(relay, new EndpointListUpdate(EndpointListKind.DELTA, List.of(server.listed())));
         }
         int attempt = relay.attemptCounts.get(requestId) - 1;
@@ -255,13 +259,13 @@
         send(relay, new LoadReported(requestId, attemptNumber, serverId, client.reportedLoad()));
     }
 
-    /** Lets time pass. */
+    /** Advances the simulation. */
     void run(long durationMicros) {
         long endMicros = clock.nowMicros() + durationMicros;
         while (clock.nowMicros() < endMicros) {
             clock.advance(STEP_MICROS);
             servers.values().forEach(this::work);
-            clients.forEach(client -> wantedWeight += client.weight());
+            clients.forEach(client -> requestedWeight += client.weight());
         }
     }
 
@@ -276,7 +280,7 @@
 
     private void drop(SimulatedServer server, double remainingLoad) {
         for (SimulatedClient client : server.newestBeyond(remainingLoad)) {
-            // what its relay learns of one may migrate another away first
+            // the events of one ended connection may have made its relay migrate this client already
             if (client.server == server) {
                 droppedCount++;
                 endConnection(client, AttemptOutcome.RESET);
@@ -286,28 +290,28 @@
         server.shrinkQueue();
     }
 
-    /** Starts counting anew. */
+    /** Resets the counts. */
     void resetCounts() {
-        wantedWeight = 0;
+        requestedWeight = 0;
         servedWeight = 0;
         droppedCount = 0;
         rejectedCount = 0;
     }
 
-    /** Lets time pass and returns what was served in it. */
+    /** Advances the simulation and returns the results of this period. */
     SimulationResult measure(long durationMicros) {
         run(durationMicros / 3 * 2);
         double servedBefore = servedWeight;
-        double wantedBefore = wantedWeight;
+        double requestedBefore = requestedWeight;
         run(durationMicros / 3);
-        int groupPlaces = servers.values().stream()
+        int groupServerPairs = servers.values().stream()
                 .mapToInt(server -> (int) server.groupCount())
                 .sum();
         return new SimulationResult(
-                servedWeight / wantedWeight,
-                (servedWeight - servedBefore) / (wantedWeight - wantedBefore),
+                servedWeight / requestedWeight,
+                (servedWeight - servedBefore) / (requestedWeight - requestedBefore),
                 droppedCount,
                 rejectedCount,
-                groupPlaces);
+                groupServerPairs);
     }
 }
--- a/src/test/java/sandstack/decisions/SimulatedRelay.java
+++ b/src/test/java/sandstack/decisions/SimulatedRelay.java
@@ -9,7 +9,7 @@
 
 /** One relay of a {@link SimulatedFleet}: its load balancer, or none while it restarts. */
 final class SimulatedRelay {
-    /** Latency objective of messages. */
+    /** Message latency objective. */
     static final long MESSAGE_OBJECTIVE_MICROS = 150_000;
 
     final int index;
@@ -18,10 +18,10 @@
     LoadBalancer loadBalancer;
 
     boolean draining;
-    /** The last list that it has while discovery is down; null while it gets updates. */
+    /** Endpoint list that it keeps during a discovery outage; null while it receives updates. */
     List<EndpointEntry> cachedList;
 
-    /** Counts the starts of its process. */
+    /** Number of starts and kills of its process, which invalidates pending callbacks of earlier ones. */
     int incarnation;
 
     /** Its clients by request id. */
@@ -47,8 +47,8 @@
                     MESSAGE_OBJECTIVE_MICROS));
         }
         return BalancerSettingsBuilder.of(classes)
-                .instanceIndex(index)
-                .instanceCount(relayCount)
+                .relayIndex(index)
+                .relayCount(relayCount)
                 .homeZone(zone)
                 .zoneCount(zoneCount)
                 .sharedGroups(true)
--- a/src/test/java/sandstack/decisions/SimulatedServer.java
+++ b/src/test/java/sandstack/decisions/SimulatedServer.java
@@ -6,28 +6,29 @@
 import java.util.Set;
 
 /**
- * A feed server of a {@link SimulatedFleet}. It does so many units of work a second; what its connections need beyond
- * that is queued.
+ * A feed server of a {@link SimulatedFleet}. It does a limited number of units of work per second and queues what its
+ * connections need beyond that.
  */
 final class SimulatedServer {
-    /** Load of a group that has connections here, in units of work a second. */
+    /** Load of each group that has connections here, in units of work per second. */
     private static final double GROUP_LOAD = 3;
-    /** Work of a set-up, in units. */
+    /** Work of a connection set-up, in units. */
     private static final double SETUP_WORK = 0.3;
 
     private static final double SLOW_START_INITIAL_FRACTION = 0.13;
     private static final double SLOW_START_MICROS = 23_000_000;
 
-    /** Units of work a second that it does after its slow start. */
+    /** Units of work per second that it does after its slow start. */
     final double unitsPerSecond;
-    /** Its connections, in the order of their set-up. */
+    /** Clients of its connections, in the order of set-up. */
     final List<SimulatedClient> clients = new ArrayList<>();
 
     EndpointEntry entry;
     boolean down;
     boolean draining;
     /**
-     * Seconds of work that are queued at most. Where that is less than the delay of drops, it is slow and drops nobody.
+     * Bound of the queue in seconds of work. With a bound below the delay at which servers drop connections, it is slow
+     * but drops none.
      */
     double maxQueueSeconds = Double.POSITIVE_INFINITY;
 
@@ -38,14 +39,14 @@
         this.unitsPerSecond = unitsPerSecond;
     }
 
-    /** Units of work a second that its connections need. */
+    /** Units of work per second that its connections need. */
     double requestedLoad() {
         Set<String> groups = new HashSet<>();
         clients.forEach(client -> groups.add(client.group));
         return clients.stream().mapToDouble(SimulatedClient::load).sum() + GROUP_LOAD * groups.size();
     }
 
-    /** The same with one more client. */
+    /** Units of work per second that its connections would need with one more client. */
     double requestedLoadWith(SimulatedClient client) {
         return requestedLoad() + client.load() + (hasGroup(client.group) ? 0 : GROUP_LOAD);
     }
@@ -58,7 +59,7 @@
         return clients.stream().map(client -> client.group).distinct().count();
     }
 
-    /** Units of work a second that it does now. */
+    /** Units of work per second that it does now. */
     double currentUnitsPerSecond(long nowMicros) {
         long startedAtMicros = entry.startedAtMicros();
         return unitsPerSecond
@@ -81,7 +82,7 @@
         clients.add(client);
     }
 
-    /** Works for so long; returns the delay of messages at the end, in microseconds. */
+    /** Works for this duration; returns the message delay at its end, in microseconds. */
     double work(long nowMicros, long durationMicros) {
         double units = currentUnitsPerSecond(nowMicros);
         double added = (requestedLoad() - units) * durationMicros / 1e6;
@@ -89,7 +90,7 @@
         return queuedWork / units * 1e6;
     }
 
-    /** The newest clients, without which the load is less than this; some of the queued work goes with them. */
+    /** The newest clients, without which the load is less than this. */
     List<SimulatedClient> newestBeyond(double load) {
         List<SimulatedClient> newest = new ArrayList<>();
         double keptLoad = 0;
@@ -105,7 +106,7 @@
         return newest;
     }
 
-    /** Part of the queued work was for connections that are dropped now. */
+    /** Removes part of the queued work, as that of the dropped connections. */
     void shrinkQueue() {
         queuedWork *= 0.9;
     }
@@ -115,7 +116,7 @@
         queuedWork = 0;
     }
 
-    /** A new process after a crash. */
+    /** Starts a new process after a crash. */
     void restart(long nowMicros) {
         down = false;
         entry = new EndpointEntry(
--- a/src/test/java/sandstack/decisions/SimulationResult.java
+++ b/src/test/java/sandstack/decisions/SimulationResult.java
@@ -5,14 +5,14 @@
 /**
  * The result of one run of a {@link SimulatedFleet}.
  *
- * @param served served fraction of the wanted priority weight
- * @param servedLast the same of the last third of the run alone
+ * @param served served fraction of the requested priority weight
+ * @param servedLast the same fraction in the last third of the run
  * @param dropped number of connections that servers dropped
  * @param rejected number of requests that relays rejected or failed
- * @param groupPlaces number of pairs of a group and a server that has connections of it, at the end
+ * @param groupServerPairs number of pairs of a group and a server with connections of it, at the end
  */
-record SimulationResult(double served, double servedLast, int dropped, int rejected, int groupPlaces) {
-    /** Mean served fraction over runs. */
+record SimulationResult(double served, double servedLast, int dropped, int rejected, int groupServerPairs) {
+    /** Mean served fraction over all runs. */
     static double served(SimulationResult[] results) {
         return Arrays.stream(results)
                 .mapToDouble(SimulationResult::served)
@@ -20,7 +20,7 @@
                 .orElseThrow();
     }
 
-    /** The same of the last third of each run. */
+    /** Mean served fraction in the last third, over all runs. */
     static double servedLast(SimulationResult[] results) {
         return Arrays.stream(results)
                 .mapToDouble(SimulationResult::servedLast)
@@ -28,7 +28,7 @@
                 .orElseThrow();
     }
 
-    /** Mean number of connections dropped in a run. */
+    /** Mean number of dropped connections per run. */
     static double dropped(SimulationResult[] results) {
         return Arrays.stream(results)
                 .mapToInt(SimulationResult::dropped)
--- a/src/test/java/sandstack/decisions/StreamTest.java
+++ b/src/test/java/sandstack/decisions/StreamTest.java
@@ -30,14 +30,14 @@
 import sandstack.settings.BalancerSettingsBuilder;
 
 /**
- * Plays thousands of mixed events to the load balancer and compares a digest of all its actions with a stored one: a
- * change of code that is not meant to change behaviour leaves every digest as it is.
+ * Sends thousands of mixed events to the load balancer and compares a digest of all its actions with a stored one. A
+ * change that is not meant to change behaviour leaves every digest unchanged.
  */
 class StreamTest {
-    private static final int EVENTS = 12_000;
-    private static final int SERVERS = 14;
+    private static final int EVENT_COUNT = 12_000;
+    private static final int SERVER_COUNT = 14;
 
-    /** One stream: what is out, what stands, and which timers run. */
+    /** One event stream with its attempts in flight, established connections and running timers. */
     private static final class Stream {
         final SplittableRandom random;
         final BalancerSettings settings;
@@ -47,8 +47,8 @@
         final Map<String, StartAttempt> established = new LinkedHashMap<>();
         final Map<String, Integer> attemptCounts = new LinkedHashMap<>();
         final TreeMap<Long, List<Long>> timers = new TreeMap<>();
-        final EndpointState[] states = new EndpointState[SERVERS];
-        final long[] startTimes = new long[SERVERS];
+        final EndpointState[] states = new EndpointState[SERVER_COUNT];
+        final long[] startTimes = new long[SERVER_COUNT];
         final boolean reportsDelays;
         final boolean reportsLoads;
         long nowMicros = 70_000_000;
@@ -74,8 +74,8 @@
             RequestClass nonIdempotent =
                     new RequestClass(500_000, 3_000_000, 2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.CELL, 0, 0);
             return BalancerSettingsBuilder.of(List.of(light, heavy, nonIdempotent))
-                    .instanceIndex(1)
-                    .instanceCount(3)
+                    .relayIndex(1)
+                    .relayCount(3)
                     .zoneCount(3)
                     .tenants(List.of(new Tenant(20, 0.5), new Tenant(60, 0.5)))
                     .overQuotaWeight(kind.contains("tenants") ? 0.2 : 1)
@@ -154,7 +154,7 @@
                     false,
                     random.nextInt(4) == 0);
             if (random.nextInt(60) == 0) {
-                StartAttempt attempt = new StartAttempt(id, "s" + random.nextInt(SERVERS), 0);
+                StartAttempt attempt = new StartAttempt(id, "s" + random.nextInt(SERVER_COUNT), 0);
                 attemptCounts.put(id, 1);
                 established.put(id, attempt);
                 send(new ConnectionAdopted(request, attempt.serverId()));
@@ -164,7 +164,7 @@
         }
 
         void updateEndpointList() {
-            int index = random.nextInt(SERVERS);
+            int index = random.nextInt(SERVER_COUNT);
             if (states[index] == EndpointState.READY && random.nextInt(3) > 0) {
                 states[index] = random.nextBoolean() ? EndpointState.DRAINING : EndpointState.GONE;
             } else if (states[index] != EndpointState.READY) {
@@ -221,12 +221,12 @@
         }
 
         String play() {
-            List<EndpointEntry> outcomes = new ArrayList<>();
-            for (int i = 0; i < SERVERS; i++) {
-                outcomes.add(entry(i));
+            List<EndpointEntry> entries = new ArrayList<>();
+            for (int i = 0; i < SERVER_COUNT; i++) {
+                entries.add(entry(i));
             }
-            send(new EndpointListUpdate(EndpointListKind.CACHED, outcomes));
-            for (int i = 0; i < EVENTS; i++) {
+            send(new EndpointListUpdate(EndpointListKind.CACHED, entries));
+            for (int i = 0; i < EVENT_COUNT; i++) {
                 step();
             }
             return actionCount + " " + HexFormat.of().formatHex(digest.digest(), 0, 8);
--- a/src/test/java/sandstack/decisions/UnstatedCapacityTest.java
+++ b/src/test/java/sandstack/decisions/UnstatedCapacityTest.java
@@ -13,13 +13,13 @@
 import sandstack.decisions.BalancerEvent.LoadReported;
 import sandstack.settings.BalancerSettingsBuilder;
 
-/** The load balancer where no operator states capacities: settings, the endpoint list and reported loads decide. */
+/** The load balancer without stated capacities: settings, the endpoint list and reported loads decide. */
 class UnstatedCapacityTest {
     private static BalancerHarness newHarness(boolean ratingsAreSizes) {
         BalancerSettings base = BalancerHarness.settings().build();
         BalancerSettings settings = BalancerSettingsBuilder.of(base.classes())
-                .instanceIndex(base.instanceIndex())
-                .instanceCount(base.instanceCount())
+                .relayIndex(base.relayIndex())
+                .relayCount(base.relayCount())
                 .tenants(base.tenants())
                 .sharedGroups(true)
                 .endpointListPolled(true)
@@ -50,16 +50,18 @@
         return attempt.serverId();
     }
 
-    /** A default load may make another server preferred, but closes none. */
+    /** A default load may lower the weight of a server, but closes none. */
     @Test
     void defaultLoadClosesNoServer() {
         BalancerHarness harness = newHarness(true);
         for (int i = 0; i < 300; i++) {
-            assertThat(place(harness, "r" + i, null)).as("request " + i).isNotNull();
+            assertThat(place(harness, "r" + i, null))
+                    .as("server of request " + i)
+                    .isNotNull();
         }
     }
 
-    /** A unit of rating does a second of work a second where ratings are sizes; elsewhere evidence alone counts. */
+    /** If ratings are sizes, a unit of rating does one second of work per second; otherwise only evidence counts. */
     @Test
     void reportedLoadsFillAServerOfListedSize() {
         for (boolean ratingsAreSizes : new boolean[] {true, false}) {
@@ -70,11 +72,13 @@
             for (int i = 0; i < 60; i++) {
                 placedOnFull += busy.equals(place(harness, "r" + i, null)) ? 1 : 0;
             }
-            assertThat(placedOnFull > 0).as("sized " + ratingsAreSizes).isEqualTo(!ratingsAreSizes);
+            assertThat(placedOnFull > 0)
+                    .as("requests placed on the busy server, ratings are sizes: " + ratingsAreSizes)
+                    .isEqualTo(!ratingsAreSizes);
         }
     }
 
-    /** Without the bound a large group would be on one server alone, while others are idle. */
+    /** Without the bound, a large group would use one server alone while others are idle. */
     @Test
     void groupMovesOnWhereAServerExceedsItsBound() {
         BalancerHarness harness = newHarness(true);
@@ -83,7 +87,9 @@
         for (int i = 0; i < 60; i++) {
             connectionsByServer.merge(place(harness, "r" + i, "shop"), 1, Integer::sum);
         }
-        assertThat(connectionsByServer.values()).as("of 10 each").allMatch(n -> n <= 20);
+        assertThat(connectionsByServer.values())
+                .as("connections by server, 10 on average")
+                .allMatch(n -> n <= 20);
     }
 
     @Test
--- a/src/test/java/sandstack/decisions/ZoneOutageTest.java
+++ b/src/test/java/sandstack/decisions/ZoneOutageTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Ninety load balancers whose clients' groups lose a third of the servers at once, over 24 seeds with few connections
- * and 24 with more. With one place for each group 0.931 and 0.898 of the weight were served and 18 and 84 connections
- * dropped: a whole group that lost its server came to one other and overloaded it. With two places it is 0.965 and
- * 0.918, 9 and 50.
+ * A third of the servers crashes at once under 90 load balancers, over 24 seeds with few connections and 24 seeds with
+ * more. The test guards against placing a group at one server only: a whole group that loses its server then moves to
+ * one other server and overloads it. Without subgroups 0.931 and 0.898 of the weight were served and 18 and 84
+ * connections dropped; with two subgroups it is 0.965 and 0.918, and 9 and 50.
  */
 class ZoneOutageTest {
     private static SimulationResult[] simulate(int clients) {
@@ -26,9 +26,13 @@
     void groupThatLosesItsServersDoesNotOverloadAnother() {
         SimulationResult[] few = simulate(90);
         assertThat(served(few)).as("served fraction, few connections").isGreaterThan(0.95);
-        assertThat(dropped(few)).as("dropped a run, few connections").isLessThan(14);
+        assertThat(dropped(few))
+                .as("connections dropped per run, few connections")
+                .isLessThan(14);
         SimulationResult[] more = simulate(150);
         assertThat(served(more)).as("served fraction, more connections").isGreaterThan(0.908);
-        assertThat(dropped(more)).as("dropped a run, more connections").isLessThan(67);
+        assertThat(dropped(more))
+                .as("connections dropped per run, more connections")
+                .isLessThan(67);
     }
 }
