--- a/src/main/java/sandstack/decisions/AttemptTimeoutPolicy.java
+++ b/src/main/java/sandstack/decisions/AttemptTimeoutPolicy.java
@@ -7,9 +7,12 @@
 final class AttemptTimeoutPolicy {
     /** Fraction of the remaining time that one attempt may use while a retry is possible. */
     private static final double ATTEMPT_TIME_FRACTION = 0.4;
-    /** Least timeout as a multiple of the average set-up time; shorter attempts would only repeat the work. */
+    /** Minimum timeout as a multiple of the average set-up time; shorter attempts would only repeat the work. */
     private static final int MIN_SETUP_TIMES = 3;
-    /** Least timeout as a multiple of the connect timeout, since connecting may use up one before the set-up begins. */
+    /**
+     * Minimum timeout as a multiple of the connect timeout, since connecting may take up to one before the set-up
+     * begins.
+     */
     private static final int MIN_CONNECT_TIMEOUTS = 2;
 
     private final BalancerContext context;
--- a/src/main/java/sandstack/decisions/EndpointTable.java
+++ b/src/main/java/sandstack/decisions/EndpointTable.java
@@ -54,6 +54,7 @@
         return servers.get(serverId);
     }
 
+    /** The server with this id; an unknown server is added as gone, since no list has named it. */
     ServerState getOrAdd(String serverId) {
         return servers.computeIfAbsent(serverId, id -> new ServerState(id, context));
     }
@@ -68,7 +69,7 @@
             return;
         }
         if (update.kind() != EndpointListKind.DELTA) {
-            drainUnlisted(update.entries());
+            drainUnlistedServers(update.entries());
         }
         for (EndpointEntry entry : update.entries()) {
             apply(entry);
@@ -78,7 +79,7 @@
         poller.onList(update.kind());
     }
 
-    private void drainUnlisted(List<EndpointEntry> entries) {
+    private void drainUnlistedServers(List<EndpointEntry> entries) {
         Set<String> listedIds = new HashSet<>();
         for (EndpointEntry entry : entries) {
             listedIds.add(entry.serverId());
--- a/src/main/java/sandstack/decisions/FleetOverloadDetector.java
+++ b/src/main/java/sandstack/decisions/FleetOverloadDetector.java
@@ -8,9 +8,11 @@
  * {@link LoadShedder}. Confined to the thread of the load balancer. An update costs O(servers).
  */
 final class FleetOverloadDetector {
-    /** Fewest observed servers of the home zone that count as evidence; a single one may be overloaded by chance. */
+    /**
+     * Minimum number of observed servers that are evidence for the home zone; a single one may be overloaded by chance.
+     */
     private static final int MIN_OBSERVED_HOME_ZONE = 2;
-    /** Fewest observed servers of the other zones that count as evidence; few connections go there. */
+    /** Minimum number of observed servers that are evidence for the other zones, to which few connections go. */
     private static final int MIN_OBSERVED_OTHER_ZONES = 1;
 
     private final EndpointTable endpoints;
--- a/src/main/java/sandstack/decisions/LoadRebalancer.java
+++ b/src/main/java/sandstack/decisions/LoadRebalancer.java
@@ -59,8 +59,8 @@
     }
 
     /**
-     * The heaviest settled connection whose load is above the shared load of a group and at most {@code maxLoad}; null
-     * if there is none.
+     * The heaviest settled connection whose load is above the overhead of a group and at most {@code maxLoad}; null if
+     * there is none.
      */
     private TrackedRequest heaviestConnection(ServerState server, double maxLoad) {
         TrackedRequest heaviest = null;
--- a/src/main/java/sandstack/decisions/ServerHeadroom.java
+++ b/src/main/java/sandstack/decisions/ServerHeadroom.java
@@ -36,8 +36,8 @@
     }
 
     /**
-     * The fraction of its capacity that the connections of this relay use at a server, by their reported loads or the
-     * mean load; other relays may use more of it. Always 0 once a connection has reported a message delay, which is
+     * The fraction of the capacity of a server that the connections of this relay use, by their reported loads or the
+     * mean load; other relays may use more of it. Always 0 once any connection has reported a message delay, which is
      * better evidence.
      */
     double utilization(ServerState server) {
--- a/src/main/java/sandstack/decisions/ServerState.java
+++ b/src/main/java/sandstack/decisions/ServerState.java
@@ -26,7 +26,9 @@
     double rating = 1;
 
     EndpointState state = EndpointState.GONE;
+    /** When it last started draining. Owner: {@link EndpointTable}. */
     long drainingSinceMicros;
+    /** When its process was last started; 0 means long ago. */
     private long startedAtMicros;
 
     final OutlierDetector outlierDetector;
--- a/src/main/java/sandstack/decisions/SetupTimeTracker.java
+++ b/src/main/java/sandstack/decisions/SetupTimeTracker.java
@@ -10,7 +10,7 @@
     /**
      * Consecutive timeouts that count against their servers. More of them point to a dependency that the servers share.
      */
-    private static final int MAX_BLAMED_CONSECUTIVE_TIMEOUTS = 2;
+    private static final int MAX_CONSECUTIVE_SERVER_TIMEOUTS = 2;
 
     private int consecutiveTimeouts;
     private long smoothedSetupMicros;
@@ -36,7 +36,7 @@
      * Ejecting servers for these timeouts would empty the fleet.
      */
     boolean isSharedDependencySlow() {
-        return consecutiveTimeouts > MAX_BLAMED_CONSECUTIVE_TIMEOUTS;
+        return consecutiveTimeouts > MAX_CONSECUTIVE_SERVER_TIMEOUTS;
     }
 
     /** Moving average of the set-up time; 0 before the first sample. */
