--- a/src/main/java/sandstack/faultinjection/FaultSchedule.java
+++ b/src/main/java/sandstack/faultinjection/FaultSchedule.java
@@ -6,34 +6,34 @@
 import java.util.Locale;
 
 /**
- * The faults to inject into a fleet and when. Generated from a seed by {@link FaultScheduleGenerator} or read by
- * {@link FaultScheduleFile}. Immutable.
+ * The faults to inject into a fleet, and their times. Generated from a seed by {@link FaultScheduleGenerator} or read
+ * by {@link FaultScheduleFile}. Immutable.
  *
  * @param members size of the fleet
  * @param steps ordered by time
  */
 public record FaultSchedule(int members, List<Step> steps) {
-    /** What a step does. */
+    /** The kind of a step. */
     public enum Action {
-        /** Nothing passes between two members. */
+        /** Blocks all traffic between two members. */
         PARTITION("cut", true),
-        /** Nothing that the first member sends reaches the second. */
+        /** Blocks the traffic from the first member to the second. */
         ONE_WAY_PARTITION("cut-one-way", true),
-        /** Everything passes again between two members, at full speed. */
+        /** Unblocks all traffic between two members and restores the full speed. */
         HEAL("heal", true),
-        /** All connections between two members are reset. */
+        /** Resets all connections between two members. */
         RESET("reset", true),
-        /** The link between two members gets a delay of 200 to 400 ms and a bandwidth of 64 KB a second. */
+        /** Delays the traffic between two members by 200 to 400 ms and limits it to 64 KiB per second. */
         SLOW("slow", true),
-        /** The process is killed. */
+        /** Kills the process. */
         KILL("kill", false),
-        /** The process is asked to terminate. */
+        /** Asks the process to terminate. */
         STOP("stop", false),
-        /** The process is started, unless it runs. */
+        /** Starts the process, unless it runs. */
         START("start", false),
-        /** The process is suspended by a signal. */
+        /** Suspends the process by a signal. */
         PAUSE("pause", false),
-        /** The suspended process continues. */
+        /** Continues the suspended process. */
         RESUME("resume", false);
 
         private final String label;
@@ -57,11 +57,11 @@
     /**
      * One fault, or its end.
      *
-     * @param atSeconds since the fleet was complete
-     * @param otherMember the second member; -1 where the action concerns one
+     * @param atSeconds time since the fleet became complete
+     * @param otherMember the second member; {@link #NO_OTHER} for an action on a single member
      */
     public record Step(double atSeconds, Action action, int member, int otherMember) {
-        /** The second member of an action that concerns one. */
+        /** In place of the second member, for an action on a single member. */
         static final int NO_OTHER = -1;
 
         @Override
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Rounds times to whole milliseconds, as a schedule file has them, and orders the steps. */
+    /** Rounds times to whole milliseconds, the precision of a schedule file, and sorts the steps by time. */
     public FaultSchedule {
         steps = steps.stream()
                 .map(step -> new Step(
--- a/src/main/java/sandstack/faultinjection/FaultScheduleFile.java
+++ b/src/main/java/sandstack/faultinjection/FaultScheduleFile.java
@@ -30,7 +30,7 @@
     /**
      * Reads a schedule.
      *
-     * @throws InvalidConfigurationException with one line that names the file, the key and the value
+     * @throws InvalidConfigurationException with a message of one line that names the file, the key and the value
      */
     static FaultSchedule read(Path file) throws InvalidConfigurationException, IOException {
         String location = file + ": ";
@@ -90,7 +90,7 @@
         return value.asInt();
     }
 
-    /** The text that {@link #read} reads as this schedule. */
+    /** The TOML text of a schedule, from which {@link #read} reads the same schedule. */
     static String format(FaultSchedule schedule) {
         StringBuilder toml = new StringBuilder("members = " + schedule.members() + "\n");
         if (schedule.steps().isEmpty()) {
--- a/src/main/java/sandstack/faultinjection/FaultScheduleGenerator.java
+++ b/src/main/java/sandstack/faultinjection/FaultScheduleGenerator.java
@@ -7,7 +7,7 @@
 import sandstack.faultinjection.FaultSchedule.Step;
 
 /**
- * Generates a random fault schedule. A seed always gives the same schedule, so the order of random draws must not
+ * Generates a random fault schedule. A seed must always give the same schedule, so the order of random draws must not
  * change. Faults overlap, and some outlast the schedule.
  */
 final class FaultScheduleGenerator {
--- a/src/main/java/sandstack/faultinjection/FaultScheduleRunner.java
+++ b/src/main/java/sandstack/faultinjection/FaultScheduleRunner.java
@@ -19,8 +19,8 @@
 import sandstack.fleet.QuorumState;
 
 /**
- * Runs one fault schedule against real processes and checks the invariants on what was observed. Single-threaded; polls
- * the view of every running member a few times a second.
+ * Runs one fault schedule against real processes and checks the invariants on the observed history. Single-threaded;
+ * polls the view of every running member a few times a second.
  */
 final class FaultScheduleRunner {
     private static final long POLL_INTERVAL_MICROS = 250_000;
@@ -34,7 +34,8 @@
     /**
      * The result of one run.
      *
-     * @param convergedAfterMicros from the end of all faults until all views were equal; -1 where they never were
+     * @param convergedAfterMicros time from the end of all faults until all views were equal; -1 if they were not equal
+     *     before the timeout
      * @param logs the logs of all members
      */
     record Outcome(List<Violation> violations, long convergedAfterMicros, String logs) {}
@@ -62,22 +63,22 @@
     }
 
     /**
-     * Runs the schedule but records only some of its steps. A fault that the checker does not know of has to look like
-     * a violation, otherwise the checker is blind.
+     * Runs the schedule but records only some of its steps. The checker must report the effects of an unrecorded fault
+     * as a violation; a test verifies this to ensure that the checker detects violations.
      */
-    static Outcome run(List<String> program, FaultSchedule schedule, Predicate<Step> visibleToChecker)
+    static Outcome run(List<String> program, FaultSchedule schedule, Predicate<Step> isRecorded)
             throws IOException, InterruptedException {
         try (ProcessFleet fleet =
                 new ProcessFleet(program, schedule.members(), Math.min(MAX_ZONES, schedule.members()))) {
             fleet.startAll();
-            FaultScheduleRunner start = new FaultScheduleRunner(schedule, fleet);
-            if (ProcessFleet.awaitMicros(start::pollAllAlive, FLEET_START_TIMEOUT_SECONDS) < 0) {
+            FaultScheduleRunner startup = new FaultScheduleRunner(schedule, fleet);
+            if (ProcessFleet.awaitMicros(startup::pollAllAlive, FLEET_START_TIMEOUT_SECONDS) < 0) {
                 Violation violation = new Violation(
                         Invariant.FLEET_STARTS_COMPLETE,
                         "not all views were complete within " + FLEET_START_TIMEOUT_SECONDS + " s");
                 return new Outcome(List.of(violation), NOT_CONVERGED, fleet.logs());
             }
-            return new FaultScheduleRunner(schedule, fleet).run(visibleToChecker);
+            return new FaultScheduleRunner(schedule, fleet).run(isRecorded);
         }
     }
 
@@ -85,11 +86,11 @@
         return (System.nanoTime() - beganNanos) / 1_000;
     }
 
-    private Outcome run(Predicate<Step> visibleToChecker) throws IOException, InterruptedException {
+    private Outcome run(Predicate<Step> isRecorded) throws IOException, InterruptedException {
         pollViews();
         for (Step step : schedule.steps()) {
             pollViewsUntil((long) (step.atSeconds() * 1e6));
-            if (apply(step) && visibleToChecker.test(step)) {
+            if (apply(step) && isRecorded.test(step)) {
                 history.add(new StepApplied(nowMicros(), step));
             }
         }
@@ -121,7 +122,7 @@
         return NOT_CONVERGED;
     }
 
-    /** Returns false where the step has no effect, such as the start of a member that runs. */
+    /** Applies a step. Returns false if it has no effect, such as the start of a running member. */
     private boolean apply(Step step) throws IOException, InterruptedException {
         int member = step.member();
         int other = step.otherMember();
@@ -193,7 +194,7 @@
         }
     }
 
-    /** Records the member's view and returns it; null where the member does not respond. */
+    /** Requests the member's view, records and returns it; null if the member does not respond. */
     private ViewObserved pollView(int member) {
         long requestedMicros = nowMicros();
         JsonNode view = fleet.member(member).view();
--- a/src/main/java/sandstack/faultinjection/FaultsCommand.java
+++ b/src/main/java/sandstack/faultinjection/FaultsCommand.java
@@ -15,7 +15,7 @@
 import sandstack.config.InvalidConfigurationException;
 import sandstack.faultinjection.FaultScheduleRunner.Outcome;
 
-/** {@code faults}: runs fault schedules against real members and checks the invariants; exits 0 where all hold. */
+/** {@code faults}: runs fault schedules against real members and checks the invariants; exits with 0 if all hold. */
 @Command(
         name = "faults",
         description = "Starts real members, injects faults between them and checks the invariants of the fleet.",
@@ -31,7 +31,7 @@
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "say run, search or shrink");
+        throw new ParameterException(spec.commandLine(), "specify a subcommand: run, search or shrink");
     }
 
     private PrintWriter out() {
@@ -40,7 +40,7 @@
 
     private static List<String> program(Path jar) throws InvalidConfigurationException {
         if (!Files.isRegularFile(jar)) {
-            throw new InvalidConfigurationException("--jar: there is no file " + jar);
+            throw new InvalidConfigurationException("--jar: file not found: " + jar);
         }
         return List.of("-jar", jar.toString());
     }
@@ -50,7 +50,8 @@
             mixinStandardHelpOptions = true)
     int run(
             @Parameters(arity = "0..1", paramLabel = "FILE", description = "The fault schedule.") Path file,
-            @Option(names = "--seed", paramLabel = "N", description = "Generate it from this seed.") Long seed,
+            @Option(names = "--seed", paramLabel = "N", description = "Generate the fault schedule from this seed.")
+                    Long seed,
             @Option(
                             names = "--jar",
                             paramLabel = "JAR",
@@ -59,7 +60,7 @@
                     Path jar)
             throws InvalidConfigurationException, IOException, InterruptedException {
         if ((file == null) == (seed == null)) {
-            throw new ParameterException(spec.commandLine(), "say either a FILE or --seed N");
+            throw new ParameterException(spec.commandLine(), "specify either FILE or --seed N");
         }
         FaultSchedule schedule = file != null ? FaultScheduleFile.read(file) : FaultScheduleGenerator.generate(seed);
         Outcome outcome = FaultScheduleRunner.run(program(jar), schedule);
@@ -87,10 +88,11 @@
     }
 
     @Command(
-            description = "Runs generated fault schedules for a time and keeps those that violate an invariant.",
+            description = "Runs generated fault schedules for a given time and keeps those that violate an invariant.",
             mixinStandardHelpOptions = true)
     int search(
-            @Option(names = "--minutes", paramLabel = "M", required = true, description = "How long.") double minutes,
+            @Option(names = "--minutes", paramLabel = "M", required = true, description = "Duration of the search.")
+                    double minutes,
             @Option(
                             names = "--from",
                             paramLabel = "N",
@@ -101,7 +103,7 @@
                             names = "--keep",
                             paramLabel = "FOLDER",
                             defaultValue = ".",
-                            description = "Where violating schedules are kept (default: ${DEFAULT-VALUE}).")
+                            description = "Folder for violating schedules (default: ${DEFAULT-VALUE}).")
                     Path keep,
             @Option(
                             names = "--jar",
--- a/src/main/java/sandstack/faultinjection/FleetLinks.java
+++ b/src/main/java/sandstack/faultinjection/FleetLinks.java
@@ -3,11 +3,14 @@
 import java.util.function.IntFunction;
 import sandstack.testserver.TestServerLoop;
 
-/** The links of a fleet: one {@link MemberLink} for each ordered pair of members. Used by the thread of the fleet. */
+/**
+ * The links of a fleet: one {@link MemberLink} for each ordered pair of members. Used on the thread of the
+ * {@link ProcessFleet}; the links run on the thread of the loop.
+ */
 final class FleetLinks {
     private final TestServerLoop loop;
     private final MemberLink[][] links;
-    /** Whether what the first member sends reaches the second, whichever of them connected. */
+    /** Whether traffic from the first member to the second passes, on the connections of both. */
     private final boolean[][] passes;
 
     FleetLinks(TestServerLoop loop, int[] ports, IntFunction<String> hosts) {
@@ -28,7 +31,7 @@
         }
     }
 
-    /** The port to which the first member connects to reach the second. */
+    /** The loopback port to which the first member connects to reach the second. */
     int port(int from, int to) {
         return links[from][to].listenPort();
     }
--- a/src/main/java/sandstack/faultinjection/FleetView.java
+++ b/src/main/java/sandstack/faultinjection/FleetViewReader.java
@@ -6,12 +6,12 @@
 import java.util.TreeMap;
 
 /** Reads the view of the fleet that a member prints as JSON. */
-final class FleetView {
+final class FleetViewReader {
     private static final List<String> FORMER_STATUSES = List.of("LOST", "LEFT");
 
-    private FleetView() {}
+    private FleetViewReader() {}
 
-    /** The status of each name: that of the present incarnation, or else of the first one listed. */
+    /** The status of each relay name: that of its present incarnation, or of the first one listed if there is none. */
     static Map<String, String> statuses(JsonNode view) {
         Map<String, String> statuses = new TreeMap<>();
         for (JsonNode member : view.path("members")) {
@@ -23,7 +23,10 @@
         return statuses;
     }
 
-    /** The entry of a name, of the present incarnation where there is one; null where there is none. */
+    /**
+     * The entry of a relay name: that of its present incarnation, or of the first one listed if there is none. Null if
+     * the view does not contain the name.
+     */
     static JsonNode entry(JsonNode view, String name) {
         JsonNode entry = null;
         for (JsonNode member : view.path("members")) {
--- a/src/main/java/sandstack/faultinjection/History.java
+++ b/src/main/java/sandstack/faultinjection/History.java
@@ -7,8 +7,8 @@
 import sandstack.fleet.QuorumState;
 
 /**
- * The events of one run in the order in which they happened: the faults that were injected and what the members
- * reported. Written by the thread of the run and read by {@link InvariantChecker} after it.
+ * The events of one run in chronological order: the faults that were injected and what the members reported. Written by
+ * the thread of the run and read by {@link InvariantChecker} after it.
  */
 final class History {
     /** One event; times are microseconds since the run began. */
@@ -19,7 +19,7 @@
     /** A step of the fault schedule was carried out. */
     record StepApplied(long atMicros, FaultSchedule.Step step) implements Event {}
 
-    /** All faults were ended: every link passes and every member runs. */
+    /** All faults were ended: no link is blocked and every member runs. */
     record AllFaultsHealed(long atMicros) implements Event {}
 
     /**
@@ -27,7 +27,7 @@
      *
      * @param requestedMicros when the view was requested
      * @param incarnation incarnation of the reporting member
-     * @param entries what the member reports of each incarnation that it knows
+     * @param entries the entry of each incarnation in the view, by incarnation id
      */
     record ViewObserved(
             long atMicros, long requestedMicros, int member, String incarnation, Map<String, MemberEntry> entries)
@@ -36,7 +36,7 @@
     /** A member reported its quorum state and how many of the configured relays it reaches. */
     record QuorumObserved(long atMicros, int member, QuorumState state, int reachable) implements Event {}
 
-    /** What a view says of one incarnation. */
+    /** The entry of one incarnation in a view. */
     record MemberEntry(String name, MemberStatus status) {}
 
     private final List<Event> events = new ArrayList<>();
--- a/src/main/java/sandstack/faultinjection/Invariant.java
+++ b/src/main/java/sandstack/faultinjection/Invariant.java
@@ -1,12 +1,12 @@
 package sandstack.faultinjection;
 
-/** What must hold in every run, whatever the fault schedule. */
+/** The properties that must hold in every run, for any fault schedule. */
 enum Invariant {
     FLEET_STARTS_COMPLETE("a fleet that starts without faults becomes complete"),
     MAJORITY_IS_MORE_THAN_HALF("a majority is more than half of the configured relays"),
-    UNKNOWN_AFTER_PAUSE("a member that was paused is unknown before it acts"),
+    UNKNOWN_AFTER_PAUSE("a resumed member is unknown before it acts"),
     REACHABLE_IS_NOT_LOST("a reachable member is not lost"),
-    DEAD_IS_NO_MEMBER("a dead process is no member"),
+    DEAD_IS_NO_MEMBER("a process that has ended is not a member"),
     RUNNING_HAS_NOT_LEFT("a running member has not left"),
     LEFT_IS_FINAL("an incarnation that left stays left"),
     MEMBERS_RESPOND("every running member responds"),
@@ -19,7 +19,7 @@
         this.description = description;
     }
 
-    /** What must hold, in words. */
+    /** The property in words, for the output of {@code faults}. */
     String description() {
         return description;
     }
--- a/src/main/java/sandstack/faultinjection/InvariantChecker.java
+++ b/src/main/java/sandstack/faultinjection/InvariantChecker.java
@@ -15,25 +15,32 @@
 import sandstack.fleet.QuorumState;
 
 /**
- * Checks the {@link Invariant}s on the history of a finished run. It knows the injected faults, and so which members
- * could have reached each other; it does not know how members decide. Pure; O(events times members cubed).
+ * Checks the {@link Invariant}s on the history of a finished run. It derives from the injected faults which members
+ * could have reached each other; it does not depend on how members decide. No I/O, clock or threads. A check costs
+ * O(events times members cubed).
  */
 final class InvariantChecker {
-    /** Views are equal this long after all faults ended; the start of a process is counted separately. */
+    /**
+     * All views must be equal this long after the end of all faults, or after the time allowed for the last start of a
+     * process if that ends later.
+     */
     static final long CONVERGENCE_TIMEOUT_MICROS = 5_000_000;
-    /** A member that was unreachable for less is not declared lost. */
+    /** A member must not be declared lost if it was unreachable for less than this. */
     private static final long MIN_UNREACHABLE_BEFORE_LOST_MICROS = 2_000_000;
-    /** No view lists a dead process as a member after this. */
+    /** No view may list a process as a member this long after the process has ended. */
     private static final long FAILURE_DETECTION_TIMEOUT_MICROS = 20_000_000;
-    /** A fault that has just ended still explains a view, as the news of its end has to spread. */
+    /**
+     * A fault still explains a view this long after the fault has ended, because the recovery must first become known
+     * to the members.
+     */
     private static final long DISSEMINATION_MICROS = 5_000_000;
-    /** How long a member stays in {@link QuorumState#UNKNOWN} after a pause. */
+    /** Time after a pause during which a member must be in {@link QuorumState#UNKNOWN}. */
     private static final long UNKNOWN_AFTER_RESUME_MICROS = 1_000_000;
 
     /** One violation of an invariant, with the observed values. */
     record Violation(Invariant invariant, String detail) {}
 
-    /** An incarnation as another incarnation sees it. */
+    /** An incarnation in the view of another incarnation. */
     private record Observation(String observer, String subject) {}
 
     private final int members;
@@ -41,7 +48,7 @@
     private final Map<String, Integer> memberByIncarnation = new HashMap<>();
     private final Map<Integer, String> incarnationByMember = new HashMap<>();
     private final Map<Observation, MemberStatus> lastStatus = new HashMap<>();
-    private final Map<String, Long> deadSinceMicros = new HashMap<>();
+    private final Map<String, Long> endedAtMicros = new HashMap<>();
     private final List<Violation> violations = new ArrayList<>();
 
     private InvariantChecker(int members) {
@@ -49,7 +56,7 @@
         this.reachability = new ReachabilityModel(members);
     }
 
-    /** All violations in this run; empty where every invariant held. */
+    /** All violations in a run; empty if every invariant held. */
     static List<Violation> check(int members, History history) {
         InvariantChecker checker = new InvariantChecker(members);
         for (Event event : history.events()) {
@@ -76,7 +83,7 @@
         if (action == Action.KILL || action == Action.STOP) {
             String incarnation = incarnationByMember.remove(applied.step().member());
             if (incarnation != null) {
-                deadSinceMicros.put(incarnation, applied.atMicros());
+                endedAtMicros.put(incarnation, applied.atMicros());
             }
         }
         reachability.apply(applied.step(), applied.atMicros());
@@ -113,18 +120,19 @@
         if (subject == null || subject == view.member()) {
             return;
         }
-        Long deadSince = deadSinceMicros.get(incarnation);
-        if (entry.status() == MemberStatus.LOST && deadSince == null) {
+        Long endedMicros = endedAtMicros.get(incarnation);
+        if (entry.status() == MemberStatus.LOST && endedMicros == null) {
             checkLost(view, subject, entry);
         }
-        if (deadSince != null
+        if (endedMicros != null
                 && entry.status().isMember()
-                && view.requestedMicros() - deadSince > FAILURE_DETECTION_TIMEOUT_MICROS) {
+                && view.requestedMicros() - endedMicros > FAILURE_DETECTION_TIMEOUT_MICROS) {
             violated(
                     Invariant.DEAD_IS_NO_MEMBER,
-                    describe(view, entry) + " " + (view.requestedMicros() - deadSince) / 1_000 + " ms after it died");
+                    describe(view, entry) + " " + (view.requestedMicros() - endedMicros) / 1_000
+                            + " ms after the process ended");
         }
-        if (entry.status() == MemberStatus.LEFT && deadSince == null) {
+        if (entry.status() == MemberStatus.LEFT && endedMicros == null) {
             violated(Invariant.RUNNING_HAS_NOT_LEFT, describe(view, entry));
         }
     }
@@ -155,7 +163,7 @@
         return view.member() + " reports " + entry.name() + " " + entry.status();
     }
 
-    /** The last view of each member: every name has one present incarnation, and it is alive. */
+    /** Checks that in the last view of each member every name has exactly one present incarnation, which is alive. */
     private void checkConvergence(History history) {
         Map<Integer, ViewObserved> lastViews = new HashMap<>();
         long healedAtMicros = -1;
@@ -169,7 +177,7 @@
         for (int member = 0; member < members; member++) {
             ViewObserved view = lastViews.get(member);
             if (view == null) {
-                violated(Invariant.MEMBERS_RESPOND, member + " reported nothing after all faults had ended");
+                violated(Invariant.MEMBERS_RESPOND, member + " reported no view after all faults had ended");
             } else {
                 checkLastView(view, healedAtMicros);
             }
@@ -187,7 +195,7 @@
             violated(
                     Invariant.VIEWS_CONVERGE,
                     view.member() + " reports " + present + " " + (view.atMicros() - healedAtMicros) / 1_000
-                            + " ms after");
+                            + " ms after all faults had ended");
         }
     }
 }
--- a/src/main/java/sandstack/faultinjection/MemberConfiguration.java
+++ b/src/main/java/sandstack/faultinjection/MemberConfiguration.java
@@ -11,11 +11,12 @@
 /**
  * The configuration files of one member of a {@link ProcessFleet}.
  *
- * @param name of this member
- * @param address at which the other members know it
- * @param seedAddresses members that it contacts first
- * @param relayNames all members of the fleet
- * @param linkPorts for each other member's address the loopback port of the link to it, in the order written
+ * @param name name of this member
+ * @param address {@code HOST:PORT} at which it listens, and by which the other members identify it
+ * @param seedAddresses addresses of the members that it contacts first
+ * @param relayNames names of all members of the fleet
+ * @param linkPorts loopback port of the link to each other member, by that member's address; iterated in the order in
+ *     which the entries are written
  */
 record MemberConfiguration(
         int index,
@@ -29,7 +30,7 @@
         int zones) {
     private static final Path EXAMPLE = Path.of("examples/config.json");
 
-    /** Writes the files into the member's folder. */
+    /** Writes the files into the member's folder; creates the folder if necessary. */
     void write(Path folder) throws IOException {
         Path deployFolder = deployFolder(folder);
         Files.createDirectories(deployFolder);
--- a/src/main/java/sandstack/faultinjection/MemberLink.java
+++ b/src/main/java/sandstack/faultinjection/MemberLink.java
@@ -14,12 +14,12 @@
 import sandstack.testserver.TestServerLoop;
 
 /**
- * A TCP proxy on the link from one member to another that injects network faults. It keeps the order of bytes. Each
- * direction can be blocked; it buffers meanwhile and delivers once it is unblocked, as TCP does after lost packets. A
- * connection that exceeds the buffer is reset. Used on the thread of its loop.
+ * A TCP proxy on the link from one member to another that injects network faults and preserves the order of bytes. Each
+ * direction can be blocked: the proxy then buffers the bytes and delivers them once the direction is unblocked, as TCP
+ * does after lost packets. A connection that exceeds the buffer is reset. Used on the thread of its loop.
  */
 final class MemberLink {
-    /** For each direction of each connection. */
+    /** Maximum size of the buffer for one direction of one connection. */
     private static final int MAX_BUFFERED_BYTES = 1 << 20;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -53,19 +53,24 @@
         });
     }
 
-    /** The port that the first member connects to in place of the second's. */
+    /** The port to which the first member connects in place of the second member's port. */
     int listenPort() {
         return listenPort;
     }
 
-    /** Blocks or unblocks each direction; forward is from the member that connects. Connections stay open. */
+    /**
+     * Blocks or unblocks each direction; forward is the direction from the member that connects. Connections stay open.
+     */
     void setBlocked(boolean forward, boolean reverse) {
         forwardBlocked = forward;
         reverseBlocked = reverse;
         List.copyOf(ends).forEach(LinkEnd::deliverBuffered);
     }
 
-    /** Sets the delay, the random addition to it and the bandwidth of what is delivered from now on. */
+    /**
+     * Sets the delay, the upper bound of the random addition to it, and the bandwidth (0 for no limit) for bytes
+     * delivered from now on.
+     */
     void setLatency(long newDelayMicros, long newJitterMicros, long newBytesPerSecond) {
         delayMicros = newDelayMicros;
         jitterMicros = newJitterMicros;
@@ -109,7 +114,7 @@
         private final Deque<byte[]> buffered = new ArrayDeque<>();
         private int bufferedBytes;
         private long lastDeliveryMicros;
-        /** Closes the other end after the buffered bytes; null while this end is open. */
+        /** Closes the other end after the delivery of the buffered bytes; null while this end is open. */
         private Runnable pendingClose;
 
         /** Null until the target is connected. */
@@ -140,7 +145,7 @@
             long nowMicros = loop.nowMicros();
             long jitter = jitterMicros > 0 ? random.nextLong(jitterMicros) : 0;
             long transmissionMicros = bytesPerSecond > 0 ? size * MICROS_PER_SECOND / bytesPerSecond : 0;
-            // never before the previous delivery, which would reorder bytes
+            // not before the previous delivery, to preserve the order of bytes
             lastDeliveryMicros = Math.max(lastDeliveryMicros, nowMicros + delayMicros + jitter) + transmissionMicros;
             loop.schedule(lastDeliveryMicros - nowMicros, delivery);
         }
--- a/src/main/java/sandstack/faultinjection/MemberProcess.java
+++ b/src/main/java/sandstack/faultinjection/MemberProcess.java
@@ -19,12 +19,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One member that runs as a process of the program with its console on a pipe. Two threads read its output and its log.
- * The member's folder outlives the process and belongs to {@link ProcessFleet}.
+ * One member that runs as a process of the program, with pipes to its console. Two threads read its console output and
+ * its log. The member's folder belongs to {@link ProcessFleet} and remains when the process has ended.
  */
 final class MemberProcess implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** Longer than a running member ever takes; a paused or dead one does not respond. */
+    /** Longer than a running member takes to respond; a paused or ended one does not respond. */
     private static final long RESPONSE_TIMEOUT_MILLIS = 4_000;
 
     private static final long KILL_TIMEOUT_SECONDS = 10;
@@ -61,7 +61,7 @@
                             lines.add(line);
                         }
                     } catch (IOException e) {
-                        lines.add("broke off: " + e.getMessage());
+                        lines.add("reading failed: " + e.getMessage());
                     }
                 },
                 "member-" + process.pid() + "-" + streamName);
@@ -69,19 +69,22 @@
         thread.start();
     }
 
-    /** Writes a command to the console without waiting; it stays in the pipe while the process is paused. */
+    /**
+     * Writes a command to the console without waiting for the response; the command stays in the pipe while the process
+     * is paused.
+     */
     void sendCommand(String command) {
         consoleOutput.clear();
         consoleInput.println(command);
     }
 
-    /** The member's view of the fleet; null where it does not respond. */
+    /** The member's view of the fleet; null if it does not respond in time. */
     JsonNode view() {
         sendCommand("fleet json");
         return awaitJsonResponse();
     }
 
-    /** The JSON response to the last command; null where there is none in time. */
+    /** The JSON response to the last command; null if there is none in time. */
     JsonNode awaitJsonResponse() {
         try {
             String line = awaitLine("{");
@@ -91,7 +94,7 @@
         }
     }
 
-    /** Executes a command and returns the first line of the response; null where there is none in time. */
+    /** Executes a command and returns the first line of the response; null if there is none in time. */
     String execute(String command) {
         sendCommand(command);
         return awaitLine("");
@@ -125,7 +128,7 @@
         return process.isAlive();
     }
 
-    /** Waits for the exit code; -1 after the timeout. */
+    /** Waits for the end of the process and returns its exit code; -1 after the timeout. */
     int awaitExit(long timeoutSeconds) throws InterruptedException {
         return process.waitFor(timeoutSeconds, TimeUnit.SECONDS) ? process.exitValue() : -1;
     }
@@ -140,22 +143,22 @@
         }
     }
 
-    /** Suspends the process, which does not notice. */
+    /** Suspends the process with SIGSTOP, which the process can neither handle nor observe. */
     void pause() throws IOException {
         sendSignal("STOP");
     }
 
-    /** Continues the suspended process. */
+    /** Continues the suspended process with SIGCONT. */
     void resume() throws IOException {
         sendSignal("CONT");
     }
 
-    /** Asks the process to terminate, as the platform does. */
+    /** Asks the process to terminate with SIGTERM, as the platform does. */
     void terminate() {
         process.destroy();
     }
 
-    /** Kills the process. */
+    /** Kills the process without waiting for its end. */
     void kill() {
         process.destroyForcibly();
     }
--- a/src/main/java/sandstack/faultinjection/ProcessFleet.java
+++ b/src/main/java/sandstack/faultinjection/ProcessFleet.java
@@ -20,9 +20,9 @@
 import sandstack.testserver.TestServerLoop;
 
 /**
- * A fleet of relays that run as real processes, each with its own address and folder, with a {@link MemberLink} for
- * each ordered pair to inject network faults. Listens on loopback only. Members are numbered from 0. Used by one
- * thread; the links run on the thread of the loop.
+ * A fleet of relays that run as real processes, each with its own address and folder, and with a {@link MemberLink} for
+ * each ordered pair of members to inject network faults. Listens on loopback addresses only. Members are identified by
+ * their index, from 0. Used on one thread; the links run on the thread of the loop.
  */
 public final class ProcessFleet implements AutoCloseable {
     private static final List<String> JAVA = List.of(
@@ -48,7 +48,7 @@
     private final MemberProcess[] members;
 
     /**
-     * Creates the links; starts no member yet.
+     * Creates the links and the fake discovery; does not start any member.
      *
      * @param program the arguments that follow {@code java} and its options, such as {@code -jar target/sandstack.jar}
      * @param zones number of zones over which the members are spread
@@ -77,7 +77,7 @@
         return "127.77." + i / MEMBERS_PER_SUBNET + "." + (i % MEMBERS_PER_SUBNET + 1);
     }
 
-    /** The address at which the other members know this one. */
+    /** The address, {@code HOST:PORT}, at which a member listens and by which the other members identify it. */
     public String address(int i) {
         return host(i) + ":" + ports[i];
     }
@@ -87,17 +87,17 @@
         return size;
     }
 
-    /** The name of a member. */
+    /** The relay name of the member with this index. */
     public static String memberName(int i) {
         return "m" + i;
     }
 
-    /** Starts or restarts a member without waiting for it. */
+    /** Starts or restarts a member without waiting until it has joined. */
     public void start(int i) throws IOException {
         start(i, memberName(i));
     }
 
-    /** Starts a member under another name than its own. */
+    /** Starts a member under a relay name that may be that of another member. */
     public void start(int i, String name) throws IOException {
         Path memberFolder = folder.resolve("m" + i);
         configuration(i, name).write(memberFolder);
@@ -128,24 +128,24 @@
                 zones);
     }
 
-    /** Starts all members. */
+    /** Starts all members without waiting until they have joined. */
     public void startAll() throws IOException {
         for (int i = 0; i < size; i++) {
             start(i);
         }
     }
 
-    /** The process of a member; null where it was never started. */
+    /** The process of a member; null if it was never started. */
     MemberProcess member(int i) {
         return members[i];
     }
 
-    /** Kills a member's process. */
+    /** Kills a member's process and waits until it has ended. */
     public void kill(int i) {
         members[i].close();
     }
 
-    /** Asks a member to terminate and waits until it has. */
+    /** Asks a member to terminate and waits until it has, or for {@link #TERMINATION_TIMEOUT_SECONDS}. */
     public void stop(int i) throws InterruptedException {
         members[i].terminate();
         members[i].awaitExit(TERMINATION_TIMEOUT_SECONDS);
@@ -161,7 +161,7 @@
         members[i].resume();
     }
 
-    /** Drops the traffic from the first member to the second, but not the other way. */
+    /** Blocks the traffic from the first member to the second, but not the traffic in the other direction. */
     public void partitionOneWay(int from, int to) {
         links.block(from, to);
     }
@@ -172,7 +172,7 @@
         links.block(b, a);
     }
 
-    /** Ends a partition of two members; what was buffered meanwhile is delivered. */
+    /** Ends a partition of two members and delivers the traffic that was buffered during it. */
     public void heal(int a, int b) {
         links.unblock(a, b);
         links.unblock(b, a);
@@ -183,21 +183,21 @@
         links.reset(a, b);
     }
 
-    /** Sets delay, jitter and bandwidth of the link between two members; zeros end the fault. */
+    /** Sets delay, jitter and bandwidth of the links between two members; zeros restore the full speed. */
     public void setLatency(int a, int b, long delayMicros, long jitterMicros, long bytesPerSecond) {
         links.setLatency(a, b, delayMicros, jitterMicros, bytesPerSecond);
     }
 
     /**
-     * The status of each name in a member's view: that of the present incarnation, or else of the first one listed.
-     * Null where the member does not respond.
+     * The status of each relay name in a member's view: that of its present incarnation, or of the first one listed if
+     * there is none. Null if the member does not respond.
      */
     public Map<String, String> memberStatuses(int i) {
         JsonNode view = members[i].view();
-        return view == null ? null : FleetView.statuses(view);
+        return view == null ? null : FleetViewReader.statuses(view);
     }
 
-    /** Whether every member sees every member alive. */
+    /** Whether every member reports every member as alive. */
     public boolean allAlive() {
         for (int i = 0; i < size; i++) {
             Map<String, String> statuses = memberStatuses(i);
@@ -210,13 +210,13 @@
         return true;
     }
 
-    /** The entry of a name in a member's view; null where there is none. */
+    /** The entry of a relay name in a member's view; null if there is none or the member does not respond. */
     public JsonNode memberEntry(int i, String name) {
         JsonNode view = members[i].view();
-        return view == null ? null : FleetView.entry(view, name);
+        return view == null ? null : FleetViewReader.entry(view, name);
     }
 
-    /** Waits until a condition holds; returns the microseconds that it took, or -1 after the timeout. */
+    /** Waits until a condition holds; returns the time that this took, in microseconds, or -1 after the timeout. */
     public static long awaitMicros(BooleanSupplier condition, double timeoutSeconds) {
         long beganNanos = System.nanoTime();
         while (System.nanoTime() - beganNanos < timeoutSeconds * 1e9) {
@@ -233,7 +233,7 @@
         return -1;
     }
 
-    /** Bytes that the members have sent each other so far. */
+    /** Number of bytes that the members have sent to each other so far. */
     public long forwardedBytes() {
         return links.forwardedBytes();
     }
--- a/src/main/java/sandstack/faultinjection/ReachabilityModel.java
+++ b/src/main/java/sandstack/faultinjection/ReachabilityModel.java
@@ -4,13 +4,16 @@
 import sandstack.faultinjection.FaultSchedule.Step;
 
 /**
- * Which members could have reached each other during a run, derived from the injected faults alone. Pure; each step
- * costs O(members cubed).
+ * Which members could have reached each other during a run, derived from the injected faults alone. No I/O, clock or
+ * threads. A step costs O(members cubed).
  */
 final class ReachabilityModel {
-    /** A member learns of another from members that it reaches itself, through at most one relay in between. */
+    /**
+     * Maximum number of links in a chain over which one member counts as reachable from another: a member learns about
+     * the other one from members that it reaches itself, with at most one further relay in between.
+     */
     private static final int MAX_HOPS = 3;
-    /** A shorter pause is not noticed by the paused member. */
+    /** A shorter pause may remain undetected by the paused member. */
     private static final long MIN_NOTICEABLE_PAUSE_MICROS = 3_000_000;
 
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
@@ -21,13 +24,14 @@
     private final boolean[] paused;
     private final long[] pausedAtMicros;
     private final long[] resumedAtMicros;
-    /** Whether what the first member sends reaches the second. */
+    /** Whether traffic from the first member to the second passes. */
     private final boolean[][] passes;
-    /** Since when the pair cannot reach each other; {@link #REACHABLE} while it can. */
+    /** When the first member became unable to reach the second; {@link #REACHABLE} while it can reach it. */
     private final long[][] unreachableSinceMicros;
-    /** When the last period without reachability ended, and how long it lasted. */
+    /** When the last period ended in which the first member could not reach the second. */
     private final long[][] unreachableUntilMicros;
 
+    /** How long that period lasted. */
     private final long[][] lastUnreachableMicros;
 
     ReachabilityModel(int members) {
@@ -70,7 +74,7 @@
             }
             case RESUME -> resume(member, nowMicros);
             default -> {
-                // a reset or a slow link separates nobody
+                // a reset or a slow link does not make a member unreachable
             }
         }
         measureReachability(nowMicros);
@@ -86,7 +90,7 @@
     }
 
     private void resume(int member, long nowMicros) {
-        // a RESUME step may be scheduled before its PAUSE
+        // the member need not be paused: healAll resumes all members, and a RESUME step may precede its PAUSE step
         if (paused[member] && nowMicros - pausedAtMicros[member] >= MIN_NOTICEABLE_PAUSE_MICROS) {
             resumedAtMicros[member] = nowMicros;
         }
@@ -97,17 +101,18 @@
         return running[member];
     }
 
-    /** When the member was last resumed from a noticeable pause; far in the past where it never was. */
+    /** When the member was last resumed from a pause that it must detect; far in the past if it never was. */
     long resumedAtMicros(int member) {
         return resumedAtMicros[member];
     }
 
     /**
-     * How long the second member has been out of the first's reach, or was until lately.
+     * How long the first member has been unable to reach the second. If it can reach it, how long the last such period
+     * lasted if that ended recently, otherwise 0.
      *
-     * @param requestedMicros when the first member was asked for its view
-     * @param nowMicros when it answered
-     * @param recentMicros a period that ended less than this before the request still counts
+     * @param requestedMicros when the view of the first member was requested
+     * @param nowMicros when the view arrived
+     * @param recentMicros a period that ended less than this before the request is recent
      */
     long unreachableMicros(int from, int to, long requestedMicros, long nowMicros, long recentMicros) {
         if (unreachableSinceMicros[from][to] >= 0) {
@@ -133,7 +138,7 @@
         }
     }
 
-    /** Members that a chain of up to {@link #MAX_HOPS} links which pass both ways leads to. */
+    /** Members to which a chain of at most {@link #MAX_HOPS} links leads that pass traffic in both directions. */
     private boolean[] reachableFrom(int member) {
         boolean[] reached = new boolean[members];
         reached[member] = isResponsive(member);
--- a/src/main/java/sandstack/fleet/DecommissionedRelays.java
+++ b/src/main/java/sandstack/fleet/DecommissionedRelays.java
@@ -7,11 +7,11 @@
 import java.util.TreeSet;
 
 /**
- * The relays that operators have decommissioned, merged from what all members publish under {@link #KEY}. Each member
- * publishes the merged set again, so it outlives the member at which an operator entered it. A relay counts again once
- * it is a member.
+ * The set of relays that operators have decommissioned: the union of the sets that all members publish under
+ * {@link #KEY}. Each member publishes the union again, so an entry remains when the member at which it was made ends. A
+ * relay that is a member again leaves the set and counts towards the quorum.
  *
- * <p>Not thread-safe; O(members) a call.
+ * <p>Not thread-safe. A call costs O(members).
  */
 final class DecommissionedRelays {
     /** Key of the published value: names, separated by commas. */
@@ -29,7 +29,7 @@
         this.quorumTracker = quorumTracker;
     }
 
-    /** The names that any member publishes, without those of members and of relays that are not configured. */
+    /** The union of the published sets, without current members and without relays that are not configured. */
     Set<String> merge(List<MemberTable.Row> rows) {
         Set<String> memberNames = new HashSet<>();
         Set<String> decommissioned = new TreeSet<>(publishedBy(selfId));
@@ -52,18 +52,18 @@
         return memberValues.values(id).entries().getOrDefault(KEY, "");
     }
 
-    /** The set as it is published. */
+    /** The published form of a set of names. */
     static String format(Set<String> names) {
         return String.join(SEPARATOR, names);
     }
 
-    /** This member's published value with one more name. */
+    /** This member's published value with {@code name} appended. */
     String publishedWith(String name) {
         String published = publishedText(selfId);
         return published.isEmpty() ? name : published + SEPARATOR + name;
     }
 
-    /** Why a relay may not be decommissioned now, for the operator; empty if it may. */
+    /** The reason, worded for the operator, for which this relay cannot be decommissioned now; empty if it can. */
     Optional<String> refusal(String name, Membership.View view) {
         if (!quorumTracker.isConfigured(name)) {
             return Optional.of(name + " is not among the relays that staff state");
--- a/src/main/java/sandstack/fleet/FleetMessages.java
+++ b/src/main/java/sandstack/fleet/FleetMessages.java
@@ -9,18 +9,18 @@
  * names are part of the protocol and do not follow the names of the components.
  */
 public final class FleetMessages {
-    /** The protocol version of this build; messages of a later one are rejected. */
+    /** The protocol version of this build; messages of later versions are rejected. */
     public static final int PROTOCOL_VERSION = 1;
 
     private FleetMessages() {}
 
     /**
-     * A periodic probe: whether the recipient is alive, and what has changed there.
+     * A periodic probe: checks that the recipient responds, and requests its state if that has changed.
      *
      * @param senderId incarnation id of the sender
      * @param senderName relay name of the sender
-     * @param knownVersion version of the recipient's state that the sender has
-     * @param ownsName whether the sender's claim to its name is settled
+     * @param knownVersion latest version of the recipient's state that the sender has received
+     * @param ownsName whether the sender owns its relay name, see {@link Membership#ownsName}
      */
     public record ProbeRequest(
             @JsonProperty("v") int protocolVersion,
@@ -34,8 +34,8 @@
      *
      * @param id incarnation id of the responder
      * @param name relay name of the responder
-     * @param state null where the requester has the current version
-     * @param ownsName whether the responder's claim to its name is settled
+     * @param state state of the responder; null if the requester has the current version
+     * @param ownsName whether the responder owns its relay name, see {@link Membership#ownsName}
      */
     public record ProbeResponse(
             @JsonProperty("v") int protocolVersion,
@@ -47,21 +47,22 @@
     /**
      * The complete state that a member publishes.
      *
-     * @param version increases with each change
+     * @param version incremented by each change
      * @param values the published values
      * @param reachable ids of the members that it reaches directly
-     * @param unreachable ids of the members whose probes time out; members in neither set have not been probed yet
+     * @param unreachable ids of the members whose probes time out; members in neither set have too few probe results
+     *     yet
      */
     public record MemberState(
             @JsonProperty("number") long version,
             @JsonProperty("values") Map<String, String> values,
             @JsonProperty("reached") Set<String> reachable,
             @JsonProperty("unreached") Set<String> unreachable) {
-        /** Bound on each set, well above the number of members that the library supports. */
+        /** Maximum size of each set, well above the number of members that the library supports. */
         static final int MAX_IDS = 1_000;
 
         /**
-         * Copies the collections; null counts as empty.
+         * Copies the collections; null is read as an empty collection.
          *
          * @throws IllegalArgumentException if a set has more than {@link #MAX_IDS} ids
          */
@@ -76,7 +77,7 @@
     }
 
     /**
-     * A member's state as it is disseminated by gossip.
+     * A member's state, disseminated by gossip.
      *
      * @param id incarnation id of the member
      * @param incarnation the member itself, for recipients whose library has not discovered it; null if the sender does
@@ -92,7 +93,7 @@
      * A remote call from one member to another.
      *
      * @param callerId incarnation id of the caller
-     * @param kind selects the handler, which alone interprets the body
+     * @param kind selects the handler; only the handler interprets the body
      */
     public record CallRequest(
             @JsonProperty("v") int protocolVersion,
--- a/src/main/java/sandstack/fleet/GuardedOperation.java
+++ b/src/main/java/sandstack/fleet/GuardedOperation.java
@@ -8,9 +8,12 @@
     /** The quorum states in which it may begin. */
     Set<QuorumState> allowedStates();
 
-    /** Operations of the membership itself, at the request of an operator. */
+    /** Operations on the membership that operators request. */
     enum OperatorOperation implements GuardedOperation {
-        /** Stops counting a lost relay. With fewer relays to count, a half may become a majority. */
+        /**
+         * Removes a lost relay from the size of the fleet. In the smaller fleet, half of the relays may become a
+         * majority.
+         */
         DECOMMISSION_RELAY;
 
         @Override
--- a/src/main/java/sandstack/fleet/MemberStatus.java
+++ b/src/main/java/sandstack/fleet/MemberStatus.java
@@ -1,16 +1,19 @@
 package sandstack.fleet;
 
-/** The status of a member, as far as one member can know it. */
+/** The status of a member in the view of one member. */
 public enum MemberStatus {
     /** No member that has probed it reports it as unreachable. */
     ALIVE("ALIVE"),
-    /** Some members reach it and others do not: a failed link rather than a failed member. */
+    /** Some members reach it and others do not, which indicates a failed link rather than a failed member. */
     PARTIALLY_REACHABLE("PARTLY"),
-    /** No member reports that it reaches it; the library still waits for it. */
+    /** No member reports that it reaches it, but the library has not removed it yet. */
     SUSPECT("SUSPECT"),
-    /** The library has removed it, and no member reports that it reaches it. It may run on behind a partition. */
+    /**
+     * The library has removed it, and no member reports that it reaches it. It may still run on the other side of a
+     * partition.
+     */
     LOST("LOST"),
-    /** It announced that it leaves. */
+    /** It has announced that it leaves. */
     LEFT("LEFT");
 
     private final String label;
--- a/src/main/java/sandstack/fleet/MemberTable.java
+++ b/src/main/java/sandstack/fleet/MemberTable.java
@@ -9,27 +9,28 @@
 import java.util.Set;
 
 /**
- * The membership table: all incarnations that this member knows, and the status of each. A status combines three
- * sources: the members that the library lists, those that this member reaches directly, and those that other members
- * report as reachable. A member that is only known by gossip counts as soon as this one has had its response, however
- * late the library discovers it.
+ * The membership table: all incarnations known to this member, and the status of each. A status combines three sources:
+ * the members that the library lists, those that this member reaches directly, and those that other members report as
+ * reachable. An incarnation that is known only by gossip counts like a listed one as soon as this member has received
+ * its response to a probe, even if the library discovers it much later.
  *
- * <p>Guarantees: an incarnation that has left never returns, as a restart has another id; members that have received
- * the same reports derive the same status; clocks of different machines are never compared. Not guaranteed: that two
- * members agree at one moment. During a partition both sides call each other lost.
+ * <p>Guarantees: an incarnation that has left never becomes a member again, because a restart has another id; members
+ * that have received the same reports derive the same status; clocks of different machines are never compared. Not
+ * guaranteed: that two members have the same table at the same moment. During a partition each side reports the other
+ * as lost.
  *
- * <p>Not thread-safe. {@link #rows} costs O(members squared), an event O(1) unless it removes members. Of departed
- * members the latest {@link #MAX_DEPARTED} are retained.
+ * <p>Not thread-safe. {@link #rows} costs O(members squared), an event O(1) unless it removes members. Only the latest
+ * {@link #MAX_DEPARTED} departed members are retained.
  */
 public final class MemberTable {
     static final int MAX_DEPARTED = 64;
 
-    /** What is known of one incarnation. */
+    /** The table's state of one incarnation. */
     private static final class Entry {
         final Incarnation incarnation;
         boolean listedByLibrary = true;
         boolean left;
-        /** Known by gossip alone, and no member has reported that it reaches it. */
+        /** Known only by gossip: no member has reported that it reaches it. */
         boolean unconfirmed;
 
         /** When the library last added or removed it. */
@@ -46,15 +47,15 @@
         }
     }
 
-    /** Which members one member reports as reachable and unreachable. */
+    /** The members that one member reports as reachable and as unreachable, by incarnation id. */
     private record ReachReport(Set<String> reachable, Set<String> unreachable) {}
 
     /**
      * One incarnation and its status.
      *
-     * @param sinceMicros since when it has this status here, by the caller's clock
-     * @param reachableCount how many of the reporters reach it
-     * @param reporterCount how many members report on it
+     * @param sinceMicros when it got this status in this table, by the caller's clock
+     * @param reachableCount number of reporters that reach it
+     * @param reporterCount number of members that report it as reachable or unreachable
      * @param unreachableFrom names of the reporters that do not reach it
      */
     public record Row(
@@ -68,10 +69,10 @@
     private final Incarnation self;
     private final long createdAtMicros;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
-    /** The last report of each member, this one among them, by the id of the reporter. */
+    /** The last report of each member, including this one, by the incarnation id of the reporter. */
     private final Map<String, ReachReport> reachReports = new HashMap<>();
 
-    /** Creates a table of this member alone. */
+    /** Creates a table that contains only this member. */
     public MemberTable(Incarnation self, long nowMicros) {
         this.self = self;
         this.createdAtMicros = nowMicros;
@@ -95,9 +96,9 @@
     }
 
     /**
-     * Gossip names this incarnation. It counts as a member while some member reports that it reaches it.
+     * Adds an incarnation that is known from gossip. It counts as a member while any member reports that it reaches it.
      *
-     * @return whether it was not known before
+     * @return whether the table did not contain it before
      */
     public boolean memberDiscovered(Incarnation incarnation, long nowMicros) {
         if (entries.containsKey(incarnation.id())) {
@@ -117,9 +118,9 @@
     }
 
     /**
-     * The library has removed the incarnation, unless it had left before. The library probes through few other members
-     * and withdraws a suspicion only after contact with the member itself, so a member that others reach stays in this
-     * table by their reports.
+     * The library has removed the incarnation; ignored if the incarnation has left. The library probes indirectly
+     * through only a few members, and withdraws a suspicion only after contact with the suspected member itself. It may
+     * therefore remove a member that others reach; such a member remains one in this table because of their reports.
      */
     public void memberRemoved(String id, long nowMicros) {
         memberDeparted(id, false, nowMicros);
@@ -148,8 +149,8 @@
     }
 
     /**
-     * A member reports its reachability. Ignored if the library does not list the reporter and this member does not
-     * reach it, as the report may be stale.
+     * Replaces the reachability report of a member. Ignored if the library does not list the reporter and this member
+     * does not reach it, because the report may be stale.
      *
      * @param id incarnation id of the reporter
      * @param reachable ids that it reaches directly
@@ -167,7 +168,7 @@
         return own != null && own.reachable().contains(id);
     }
 
-    /** Whether the incarnation with this id is a member now. */
+    /** Whether the incarnation with this id is currently a member. */
     boolean isMember(String id) {
         Entry entry = entries.get(id);
         return entry != null && isMember(entry);
@@ -180,7 +181,7 @@
                                 .anyMatch(report -> report.reachable().contains(entry.incarnation.id())));
     }
 
-    /** Incarnation ids of all members but this one. */
+    /** Incarnation ids of all members except this one. */
     public List<String> otherMemberIds() {
         return entries.values().stream()
                 .filter(entry -> isMember(entry) && !entry.incarnation.equals(self))
@@ -194,7 +195,9 @@
         return entry == null ? null : entry.incarnation;
     }
 
-    /** All incarnations and their status, by name and then by the age of the status. */
+    /**
+     * All incarnations and their status, ordered by name and then by how long they have had the status, longest first.
+     */
     public List<Row> rows(long nowMicros) {
         List<Row> rows = new ArrayList<>();
         for (Entry entry : entries.values()) {
@@ -213,7 +216,7 @@
         String id = entry.incarnation.id();
         List<String> unreachableFrom = new ArrayList<>();
         int reporterCount = 0;
-        // the reporter need not be reachable from here: its report may have come by gossip
+        // this member need not reach the reporter: reports also arrive by gossip
         for (Map.Entry<String, ReachReport> report : reachReports.entrySet()) {
             boolean unreachable = report.getValue().unreachable().contains(id);
             boolean reported = unreachable || report.getValue().reachable().contains(id);
--- a/src/main/java/sandstack/fleet/MemberValues.java
+++ b/src/main/java/sandstack/fleet/MemberValues.java
@@ -7,13 +7,13 @@
 
 /**
  * Small values that each member publishes to all others. Only a member itself changes its values, and each change
- * increments their version. Of two versions from the same incarnation the higher one is the later, whatever way it
- * came. Values do not outlive the incarnation that published them.
+ * increments their version. Of two versions from the same incarnation the higher one is the later, whether it arrived
+ * in a probe response or by gossip. Values are removed with the incarnation that published them.
  *
- * <p>Not thread-safe. A call costs O(1), besides copying the values of one member.
+ * <p>Not thread-safe. A call costs O(1) plus a copy of one member's values.
  */
 public final class MemberValues {
-    /** Values that one incarnation may publish at the same time. */
+    /** Maximum number of values that one incarnation publishes at the same time. */
     public static final int MAX_VALUES = 16;
     /** Maximum length of a key and of a value, in characters. */
     public static final int MAX_LENGTH = 512;
@@ -21,7 +21,7 @@
     /**
      * The values of one incarnation.
      *
-     * @param version number of the last change
+     * @param version incremented by each change; 0 before the first
      */
     public record VersionedValues(long version, Map<String, String> entries) {
         static final VersionedValues EMPTY = new VersionedValues(0, Map.of());
@@ -33,11 +33,11 @@
          */
         public VersionedValues {
             if (entries.size() > MAX_VALUES) {
-                throw new IllegalArgumentException(entries.size() + " values, " + MAX_VALUES + " at most");
+                throw new IllegalArgumentException(entries.size() + " values, at most " + MAX_VALUES + " are allowed");
             }
             entries.forEach((key, value) -> {
                 if (key.length() > MAX_LENGTH || value.length() > MAX_LENGTH) {
-                    throw new IllegalArgumentException("a value longer than " + MAX_LENGTH + " characters");
+                    throw new IllegalArgumentException("key or value is longer than " + MAX_LENGTH + " characters");
                 }
             });
             entries = Map.copyOf(entries);
@@ -45,9 +45,9 @@
     }
 
     /**
-     * The latest values of one incarnation that have arrived here.
+     * The latest values received from one incarnation.
      *
-     * @param receivedAtMicros by the caller's clock
+     * @param receivedAtMicros time of arrival by the caller's clock
      */
     public record ReceivedValues(VersionedValues values, long receivedAtMicros) {}
 
@@ -83,15 +83,15 @@
         return latest == null ? VersionedValues.EMPTY : latest.values();
     }
 
-    /** The same with the time of their arrival; null if none have arrived. */
+    /** The latest values of an incarnation with their time of arrival; null if none have arrived. */
     public ReceivedValues received(String id) {
         return received.get(id);
     }
 
     /**
-     * Takes values that another member has published.
+     * Stores values that another member has published, unless the stored version is the same or a later one.
      *
-     * @return whether they are later than the ones known so far
+     * @return whether they were stored
      */
     public boolean accept(String id, VersionedValues update, long nowMicros) {
         if (id.equals(selfId) || update.version() <= values(id).version()) {
@@ -101,7 +101,7 @@
         return true;
     }
 
-    /** Removes the values of all incarnations but these and this one. */
+    /** Removes the values of all incarnations except {@code ids} and this member. */
     public void retainOnly(Collection<String> ids) {
         received.keySet().removeIf(id -> !id.equals(selfId) && !ids.contains(id));
     }
--- a/src/main/java/sandstack/fleet/Membership.java
+++ b/src/main/java/sandstack/fleet/Membership.java
@@ -12,20 +12,20 @@
 import sandstack.fleet.FleetMessages.ProbeResponse;
 
 /**
- * One member's part in the membership protocol: combines the events of the SWIM library, its own probes and the reports
- * of other members, and decides whom to probe next. Decides nothing about client requests.
+ * The membership protocol on one member: combines the events of the SWIM library, the member's own probes and the
+ * reports of other members, and selects the members to probe next. Makes no decisions about client requests.
  *
- * <p><b>Failure model.</b> Members crash and restart with or without their disk, stall for any time, and are slow.
- * Links lose and delay messages and fail in one direction or both. Members do not lie; malformed messages are rejected
- * before they arrive here.
+ * <p><b>Failure model.</b> Members crash and restart with or without their disk contents, stall for any length of time,
+ * and run slowly. Links lose and delay messages and fail in one direction or in both. Members are not Byzantine;
+ * {@code sandstack.fleet.link} rejects malformed messages.
  *
- * <p><b>Guaranteed.</b> Received values were published by their member, and a later version never gives way to an
+ * <p><b>Guaranteed.</b> Received values were published by their member, and a later version is never replaced by an
  * earlier one. A member is {@link MemberStatus#PARTIALLY_REACHABLE} and not lost while any member reports that it
- * reaches it. Of two processes that start with one name, at most one owns it, provided that they reach each other at
- * the start.
+ * reaches it. Of two processes that start with the same name, at most one owns it, provided that they reach each other
+ * at the start.
  *
- * <p><b>Not guaranteed.</b> That all members have one view at one moment, or that a name has one owner across a
- * partition. Both need consensus, which this protocol does not provide.
+ * <p><b>Not guaranteed.</b> That all members have the same view at the same moment, or that a name has only one owner
+ * across a partition. Both need consensus, which this protocol does not provide.
  *
  * <p>Not thread-safe. A tick costs O(members), {@link #view} O(members squared).
  */
@@ -33,12 +33,12 @@
     /** Interval of {@link #tick}. */
     public static final long TICK_MICROS = 100_000;
 
-    /** A tick that is later than this means that the process has stalled. */
+    /** A longer time between two ticks means that the process has stalled. */
     static final long STALL_THRESHOLD_MICROS = 10 * TICK_MICROS;
-    /** An incarnation owns its name if no conflict is known so long after its first tick. */
+    /** Time from its first tick until an incarnation owns its name, if no conflict is detected. */
     public static final long NAME_CLAIM_MICROS = NameClaim.CLAIM_MICROS;
 
-    /** Minimum interval between two gossips of the own state. */
+    /** Minimum interval between two gossip messages with this member's state. */
     static final long GOSSIP_INTERVAL_MICROS = 500_000;
 
     /** Key of the published digest of the configured relays. */
@@ -48,9 +48,9 @@
      * The membership at one moment. Immutable.
      *
      * @param published the latest values of each member, by incarnation id
-     * @param ownsName whether this member's claim to its name is settled
+     * @param ownsName whether this member owns its name
      * @param unreachable ids of the members that this one does not reach directly
-     * @param takenAtMicros by the caller's clock
+     * @param takenAtMicros time of the view by the caller's clock
      */
     public record View(
             Incarnation self,
@@ -60,14 +60,14 @@
             Set<String> unreachable,
             QuorumAssessment quorum,
             long takenAtMicros) {
-        /** The same with the quorum state as it counts at this moment. */
+        /** This view with the quorum state that applies at {@code nowMicros}. */
         public View asOf(long nowMicros) {
             return new View(self, rows, published, ownsName, unreachable, quorum.asOf(nowMicros), takenAtMicros);
         }
     }
 
     private final MemberTable memberTable;
-    private final ReachabilityProbe reachability;
+    private final ReachabilityTracker reachability;
     private final MemberValues memberValues;
     private final QuorumTracker quorumTracker;
     private final DecommissionedRelays decommissionedRelays;
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Creates a membership that knows no other member yet.
+     * Creates a membership that contains only this member.
      *
      * @param configuredRelays names of all relays of the fleet; empty if they are not configured
      * @param random shuffles the order of probes
@@ -91,7 +91,7 @@
     public Membership(Incarnation self, Set<String> configuredRelays, long nowMicros, RandomGenerator random) {
         quorumTracker = new QuorumTracker(configuredRelays, self.name(), nowMicros);
         memberTable = new MemberTable(self, nowMicros);
-        reachability = new ReachabilityProbe(random);
+        reachability = new ReachabilityTracker(random);
         memberValues = new MemberValues(self.id());
         decommissionedRelays = new DecommissionedRelays(self.id(), memberValues, quorumTracker);
         nameClaim = new NameClaim(self);
@@ -109,8 +109,9 @@
     }
 
     /**
-     * Gossip from an incarnation names itself. The library discovers members at random, which takes long for two that
-     * started on both sides of a partition, so members that others reach are probed as well.
+     * Gossip from an incarnation has arrived that may identify its sender. The library discovers members at random,
+     * which takes long for two that started on different sides of a partition, so an incarnation that other members
+     * reach is probed even before the library discovers it.
      *
      * @param id incarnation id of the sender
      * @param incarnation the sender; null if the message does not include it
@@ -137,7 +138,7 @@
 
     private void membersChanged() {
         reachability.setMembers(memberTable.otherMemberIds());
-        // a member that returns after a partition sends its complete state again
+        // safe for a member that returns after a partition, because it sends its complete state again
         memberValues.retainOnly(memberTable.otherMemberIds());
         reachabilityChanged();
     }
@@ -169,7 +170,7 @@
         }
     }
 
-    /** Advances the time; returns the members to probe now. To be called every {@link #TICK_MICROS}. */
+    /** Advances the time and returns the members to probe now. Must be called every {@link #TICK_MICROS}. */
     public List<Incarnation> tick(long nowMicros) {
         long sinceLastTickMicros = nowMicros - lastTickMicros;
         if (sinceLastTickMicros > STALL_THRESHOLD_MICROS) {
@@ -207,7 +208,7 @@
     /** A member has answered a probe. */
     public void probeAnswered(Incarnation target, ProbeResponse response, long nowMicros) {
         if (!response.id().equals(target.id())) {
-            // another incarnation has taken the address, so the probed one is gone
+            // another incarnation listens at the address, so the probed one has ended
             probeTimedOut(target);
             return;
         }
@@ -238,12 +239,15 @@
         }
         if (memberValues.accept(id, new MemberValues.VersionedValues(state.version(), state.values()), nowMicros)) {
             memberTable.reachReported(id, state.reachable(), state.unreachable());
-            // the report may bring back a member that the library has removed, or take it away again
+            // the report may make an incarnation that the library has removed a member again, or end its membership
             reachability.setMembers(memberTable.otherMemberIds());
         }
     }
 
-    /** The own state, if it has changed and is due to be gossiped; otherwise null. */
+    /**
+     * This member's state if it has changed and is due to be gossiped, otherwise null. Counts as gossiped once
+     * returned.
+     */
     public MemberState stateToGossip(long nowMicros) {
         if (gossipedVersion == ownState.version() || nowMicros - lastGossipMicros < GOSSIP_INTERVAL_MICROS) {
             return null;
@@ -253,17 +257,19 @@
         return ownState;
     }
 
-    /** The id of another incarnation that owns this member's name, once a conflict is known. */
+    /** The id of the incarnation to which this member has lost its name; empty if it has not. */
     public Optional<String> nameOwnerId() {
         return nameClaim.ownerId();
     }
 
-    /** Whether this incarnation owns its name. */
+    /** Whether this incarnation owns its name: it has won the claim and keeps the name until it ends. */
     public boolean ownsName() {
         return nameClaim.owned();
     }
 
-    /** The membership now. Also publishes the merged set of decommissioned relays, if that has changed. */
+    /**
+     * The membership at {@code nowMicros}. Also publishes the merged set of decommissioned relays if that has changed.
+     */
     public View view(long nowMicros) {
         List<MemberTable.Row> rows = memberTable.rows(nowMicros);
         Map<String, MemberValues.ReceivedValues> published = publishedByMembers(rows);
@@ -304,9 +310,10 @@
     }
 
     /**
-     * Decommissions a lost relay, at the request of an operator: it is no longer counted until it is a member again.
+     * Decommissions a lost relay at the request of an operator: it does not count towards the size of the fleet until
+     * it is a member again.
      *
-     * @return why this is refused; empty if it is done
+     * @return the reason for a refusal; empty on success
      */
     public Optional<String> decommission(String name, long nowMicros) {
         Optional<String> refusal = decommissionedRelays.refusal(name, view(nowMicros));
--- a/src/main/java/sandstack/fleet/NameClaim.java
+++ b/src/main/java/sandstack/fleet/NameClaim.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * An incarnation's claim to its name. It owns the name if no conflict is known {@link #CLAIM_MICROS} after its first
- * tick, and keeps it from then on. Of two that start at the same time, the one with the lower id wins. Two on different
- * sides of a partition may both own the name.
+ * An incarnation's claim to its relay name. It owns the name if no conflict has been detected {@link #CLAIM_MICROS}
+ * after its first tick, and then keeps it until it ends. Of two incarnations that start at the same time, the one with
+ * the lower id wins. Two on different sides of a partition may both own the name.
  *
- * <p>Not thread-safe; O(1) a call.
+ * <p>Not thread-safe. A call costs O(1).
  */
 final class NameClaim {
     static final long CLAIM_MICROS = 1_500_000;
@@ -29,9 +29,9 @@
     }
 
     /**
-     * Another incarnation has sent a message.
+     * Another incarnation has sent a message; ignored once this claim is won or lost.
      *
-     * @param otherOwnsName whether it owns its name
+     * @param otherOwnsName whether the other incarnation owns its name
      */
     void messageReceived(String id, String name, boolean otherOwnsName) {
         if (owned || ownerId != null) {
@@ -47,7 +47,7 @@
         return owned;
     }
 
-    /** The id of the incarnation to which the claim was lost. */
+    /** The id of the incarnation to which the claim was lost; empty if it was not. */
     Optional<String> ownerId() {
         return Optional.ofNullable(ownerId);
     }
--- a/src/main/java/sandstack/fleet/QuorumAssessment.java
+++ b/src/main/java/sandstack/fleet/QuorumAssessment.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * A member's quorum state at one moment, with the evidence. It says what may begin here. Other members may assess
- * differently, so nothing that must hold across a partition may rest on it alone.
+ * A member's quorum state at one moment, with the relays that it is based on. Determines which operations may begin on
+ * this member. Other members may come to another assessment, so nothing that must hold across a partition may depend on
+ * it alone.
  *
- * @param sinceMicros since when the state has lasted, by the caller's clock
- * @param assessedAtMicros when it was last assessed
- * @param reachable names of the configured relays that are reachable, this one among them
- * @param unreachable names of those that are not
- * @param reason one sentence for operators
+ * @param sinceMicros when the state began, by the caller's clock
+ * @param assessedAtMicros time of this assessment, by the caller's clock
+ * @param reachable names of the configured relays that are reachable, including this one
+ * @param unreachable names of the configured relays that are neither reachable nor decommissioned
+ * @param reason short explanation for operators
  */
 public record QuorumAssessment(
         QuorumState state,
@@ -19,23 +20,23 @@
         List<String> reachable,
         List<String> unreachable,
         String reason) {
-    /** An older assessment means that this process has stalled since. */
+    /** An older assessment is out of date: this process has stalled since. */
     static final long MAX_AGE_MICROS = Membership.STALL_THRESHOLD_MICROS;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
 
-    /** Copies the lists. */
+    /** Copies the lists, which makes the assessment immutable. */
     public QuorumAssessment {
         reachable = List.copyOf(reachable);
         unreachable = List.copyOf(unreachable);
     }
 
-    /** Whether this operation may begin. */
+    /** Whether this operation may begin in the assessed state. */
     public boolean allows(GuardedOperation operation) {
         return operation.allowedStates().contains(state);
     }
 
-    /** The assessment as it counts at this moment: {@link QuorumState#UNKNOWN} if it is out of date. */
+    /** The assessment that applies at {@code nowMicros}: {@link QuorumState#UNKNOWN} if this one is out of date. */
     public QuorumAssessment asOf(long nowMicros) {
         long ageMicros = nowMicros - assessedAtMicros;
         if (ageMicros <= MAX_AGE_MICROS) {
--- a/src/main/java/sandstack/fleet/QuorumState.java
+++ b/src/main/java/sandstack/fleet/QuorumState.java
@@ -1,16 +1,19 @@
 package sandstack.fleet;
 
-/** Which part of the configured relays a member reaches, as a condition of acting for the fleet. */
+/** The part of the configured relays that a member reaches. Determines which {@link GuardedOperation}s it may begin. */
 public enum QuorumState {
     /** All configured relays are reachable, and all of them reach each other. */
     COMPLETE("WHOLE"),
-    /** More than half of the configured relays are reachable; two partitions never both are in this state. */
+    /** More than half of the configured relays are reachable; two partitions are never both in this state. */
     MAJORITY("MOST"),
     /** Some other relays are reachable, but no more than half of all. */
     MINORITY("FEW"),
     /** No other relay is reachable, although others are configured. */
     ISOLATED("ALONE"),
-    /** The local view may be stale or one-sided: this member has just started or stalled, or the views differ. */
+    /**
+     * The local view may be stale or incomplete: this member has just started, stalled or changed its state, or the
+     * members differ in their views or their configured relays, or no relays are configured.
+     */
     UNKNOWN("UNSURE");
 
     private final String label;
--- a/src/main/java/sandstack/fleet/QuorumTracker.java
+++ b/src/main/java/sandstack/fleet/QuorumTracker.java
@@ -10,18 +10,19 @@
 import java.util.TreeSet;
 
 /**
- * Derives the {@link QuorumState} of this member. The size of the fleet is the number of relays that are configured,
- * never the number that is seen, so a partition cannot declare itself complete by losing the others. A relay that
- * others reach and this one does not stays in that number but does not count as reachable. Any doubt shows at once as
- * {@link QuorumState#UNKNOWN}; any other change only after it has lasted for {@link #STABILITY_WINDOW_MICROS}.
+ * Derives the {@link QuorumState} of this member. The size of the fleet is the number of configured relays without the
+ * decommissioned ones, never the number of current members, so a partition cannot become complete by losing the other
+ * relays. A relay that other members reach and this one does not is part of that size but does not count as reachable.
+ * {@link QuorumState#UNKNOWN} is reported at once; any other new state only after it has lasted for
+ * {@link #STABILITY_WINDOW_MICROS}.
  *
- * <p>Not thread-safe. An assessment costs O(members squared). Has no clock, I/O or thread of its own.
+ * <p>Not thread-safe. An assessment costs O(members squared).
  */
 public final class QuorumTracker {
-    /** A new state is shown once it has lasted for so long. */
+    /** Time that a new state must last before it is reported. */
     public static final long STABILITY_WINDOW_MICROS = 1_500_000;
-    /** So long after a stall all members have been probed again: two rounds and their responses. */
-    public static final long RECHECK_MICROS = 2 * ReachabilityProbe.MIN_ROUND_MICROS + 500_000;
+    /** Time after a stall in which all members are probed again: two probe rounds and their responses. */
+    public static final long RECHECK_MICROS = 2 * ReachabilityTracker.MIN_ROUND_MICROS + 500_000;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -30,7 +31,7 @@
     private final long createdAtMicros;
     private long resumedAtMicros = Long.MIN_VALUE / 2;
     private long stallMicros;
-    /** Incarnation ids that have answered since the last stall; null before the first one. */
+    /** Ids of the incarnations that have answered a probe since the last stall; null before the first stall. */
     private Set<String> answeredSinceStall;
 
     private QuorumState candidate;
@@ -51,7 +52,7 @@
                 QuorumState.UNKNOWN, nowMicros, nowMicros, List.of(selfName), List.of(), "has just started");
     }
 
-    /** A digest by which two members compare their configured relays; empty if there are none. */
+    /** A digest by which members compare their configured relays; empty if no relays are configured. */
     public String configurationDigest() {
         return configuredRelays.isEmpty()
                 ? ""
@@ -79,7 +80,7 @@
     }
 
     /**
-     * Assesses the quorum.
+     * Assesses the quorum state at {@code nowMicros}.
      *
      * @param rows the membership table
      * @param reachableIds ids of the incarnations that this member reaches directly
@@ -96,18 +97,19 @@
         Map<String, MemberTable.Row> reachable = reachableRelays(rows, reachableIds);
         Connectivity connectivity = connectivity(reachable);
         int reachableCount = reachable.size();
-        Optional<String> doubt = doubtAboutSelf(reachableCount - 1, nowMicros)
-                .or(() -> doubtAboutViews(connectivity, reachableCount, expected.size()))
-                .or(() -> doubtAboutConfiguration(rows, reachableIds, digests));
-        QuorumState state = doubt.isPresent()
+        Optional<String> unknownReason = localProblem(reachableCount - 1, nowMicros)
+                .or(() -> viewMismatch(connectivity, reachableCount, expected.size()))
+                .or(() -> configurationMismatch(rows, reachableIds, digests));
+        QuorumState state = unknownReason.isPresent()
                 ? QuorumState.UNKNOWN
                 : stateByCount(connectivity.connectedCount(), reachableCount, expected.size());
-        String reason = doubt.orElseGet(() -> reachableCount + " of " + expected.size() + " stated relays are reached");
+        String reason =
+                unknownReason.orElseGet(() -> reachableCount + " of " + expected.size() + " stated relays are reached");
         boolean stable = isStable(state, nowMicros);
-        QuorumState shown = stable ? state : QuorumState.UNKNOWN;
+        QuorumState reported = stable ? state : QuorumState.UNKNOWN;
         lastAssessment = new QuorumAssessment(
-                shown,
-                shown == lastAssessment.state() ? lastAssessment.sinceMicros() : nowMicros,
+                reported,
+                reported == lastAssessment.state() ? lastAssessment.sinceMicros() : nowMicros,
                 nowMicros,
                 List.copyOf(new TreeSet<>(reachable.keySet())),
                 expected.stream().filter(name -> !reachable.containsKey(name)).toList(),
@@ -115,7 +117,7 @@
         return lastAssessment;
     }
 
-    /** The configured relays, without decommissioned ones that are not back. */
+    /** The configured relays, without the decommissioned ones that are not members again. */
     private Set<String> expectedRelays(List<MemberTable.Row> rows, Set<String> decommissioned) {
         Set<String> memberNames = new HashSet<>();
         for (MemberTable.Row row : rows) {
@@ -149,10 +151,10 @@
     }
 
     /**
-     * How well the reachable relays reach each other.
+     * Whether the reachable relays reach each other.
      *
-     * @param connectedCount how many are reached by all others that report on them
-     * @param example a pair that is not connected; null if there is none
+     * @param connectedCount number of relays that no other reachable relay reports as unreachable
+     * @param example describes a relay that does not reach another one; null if there is none
      */
     private record Connectivity(int connectedCount, String example) {}
 
@@ -172,8 +174,11 @@
         return new Connectivity(connectedCount, example);
     }
 
-    /** Why nothing follows from what this member sees, whatever that is. */
-    private Optional<String> doubtAboutSelf(int answeredCount, long nowMicros) {
+    /**
+     * The reason for which this member cannot assess the quorum state, whichever relays it reaches; empty if there is
+     * none.
+     */
+    private Optional<String> localProblem(int answeredCount, long nowMicros) {
         if (configuredRelays.isEmpty()) {
             return Optional.of("staff have not said which relays there are");
         }
@@ -190,14 +195,14 @@
         return Optional.empty();
     }
 
-    /** A majority counts only if a majority of the fleet is connected with each other. */
-    private static Optional<String> doubtAboutViews(Connectivity connectivity, int reachableCount, int expectedCount) {
+    /** Views differ if this member reaches a majority of the fleet, but no majority reach each other. */
+    private static Optional<String> viewMismatch(Connectivity connectivity, int reachableCount, int expectedCount) {
         return isMajority(reachableCount, expectedCount) && !isMajority(connectivity.connectedCount(), expectedCount)
                 ? Optional.of("views differ: " + connectivity.example())
                 : Optional.empty();
     }
 
-    private Optional<String> doubtAboutConfiguration(
+    private Optional<String> configurationMismatch(
             List<MemberTable.Row> rows, Set<String> reachableIds, Map<String, String> digests) {
         for (MemberTable.Row row : rows) {
             String digest = digests.getOrDefault(row.incarnation().id(), "");
@@ -222,7 +227,10 @@
         return 2 * count > expectedCount;
     }
 
-    /** Whether a state may be shown: doubt at once, the last one again, any other after the stability window. */
+    /**
+     * Whether a state may be reported: unknown at once, the last reported one again, any other after the stability
+     * window.
+     */
     private boolean isStable(QuorumState state, long nowMicros) {
         if (state != candidate) {
             candidate = state;
--- a/src/main/java/sandstack/fleet/ReachabilityProbe.java
+++ b/src/main/java/sandstack/fleet/ReachabilityTracker.java
@@ -12,27 +12,28 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Tracks which members this one reaches directly. The library probes indirectly where its own probe fails, and so keeps
- * a member that some reach; the table also needs to know which ones do. Each member is probed once a round, in an order
- * that is shuffled for each round. It takes {@link #CONSECUTIVE_RESULTS} results in a row to change what is known, so
- * one lost packet is no failed link and one response no recovery.
+ * Tracks which members this one reaches directly, and schedules the probes. The library probes indirectly if its own
+ * probe fails, and so keeps a member that only some members reach; the {@link MemberTable} also needs to know which
+ * ones do. Each member is probed once per round, in an order that is shuffled for each round. The reachability of a
+ * member changes only after {@link #CONSECUTIVE_RESULTS} equal results in a row, so that one lost packet does not count
+ * as a failed link, nor one response as a recovery.
  *
- * <p>Not thread-safe. A tick costs O(members).
+ * <p>Not thread-safe. A call costs O(members) at most.
  */
-public final class ReachabilityProbe {
+public final class ReachabilityTracker {
     /** Minimum duration of a round. */
     public static final long MIN_ROUND_MICROS = 1_000_000;
 
     static final long ROUND_MICROS_PER_MEMBER = 50_000;
-    /** Results in a row that change the reachability of a member. */
+    /** Number of equal results in a row that change the reachability of a member. */
     static final int CONSECUTIVE_RESULTS = 2;
 
-    /** The latest results of one member. */
+    /** The latest probe results of one member. */
     private static final class ProbeHistory {
         int consecutiveTimeouts;
         int consecutiveAnswers;
         boolean reachable = true;
-        /** Whether any result counts yet; before that the member is neither reachable nor unreachable. */
+        /** Whether the results suffice to decide; until then the member is neither reachable nor unreachable. */
         boolean decided;
     }
 
@@ -41,24 +42,24 @@
     private final List<String> pending = new ArrayList<>();
     private long roundStartMicros = Long.MIN_VALUE / 2;
 
-    /** Creates a probe without members; {@code random} shuffles each round. */
-    public ReachabilityProbe(RandomGenerator random) {
+    /** Creates a tracker without members; {@code random} shuffles the order of each round. */
+    public ReachabilityTracker(RandomGenerator random) {
         this.random = random;
     }
 
-    /** Sets the members to probe, without this one; those that stay keep their history. */
+    /** Sets the members to probe, which must not include this one; members that were already set keep their history. */
     public void setMembers(Collection<String> ids) {
         histories.keySet().retainAll(ids);
         pending.retainAll(histories.keySet());
         ids.forEach(id -> histories.computeIfAbsent(id, ignored -> new ProbeHistory()));
     }
 
-    /** Removes and returns the members that are due in the current round by now. */
+    /** Returns the members whose probes in the current round are due, and removes them from it. */
     public List<String> takeDue(long nowMicros) {
         long roundMicros = Math.max(MIN_ROUND_MICROS, ROUND_MICROS_PER_MEMBER * histories.size());
         List<String> due = new ArrayList<>();
         if (nowMicros - roundStartMicros >= roundMicros) {
-            // after a late tick some of the previous round are left
+            // after a late call some members of the previous round remain
             due.addAll(pending);
             roundStartMicros = nowMicros;
             pending.clear();
@@ -105,7 +106,7 @@
         return true;
     }
 
-    /** This process has stalled: the timeouts so far say nothing about the other members. */
+    /** This process has stalled. Discards the timeouts so far, because the stall may have caused them. */
     public void processStalled() {
         histories.values().forEach(history -> history.consecutiveTimeouts = 0);
     }
@@ -121,7 +122,7 @@
         return ids;
     }
 
-    /** Ids of the members that this one reaches; members without any result yet are not among them. */
+    /** Ids of the members that this one reaches, without members whose results do not suffice to decide yet. */
     public Set<String> reachable() {
         Set<String> ids = new HashSet<>();
         histories.forEach((id, history) -> {
--- a/src/main/java/sandstack/fleet/link/CallClient.java
+++ b/src/main/java/sandstack/fleet/link/CallClient.java
@@ -13,8 +13,8 @@
 import sandstack.fleet.MemberTable;
 
 /**
- * Calls to other members. Calls in flight are bounded for each member and in total, so a slow member holds up only
- * those who call it. Any thread; responses arrive on the fleet's.
+ * Sends calls to other members. Calls in flight are bounded for each member and in total, so a slow member delays only
+ * the calls to itself. Methods may be called on any thread; calls complete on the fleet's thread.
  */
 final class CallClient {
     private static final int MAX_CALLS_PER_MEMBER = 8;
@@ -42,8 +42,8 @@
             return CompletableFuture.failedFuture(new CallException(id, kind, "not a member"));
         }
         if (body.length() > FleetMember.MAX_BODY_LENGTH) {
-            return CompletableFuture.failedFuture(
-                    new IllegalArgumentException("a body longer than " + FleetMember.MAX_BODY_LENGTH));
+            return CompletableFuture.failedFuture(new IllegalArgumentException(
+                    "number of characters in the body exceeds " + FleetMember.MAX_BODY_LENGTH));
         }
         AtomicInteger callsToMember = callsByMember.computeIfAbsent(id, ignored -> new AtomicInteger());
         if (!acquire(callsToMember)) {
@@ -85,7 +85,7 @@
                 throw new CallException(id, kind, result.error());
             }
             return result.body();
-        } catch (MalformedMessageException e) {
+        } catch (MalformedFleetMessageException e) {
             throw new CallException(id, kind, "response rejected: " + e.getMessage());
         }
     }
--- a/src/main/java/sandstack/fleet/link/CallException.java
+++ b/src/main/java/sandstack/fleet/link/CallException.java
@@ -1,6 +1,9 @@
 package sandstack.fleet.link;
 
-/** A call to another member that has failed, with the reason that either of the two gives. */
+/**
+ * Thrown when a call to another member fails. The message contains the reason, which the caller or the called member
+ * gives.
+ */
 public final class CallException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/sandstack/fleet/link/CallServer.java
+++ b/src/main/java/sandstack/fleet/link/CallServer.java
@@ -9,7 +9,8 @@
 import sandstack.fleet.FleetMessages.CallResponse;
 
 /**
- * Passes the calls of other members to their handlers, on the fleet's thread. Handlers may be registered on any thread.
+ * Dispatches calls from other members to the registered handlers, on the fleet's thread. Handlers may be registered on
+ * any thread.
  */
 final class CallServer {
     private final ClusterClient clusterClient;
@@ -24,9 +25,9 @@
     }
 
     /**
-     * Handles a call and responds to it.
+     * Handles a call and sends the response.
      *
-     * @param message the message in which it arrived
+     * @param message the message that contained the request; the response goes to its sender
      */
     void handle(Message message, CallRequest request) {
         FleetMember.CallHandler handler = handlers.get(String.valueOf(request.kind()));
@@ -35,7 +36,7 @@
         } else if (request.body() == null || request.body().length() > FleetMember.MAX_BODY_LENGTH) {
             respond(message, null, "a body longer than " + FleetMember.MAX_BODY_LENGTH);
         } else {
-            // the callback responds in both cases
+            // the callback responds to success and failure
             Futures.ignore(handler.handle(request.callerId(), request.body())
                     .whenComplete((body, failure) ->
                             respond(message, body, failure == null ? null : String.valueOf(failure.getMessage()))));
--- a/src/main/java/sandstack/fleet/link/ClusterClient.java
+++ b/src/main/java/sandstack/fleet/link/ClusterClient.java
@@ -19,19 +19,23 @@
 import sandstack.fleet.Incarnation;
 
 /**
- * The SWIM library: its configuration, its start and shutdown, and the messages that go out through it. Messages can be
- * sent as soon as the library asks for its handler. Threads are the library's; responses arrive on the scheduler.
+ * Configures, starts and shuts down the SWIM library and sends messages through it. Messages can be sent as soon as the
+ * library requests its message handler, which is before {@link #start} returns. The library runs on threads of its own;
+ * responses complete on the scheduler.
  */
 final class ClusterClient {
     private static final Logger LOG = Logger.getLogger(FleetMember.LOGGER_NAME);
 
-    /** Holds the library's table of a thousand members. */
+    /** Large enough for the library's membership table of a thousand members. */
     private static final int MAX_FRAME_BYTES = 256 * 1024;
 
     private static final int MAX_PEERS = 2_048;
     private static final long START_TIMEOUT_SECONDS = 5;
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 2;
-    /** Metadata is requested again at the next sync, which a request into a partition must not hold up. */
+    /**
+     * Short, so that a request to a member behind a partition does not delay the next sync, which requests the metadata
+     * again.
+     */
     private static final int METADATA_TIMEOUT_MILLIS = 500;
 
     private static final int PING_INTERVAL_MILLIS = 500;
@@ -68,7 +72,7 @@
             new ClusterImpl(config)
                     .transportFactory(config.transportConfig()::transportFactory)
                     .handler(starting -> {
-                        // other members send messages before the library reports its start
+                        // other members may send messages before the start completes
                         cluster = starting;
                         return handler;
                     })
@@ -79,8 +83,8 @@
             throw new InvalidConfigurationException(FleetFile.FILE + ": listen: cannot listen at " + fleetFile.listen()
                     + ": " + e.getCause().getMessage());
         } catch (TimeoutException e) {
-            throw new InvalidConfigurationException(FleetFile.FILE + ": listen: no start at " + fleetFile.listen()
-                    + " within " + START_TIMEOUT_SECONDS + " s");
+            throw new InvalidConfigurationException(FleetFile.FILE + ": listen: start at " + fleetFile.listen()
+                    + " timed out after " + START_TIMEOUT_SECONDS + " s");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -116,7 +120,7 @@
                         .suspicionMult(SUSPICION_MULTIPLIER));
     }
 
-    /** Sends a request and completes with the body of its response, or with a timeout, on the scheduler. */
+    /** Sends a request. Completes on the scheduler with the body of the response, or fails after the timeout. */
     CompletableFuture<String> request(Incarnation target, String qualifier, String body, Duration timeout) {
         Message message = Message.builder()
                 .qualifier(qualifier)
@@ -131,7 +135,7 @@
                 .toFuture();
     }
 
-    /** Responds to a request, if its sender has asked for a response. */
+    /** Responds to a request if its sender expects a response. */
     void respond(Message request, String body) {
         if (request.sender() == null || request.correlationId() == null) {
             return;
@@ -141,16 +145,19 @@
                 .correlationId(request.correlationId())
                 .data(body)
                 .build();
-        cluster.transport().send(request.sender(), response).subscribe(done -> {}, lost -> {});
+        cluster.transport().send(request.sender(), response).subscribe(sent -> {}, failure -> {});
     }
 
-    /** Disseminates a message to all members, without a promise that it reaches each. */
+    /** Disseminates a message to all members; it may not reach every one of them. */
     void gossip(String qualifier, String body) {
         Message message = Message.builder().qualifier(qualifier).data(body).build();
-        cluster.spreadGossip(message).subscribe(done -> {}, lost -> {});
+        cluster.spreadGossip(message).subscribe(sent -> {}, failure -> {});
     }
 
-    /** Announces that this member leaves, and shuts the library down; waits for a short time at most. */
+    /**
+     * Announces that this member leaves and shuts the library down. Waits for {@link #SHUTDOWN_TIMEOUT_SECONDS} at
+     * most.
+     */
     void shutdown() {
         if (cluster == null) {
             return;
--- a/src/main/java/sandstack/fleet/link/ClusterEventHandler.java
+++ b/src/main/java/sandstack/fleet/link/ClusterEventHandler.java
@@ -15,7 +15,8 @@
 
 /**
  * Handles the messages and membership events that the library delivers. The {@code on...} methods run on threads of the
- * library and pass everything to the fleet's thread; messages are dropped while too many are queued.
+ * library and pass everything to the fleet's thread. Messages are dropped while {@link #MAX_QUEUED_MESSAGES} are queued
+ * for it.
  */
 final class ClusterEventHandler implements ClusterMessageHandler {
     private static final Logger LOG = Logger.getLogger(FleetMember.LOGGER_NAME);
@@ -26,7 +27,7 @@
     private final ClusterClient clusterClient;
     private final CallServer callServer;
     private final MembershipViewHolder viewHolder;
-    private final RateLimitedLog warnings;
+    private final FleetWarningLog warnings;
     private final AtomicInteger queuedMessages = new AtomicInteger();
 
     ClusterEventHandler(
@@ -35,7 +36,7 @@
             ClusterClient clusterClient,
             CallServer callServer,
             MembershipViewHolder viewHolder,
-            RateLimitedLog warnings) {
+            FleetWarningLog warnings) {
         this.membership = membership;
         this.executor = executor;
         this.clusterClient = clusterClient;
@@ -75,17 +76,17 @@
             } else if (Qualifiers.CALL_REQUEST.equals(message.qualifier())) {
                 callServer.handle(message, MessageJson.read(message.data(), CallRequest.class));
             }
-        } catch (MalformedMessageException | IllegalArgumentException e) {
+        } catch (MalformedFleetMessageException | IllegalArgumentException e) {
             warnings.warning("message rejected address=" + message.sender() + " reason=\"" + e.getMessage() + "\"");
         }
     }
 
-    private void handleProbe(Message message) throws MalformedMessageException {
+    private void handleProbe(Message message) throws MalformedFleetMessageException {
         ProbeRequest request = MessageJson.read(message.data(), ProbeRequest.class);
         clusterClient.respond(message, MessageJson.write(membership.handleProbe(request, FleetExecutor.nowMicros())));
     }
 
-    private void handleGossip(Message message) throws MalformedMessageException {
+    private void handleGossip(Message message) throws MalformedFleetMessageException {
         StateGossip gossip = MessageJson.read(message.data(), StateGossip.class);
         membership.memberDiscovered(gossip.id(), gossip.incarnation(), FleetExecutor.nowMicros());
         membership.stateReceived(gossip.id(), gossip.state(), FleetExecutor.nowMicros());
@@ -106,18 +107,18 @@
     private void memberAdded(Member member, ByteBuffer metadata) {
         try {
             membership.memberAdded(incarnation(member, metadata), FleetExecutor.nowMicros());
-        } catch (MalformedMessageException | IllegalArgumentException e) {
+        } catch (MalformedFleetMessageException | IllegalArgumentException e) {
             LOG.warning("member rejected address=" + member.address() + " reason=\"" + e.getMessage() + "\"");
         }
     }
 
-    private static Incarnation incarnation(Member member, ByteBuffer bytes) throws MalformedMessageException {
+    private static Incarnation incarnation(Member member, ByteBuffer bytes) throws MalformedFleetMessageException {
         if (bytes == null) {
-            throw new MalformedMessageException("incomplete member metadata");
+            throw new MalformedFleetMessageException("incomplete member metadata");
         }
         MemberMetadata metadata = MessageJson.read(MemberMetadata.CODEC.deserialize(bytes), MemberMetadata.class);
         if (metadata.name() == null || metadata.zone() == null || metadata.machine() == null) {
-            throw new MalformedMessageException("incomplete member metadata");
+            throw new MalformedFleetMessageException("incomplete member metadata");
         }
         return new Incarnation(member.id(), metadata.name(), metadata.zone(), metadata.machine(), member.address());
     }
--- a/src/main/java/sandstack/fleet/link/FilteredMessageCodec.java
+++ b/src/main/java/sandstack/fleet/link/FilteredMessageCodec.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The library's default serialisation, read through a filter: only its own types, collections and plain values, with
- * bounds on depth, number and size. Anything else is rejected before an object of it is created. Thread-safe; O(bytes)
- * a message.
+ * The library's default serialization with a filter on deserialization: allows only the library's own types,
+ * collections and plain values, and bounds the nesting depth, the number of objects and the length of arrays. Other
+ * types are rejected before an instance is created. Thread-safe. A message costs O(bytes).
  */
 final class FilteredMessageCodec implements MessageCodec {
     private static final int MAX_DEPTH = 12;
@@ -39,12 +39,12 @@
     private final AtomicLong rejectedCount = new AtomicLong();
     private final ThreadLocal<Boolean> lastRejected = ThreadLocal.withInitial(() -> false);
 
-    /** How many messages have been rejected. */
+    /** Number of messages rejected so far. */
     long rejectedCount() {
         return rejectedCount.get();
     }
 
-    /** Whether the last message that this thread read was rejected; clears that state. */
+    /** Whether the last message that the calling thread read was rejected; resets this flag. */
     boolean pollLastRejected() {
         boolean rejected = lastRejected.get();
         lastRejected.set(false);
--- a/src/main/java/sandstack/fleet/link/FleetExecutor.java
+++ b/src/main/java/sandstack/fleet/link/FleetExecutor.java
@@ -8,17 +8,17 @@
 import sandstack.concurrent.Futures;
 
 /**
- * The fleet's thread: the one thread on which the membership runs. Tasks must not block. A task that throws is logged
- * and does not end the thread. All methods may be called on any thread.
+ * The fleet's thread: the single thread on which the membership runs. Tasks must not block. If a task throws, the
+ * exception is logged and the thread continues. All methods may be called on any thread.
  */
 final class FleetExecutor {
     private static final String NAME = "fleet";
 
     private final ScheduledThreadPoolExecutor executor;
     private final Scheduler scheduler;
-    private final RateLimitedLog warnings;
+    private final FleetWarningLog warnings;
 
-    FleetExecutor(RateLimitedLog warnings) {
+    FleetExecutor(FleetWarningLog warnings) {
         this.warnings = warnings;
         this.executor = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, NAME);
@@ -30,22 +30,22 @@
         this.scheduler = Schedulers.fromExecutorService(executor, NAME);
     }
 
-    /** The clock of the membership. */
+    /** The monotonic clock of the membership, in microseconds. */
     static long nowMicros() {
         return System.nanoTime() / 1_000;
     }
 
-    /** The same thread as the library's reactive streams use it. */
+    /** The fleet's thread as a scheduler for the library's reactive streams. */
     Scheduler scheduler() {
         return scheduler;
     }
 
-    /** Runs a task soon; drops it after a shutdown. */
+    /** Queues a task for the fleet's thread; drops it after a shutdown. */
     void execute(Runnable task) {
         try {
             executor.execute(() -> runGuarded(task));
         } catch (RejectedExecutionException e) {
-            // this member has left
+            // shut down: this member has left the fleet
         }
     }
 
--- a/src/main/java/sandstack/fleet/link/FleetMember.java
+++ b/src/main/java/sandstack/fleet/link/FleetMember.java
@@ -20,9 +20,9 @@
 import sandstack.fleet.Membership;
 
 /**
- * This relay as a member of the fleet: its life cycle, and what other parts of the program may ask of it. Runs the
- * {@link Membership} on a thread of its own, on which nothing blocks, beside the few threads of the library. Public
- * methods may be called on any thread; only {@link #start} and {@link #close} wait.
+ * This relay as a member of the fleet: its life cycle, and the interface of the fleet to other parts of the program.
+ * Runs the {@link Membership} on a dedicated thread that never blocks; the library has a few more threads. Public
+ * methods may be called on any thread; only {@link #start} and {@link #close} block.
  */
 public final class FleetMember implements AutoCloseable {
     /** Maximum length of the body of a call and of its response, in characters. */
@@ -32,8 +32,8 @@
 
     private static final Logger LOG = Logger.getLogger(LOGGER_NAME);
     /**
-     * Loggers of the libraries, which are silenced: faults of peers are logged here, at a limited rate. The references
-     * keep the levels, as loggers are only weakly reachable otherwise.
+     * Loggers of the libraries, which are turned off: this package logs faults of peers itself, at a limited rate. The
+     * references prevent the garbage collection of the loggers, which would reset their levels.
      */
     private static final List<Logger> LIBRARY_LOGGERS =
             List.of(Logger.getLogger("io.scalecube"), Logger.getLogger("reactor"), Logger.getLogger("io.netty"));
@@ -75,7 +75,7 @@
         this.fleetFile = fleetFile;
         this.self = new Incarnation(
                 randomId(), name, zone, fleetFile.machine(), fleetFile.listen().toString());
-        RateLimitedLog warnings = new RateLimitedLog(LOG);
+        FleetWarningLog warnings = new FleetWarningLog(LOG);
         executor = new FleetExecutor(warnings);
         membership = new Membership(self, fleetFile.relays(), FleetExecutor.nowMicros(), new SplittableRandom());
         viewHolder = new MembershipViewHolder(
@@ -92,10 +92,11 @@
     }
 
     /**
-     * Joins the fleet. Waits for a few seconds at most, and for no member: without any it is alone until one answers.
+     * Joins the fleet. Blocks for a few seconds at most and does not wait for other members: if none responds, the view
+     * contains only this member until one does.
      *
-     * @throws InvalidConfigurationException if it cannot listen at its address, or a running member owns its name; it
-     *     is closed then
+     * @throws InvalidConfigurationException if it cannot listen at its address, or a running member owns its name; this
+     *     member is then closed
      */
     public void start() throws InvalidConfigurationException {
         try {
@@ -117,9 +118,9 @@
         try {
             protocolTask.nameConflict().get(NAME_CONFLICT_TIMEOUT_MICROS, TimeUnit.MICROSECONDS);
             throw new InvalidConfigurationException(FleetFile.FILE + ": the name " + self.name()
-                    + " is held by a member that lives; stop that one, or give this one a name of its own");
+                    + " is owned by a running member; stop that member, or configure another name for this one");
         } catch (TimeoutException e) {
-            // no conflict
+            // no conflict was detected
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException e) {
@@ -128,9 +129,9 @@
     }
 
     /**
-     * Joins the fleet as soon as the address is free, on a thread of its own. During an upgrade two processes of a
-     * relay run side by side; the previous one stays the member until it has released the address. Until then the view
-     * contains this member alone.
+     * Joins the fleet as soon as the address is free, on a separate thread. During an upgrade two processes of a relay
+     * run at the same time; the previous one stays the member until it has released the address. Until then the view
+     * contains only this member.
      */
     public void startWhenAddressFree() {
         Thread thread = new Thread(this::awaitAddressAndStart, "fleet-join");
@@ -147,7 +148,7 @@
                 start();
             }
         } catch (InvalidConfigurationException e) {
-            // the relay already serves clients and continues to
+            // the relay already serves clients and continues to do so outside the fleet
             LOG.severe("join failed reason=\"" + e.getMessage() + "\"");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -165,14 +166,14 @@
         }
     }
 
-    /** The membership a moment ago, with the quorum state as it counts now. */
+    /** The latest view of the membership, with the quorum state that applies now. */
     public Membership.View view() {
         return viewHolder.view().asOf(FleetExecutor.nowMicros());
     }
 
     /**
-     * Decommissions a lost relay, see {@link Membership#decommission}. Completes on the fleet's thread, with the reason
-     * if it is refused.
+     * Decommissions a lost relay, see {@link Membership#decommission}. Completes on the fleet's thread with the reason
+     * for a refusal, or empty on success.
      */
     public CompletableFuture<Optional<String>> decommission(String name) {
         CompletableFuture<Optional<String>> refusal = new CompletableFuture<>();
@@ -188,25 +189,26 @@
         executor.execute(() -> membership.publish(key, value, FleetExecutor.nowMicros()));
     }
 
-    /** Registers the handler of calls of this kind, in place of any before. */
+    /** Registers the handler of calls of this kind; replaces any previous one. */
     public void registerHandler(String kind, CallHandler handler) {
         callServer.register(kind, handler);
     }
 
     /**
      * Calls one member, without a retry. Completes on the fleet's thread with the body of the response, or fails with a
-     * {@link CallException}: no response in time, too many calls in flight, not a member, or rejected there. A call
-     * that fails may have been carried out.
+     * {@link CallException}: there is no response in time, too many calls are in flight, the id is not that of a
+     * member, or the member rejects the call. A failed call may still have been executed.
      *
      * @param id incarnation id of the member
-     * @param kind selects the handler there
-     * @param body no longer than {@link #MAX_BODY_LENGTH}, or the call fails with an {@link IllegalArgumentException}
+     * @param kind selects the handler on that member
+     * @param body at most {@link #MAX_BODY_LENGTH} characters; the call fails with an {@link IllegalArgumentException}
+     *     otherwise
      */
     public CompletableFuture<String> call(String id, String kind, String body, Duration timeout) {
         return callClient.call(id, kind, body, timeout);
     }
 
-    /** Announces to the other members that this one leaves, and shuts it down; waits for a short time at most. */
+    /** Announces to the other members that this one leaves, and shuts it down. Blocks for a few seconds at most. */
     @Override
     public void close() {
         clusterClient.shutdown();
--- a/src/main/java/sandstack/fleet/link/FleetViewFormatter.java
+++ b/src/main/java/sandstack/fleet/link/FleetViewFormatter.java
@@ -13,8 +13,8 @@
 import sandstack.fleet.QuorumAssessment;
 
 /**
- * Formats a view for the console. The words and the JSON keys are an interface to operators and other programs, and do
- * not follow the names in the code. Stateless; O(members).
+ * Formats a view for the console. The texts and the JSON keys are an interface to operators and other programs; they
+ * are stable and differ from the names in the code. Stateless; O(members).
  */
 public final class FleetViewFormatter {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -24,7 +24,7 @@
 
     private FleetViewFormatter() {}
 
-    /** The quorum state, and then one line for each member. */
+    /** One line with the quorum state, followed by one line for each member. */
     public static List<String> lines(Membership.View view) {
         List<String> lines = new ArrayList<>();
         lines.add(quorumLine(view.quorum()));
@@ -64,7 +64,7 @@
         return Math.max(0, view.takenAtMicros() - sinceMicros);
     }
 
-    /** The answer to the request to decommission a relay. */
+    /** The response to a request to decommission a relay; {@code refusal} is empty if it was decommissioned. */
     public static List<String> decommissionOutcome(String name, Optional<String> refusal) {
         return List.of(refusal.map(reason -> "not done: " + reason)
                 .orElseGet(() -> name + " is no longer counted. If it lives behind a cut,"
--- a/src/main/java/sandstack/fleet/link/RateLimitedLog.java
+++ b/src/main/java/sandstack/fleet/link/FleetWarningLog.java
@@ -3,17 +3,17 @@
 import java.util.logging.Logger;
 
 /**
- * Warnings that peers can provoke, at most one in {@link #INTERVAL_MICROS}, so that a misbehaving peer cannot flood the
- * log. On the fleet's thread.
+ * Logs warnings that peers can cause, at most one per {@link #INTERVAL_MICROS}, so that a faulty peer cannot flood the
+ * log. The next warning contains the number of suppressed ones. Used on the fleet's thread.
  */
-final class RateLimitedLog {
+final class FleetWarningLog {
     private static final long INTERVAL_MICROS = 10_000_000;
 
     private final Logger log;
     private long lastWarningMicros = Long.MIN_VALUE / 2;
     private int suppressed;
 
-    RateLimitedLog(Logger log) {
+    FleetWarningLog(Logger log) {
         this.log = log;
     }
 
--- a/src/main/java/sandstack/fleet/link/MemberMetadata.java
+++ b/src/main/java/sandstack/fleet/link/MemberMetadata.java
@@ -5,13 +5,13 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** The metadata with which a member joins, as the library distributes it: its name and where it runs. */
+/** The metadata with which a member joins and which the library distributes: its name and where it runs. */
 record MemberMetadata(
         @JsonProperty("v") int protocolVersion,
         @JsonProperty("name") String name,
         @JsonProperty("zone") String zone,
         @JsonProperty("machine") String machine) {
-    /** Passes the metadata's JSON text through the library as UTF-8. */
+    /** Encodes the JSON text of the metadata as UTF-8 for the library. */
     static final MetadataCodec CODEC = new MetadataCodec() {
         @Override
         public Object deserialize(ByteBuffer buffer) {
--- a/src/main/java/sandstack/fleet/link/MembershipEventLog.java
+++ b/src/main/java/sandstack/fleet/link/MembershipEventLog.java
@@ -26,7 +26,7 @@
         this.quorumConfigured = quorumConfigured;
     }
 
-    /** Logs what differs from the last view. */
+    /** Logs the differences between two successive views. */
     void viewChanged(Membership.View before, Membership.View after) {
         QuorumState state = after.quorum().state();
         if (state != before.quorum().state() && quorumConfigured) {
@@ -34,7 +34,7 @@
                     + after.quorum().reason() + "\"");
         }
         for (MemberTable.Row row : after.rows()) {
-            statusSeen(row, after.self().id());
+            logStatusChange(row, after.self().id());
         }
         if (loggedStatus.size() > after.rows().size()) {
             List<String> ids =
@@ -43,11 +43,11 @@
         }
     }
 
-    private void statusSeen(MemberTable.Row row, String selfId) {
+    private void logStatusChange(MemberTable.Row row, String selfId) {
         String id = row.incarnation().id();
-        MemberStatus last = loggedStatus.put(id, row.status());
-        boolean selfSeenFirst = last == null && id.equals(selfId);
-        if (last == row.status() || selfSeenFirst) {
+        MemberStatus previous = loggedStatus.put(id, row.status());
+        boolean firstStatusOfSelf = previous == null && id.equals(selfId);
+        if (previous == row.status() || firstStatusOfSelf) {
             return;
         }
         String unreachableFrom =
--- a/src/main/java/sandstack/fleet/link/MembershipViewHolder.java
+++ b/src/main/java/sandstack/fleet/link/MembershipViewHolder.java
@@ -17,7 +17,7 @@
         this.view = membership.view(FleetExecutor.nowMicros());
     }
 
-    /** The view as it was updated last. */
+    /** The view at the last update. */
     Membership.View view() {
         return view;
     }
--- a/src/main/java/sandstack/fleet/link/MessageJson.java
+++ b/src/main/java/sandstack/fleet/link/MessageJson.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import sandstack.fleet.FleetMessages;
 
-/** Messages between members as JSON text. Thread-safe; O(characters) a message. */
+/** Writes and reads messages between members as JSON text. Thread-safe. A message costs O(characters). */
 final class MessageJson {
     private static final int MAX_NESTING_DEPTH = 8;
     private static final String VERSION_KEY = "v";
@@ -29,26 +29,26 @@
     }
 
     /**
-     * Reads a message. The protocol version is checked before anything else, as a later one may have other fields.
+     * Reads a message. The protocol version is checked first, because messages of later versions may have other fields.
      *
-     * @param data the message as the library delivers it
+     * @param data the message body as the library delivers it
      */
-    static <T> T read(Object data, Class<T> type) throws MalformedMessageException {
+    static <T> T read(Object data, Class<T> type) throws MalformedFleetMessageException {
         if (!(data instanceof String text)) {
-            throw new MalformedMessageException("message body is not text");
+            throw new MalformedFleetMessageException("message body is not text");
         }
         try {
             JsonNode body = JSON.readTree(text);
             checkVersion(body.path(VERSION_KEY));
             return JSON.treeToValue(body, type);
         } catch (JsonProcessingException | IllegalArgumentException e) {
-            throw new MalformedMessageException("message body is not a " + type.getSimpleName(), e);
+            throw new MalformedFleetMessageException("message body is not a " + type.getSimpleName(), e);
         }
     }
 
-    private static void checkVersion(JsonNode version) throws MalformedMessageException {
+    private static void checkVersion(JsonNode version) throws MalformedFleetMessageException {
         if (!version.isInt() || version.asInt() < 1) {
-            throw new MalformedMessageException("message body has no protocol version");
+            throw new MalformedFleetMessageException("message body has no protocol version");
         }
         if (version.asInt() > FleetMessages.PROTOCOL_VERSION) {
             throw new UnsupportedVersionException(version.asInt());
--- a/src/main/java/sandstack/fleet/link/ProtocolTask.java
+++ b/src/main/java/sandstack/fleet/link/ProtocolTask.java
@@ -11,8 +11,8 @@
 import sandstack.fleet.Membership;
 
 /**
- * The periodic part of the membership protocol: probes, gossip of the own state, updates of the view. On the fleet's
- * thread.
+ * The periodic part of the membership protocol: sends probes, gossips this member's state and updates the view. Runs on
+ * the fleet's thread every {@link Membership#TICK_MICROS}.
  */
 final class ProtocolTask implements Runnable {
     private static final Duration PROBE_TIMEOUT = Duration.ofMillis(400);
@@ -21,7 +21,7 @@
     private final Membership membership;
     private final ClusterClient clusterClient;
     private final MembershipViewHolder viewHolder;
-    private final RateLimitedLog warnings;
+    private final FleetWarningLog warnings;
     private final CompletableFuture<Void> nameConflict = new CompletableFuture<>();
 
     ProtocolTask(
@@ -29,7 +29,7 @@
             Membership membership,
             ClusterClient clusterClient,
             MembershipViewHolder viewHolder,
-            RateLimitedLog warnings) {
+            FleetWarningLog warnings) {
         this.self = self;
         this.membership = membership;
         this.clusterClient = clusterClient;
@@ -64,7 +64,7 @@
 
     private void probe(Incarnation target) {
         String body = MessageJson.write(membership.probeRequest(target));
-        // the callback handles the failure too
+        // the callback handles success and failure
         Futures.ignore(clusterClient
                 .request(target, Qualifiers.PROBE_REQUEST, body, PROBE_TIMEOUT)
                 .whenComplete((response, failure) -> probeCompleted(target, response, failure)));
@@ -77,7 +77,7 @@
                         target, MessageJson.read(response, ProbeResponse.class), FleetExecutor.nowMicros());
                 return;
             }
-        } catch (MalformedMessageException e) {
+        } catch (MalformedFleetMessageException e) {
             warnings.warning("probe response rejected name=" + target.name() + " address=" + target.address()
                     + " reason=\"" + e.getMessage() + "\"");
         }
--- a/src/main/java/sandstack/fleet/link/Qualifiers.java
+++ b/src/main/java/sandstack/fleet/link/Qualifiers.java
@@ -1,6 +1,6 @@
 package sandstack.fleet.link;
 
-/** The qualifiers by which the library tells messages apart; part of the protocol on the wire. */
+/** The qualifiers by which the library distinguishes the kinds of messages; part of the wire protocol. */
 final class Qualifiers {
     static final String PROBE_REQUEST = "sandstack/question";
     static final String STATE_GOSSIP = "sandstack/spread";
--- a/src/main/java/sandstack/fleet/link/SingleAddressTransportFactory.java
+++ b/src/main/java/sandstack/fleet/link/SingleAddressTransportFactory.java
@@ -26,12 +26,16 @@
 import reactor.netty.tcp.TcpServer;
 
 /**
- * A TCP transport that listens at one address of the machine, where the library's own listens at all. It bounds the
- * number of peers and the length of frames, and closes connections that are idle. Runs on the library's threads.
+ * Creates a TCP transport that listens on one address of the machine; the library's own transport listens on all of
+ * them. The transport also bounds the number of peers and the length of frames, and closes idle connections. Runs on
+ * the library's threads.
  */
 final class SingleAddressTransportFactory implements TransportFactory {
     private static final int LENGTH_BYTES = 4;
-    /** Members send messages every second; a peer that is silent for longer is none, or behind a partition. */
+    /**
+     * Members send messages every second, so a peer that sends nothing for this time is not a member or is behind a
+     * partition.
+     */
     private static final long READ_TIMEOUT_SECONDS = 30;
 
     private final String host;
@@ -51,7 +55,7 @@
                 config.messageCodec(), new InboundServer(config), new OutboundClient(config), config.addressMapper());
     }
 
-    /** Adds the framing to the channel itself, ahead of the bridge to the reactive streams. */
+    /** Adds length-prefixed framing to the channel's pipeline, before the bridge to the reactive streams. */
     private static void addFrameCodec(Channel channel, int maxFrameBytes) {
         ChannelPipeline pipeline = channel.pipeline();
         pipeline.addBefore(NettyPipeline.ReactiveBridge, "length", new LengthFieldPrepender(LENGTH_BYTES));
@@ -97,7 +101,7 @@
                     .doOnNext(frame -> {
                         context.onMessage(frame);
                         if (codec.pollLastRejected()) {
-                            // a peer that sends one foreign message is no member
+                            // a peer whose message the codec rejects is not a member
                             in.withConnection(Connection::dispose);
                         }
                     })
--- a/src/main/java/sandstack/fleet/link/UnsupportedVersionException.java
+++ b/src/main/java/sandstack/fleet/link/UnsupportedVersionException.java
@@ -2,8 +2,8 @@
 
 import sandstack.fleet.FleetMessages;
 
-/** A message of a later protocol version than this build reads. */
-final class UnsupportedVersionException extends MalformedMessageException {
+/** Thrown for a message of a later protocol version than this build reads. */
+final class UnsupportedVersionException extends MalformedFleetMessageException {
     private static final long serialVersionUID = 1L;
 
     UnsupportedVersionException(int version) {
--- a/src/test/java/sandstack/faultinjection/FaultScheduleTest.java
+++ b/src/test/java/sandstack/faultinjection/FaultScheduleTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import sandstack.config.InvalidConfigurationException;
 
-/** Fault schedules: written, read back, and rejected with one line. */
+/** Fault schedules are read back as written, and invalid ones are rejected with a message of one line. */
 class FaultScheduleTest {
     @TempDir
     Path folder;
@@ -64,7 +64,10 @@
                 .hasMessageNotContaining("\n");
     }
 
-    /** The files were written by an earlier build: the names of members, keys and actions are a stored form. */
+    /**
+     * The files were written by an earlier build: the names of keys and actions and the numbers of members are a stored
+     * format.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"generated-seed-1", "generated-seed-5", "every-action", "no-step"})
     void aStoredScheduleIsReadAndWrittenUnchanged(String name) throws Exception {
--- a/src/test/java/sandstack/faultinjection/FaultSchedulesTest.java
+++ b/src/test/java/sandstack/faultinjection/FaultSchedulesTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Fault schedules against real processes, run concurrently: two regressions found by {@code faults search}, in which a
- * member that others reached was declared lost, and two generated ones.
+ * Runs fault schedules concurrently against real processes: two regressions that {@code faults search} found, in which
+ * a member that others reached was declared lost, and two generated schedules.
  */
 @Timeout(150)
 class FaultSchedulesTest {
--- a/src/test/java/sandstack/faultinjection/FleetProcessesTest.java
+++ b/src/test/java/sandstack/faultinjection/FleetProcessesTest.java
@@ -22,7 +22,7 @@
     private void startFleet(int size) throws IOException {
         processes = new ProcessFleet(PROGRAM, size, 1);
         processes.startAll();
-        eventually("all members see all alive", 30, processes::allAlive);
+        eventually("all members report all members as alive", 30, processes::allAlive);
     }
 
     @AfterEach
@@ -36,7 +36,7 @@
                 .isNotNegative();
     }
 
-    private boolean sees(int observer, int subject, String status) {
+    private boolean reportsStatus(int observer, int subject, String status) {
         var statuses = processes.memberStatuses(observer);
         return statuses != null && status.equals(statuses.get(ProcessFleet.memberName(subject)));
     }
@@ -47,7 +47,7 @@
         processes.partition(1, 3);
         eventually("all members report both partially reachable", 15, () -> {
             for (int i = 0; i < 5; i++) {
-                if (!sees(i, 1, "PARTLY") || !sees(i, 3, "PARTLY")) {
+                if (!reportsStatus(i, 1, "PARTLY") || !reportsStatus(i, 3, "PARTLY")) {
                     return false;
                 }
             }
@@ -56,7 +56,7 @@
         assertThat(processes.memberEntry(0, "m3").path("against").toString()).isEqualTo("[\"m1\"]");
         assertThat(processes.memberEntry(0, "m2").path("standing").asText()).isEqualTo("ALIVE");
         processes.heal(1, 3);
-        eventually("all alive again", 15, processes::allAlive);
+        eventually("all members are alive after the link is healed", 15, processes::allAlive);
         assertThat(processes.logs()).doesNotContain("status=LOST");
     }
 
@@ -65,12 +65,15 @@
         startFleet(4);
         String before = processes.memberEntry(0, "m3").path("life").asText();
         processes.stop(2);
-        eventually("m2 has left", 10, () -> sees(0, 2, "LEFT") && sees(1, 2, "LEFT") && sees(3, 2, "LEFT"));
+        eventually(
+                "m2 has left",
+                10,
+                () -> reportsStatus(0, 2, "LEFT") && reportsStatus(1, 2, "LEFT") && reportsStatus(3, 2, "LEFT"));
         processes.kill(3);
-        eventually("m3 is lost", 20, () -> sees(0, 3, "LOST") && sees(1, 3, "LOST"));
+        eventually("m3 is lost", 20, () -> reportsStatus(0, 3, "LOST") && reportsStatus(1, 3, "LOST"));
         processes.start(3);
         processes.start(2);
-        eventually("all members see all alive again", 30, processes::allAlive);
+        eventually("all members report all members as alive again", 30, processes::allAlive);
         assertThat(processes.memberEntry(0, "m3").path("life").asText()).isNotEqualTo(before);
     }
 
@@ -81,24 +84,24 @@
         processes.kill(2);
         processes.start(2);
         eventually("a new incarnation of the same name is alive", 15, () -> {
-            var line = processes.memberEntry(0, "m2");
-            return line != null
-                    && line.path("standing").asText().equals("ALIVE")
-                    && !line.path("life").asText().equals(before);
+            var entry = processes.memberEntry(0, "m2");
+            return entry != null
+                    && entry.path("standing").asText().equals("ALIVE")
+                    && !entry.path("life").asText().equals(before);
         });
         assertThat(processes.member(2).isAlive()).isTrue();
     }
 
     @Test
-    void aPausedMemberRejoinsAndReportsNobodyUnreachable() throws Exception {
+    void aPausedMemberRejoinsAndReportsNoMemberAsUnreachable() throws Exception {
         startFleet(4);
         int loggedBefore = processes.member(1).log().size();
         processes.pause(1);
-        eventually("m1 is suspect", 20, () -> !sees(0, 1, "ALIVE"));
-        eventually("m1 is lost", 20, () -> sees(0, 1, "LOST") && sees(2, 1, "LOST"));
+        eventually("m0 no longer reports m1 as alive", 20, () -> !reportsStatus(0, 1, "ALIVE"));
+        eventually("m1 is lost", 20, () -> reportsStatus(0, 1, "LOST") && reportsStatus(2, 1, "LOST"));
         processes.resume(1);
-        eventually("all alive again", 20, processes::allAlive);
-        // to the resumed member no time has passed: it must not blame the others for what it missed
+        eventually("all members are alive after the resume", 20, processes::allAlive);
+        // probes time out during the pause: the resumed member must not report others as unreachable because of them
         assertThat(processes
                         .member(1)
                         .log()
@@ -110,10 +113,10 @@
     void aOneWayPartitionIsPartialAndHalvesJoinedByAThirdMemberStayOneFleet() throws IOException {
         startFleet(5);
         processes.partitionOneWay(2, 4);
-        eventually("m4 is partially reachable", 15, () -> sees(0, 4, "PARTLY"));
+        eventually("m4 is partially reachable", 15, () -> reportsStatus(0, 4, "PARTLY"));
         processes.heal(2, 4);
-        eventually("healed", 15, processes::allAlive);
-        // m4 alone reaches both halves
+        eventually("all members are alive after the one-way partition is healed", 15, processes::allAlive);
+        // only m4 reaches both halves
         for (int left : List.of(0, 1)) {
             for (int right : List.of(2, 3)) {
                 processes.partition(left, right);
@@ -122,18 +125,18 @@
         eventually(
                 "the halves report each other partially reachable",
                 20,
-                () -> sees(0, 2, "PARTLY")
-                        && sees(0, 3, "PARTLY")
-                        && sees(2, 0, "PARTLY")
-                        && sees(3, 1, "PARTLY")
-                        && sees(4, 0, "PARTLY"));
-        assertThat(sees(0, 4, "ALIVE")).isTrue();
+                () -> reportsStatus(0, 2, "PARTLY")
+                        && reportsStatus(0, 3, "PARTLY")
+                        && reportsStatus(2, 0, "PARTLY")
+                        && reportsStatus(3, 1, "PARTLY")
+                        && reportsStatus(4, 0, "PARTLY"));
+        assertThat(reportsStatus(0, 4, "ALIVE")).isTrue();
         for (int left : List.of(0, 1)) {
             for (int right : List.of(2, 3)) {
                 processes.heal(left, right);
             }
         }
-        eventually("one fleet, all alive", 20, processes::allAlive);
+        eventually("all members are alive after the halves are healed", 20, processes::allAlive);
         assertThat(processes.logs()).doesNotContain("status=LOST");
     }
 
@@ -146,16 +149,19 @@
             }
         }
         eventually(
-                "each half lost the other",
+                "each half reports the other as lost",
                 30,
-                () -> sees(0, 2, "LOST") && sees(1, 3, "LOST") && sees(2, 0, "LOST") && sees(3, 1, "LOST"));
-        assertThat(sees(0, 1, "ALIVE") && sees(3, 2, "ALIVE")).isTrue();
+                () -> reportsStatus(0, 2, "LOST")
+                        && reportsStatus(1, 3, "LOST")
+                        && reportsStatus(2, 0, "LOST")
+                        && reportsStatus(3, 1, "LOST"));
+        assertThat(reportsStatus(0, 1, "ALIVE") && reportsStatus(3, 2, "ALIVE")).isTrue();
         for (int left : List.of(0, 1)) {
             for (int right : List.of(2, 3)) {
                 processes.heal(left, right);
             }
         }
-        eventually("one fleet again", 20, processes::allAlive);
+        eventually("all members are alive after the halves are healed", 20, processes::allAlive);
     }
 
     @Test
@@ -164,8 +170,8 @@
         processes.kill(1);
         processes.start(1, "m0");
         assertThat(processes.member(1).awaitExit(20)).as(processes.logs()).isEqualTo(2);
-        eventually("it logs the reason in one line", 5, () -> processes.member(1).log().stream()
-                .anyMatch(line -> line.contains("the name m0 is held by a member that lives")));
+        eventually("the rejected process logs the reason in one line", 5, () -> processes.member(1).log().stream()
+                .anyMatch(line -> line.contains("the name m0 is owned by a running member")));
         assertThat(processes.member(0).isAlive()).isTrue();
     }
 }
--- a/src/test/java/sandstack/faultinjection/InvariantCheckerTest.java
+++ b/src/test/java/sandstack/faultinjection/InvariantCheckerTest.java
@@ -18,19 +18,23 @@
 import sandstack.fleet.MemberStatus;
 import sandstack.fleet.QuorumState;
 
-/** Each invariant reports its violation, and none is reported where all hold. */
+/** The checker reports the violation of each invariant, and none if all of them hold. */
 class InvariantCheckerTest {
-    private static final long SECOND = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
     private final History history = new History();
 
-    /** The view that a member reports at this second, of m0, m1 and m2 in this order. */
+    /** Records that a member reports a view with these statuses of m0, m1 and m2, at a time in seconds. */
     private void viewObserved(double second, int observer, MemberStatus... statuses) {
         Map<String, MemberEntry> entries = new TreeMap<>();
         for (int j = 0; j < statuses.length; j++) {
             entries.put("life" + j, new MemberEntry("m" + j, statuses[j]));
         }
         history.add(new ViewObserved(
-                (long) (second * SECOND), (long) (second * SECOND), observer, "life" + observer, entries));
+                (long) (second * MICROS_PER_SECOND),
+                (long) (second * MICROS_PER_SECOND),
+                observer,
+                "life" + observer,
+                entries));
     }
 
     private void allAlive(double second) {
@@ -40,11 +44,11 @@
     }
 
     private void stepApplied(double second, Action action, int member, int other) {
-        history.add(new StepApplied((long) (second * SECOND), new Step(second, action, member, other)));
+        history.add(new StepApplied((long) (second * MICROS_PER_SECOND), new Step(second, action, member, other)));
     }
 
     private void allFaultsHealed(double second) {
-        history.add(new AllFaultsHealed((long) (second * SECOND)));
+        history.add(new AllFaultsHealed((long) (second * MICROS_PER_SECOND)));
     }
 
     private List<Invariant> violatedInvariants() {
@@ -67,10 +71,10 @@
     }
 
     private void quorumObserved(double second, int member, QuorumState state, int reachable) {
-        history.add(new QuorumObserved((long) (second * SECOND), member, state, reachable));
+        history.add(new QuorumObserved((long) (second * MICROS_PER_SECOND), member, state, reachable));
     }
 
-    /** A member that counted only the relays it sees would take its part for the complete fleet. */
+    /** A member that counts only the relays in its view would report its part of the fleet as the complete fleet. */
     @Test
     void aMinorityThatClaimsAMajorityIsAViolation() {
         allAlive(0);
@@ -106,7 +110,7 @@
     void aMemberThatAnyOtherReachesIsNotLost() {
         allAlive(0);
         stepApplied(1, Action.PARTITION, 0, 1);
-        // m2 reaches both all the time
+        // m2 reaches both throughout
         viewObserved(10, 0, MemberStatus.ALIVE, MemberStatus.LOST, MemberStatus.ALIVE);
         allFaultsHealed(11);
         allAlive(13);
@@ -160,8 +164,8 @@
         allFaultsHealed(1);
         allAlive(2);
         history.add(new ViewObserved(
-                3 * SECOND,
-                3 * SECOND,
+                3 * MICROS_PER_SECOND,
+                3 * MICROS_PER_SECOND,
                 0,
                 "life0",
                 Map.of(
@@ -176,7 +180,10 @@
         assertThat(violatedInvariants()).containsExactly(Invariant.ONE_INCARNATION_PER_NAME);
     }
 
-    /** A partition that the checker does not know of looks like members that wrongly declare others lost. */
+    /**
+     * If the checker does not receive the steps of a partition, it must report that members wrongly declare others
+     * lost.
+     */
     @Test
     @Timeout(100)
     void aFaultHiddenFromTheCheckerIsFoundWithRealMembers() throws Exception {
@@ -188,16 +195,16 @@
                         new Step(0.5, Action.PARTITION, 0, 2),
                         new Step(13, Action.HEAL, 0, 1),
                         new Step(13, Action.HEAL, 0, 2)));
-        AtomicInteger hidden = new AtomicInteger();
-        FaultScheduleRunner.Outcome blind = FaultScheduleRunner.run(program, schedule, step -> {
-            hidden.incrementAndGet();
+        AtomicInteger hiddenSteps = new AtomicInteger();
+        FaultScheduleRunner.Outcome outcome = FaultScheduleRunner.run(program, schedule, step -> {
+            hiddenSteps.incrementAndGet();
             return false;
         });
-        assertThat(hidden).hasValue(4);
-        assertThat(blind.violations())
-                .as(blind.logs())
+        assertThat(hiddenSteps).hasValue(4);
+        assertThat(outcome.violations())
+                .as(outcome.logs())
                 .isNotEmpty()
                 .allMatch(violation -> violation.invariant() == Invariant.REACHABLE_IS_NOT_LOST);
-        assertThat(blind.convergedAfterMicros()).as(blind.logs()).isNotNegative();
+        assertThat(outcome.convergedAfterMicros()).as(outcome.logs()).isNotNegative();
     }
 }
--- a/src/test/java/sandstack/faultinjection/QuorumProcessesTest.java
+++ b/src/test/java/sandstack/faultinjection/QuorumProcessesTest.java
@@ -23,7 +23,7 @@
     private void startFleet(int size) throws IOException {
         processes = new ProcessFleet(PROGRAM, size, 1);
         processes.startAll();
-        eventually("all are complete", 40, () -> allHaveState(size, "WHOLE"));
+        eventually("all members are complete", 40, () -> allHaveState(size, "WHOLE"));
     }
 
     @AfterEach
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void eachPartOfAPartitionedFleetKnowsItsQuorumState() throws IOException {
+    void eachPartOfAPartitionedFleetReportsItsQuorumState() throws IOException {
         startFleet(5);
         partition(List.of(0, 1), List.of(2, 3, 4));
         eventually(
@@ -82,7 +82,7 @@
                         && hasState(2, "ALONE")
                         && hasState(3, "FEW")
                         && hasState(4, "FEW"));
-        // healed in another order: there are never two majorities
+        // healed in another order; there are never two majorities at the same time
         heal(List.of(2), List.of(0, 1));
         processes.heal(0, 1);
         eventually(
@@ -92,21 +92,24 @@
         processes.heal(2, 3);
         processes.heal(2, 4);
         heal(List.of(0, 1), List.of(3, 4));
-        eventually("complete again", 40, () -> allHaveState(5, "WHOLE"));
+        eventually("all members are complete after healing", 40, () -> allHaveState(5, "WHOLE"));
     }
 
-    /** The command waits in the pipe while the process is paused, so the view from before the pause answers it. */
+    /**
+     * The command waits in the pipe while the process is paused, so it may be answered with the view from before the
+     * pause.
+     */
     @Test
     void aResumedMemberIsUnknownBeforeItUsesItsOldView() throws Exception {
         startFleet(3);
         processes.pause(1);
-        eventually("the others continue as the majority", 30, () -> hasState(0, "MOST") && hasState(2, "MOST"));
+        eventually("the other members are the majority", 30, () -> hasState(0, "MOST") && hasState(2, "MOST"));
         processes.member(1).sendCommand("fleet json");
         processes.resume(1);
         JsonNode first = processes.member(1).awaitJsonResponse();
         assertThat(first.path("ground").path("is").asText()).isEqualTo("UNSURE");
         assertThat(first.path("ground").path("why").asText()).contains("stood still for");
-        eventually("complete again", 40, () -> allHaveState(3, "WHOLE"));
+        eventually("all members are complete after the resume", 40, () -> allHaveState(3, "WHOLE"));
     }
 
     @Test
@@ -115,7 +118,7 @@
         processes.kill(2);
         processes.kill(3);
         eventually(
-                "two of four are a minority",
+                "two of four members are a minority",
                 40,
                 () -> hasState(0, "FEW")
                         && hasState(1, "FEW")
@@ -126,10 +129,13 @@
         assertThat(processes.member(0).execute("fleet take-out m9")).startsWith("not done: m9 is not among");
         assertThat(processes.member(0).execute("fleet take-out m3"))
                 .startsWith("m3 is no longer counted. If it lives behind a cut");
-        eventually("two of three are a majority at both", 20, () -> hasState(0, "MOST") && hasState(1, "MOST"));
+        eventually(
+                "two of three members are a majority in both views",
+                20,
+                () -> hasState(0, "MOST") && hasState(1, "MOST"));
         processes.start(3);
         eventually(
-                "it counts again and is reachable",
+                "the restarted relay counts again and is reachable",
                 40,
                 () -> hasState(0, "MOST")
                         && hasState(1, "MOST")
--- a/src/test/java/sandstack/fleet/MembershipTest.java
+++ b/src/test/java/sandstack/fleet/MembershipTest.java
@@ -21,23 +21,25 @@
 import sandstack.fleet.FleetMessages.MemberState;
 import sandstack.fleet.FleetMessages.ProbeResponse;
 
-/** Several memberships on one simulated clock, with a library that detects changes as slowly as the real one. */
+/**
+ * Several memberships on one simulated clock, with a simulated library that detects changes as slowly as the real one.
+ */
 class MembershipTest {
     private static final long TICK_MICROS = Membership.TICK_MICROS;
-    /** The library removes a member that has been unreachable for so long. */
+    /** The library removes a member after it has been unreachable for this time. */
     private static final long LIBRARY_TIMEOUT_MICROS = 6_000_000;
 
-    /** An action at a time; {@code order} decides between equal times. */
+    /** An action at a time; actions at the same time run by ascending {@code order}. */
     private record ScheduledAction(long atMicros, long order, Runnable action) {}
 
-    /** The processes, the links between them and the messages in flight. */
+    /** Simulates the processes, the links between them and the messages in flight. */
     private static final class Simulation {
         final SplittableRandom random;
         final List<Incarnation> incarnations = new ArrayList<>();
         final Map<String, Membership> memberships = new HashMap<>();
-        final Set<String> dead = new HashSet<>();
+        final Set<String> killed = new HashSet<>();
         final Set<String> paused = new HashSet<>();
-        final Set<String> cutLinks = new HashSet<>();
+        final Set<String> blockedLinks = new HashSet<>();
         final Map<String, Long> unreachableSince = new HashMap<>();
         final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>(
                 Comparator.comparingLong(ScheduledAction::atMicros).thenComparingLong(ScheduledAction::order));
@@ -58,11 +60,11 @@
         }
 
         boolean running(Incarnation incarnation) {
-            return !dead.contains(incarnation.id()) && !paused.contains(incarnation.id());
+            return !killed.contains(incarnation.id()) && !paused.contains(incarnation.id());
         }
 
         boolean passes(Incarnation from, Incarnation to) {
-            return !cutLinks.contains(from.id() + ">" + to.id());
+            return !blockedLinks.contains(from.id() + ">" + to.id());
         }
 
         void after(long micros, Runnable action) {
@@ -97,7 +99,8 @@
         }
 
         /**
-         * The running members that one reaches over a chain of running members, by links that satisfy the predicate.
+         * The running members that a chain of running members connects to {@code from}, over links that satisfy the
+         * predicate.
          */
         Set<Incarnation> reachableByChain(Incarnation from, BiPredicate<Incarnation, Incarnation> link) {
             Set<Incarnation> reachable = new HashSet<>(Set.of(from));
@@ -114,7 +117,7 @@
             return reachable;
         }
 
-        /** Gossip reaches all members that a chain of members reaches. */
+        /** Delivers gossip to all members that a chain of members connects to the sender. */
         void gossip(Incarnation from, MemberState state) {
             for (Incarnation to : reachableByChain(from, this::passes)) {
                 if (!to.equals(from)) {
@@ -155,7 +158,7 @@
             }
         }
 
-        /** Adds the members that each one reaches by a chain, and removes the others after the timeout. */
+        /** Adds at each member the members that a chain connects to it, and removes the others after the timeout. */
         private void updateLibrary() {
             for (Incarnation a : incarnations) {
                 if (!running(a)) {
@@ -178,10 +181,10 @@
             }
         }
 
-        Map<String, MemberStatus> statuses(Incarnation by) {
-            return memberships.get(by.id()).view(nowMicros).rows().stream()
+        Map<String, MemberStatus> statuses(Incarnation observer) {
+            return memberships.get(observer.id()).view(nowMicros).rows().stream()
                     .collect(Collectors.toMap(
-                            l -> l.incarnation().id(), MemberTable.Row::status, (a, b) -> a, TreeMap::new));
+                            row -> row.incarnation().id(), MemberTable.Row::status, (a, b) -> a, TreeMap::new));
         }
     }
 
@@ -201,19 +204,19 @@
             Incarnation a = sim.incarnations.get(sim.random.nextInt(6));
             Incarnation b = sim.incarnations.get(sim.random.nextInt(6));
             switch (sim.random.nextInt(4)) {
-                case 0 -> sim.cutLinks.add(a.id() + ">" + b.id());
-                case 1 -> sim.cutLinks.addAll(List.of(a.id() + ">" + b.id(), b.id() + ">" + a.id()));
+                case 0 -> sim.blockedLinks.add(a.id() + ">" + b.id());
+                case 1 -> sim.blockedLinks.addAll(List.of(a.id() + ">" + b.id(), b.id() + ">" + a.id()));
                 case 2 -> sim.paused.add(a.id());
                 default -> sim.paused.remove(a.id());
             }
             sim.run(sim.random.nextLong(8_000_000));
         }
-        sim.cutLinks.clear();
+        sim.blockedLinks.clear();
         sim.paused.clear();
         sim.run(5_000_000);
-        for (Incarnation by : sim.incarnations) {
-            assertThat(sim.statuses(by).values())
-                    .as("as " + by.name() + " sees them")
+        for (Incarnation observer : sim.incarnations) {
+            assertThat(sim.statuses(observer).values())
+                    .as("statuses in the view of " + observer.name() + " after all faults ended")
                     .containsOnly(MemberStatus.ALIVE);
         }
     }
@@ -221,7 +224,7 @@
     @Property(tries = 50)
     void receivedValuesWerePublishedAndNeverGoBack(@ForAll long seed) {
         Simulation sim = fleet(seed, 4);
-        Map<String, Long> newest = new HashMap<>();
+        Map<String, Long> latestVersions = new HashMap<>();
         for (int step = 0; step < 30; step++) {
             Incarnation publisher = sim.incarnations.get(sim.random.nextInt(4));
             if (sim.running(publisher)) {
@@ -229,24 +232,32 @@
             }
             Incarnation a = sim.incarnations.get(sim.random.nextInt(4));
             Incarnation b = sim.incarnations.get(sim.random.nextInt(4));
-            if (!sim.cutLinks.remove(a.id() + ">" + b.id())) {
-                sim.cutLinks.add(a.id() + ">" + b.id());
+            if (!sim.blockedLinks.remove(a.id() + ">" + b.id())) {
+                sim.blockedLinks.add(a.id() + ">" + b.id());
             }
             sim.run(sim.random.nextLong(2_000_000));
-            for (Incarnation by : sim.incarnations) {
-                sim.memberships.get(by.id()).view(sim.nowMicros).published().forEach((id, held) -> {
-                    if (!id.equals(by.id()) && held.values().version() > 0) {
-                        Map<String, String> published =
-                                sim.publishedVersions.get(id).get(held.values().version());
-                        assertThat(published == null
-                                        || published.equals(held.values().entries()))
-                                .isTrue();
-                        Long before =
-                                newest.put(by.id() + "<" + id, held.values().version());
-                        assertThat(before == null || before <= held.values().version())
-                                .isTrue();
-                    }
-                });
+            for (Incarnation observer : sim.incarnations) {
+                sim.memberships
+                        .get(observer.id())
+                        .view(sim.nowMicros)
+                        .published()
+                        .forEach((id, received) -> {
+                            if (!id.equals(observer.id()) && received.values().version() > 0) {
+                                Map<String, String> published = sim.publishedVersions
+                                        .get(id)
+                                        .get(received.values().version());
+                                assertThat(published == null
+                                                || published.equals(
+                                                        received.values().entries()))
+                                        .isTrue();
+                                Long before = latestVersions.put(
+                                        observer.id() + "<" + id,
+                                        received.values().version());
+                                assertThat(before == null
+                                                || before <= received.values().version())
+                                        .isTrue();
+                            }
+                        });
             }
         }
     }
@@ -256,13 +267,13 @@
         Simulation sim = fleet(1, 5);
         Incarnation a = sim.incarnations.get(1);
         Incarnation b = sim.incarnations.get(3);
-        sim.cutLinks.addAll(List.of(a.id() + ">" + b.id(), b.id() + ">" + a.id()));
+        sim.blockedLinks.addAll(List.of(a.id() + ">" + b.id(), b.id() + ">" + a.id()));
         sim.run(4_000_000);
         for (int i = 0; i < 30; i++) {
             sim.run(1_000_000);
-            for (Incarnation by : sim.incarnations) {
-                assertThat(sim.statuses(by))
-                        .as(by.name())
+            for (Incarnation observer : sim.incarnations) {
+                assertThat(sim.statuses(observer))
+                        .as(observer.name())
                         .containsEntry(a.id(), MemberStatus.PARTIALLY_REACHABLE)
                         .containsEntry(b.id(), MemberStatus.PARTIALLY_REACHABLE)
                         .containsEntry(sim.incarnations.get(0).id(), MemberStatus.ALIVE);
@@ -273,16 +284,16 @@
     @Test
     void unreachableMemberIsSuspectThenLost() {
         Simulation sim = fleet(2, 4);
-        Incarnation gone = sim.incarnations.get(2);
-        sim.dead.add(gone.id());
+        Incarnation lost = sim.incarnations.get(2);
+        sim.killed.add(lost.id());
         sim.run(3_500_000);
-        assertThat(sim.statuses(sim.incarnations.get(0))).containsEntry(gone.id(), MemberStatus.SUSPECT);
+        assertThat(sim.statuses(sim.incarnations.get(0))).containsEntry(lost.id(), MemberStatus.SUSPECT);
         sim.run(4_000_000);
-        assertThat(sim.statuses(sim.incarnations.get(0))).containsEntry(gone.id(), MemberStatus.LOST);
+        assertThat(sim.statuses(sim.incarnations.get(0))).containsEntry(lost.id(), MemberStatus.LOST);
         sim.start("m2");
         sim.run(4_000_000);
         assertThat(sim.statuses(sim.incarnations.get(0)))
-                .containsEntry(gone.id(), MemberStatus.LOST)
+                .containsEntry(lost.id(), MemberStatus.LOST)
                 .containsEntry("m2-4", MemberStatus.ALIVE);
     }
 
@@ -293,7 +304,7 @@
         sim.start("same");
         sim.run(3_000_000);
         List<String> owners = sim.incarnations.stream()
-                .map(l -> sim.memberships.get(l.id()).nameOwnerId().orElse(null))
+                .map(row -> sim.memberships.get(row.id()).nameOwnerId().orElse(null))
                 .toList();
         assertThat(owners).containsExactly(null, "same-0");
         assertThat(sim.memberships.get("same-0").ownsName()).isTrue();
@@ -330,8 +341,8 @@
     }
 
     /**
-     * The library removes a member that it cannot probe if one other does not respond in time, although others reach
-     * it.
+     * The library removes a member that it cannot probe directly if one other member does not respond to the indirect
+     * probe in time, even if others reach the member.
      */
     @Test
     void memberRemovedByTheLibraryStaysWhileAnotherReachesIt() {
@@ -356,7 +367,7 @@
 
     private static MemberStatus status(MemberTable table, String id) {
         return table.rows(9).stream()
-                .filter(l -> l.incarnation().id().equals(id))
+                .filter(row -> row.incarnation().id().equals(id))
                 .findFirst()
                 .orElseThrow()
                 .status();
@@ -373,8 +384,8 @@
     }
 
     /**
-     * Two that started on both sides of a partition: the library may discover one of them late, when all others know
-     * it.
+     * The library may be late to discover a member that started on the other side of a partition, when all other
+     * members already list it.
      */
     @Test
     void memberDiscoveredByGossipIsProbedAndCountsOnceItAnswers() {
@@ -387,8 +398,8 @@
         membership.memberDiscovered("x-9", late, 1);
         membership.memberDiscovered(self.id(), null, 1);
         assertThat(membership.view(1).rows())
-                .as("nobody has said that they reach it")
-                .noneMatch(l -> l.incarnation().name().equals("c"));
+                .as("no member has reported that it reaches c")
+                .noneMatch(row -> row.incarnation().name().equals("c"));
         membership.stateReceived(known.id(), new MemberState(1, Map.of(), Set.of(late.id()), Set.of()), 2);
         assertThat(status(membership, "c", 3)).isEqualTo(MemberStatus.PARTIALLY_REACHABLE);
         List<Incarnation> probed = new ArrayList<>();
@@ -403,7 +414,9 @@
         assertThat(status(membership, "c", 2_000_002)).isEqualTo(MemberStatus.ALIVE);
         membership.memberLeft(late.id(), 3_000_000);
         membership.memberDiscovered(late.id(), late, 3_000_001);
-        assertThat(status(membership, "c", 3_000_002)).as("who left stays left").isEqualTo(MemberStatus.LEFT);
+        assertThat(status(membership, "c", 3_000_002))
+                .as("a member that has left does not return")
+                .isEqualTo(MemberStatus.LEFT);
     }
 
     private static MemberStatus status(Membership membership, String name, long now) {
--- a/src/test/java/sandstack/fleet/NameClaimTest.java
+++ b/src/test/java/sandstack/fleet/NameClaimTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Two incarnations with one name. */
+/** Conflicts between two incarnations with the same name. */
 class NameClaimTest {
     private final NameClaim claim = new NameClaim(new Incarnation("m", "edge-1", "z", "k", "a"));
 
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void settledClaimIsNotLostAndReadsNoName() {
+    void ownedNameIsKeptAndLaterMessagesAreIgnored() {
         claim.tick(0);
         claim.tick(NameClaim.CLAIM_MICROS);
         claim.messageReceived("a", "edge-1", true);
--- a/src/test/java/sandstack/fleet/QuorumTrackerTest.java
+++ b/src/test/java/sandstack/fleet/QuorumTrackerTest.java
@@ -65,7 +65,7 @@
                 "a b c d e   | b c d e   |     | COMPLETE",
                 "a b c d e   | b c       |     | MAJORITY",
                 "a b c d e   | b         |     | MINORITY",
-                // a partially reachable relay stays in the size of the fleet, and does not count as reachable
+                // a partially reachable relay is part of the size of the fleet but does not count as reachable
                 "a b c d e   | b         | c d | MINORITY",
                 "a b c       | b         | c   | MAJORITY",
                 // relays that are not configured do not count
@@ -137,7 +137,7 @@
         assertThat(majority.sinceMicros()).isEqualTo(nowMicros);
     }
 
-    /** Three of five, of which two do not reach each other. */
+    /** Three of five relays are reachable, but two of the three do not reach each other. */
     @Test
     void majorityWithoutMutualReachabilityIsUnknown() {
         QuorumTracker tracker = new QuorumTracker(List.of("a", "b", "c", "d", "e"), "a", LONG_AGO_MICROS);
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void stalledProcessProbesAllMembersAgain() {
+    void membersCountAgainAfterAStallOnceTheyAnswer() {
         QuorumTracker tracker = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO_MICROS);
         List<MemberTable.Row> rows =
                 List.of(row("a", MemberStatus.ALIVE), row("b", MemberStatus.ALIVE), row("c", MemberStatus.ALIVE));
@@ -161,7 +161,7 @@
         QuorumAssessment complete = assessUntilStable(tracker, rows, reachable);
         assertThat(complete.state()).isEqualTo(QuorumState.COMPLETE);
         nowMicros += 20_000_000;
-        // read before the fleet's thread has run again
+        // the assessment is read before the fleet's thread has run again
         assertThat(complete.asOf(nowMicros).state()).isEqualTo(QuorumState.UNKNOWN);
         assertThat(complete.asOf(nowMicros).allows(GuardedOperation.OperatorOperation.DECOMMISSION_RELAY))
                 .isFalse();
@@ -193,7 +193,7 @@
         assertThat(assessment.reason()).isEqualTo("b was told of other relays than this one");
     }
 
-    /** However the relays are partitioned, two partitions never both have a majority. */
+    /** For any partition into two parts, at most one part has a majority. */
     @Property
     void twoPartitionsNeverBothHaveAMajority(@ForAll @IntRange(min = 1, max = 9) int relays, @ForAll int parts) {
         List<String> configured = new ArrayList<>();
@@ -215,9 +215,9 @@
             List<MemberTable.Row> rows = configured.stream()
                     .map(name -> row(name, reachableNames.contains(name) ? MemberStatus.ALIVE : MemberStatus.LOST))
                     .toList();
-            QuorumState expected =
+            QuorumState state =
                     assessUntilStable(tracker, rows, ids(reachableNames)).state();
-            majorities += expected == QuorumState.MAJORITY || expected == QuorumState.COMPLETE ? 1 : 0;
+            majorities += state == QuorumState.MAJORITY || state == QuorumState.COMPLETE ? 1 : 0;
         }
         assertThat(majorities).isLessThanOrEqualTo(1);
     }
--- a/src/test/java/sandstack/fleet/link/CompatibilityTest.java
+++ b/src/test/java/sandstack/fleet/link/CompatibilityTest.java
@@ -36,16 +36,16 @@
 import sandstack.fleet.QuorumState;
 import sandstack.fleet.QuorumTracker;
 
-/** Messages and console output have the bytes that an earlier build wrote; see README.md beside the fixtures. */
+/** Messages and console output have the same bytes as those of an earlier build; see README.md beside the fixtures. */
 class CompatibilityTest {
     private static final Incarnation SELF =
             new Incarnation("0123456789abcdef", "edge-1", "zone-1", "rack-7", "127.0.0.1:7001");
     private static final Incarnation OTHER =
             new Incarnation("fedcba9876543210", "edge-2", "zone-2", "rack-8", "127.0.0.1:7002");
-    private static final MemberState NEWS =
+    private static final MemberState STATE =
             new MemberState(7, Map.of("relays", "3:17f2e"), Set.of(OTHER.id()), Set.of("00112233aabbccdd"));
-    private static final MemberState EMPTY = new MemberState(0, Map.of(), Set.of(), Set.of());
-    private static final ProbeRequest QUESTION = new ProbeRequest(1, SELF.id(), SELF.name(), 12, true);
+    private static final MemberState EMPTY_STATE = new MemberState(0, Map.of(), Set.of(), Set.of());
+    private static final ProbeRequest SAMPLE_PROBE = new ProbeRequest(1, SELF.id(), SELF.name(), 12, true);
 
     private static String fixture(String file) throws IOException {
         try (InputStream in = CompatibilityTest.class.getResourceAsStream("/fleet/" + file)) {
@@ -55,12 +55,13 @@
 
     static Stream<Arguments> messages() {
         return Stream.of(
-                Arguments.of("question.json", QUESTION),
-                Arguments.of("answer.json", new ProbeResponse(1, SELF.id(), SELF.name(), NEWS, false)),
-                Arguments.of("answer-empty-state.json", new ProbeResponse(1, SELF.id(), SELF.name(), EMPTY, true)),
+                Arguments.of("question.json", SAMPLE_PROBE),
+                Arguments.of("answer.json", new ProbeResponse(1, SELF.id(), SELF.name(), STATE, false)),
+                Arguments.of(
+                        "answer-empty-state.json", new ProbeResponse(1, SELF.id(), SELF.name(), EMPTY_STATE, true)),
                 Arguments.of("answer-no-change.json", new ProbeResponse(1, SELF.id(), SELF.name(), null, true)),
-                Arguments.of("spread.json", new StateGossip(1, SELF.id(), NEWS, SELF)),
-                Arguments.of("spread-no-incarnation.json", new StateGossip(1, SELF.id(), NEWS, null)),
+                Arguments.of("spread.json", new StateGossip(1, SELF.id(), STATE, SELF)),
+                Arguments.of("spread-no-incarnation.json", new StateGossip(1, SELF.id(), STATE, null)),
                 Arguments.of("call.json", new CallRequest(1, SELF.id(), "configuration", "{\"a\":\"b\"}")),
                 Arguments.of("result.json", new CallResponse(1, "{\"a\":\"b\"}", null)),
                 Arguments.of("result-error.json", new CallResponse(1, null, "not now")),
@@ -69,19 +70,19 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("messages")
-    void messagesAreReadAndWrittenAsBefore(String file, Object message) throws Exception {
+    void messagesHaveTheBytesOfTheFixtures(String file, Object message) throws Exception {
         assertThat(MessageJson.read(fixture(file), message.getClass())).isEqualTo(message);
         assertThat(MessageJson.write(message)).isEqualTo(fixture(file));
     }
 
     @Test
-    void framesAreReadAndWrittenAsBefore() throws Exception {
+    void framesHaveTheBytesOfTheFixture() throws Exception {
         byte[] frame = HexFormat.of().parseHex(fixture("frame.hex"));
         Message read = new FilteredMessageCodec().deserialize(new ByteArrayInputStream(frame));
         assertThat(read.qualifier()).isEqualTo("sandstack/question");
         assertThat(read.correlationId()).isEqualTo("c-1");
         assertThat(read.sender()).isEqualTo(SELF.address());
-        assertThat(MessageJson.read(read.data(), ProbeRequest.class)).isEqualTo(QUESTION);
+        assertThat(MessageJson.read(read.data(), ProbeRequest.class)).isEqualTo(SAMPLE_PROBE);
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         new FilteredMessageCodec()
                 .serialize(
@@ -89,14 +90,14 @@
                                 .qualifier("sandstack/question")
                                 .correlationId("c-1")
                                 .sender(SELF.address())
-                                .data(MessageJson.write(QUESTION))
+                                .data(MessageJson.write(SAMPLE_PROBE))
                                 .build(),
                         written);
         assertThat(written.toByteArray()).isEqualTo(frame);
     }
 
     @Test
-    void qualifiersAreAsBefore() throws Exception {
+    void qualifiersMatchTheFixture() throws Exception {
         assertThat(String.join(
                         "\n",
                         Qualifiers.PROBE_REQUEST,
@@ -107,19 +108,19 @@
     }
 
     @Test
-    void statedRelaysAreComparedByTheSameText() throws Exception {
+    void configurationDigestMatchesTheFixture() throws Exception {
         QuorumTracker tracker = new QuorumTracker(List.of("edge-3", "edge-1", "edge-2"), "edge-1", 0);
         assertThat(tracker.configurationDigest()).isEqualTo(fixture("stated-relays.txt"));
     }
 
     @Test
-    void takeOutAnswersAndPublishesAsBefore() throws Exception {
+    void decommissioningRespondsAndPublishesAsInTheFixture() throws Exception {
         Membership membership =
                 new Membership(SELF, Set.of("edge-1", "edge-2", "edge-3", "edge-4"), 0, new SplittableRandom(1));
         membership.memberAdded(OTHER, 0);
         for (long now = 0; now <= 6_000_000; now += 100_000) {
-            for (Incarnation asked : membership.tick(now)) {
-                membership.probeAnswered(asked, new ProbeResponse(1, OTHER.id(), OTHER.name(), null, true), now);
+            for (Incarnation target : membership.tick(now)) {
+                membership.probeAnswered(target, new ProbeResponse(1, OTHER.id(), OTHER.name(), null, true), now);
             }
             membership.view(now);
         }
@@ -134,35 +135,35 @@
     }
 
     private static Membership.View view(QuorumState state, MemberStatus status) {
-        boolean reached = status == MemberStatus.ALIVE;
+        boolean reachable = status == MemberStatus.ALIVE;
         List<MemberTable.Row> rows = List.of(
                 new MemberTable.Row(SELF, MemberStatus.ALIVE, 1_000_000, 1, 1, List.of()),
                 new MemberTable.Row(
                         OTHER,
                         status,
                         3_500_000,
-                        reached ? 2 : 1,
+                        reachable ? 2 : 1,
                         2,
-                        reached ? List.of() : List.of("edge-1", "edge-3")));
+                        reachable ? List.of() : List.of("edge-1", "edge-3")));
         MemberValues.VersionedValues values = new MemberValues.VersionedValues(3, Map.of("relays", "3:17f2e"));
         return new Membership.View(
                 SELF,
                 rows,
                 Map.of(SELF.id(), new MemberValues.ReceivedValues(values, 4_000_000)),
-                reached,
+                reachable,
                 Set.of(),
                 new QuorumAssessment(
                         state,
                         2_000_000,
                         5_000_000,
                         List.of("edge-1"),
-                        reached ? List.of() : List.of("edge-2", "edge-3"),
+                        reachable ? List.of() : List.of("edge-2", "edge-3"),
                         "1 of 3 stated relays are reached"),
                 9_000_000);
     }
 
     @Test
-    void theConsoleShowsWhatItShowedBefore() throws Exception {
+    void consoleOutputMatchesTheFixtures() throws Exception {
         List<String> json = new ArrayList<>();
         List<String> text = new ArrayList<>();
         for (QuorumState state : QuorumState.values()) {
@@ -173,9 +174,9 @@
         }
         assertThat(String.join("\n", json)).isEqualTo(fixture("fleet-command.json"));
         assertThat(String.join("\n", text)).isEqualTo(fixture("fleet-command.txt"));
-        List<String> takenOut = new ArrayList<>(FleetViewFormatter.decommissionOutcome("edge-3", Optional.empty()));
-        takenOut.addAll(
+        List<String> outcomes = new ArrayList<>(FleetViewFormatter.decommissionOutcome("edge-3", Optional.empty()));
+        outcomes.addAll(
                 FleetViewFormatter.decommissionOutcome("edge-3", Optional.of("edge-3 is not lost: stop it first")));
-        assertThat(String.join("\n", takenOut)).isEqualTo(fixture("take-out-command.txt"));
+        assertThat(String.join("\n", outcomes)).isEqualTo(fixture("take-out-command.txt"));
     }
 }
--- a/src/test/java/sandstack/fleet/link/FleetMemberTest.java
+++ b/src/test/java/sandstack/fleet/link/FleetMemberTest.java
@@ -67,17 +67,18 @@
         return member;
     }
 
-    private static void eventually(String what, BooleanSupplier holds) {
+    private static void eventually(String description, BooleanSupplier condition) {
         long until = System.nanoTime() + 20_000_000_000L;
-        while (!holds.getAsBoolean()) {
-            assertThat(System.nanoTime()).as(what).isLessThan(until);
+        while (!condition.getAsBoolean()) {
+            assertThat(System.nanoTime()).as(description).isLessThan(until);
             Thread.onSpinWait();
         }
     }
 
     private static MemberStatus status(FleetMember observer, FleetMember subject) {
         return observer.view().rows().stream()
-                .filter(l -> l.incarnation().id().equals(subject.view().self().id()))
+                .filter(row ->
+                        row.incarnation().id().equals(subject.view().self().id()))
                 .map(MemberTable.Row::status)
                 .findFirst()
                 .orElse(null);
@@ -87,7 +88,8 @@
         FleetMember a = join("inst", "a");
         FleetMember b = join("inst", "b");
         eventually(
-                "they see each other", () -> status(a, b) == MemberStatus.ALIVE && status(b, a) == MemberStatus.ALIVE);
+                "both members report each other as alive",
+                () -> status(a, b) == MemberStatus.ALIVE && status(b, a) == MemberStatus.ALIVE);
         return new FleetMember[] {a, b};
     }
 
@@ -103,9 +105,9 @@
         for (int i = 0; i <= 50; i++) {
             two[0].publish("load", Integer.toString(i));
         }
-        eventually("the last one is held", () -> "50".equals(published(two[1], two[0], "load")));
+        eventually("the last published value has arrived", () -> "50".equals(published(two[1], two[0], "load")));
         two[0].publish("load", null);
-        eventually("it is taken away", () -> published(two[1], two[0], "load") == null);
+        eventually("the removed value is no longer in the view", () -> published(two[1], two[0], "load") == null);
     }
 
     @Test
@@ -133,7 +135,7 @@
         for (int i = 0; i < 8; i++) {
             waiting.add(two[0].call(to, "never", "", Duration.ofMillis(500)));
         }
-        // a member that does not respond holds up eight calls at most, until their timeout
+        // at most eight calls wait for a member that does not respond, until their timeout
         assertThatThrownBy(() ->
                         two[0].call(to, "twice", "ab", Duration.ofSeconds(5)).join())
                 .hasMessageContaining("too many calls in flight");
@@ -148,7 +150,7 @@
         FleetMember[] two = startTwo();
         FleetMember other = join("other", "c");
         two[0].publish("mark", "1");
-        eventually("the fleet goes on", () -> "1".equals(published(two[1], two[0], "mark")));
+        eventually("the fleet still delivers published values", () -> "1".equals(published(two[1], two[0], "mark")));
         assertThat(other.view().rows()).hasSize(1);
         assertThat(two[0].view().rows()).hasSize(2);
     }
@@ -161,27 +163,31 @@
         byte[] garbage = ByteBuffer.allocate(1_004).putInt(1_000).array();
         List<Socket> stalledPeers = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            assertThat(closesAfter(at, huge)).as("60 MB").isTrue();
-            assertThat(closesAfter(at, garbage)).as("garbage").isTrue();
-            assertThat(closesAfter(at, framed(unknownType())))
-                    .as("unknown types")
+            assertThat(isClosedAfter(at, huge))
+                    .as("connection is closed after a frame length of 60 MiB")
+                    .isTrue();
+            assertThat(isClosedAfter(at, garbage))
+                    .as("connection is closed after a frame that is not a message")
+                    .isTrue();
+            assertThat(isClosedAfter(at, framed(unknownType())))
+                    .as("connection is closed after a message with types that are not allowed")
                     .isTrue();
             // a peer that sends an incomplete frame and stalls
-            Socket one = new Socket(at.host(), at.port());
-            one.getOutputStream().write(0);
-            stalledPeers.add(one);
+            Socket stalledPeer = new Socket(at.host(), at.port());
+            stalledPeer.getOutputStream().write(0);
+            stalledPeers.add(stalledPeer);
         }
         two[0].publish("mark", "2");
-        eventually("the fleet goes on", () -> "2".equals(published(two[1], two[0], "mark")));
+        eventually("the fleet still delivers published values", () -> "2".equals(published(two[1], two[0], "mark")));
         assertThat(status(two[1], two[0])).isEqualTo(MemberStatus.ALIVE);
         assertThat(two[0].view().rows()).hasSize(2);
-        for (Socket one : stalledPeers) {
-            one.close();
+        for (Socket stalledPeer : stalledPeers) {
+            stalledPeer.close();
         }
     }
 
-    /** Whether the other end closes the connection after these bytes. */
-    private static boolean closesAfter(Address at, byte[] bytes) throws IOException {
+    /** Whether the other end closes the connection after receiving these bytes. */
+    private static boolean isClosedAfter(Address at, byte[] bytes) throws IOException {
         try (Socket socket = new Socket(at.host(), at.port())) {
             socket.setSoTimeout(2_000);
             socket.getOutputStream().write(bytes);
@@ -262,13 +268,13 @@
         members.add(next);
         next.startWhenAddressFree();
         two[0].publish("mark", "3");
-        eventually("the fleet goes on", () -> "3".equals(published(two[1], two[0], "mark")));
+        eventually("the fleet still delivers published values", () -> "3".equals(published(two[1], two[0], "mark")));
         assertThat(next.view().rows()).hasSize(1);
         two[1].close();
         eventually(
-                "the next one is the member, and the one before has left",
+                "the next process is the member, and the previous one has left",
                 () -> status(two[0], next) == MemberStatus.ALIVE && status(two[0], two[1]) == MemberStatus.LEFT);
-        eventually("it holds the name", () -> next.view().ownsName());
+        eventually("the next process owns the name", () -> next.view().ownsName());
     }
 
     @Test
--- a/src/test/java/sandstack/fleet/link/MembershipEventLogTest.java
+++ b/src/test/java/sandstack/fleet/link/MembershipEventLogTest.java
@@ -92,7 +92,7 @@
 
     @Test
     void warningsAreLimitedInRate() {
-        RateLimitedLog warnings = new RateLimitedLog(Logger.getLogger(FleetMember.LOGGER_NAME));
+        FleetWarningLog warnings = new FleetWarningLog(Logger.getLogger(FleetMember.LOGGER_NAME));
         assertThat(logged(() -> {
                     warnings.warning("message rejected address=a reason=\"x\"");
                     warnings.warning("message rejected address=a reason=\"x\"");
