--- a/src/main/java/sandstack/Main.java
+++ b/src/main/java/sandstack/Main.java
@@ -9,9 +9,9 @@
 import sandstack.service.RelayServiceLoader;
 
 /**
- * Entry point. {@code serve} and {@code rehearse}, alone or with {@code --capacity FILE} as the platform starts them,
- * go straight to the relay: the command line's library would cost start-up time and memory. Everything else goes to
- * {@link SandstackCommand}.
+ * The program's entry point. Runs {@code serve} and {@code rehearse}, alone or with {@code --capacity FILE} as the
+ * platform starts them, without the command line library, which would take start-up time and memory.
+ * {@link SandstackCommand} runs everything else.
  */
 public final class Main {
     private static final String SERVE = "serve";
@@ -20,7 +20,10 @@
 
     private Main() {}
 
-    /** Runs the command that the arguments name; exits with 2 for wrong usage or settings, 1 for other failures. */
+    /**
+     * Runs the command that the arguments name. Exits with {@link ExitCode#USAGE} if the arguments or the configuration
+     * are invalid, and with {@link ExitCode#FAILURE} for other failures.
+     */
     public static void main(String[] args) {
         if (!isDirectCommand(args)) {
             System.exit(SandstackCommand.run(args));
--- a/src/main/java/sandstack/cli/FleetClassPath.java
+++ b/src/main/java/sandstack/cli/FleetClassPath.java
@@ -13,9 +13,9 @@
 import java.util.List;
 
 /**
- * The class path of a fleet member: the program's own and the jars in {@code lib-fleet} beside it. Those are on no
- * other command's path, as a relay that is no member would hold a descriptor for each of them. The command is run by
- * classes that a new class loader loads over the complete path.
+ * Runs a command with the class path of a fleet member, which adds the jars in {@code lib-fleet} beside the program.
+ * They are not on the default class path because each takes a file descriptor, also in a relay that is not a member. A
+ * new class loader loads the program's classes again, with the complete class path.
  */
 final class FleetClassPath {
     private static final String FLEET_OPTION = "--fleet";
@@ -24,16 +24,16 @@
 
     private FleetClassPath() {}
 
-    /** Whether the command needs a class path that this process does not have. */
+    /** Whether the command needs the fleet's jars and the current class path does not contain them. */
     static boolean isNeeded(String... args) {
         return Arrays.asList(args).contains(FLEET_OPTION)
                 && FleetClassPath.class.getClassLoader().getResource(FLEET_LIBRARY_CLASS) == null;
     }
 
-    /** Runs the command over the complete class path; returns the exit code. */
+    /** Runs the command with the complete class path; returns the exit code. */
     static int run(String... args) throws IOException {
         try {
-            // the class loader stays open as long as the process
+            // the class loader stays open until the process ends
             URLClassLoader loader = new URLClassLoader("fleet", classPath(), ClassLoader.getPlatformClassLoader());
             Thread.currentThread().setContextClassLoader(loader);
             return (int) loader.loadClass(SandstackCommand.class.getName())
@@ -41,7 +41,7 @@
                     .invoke(null, (Object) args);
         } catch (URISyntaxException | ReflectiveOperationException e) {
             Throwable cause = e instanceof InvocationTargetException ? e.getCause() : e;
-            throw new IOException("the fleet's path cannot be used: " + cause, cause);
+            throw new IOException("the fleet class path cannot be used: " + cause, cause);
         }
     }
 
@@ -55,7 +55,7 @@
         for (String name : LIBRARY_DIRECTORIES) {
             Path directory = jar.resolveSibling(name);
             if (!Files.isDirectory(directory)) {
-                throw new IOException("a member of a fleet needs the jars in " + directory + "; build the program");
+                throw new IOException("a fleet member needs the jars in " + directory + "; build the program first");
             }
             try (DirectoryStream<Path> libraries = Files.newDirectoryStream(directory, "*.jar")) {
                 for (Path library : libraries) {
--- a/src/main/java/sandstack/cli/SandstackCommand.java
+++ b/src/main/java/sandstack/cli/SandstackCommand.java
@@ -30,7 +30,7 @@
 import sandstack.simulator.MalformedMessageException;
 import sandstack.simulator.SimulatorSession;
 
-/** The commands of the program, their help and their exit codes; a wrong usage is reported in one line. */
+/** The program's commands with their help and exit codes; invalid usage is reported in one line. */
 @Command(
         name = "sandstack",
         description = "A relay for long-lived connections.",
@@ -40,22 +40,22 @@
         subcommands = {FaultsCommand.class, MeasureCommand.class, OpenCommand.class, StandInCommand.class})
 public final class SandstackCommand implements Callable<Integer> {
     private static final long FLEET_REPLY_TIMEOUT_SECONDS = 5;
-    private static final String FLEET_HELP = "Be a member of the fleet that deploy/fleet.toml describes and enables.";
+    private static final String FLEET_HELP = "Join the fleet that deploy/fleet.toml describes and enables.";
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    /** The option of commands whose decisions depend on what is known of the feed servers. */
+    /** The option of commands whose load balancing uses stated capacities. */
     static final class CapacityOption {
         @Option(
                 names = "--capacity",
                 paramLabel = "FILE",
                 description =
-                        "What is known of the feed servers (default: deploy/capacity.toml, which states nothing).")
+                        "Stated capacities of the feed servers (default: deploy/capacity.toml, which states none).")
         private Path file;
     }
 
-    /** The version of the build. */
+    /** Reads the version from the jar's manifest. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Runs a command; returns the exit code. */
+    /** Parses the arguments and runs the command that they name; returns its exit code. */
     public static int run(String... args) {
         if (!FleetClassPath.isNeeded(args)) {
             return commandLine().execute(args);
@@ -83,7 +83,7 @@
                     e.getCommandLine()
                             .getErr()
                             .println(e.getCommandLine().getCommandSpec().qualifiedName() + ": "
-                                    + e.getMessage().lines().findFirst().orElse("wrong usage") + "; try --help");
+                                    + e.getMessage().lines().findFirst().orElse("invalid usage") + "; try --help");
                     return ExitCode.USAGE;
                 })
                 .setExecutionExceptionHandler((e, command, parsed) -> {
@@ -99,7 +99,9 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    @Command(description = "A relay, as PROXY_CONFIG says.", mixinStandardHelpOptions = true)
+    @Command(
+            description = "Runs a relay with the configuration that PROXY_CONFIG names.",
+            mixinStandardHelpOptions = true)
     int serve(@Mixin CapacityOption capacity, @Option(names = "--fleet", description = FLEET_HELP) boolean fleet)
             throws InvalidConfigurationException, IOException {
         if (fleet) {
@@ -112,7 +114,7 @@
         return 0;
     }
 
-    @Command(description = "A relay with a console on this terminal.", mixinStandardHelpOptions = true)
+    @Command(description = "Runs a relay with a console on this terminal.", mixinStandardHelpOptions = true)
     int console(@Mixin CapacityOption capacity, @Option(names = "--fleet", description = FLEET_HELP) boolean fleet)
             throws InvalidConfigurationException, IOException {
         if (!fleet) {
@@ -139,11 +141,11 @@
             Thread.currentThread().interrupt();
             return List.of("interrupted");
         } catch (ExecutionException | TimeoutException e) {
-            return List.of("the fleet's thread does not answer");
+            return List.of("the fleet's thread does not respond");
         }
     }
 
-    /** Joins the fleet before the relay serves, so that a second process of its name never does. */
+    /** Joins the fleet before the relay serves, so that a second process with the same name never serves. */
     private static FleetMember joinFleet(RelayService service) throws InvalidConfigurationException {
         FleetFile fleetFile = FleetFile.read(RelayServiceLoader.deployFiles());
         FleetMember member = new FleetMember(fleetFile, service.name(), service.zone());
@@ -156,14 +158,16 @@
         return member;
     }
 
-    @Command(description = "Starts, asks itself once and ends; for the build.", mixinStandardHelpOptions = true)
+    @Command(
+            description = "Starts a relay, sends it test requests and exits; used by the build.",
+            mixinStandardHelpOptions = true)
     int rehearse(@Mixin CapacityOption capacity) throws InvalidConfigurationException, IOException {
         RelayServiceLoader.load(capacity.file).rehearse();
         return 0;
     }
 
     @Command(
-            description = "The decisions on the simulator's wire, on standard input and output.",
+            description = "Runs the load balancer for the simulator, on standard input and output.",
             mixinStandardHelpOptions = true)
     int simhost(@Mixin CapacityOption capacity)
             throws InvalidConfigurationException, IOException, MalformedMessageException {
--- a/src/main/java/sandstack/cli/package-info.java
+++ b/src/main/java/sandstack/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line: subcommands, options, help and exit codes. Not loaded where the platform starts the relay, as its
- * library costs start-up time and memory. Uses all other packages; only the entry point uses it.
+ * The command line: subcommands, options, help and exit codes. Not loaded when the platform starts the relay, because
+ * the command line library takes start-up time and memory. Uses all other packages; used only by the entry point.
  */
 package sandstack.cli;
--- a/src/main/java/sandstack/concurrent/Futures.java
+++ b/src/main/java/sandstack/concurrent/Futures.java
@@ -2,13 +2,13 @@
 
 import java.util.concurrent.Future;
 
-/** Static methods for {@link Future}. */
+/** Utility methods for {@link Future}. */
 public final class Futures {
     private Futures() {}
 
     /**
-     * Does nothing: shows that the caller deliberately neither waits for a future nor looks at its failure. The caller
-     * comments on the reason.
+     * Does nothing. Marks a future that the caller deliberately neither waits for nor checks for failure; a comment at
+     * the call gives the reason.
      */
     public static void ignore(Future<?> unused) {}
 }
--- a/src/main/java/sandstack/concurrent/package-info.java
+++ b/src/main/java/sandstack/concurrent/package-info.java
@@ -1,2 +1,2 @@
-/** Helpers for {@link java.util.concurrent}. */
+/** Utilities for {@link java.util.concurrent}. */
 package sandstack.concurrent;
--- a/src/main/java/sandstack/core/ActiveSettings.java
+++ b/src/main/java/sandstack/core/ActiveSettings.java
@@ -2,9 +2,12 @@
 
 import sandstack.decisions.BalancerSettings;
 
-/** The settings that apply now; a reload replaces them in one step. Used on the event loop's thread only. */
+/** Holds the settings in force; a reload replaces all of them in one step. Used on the event loop's thread only. */
 final class ActiveSettings {
-    /** Far enough in the future for no deadline to expire, and small enough to be added to a clock. */
+    /**
+     * Stands for no timeout: no deadline this far in the future expires, and adding it to a clock reading cannot
+     * overflow.
+     */
     private static final long NO_TIMEOUT_MICROS = Long.MAX_VALUE / 4;
 
     private EffectiveSettings current;
--- a/src/main/java/sandstack/core/AttemptCoordinator.java
+++ b/src/main/java/sandstack/core/AttemptCoordinator.java
@@ -11,12 +11,16 @@
 import sandstack.decisions.EndpointState;
 
 /**
- * Starts connection attempts as the load balancer decides, and notifies it of what becomes of them. Used on the event
- * loop's thread only.
+ * Starts connection attempts as the load balancer decides, and reports their outcomes, loads and delays to it. Used on
+ * the event loop's thread only.
  */
 final class AttemptCoordinator {
+    /** Delay before a failed attempt to adopt a connection is repeated. */
     private static final long ADOPTION_RETRY_DELAY_MICROS = 250_000;
-    /** The load balancer counts the attempt of an adopted connection as its first. */
+    /**
+     * The attempt number reported for every adopted connection: the load balancer is notified of the connection only
+     * once it is established, and counts that attempt as the first.
+     */
     private static final int ADOPTED_ATTEMPT_NUMBER = 0;
 
     private static final Logger LOG = Logger.getLogger("sandstack.relay");
@@ -49,9 +53,7 @@
         this.shutdown = shutdown;
     }
 
-    // ---- start ------------------------------------------------------------------------------------
-
-    /** Starts the attempt, or reports at once that it was not sent. */
+    /** Starts the attempt, or reports it to the load balancer as not sent in the same turn. */
     void start(StartAttempt action) {
         ClientSession client = requests.get(action.requestId());
         if (client != null) {
@@ -87,7 +89,10 @@
                 null);
     }
 
-    /** Connects a client whose connection was established before the relay started to its own feed server only. */
+    /**
+     * Reconnects a client whose connection predates this process, and only to the feed server that it was established
+     * at.
+     */
     void adopt(ClientSession client) {
         if (client.isFinished() || client.attempt() != null) {
             return;
@@ -115,8 +120,6 @@
         attempt.start();
     }
 
-    // ---- what an attempt reports ------------------------------------------------------------------
-
     long nowMicros() {
         return clock.getAsLong();
     }
@@ -129,14 +132,17 @@
         return settings.connectTimeoutMicros();
     }
 
-    /** Whether the attempt's feed server accepts no new clients any more; adopted connections are still accepted. */
+    /**
+     * Whether the attempt's feed server no longer accepts this client because it is draining or no longer listed.
+     * Always false for an adopted connection, which a draining feed server still accepts.
+     */
     boolean isServerDraining(ConnectionAttempt attempt) {
         EndpointRegistry.Endpoint endpoint = endpointListUpdater.endpoint(serverId(attempt));
         return !attempt.client().request().isAdopted()
                 && (endpoint == null || endpoint.entry().state() != EndpointState.READY);
     }
 
-    /** The request's last byte has been written to the feed server. */
+    /** Called when the request's last byte has been written to the feed server. */
     void requestWritten(ConnectionAttempt attempt) {
         metrics.requestWritten(settings.className(attempt.client().request()));
     }
@@ -158,19 +164,19 @@
         }
     }
 
-    /** An attempt has ended without an established connection. */
+    /** Called when an attempt ends without an established connection. */
     void attemptFailed(ConnectionAttempt attempt, ConnectionOutcome outcome) {
         ClientSession client = attempt.client();
         detach(attempt, outcome);
         if (!client.request().isAdopted()) {
             reportEnded(attempt, outcome, client.isFinished());
         } else if (!client.isFinished()) {
-            // the load balancer has not been notified of an adopted connection before it is established
+            // the load balancer does not track an adopted connection before it is established: retry here
             deadlines.schedule(clock.getAsLong() + ADOPTION_RETRY_DELAY_MICROS, () -> adopt(client));
         }
     }
 
-    /** An established connection has ended. */
+    /** Called when an established connection ends. */
     void connectionEnded(ConnectionAttempt attempt, ConnectionOutcome outcome) {
         detach(attempt, outcome);
         reportEnded(attempt, outcome, true);
@@ -187,7 +193,7 @@
 
     private void reportEnded(ConnectionAttempt attempt, ConnectionOutcome outcome, boolean requestFinished) {
         if (outcome == ConnectionOutcome.SERVER_DRAINING) {
-            endpointListUpdater.serverSentClientAway(attempt.endpoint());
+            endpointListUpdater.assumeDraining(attempt.endpoint());
         }
         balancer.enqueue(new AttemptEnded(
                 attempt.client().id(),
--- a/src/main/java/sandstack/core/BalancerDriver.java
+++ b/src/main/java/sandstack/core/BalancerDriver.java
@@ -7,8 +7,8 @@
 import sandstack.decisions.LoadBalancer;
 
 /**
- * Gathers the events of a turn, hands them to the load balancer and dispatches its actions. Owns the event queue and
- * the load balancer; used on the event loop's thread only.
+ * Queues the events of a turn, passes them to the load balancer and dispatches the actions that it returns. Owns the
+ * event queue and the load balancer; used on the event loop's thread only.
  */
 final class BalancerDriver {
     private final LoadBalancer loadBalancer;
@@ -28,7 +28,10 @@
         return !pendingEvents.isEmpty();
     }
 
-    /** Handles all events in batches; actions may add events, which form the next batch of the same turn. */
+    /**
+     * Passes all queued events to the load balancer in batches. Events that the dispatched actions enqueue form the
+     * next batch of the same turn.
+     */
     void processEvents(long nowMicros) {
         while (!pendingEvents.isEmpty()) {
             List<BalancerEvent> batch = pendingEvents;
--- a/src/main/java/sandstack/core/ClientRequest.java
+++ b/src/main/java/sandstack/core/ClientRequest.java
@@ -1,15 +1,16 @@
 package sandstack.core;
 
 /**
- * A request as a front read it: all that the load balancer needs, and nothing of the wire it came on.
+ * A client's request in the form that every front (protocol adapter) produces: what the load balancer needs, without
+ * anything specific to the protocol.
  *
- * @param clientKey the same whenever this client connects
- * @param classIndex position in the settings' classes
- * @param tenantIndex position in the settings' tenants
- * @param group connections of one group share work; null where the request has no group
+ * @param clientKey identifies the client: the same on each of its connections
+ * @param classIndex index of the request class in {@link EffectiveSettings#classNames}
+ * @param tenantIndex index of the tenant in {@link TenantRegistry#entries}
+ * @param group the connections of one group share work at their feed server; null where the request has no group
  * @param timeoutMicros how long the client waits for its connection to be established
- * @param expectedLoad an estimate of the connection's load; 0 where there is none
- * @param reconnecting the client reconnects after a reset or a migration
+ * @param expectedLoad estimated load of the connection; 0 where there is no estimate
+ * @param reconnecting whether the client reconnects after a reset or a migration
  * @param adoptedFrom the feed server at which this connection was established before the relay started; null for a new
  *     connection
  */
--- a/src/main/java/sandstack/core/ClientSession.java
+++ b/src/main/java/sandstack/core/ClientSession.java
@@ -1,8 +1,8 @@
 package sandstack.core;
 
 /**
- * The client's side of one request, from its arrival to its end. A front extends it with its wire; the package's own
- * classes change its state through the methods here. Used on the event loop's thread only.
+ * The client's side of one request, from its arrival to its end. Each front extends it for its protocol; only classes
+ * of this package change its state, through the methods here. Used on the event loop's thread only.
  */
 public abstract class ClientSession {
     /** Null before the relay has accepted the request. */
@@ -16,27 +16,28 @@
     private ConnectionAttempt attempt;
 
     private boolean finished;
-    /** Null where the request needs no answer of its own: it was adopted. */
+    /** Fails the request if it is overdue; null for an adopted connection, whose client does not wait for an answer. */
     private DeadlineScheduler.Deadline answerTimer;
 
-    /** Starts an attempt: connects to its feed server and forwards the request. */
+    /** Connects to the attempt's feed server and forwards the request; progress is reported to {@code attempt}. */
     protected abstract ConnectionAttempt.Upstream startAttempt(ConnectionAttempt attempt);
 
     /**
-     * Reads what the client's side has sent or done by now, where the front can do so at once. A client that has left
-     * is reported as such before this returns: nothing is started for one that has gone.
+     * Reads the client's pending input without blocking, if the front supports that. A disconnect found here is
+     * reported to the relay before this method returns, so that no attempt is started for a client that has
+     * disconnected.
      */
     protected void checkConnected() {}
 
-    /** Sends the final answer of a request that is not served, and ends the connection. */
+    /** Sends the final answer to a request that is not served, and ends the client's connection. */
     protected abstract void sendRejection(Rejection rejection);
 
-    /** The request that the client sent; null before it has come. */
+    /** The client's request; null until the front has passed it to {@link Relay#accept}. */
     public final ClientRequest request() {
         return request;
     }
 
-    /** The attempt in flight or the established connection; null where there is neither. */
+    /** The attempt in flight or the established connection; null if there is neither. */
     public final ConnectionAttempt attempt() {
         return attempt;
     }
@@ -73,17 +74,17 @@
         }
     }
 
-    /** How many attempts have been started or given up unsent. */
+    /** The number of attempts made, those reported as not sent included. */
     final int attemptCount() {
         return attemptCount;
     }
 
-    /** Counts an attempt; returns its number, from 0. */
+    /** Counts an attempt and returns its number; the first is 0. */
     final int nextAttemptNumber() {
         return attemptCount++;
     }
 
-    /** Whether the lower of the limit at the request's arrival and the limit now allows another attempt. */
+    /** Whether another attempt is within both the limit at the request's arrival and the current limit. */
     final boolean hasAttemptsLeft(int currentMaxAttempts) {
         return Math.min(maxAttempts, currentMaxAttempts) - attemptCount > 0;
     }
@@ -100,21 +101,21 @@
         return attempt != null && attempt.isEstablished();
     }
 
-    /** Cancels the attempt or the connection, if any, as the client has left or is answered. */
+    /** Cancels the attempt or the connection, if any, because the client has disconnected or gets its final answer. */
     final void cancelAttempt() {
         if (attempt != null) {
             attempt.cancel(ConnectionOutcome.CLIENT_LEFT);
         }
     }
 
-    /** Migrates the established connection, if any. */
+    /** Migrates the established connection; no effect while none is established. */
     final void migrate() {
         if (attempt != null) {
             attempt.migrate(ConnectionOutcome.MIGRATED);
         }
     }
 
-    /** Whether nothing more is owed to the client. */
+    /** Whether the request has ended, so that nothing more is sent for it. */
     final boolean isFinished() {
         return finished;
     }
--- a/src/main/java/sandstack/core/ConnectionAttempt.java
+++ b/src/main/java/sandstack/core/ConnectionAttempt.java
@@ -1,28 +1,30 @@
 package sandstack.core;
 
 /**
- * One attempt to serve a request at one feed server, and the established connection that comes of it. The front reports
- * what its wire sees; the first end counts and later reports change nothing. Used on the event loop's thread only.
+ * One attempt to serve a request at one feed server, and the established connection if the attempt succeeds. The front
+ * reports protocol events through the {@code on} methods. Only the first reported end counts; later reports have no
+ * effect. Used on the event loop's thread only.
  */
 public final class ConnectionAttempt {
-    /** The front's half: the connection to the feed server. */
+    /** The connection to the feed server, implemented by the front. */
     public interface Upstream {
-        /** Ends the connection to the feed server; the client stays. */
+        /** Closes the connection to the feed server; the client's connection stays open. */
         void abandon();
 
-        /** Sends the client its request to migrate, then ends both sides. */
+        /** Sends the client the protocol's migration message, then closes both connections. */
         void migrate();
     }
 
-    /** A connection on which the feed server leaves a client's message unanswered for so long is migrated. */
+    /** A connection is migrated once the feed server has left a client's message unanswered for this time. */
     private static final long UNRESPONSIVE_TIMEOUT_MICROS = 4_500_000;
-    /** One more turn of the event loop after the connect timeout. */
+    /** Delay from the connect timeout to its recheck, so that the event loop polls its sockets in between. */
     private static final long CONNECT_RECHECK_MICROS = 1_000;
 
     private static final long MICROS_PER_MILLI = 1000;
 
-    /** How far the attempt is. */
+    /** The attempt's progress; it only moves forward. */
     private enum State {
+        /** The feed server has not accepted the request yet, whether or not the TCP connection is open. */
         CONNECTING,
         ESTABLISHED,
         ENDED
@@ -39,7 +41,7 @@
     private DeadlineScheduler.Deadline connectTimer;
     private DeadlineScheduler.Deadline attemptTimer;
     private DeadlineScheduler.Deadline unresponsiveTimer;
-    /** When the client sent the message that has no answer yet; 0 where there is none. */
+    /** When the client's oldest unanswered message was sent; 0 if all are answered. */
     private long unansweredSinceMicros;
 
     private boolean requestWritten;
@@ -60,7 +62,7 @@
 
     void start() {
         attemptTimer = coordinator.deadlines().schedule(startedAtMicros + timeoutMicros, this::timedOut);
-        // a machine that has vanished never refuses: without this the complete timeout would go on its silence
+        // an unreachable host sends no RST: without a connect timeout the attempt would wait for its complete timeout
         connectTimer = coordinator
                 .deadlines()
                 .schedule(
@@ -74,14 +76,14 @@
         }
     }
 
-    /** A request that was not written completely cannot have been executed, however long it was waited for. */
+    /** A request that was not written completely cannot have been executed, so it does not count as timed out. */
     private void timedOut() {
         cancel(requestWritten ? ConnectionOutcome.TIMED_OUT : ConnectionOutcome.NOT_CONNECTED);
     }
 
     /**
-     * A relay that was suspended itself finds the deadline past before it has polled its sockets: a connection that has
-     * come up meanwhile is not a failed one, so it is polled once more.
+     * Polls the sockets once more before the connect counts as failed. After the relay process was suspended, the
+     * deadline is past before the sockets are polled, although the connection may have been opened in the meantime.
      */
     private void connectTimedOut() {
         connectTimer = coordinator
@@ -92,8 +94,9 @@
     }
 
     /**
-     * The connection to the feed server is open; returns whether the request may be written. The feed server may be
-     * draining or gone by now, and the client may have left: the attempt is cancelled then, and nothing has been sent.
+     * Called when the connection to the feed server is open; returns whether the request may be written. If meanwhile
+     * the feed server began to drain or was removed from the list, or the client disconnected, the attempt is cancelled
+     * and nothing is sent.
      */
     public boolean onConnected() {
         client.checkConnected();
@@ -114,7 +117,7 @@
         }
     }
 
-    /** The request's last byte has been written to the feed server; counts once, however often it is called. */
+    /** Called when the request's last byte has been written to the feed server; further calls have no effect. */
     public void onRequestWritten() {
         if (!requestWritten) {
             requestWritten = true;
@@ -122,7 +125,7 @@
         }
     }
 
-    /** The feed server has accepted the connection: from now on it owns it. */
+    /** Called when the feed server has accepted the request, which establishes the connection. */
     public void onEstablished() {
         if (state == State.CONNECTING) {
             state = State.ESTABLISHED;
@@ -132,7 +135,7 @@
         }
     }
 
-    /** The feed server's side has ended, or the client's. */
+    /** Called when the feed server's or the client's side has ended; only the first call counts. */
     public void onEnded(ConnectionOutcome outcome) {
         if (state == State.ENDED) {
             return;
@@ -151,21 +154,23 @@
         }
     }
 
-    /** The feed server reported the connection's load. */
+    /** Called when the feed server reports the connection's load; ignored unless established. */
     public void onLoadReported(double load) {
         if (state == State.ESTABLISHED) {
             coordinator.loadReported(this, load);
         }
     }
 
-    /** The feed server reported how long a message takes there now, in microseconds. */
+    /**
+     * Called when the feed server reports its current delay per message, in microseconds; ignored unless established.
+     */
     public void onDelayReported(double delayMicros) {
         if (state == State.ESTABLISHED) {
             coordinator.delayReported(this, delayMicros);
         }
     }
 
-    /** The client sent a message that a healthy feed server answers at once. */
+    /** Called when the client has sent a message that a healthy feed server answers immediately. */
     public void onClientMessage() {
         if (state == State.ESTABLISHED && unansweredSinceMicros == 0) {
             unansweredSinceMicros = coordinator.nowMicros();
@@ -175,10 +180,10 @@
         }
     }
 
-    /** The feed server answered what the client sent. */
+    /** Called when the feed server has answered the client's message. */
     public void onServerMessage() {
         if (state == State.ESTABLISHED && unansweredSinceMicros != 0) {
-            // the time it took is not used: feed servers answer at once, so the rest is the relay's own time
+            // the response time is not used: feed servers answer immediately, so it measures only the relay's own delay
             unansweredSinceMicros = 0;
             unresponsiveTimer.cancel();
         }
@@ -190,7 +195,7 @@
         open.migrate();
     }
 
-    /** Cancels the attempt; the feed server's side is closed before anything else may be sent. */
+    /** Cancels the attempt; the connection to the feed server is closed before the end is reported. */
     void cancel(ConnectionOutcome outcome) {
         Upstream open = upstream;
         if (state != State.ENDED && open != null) {
@@ -212,32 +217,32 @@
         return state == State.ESTABLISHED;
     }
 
-    /** Whether it has ended, in whatever way. */
+    /** Whether the attempt has ended, with any outcome. */
     public boolean hasEnded() {
         return state == State.ENDED;
     }
 
-    /** The client that it serves. */
+    /** The client for which the attempt is made. */
     public ClientSession client() {
         return client;
     }
 
-    /** The feed server, as it was listed when the attempt started. */
+    /** The feed server's endpoint as listed when the attempt started; the list may have changed since. */
     public EndpointRegistry.Endpoint endpoint() {
         return endpoint;
     }
 
-    /** Which attempt of its request this is, from 0. */
+    /** The attempt's number within its request; the first is 0. */
     public int number() {
         return number;
     }
 
-    /** When it started, in microseconds of the relay's clock. */
+    /** The start time, in microseconds of the relay's clock. */
     public long startedAtMicros() {
         return startedAtMicros;
     }
 
-    /** How long the relay still waits for this attempt, in complete milliseconds; at least 1. */
+    /** The time left until the attempt's timeout, in whole milliseconds rounded down; at least 1. */
     public long remainingMillis() {
         return Math.max(1, (startedAtMicros + timeoutMicros - coordinator.nowMicros()) / MICROS_PER_MILLI);
     }
--- a/src/main/java/sandstack/core/ConnectionOutcome.java
+++ b/src/main/java/sandstack/core/ConnectionOutcome.java
@@ -3,32 +3,39 @@
 import sandstack.decisions.AttemptOutcome;
 
 /**
- * Every way in which an attempt or an established connection can end, and the outcome that the load balancer counts.
+ * The ways in which an attempt or an established connection can end, each with the outcome that is reported to the load
+ * balancer.
  */
 public enum ConnectionOutcome {
-    /** The feed server closed the connection in order. */
+    /** The feed server closed the connection with the protocol's closing message. */
     SERVED(AttemptOutcome.OK),
-    /** The feed server sent its client away, as it does while it drains: may have been executed, and is no fault. */
+    /**
+     * The feed server told the client to migrate, as it does while it drains. The request may have been executed; this
+     * is not a failure of the server.
+     */
     SERVER_DRAINING(AttemptOutcome.CANCELLED),
-    /** The client ended it, or left before it was established. */
+    /** The client disconnected, before or after the connection was established. */
     CLIENT_LEFT(AttemptOutcome.CANCELLED),
-    /** The relay told the client to migrate. */
+    /** The relay migrated the client. */
     MIGRATED(AttemptOutcome.CANCELLED),
     /** The feed server answered with an error. */
     SERVER_ERROR(AttemptOutcome.ERROR),
     /** The feed server rejected the request without executing it. */
     REJECTED(AttemptOutcome.REJECTED),
-    /** No connection came up, or it broke or was cancelled before the complete request was written. */
+    /** The connection was not opened, or it failed or was cancelled before the complete request was written. */
     NOT_CONNECTED(AttemptOutcome.CONNECT_FAILED),
-    /** The connection was closed without a message. */
+    /** The feed server closed the connection before it was established, or without a closing message. */
     CLOSED_EARLY(AttemptOutcome.RESET),
     /** The connection was reset. */
     RESET(AttemptOutcome.RESET),
-    /** An established connection on which the feed server no longer answers. */
+    /** The feed server stopped answering on an established connection. */
     UNRESPONSIVE(AttemptOutcome.RESET),
-    /** The complete request was written, and no answer came within the timeout. */
+    /** The complete request was written, but no answer arrived within the timeout. */
     TIMED_OUT(AttemptOutcome.TIMEOUT),
-    /** Never sent: the client had left, its deadline had passed or the server has no address. */
+    /**
+     * Nothing was sent: the client had disconnected, its deadline had passed, it had no attempts left, or the feed
+     * server was draining or no longer listed.
+     */
     NOT_SENT(AttemptOutcome.NOT_SENT);
 
     private final AttemptOutcome outcome;
@@ -37,7 +44,7 @@
         this.outcome = outcome;
     }
 
-    /** The outcome that the load balancer counts. */
+    /** The outcome that is reported to the load balancer; several of these constants share one. */
     public AttemptOutcome outcome() {
         return outcome;
     }
--- a/src/main/java/sandstack/core/DeadlineScheduler.java
+++ b/src/main/java/sandstack/core/DeadlineScheduler.java
@@ -3,13 +3,14 @@
 import java.util.TreeSet;
 
 /**
- * Every deadline of the relay in one sorted set, run in each turn of the event loop. Used on that loop's thread only.
+ * Runs the relay's timed tasks. Keeps all deadlines in one sorted set; each turn of the event loop runs the expired
+ * ones. Used on the event loop's thread only.
  */
 public final class DeadlineScheduler {
     private final TreeSet<Deadline> sorted = new TreeSet<>();
     private long lastNumber;
 
-    /** A task that is due at a time, unless it is cancelled before. */
+    /** A task and the time at which it is due; two with the same time run in the order in which they were scheduled. */
     public final class Deadline implements Comparable<Deadline> {
         private final long dueMicros;
         private final long number = ++lastNumber;
@@ -20,7 +21,7 @@
             this.task = task;
         }
 
-        /** Cancels the task; without effect once it has run or was cancelled before. */
+        /** Cancels the task; no effect once it has run or been cancelled. */
         public void cancel() {
             sorted.remove(this);
         }
@@ -32,26 +33,26 @@
         }
     }
 
-    /** Runs the task in the first turn at or after this time. */
+    /** Schedules a task for the first turn at or after {@code dueMicros}, on the relay's clock. */
     public Deadline schedule(long dueMicros, Runnable task) {
         Deadline deadline = new Deadline(dueMicros, task);
         sorted.add(deadline);
         return deadline;
     }
 
-    /** Runs all tasks that are due, in order of time; tasks that these schedule for a time not after now run too. */
+    /** Runs all tasks due at or before {@code nowMicros} in order of time, also those that these tasks schedule. */
     public void runExpired(long nowMicros) {
         while (!sorted.isEmpty() && sorted.first().dueMicros <= nowMicros) {
             sorted.pollFirst().task.run();
         }
     }
 
-    /** When the next deadline is due; {@link Long#MAX_VALUE} where there is none. */
+    /** When the earliest deadline is due; {@link Long#MAX_VALUE} if none is scheduled. */
     public long nextMicros() {
         return sorted.isEmpty() ? Long.MAX_VALUE : sorted.first().dueMicros;
     }
 
-    /** How many tasks are scheduled. */
+    /** The number of scheduled tasks that have neither run nor been cancelled. */
     public int size() {
         return sorted.size();
     }
--- a/src/main/java/sandstack/core/EffectiveSettings.java
+++ b/src/main/java/sandstack/core/EffectiveSettings.java
@@ -9,32 +9,32 @@
 import sandstack.settings.BalancerSettingsBuilder;
 
 /**
- * The settings that apply to the requests that come now, and the names of their classes. Immutable; a reload replaces
- * the complete value. A class keeps its position for the life of the process, as state is kept by position: one that is
- * removed keeps its last settings there, for the requests in flight, and is not offered.
+ * The settings for newly arriving requests, and the names of the request classes. Immutable; a reload replaces the
+ * complete value. A class keeps its position until the process ends, because other state is indexed by it. A class that
+ * a reload removes stays at its position with its last settings, for the requests in flight, but is no longer offered.
  *
- * @param settings of all classes, removed ones included
- * @param classNames names of the classes, in the settings' order
- * @param offeredClasses the classes that a request may name
- * @param delaysReported whether feed servers report how long a message takes
+ * @param settings the load balancer's settings, those of removed classes included
+ * @param classNames names of the classes, in the order of {@code settings.classes()}
+ * @param offeredClasses names of the classes that a new request may use
+ * @param delaysReported whether feed servers report their delay per message
  */
 public record EffectiveSettings(
         BalancerSettings settings, List<String> classNames, Set<String> offeredClasses, boolean delaysReported) {
-    /** Limit on the classes over all reloads of one process, as each keeps its memory. */
+    /** Limit on the number of class names over all reloads of one process; removed classes keep their memory. */
     public static final int MAX_CLASSES = 256;
 
-    /** Copies the collections. */
+    /** Takes immutable copies of the collections. */
     public EffectiveSettings {
         classNames = List.copyOf(classNames);
         offeredClasses = Set.copyOf(offeredClasses);
     }
 
-    /** The settings of a start, before any reload. */
+    /** Creates the settings at the start of the process, where all classes are offered. */
     public EffectiveSettings(BalancerSettings settings, List<String> classNames, boolean delaysReported) {
         this(settings, classNames, Set.copyOf(classNames), delaysReported);
     }
 
-    /** Settings whose classes are named by their positions. */
+    /** Creates settings in which the name of each class is its position as a decimal number. */
     static EffectiveSettings numbered(BalancerSettings settings) {
         return new EffectiveSettings(
                 settings,
@@ -44,15 +44,16 @@
                 true);
     }
 
-    /** The position of a class that a request may name; -1 for any other name. */
+    /** The position of an offered class; -1 for null and for any other name. */
     public int indexOf(String name) {
         return name != null && offeredClasses.contains(name) ? classNames.indexOf(name) : -1;
     }
 
     /**
-     * The next settings with the classes of these at their positions.
+     * Returns {@code next} with the classes reordered: those of this object keep their positions, removed ones
+     * included, and new ones follow.
      *
-     * @throws IllegalArgumentException where there are more than {@value #MAX_CLASSES} classes over all reloads
+     * @throws IllegalArgumentException if there are more than {@value #MAX_CLASSES} classes over all reloads
      */
     public EffectiveSettings mergedWith(EffectiveSettings next) {
         List<String> mergedNames = new ArrayList<>(classNames);
--- a/src/main/java/sandstack/core/EndpointListUpdater.java
+++ b/src/main/java/sandstack/core/EndpointListUpdater.java
@@ -11,10 +11,14 @@
 import sandstack.decisions.EndpointState;
 
 /**
- * Applies updates of the endpoint list, and passes each on to the load balancer. Used on the event loop's thread only.
+ * Applies updates of the endpoint list to the registry and forwards them to the load balancer. Used on the event loop's
+ * thread only.
  */
 final class EndpointListUpdater {
-    /** A feed server that sent a client away counts as draining for so long, unless discovery lists it anew. */
+    /**
+     * How long a feed server that told a client to migrate counts as draining, unless an update from discovery replaces
+     * its entry before.
+     */
     private static final long ASSUMED_DRAINING_MICROS = 10_000_000;
 
     private static final Logger LOG = Logger.getLogger("sandstack.relay");
@@ -23,7 +27,7 @@
     private final DeadlineScheduler deadlines;
     private final EndpointRegistry endpoints;
     private final BalancerDriver balancer;
-    /** Reasons for which discovery could not be polled since its last update; each has been logged once. */
+    /** The failure reasons logged since the last update, so that each is logged once. */
     private final Set<String> loggedFailures = new HashSet<>();
 
     EndpointListUpdater(
@@ -34,7 +38,7 @@
         this.balancer = balancer;
     }
 
-    /** The feed server as it is listed now; null where it is not. */
+    /** The current endpoint of a feed server; null if it is not listed. */
     EndpointRegistry.Endpoint endpoint(String serverId) {
         return endpoints.get(serverId);
     }
@@ -54,7 +58,7 @@
     }
 
     void failed(String reason) {
-        // a discovery agent that is away is polled many times a second
+        // an unreachable discovery agent is polled many times per second
         if (loggedFailures.add(reason)) {
             LOG.info("discovery watch failed reason=\"" + reason + "\"");
         }
@@ -62,10 +66,10 @@
     }
 
     /**
-     * A feed server that sends its clients away is draining, and discovery lists that only seconds later: until then
-     * clients that reconnect would be placed there again.
+     * Marks a feed server that told a client to migrate as draining. Discovery reports the drain only seconds later;
+     * without this, clients that reconnect meanwhile would be placed on that server again.
      */
-    void serverSentClientAway(EndpointRegistry.Endpoint endpoint) {
+    void assumeDraining(EndpointRegistry.Endpoint endpoint) {
         EndpointEntry entry = endpoint.entry();
         if (!endpoints.isCurrent(endpoint) || entry.state() != EndpointState.READY) {
             return;
--- a/src/main/java/sandstack/core/EndpointRegistry.java
+++ b/src/main/java/sandstack/core/EndpointRegistry.java
@@ -9,13 +9,13 @@
 import sandstack.decisions.EndpointState;
 
 /**
- * The feed servers as discovery last listed them to this relay, with their addresses. Used on the event loop's thread
- * only.
+ * The current endpoint list: the feed servers as the latest updates describe them, with their addresses. Used on the
+ * event loop's thread only.
  */
 public final class EndpointRegistry {
-    /** One feed server: its entry for the load balancer, and the address at which it accepts this relay. */
+    /** One feed server: its entry for the load balancer, and the address at which relays connect to it. */
     public record Endpoint(EndpointEntry entry, String host, int port) {
-        /** The same feed server in another state. */
+        /** Returns a copy with another state. */
         Endpoint withState(EndpointState state) {
             return new Endpoint(
                     new EndpointEntry(
@@ -31,7 +31,7 @@
         }
     }
 
-    /** An update from discovery: the complete list or what changed, and the version that results. */
+    /** An update of the list: all endpoints or the changed ones, depending on the kind, and the resulting version. */
     public record Update(EndpointListKind kind, long version, List<Endpoint> endpoints) {
         List<EndpointEntry> entries() {
             return endpoints.stream().map(Endpoint::entry).toList();
@@ -59,41 +59,41 @@
         }
     }
 
-    /** The endpoint of this feed server; null where it is not listed. */
+    /** The endpoint of a feed server; null if it is not listed. */
     public Endpoint get(String serverId) {
         return endpoints.get(serverId);
     }
 
     /**
-     * Whether no update has replaced this endpoint since. Compares identity: an equal endpoint of a later update is
-     * another one.
+     * Whether this endpoint is still in the list. Compares identity, because an equal endpoint of a later update counts
+     * as a replacement.
      */
     boolean isCurrent(Endpoint endpoint) {
         Object current = endpoints.get(endpoint.entry().serverId());
         return current == endpoint;
     }
 
-    /** The endpoints of all listed feed servers; a live view. */
+    /** A live view of the endpoints of all listed feed servers, in the order in which they were first listed. */
     public Collection<Endpoint> endpoints() {
         return endpoints.values();
     }
 
-    /** Whether discovery has sent a list since the start. */
+    /** Whether discovery has sent an update since the process started; a cached list does not count. */
     public boolean hasDiscoveryList() {
         return hasDiscoveryList;
     }
 
-    /** How often the list has changed since the start. */
+    /** The number of updates applied since the process started. */
     public long changeCount() {
         return changeCount;
     }
 
-    /** Whether a feed server is listed that accepts clients. */
+    /** Whether at least one listed feed server accepts new clients. */
     public boolean hasReadyServer() {
         return endpoints.values().stream().anyMatch(endpoint -> endpoint.entry().state() == EndpointState.READY);
     }
 
-    /** Version of the list; -1 before any has been received. */
+    /** The version in the latest update; -1 before the first. */
     public long version() {
         return version;
     }
--- a/src/main/java/sandstack/core/GracefulShutdown.java
+++ b/src/main/java/sandstack/core/GracefulShutdown.java
@@ -7,23 +7,23 @@
 import java.util.logging.Logger;
 
 /**
- * Takes a relay out of service: migrates its established clients over a span of time, answers the other requests before
- * the platform kills the process, and calls back once nothing is in flight. Used on the event loop's thread only.
+ * Drains the relay: migrates its established clients over a time span, answers the remaining requests before the
+ * platform kills the process, and calls back once nothing is in flight. Used on the event loop's thread only.
  */
 final class GracefulShutdown {
-    /** The platform goes on sending clients for a moment: migrations start after it. */
+    /** The platform still sends new clients for a moment after SIGTERM; migrations start after this delay. */
     private static final long MIGRATION_DELAY_MICROS = 500_000;
-    /** The platform waits for the longest deadline before it kills, but no longer than this. */
+    /** Between SIGTERM and SIGKILL the platform waits for the longest request deadline, but at most this long. */
     private static final long MAX_DRAIN_MICROS = 3_000_000;
     /**
-     * Migrations are drawn over this span, so that clients do not reconnect all at once. It ends as late as the
-     * platform allows: where relays are restarted one after another, clients that leave early reach one that is next,
-     * or none.
+     * Migrations happen at random times within this span, so that clients do not reconnect all at once. The span ends
+     * as late as the platform allows: when relays are restarted one after another, a client that migrates early may
+     * connect to the relay that is restarted next, or find none.
      */
     private static final long MIGRATION_SPAN_MICROS = 1_200_000;
-    /** Requests that are still in flight are answered so long after the last migration. */
+    /** Time from the last migration until the requests still in flight are answered. */
     private static final long FINAL_ANSWER_DELAY_MICROS = 200_000;
-    /** Retries of requests that a drained relay rejects are spread over this span. */
+    /** The Retry-After of requests that arrive after the drain is random up to this value, to spread the retries. */
     private static final long MAX_RETRY_AFTER_MILLIS = 500;
 
     private static final Logger LOG = Logger.getLogger("sandstack.relay");
@@ -35,10 +35,13 @@
     private final SplittableRandom random;
     private boolean begun;
     private long startedAtMicros;
-    /** Fixed at the start: the platform kills by the settings of the moment at which it sent SIGTERM. */
+    /**
+     * Fixed when the shutdown begins, because the platform applies the deadline from the settings in force when it sent
+     * SIGTERM.
+     */
     private long lastMigrationMicros;
 
-    private IntSupplier unheardPeers = () -> 0;
+    private IntSupplier pendingPeers = () -> 0;
     /** Called once nothing is in flight; null before the shutdown and after that call. */
     private Runnable whenDrained;
 
@@ -59,23 +62,28 @@
         return begun;
     }
 
-    /** Whether the process is about to end: a request that was forwarded now would be lost with it. */
+    /** Whether the drain callback has run: the process is about to exit, and a request forwarded now would be lost. */
     boolean isComplete() {
         return begun && whenDrained == null;
     }
 
-    /** The answer to a request that comes once the shutdown is complete. */
+    /** The answer to a request that arrives once the shutdown is complete. */
     Rejection rejectionAfterDrain() {
         return new Rejection(Rejection.Kind.REJECTED, random.nextLong(MAX_RETRY_AFTER_MILLIS) + 1);
     }
 
-    /** Begins; a second call changes nothing. */
+    /**
+     * Begins the shutdown; further calls have no effect.
+     *
+     * @param peersWithoutRequest the number of accepted peers whose request has not arrived yet
+     * @param callback called once nothing is in flight
+     */
     void begin(IntSupplier peersWithoutRequest, Runnable callback) {
         if (begun) {
             return;
         }
         begun = true;
-        unheardPeers = peersWithoutRequest;
+        pendingPeers = peersWithoutRequest;
         LOG.info("graceful shutdown started count=" + requests.clients().size());
         whenDrained = callback;
         startedAtMicros = clock.getAsLong();
@@ -84,12 +92,15 @@
                         MIGRATION_DELAY_MICROS + FINAL_ANSWER_DELAY_MICROS,
                         Math.min(settings.longestDeadlineMicros(), MAX_DRAIN_MICROS));
         requests.clients().forEach(this::scheduleMigration);
-        // wakes the loop: a relay without clients that stopped at once would lose those still being sent to it
+        // ensures a turn at that time: a relay without clients stays up until then for those the platform still sends
         deadlines.schedule(startedAtMicros + MIGRATION_DELAY_MICROS, () -> {});
         deadlines.schedule(lastMigrationMicros + FINAL_ANSWER_DELAY_MICROS, this::endRemaining);
     }
 
-    /** Migrates a client at a moment drawn over the span, also one that is established after the shutdown has begun. */
+    /**
+     * Schedules a client's migration at a random time within what is left of the span. Called also for a client whose
+     * connection is established after the shutdown has begun.
+     */
     void scheduleMigration(ClientSession client) {
         long earliest = Math.max(
                 clock.getAsLong(),
@@ -98,20 +109,21 @@
         deadlines.schedule(random.nextLong(earliest, latest), client::migrate);
     }
 
-    /** Calls back, once, where nothing is in flight any more. */
+    /** Runs the callback, once, as soon as nothing is in flight. */
     void runTurn(long nowMicros) {
         if (whenDrained == null) {
             return;
         }
-        boolean allHeard = unheardPeers.getAsInt() == 0 || nowMicros >= lastMigrationMicros + FINAL_ANSWER_DELAY_MICROS;
-        if (requests.clients().isEmpty() && nowMicros >= startedAtMicros + MIGRATION_DELAY_MICROS && allHeard) {
+        boolean peerWaitEnded =
+                pendingPeers.getAsInt() == 0 || nowMicros >= lastMigrationMicros + FINAL_ANSWER_DELAY_MICROS;
+        if (requests.clients().isEmpty() && nowMicros >= startedAtMicros + MIGRATION_DELAY_MICROS && peerWaitEnded) {
             Runnable callback = whenDrained;
             whenDrained = null;
             callback.run();
         }
     }
 
-    /** Every client gets its answer before the process is killed. */
+    /** Migrates or fails all remaining clients, so that each gets an answer before the process is killed. */
     private void endRemaining() {
         for (ClientSession client : List.copyOf(requests.clients())) {
             if (client.isEstablished()) {
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -25,9 +25,9 @@
 import sandstack.decisions.LoadBalancer;
 
 /**
- * The relay without sockets, as the fronts, the watch on discovery and the operators use it. Fronts report what they
- * see; each turn runs the expired deadlines, hands the gathered events to the load balancer and carries out its
- * actions.
+ * The relay's logic without sockets: the facade for the fronts, the discovery watch and the operator tools. Fronts
+ * report requests and disconnects; each turn runs the expired deadlines, passes the queued events to the load balancer
+ * and executes its actions.
  *
  * <p>Not thread-safe: everything here and in the parts it delegates to runs on the event loop's thread.
  */
@@ -45,23 +45,34 @@
     private final EndpointListUpdater endpointListUpdater;
     private final GracefulShutdown shutdown;
     private final AttemptCoordinator attempts;
-    private final Runnable watch;
+    private final Runnable pollDiscovery;
 
     /**
-     * Creates a relay without statements of an operator and without limits; classes are named by their numbers.
+     * Creates a relay without stated capacities and without installation limits. The name of each request class is its
+     * position.
      *
-     * @param clock microseconds that never go back
-     * @param watch polls discovery for changes; answered by {@link #onEndpointList} or {@link #onEndpointListFailed}
+     * @param clock a monotonic clock in microseconds
+     * @param pollDiscovery polls discovery; the result is reported through {@link #onEndpointList} or
+     *     {@link #onEndpointListFailed}
      */
-    public Relay(BalancerSettings settings, long seed, LongSupplier clock, Runnable watch) {
-        this(EffectiveSettings.numbered(settings), StatedCapacities.NONE, InstallationLimits.NONE, seed, clock, watch);
+    public Relay(BalancerSettings settings, long seed, LongSupplier clock, Runnable pollDiscovery) {
+        this(
+                EffectiveSettings.numbered(settings),
+                StatedCapacities.NONE,
+                InstallationLimits.NONE,
+                seed,
+                clock,
+                pollDiscovery);
     }
 
     /**
-     * Creates a relay that knows no feed servers yet.
+     * Creates a relay whose endpoint list is empty.
      *
-     * @param statedCapacities what an operator knows of the feed servers
-     * @param limits what the installation allows
+     * @param statedCapacities the operator's statements about the feed servers' capacity
+     * @param limits limits of the installation
+     * @param seed of the random numbers in load balancing and graceful shutdown
+     * @param clock a monotonic clock in microseconds
+     * @param pollDiscovery as in {@link #Relay(BalancerSettings, long, LongSupplier, Runnable)}
      */
     public Relay(
             EffectiveSettings effectiveSettings,
@@ -69,9 +80,9 @@
             InstallationLimits limits,
             long seed,
             LongSupplier clock,
-            Runnable watch) {
+            Runnable pollDiscovery) {
         this.clock = clock;
-        this.watch = watch;
+        this.pollDiscovery = pollDiscovery;
         settings = new ActiveSettings(effectiveSettings);
         metrics.classesOffered(effectiveSettings.offeredClasses());
         LoadBalancer loadBalancer =
@@ -84,9 +95,7 @@
                 clock, deadlines, settings, balancer, metrics, requests, endpointListUpdater, shutdown);
     }
 
-    // ---- the turn ---------------------------------------------------------------------------------
-
-    /** One turn of the event loop. */
+    /** Runs one turn of the event loop. */
     public void runTurn() {
         long now = clock.getAsLong();
         deadlines.runExpired(now);
@@ -94,12 +103,12 @@
         shutdown.runTurn(now);
     }
 
-    /** When the next turn is due if nothing happens before; in the past where it is due now. */
+    /** When the next turn is due if no event arrives before; {@link Long#MIN_VALUE} if events are queued already. */
     public long nextTurnMicros() {
         return balancer.hasEvents() ? Long.MIN_VALUE : deadlines.nextMicros();
     }
 
-    /** Passes each action of the load balancer to the part that carries it out. */
+    /** Dispatches each action of the load balancer to the object that executes it. */
     private final class ActionHandler implements BalancerAction.Handler<RuntimeException> {
         @Override
         public void startAttempt(StartAttempt action) {
@@ -133,13 +142,14 @@
 
         @Override
         public void watchEndpointList(WatchEndpointList action) {
-            watch.run();
+            pollDiscovery.run();
         }
     }
 
-    // ---- what fronts report -----------------------------------------------------------------------
-
-    /** Accepts a request: from now on exactly one final answer is owed for it. */
+    /**
+     * Accepts a request. From now on the relay is responsible for it: a request that is not served gets exactly one
+     * final answer.
+     */
     public void accept(ClientSession client, ClientRequest request) {
         client.receive(request);
         if (shutdown.isComplete()) {
@@ -154,19 +164,17 @@
         }
     }
 
-    /** The client's side has ended, or it withdrew its request. */
+    /** Called when the client has disconnected or withdrawn its request. */
     public void onClientDisconnected(ClientSession client) {
         requests.disconnected(client);
     }
 
-    /** A front has answered this request by itself: the relay has not accepted it, or it was malformed. */
+    /** Counts a rejection that a front sent by itself, for a request that it did not pass to {@link #accept}. */
     public void recordRejection(ClientRequest request, Rejection rejection) {
         metrics.requestRejected(settings.className(request), rejection.kind());
     }
 
-    // ---- configuration, endpoints and tenants -----------------------------------------------------
-
-    /** Other settings count from now on, swapped in complete in one turn. Requests in flight keep their class. */
+    /** Replaces all settings in one turn. Requests in flight keep their class. */
     public void applySettings(EffectiveSettings next) {
         settings.replace(next);
         metrics.classesOffered(next.offeredClasses());
@@ -174,27 +182,27 @@
         balancer.enqueue(new SettingsChanged(settings.balancerSettings()));
     }
 
-    /** A new configuration was rejected. */
+    /** Counts a reloaded configuration that was rejected; the settings in force stay. */
     public void onSettingsRejected() {
         metrics.configRejected();
     }
 
-    /** So many processes serve as this relay together now. */
+    /** Called when the number of processes that serve as this relay, this one included, has changed. */
     public void onProcessCount(int count) {
         balancer.enqueue(new ProcessCountChanged(count));
     }
 
-    /** An update of the endpoint list, in the order in which discovery sent it. */
+    /** Called with each update of the endpoint list, in the order in which discovery sent them. */
     public void onEndpointList(EndpointRegistry.Update update) {
         endpointListUpdater.apply(update);
     }
 
-    /** The poll or the watch has failed; the load balancer decides when to poll again. */
+    /** Called when a poll or watch of discovery has failed; the load balancer decides when to poll again. */
     public void onEndpointListFailed(String reason) {
         endpointListUpdater.failed(reason);
     }
 
-    /** The tenants as their directory has them now. */
+    /** Called with the complete list of tenants in the directory. */
     public void onTenants(List<TenantRegistry.Entry> listed) {
         if (tenants.replace(listed)) {
             LOG.info("tenants changed count=" + listed.size());
@@ -202,37 +210,33 @@
         }
     }
 
-    // ---- graceful shutdown ------------------------------------------------------------------------
-
     /**
-     * Migrates all clients and answers all requests; then calls back, once. Requests that come after that are rejected
-     * at once.
+     * Migrates all clients and answers all requests, then calls back, once. Requests that arrive later are rejected
+     * immediately.
      *
-     * @param unheardPeers how many peers have been accepted whose request has not come yet: they are waited for, as no
-     *     other process can read what they send
+     * @param pendingPeers the number of accepted peers whose request has not arrived yet; the drain waits for them,
+     *     because no other process can read their sockets
      */
-    public void drain(IntSupplier unheardPeers, Runnable whenDrained) {
-        shutdown.begin(unheardPeers, whenDrained);
+    public void drain(IntSupplier pendingPeers, Runnable whenDrained) {
+        shutdown.begin(pendingPeers, whenDrained);
     }
 
-    /** Whether this relay is being taken out of service. */
+    /** Whether {@link #drain} has been called; stays true once the drain is complete. */
     public boolean isDraining() {
         return shutdown.hasBegun();
     }
 
-    // ---- what other packages read -----------------------------------------------------------------
-
-    /** The deadlines that each turn runs. */
+    /** The scheduler whose expired tasks each turn runs. */
     public DeadlineScheduler deadlines() {
         return deadlines;
     }
 
-    /** The settings that apply to the requests that come now. */
+    /** The settings for newly arriving requests. */
     public EffectiveSettings effectiveSettings() {
         return settings.effectiveSettings();
     }
 
-    /** What this process has counted and has in flight now, a line each. */
+    /** The counters and gauges of this process, one {@code name=value} line each. */
     public List<String> metricLines() {
         long ejected = endpoints.endpoints().stream()
                 .filter(endpoint -> balancer.isEjected(endpoint.entry().serverId()))
@@ -240,27 +244,27 @@
         return metrics.lines(requests.clients().size(), endpoints.endpoints().size(), (int) ejected);
     }
 
-    /** The feed servers as discovery listed them. */
+    /** The current endpoint list. */
     public EndpointRegistry endpoints() {
         return endpoints;
     }
 
-    /** The tenants by name. */
+    /** The tenants, those that are no longer listed included. */
     public TenantRegistry tenants() {
         return tenants;
     }
 
-    /** The clients whose requests are queued, being attempted or established. */
+    /** A live view of the clients whose requests are queued, being attempted or established, in order of arrival. */
     public Collection<ClientSession> clients() {
         return requests.clients();
     }
 
-    /** How many requests were rejected for each reason. */
+    /** A live view of the number of requests rejected by the load balancer, by reason. */
     public Map<RejectionReason, Long> rejectionCounts() {
         return metrics.rejectionCounts();
     }
 
-    /** How many attempts and connections have ended in each way. */
+    /** A live view of the number of ended attempts and connections, by outcome. */
     public Map<ConnectionOutcome, Long> outcomeCounts() {
         return metrics.outcomeCounts();
     }
--- a/src/main/java/sandstack/core/RelayMetrics.java
+++ b/src/main/java/sandstack/core/RelayMetrics.java
@@ -9,13 +9,13 @@
 import sandstack.capacity.RejectionReason;
 
 /**
- * All counters of the process, from 0. Owned by the {@link Relay} and incremented on the event loop's thread, where a
- * thing happens; O(1) each. Classes are counted by name, so that one that is removed keeps its counts.
+ * The process's counters, which start at 0. Owned by the {@link Relay} and used on the event loop's thread only; each
+ * increment takes O(1). Classes are counted by name, so that a class that a reload removes keeps its counts.
  */
 public final class RelayMetrics {
     private static final String PREFIX = "edge_proxy.";
 
-    /** The counters of one class. */
+    /** The counters of one request class. */
     private static final class ClassCounters {
         long established;
         long rejected;
@@ -33,17 +33,17 @@
         return countersByClass.computeIfAbsent(className, name -> new ClassCounters());
     }
 
-    /** From now on these classes are shown, if only with zeros. */
+    /** Includes these classes in {@link #lines} from now on, even while all their counters are 0. */
     void classesOffered(Iterable<String> classNames) {
         classNames.forEach(this::counters);
     }
 
-    /** A connection of this class was established. */
+    /** Counts an established connection. */
     void connectionEstablished(String className) {
         counters(className).established++;
     }
 
-    /** A request of this class got this final answer. */
+    /** Counts a final answer to a request that was not served. */
     void requestRejected(String className, Rejection.Kind kind) {
         if (kind == Rejection.Kind.REJECTED) {
             counters(className).rejected++;
@@ -52,47 +52,47 @@
         }
     }
 
-    /** A request of this class was written completely to a feed server. */
+    /** Counts a request that was written completely to a feed server; a retried request counts each time. */
     void requestWritten(String className) {
         counters(className).requestsWritten++;
     }
 
-    /** The load balancer rejected a request. */
+    /** Counts a rejection by the load balancer. */
     void rejectedByBalancer(RejectionReason reason) {
         rejectionCounts.merge(reason, 1L, Long::sum);
     }
 
-    /** An attempt or an established connection ended. */
+    /** Counts the end of an attempt or of an established connection. */
     void attemptEnded(ConnectionOutcome outcome) {
         outcomeCounts.merge(outcome, 1L, Long::sum);
     }
 
-    /** A configuration was applied at a reload. */
+    /** Counts a reloaded configuration that was applied. */
     void configApplied() {
         configsApplied++;
     }
 
-    /** A configuration was rejected at a reload. */
+    /** Counts a reloaded configuration that was rejected. */
     void configRejected() {
         configsRejected++;
     }
 
-    /** A view of how many requests were rejected for each reason. */
+    /** A live view of the number of requests rejected by the load balancer, by reason. */
     Map<RejectionReason, Long> rejectionCounts() {
         return Collections.unmodifiableMap(rejectionCounts);
     }
 
-    /** A view of how many attempts and connections ended in each way. */
+    /** A live view of the number of ended attempts and connections, by outcome. */
     Map<ConnectionOutcome, Long> outcomeCounts() {
         return Collections.unmodifiableMap(outcomeCounts);
     }
 
     /**
-     * All metrics, a line each.
+     * Returns all metrics as {@code name=value} lines: the counters of each class, then those of the process.
      *
-     * @param active requests and connections in flight
-     * @param poolSize feed servers in the list
-     * @param ejected those of them that are ejected now
+     * @param active number of requests and connections in flight
+     * @param poolSize number of listed feed servers
+     * @param ejected number of listed feed servers that are ejected
      */
     List<String> lines(int active, int poolSize, int ejected) {
         List<String> lines = new ArrayList<>();
--- a/src/main/java/sandstack/core/RequestRegistry.java
+++ b/src/main/java/sandstack/core/RequestRegistry.java
@@ -9,13 +9,14 @@
 import sandstack.decisions.BalancerEvent.ConnectRequested;
 
 /**
- * The requests in flight and their final answers: each accepted request that is not served gets exactly one. Used on
- * the event loop's thread only.
+ * The requests in flight. Gives each accepted request that is not served exactly one final answer. Used on the event
+ * loop's thread only.
  */
 final class RequestRegistry {
     /**
-     * The client's timeout runs from when it sent its line, and an answer counts only if it has arrived: the relay
-     * stops waiting this much earlier, or an eighth of the timeout where that is less.
+     * Upper bound of the margin between the relay's deadline and the client's. The client's timeout starts when it
+     * sends its request, and the answer has to arrive within it, so the relay's deadline is earlier by this margin, or
+     * by an eighth of the timeout if that is less.
      */
     private static final long MAX_ANSWER_MARGIN_MICROS = 60_000;
 
@@ -44,17 +45,17 @@
         this.metrics = metrics;
     }
 
-    /** The client of this request; null where the request has ended. */
+    /** The client of a request; null if the request has ended. */
     ClientSession get(String requestId) {
         return clients.get(requestId);
     }
 
-    /** All clients with a request in flight, in order of arrival; a view. */
+    /** A live view of the clients with a request in flight, in order of arrival. */
     Collection<ClientSession> clients() {
         return clients.values();
     }
 
-    /** Gives the client's request an id of the relay's own: a client's id may be in use on another connection. */
+    /** Assigns an id that is unique in this process; a client's own id may be in use on another connection too. */
     void register(ClientSession client) {
         long timeoutMicros = client.request().timeoutMicros();
         client.register(
@@ -68,7 +69,7 @@
         return Math.min(MAX_ANSWER_MARGIN_MICROS, timeoutMicros / ANSWER_MARGIN_DIVISOR);
     }
 
-    /** Asks the load balancer for a feed server. */
+    /** Passes the request to the load balancer, and schedules {@link #failIfOverdue} in case no answer is given. */
     void submit(ClientSession client) {
         long marginMicros = answerMarginMicros(client.request().timeoutMicros());
         client.setAnswerTimer(
@@ -90,7 +91,10 @@
                 request.reconnecting());
     }
 
-    /** The load balancer answers each request by its deadline; a client is not to depend on that. */
+    /**
+     * Fails a request that is still waiting after its deadline. The load balancer should have answered it by then; this
+     * ensures an answer even if it has not.
+     */
     private void failIfOverdue(ClientSession client) {
         if (client.isFinished() || client.isEstablished()) {
             return;
@@ -100,21 +104,22 @@
     }
 
     /**
-     * Answers a request as failed without a decision of the load balancer, which is notified that its client has left.
+     * Answers a request as failed without the load balancer's decision, and reports the client to the load balancer as
+     * disconnected, so that it drops the request.
      */
     void failWithoutBalancer(ClientSession client) {
         balancer.enqueue(new ClientDisconnected(client.id()));
         answer(client, Rejection.FAILED);
     }
 
-    /** Answers a request that has no id and is not in flight. */
+    /** Answers a request that was never registered. */
     void rejectUnregistered(ClientSession client, Rejection rejection) {
         client.finish();
         metrics.requestRejected(settings.className(client.request()), rejection.kind());
         client.sendRejection(rejection);
     }
 
-    /** Gives the final answer; without effect where the request has ended. */
+    /** Sends the final answer; no effect if the request has ended. */
     void answer(String requestId, Rejection rejection) {
         ClientSession client = clients.get(requestId);
         if (client != null) {
@@ -136,7 +141,7 @@
         client.sendRejection(rejection);
     }
 
-    /** The client's side has ended; without effect where nothing is in flight for it. */
+    /** Called when the client has disconnected; no effect if it has no request in flight. */
     void disconnected(ClientSession client) {
         if (client.isFinished() || !client.isRegistered()) {
             return;
@@ -149,7 +154,7 @@
         client.cancelAttempt();
     }
 
-    /** The request has ended: nothing more is owed for it. */
+    /** Removes a request that has ended; nothing more is sent for it. */
     void finish(ClientSession client) {
         clients.remove(client.id());
         client.finish();
--- a/src/main/java/sandstack/core/TenantRegistry.java
+++ b/src/main/java/sandstack/core/TenantRegistry.java
@@ -5,23 +5,23 @@
 import sandstack.decisions.Tenant;
 
 /**
- * The tenants by name. A tenant keeps its position for the life of the process, as the load balancer keeps its state by
- * position. Used on the event loop's thread only.
+ * The tenants by name and position. A tenant keeps its position until the process ends, because the load balancer's
+ * per-tenant state is indexed by it. Used on the event loop's thread only.
  */
 public final class TenantRegistry {
     /**
-     * One tenant as its directory lists it.
+     * One tenant as listed in the directory.
      *
-     * @param serviceShare its quota of the service
-     * @param connectionQuota open connections within its quota, over all relays
+     * @param serviceShare the tenant's quota as a share of the service; 0 if not stated
+     * @param connectionQuota the tenant's quota of open connections over all relays; 0 if not stated
      */
     public record Entry(String name, double serviceShare, double connectionQuota) {}
 
     private final List<Entry> entries = new ArrayList<>();
 
     /**
-     * Replaces the list. A tenant that is no longer listed keeps its position with a quota of 0, which the load
-     * balancer takes for none stated. Returns whether anything changed.
+     * Replaces the list and returns whether anything changed. A tenant that is no longer listed keeps its position with
+     * quotas of 0, which the load balancer treats as not stated.
      */
     boolean replace(List<Entry> listedEntries) {
         List<Entry> before = List.copyOf(entries);
@@ -37,7 +37,7 @@
         return !before.equals(entries);
     }
 
-    /** The tenant's position; -1 for one that is not known. */
+    /** The tenant's position; -1 if it has never been listed. */
     public int indexOf(String name) {
         for (int i = 0; i < entries.size(); i++) {
             if (entries.get(i).name().equals(name)) {
@@ -47,7 +47,7 @@
         return -1;
     }
 
-    /** A copy of all tenants, by position; one that is no longer listed has a quota of 0. */
+    /** An immutable copy of all tenants by position; those that are no longer listed have quotas of 0. */
     public List<Entry> entries() {
         return List.copyOf(entries);
     }
--- a/src/main/java/sandstack/discovery/DiscoveryWatch.java
+++ b/src/main/java/sandstack/discovery/DiscoveryWatch.java
@@ -28,13 +28,13 @@
 import sandstack.staleness.EndpointListStaleness;
 
 /**
- * Watches discovery's endpoint list over HTTP. Each poll opens one watch; a watch that ends, fails or falls silent is
- * reported to the relay, whose load balancer decides when to poll again. Discovery may get another address meanwhile.
- * Used on the event loop's thread only.
+ * Watches discovery's endpoint list over HTTP. Each poll opens one watch: a request whose response streams updates. A
+ * watch that ends, fails or receives no data for too long is reported to the relay, whose load balancer decides when to
+ * poll again. {@link #switchTo} changes discovery's address at any time. Used on the event loop's thread only.
  */
 public final class DiscoveryWatch {
     private static final Logger LOG = Logger.getLogger("sandstack.discovery");
-    /** The reason may quote what discovery sent. */
+    /** Limits the logged reason, which may quote data from discovery. */
     private static final int MAX_LOGGED_REASON_LENGTH = 80;
 
     private static final String SILENCE_REASON =
@@ -47,12 +47,14 @@
     private final EndpointListJson listFormat;
     private Address discovery;
     private Watch watch;
-    /** After a change of the address, the watch at the one before; null once the new one has sent its list. */
+    /**
+     * After a change of the address, the watch at the previous address; null once the new address has sent its list.
+     */
     private Watch previousWatch;
-    /** Whether the version of the list comes from this address: versions of two addresses are not comparable. */
+    /** Whether the list's version comes from the current address; versions of two addresses are not comparable. */
     private boolean versionKnownHere = true;
 
-    /** Creates a watch on this address, which is not connected to before {@link #poll}. */
+    /** Creates a watch that connects to this address at the first {@link #poll}. */
     public DiscoveryWatch(EventLoop loop, Relay relay, Address discovery, EndpointListJson listFormat) {
         this.loop = loop;
         this.relay = relay;
@@ -60,7 +62,7 @@
         this.listFormat = listFormat;
     }
 
-    /** Opens a watch on what changes from the current list on, unless one is open. */
+    /** Requests the changes since the current list, unless a watch is open already. */
     public void poll() {
         if (watch == null) {
             watch = new Watch();
@@ -69,8 +71,8 @@
     }
 
     /**
-     * Watches at another address from now on. The list stays as it is, and the watch before remains in use until the
-     * new one has sent the complete list.
+     * Watches at another address from now on; no effect if the address is the current one. The list stays as it is, and
+     * the previous watch remains in use until the new address has sent its list.
      */
     public void switchTo(Address address) {
         if (address.equals(discovery)) {
@@ -95,13 +97,13 @@
         }
     }
 
-    /** One HTTP request and the stream that answers it. */
+    /** One HTTP request and its streamed response. */
     private final class Watch extends BaseFilter implements EventLoop.DialListener {
         private final JsonObjectStream stream = new JsonObjectStream();
         private EventLoop.PendingConnect connecting;
         private Connection<?> connection;
         private DeadlineScheduler.Deadline silenceTimer;
-        /** Expires where a list that has begun is not completed; null where none has begun. */
+        /** Expires if an object of the stream is not completed in time; null while no object is incomplete. */
         private DeadlineScheduler.Deadline incompleteListTimer;
 
         private boolean closed;
@@ -130,7 +132,7 @@
                     .query("watch=1" + (fromVersion < 0 ? "" : "&from=" + fromVersion))
                     .header("Host", discovery.toString())
                     .build();
-            // the silence timer ends a watch whose request was not written
+            // if the write fails, the silence timer ends the watch
             Futures.ignore(opened.write(request));
         }
 
@@ -172,7 +174,10 @@
             return context.getInvokeAction();
         }
 
-        /** Passes on each complete object, however it was formatted and split; anything else ends the watch. */
+        /**
+         * Passes each complete object to the relay, independent of its formatting and of how it is split into chunks.
+         * Anything but an endpoint list ends the watch.
+         */
         private void handleBytes(byte[] received) {
             try {
                 for (JsonNode object : stream.feed(received)) {
@@ -197,8 +202,9 @@
         }
 
         /**
-         * An incomplete list is no sign of life, however often a piece of it comes: its updates are as late as in
-         * silence.
+         * Starts a timer when an object is incomplete and stops it when the object is complete. Without this timer, a
+         * list that is sent in small pieces would restart the silence timer again and again, although its updates
+         * arrive as late as on a silent watch.
          */
         private void updateIncompleteListTimer() {
             if (closed || stream.hasPartialObject() == (incompleteListTimer != null)) {
@@ -224,7 +230,7 @@
                 watch = null;
                 relay.onEndpointListFailed(reason);
             } else {
-                // the previous address closes its watches: the new one is being polled already
+                // the watch at the previous address has ended; the new address is polled already
                 previousWatch = null;
             }
         }
--- a/src/main/java/sandstack/discovery/JsonObjectStream.java
+++ b/src/main/java/sandstack/discovery/JsonObjectStream.java
@@ -12,11 +12,11 @@
 import java.util.List;
 
 /**
- * Splits a stream of bytes into JSON objects: one a line, several, or one over many lines. Bytes may come in pieces of
- * any size. Not thread-safe; time is linear in the bytes, memory is that of one object, whose length is limited.
+ * Splits a stream of bytes into JSON objects, independent of line breaks; bytes may arrive in pieces of any size. Takes
+ * time linear in the number of bytes, and memory for one object, whose length is limited. Not thread-safe.
  */
 public final class JsonObjectStream {
-    /** The complete list of a large site is far below this. */
+    /** Limit on the length of one object; the complete list of a large site is far shorter. */
     private static final int MAX_OBJECT_BYTES = 4 << 20;
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -27,26 +27,26 @@
     private int depth;
     private long objectBytes;
 
-    /** Creates a stream that has received nothing. */
+    /** Creates a stream without input. */
     public JsonObjectStream() {
         try {
             parser = new JsonFactory().createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new IllegalStateException("a parser without input cannot fail", e);
+            throw new IllegalStateException("creating a parser without input failed", e);
         }
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    /** Whether an object has begun and is not complete. */
+    /** Whether the latest object is incomplete. */
     public boolean hasPartialObject() {
         return depth > 0;
     }
 
     /**
-     * Parses the next bytes; returns the objects that they complete, in order.
+     * Parses the next bytes and returns the objects that they complete, in order.
      *
-     * @throws MalformedStreamException where something other than an object comes, or an object is too long
-     * @throws IOException where the bytes are not JSON
+     * @throws MalformedStreamException if the stream contains something other than objects, or an object is too long
+     * @throws IOException if the bytes are not JSON
      */
     public List<JsonNode> feed(byte[] bytes) throws IOException {
         List<JsonNode> objects = new ArrayList<>(1);
@@ -56,7 +56,7 @@
                 token != null && token != JsonToken.NOT_AVAILABLE;
                 token = parser.nextToken()) {
             if (depth == 0 && token != JsonToken.START_OBJECT) {
-                throw new MalformedStreamException("no object, but " + token);
+                throw new MalformedStreamException("expected a JSON object, found " + token);
             }
             object.copyCurrentEvent(parser);
             depth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
@@ -67,7 +67,7 @@
         }
         objectBytes = depth == 0 ? 0 : objectBytes;
         if (objectBytes > MAX_OBJECT_BYTES) {
-            throw new MalformedStreamException("an object without an end");
+            throw new MalformedStreamException("JSON object too long");
         }
         return objects;
     }
--- a/src/main/java/sandstack/discovery/MalformedStreamException.java
+++ b/src/main/java/sandstack/discovery/MalformedStreamException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The stream is JSON, but not a sequence of objects of a bounded length. */
+/** Thrown if a stream is JSON, but not a sequence of objects within the length limit. */
 public final class MalformedStreamException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/sandstack/discovery/package-info.java
+++ b/src/main/java/sandstack/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The watch on discovery over HTTP: one watch at a time, its stream split into objects, and its updates handed to the
- * relay. Runs on the event loop's thread; uses {@code net}, {@code config} and {@code core}.
+ * The discovery watch over HTTP: splits the streamed response into JSON objects and passes the endpoint list updates to
+ * the relay. Runs on the event loop's thread; uses {@code net}, {@code config} and {@code core}.
  */
 package sandstack.discovery;
--- a/src/main/java/sandstack/handover/DescriptorQuota.java
+++ b/src/main/java/sandstack/handover/DescriptorQuota.java
@@ -2,17 +2,18 @@
 
 import java.util.Collection;
 
-/** Divides the descriptors of a relay among its processes. Pure arithmetic. */
+/** Divides the descriptors of a relay among its sibling processes. Stateless. */
 public final class DescriptorQuota {
     private DescriptorQuota() {}
 
     /**
-     * How many descriptors this process may use: its own and one part of those that are free. Each process grows by no
-     * more than its part until it has seen the others again, so that together they never use more than there are.
+     * Returns how many descriptors this process may use: those in use, plus an equal share of the free ones. As each
+     * process grows by at most its share until it has read the others' numbers again, all together never exceed the
+     * total.
      *
-     * @param total of all processes together
-     * @param ownInUse used by this one
-     * @param othersInUse used by each of the others
+     * @param total number of descriptors for all processes together
+     * @param ownInUse number of descriptors that this process uses
+     * @param othersInUse number of descriptors that each other process uses
      */
     public static int of(int total, int ownInUse, Collection<Integer> othersInUse) {
         int totalInUse =
--- a/src/main/java/sandstack/handover/ProcessMarker.java
+++ b/src/main/java/sandstack/handover/ProcessMarker.java
@@ -6,17 +6,18 @@
 import java.util.zip.CRC32;
 
 /**
- * The state that one process publishes of itself, with content that may be empty.
+ * The state that a process publishes about itself in a file for its sibling processes.
  *
- * @param relayName name of the relay; the marker of another relay is ignored
- * @param token of the process, new with each start
- * @param writtenAtMicros when, in Unix microseconds
- * @param descriptorsInUse descriptors that the process uses for connections
+ * @param relayName name of the relay; processes of other relays ignore the file
+ * @param token identifies the process; random for each start
+ * @param writtenAtMicros when the file was written, in Unix microseconds
+ * @param descriptorsInUse number of descriptors that the process uses for connections
+ * @param content the endpoint list in a list file; empty in a marker file
  */
 record ProcessMarker(String relayName, String token, long writtenAtMicros, int descriptorsInUse, String content) {
-    /** Name and version of the file format; processes of other builds read it. */
+    /** Name and version of the file format, which processes of other builds read too. */
     private static final String FORMAT = "sandstack-kin 1";
-    /** Format, version, relay, token, time and descriptors. */
+    /** Format name, format version, relay name, token, time and descriptors. */
     private static final int HEADER_FIELDS = 6;
 
     private static final int RELAY_NAME_FIELD = 2;
@@ -24,14 +25,14 @@
     private static final int WRITTEN_AT_FIELD = 4;
     private static final int DESCRIPTORS_FIELD = 5;
 
-    /** The form of the file: a header line that ends with a checksum over everything, then the content. */
+    /** Returns the file's text: a header line that ends with a checksum over header and content, then the content. */
     String encode() {
         String header =
                 FORMAT + " " + encodeName(relayName) + " " + token + " " + writtenAtMicros + " " + descriptorsInUse;
         return header + " " + checksum(header, content) + "\n" + content;
     }
 
-    /** Reads a file; empty where it is incomplete, changed, or not of this relay. */
+    /** Parses a file's text; empty if it is incomplete, does not match its checksum, or is another relay's. */
     static Optional<ProcessMarker> decode(String file, String relayName) {
         int headerEnd = file.indexOf('\n');
         int checksumSeparator = headerEnd < 0 ? -1 : file.lastIndexOf(' ', headerEnd);
--- a/src/main/java/sandstack/handover/SiblingProcesses.java
+++ b/src/main/java/sandstack/handover/SiblingProcesses.java
@@ -19,17 +19,17 @@
 import java.util.logging.Logger;
 
 /**
- * The other processes of this relay, seen through the marker files that each keeps in a shared folder. Owns this
- * process's files there and a thread that writes them and reads the others', four times a second; a heartbeat costs one
- * small file written and one read for each process, and the endpoint list only where it has changed.
+ * Discovers the sibling processes (the other processes of this relay) through marker files in a shared folder. Owns
+ * this process's files there and a thread that writes them and reads those of the others four times per second. A
+ * heartbeat writes one small file and reads one per sibling process; the endpoint list is written only after a change.
  * {@link LocalProcess} is called on that thread.
  */
 public final class SiblingProcesses implements AutoCloseable {
-    /** How often a process writes its marker. */
+    /** Interval at which a process writes its marker and reads those of the others. */
     public static final long HEARTBEAT_INTERVAL_MICROS = 250_000;
-    /** A process whose marker is older than this counts as dead. */
+    /** A process whose marker is older than this no longer counts as running. */
     private static final long LIVENESS_TIMEOUT_MICROS = 2_000_000;
-    /** Older files are left over from processes that died: deleted by whichever process sees them. */
+    /** Files older than this are left over from killed processes; any process that finds one deletes it. */
     private static final long MAX_FILE_AGE_MICROS = 60_000_000;
 
     private static final long MICROS_PER_MILLI = 1000;
@@ -39,43 +39,44 @@
     private static final String MARKER_SUFFIX = ".kin";
     private static final String LIST_SUFFIX = ".list";
     private static final String TEMPORARY_SUFFIX = ".aside";
-    /** Bounds the work, whatever else is in the folder. */
+    /** Limit on the number of files examined per heartbeat, in case the folder contains many others. */
     private static final int MAX_FILES = 64;
 
     private static final long MAX_FILE_BYTES = 8L << 20;
     private static final Logger LOG = Logger.getLogger("sandstack.handover");
 
     /**
-     * The state of this process at one moment.
+     * A snapshot of this process's state.
      *
-     * @param listVersion how often the endpoint list has changed
-     * @param endpointList the list; null where its version has been written already
+     * @param descriptorsInUse number of descriptors used for connections
+     * @param listVersion number of changes of the endpoint list since the process started
+     * @param endpointList the list; null if this version has been written already
      */
     public record LocalState(int descriptorsInUse, long listVersion, String endpointList) {}
 
-    /** This process: asked for its state, and notified of the others'. */
+    /** Supplies this process's state and receives that of the others. */
     public interface LocalProcess {
         /**
-         * Returns this process's state; called on the thread of this class, and may wait.
+         * Returns this process's state. Called on the heartbeat thread; may block.
          *
-         * @param writtenListVersion the version of the list that was written last
-         * @return the state, with a null list where its version is still that
+         * @param writtenListVersion version of the endpoint list that was written last
+         * @return the state, with a null list if {@code writtenListVersion} is still the current version
          */
         LocalState state(long writtenListVersion) throws InterruptedException;
 
         /**
-         * Receives the state of the other processes; called on the thread of this class.
+         * Receives the state of the sibling processes after each heartbeat. Called on the heartbeat thread.
          *
-         * @param descriptorsInUse descriptors that each of the others uses
+         * @param descriptorsInUse number of descriptors that each sibling process uses
          */
         void onSiblings(List<Integer> descriptorsInUse);
     }
 
     /**
-     * The other processes as a new one finds them.
+     * The sibling processes that a new process finds.
      *
-     * @param count how many there are
-     * @param endpointList of the one that wrote its marker last; null where there is no other or it has none
+     * @param count number of sibling processes
+     * @param endpointList list of the sibling with the latest marker; null if there is none or it has written no list
      */
     public record Siblings(int count, String endpointList) {}
 
@@ -83,7 +84,7 @@
     private final String relayName;
     private final String token = Long.toHexString(ThreadLocalRandom.current().nextLong());
     private final LongSupplier clock;
-    /** Files that could not be decoded; each is logged once. */
+    /** Names of the files that could not be decoded, so that each is logged once. */
     private final Set<String> loggedFiles = new HashSet<>();
 
     private Thread thread;
@@ -92,11 +93,11 @@
     private volatile boolean closed;
 
     /**
-     * Creates an object that writes and reads nothing yet.
+     * Creates an object that does not access the folder before {@link #find} or {@link #start}.
      *
-     * @param folder shared by the processes of the relay
-     * @param relayName its name
-     * @param clock Unix microseconds
+     * @param folder the folder that the relay's processes share
+     * @param relayName name of the relay, the same in all its processes
+     * @param clock Unix time in microseconds
      */
     public SiblingProcesses(Path folder, String relayName, LongSupplier clock) {
         this.folder = folder;
@@ -104,9 +105,7 @@
         this.clock = clock;
     }
 
-    // ---- reading ----------------------------------------------------------------------------------
-
-    /** Looks once for other processes of this relay. */
+    /** Reads the folder once and returns the sibling processes that are running. */
     public Siblings find() {
         List<ProcessMarker> markers = siblingMarkers();
         String endpointList = markers.stream()
@@ -127,7 +126,7 @@
         }
     }
 
-    /** The markers of the other processes that are alive now. */
+    /** Reads the markers of the running sibling processes, and deletes files that are too old. */
     List<ProcessMarker> siblingMarkers() {
         List<ProcessMarker> markers = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FILE_PREFIX + "*")) {
@@ -141,7 +140,7 @@
                 if (ageMicros > MAX_FILE_AGE_MICROS) {
                     Files.deleteIfExists(file);
                 } else if (isSiblingMarker(file)) {
-                    read(file).filter(this::isAlive).ifPresent(markers::add);
+                    read(file).filter(this::isRunning).ifPresent(markers::add);
                 }
             }
         } catch (IOException e) {
@@ -154,7 +153,7 @@
         return file.getFileName().toString().endsWith(MARKER_SUFFIX) && !file.equals(file(token, MARKER_SUFFIX));
     }
 
-    private boolean isAlive(ProcessMarker marker) {
+    private boolean isRunning(ProcessMarker marker) {
         return clock.getAsLong() - marker.writtenAtMicros() < LIVENESS_TIMEOUT_MICROS;
     }
 
@@ -169,14 +168,12 @@
             }
             return marker;
         } catch (NoSuchFileException | MalformedInputException e) {
-            // replaced or deleted meanwhile, or no text at all
+            // the file was replaced or deleted meanwhile, or is not text
             return Optional.empty();
         }
     }
 
-    // ---- heartbeats -------------------------------------------------------------------------------
-
-    /** Starts to publish this process and to report the others; the first marker is written at once. */
+    /** Writes the first marker, and starts the heartbeat thread. */
     public void start(LocalProcess localProcess) {
         write(MARKER_SUFFIX, 0, "");
         thread = new Thread(() -> runHeartbeats(localProcess), "sibling-processes");
@@ -199,11 +196,11 @@
                 Thread.sleep(HEARTBEAT_INTERVAL_MICROS / MICROS_PER_MILLI);
             }
         } catch (InterruptedException e) {
-            // closed
+            // close() has been called
         }
     }
 
-    /** Replaces the file atomically: a reader sees the one before or this one, never an incomplete one. */
+    /** Replaces a file atomically: a reader gets the previous version or this one, never an incomplete file. */
     private void write(String suffix, int descriptorsInUse, String content) {
         ProcessMarker marker = new ProcessMarker(relayName, token, clock.getAsLong(), descriptorsInUse, content);
         Path temporary = file(token, TEMPORARY_SUFFIX);
@@ -220,7 +217,7 @@
         return folder.resolve(FILE_PREFIX + processToken + suffix);
     }
 
-    /** Logged once until a write succeeds again: the relay serves without the folder. */
+    /** Logs the first failure since the last successful write; the relay serves without the folder. */
     private void logFailureOnce(String operation, IOException cause) {
         if (!failureLogged) {
             LOG.warning("process marker folder failed operation=" + operation + " cause=\"" + cause + "\"");
@@ -228,7 +225,7 @@
         failureLogged = true;
     }
 
-    /** Deletes this process's files; the others no longer count it. */
+    /** Stops the heartbeats and deletes this process's files, so that the others no longer count it. */
     @Override
     public void close() {
         closed = true;
@@ -244,7 +241,7 @@
             try {
                 Files.deleteIfExists(file(token, suffix));
             } catch (IOException e) {
-                // another process deletes it once it is old
+                // a sibling process deletes the file once it is old enough
             }
         }
     }
--- a/src/main/java/sandstack/handover/package-info.java
+++ b/src/main/java/sandstack/handover/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The processes of one relay while one takes over from another: that they are alive, the descriptors that they use and
- * the endpoint list that they have. Owns the files about it in the temporary folder and one thread; uses the JDK only.
- * What follows from the descriptors in use is pure arithmetic ({@link sandstack.handover.DescriptorQuota}).
+ * The handover from one process of a relay to another: sibling processes publish their heartbeats, descriptors in use
+ * and endpoint lists as files in the temporary folder. Owns those files and one thread; uses the JDK only.
+ * {@link sandstack.handover.DescriptorQuota} computes each process's share of the descriptors.
  */
 package sandstack.handover;
--- a/src/main/java/sandstack/net/ConnectionAdmission.java
+++ b/src/main/java/sandstack/net/ConnectionAdmission.java
@@ -9,43 +9,48 @@
 
 /**
  * Admission control by file descriptors. An accepted peer is pending until it has sent a valid request; then it is
- * admitted, with one more descriptor for its connection to a feed server. A peer that has been answered lingers until
- * it closes. When descriptors run short, lingering peers are closed first, then the pending peers that have been silent
- * longest, so that idle connections cannot keep clients with requests out. Used on the loop's thread only.
+ * admitted and takes a second descriptor, for its connection to a feed server. A peer that has got its final answer
+ * lingers until it closes the connection. When descriptors run short, the oldest lingering peers are closed first, then
+ * the oldest pending peers, so that idle connections cannot keep out clients that send requests. Used on the event
+ * loop's thread only.
  */
 public final class ConnectionAdmission {
     /** The rejection of a client for which no descriptor is left, or whose request did not arrive in time. */
     public static final Rejection NO_CAPACITY = new Rejection(Rejection.Kind.REJECTED, 1000);
-    /** How long a request may take to arrive; the platform expects an error or a close within 3 s. */
+    /** How long a request may take to arrive; the platform requires an error or a close within 3 s. */
     private static final long REQUEST_TIMEOUT_MICROS = 2_500_000;
-    /** How long an answered peer may keep its end open. */
+    /** How long an answered peer may keep its connection open. */
     private static final long LINGER_MICROS = 2_000_000;
-    /** The same for a peer that never sent a request. */
+    /** How long a peer that sent no request in time may keep its connection open after the answer. */
     private static final long LINGER_WITHOUT_REQUEST_MICROS = 400_000;
-    /** Descriptors that admitted clients leave free, so that further clients can be rejected with an answer. */
+    /** Descriptors that admitted peers never use, so that further clients can be accepted and get a rejection. */
     private static final int MIN_PENDING_PEERS = 8;
 
-    /** One to the client and one to its feed server. */
+    /** One for the client's socket and one for the feed server's. */
     private static final int DESCRIPTORS_PER_ADMITTED = 2;
 
-    /** A front's session of one accepted peer; called on the loop's thread. */
+    /** A front's session with one accepted peer; called on the event loop's thread. */
     public interface AcceptedPeer {
-        /** No descriptor is left for it: answers with a rejection where the protocol has one, and closes at once. */
+        /**
+         * Called when no descriptor is left for this peer. Sends a rejection if the protocol has one, and closes
+         * immediately.
+         */
         void reject();
 
         /**
-         * Its request did not arrive in time. A session that answers should then call {@link #closeAfterLinger}: a
-         * close over unread input resets the connection, and the answer is lost.
+         * Called when the request did not arrive in time. A session that sends an answer should then call
+         * {@link #closeAfterLinger}: closing a socket that has unread input resets the connection, and the answer may
+         * be lost.
          */
         default void onRequestTimeout() {
             reject();
         }
 
-        /** Its socket has been closed by either side. */
+        /** Called once when the relay closes the socket, for any reason. */
         default void onClosed() {}
     }
 
-    /** A peer's session and the timeout that ends its present state. */
+    /** A peer's session and the timeout of its current state. */
     private record Entry(AcceptedPeer acceptedPeer, Deadline timeout) {}
 
     private final DeadlineScheduler deadlines;
@@ -57,9 +62,9 @@
     private boolean freeingDescriptors;
 
     /**
-     * Creates an admission without peers.
+     * Creates an admission control without peers.
      *
-     * @param descriptorLimit descriptors that sockets of clients and feed servers may take together
+     * @param descriptorLimit maximum number of descriptors for the sockets of clients and feed servers together
      */
     public ConnectionAdmission(EventLoop loop, DeadlineScheduler deadlines, int descriptorLimit) {
         this.loop = loop;
@@ -67,13 +72,13 @@
         this.descriptorLimit = descriptorLimit;
     }
 
-    /** Changes the limit; admitted peers stay. */
+    /** Changes the limit. If it is exceeded, lingering and pending peers are closed; admitted peers stay. */
     public void setDescriptorLimit(int newLimit) {
         descriptorLimit = newLimit;
         freeDescriptors();
     }
 
-    /** A peer has been accepted. It may be rejected before this returns. */
+    /** Called when a front has accepted a peer, which may be rejected before this returns. */
     public void onAccepted(Peer peer, AcceptedPeer acceptedPeer) {
         peer.setAdmission(this);
         pending.put(
@@ -85,7 +90,7 @@
     }
 
     private void onRequestTimeout(Peer peer) {
-        // its request may have arrived during a stall of the relay
+        // the request may have arrived while the relay was stalled
         peer.readAvailable();
         Entry entry = pending.get(peer);
         if (entry != null) {
@@ -100,12 +105,14 @@
         lingering.put(peer, new Entry(acceptedPeer, deadlines.schedule(loop.nowMicros() + lingerMicros, peer::close)));
     }
 
-    /** Ends the wait for requests: every pending peer times out now. */
+    /** Treats every pending peer as one whose request did not arrive in time. */
     public void stopWaitingForRequests() {
         List.copyOf(pending.keySet()).forEach(this::onRequestTimeout);
     }
 
-    /** The peer has sent a valid request; false if no descriptors are left for it and its feed server. */
+    /**
+     * Called when a peer has sent a valid request; false if no descriptor is left for its connection to a feed server.
+     */
     public boolean admit(Peer peer) {
         if (admitted.size() >= (descriptorLimit - MIN_PENDING_PEERS) / DESCRIPTORS_PER_ADMITTED) {
             return false;
@@ -117,7 +124,10 @@
         return true;
     }
 
-    /** The peer has been answered; it is closed when its end closes, or after the linger time. */
+    /**
+     * Called when the peer has got its final answer. Its socket is closed after the linger time unless the peer closes
+     * the connection before.
+     */
     public void closeAfterLinger(Peer peer) {
         if (peer.isClosed() || lingering.containsKey(peer)) {
             return;
@@ -126,7 +136,7 @@
         linger(peer, remove(peer), LINGER_MICROS);
     }
 
-    /** Called by each socket once, when it is closed. */
+    /** Called by each socket once, when it is closed locally. */
     void onClosed(Peer peer) {
         AcceptedPeer acceptedPeer = remove(peer);
         if (acceptedPeer != null) {
@@ -134,7 +144,7 @@
         }
     }
 
-    /** Removes the peer from the state it is in; null for one that was not accepted by a front. */
+    /** Removes the peer and returns its session; null if no front has registered the peer. */
     private AcceptedPeer remove(Peer peer) {
         Entry entry = pending.containsKey(peer) ? pending.remove(peer) : lingering.remove(peer);
         if (entry == null) {
@@ -144,12 +154,12 @@
         return entry.acceptedPeer;
     }
 
-    /** Peers that have been accepted and have not sent a request. */
+    /** The number of pending peers: accepted, without a valid request yet. */
     public int peersWithoutRequest() {
         return pending.size();
     }
 
-    /** Descriptors that sockets of clients and feed servers use now. */
+    /** The number of descriptors counted for clients and feed servers; each admitted peer counts as two. */
     public int descriptorsInUse() {
         return pending.size() + lingering.size() + DESCRIPTORS_PER_ADMITTED * admitted.size();
     }
@@ -164,7 +174,7 @@
         }
         while (descriptorsInUse() > descriptorLimit && !pending.isEmpty()) {
             Peer peer = oldest(pending);
-            // in a burst of connections the oldest may be a client whose request has not been read yet
+            // in a burst of connections the oldest peer's request may have arrived without having been read yet
             peer.readAvailable();
             Entry entry = pending.get(peer);
             if (entry != null) {
--- a/src/main/java/sandstack/net/DescriptorBudget.java
+++ b/src/main/java/sandstack/net/DescriptorBudget.java
@@ -1,19 +1,21 @@
 package sandstack.net;
 
 /**
- * How many descriptors of clients and feed servers a process may hold: as many as it is allowed, and no more than its
- * heap supports. Without the second bound a relay with many descriptors runs out of memory instead of shedding load.
+ * Computes how many descriptors for clients and feed servers a process may use: the allowed number, reduced to what its
+ * heap supports. Without that second bound a relay with many descriptors runs out of memory instead of rejecting
+ * clients.
  */
 public final class DescriptorBudget {
-    /** Heap of a relay without connections, with the headroom of the garbage collector. */
+    /** Heap used by a relay without connections, garbage collection headroom included. */
     static final long BASE_BYTES = 12L << 20;
     /**
-     * Heap of an established connection: 5,554 bytes by {@code measure scale} (relay.memory.heap), and a sixth more.
+     * Heap used by an established connection: the 5,554 bytes that {@code measure scale} reports as relay.memory.heap,
+     * plus a margin of one sixth.
      */
     static final long CONNECTION_BYTES = 6_500;
-    /** An established connection has one socket to its client and one to its feed server. */
+    /** An established connection has one socket for its client and one for its feed server. */
     static final int DESCRIPTORS_PER_CONNECTION = 2;
-    /** Lower bound, for heaps smaller than any that was measured. */
+    /** Lower bound for heaps smaller than any that {@code measure scale} covers. */
     static final int MIN_DESCRIPTORS = 16;
 
     private DescriptorBudget() {}
@@ -21,9 +23,9 @@
     /**
      * Computes the budget.
      *
-     * @param allowed descriptors that the process may use for connections
-     * @param heapBytes the maximum size of its heap
-     * @return descriptors, at most {@code allowed}
+     * @param allowed number of descriptors that the process may use for connections
+     * @param heapBytes maximum size of the process's heap
+     * @return number of descriptors, at most {@code allowed}
      */
     public static int of(int allowed, long heapBytes) {
         long connections = Math.max(0, heapBytes - BASE_BYTES) / CONNECTION_BYTES;
--- a/src/main/java/sandstack/net/EventLoop.java
+++ b/src/main/java/sandstack/net/EventLoop.java
@@ -18,38 +18,39 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * The relay's single thread: Grizzly's selector, with one turn of the relay before each select. All state of the relay
- * belongs to this thread; only {@link #execute} and {@link #nowMicros} may be called from others.
+ * The relay's single thread: Grizzly's selector thread, which runs one turn of the relay before each select. All state
+ * of the relay is confined to this thread; only {@link #execute} and {@link #nowMicros} may be called from other
+ * threads.
  */
 public final class EventLoop implements Executor {
     private static final int ACCEPT_BACKLOG = 1024;
     private static final int DISCARD_BUFFER_BYTES = 64 * 1024;
 
-    /** Notified of the result of {@link #connect}, on the loop's thread. */
+    /** Receives the result of {@link #connect}, on the loop's thread. */
     public interface ConnectListener {
-        /** The connection is made. */
+        /** Called when the connection is open; the listener sets the peer's own listener. */
         void connected(Peer peer);
 
-        /** The connection could not be made. */
+        /** Called when the connection could not be opened. */
         void failed();
     }
 
-    /** Notified of the result of {@link #dial}, on the loop's thread. */
+    /** Receives the result of {@link #dial}, on the loop's thread. */
     public interface DialListener {
-        /** The connection is made. */
+        /** Called when the connection is open. */
         void connected(Connection<?> connection);
 
-        /** The connection could not be made. */
+        /** Called when the connection could not be opened. */
         void failed();
     }
 
-    /** A connection that is being made. */
+    /** A connection attempt in progress. */
     public interface PendingConnect {
-        /** Cancels it: its listener is not notified, and a connection that is made all the same is closed. */
+        /** Cancels the attempt: its listener is not called, and a connection that opens nevertheless is closed. */
         void cancel();
     }
 
-    /** Supplies the channel through which a socket is written. */
+    /** Creates the channel through which a socket is written; tests substitute one that accepts fewer bytes. */
     interface OutputChannelFactory {
         WritableByteChannel wrap(SocketChannel socket);
     }
@@ -62,15 +63,16 @@
     private final long startNanos = System.nanoTime();
     private final FilterChain outboundChain;
 
-    /** Creates a loop whose thread has not started; see {@link #start}. */
+    /** Creates a loop whose thread is not started; see {@link #start}. */
     public EventLoop() {
         this(socket -> socket);
     }
 
     /**
-     * Creates a loop whose writes a test can shorten.
+     * Creates a loop with short writes, for tests.
      *
-     * @param outputChannels sockets are written through these channels, which may accept less than the sockets would
+     * @param outputChannels creates the channels through which sockets are written; they may accept fewer bytes than
+     *     the sockets would
      */
     EventLoop(OutputChannelFactory outputChannels) {
         this.outputChannels = outputChannels;
@@ -91,7 +93,7 @@
         transport.setProcessor(outboundChain);
     }
 
-    /** Microseconds, close to Unix time and monotonic. */
+    /** A monotonic clock in microseconds that was equal to Unix time when this object was created. */
     public long nowMicros() {
         return wallStartMicros + (System.nanoTime() - startNanos) / 1000;
     }
@@ -100,25 +102,26 @@
      * Starts the thread.
      *
      * @param turn runs before each select
-     * @param nextTurnMicros when the turn is due again, on the clock of {@link #nowMicros}; the least value for at once
+     * @param nextTurnMicros when the next turn is due, on the clock of {@link #nowMicros}; {@link Long#MIN_VALUE} for
+     *     immediately
      */
     public void start(Runnable turn, LongSupplier nextTurnMicros) throws IOException {
         selectorHandler.setTurn(turn, nextTurnMicros);
         transport.start();
     }
 
-    /** Closes all sockets and ends the thread. */
+    /** Closes all sockets and stops the thread. */
     public void stop() throws IOException {
         transport.shutdownNow();
     }
 
-    /** Runs this task on the loop's thread, before its next turn. May be called on any thread. */
+    /** Queues a task that runs on the loop's thread before its next turn. May be called on any thread. */
     @Override
     public void execute(Runnable task) {
         selectorHandler.execute(task);
     }
 
-    /** A chain of the transport filter and, above it, the filter of one protocol front. */
+    /** Creates a filter chain of the transport filter and, above it, a front's protocol filter. */
     public FilterChain chain(BaseFilter front) {
         return FilterChainBuilder.stateless()
                 .add(new PeerTransportFilter(this))
@@ -126,22 +129,25 @@
                 .build();
     }
 
-    /** Listens at this address. */
+    /** Binds a socket to this address and accepts peers there; port 0 lets the operating system choose a port. */
     public ListeningSocket listen(String host, int port, FilterChain chain) throws IOException {
         return new ListeningSocket(bindingHandler(chain).bind(new InetSocketAddress(host, port)));
     }
 
-    /** Accepts at the listening socket that this process has inherited as descriptor 0. */
+    /** Accepts peers at the listening socket that this process has inherited as descriptor 0. */
     public ListeningSocket listenOnInheritedSocket(FilterChain chain) throws IOException {
         return new ListeningSocket(bindingHandler(chain).bindToInherited());
     }
 
     private TCPNIOBindingHandler bindingHandler(FilterChain chain) {
-        // a chain that is set after the bind misses clients which connect in between
+        // a chain that is set after the bind would miss clients that connect in between
         return TCPNIOBindingHandler.builder(transport).processor(chain).build();
     }
 
-    /** Connects from the loop's thread; the callback runs on it too, perhaps before this returns. */
+    /**
+     * Opens a connection whose input and output go through a {@link Peer}. Called on the loop's thread; the listener is
+     * called on it too, possibly before this method returns.
+     */
     public PendingConnect connect(String host, int port, ConnectListener listener) {
         return dial(host, port, outboundChain, new DialListener() {
             @Override
@@ -156,24 +162,27 @@
         });
     }
 
-    /** Connects as {@link #connect} does, with a filter chain that has its own transport filter. */
+    /**
+     * Like {@link #connect}, but for a Grizzly connection without a {@link Peer}; the chain has its own transport
+     * filter.
+     */
     public PendingConnect dial(String host, int port, FilterChain chain, DialListener listener) {
         OutboundConnector connector = new OutboundConnector(transport, chain, listener);
         connector.connect(new InetSocketAddress(host, port), null, connector.completionHandler());
         return connector;
     }
 
-    /** The channel through which this socket is written. */
+    /** Returns the channel through which this socket is written. */
     WritableByteChannel outputChannel(SocketChannel socket) {
         return outputChannels.wrap(socket);
     }
 
-    /** An empty buffer, shared by all sockets, for input that nobody reads. */
+    /** Returns an empty buffer, shared by all sockets, into which discarded input is read. */
     ByteBuffer discardBuffer() {
         return discardBuffer.clear();
     }
 
-    /** The socket of the connection that a front's filter is called for. */
+    /** Returns the peer for whose connection a front's filter is called. */
     public static Peer peer(FilterChainContext context) {
         return Peer.of(context.getConnection());
     }
--- a/src/main/java/sandstack/net/OutboundConnector.java
+++ b/src/main/java/sandstack/net/OutboundConnector.java
@@ -7,7 +7,10 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
 
-/** One connection that is being made, and the listener that is notified of its end unless it is cancelled. */
+/**
+ * One outbound connection attempt. Calls its listener once with the result, unless it is cancelled before. Used on the
+ * event loop's thread only.
+ */
 @SuppressWarnings("rawtypes") // Grizzly declares the overridden methods with the raw type
 final class OutboundConnector extends TCPNIOConnectorHandler implements EventLoop.PendingConnect {
     private final EmptyCompletionHandler<Connection> completionHandler;
--- a/src/main/java/sandstack/net/Peer.java
+++ b/src/main/java/sandstack/net/Peer.java
@@ -13,30 +13,30 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * One non-blocking socket with a buffer for each direction. Input is reported to the {@link Listener}; output is
- * written at once or as soon as the socket accepts it. A full input buffer stops the reading. Used on the loop's thread
- * only.
+ * A non-blocking socket to a client or feed server, with a buffer for each direction. Input is reported to the
+ * {@link Listener}; output is written immediately or as soon as the socket accepts it. While the input buffer is full,
+ * nothing is read. Used on the event loop's thread only.
  */
 public final class Peer {
-    /** Bytes that one direction buffers before reading stops. */
+    /** Capacity of the buffer of each direction; reading stops while the input buffer is full. */
     public static final int BUFFER_LIMIT_BYTES = 16 * 1024;
 
     private static final Logger LOG = Logger.getLogger("sandstack.net");
     private static final Attribute<Peer> PEER_OF_CONNECTION =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(Peer.class.getName());
 
-    /** Receives the events of a socket, on the loop's thread. */
+    /** Receives the events of a socket, on the event loop's thread. */
     public interface Listener {
-        /** {@link Peer#input} has grown by this many bytes. */
+        /** Called when {@code count} bytes have been appended to {@link Peer#input}. */
         void onBytesReceived(int count);
 
-        /** All buffered output has been written. */
+        /** Called after each flush that leaves no buffered output. */
         void onFlushed();
 
-        /** The peer has shut down its output; what it sent before is in {@link Peer#input}. */
+        /** Called when the peer has shut down its output; unconsumed bytes are still in {@link Peer#input}. */
         void onEndOfInput();
 
-        /** The connection failed; the socket is closed. */
+        /** Called when the connection has failed; the socket is closed already. */
         void onConnectionLost();
     }
 
@@ -69,7 +69,7 @@
         return PEER_OF_CONNECTION.get(connection);
     }
 
-    /** Replaces the listener. */
+    /** Sets the listener for all later events; has to be called before the first event. */
     public void setListener(Listener newListener) {
         listener = newListener;
     }
@@ -79,24 +79,26 @@
         admission = newAdmission;
     }
 
-    /** Drops buffered input, and from now on reads and drops what arrives. */
+    /** Drops buffered input, and from now on reads and drops all input that arrives. */
     public void discardInput() {
         discardingInput = true;
         input.skip(input.size());
         resumeReading();
     }
 
-    /** Bytes that were received from the peer and not consumed yet. */
+    /** The received bytes that have not been consumed. */
     public RingBuffer input() {
         return input;
     }
 
-    /** Writes from another socket's input buffer: what is received there is sent here, without a copy. */
+    /**
+     * Uses another socket's input buffer as output buffer, so that bytes received there are sent here without a copy.
+     */
     public void writeInputOf(Peer other) {
         output = other.input;
     }
 
-    /** Reads what is available; stops reading while the buffer is full. */
+    /** Reads the available input, up to the capacity of the buffer. */
     void onReadable() {
         if (closed || inputEnded) {
             return;
@@ -110,14 +112,14 @@
                 received += Math.max(0, count);
             }
             if (discardingInput) {
-                // one read a turn into one shared buffer, so that a flood costs neither memory nor other peers' turns
+                // one read per turn into a shared buffer, so that a flood takes neither memory nor other peers' time
                 count = channel.read(loop.discardBuffer());
             }
             inputEnded = count < 0;
         } catch (IOException e) {
             failed = true;
         }
-        // input first: an answer may have been received right before the reset
+        // input is reported before the failure: an answer may have been received right before the reset
         if (received > 0) {
             listener.onBytesReceived(received);
         }
@@ -125,38 +127,41 @@
             closeAfterError();
             return;
         }
-        // after the callback, which may have consumed a full buffer
+        // only after the callback, which may have consumed a full buffer
         updateReadInterest();
         if (inputEnded && !closed) {
             listener.onEndOfInput();
         }
     }
 
-    /** Reads what is available now, so that a decision about this peer does not rest on an old readiness. */
+    /**
+     * Reads the available input without waiting for the next select, so that a decision about this peer takes input
+     * into account that arrived after the last one.
+     */
     public void readAvailable() {
         runGuarded(this::onReadable);
     }
 
-    /** Writes buffered output, if any. */
+    /** Called when the socket accepts output again. */
     void onWritable() {
         if (!closed) {
             flush();
         }
     }
 
-    /** Buffers text of the relay's own and writes what the socket accepts. */
+    /** Appends a message of the relay in ISO 8859-1 to the output, and writes what the socket accepts. */
     public void send(String text) {
         output.append(text);
         flush();
     }
 
-    /** Buffers bytes of the relay's own and writes what the socket accepts. */
+    /** Appends a message of the relay to the output, and writes what the socket accepts. */
     public void send(byte[] bytes) {
         output.append(bytes, 0, bytes.length);
         flush();
     }
 
-    /** How many bytes are waiting to be written. */
+    /** The number of bytes waiting to be written. */
     public int pendingBytes() {
         return output.size();
     }
@@ -167,7 +172,7 @@
         updateReadInterest();
     }
 
-    /** Writes buffered output; notifies the listener once nothing is left. */
+    /** Writes what the socket accepts; calls {@link Listener#onFlushed} if no output is left. */
     public void flush() {
         if (closed || outputEnded || writeFailed) {
             return;
@@ -184,7 +189,7 @@
                 channel.shutdownOutput();
             }
         } catch (IOException e) {
-            // a peer that has closed may have answered before, and its answer is still unread
+            // the peer may have answered before it closed the connection, and that answer may be unread
             writeFailed = true;
             onReadable();
             closeAfterError();
@@ -193,7 +198,7 @@
         listener.onFlushed();
     }
 
-    /** Reads again, as far as the buffer has room. */
+    /** Reads again after {@link #pauseReading}, as long as the input buffer is not full. */
     public void resumeReading() {
         readingPaused = false;
         updateReadInterest();
@@ -216,7 +221,7 @@
         }
     }
 
-    /** Sends a FIN after all buffered output. */
+    /** Sends a FIN after all buffered output; further calls have no effect. */
     public void shutdownOutput() {
         if (!outputShutdownRequested) {
             outputShutdownRequested = true;
@@ -234,12 +239,12 @@
         return outputEnded;
     }
 
-    /** Whether this side has closed the socket. */
+    /** Whether the socket is closed locally. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** Closes the socket at once and drops unwritten output. No effect on a closed socket. */
+    /** Closes the socket immediately and drops unwritten output; no effect on a closed socket. */
     public void close() {
         if (!closed) {
             closed = true;
@@ -250,19 +255,19 @@
         }
     }
 
-    /** Closes the connection with a TCP reset. */
+    /** Closes the connection with an RST; no effect on a closed socket. */
     public void reset() {
         if (!closed) {
             try {
                 channel.setOption(StandardSocketOptions.SO_LINGER, 0);
             } catch (IOException e) {
-                // the socket is closed in any case
+                // without the option the close below still ends the connection
             }
             close();
         }
     }
 
-    /** Runs a callback of this connection. A fault in it resets this connection and leaves the others alone. */
+    /** Runs a callback of this connection. An uncaught exception resets this connection and affects no other. */
     void runGuarded(Runnable task) {
         try {
             task.run();
--- a/src/main/java/sandstack/net/PeerIoStrategy.java
+++ b/src/main/java/sandstack/net/PeerIoStrategy.java
@@ -9,7 +9,10 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
-/** Same-thread processing; write readiness goes to the {@link Peer}'s buffer instead of Grizzly's write queue. */
+/**
+ * Processes I/O events on the selector's thread. Write readiness flushes the {@link Peer}'s buffer, as output bypasses
+ * Grizzly's own write queue.
+ */
 @SuppressWarnings("rawtypes") // Grizzly declares the overridden methods with the raw type
 final class PeerIoStrategy implements IOStrategy {
     private final IOStrategy sameThread = SameThreadIOStrategy.getInstance();
--- a/src/main/java/sandstack/net/PeerTransportFilter.java
+++ b/src/main/java/sandstack/net/PeerTransportFilter.java
@@ -5,8 +5,8 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The lowest filter of a chain: moves bytes between sockets and the buffers of {@link Peer}. Grizzly's own transport
- * filter closes both directions at a half-close.
+ * The lowest filter of a chain: creates a {@link Peer} for each accepted connection and reads into its buffer. Replaces
+ * Grizzly's transport filter, which closes both directions when the peer closes one.
  */
 final class PeerTransportFilter extends BaseFilter {
     private final EventLoop loop;
--- a/src/main/java/sandstack/net/RingBuffer.java
+++ b/src/main/java/sandstack/net/RingBuffer.java
@@ -7,8 +7,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The bytes of one direction of a connection, first in, first out. Holds memory only while it holds bytes, and grows up
- * to its limit; a full buffer reads nothing more, which is the back-pressure. Not thread-safe.
+ * A FIFO buffer for the bytes of one direction of a connection. Allocates memory only while it contains bytes, and
+ * grows up to its limit; a full buffer accepts no reads, which creates back-pressure. Not thread-safe.
  */
 public final class RingBuffer {
     private static final int INITIAL_CAPACITY_BYTES = 512;
@@ -20,15 +20,17 @@
     private int size;
 
     /**
-     * Creates an empty buffer, which holds no memory yet.
+     * Creates an empty buffer; memory is allocated with the first bytes.
      *
-     * @param limit a power of two; {@link #append} alone may go beyond it
+     * @param limit maximum number of bytes, a power of two; only {@link #append} may exceed it
      */
     public RingBuffer(int limit) {
         this.limit = limit;
     }
 
-    /** Reads from the channel into the contiguous free space. Returns what the channel returned. */
+    /**
+     * Reads once from the channel into contiguous free space. Returns the channel's result, or 0 if the buffer is full.
+     */
     public int readFrom(ReadableByteChannel channel) throws IOException {
         if (remainingCapacity() == 0) {
             return 0;
@@ -44,7 +46,7 @@
         return count;
     }
 
-    /** Writes as much as the channel accepts. */
+    /** Writes and consumes as many bytes as the channel accepts. */
     public void writeTo(WritableByteChannel channel) throws IOException {
         while (size > 0) {
             int count = channel.write(ByteBuffer.wrap(bytes, head, Math.min(size, bytes.length - head)));
@@ -55,7 +57,7 @@
         }
     }
 
-    /** Adds these bytes regardless of the limit: for the relay's own messages, which are short. */
+    /** Appends bytes regardless of the limit; for messages of the relay, which are short. */
     public void append(byte[] more, int from, int count) {
         if (size + count > bytes.length) {
             grow(size + count);
@@ -66,7 +68,7 @@
         size += count;
     }
 
-    /** Adds this text in ISO 8859-1, regardless of the limit. */
+    /** Appends text in ISO 8859-1, regardless of the limit. */
     public void append(String text) {
         byte[] more = text.getBytes(StandardCharsets.ISO_8859_1);
         append(more, 0, more.length);
@@ -92,12 +94,12 @@
         }
     }
 
-    /** The byte at this position, from 0 to {@link #size} - 1. */
+    /** Returns the byte at an index from 0, the oldest byte, to {@link #size} - 1. */
     public byte byteAt(int index) {
         return bytes[(head + index) & (bytes.length - 1)];
     }
 
-    /** Position of the first such byte; -1 if there is none. */
+    /** Returns the index of the oldest byte equal to {@code wanted}; -1 if there is none. */
     public int indexOf(char wanted) {
         for (int i = 0; i < size; i++) {
             if (byteAt(i) == wanted) {
@@ -107,7 +109,7 @@
         return -1;
     }
 
-    /** The first bytes as ISO 8859-1 text; does not consume them. */
+    /** Returns the oldest {@code count} bytes as ISO 8859-1 text without consuming them. */
     public String peekText(int count) {
         StringBuilder text = new StringBuilder(count);
         for (int i = 0; i < count; i++) {
@@ -126,30 +128,30 @@
         return all;
     }
 
-    /** Drops the first bytes; {@code count} is at most {@link #size}. */
+    /** Consumes the oldest bytes; {@code count} is at most {@link #size}. */
     public void skip(int count) {
         head = (head + count) & Math.max(0, bytes.length - 1);
         size -= count;
         release();
     }
 
-    /** Drops the newest bytes. */
+    /** Removes the newest bytes; {@code count} is at most {@link #size}. */
     public void dropLast(int count) {
         size -= count;
         release();
     }
 
-    /** How many bytes it holds. */
+    /** The number of bytes in the buffer. */
     public int size() {
         return size;
     }
 
-    /** How many more bytes fit until the limit; never negative. */
+    /** The number of bytes that fit until the limit; never negative, although {@link #append} may exceed the limit. */
     public int remainingCapacity() {
         return Math.max(0, limit - size);
     }
 
-    /** Whether it holds nothing. */
+    /** Whether the buffer contains no bytes. */
     public boolean isEmpty() {
         return size == 0;
     }
--- a/src/main/java/sandstack/net/TurnSelectorHandler.java
+++ b/src/main/java/sandstack/net/TurnSelectorHandler.java
@@ -13,15 +13,16 @@
 import org.glassfish.grizzly.nio.SelectorRunner;
 
 /**
- * Runs queued tasks and one turn before each select, and selects no longer than until the next turn is due. After a
- * stall it selects once more before the turn. {@link #execute} may be called on any thread, the rest runs on the
- * selector's.
+ * Runs queued tasks and one turn before each select, and limits the select to the time until the next turn is due.
+ * After a stall it selects once more before the turn. {@link #execute} may be called on any thread; everything else
+ * runs on the selector's thread.
  */
 final class TurnSelectorHandler extends DefaultSelectorHandler implements Executor {
     private static final Logger LOG = Logger.getLogger("sandstack.net");
-    /** Readiness older than this is selected again before a turn acts on it. */
+    /** If the last select is longer ago than this, another one precedes the next turn. */
     private static final long MAX_READINESS_AGE_MICROS = 10_000;
 
+    /** Upper bound of one select, also while no turn is due. */
     private static final long MAX_SELECT_MILLIS = 1000;
 
     private final LongSupplier clockMicros;
@@ -34,26 +35,26 @@
     private LongSupplier nextTurnMicros;
 
     /**
-     * Creates a handler; {@link #setTurn} has to be called before the transport starts.
+     * Creates a handler; {@link #setTurn} must be called before the transport starts.
      *
-     * @param clockMicros the clock on which turns are due
+     * @param clockMicros the clock in microseconds by which turns are due
      */
     TurnSelectorHandler(LongSupplier clockMicros) {
         this.clockMicros = clockMicros;
     }
 
     /**
-     * Sets what runs before each select.
+     * Sets the turn that runs before each select.
      *
-     * @param newNextTurnMicros when the turn is due again; {@code Long.MIN_VALUE} for at once, {@code Long.MAX_VALUE}
-     *     for not by time
+     * @param newNextTurnMicros when the next turn is due; {@code Long.MIN_VALUE} for immediately,
+     *     {@code Long.MAX_VALUE} if no turn is scheduled
      */
     void setTurn(Runnable newTurn, LongSupplier newNextTurnMicros) {
         turn = newTurn;
         nextTurnMicros = newNextTurnMicros;
     }
 
-    /** Queues a task for the next turn and wakes the selector up where another thread calls. */
+    /** Queues a task that runs before the next turn; wakes up the selector if called on another thread. */
     @Override
     public void execute(Runnable task) {
         tasks.add(task);
@@ -70,8 +71,8 @@
         boolean proceed = super.preSelect(selectorRunner);
         try {
             runTasks();
-            // a turn after a stall would act on deadlines before the input that arrived meanwhile, and forward the
-            // request of a client that has disconnected
+            // right after a stall the turn would act on expired deadlines before the input that arrived meanwhile is
+            // read, and would forward requests of clients that have disconnected
             selectBeforeTurn =
                     !selectBeforeTurn && clockMicros.getAsLong() - lastSelectMicros > MAX_READINESS_AGE_MICROS;
             if (!selectBeforeTurn) {
--- a/src/main/java/sandstack/net/package-info.java
+++ b/src/main/java/sandstack/net/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Non-blocking sockets on one thread: the event loop, a socket with a buffer for each direction, and admission control
- * by file descriptors. Built on Grizzly; knows no protocol and takes no balancing decision. The fronts,
- * {@code discovery} and {@code standin} use it.
+ * by file descriptors. Built on Grizzly; independent of the protocols and of load balancing. Used by the fronts,
+ * {@code discovery}, {@code service} and the test servers.
  */
 package sandstack.net;
--- a/src/main/java/sandstack/service/ClientListener.java
+++ b/src/main/java/sandstack/service/ClientListener.java
@@ -12,15 +12,18 @@
 import sandstack.net.EventLoop;
 
 /**
- * Opens the listener for the platform's clients once the relay can serve them. Constructed and opened on the starting
- * thread; everything else runs on the event loop's thread.
+ * Opens the listener for the platform's clients as soon as the relay can serve them. The constructor,
+ * {@link #beginStart} and {@link #open} are called on the starting thread, everything else on the event loop's thread.
  */
 final class ClientListener {
-    /** A process that inherits its clients' socket waits so long for discovery before it serves by an older list. */
+    /**
+     * How long a process with an inherited socket waits for an update from discovery before it serves with an older
+     * list, that of its configuration.
+     */
     private static final long MAX_LIST_WAIT_MICROS = 1_000_000;
 
     private static final long POLL_INTERVAL_MICROS = 20_000;
-    /** What the platform's protocol is called in the log and at the console. */
+    /** Name of the platform's protocol in the log and at the console. */
     private static final String PROTOCOL = "lines";
 
     private static final Logger LOG = Logger.getLogger("sandstack.service");
@@ -41,12 +44,12 @@
         this.lifecycle = lifecycle;
     }
 
-    /** The waits for a list count from now on. */
+    /** Records the time from which all waits for an endpoint list are measured. */
     void beginStart() {
         startedAtMicros = loop.nowMicros();
     }
 
-    /** Why this process cannot serve now; null where it can. */
+    /** Why this process cannot serve clients; null if it can. */
     String notReadyReason() {
         if (relay.isDraining()) {
             return "draining";
@@ -58,9 +61,10 @@
     }
 
     /**
-     * Opens the listener, where the settings ask for it after the first list; returns its port.
+     * Opens the listener and returns its port; blocks before that until discovery has sent its first list or the
+     * timeout has expired.
      *
-     * @param firstListTimeoutMicros how long a first list from discovery is waited for, in microseconds; 0 not to wait
+     * @param firstListTimeoutMicros timeout in microseconds, read again at each check; 0 opens the listener immediately
      */
     int open(Address address, LongSupplier firstListTimeoutMicros) throws InvalidConfigurationException, IOException {
         if (firstListTimeoutMicros.getAsLong() > 0) {
@@ -83,18 +87,18 @@
     }
 
     /**
-     * Accepts at the inherited socket once this process can serve: a sibling process serves there meanwhile, and a
-     * client that was accepted too early would wait longer here.
+     * Starts to accept at the inherited socket as soon as this process can serve. Until then a sibling process accepts
+     * there, and a client that this process accepted too early would wait longer.
      */
     void acceptInheritedWhenReady(SiblingHandover handover) {
         long sinceStartMicros = loop.nowMicros() - startedAtMicros;
         boolean listed = relay.endpoints().hasDiscoveryList()
                 || handover.hasSiblingList()
                 || sinceStartMicros >= MAX_LIST_WAIT_MICROS;
-        // the process that serves has to see this one first, and give up its part of the descriptors
-        boolean unseen =
+        // the serving process has to read this one's marker first, and reduce its descriptor limit
+        boolean unknownToSibling =
                 handover.processCount() > 1 && sinceStartMicros < 2 * SiblingProcesses.HEARTBEAT_INTERVAL_MICROS;
-        if (!relay.endpoints().hasReadyServer() || !listed || unseen) {
+        if (!relay.endpoints().hasReadyServer() || !listed || unknownToSibling) {
             relay.deadlines()
                     .schedule(loop.nowMicros() + POLL_INTERVAL_MICROS, () -> acceptInheritedWhenReady(handover));
             return;
@@ -111,7 +115,7 @@
         }
     }
 
-    /** Leaves clients that wait at the inherited socket to the sibling processes. */
+    /** Stops accepting, so that sibling processes accept the clients that wait at the inherited socket. */
     void pauseAccepting() {
         if (!accepting) {
             return;
@@ -119,7 +123,7 @@
         try {
             front.pauseAccepting();
         } catch (IOException e) {
-            LOG.warning("accepting not paused cause=\"" + e.getMessage() + "\"");
+            LOG.warning("pause of accepting failed cause=\"" + e.getMessage() + "\"");
         }
     }
 }
--- a/src/main/java/sandstack/service/ConfigurationReloader.java
+++ b/src/main/java/sandstack/service/ConfigurationReloader.java
@@ -10,8 +10,8 @@
 import sandstack.net.EventLoop;
 
 /**
- * Reads the configuration again on SIGHUP, and applies the complete settings and the address of discovery in one turn
- * of the event loop. A configuration that cannot be used changes nothing. Safe for use from any thread.
+ * Reloads the configuration on SIGHUP, and applies all settings and discovery's address in one turn of the event loop.
+ * An invalid configuration changes nothing. Thread-safe.
  */
 final class ConfigurationReloader {
     private static final Logger LOG = Logger.getLogger("sandstack.service");
@@ -21,7 +21,7 @@
     private final EventLoop loop;
     private final Relay relay;
     private final DiscoveryWatch watch;
-    /** What the last reload led to; the relay has the same, on its own thread. */
+    /** The settings of the last successful reload, which the relay applies on the event loop's thread. */
     private volatile EffectiveSettings effectiveSettings;
 
     ConfigurationReloader(
@@ -38,12 +38,15 @@
         this.effectiveSettings = initialConfig.effectiveSettings();
     }
 
-    /** The settings of the start, or of the last reload that was applied. */
+    /** The settings from the start, or from the last successful reload. */
     EffectiveSettings effectiveSettings() {
         return effectiveSettings;
     }
 
-    /** One at a time, so that of several reloads the one that read last is also applied last. */
+    /**
+     * Reads and applies the configuration. Synchronized, so that concurrent reloads are applied in the order in which
+     * they read the file.
+     */
     synchronized void reload() {
         try {
             PlatformConfig next = initialConfig.reload(environment);
--- a/src/main/java/sandstack/service/Listeners.java
+++ b/src/main/java/sandstack/service/Listeners.java
@@ -8,11 +8,14 @@
 import sandstack.config.PlatformConfig.Address;
 import sandstack.net.EventLoop;
 
-/** The addresses at which this relay listens, with what each accepts. */
+/**
+ * Opens the relay's listeners, and records their addresses and protocols. Used on the starting thread, and for the
+ * inherited socket on the event loop's thread.
+ */
 final class Listeners {
-    /** Opens a front's listening socket. */
+    /** A front's method that opens its listening socket. */
     interface ListenCall {
-        /** Returns the port, which the system has chosen where 0 was given. */
+        /** Returns the bound port; if {@code port} is 0, the operating system chooses it. */
         int listen(String host, int port) throws IOException;
     }
 
@@ -30,17 +33,18 @@
     }
 
     /**
-     * Opens a listener; returns its port. Does not return where the process has been told to stop.
+     * Opens a listener and returns its port. Blocks until the process ends if it is stopping already.
      *
-     * @throws InvalidConfigurationException where the address cannot be listened at
+     * @throws InvalidConfigurationException if the address cannot be bound
      */
-    int open(String protocol, Address address, ListenCall front) throws InvalidConfigurationException, IOException {
+    int open(String protocol, Address address, ListenCall listenCall)
+            throws InvalidConfigurationException, IOException {
         if (!lifecycle.tryServe()) {
             ServiceLifecycle.awaitEndOfProcess();
         }
         int port;
         try {
-            port = front.listen(address.host(), address.port());
+            port = listenCall.listen(address.host(), address.port());
         } catch (IOException e) {
             if (lifecycle.abortStart()) {
                 loop.stop();
@@ -53,13 +57,13 @@
         return port;
     }
 
-    /** A listener has been opened at the inherited socket. */
+    /** Records that the inherited socket is served. */
     void inherited(String protocol, int port) {
         descriptions.add(protocol + " at the inherited socket, port " + port);
         LOG.info("listener opened relay=" + relayName + " protocol=" + protocol + " socket=inherited port=" + port);
     }
 
-    /** A line for each address. */
+    /** One line per listener for the console: protocol and address. */
     List<String> descriptions() {
         return descriptions;
     }
--- a/src/main/java/sandstack/service/LogSetup.java
+++ b/src/main/java/sandstack/service/LogSetup.java
@@ -11,19 +11,22 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Configures the log: one line an event on standard error, and a stack trace where there is one. */
+/** Configures logging to standard error: one line per event, followed by the stack trace if there is one. */
 final class LogSetup {
     private LogSetup() {}
 
-    /** The library's manager silences all loggers when the process is told to stop, before the relay has. */
+    /**
+     * Keeps the log handlers during the shutdown. The standard manager removes them in a shutdown hook of its own,
+     * while the relay still drains and logs.
+     */
     public static final class Manager extends LogManager {
         @Override
         public void reset() {
-            // the handlers stay until the process ends
+            // keeps the handlers until the process ends
         }
     }
 
-    /** Installs the format and the levels; to be called before the first logger is used. */
+    /** Installs the format and the levels; must be called before the first logger is used. */
     static void start() {
         System.setProperty("java.util.logging.manager", Manager.class.getName());
         for (Handler standardHandler : Logger.getLogger("").getHandlers()) {
--- a/src/main/java/sandstack/service/RelayService.java
+++ b/src/main/java/sandstack/service/RelayService.java
@@ -36,17 +36,19 @@
 import sun.misc.Signal;
 
 /**
- * One running relay: wires its parts together, starts them, and takes them down at the end. Constructed and started on
- * one thread; the parts run on the event loop's thread from then on.
+ * One relay process: creates the relay's parts, starts them and stops them. Constructed and started on one thread;
+ * after that the parts run on the event loop's thread.
  */
 public final class RelayService {
     private static final Logger LOG = Logger.getLogger("sandstack.service");
-    /** Descriptors that are not sockets of clients and servers: listeners, the selector, discovery, files. */
+    /**
+     * Descriptors reserved for other uses than client and feed server sockets: listeners, selector, discovery, files.
+     */
     private static final int OTHER_DESCRIPTORS = 48;
-    /** The last answers are on their way so long after the last client has left. */
+    /** How long the process waits for the last answers to be written after the drain. */
     private static final long FINAL_FLUSH_MICROS = 150_000;
 
-    /** The version of a list before any has been received. */
+    /** Version of the empty list before any update has been received. */
     private static final long NO_VERSION = -1;
 
     private static final String AMQP_FILE = "amqp.toml";
@@ -62,19 +64,19 @@
     private final Listeners listeners;
     private final ClientListener clientListener;
     private final ConfigurationReloader reloader;
-    /** Null where no other process may be this relay too. */
+    /** Null if the listening socket is not inherited, so that no sibling process can exist. */
     private final SiblingHandover handover;
 
-    /** The port at which clients of the platform are served; 0 before that, and at an inherited socket. */
+    /** Port of the listener for the platform's clients; 0 before it is open and with an inherited socket. */
     private int clientPort;
-    /** The port at which operators are served; 0 where there is none. */
+    /** Port of the operators' listener; 0 if there is none. */
     private int operatorPort;
 
     /**
-     * Creates a service that does not listen yet.
+     * Creates a service that is not started.
      *
-     * @param environment where the configuration was read from, and is read from again
-     * @param kinds has learned the machine kinds of the configuration
+     * @param environment the environment variables that name the configuration; read again at each reload
+     * @param kinds the machine kinds, which already include those of {@code config}
      */
     public RelayService(
             PlatformConfig config,
@@ -123,36 +125,34 @@
         return budget;
     }
 
-    /** The relay's name. */
+    /** The configured name of the relay. */
     public String name() {
         return config.name();
     }
 
-    /** Whether another process of this relay may serve beside it. */
+    /** Whether clients are accepted at an inherited socket, where a sibling process may accept too. */
     public boolean inheritsSocket() {
         return config.socketInherited();
     }
 
-    /** Name of the zone in which it runs. */
+    /** Name of the relay's home zone; its index as a decimal number if the zone has no name. */
     public String zone() {
         int home = reloader.effectiveSettings().settings().homeZone();
         return home < config.zones().size() ? config.zones().get(home) : String.valueOf(home);
     }
 
-    // ---- what the commands run --------------------------------------------------------------------
-
-    /** Serves until the process is told to stop. */
+    /** Serves until the process is stopped; does not return normally. */
     public void serve() throws InvalidConfigurationException, IOException {
         start();
-        // the loop's thread is a daemon of the library's: if this one ended, the process would begin to stop
+        // Grizzly's selector thread is a daemon thread: the process would exit if this thread ended
         ServiceLifecycle.awaitEndOfProcess();
     }
 
     /**
-     * Serves with a console at this terminal, until somebody quits or drains.
+     * Serves with a console on this terminal until an operator quits or drains the relay.
      *
-     * @param commands commands of optional parts
-     * @param commandsWithArgument the same for commands that take one argument
+     * @param commands additional console commands without argument, by name
+     * @param commandsWithArgument additional console commands with one argument, by name
      */
     public void console(
             Map<String, Supplier<List<String>>> commands,
@@ -171,8 +171,8 @@
     }
 
     /**
-     * Starts, sends itself one request of each kind, and ends: the build archives the classes that this has loaded.
-     * Whether the feed servers of the configuration can be reached does not matter.
+     * Starts, sends itself a client's request and an operator's command, reloads the configuration and exits. The build
+     * archives the classes that this loads. The configured feed servers need not be reachable.
      */
     public void rehearse() throws InvalidConfigurationException, IOException {
         start();
@@ -192,10 +192,8 @@
         }
     }
 
-    // ---- start ------------------------------------------------------------------------------------
-
     private void start() throws InvalidConfigurationException, IOException {
-        // the library's own handler of SIGHUP ends the process
+        // the JVM's default handler of SIGHUP ends the process
         Signal.handle(new Signal("HUP"), signal -> reloader.reload());
         lifecycle.onShutdown(this::stop);
         JsonNode amqp = files.enabled(AMQP_FILE);
@@ -206,12 +204,12 @@
                 ? null
                 : Address.parse(DeployFiles.text(amqp, "listen", AMQP_FILE), AMQP_FILE + ": listen");
         if (config.socketInherited() && !(System.inheritedChannel() instanceof ServerSocketChannel)) {
-            throw new InvalidConfigurationException("PROXY_SOCKET_FD is 0, but descriptor 0 is no listening socket");
+            throw new InvalidConfigurationException("PROXY_SOCKET_FD is 0, but descriptor 0 is not a listening socket");
         }
         startLoop();
         openOperatorListener();
         if (staleness().pushed()) {
-            // an agent that pushes does not do so unasked over a socket, and its list is binding all the same
+            // an agent that pushes sends its list over a socket only in response to a watch; that list is binding too
             loop.execute(this::pollDiscovery);
         }
         if (handover != null) {
@@ -228,7 +226,7 @@
         }
     }
 
-    /** Starts the event loop with the endpoint list of a sibling process, else the one of the configuration, if any. */
+    /** Starts the event loop with a sibling process's endpoint list if there is one, else with the configured list. */
     private void startLoop() throws IOException {
         clientListener.beginStart();
         relay.onEndpointList(initialEndpoints());
@@ -255,7 +253,7 @@
         }
     }
 
-    /** Changes where a reload comes during the start. */
+    /** The current setting, which a reload during the start may change. */
     private EndpointListStaleness staleness() {
         return reloader.effectiveSettings().settings().endpointListStaleness();
     }
@@ -264,9 +262,9 @@
         watch.poll();
     }
 
-    // ---- stop -------------------------------------------------------------------------------------
-
-    /** On SIGTERM: migrates the clients first. */
+    /**
+     * Called on SIGTERM: drains the relay, waits for the last answers to be written, and leaves the sibling processes.
+     */
     private void stop() {
         CountDownLatch drained = new CountDownLatch(1);
         loop.execute(() -> {
--- a/src/main/java/sandstack/service/RelayServiceLoader.java
+++ b/src/main/java/sandstack/service/RelayServiceLoader.java
@@ -8,7 +8,7 @@
 import sandstack.config.MachineKinds;
 import sandstack.config.PlatformConfig;
 
-/** Creates the relay service that the environment and the project's own deploy files describe. */
+/** Creates the relay service from the environment variables and the deploy files. */
 public final class RelayServiceLoader {
     private static final String DEPLOY_PROPERTY = "sandstack.deploy";
     private static final String DEFAULT_DEPLOY_DIRECTORY = "deploy";
@@ -16,35 +16,37 @@
 
     private RelayServiceLoader() {}
 
-    /** The project's own files. */
+    /** The deploy files, in the directory that the system property {@value #DEPLOY_PROPERTY} names. */
     public static DeployFiles deployFiles() {
         return new DeployFiles(Path.of(System.getProperty(DEPLOY_PROPERTY, DEFAULT_DEPLOY_DIRECTORY)));
     }
 
     /**
-     * Loads a relay that is no member of a fleet, as the fleet file has to say too.
+     * Loads a relay that is not a member of a fleet.
      *
-     * @param capacityFile what is known of the feed servers; null for the deploy directory's own file
+     * @param capacityFile file with the stated capacities; null for the file in the deploy directory
+     * @throws InvalidConfigurationException also if the fleet file enables the fleet
      */
     public static RelayService load(Path capacityFile) throws InvalidConfigurationException {
         LogSetup.start();
         if (isFleetEnabled()) {
             throw new InvalidConfigurationException(
-                    FLEET_FILE + ": enabled is true, but the command does not say --fleet; it takes both");
+                    FLEET_FILE + ": enabled is true, but --fleet is not given; a member needs both");
         }
         return create(capacityFile);
     }
 
     /**
-     * Loads a relay that becomes a member of the fleet, as the fleet file has to say too.
+     * Loads a relay that is going to be a member of the fleet.
      *
-     * @param capacityFile what is known of the feed servers; null for the deploy directory's own file
+     * @param capacityFile file with the stated capacities; null for the file in the deploy directory
+     * @throws InvalidConfigurationException also if the fleet file does not enable the fleet
      */
     public static RelayService loadFleetMember(Path capacityFile) throws InvalidConfigurationException {
         LogSetup.start();
         if (!isFleetEnabled()) {
             throw new InvalidConfigurationException(
-                    FLEET_FILE + ": enabled is false, but the command says --fleet; it takes both");
+                    FLEET_FILE + ": enabled is false, but --fleet is given; a member needs both");
         }
         return create(capacityFile);
     }
--- a/src/main/java/sandstack/service/ServiceLifecycle.java
+++ b/src/main/java/sandstack/service/ServiceLifecycle.java
@@ -4,25 +4,26 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * How far this process is, and its hook on SIGTERM. The process serves at most once, and never after it has been told
- * to stop. Safe for use from any thread.
+ * The phase of this process and its shutdown hook for SIGTERM. Phases only advance, so a process that is stopping never
+ * begins to serve. Thread-safe.
  */
 final class ServiceLifecycle {
-    /** How far the process is. */
+    /** The phases of the process, in order. */
     private enum Phase {
-        /** No listener has been opened: told to stop, the process just ends. */
+        /** No listener has been opened; SIGTERM ends the process without a drain. */
         STARTING,
-        /** A client may be connected, or may connect: told to stop, the process drains. */
+        /** A listener may be open and clients may be connected; SIGTERM starts the drain. */
         SERVING,
+        /** SIGTERM has arrived, or the start has failed. */
         STOPPING
     }
 
     private final AtomicReference<Phase> phase = new AtomicReference<>(Phase.STARTING);
 
     /**
-     * Registers what SIGTERM starts where the process serves by then. To be called before any listener is open: a
-     * client that connected between the two would be reset by SIGTERM. Does not return where the process is ending
-     * already.
+     * Registers the action that SIGTERM starts if the process is serving. Must be called before any listener is opened;
+     * otherwise SIGTERM would reset clients that connect before the registration. Blocks until the process ends if it
+     * is stopping already.
      */
     void onShutdown(Runnable gracefulShutdown) {
         Thread hook = new Thread(
@@ -35,22 +36,22 @@
         try {
             Runtime.getRuntime().addShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // SIGTERM has come already
+            // SIGTERM has arrived already
             awaitEndOfProcess();
         }
     }
 
-    /** Begins to serve; false where this process has been told to stop, and may open no listener any more. */
+    /** Begins to serve; false if the process is stopping and must not open a listener. */
     boolean tryServe() {
         return phase.compareAndSet(Phase.STARTING, Phase.SERVING) || phase.get() == Phase.SERVING;
     }
 
-    /** Gives the start up; returns whether the process had not been told to stop before. */
+    /** Aborts the start; returns whether the process was not stopping before. */
     boolean abortStart() {
         return phase.getAndSet(Phase.STOPPING) != Phase.STOPPING;
     }
 
-    /** Blocks the calling thread for good. */
+    /** Blocks the calling thread until the process ends or the thread is interrupted. */
     static void awaitEndOfProcess() {
         await(new CountDownLatch(1));
     }
--- a/src/main/java/sandstack/service/SiblingHandover.java
+++ b/src/main/java/sandstack/service/SiblingHandover.java
@@ -17,9 +17,9 @@
 import sandstack.net.EventLoop;
 
 /**
- * This process among the processes of the same relay, while one takes over from another: exchanges endpoint lists and
- * divides the descriptors. Joined on the starting thread before the event loop runs; its state is the loop's after
- * that.
+ * Coordinates this process with its sibling processes while one takes over from another: exchanges endpoint lists and
+ * divides the descriptors. {@link #join} is called on the starting thread before the event loop runs; after that the
+ * state is confined to the loop's thread.
  */
 final class SiblingHandover {
     private static final Logger LOG = Logger.getLogger("sandstack.service");
@@ -28,9 +28,12 @@
     private final Relay relay;
     private final ConnectionAdmission admission;
     private final EndpointListJson listFormat;
-    /** For connections, of all processes of this relay together. */
+    /** Number of descriptors for connections of all processes of this relay together. */
     private final int totalDescriptors;
-    /** What each further process needs besides its connections. */
+    /**
+     * Number of descriptors that each further process needs for other uses than connections; {@code totalDescriptors}
+     * is already reduced by those of one process.
+     */
     private final int reservedDescriptors;
 
     private final SiblingProcesses siblings;
@@ -58,7 +61,7 @@
                 loop::nowMicros);
     }
 
-    /** Counts the sibling processes; returns the endpoint list of one that serves, if there is any. */
+    /** Counts the sibling processes; returns the endpoint list that one of them has published, if there is any. */
     Optional<EndpointRegistry.Update> join() {
         SiblingProcesses.Siblings found = siblings.find();
         setProcessCount(found.count() + 1);
@@ -77,16 +80,16 @@
         }
     }
 
-    /** Starts to publish this process's state to the others. */
+    /** Starts to publish this process's state and to receive that of the siblings. */
     void start() {
-        siblings.start(new LocalProcess());
+        siblings.start(new LoopStateExchange());
     }
 
     void close() {
         siblings.close();
     }
 
-    /** Whether the endpoint list came from a sibling process at the start. */
+    /** Whether this process started with a sibling process's endpoint list. */
     boolean hasSiblingList() {
         return hasSiblingList;
     }
@@ -104,9 +107,10 @@
     }
 
     /**
-     * What the other processes are notified of, and what follows here from their state. Called on the siblings' thread.
+     * Supplies this process's state from the event loop's thread, and applies the siblings' state on it. Called on the
+     * heartbeat thread of {@link SiblingProcesses}.
      */
-    private final class LocalProcess implements SiblingProcesses.LocalProcess {
+    private final class LoopStateExchange implements SiblingProcesses.LocalProcess {
         @Override
         public SiblingProcesses.LocalState state(long writtenListVersion) throws InterruptedException {
             CompletableFuture<SiblingProcesses.LocalState> state = new CompletableFuture<>();
--- a/src/main/java/sandstack/service/package-info.java
+++ b/src/main/java/sandstack/service/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The relay as a process: wires the parts together, opens the listeners, reloads the configuration on SIGHUP, hands
- * over to a sibling process, and drains on SIGTERM. Owns the log's set-up. Uses all packages of the relay, and only the
- * commands use it.
+ * The relay as a process: creates its parts, opens the listeners, reloads the configuration on SIGHUP, hands over to a
+ * sibling process and drains on SIGTERM. Configures logging. Uses all packages of the relay; used only by the commands.
  */
 package sandstack.service;
--- a/src/test/java/sandstack/FleetSwitchTest.java
+++ b/src/test/java/sandstack/FleetSwitchTest.java
@@ -72,15 +72,15 @@
                 Files.readString(Path.of("deploy/fleet.toml")).replace("enabled = false", "enabled = true"));
         assertThat(ended(run()))
                 .isEqualTo(new Ended(
-                        2, "serve: fleet.toml: enabled is true, but the command does not say --fleet; it takes both"));
+                        2, "serve: fleet.toml: enabled is true, but --fleet is not given; a member needs both"));
     }
 
     @Test
     void theOptionAloneEndsWithTwo() throws Exception {
         Files.copy(Path.of("deploy/fleet.toml"), folder.resolve("fleet.toml"));
         assertThat(ended(run("--fleet")))
-                .isEqualTo(new Ended(
-                        2, "serve: fleet.toml: enabled is false, but the command says --fleet; it takes both"));
+                .isEqualTo(
+                        new Ended(2, "serve: fleet.toml: enabled is false, but --fleet is given; a member needs both"));
     }
 
     @Test
--- a/src/test/java/sandstack/cli/SandstackCommandTest.java
+++ b/src/test/java/sandstack/cli/SandstackCommandTest.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 
-/** The command line: wrong usage, help and version. */
+/** The command line's reports of invalid usage, help and version. */
 class SandstackCommandTest {
-    private final StringWriter said = new StringWriter();
+    private final StringWriter output = new StringWriter();
 
     private int run(String... args) {
         CommandLine line = SandstackCommand.commandLine();
-        line.setOut(new PrintWriter(said)).setErr(new PrintWriter(said));
+        line.setOut(new PrintWriter(output)).setErr(new PrintWriter(output));
         return line.execute(args);
     }
 
@@ -33,20 +33,20 @@
             })
     void wrongUsageIsOneLineAndExitCode2(String words) {
         assertThat(run(words.isEmpty() ? new String[0] : words.split(" "))).isEqualTo(2);
-        assertThat(said.toString().trim().lines()).hasSize(1);
-        assertThat(said.toString()).contains("sandstack").contains("try --help");
+        assertThat(output.toString().trim().lines()).hasSize(1);
+        assertThat(output.toString()).contains("sandstack").contains("try --help");
     }
 
     @Test
     void helpNamesEveryCommand() {
         assertThat(run("--help")).isZero();
-        assertThat(said.toString()).contains("serve", "console", "simhost", "measure");
+        assertThat(output.toString()).contains("serve", "console", "simhost", "measure");
         assertThat(run("measure", "--help")).isZero();
     }
 
     @Test
     void versionIsPrinted() {
         assertThat(run("--version")).isZero();
-        assertThat(said.toString()).startsWith("sandstack ");
+        assertThat(output.toString()).startsWith("sandstack ");
     }
 }
--- a/src/test/java/sandstack/core/ConnectionAttemptTest.java
+++ b/src/test/java/sandstack/core/ConnectionAttemptTest.java
@@ -16,7 +16,7 @@
 import sandstack.decisions.RequestClass;
 import sandstack.settings.BalancerSettingsBuilder;
 
-/** Connection attempts on a clock that the test advances. */
+/** Connection attempts, their retries and the graceful shutdown, on a clock that the test advances. */
 class ConnectionAttemptTest {
     private long now = 1_000_000;
     private final List<Rejection> rejections = new ArrayList<>();
@@ -34,9 +34,9 @@
                 .build();
     }
 
-    /** A client whose connections only count what is done to them. */
+    /** A client whose upstream connections only count how they are ended. */
     private final class CountingSession extends ClientSession {
-        /** Whether it turns out to have left once the relay checks. */
+        /** Whether the relay's next check finds that the client has disconnected. */
         private boolean hasDisconnected;
 
         @Override
@@ -47,8 +47,8 @@
         }
 
         @Override
-        protected ConnectionAttempt.Upstream startAttempt(ConnectionAttempt execution) {
-            startedAttempts.add(execution);
+        protected ConnectionAttempt.Upstream startAttempt(ConnectionAttempt attempt) {
+            startedAttempts.add(attempt);
             return new ConnectionAttempt.Upstream() {
                 @Override
                 public void abandon() {
@@ -63,8 +63,8 @@
         }
 
         @Override
-        protected void sendRejection(Rejection nack) {
-            rejections.add(nack);
+        protected void sendRejection(Rejection rejection) {
+            rejections.add(rejection);
         }
     }
 
@@ -85,7 +85,9 @@
         return startedAttempts.get(0);
     }
 
-    /** Suspended past the timeout, the relay cancelled connections that had long been opened. */
+    /**
+     * Without the recheck, a relay that was suspended past the timeout cancels connections that opened in the meantime.
+     */
     @Test
     void aSuspendedRelayPollsOnceMoreBeforeAConnectCountsAsFailed() {
         ConnectionAttempt attempt = startAttempt();
@@ -110,7 +112,7 @@
         assertThat(relay.outcomeCounts()).containsEntry(ConnectionOutcome.NOT_CONNECTED, 1L);
     }
 
-    /** Its feed server began to drain during the connect: the first line would have been sent to it all the same. */
+    /** Without the check, the request is sent to a feed server that began to drain during the connect. */
     @Test
     void aConnectionToADrainingServerIsCancelledUnsent() {
         ConnectionAttempt attempt = startAttempt();
@@ -125,7 +127,7 @@
         assertThat(relay.outcomeCounts()).containsOnlyKeys(ConnectionOutcome.NOT_SENT);
     }
 
-    /** The full list that came after a gap has no entry for it any more. */
+    /** The server was removed while the watch was interrupted, so the next full list has no entry for it. */
     @Test
     void aConnectionToAServerThatAFullListOmitsIsCancelledUnsent() {
         ConnectionAttempt attempt = startAttempt();
@@ -139,7 +141,7 @@
         assertThat(relay.outcomeCounts()).containsOnlyKeys(ConnectionOutcome.NOT_SENT);
     }
 
-    /** It counted as possibly executed, and a request that is not idempotent was not retried elsewhere. */
+    /** Counted as possibly executed, a request that is not idempotent would not be retried at another server. */
     @Test
     void anAttemptThatTimesOutBeforeItsRequestIsWrittenWasNotExecuted() {
         ConnectionAttempt attempt = startAttempt();
@@ -171,14 +173,19 @@
         assertThat(startedAttempts.get(1).client().request().clientKey()).isEqualTo("stays");
     }
 
-    /** The one trial of an ejected server went to a client that had left: it stayed ejected for good. */
+    /**
+     * An ejected server gets one trial request. If the trial of a client that disconnects in the same turn did not end,
+     * the server would stay ejected forever.
+     */
     @Test
     void aTrialWhoseClientLeftInTheSameTurnHasEnded() {
         startAttempt().onEnded(ConnectionOutcome.RESET);
         for (int i = 0; i < 300; i++) {
             now += 10_000;
             relay.runTurn();
-            startedAttempts.stream().filter(e -> !e.hasEnded()).forEach(e -> e.onEnded(ConnectionOutcome.RESET));
+            startedAttempts.stream()
+                    .filter(attempt -> !attempt.hasEnded())
+                    .forEach(attempt -> attempt.onEnded(ConnectionOutcome.RESET));
         }
         assertThat(relay.clients()).isEmpty();
         now += 10_000_000;
@@ -191,9 +198,9 @@
         assertThat(startedAttempts).hasSize(before + 1);
     }
 
-    /** Migrated at once, clients of relays that are restarted in turn reach the one that is next, or none. */
+    /** A client that migrates early may connect to the relay that is restarted next, or find none. */
     @Test
-    void aDrainingRelayMigratesItsClientsShortlyBeforeItIsKilled() {
+    void aDrainingRelayMigratesItsClientsAtTheEndOfTheDrain() {
         startAttempt().onEstablished();
         for (int i = 0; i < 19; i++) {
             relay.accept(new CountingSession(), new ClientRequest("k" + i, 0, 0, null, 1_000_000, 0, false, null));
@@ -213,8 +220,9 @@
     }
 
     /**
-     * The platform kills by the settings that it had when it sent SIGTERM. A reload that came after changed the end:
-     * with a longer deadline the relay waited for its clients beyond that, with a shorter one it failed them early.
+     * The platform kills the process according to the settings in force at SIGTERM. If a later reload changed the end
+     * of the drain, the relay would wait beyond the kill with a longer deadline, and fail its clients early with a
+     * shorter one.
      */
     @ParameterizedTest
     @ValueSource(longs = {300_000, 2_000_000, 30_000_000})
@@ -230,14 +238,14 @@
         now += 2_050_000;
         relay.runTurn();
         assertThat(migratedCount).isEqualTo(2);
-        assertThat(drained[0]).as("before the end").isFalse();
+        assertThat(drained[0]).as("drain complete before its fixed end").isFalse();
         now += 60_000;
         relay.runTurn();
-        assertThat(drained[0]).as("at the end").isTrue();
+        assertThat(drained[0]).as("drain complete at its fixed end").isTrue();
     }
 
     @Test
-    void aServerThatSendsAClientAwayCountsAsDrainingUntilDiscoveryListsItOrTimePasses() {
+    void aServerThatMigratesAClientCountsAsDrainingUntilDiscoveryListsItOrTimePasses() {
         startAttempt().onEstablished();
         startedAttempts.get(0).onEnded(ConnectionOutcome.SERVER_DRAINING);
         assertThat(relay.endpoints().get("s1").entry().state()).isEqualTo(EndpointState.DRAINING);
@@ -246,7 +254,7 @@
         assertThat(relay.endpoints().get("s1").entry().state()).isEqualTo(EndpointState.READY);
     }
 
-    /** The first end counts: a front that reports a second one changes nothing. */
+    /** Only the first reported end counts; a second report by the front has no effect. */
     @Test
     void anAttemptEndsOnceAndARequestIsAnsweredOnce() {
         ConnectionAttempt attempt = startAttempt();
--- a/src/test/java/sandstack/core/DeadlineSchedulerTest.java
+++ b/src/test/java/sandstack/core/DeadlineSchedulerTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order in which deadlines run. */
+/** Which deadlines run, and in what order. */
 class DeadlineSchedulerTest {
     private final DeadlineScheduler deadlines = new DeadlineScheduler();
     private final List<String> ran = new ArrayList<>();
--- a/src/test/java/sandstack/core/RelayMetricsTest.java
+++ b/src/test/java/sandstack/core/RelayMetricsTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The lines of {@code INFO}, as an earlier build wrote them. */
+/** The metric lines that the operators' command {@code INFO} returns have the format of an earlier build. */
 class RelayMetricsTest {
     @Test
     void linesAreThoseOfAnEarlierBuild() throws IOException {
--- a/src/test/java/sandstack/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/sandstack/discovery/DiscoveryWatchTest.java
@@ -35,8 +35,8 @@
 import sandstack.staleness.EndpointListStaleness;
 
 /**
- * The watch against a discovery of the test's own. The load balancer decides when to poll again: a poll follows each
- * failure.
+ * The watch against a discovery server of the test. The load balancer decides when to poll again, and does so after
+ * each failure.
  */
 class DiscoveryWatchTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -52,9 +52,9 @@
     void start() throws Exception {
         discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         otherDiscovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        RequestClass cls =
+        RequestClass requestClass =
                 new RequestClass(300_000, 2_000_000, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 0);
-        BalancerSettings settings = BalancerSettingsBuilder.of(List.of(cls))
+        BalancerSettings settings = BalancerSettingsBuilder.of(List.of(requestClass))
                 .endpointListPolled(true)
                 .pollIntervalMicros(60_000_000)
                 .connectTimeoutMicros(100_000)
@@ -79,20 +79,20 @@
         otherDiscovery.close();
     }
 
-    /** Waits for the next poll; returns its request line. */
+    /** Waits for the next poll and returns its request line; {@link #socket} is its connection. */
     private String awaitPoll() throws IOException {
         return awaitPoll(discovery);
     }
 
-    private String awaitPoll(ServerSocket discovery) throws IOException {
-        discovery.setSoTimeout(20_000);
-        socket = discovery.accept();
+    private String awaitPoll(ServerSocket server) throws IOException {
+        server.setSoTimeout(20_000);
+        socket = server.accept();
         BufferedReader in =
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         String line = in.readLine();
         if (line == null) {
-            // a connection that the watch closed before its request is no poll
-            return awaitPoll(discovery);
+            // the watch closed this connection before it sent a request, so it is not a poll
+            return awaitPoll(server);
         }
         while (!in.readLine().isEmpty()) {
             continue;
@@ -114,17 +114,17 @@
     }
 
     private void awaitState(EndpointState expected) throws Exception {
-        EndpointState seen = null;
+        EndpointState state = null;
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-                seen != expected && System.nanoTime() < end; ) {
+                state != expected && System.nanoTime() < end; ) {
             CompletableFuture<EndpointState> read = new CompletableFuture<>();
             loop.execute(() -> read.complete(
                     relay.endpoints().get("s1") == null
                             ? EndpointState.GONE
                             : relay.endpoints().get("s1").entry().state()));
-            seen = read.get(10, TimeUnit.SECONDS);
+            state = read.get(10, TimeUnit.SECONDS);
         }
-        assertThat(seen).isEqualTo(expected);
+        assertThat(state).isEqualTo(expected);
     }
 
     @Test
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void survivesErrorStatusResetMalformedDataAndSilence() throws Exception {
+    void pollsAgainAfterErrorStatusResetMalformedDataAndSilence() throws Exception {
         awaitPoll();
         send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         awaitPoll();
@@ -149,57 +149,58 @@
         awaitPoll();
         send(HEAD + chunk("not json\n"));
         awaitPoll();
-        // nothing at all: a silent watch is replaced, as its updates count as known 6 s after discovery had them
+        // no response at all: the silent watch is replaced, as a relay has to apply a change within 6 s
         awaitPoll();
         send(HEAD + chunk(update(42, "ready") + "\n"));
         awaitState(EndpointState.READY);
     }
 
-    /** Read line by line, an indented list was no list, and the watch was opened again and again. */
+    /** If the stream were read line by line, an indented list would be malformed and the watch reopened repeatedly. */
     @Test
     void readsListsThatAreIndentedAndSplitAnywhere() throws Exception {
         awaitPoll();
-        String laidOut = new ObjectMapper()
+        String indented = new ObjectMapper()
                         .readTree(update(42, "ready"))
                         .toPrettyString()
                         .replace("\n", "\r\n  ") + "\n\n";
         send(HEAD);
-        for (int i = 0; i < laidOut.length(); i += 7) {
-            send(chunk(laidOut.substring(i, Math.min(laidOut.length(), i + 7))));
+        for (int i = 0; i < indented.length(); i += 7) {
+            send(chunk(indented.substring(i, Math.min(indented.length(), i + 7))));
         }
         awaitState(EndpointState.READY);
-        send(chunk(laidOut.replace("42", "43").replace("ready", "draining") + update(44, "gone")));
+        send(chunk(indented.replace("42", "43").replace("ready", "draining") + update(44, "gone")));
         awaitState(EndpointState.GONE);
         send("0\r\n\r\n");
         assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1&from=44 HTTP/1.1");
     }
 
-    /** A list that is sent a byte at a time kept the watch alive for good, and its updates were never applied. */
+    /** Without the timer for incomplete lists, a list sent byte by byte keeps the watch open forever and unapplied. */
     @Test
     void pollsAgainWhereAListIsNotCompleted() throws Exception {
         awaitPoll();
         send(HEAD + chunk(update(42, "ready").substring(0, 40)));
-        Socket dripping = socket;
-        Thread drops = new Thread(() -> {
+        Socket slowConnection = socket;
+        Thread slowWriter = new Thread(() -> {
             try {
                 while (!Thread.currentThread().isInterrupted()) {
-                    dripping.getOutputStream().write(chunk(" ").getBytes(StandardCharsets.US_ASCII));
+                    slowConnection.getOutputStream().write(chunk(" ").getBytes(StandardCharsets.US_ASCII));
                     Thread.sleep(100);
                 }
             } catch (IOException | InterruptedException e) {
                 // the watch has been closed, or the test has ended
             }
         });
-        drops.start();
+        slowWriter.start();
         assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1&from=41 HTTP/1.1");
         send(HEAD + chunk(update(42, "ready") + "\n"));
         awaitState(EndpointState.READY);
-        drops.interrupt();
+        slowWriter.interrupt();
     }
 
     /**
-     * Whatever backoff a failed poll allows, a change counts 6 s after discovery had it and could be reached: a backoff
-     * that doubled was longer. The last poll before the return falls silent, the one after it has to come in time.
+     * However many polls have failed, a change has to be applied within 6 s of discovery having it and being reachable;
+     * an unbounded doubling backoff takes longer. The last poll before discovery is reachable gets no response, and the
+     * next one has to follow in time.
      */
     @Test
     void recoversWithin6SecondsHoweverOftenPollsHaveFailed() throws Exception {
@@ -215,22 +216,22 @@
         assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - reachable)).isLessThan(6_000);
     }
 
-    private void recoversWithin6SecondsAfterFallingSilent(String lastWords, int lastRev) throws Exception {
+    private void recoversWithin6SecondsAfterFallingSilent(String lastBytes, int expectedVersion) throws Exception {
         awaitPoll();
         send(HEAD + chunk(update(42, "ready") + "\n"));
         awaitState(EndpointState.READY);
-        // alive for longer than the timeout of a silent watch: each empty line starts it anew
+        // keeps the watch open for longer than the silence timeout, which each empty line restarts
         for (int i = 0; i < 5; i++) {
             send(chunk("\n"));
             TimeUnit.MICROSECONDS.sleep(EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 4);
         }
-        send(lastWords);
+        send(lastBytes);
         long silent = System.nanoTime();
-        assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1&from=" + lastRev + " HTTP/1.1");
+        assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1&from=" + expectedVersion + " HTTP/1.1");
         send(HEAD + chunk(update(50, "gone") + "\n"));
         awaitState(EndpointState.GONE);
         assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - silent))
-                .as("not replaced before it was silent")
+                .as("milliseconds from the last data to the change applied by the next watch")
                 .isBetween(
                         EndpointListStaleness.WATCH_SILENCE_TIMEOUT_MICROS / 1_000 - 100,
                         EndpointListStaleness.MISSED_CHANGE_GRACE_MICROS / 1_000);
@@ -266,14 +267,16 @@
     private String listedServers() throws Exception {
         CompletableFuture<String> read = new CompletableFuture<>();
         loop.execute(() -> read.complete(relay.endpoints().endpoints().stream()
-                .map(line -> line.entry().serverId() + " " + line.entry().state())
+                .map(endpoint ->
+                        endpoint.entry().serverId() + " " + endpoint.entry().state())
                 .sorted()
                 .collect(Collectors.joining(", "))));
         return read.get(10, TimeUnit.SECONDS);
     }
 
     /**
-     * No update reports what was removed in the gap: it is only missing in the full list, whose version may be lower.
+     * No update reports a server that was removed while no watch was open: it is only missing in the next full list,
+     * whose version may be lower.
      */
     @ParameterizedTest
     @ValueSource(ints = {60, 7})
@@ -285,10 +288,10 @@
         socket.close();
         assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1&from=50 HTTP/1.1");
         assertThat(listedServers())
-                .as("the list during the gap")
+                .as("the list is kept while no watch is open")
                 .isEqualTo("s1 READY, s2 READY, s3 READY, s4 DRAINING");
         String all = fullList(rev, "s2", "draining", "s3", "ready", "s5", "ready");
-        // a list that is not complete yet changes nothing
+        // an incomplete list has no effect
         send(HEAD + all.substring(0, all.length() - 20));
         assertThat(listedServers()).isEqualTo("s1 READY, s2 READY, s3 READY, s4 DRAINING");
         send(all.substring(all.length() - 20));
@@ -303,9 +306,9 @@
         loop.execute(() -> watch.switchTo(address));
     }
 
-    private void previousWatchStaysInUse(Socket before) throws Exception {
+    private void previousWatchStaysInUse(Socket previousSocket) throws Exception {
         Socket current = socket;
-        socket = before;
+        socket = previousSocket;
         send(chunk(update(43, "draining") + "\n"));
         awaitState(EndpointState.DRAINING);
         socket = current;
@@ -316,17 +319,17 @@
         awaitPoll();
         send(HEAD + chunk(update(42, "ready") + "\n"));
         awaitState(EndpointState.READY);
-        Socket before = socket;
+        Socket previousSocket = socket;
         switchTo(otherDiscovery);
-        // its versions are its own: the old one's is not sent
+        // versions of two addresses are not comparable, so the previous one's is not sent
         assertThat(awaitPoll(otherDiscovery)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
-        previousWatchStaysInUse(before);
+        previousWatchStaysInUse(previousSocket);
         send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         assertThat(awaitPoll(otherDiscovery)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
         awaitState(EndpointState.DRAINING);
         send(HEAD + chunk(update(3, "ready").replace("\"all\":false", "\"all\":true") + "\n"));
         awaitState(EndpointState.READY);
-        assertThat(before.getInputStream().read())
+        assertThat(previousSocket.getInputStream().read())
                 .as("the previous watch is closed")
                 .isEqualTo(-1);
         send("0\r\n\r\n");
@@ -338,12 +341,12 @@
         awaitPoll();
         send(HEAD + chunk(update(42, "ready") + "\n"));
         awaitState(EndpointState.READY);
-        Socket before = socket;
+        Socket previousSocket = socket;
         switchTo(otherDiscovery);
         awaitPoll(otherDiscovery);
         switchTo(discovery);
         assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
-        previousWatchStaysInUse(before);
+        previousWatchStaysInUse(previousSocket);
         send(HEAD + chunk(update(7, "ready").replace("\"all\":false", "\"all\":true") + "\n"));
         awaitState(EndpointState.READY);
     }
--- a/src/test/java/sandstack/handover/HandoverFormatTest.java
+++ b/src/test/java/sandstack/handover/HandoverFormatTest.java
@@ -25,12 +25,15 @@
 import sandstack.decisions.RequestClass;
 import sandstack.settings.BalancerSettingsBuilder;
 
-/** Files that an earlier build wrote for its sibling processes: read here, and written again byte for byte. */
+/**
+ * The file formats between sibling processes, which may run different builds: files of an earlier build are readable,
+ * and the same state is written byte for byte as that build wrote it.
+ */
 class HandoverFormatTest {
     private static final Path FIXTURES = Path.of("src/test/resources/handover");
     private static final String RELAY = "edge 1/ä";
 
-    private final EndpointListJson form =
+    private final EndpointListJson listFormat =
             new EndpointListJson(List.of("zone-1", "zone-2"), new MachineKinds(List.of("small")));
 
     private static String fixture(String name) throws IOException {
@@ -52,22 +55,22 @@
 
     @Test
     void theEndpointListOfAnEarlierBuildIsReadAndWrittenAlike() throws IOException, InvalidConfigurationException {
-        EndpointRegistry.Update update = form.readUpdate(new ObjectMapper().readTree(fixture("endpoints.json")));
+        EndpointRegistry.Update update = listFormat.readUpdate(new ObjectMapper().readTree(fixture("endpoints.json")));
         assertThat(update.kind()).isEqualTo(EndpointListKind.FULL);
         assertThat(update.version()).isEqualTo(41);
         assertThat(update.endpoints()).hasSize(2);
         EndpointRegistry.Endpoint second = update.endpoints().get(1);
         assertThat(second.entry().state()).isEqualTo(EndpointState.DRAINING);
         assertThat(second.host() + ":" + second.port()).isEqualTo("127.0.0.1:9002");
-        assertThat(form.readCached(fixture("endpoints.json")).endpoints()).isEqualTo(update.endpoints());
+        assertThat(listFormat.readCached(fixture("endpoints.json")).endpoints()).isEqualTo(update.endpoints());
 
         BalancerSettings settings = BalancerSettingsBuilder.of(List.of(
                         new RequestClass(300_000, 2_000_000, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 0)))
                 .build();
         Relay relay = new Relay(settings, 1, () -> 0, () -> {});
         relay.onEndpointList(update);
-        // a zone that the settings do not name is written as an empty text, by the earlier build as well
-        assertThat(form.toJson(relay.endpoints())).isEqualTo(fixture("endpoints.json"));
+        // a zone that the settings do not name is written as an empty string, as in the earlier build
+        assertThat(listFormat.toJson(relay.endpoints())).isEqualTo(fixture("endpoints.json"));
     }
 
     @Test
@@ -89,7 +92,7 @@
                 }
 
                 @Override
-                public void onSiblings(List<Integer> used) {
+                public void onSiblings(List<Integer> descriptorsInUse) {
                     listWritten.countDown();
                 }
             });
