--- a/src/test/java/sandstack/handover/SiblingProcessesTest.java
+++ b/src/test/java/sandstack/handover/SiblingProcessesTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Several processes of one relay that share a folder: what each learns of the others. */
+/** Processes that share a folder: each finds the running processes of its own relay and no others. */
 @Timeout(20)
 class SiblingProcessesTest {
     @TempDir
@@ -25,7 +25,7 @@
 
     private final AtomicLong now = new AtomicLong(System.currentTimeMillis() * 1000);
 
-    /** A process with this state; it records what it is notified of the others. */
+    /** A process with a fixed state that records the sibling states that it receives. */
     private static final class RecordingProcess implements SiblingProcesses.LocalProcess {
         private final int descriptorsInUse;
         private final String endpointList;
@@ -49,7 +49,9 @@
         void awaitSiblings(List<Integer> expected) throws InterruptedException {
             List<Integer> last = received.poll(15, TimeUnit.SECONDS);
             while (!expected.equals(last)) {
-                assertThat(last).as("heartbeats go on").isNotNull();
+                assertThat(last)
+                        .as("siblings reported within 15 s of the previous heartbeat")
+                        .isNotNull();
                 last = received.poll(15, TimeUnit.SECONDS);
             }
         }
@@ -66,30 +68,30 @@
     }
 
     @Test
-    void processesOfOneRelaySeeEachOtherAndTheNewOneHasTheList() throws Exception {
-        RecordingProcess old = new RecordingProcess(40, "the list");
-        RecordingProcess fresh = new RecordingProcess(2, "another");
-        RecordingProcess stranger = new RecordingProcess(9, "a third");
+    void processesOfOneRelayFindEachOtherAndTheNewOneReceivesTheList() throws Exception {
+        RecordingProcess oldProcess = new RecordingProcess(40, "the list");
+        RecordingProcess newProcess = new RecordingProcess(2, "another");
+        RecordingProcess processOfOtherRelay = new RecordingProcess(9, "a third");
         try (SiblingProcesses first = siblings("n1");
-                SiblingProcesses other = siblings("n2")) {
+                SiblingProcesses otherRelay = siblings("n2")) {
             assertThat(first.find().endpointList()).isNull();
-            first.start(old);
-            other.start(stranger);
-            old.awaitSiblings(List.of());
+            first.start(oldProcess);
+            otherRelay.start(processOfOtherRelay);
+            oldProcess.awaitSiblings(List.of());
             SiblingProcesses second = siblings("n1");
             assertThat(second.find()).isEqualTo(new SiblingProcesses.Siblings(1, "the list"));
-            second.start(fresh);
-            old.awaitSiblings(List.of(2));
-            fresh.awaitSiblings(List.of(40));
+            second.start(newProcess);
+            oldProcess.awaitSiblings(List.of(2));
+            newProcess.awaitSiblings(List.of(40));
             second.close();
-            old.awaitSiblings(List.of());
-            stranger.awaitSiblings(List.of());
+            oldProcess.awaitSiblings(List.of());
+            processOfOtherRelay.awaitSiblings(List.of());
         }
         assertThat(files()).isEmpty();
     }
 
     @Test
-    void aProcessThatDiedIsForgottenAndItsFilesAreDeleted() throws Exception {
+    void aProcessWithoutHeartbeatsIsNotCountedAndItsFilesAreDeleted() throws Exception {
         Path staleFile = folder.resolve("sandstack-abc.kin");
         Files.writeString(staleFile, new ProcessMarker("n1", "abc", now.get(), 5, "").encode());
         SiblingProcesses siblings = siblings("n1");
@@ -115,29 +117,33 @@
             byte[] changed = good.clone();
             changed[i] ^= 1;
             Files.write(file, changed);
-            assertThat(siblings.siblingMarkers()).as("byte %d", i).isEmpty();
+            assertThat(siblings.siblingMarkers())
+                    .as("siblings after a change of byte %d", i)
+                    .isEmpty();
             Files.write(file, Arrays.copyOf(good, i));
-            assertThat(siblings.siblingMarkers()).as("cut at %d", i).isEmpty();
+            assertThat(siblings.siblingMarkers())
+                    .as("siblings after a cut to %d bytes", i)
+                    .isEmpty();
         }
         Files.write(file, new byte[] {(byte) 0xff, (byte) 0xfe, '\n', ' '});
         assertThat(siblings.siblingMarkers()).isEmpty();
     }
 
     @Test
-    void togetherTheyNeverUseMoreDescriptorsThanThereAre() {
+    void allProcessesTogetherNeverExceedTheTotalOfDescriptors() {
         assertThat(DescriptorQuota.of(200, 0, List.of())).isEqualTo(200);
-        int old = 120;
-        int fresh = 0;
-        for (int beat = 0; beat < 20; beat++) {
-            int oldMay = DescriptorQuota.of(200, old, List.of(fresh));
-            int freshMay = DescriptorQuota.of(200, fresh, List.of(old));
-            // both grow at once to all they may, or the old one's clients leave
-            old = beat % 3 == 0 ? Math.max(0, old - 30) : oldMay;
-            fresh = freshMay;
-            assertThat(old + fresh).isLessThanOrEqualTo(200);
+        int oldInUse = 120;
+        int newInUse = 0;
+        for (int heartbeat = 0; heartbeat < 20; heartbeat++) {
+            int oldQuota = DescriptorQuota.of(200, oldInUse, List.of(newInUse));
+            int newQuota = DescriptorQuota.of(200, newInUse, List.of(oldInUse));
+            // both processes grow to their quota at once, or 30 descriptors of the old one become free
+            oldInUse = heartbeat % 3 == 0 ? Math.max(0, oldInUse - 30) : oldQuota;
+            newInUse = newQuota;
+            assertThat(oldInUse + newInUse).isLessThanOrEqualTo(200);
         }
         assertThat(DescriptorQuota.of(100, 90, List.of(60)))
-                .as("above the total already: nothing more")
+                .as("quota of a process while all together exceed the total")
                 .isEqualTo(90);
     }
 }
--- a/src/test/java/sandstack/net/DescriptorBudgetTest.java
+++ b/src/test/java/sandstack/net/DescriptorBudgetTest.java
@@ -8,19 +8,20 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** What a process may hold is bounded by its descriptors and by its heap. */
+/** The budget is bounded by the allowed descriptors and by the heap. */
 class DescriptorBudgetTest {
     private static final long MEGABYTE = 1L << 20;
     /**
-     * Megabytes of heap, and connections at which it was measured to be exhausted: {@code relay.heap-limit.standing}.
+     * Pairs of a heap size in megabytes and the number of connections that exhausts it, from the measurement
+     * {@code relay.heap-limit.standing}.
      */
     private static final int[][] MEASURED_LIMITS = {{24, 3_777}, {32, 5_246}, {48, 8_154}};
 
     @Test
     void staysBelowTheMeasuredHeapLimits() {
-        for (int[] spent : MEASURED_LIMITS) {
-            int descriptors = DescriptorBudget.of(Integer.MAX_VALUE, spent[0] * MEGABYTE);
-            assertThat(descriptors).isBetween(spent[1], 2 * spent[1] * 4 / 5);
+        for (int[] measured : MEASURED_LIMITS) {
+            int descriptors = DescriptorBudget.of(Integer.MAX_VALUE, measured[0] * MEGABYTE);
+            assertThat(descriptors).isBetween(measured[1], 2 * measured[1] * 4 / 5);
         }
     }
 
--- a/src/test/java/sandstack/net/ShortWrites.java
+++ b/src/test/java/sandstack/net/ShortWrites.java
@@ -7,29 +7,29 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Sockets that accept only a number of bytes, or whose writes fail, as a test configures it; loopback itself accepts
- * every line at once.
+ * Creates event loops whose sockets accept a limited number of bytes or fail writes, as a test configures. Needed
+ * because loopback sockets accept each line completely. The configuration may be changed on any thread.
  */
 public final class ShortWrites {
     private volatile int limitBytes = Integer.MAX_VALUE;
     private volatile String failsOn;
 
-    /** A loop whose sockets are written through this. */
+    /** Creates a loop whose sockets are written through limited channels. */
     public EventLoop loop() {
-        return new EventLoop(Limited::new);
+        return new EventLoop(LimitedChannel::new);
     }
 
-    /** Limits the bytes that each socket accepts, counted from its beginning. */
+    /** Limits the total number of bytes that each socket accepts over its lifetime. */
     public void limit(int bytes) {
         limitBytes = bytes;
     }
 
-    /** Removes the limit. */
+    /** Removes the limit; writes that were cut short continue when the socket is writable. */
     public void unlimited() {
         limitBytes = Integer.MAX_VALUE;
     }
 
-    /** Makes writes fail that begin with this text. */
+    /** Makes each write fail whose bytes begin with this text. */
     public void failOn(String beginning) {
         failsOn = beginning;
     }
@@ -44,24 +44,24 @@
         return beginning.equals(new String(first, StandardCharsets.US_ASCII));
     }
 
-    /** Accepts no more bytes than the limit. */
-    private final class Limited implements WritableByteChannel {
+    /** Writes to a socket up to the limit, and reports the rest as not accepted. */
+    private final class LimitedChannel implements WritableByteChannel {
         private final SocketChannel socket;
-        private int taken;
+        private int writtenBytes;
 
-        Limited(SocketChannel socket) {
+        LimitedChannel(SocketChannel socket) {
             this.socket = socket;
         }
 
         @Override
         public int write(ByteBuffer bytes) throws IOException {
             if (fails(bytes)) {
-                throw new IOException("a write that the test fails");
+                throw new IOException("write failure injected by the test");
             }
-            int room = Math.max(0, Math.min(bytes.remaining(), limitBytes - taken));
-            int written = socket.write(bytes.slice(bytes.position(), room));
+            int accepted = Math.max(0, Math.min(bytes.remaining(), limitBytes - writtenBytes));
+            int written = socket.write(bytes.slice(bytes.position(), accepted));
             bytes.position(bytes.position() + written);
-            taken += written;
+            writtenBytes += written;
             return written;
         }
 
