--- a/src/main/java/sandstack/discovery/DiscoveryWatch.java
+++ b/src/main/java/sandstack/discovery/DiscoveryWatch.java
@@ -52,7 +52,7 @@
      */
     private Watch previousWatch;
     /** Whether the list's version comes from the current address; versions of two addresses are not comparable. */
-    private boolean versionKnownHere = true;
+    private boolean versionFromCurrentAddress = true;
 
     /** Creates a watch that connects to this address at the first {@link #poll}. */
     public DiscoveryWatch(EventLoop loop, Relay relay, Address discovery, EndpointListJson listFormat) {
@@ -72,7 +72,7 @@
 
     /**
      * Watches at another address from now on; no effect if the address is the current one. The list stays as it is, and
-     * the previous watch remains in use until the new address has sent its list.
+     * the previous watch remains in use until the new address has sent its complete list.
      */
     public void switchTo(Address address) {
         if (address.equals(discovery)) {
@@ -80,7 +80,7 @@
         }
         LOG.info("discovery address changed from=" + discovery + " to=" + address);
         discovery = address;
-        versionKnownHere = false;
+        versionFromCurrentAddress = false;
         if (previousWatch == null) {
             previousWatch = watch;
         } else if (watch != null) {
@@ -124,7 +124,7 @@
         @Override
         public void connected(Connection<?> opened) {
             connection = opened;
-            long fromVersion = versionKnownHere ? relay.endpoints().version() : -1;
+            long fromVersion = versionFromCurrentAddress ? relay.endpoints().version() : -1;
             HttpRequestPacket request = HttpRequestPacket.builder()
                     .method(Method.GET)
                     .protocol(Protocol.HTTP_1_1)
@@ -186,7 +186,7 @@
                     }
                     EndpointRegistry.Update update = listFormat.readUpdate(object);
                     if (this == watch) {
-                        versionKnownHere = true;
+                        versionFromCurrentAddress = true;
                         closePreviousWatch();
                     }
                     relay.onEndpointList(update);
--- a/src/main/java/sandstack/service/ClientListener.java
+++ b/src/main/java/sandstack/service/ClientListener.java
@@ -13,7 +13,8 @@
 
 /**
  * Opens the listener for the platform's clients as soon as the relay can serve them. The constructor,
- * {@link #beginStart} and {@link #open} are called on the starting thread, everything else on the event loop's thread.
+ * {@link #recordStartTime} and {@link #open} are called on the starting thread, everything else on the event loop's
+ * thread.
  */
 final class ClientListener {
     /**
@@ -45,7 +46,7 @@
     }
 
     /** Records the time from which all waits for an endpoint list are measured. */
-    void beginStart() {
+    void recordStartTime() {
         startedAtMicros = loop.nowMicros();
     }
 
@@ -68,21 +69,23 @@
      */
     int open(Address address, LongSupplier firstListTimeoutMicros) throws InvalidConfigurationException, IOException {
         if (firstListTimeoutMicros.getAsLong() > 0) {
-            CountDownLatch listed = new CountDownLatch(1);
-            loop.execute(() -> pollForFirstList(listed, firstListTimeoutMicros));
-            ServiceLifecycle.await(listed);
+            CountDownLatch firstListReceived = new CountDownLatch(1);
+            loop.execute(() -> pollForFirstList(firstListReceived, firstListTimeoutMicros));
+            ServiceLifecycle.await(firstListReceived);
         }
         int port = listeners.open(PROTOCOL, address, front::listen);
         accepting = true;
         return port;
     }
 
-    private void pollForFirstList(CountDownLatch listed, LongSupplier timeoutMicros) {
+    private void pollForFirstList(CountDownLatch firstListReceived, LongSupplier timeoutMicros) {
         if (relay.endpoints().hasDiscoveryList() || loop.nowMicros() - startedAtMicros >= timeoutMicros.getAsLong()) {
-            listed.countDown();
+            firstListReceived.countDown();
         } else {
             relay.deadlines()
-                    .schedule(loop.nowMicros() + POLL_INTERVAL_MICROS, () -> pollForFirstList(listed, timeoutMicros));
+                    .schedule(
+                            loop.nowMicros() + POLL_INTERVAL_MICROS,
+                            () -> pollForFirstList(firstListReceived, timeoutMicros));
         }
     }
 
@@ -92,13 +95,13 @@
      */
     void acceptInheritedWhenReady(SiblingHandover handover) {
         long sinceStartMicros = loop.nowMicros() - startedAtMicros;
-        boolean listed = relay.endpoints().hasDiscoveryList()
+        boolean hasUsableList = relay.endpoints().hasDiscoveryList()
                 || handover.hasSiblingList()
                 || sinceStartMicros >= MAX_LIST_WAIT_MICROS;
         // the serving process has to read this one's marker first, and reduce its descriptor limit
         boolean unknownToSibling =
                 handover.processCount() > 1 && sinceStartMicros < 2 * SiblingProcesses.HEARTBEAT_INTERVAL_MICROS;
-        if (!relay.endpoints().hasReadyServer() || !listed || unknownToSibling) {
+        if (!relay.endpoints().hasReadyServer() || !hasUsableList || unknownToSibling) {
             relay.deadlines()
                     .schedule(loop.nowMicros() + POLL_INTERVAL_MICROS, () -> acceptInheritedWhenReady(handover));
             return;
@@ -109,7 +112,7 @@
         try {
             int port = front.listenOnInheritedSocket();
             accepting = true;
-            listeners.inherited(PROTOCOL, port);
+            listeners.inheritedSocketOpened(PROTOCOL, port);
         } catch (IOException e) {
             LOG.severe("inherited socket unusable cause=\"" + e.getMessage() + "\"");
         }
--- a/src/main/java/sandstack/service/Listeners.java
+++ b/src/main/java/sandstack/service/Listeners.java
@@ -58,7 +58,7 @@
     }
 
     /** Records that the inherited socket is served. */
-    void inherited(String protocol, int port) {
+    void inheritedSocketOpened(String protocol, int port) {
         descriptions.add(protocol + " at the inherited socket, port " + port);
         LOG.info("listener opened relay=" + relayName + " protocol=" + protocol + " socket=inherited port=" + port);
     }
--- a/src/main/java/sandstack/service/RelayService.java
+++ b/src/main/java/sandstack/service/RelayService.java
@@ -228,7 +228,7 @@
 
     /** Starts the event loop with a sibling process's endpoint list if there is one, else with the configured list. */
     private void startLoop() throws IOException {
-        clientListener.beginStart();
+        clientListener.recordStartTime();
         relay.onEndpointList(initialEndpoints());
         loop.start(relay::runTurn, relay::nextTurnMicros);
     }
--- a/src/test/java/sandstack/core/ConnectionAttemptTest.java
+++ b/src/test/java/sandstack/core/ConnectionAttemptTest.java
@@ -198,7 +198,9 @@
         assertThat(startedAttempts).hasSize(before + 1);
     }
 
-    /** A client that migrates early may connect to the relay that is restarted next, or find none. */
+    /**
+     * In a rolling restart, a client that migrates early may connect to the relay that is restarted next, or find none.
+     */
     @Test
     void aDrainingRelayMigratesItsClientsAtTheEndOfTheDrain() {
         startAttempt().onEstablished();
--- a/src/test/java/sandstack/handover/HandoverFormatTest.java
+++ b/src/test/java/sandstack/handover/HandoverFormatTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void markersOfAnEarlierBuildAreReadAndWrittenAlike() throws IOException {
+    void markersOfAnEarlierBuildAreReadAndWrittenIdentically() throws IOException {
         assertThat(marker("").encode()).isEqualTo(fixture("marker.kin"));
         assertThat(ProcessMarker.decode(fixture("marker.kin"), RELAY)).hasValue(marker(""));
         ProcessMarker withList = marker(fixture("endpoints.json"));
@@ -54,7 +54,8 @@
     }
 
     @Test
-    void theEndpointListOfAnEarlierBuildIsReadAndWrittenAlike() throws IOException, InvalidConfigurationException {
+    void theEndpointListOfAnEarlierBuildIsReadAndWrittenIdentically()
+            throws IOException, InvalidConfigurationException {
         EndpointRegistry.Update update = listFormat.readUpdate(new ObjectMapper().readTree(fixture("endpoints.json")));
         assertThat(update.kind()).isEqualTo(EndpointListKind.FULL);
         assertThat(update.version()).isEqualTo(41);
