--- a/src/main/java/sandstack/config/CapacityFile.java
+++ b/src/main/java/sandstack/config/CapacityFile.java
@@ -12,16 +12,16 @@
 import sandstack.capacity.StatedCapacity;
 
 /**
- * The capacities that an operator states for the feed servers, and the limits of the installation:
- * {@code deploy/capacity.toml}, which states nothing as shipped, or the file that a command names. The figures of one
- * installation do not hold for another, so they apply only where a command asks for them.
+ * The stated capacities of the feed servers and the limits of the installation, read from the file that a command
+ * names, otherwise from {@code deploy/capacity.toml}, which is disabled as shipped: the values of one installation do
+ * not hold for another.
  *
- * @param statedCapacities the stated capacities, by machine kind
- * @param kinds names of the machine kinds, in the order of {@code statedCapacities}
+ * @param statedCapacities stated capacities, by machine kind
+ * @param kinds names of the machine kinds, in the order of the entries in {@code statedCapacities}
  * @param limits the limits of the installation
  */
 public record CapacityFile(StatedCapacities statedCapacities, List<String> kinds, InstallationLimits limits) {
-    /** No capacities stated and no limits. */
+    /** States no capacities and no limits. */
     public static final CapacityFile NONE = new CapacityFile(StatedCapacities.NONE, List.of(), InstallationLimits.NONE);
 
     private static final String FILE = "capacity.toml";
@@ -35,16 +35,21 @@
     private static final int MAX_KINDS = 64;
 
     /**
-     * Reads the file; {@link #NONE} if it is switched off, or if no file is named and the one in the folder is missing.
+     * Reads the file; returns {@link #NONE} if the file is disabled, or if no file is named and {@code deploy/} has
+     * none.
      *
-     * @param namedFile the file that the command names; null if it names none
+     * @param namedFile the file that the command names, which must exist; null if the command names none
      */
     public static CapacityFile read(DeployFiles files, Path namedFile) throws InvalidConfigurationException {
-        JsonNode root = namedFile == null ? files.enabled(FILE) : DeployFiles.enabled(namedFile);
+        JsonNode root = namedFile == null ? files.readIfEnabled(FILE) : DeployFiles.readIfEnabled(namedFile);
         return root == null ? NONE : new Reader(namedFile == null ? FILE : namedFile.toString()).read(root);
     }
 
-    /** Reads one file; errors name it. */
+    /**
+     * Reads the values of one file.
+     *
+     * @param file the file's name, with which error lines begin
+     */
     private record Reader(String file) {
         CapacityFile read(JsonNode root) throws InvalidConfigurationException {
             requireKnownKeys(root, "", ROOT_KEYS);
@@ -74,7 +79,7 @@
                     number(table, "limits", "setups", 0, MAX_SETUPS));
         }
 
-        /** Reads one table; values that it leaves out are those of {@code defaults}. */
+        /** Reads one table; a value that the table does not have is that of {@code defaults}. */
         private StatedCapacity readCapacity(JsonNode table, String path, StatedCapacity defaults)
                 throws InvalidConfigurationException {
             requireKnownKeys(table, path, CAPACITY_KEYS);
--- a/src/main/java/sandstack/config/ConfigurationKeys.java
+++ b/src/main/java/sandstack/config/ConfigurationKeys.java
@@ -7,10 +7,11 @@
 import java.util.TreeSet;
 
 /**
- * The keys of a configuration, as dotted paths. Of an array's elements only the keys count that all of them have, as
- * {@code classes[].name}; the endpoint list counts as one value, since its content changes without an operator.
+ * The keys of a configuration. Of the objects in an array, only the keys that all of them have are included, as
+ * {@code classes[].name}. The endpoint list is included as one key without its content, which changes without an
+ * operator's doing.
  *
- * @param paths the dotted paths
+ * @param paths the keys as dotted paths
  */
 record ConfigurationKeys(Set<String> paths) {
     private static final String ENDPOINT_LIST_KEY = "known";
@@ -49,7 +50,7 @@
         }
     }
 
-    /** Rejects a configuration that lacks one of these keys. */
+    /** Throws if {@code next} lacks one of these keys; the message names the first such key. */
     void requireAllIn(ConfigurationKeys next) throws InvalidConfigurationException {
         for (String path : paths) {
             if (!next.paths.contains(path)) {
--- a/src/main/java/sandstack/config/DeployFiles.java
+++ b/src/main/java/sandstack/config/DeployFiles.java
@@ -10,25 +10,25 @@
 import java.util.Set;
 
 /**
- * The relay's own files under {@code deploy/}, each of which switches one part on or off; without its file, a part is
- * off.
+ * The relay's own TOML files under {@code deploy/}. Each configures one optional feature and enables it with
+ * {@code enabled = true}; a feature without its file is disabled.
  */
 public final class DeployFiles {
     private final Path folder;
 
-    /** Creates a view of the files in this folder; each is read on request. */
+    /** Creates an accessor for the files in this folder; every call reads its file anew. */
     public DeployFiles(Path folder) {
         this.folder = folder;
     }
 
-    /** The file's values; null if the part is off. */
-    public JsonNode enabled(String name) throws InvalidConfigurationException {
+    /** Reads the file's values; returns null if the file is missing or disabled. */
+    public JsonNode readIfEnabled(String name) throws InvalidConfigurationException {
         Path file = folder.resolve(name);
-        return Files.isRegularFile(file) ? enabled(file) : null;
+        return Files.isRegularFile(file) ? readIfEnabled(file) : null;
     }
 
-    /** The values of a file that has to exist; null if it switches its part off. */
-    static JsonNode enabled(Path file) throws InvalidConfigurationException {
+    /** Reads the values of a file that must exist; returns null if it is disabled. */
+    static JsonNode readIfEnabled(Path file) throws InvalidConfigurationException {
         try {
             JsonNode values = new TomlMapper().readTree(Files.readString(file));
             if (!values.path("enabled").isBoolean()) {
@@ -43,8 +43,8 @@
         }
     }
 
-    /** Rejects keys that are none of these; {@code prefix} begins the error line. */
-    public static void onlyKnown(JsonNode values, Set<String> keys, String prefix)
+    /** Throws if there is a key that is not one of {@code keys}; the error line begins with {@code prefix}. */
+    public static void requireKnownKeys(JsonNode values, Set<String> keys, String prefix)
             throws InvalidConfigurationException {
         for (Iterator<String> names = values.fieldNames(); names.hasNext(); ) {
             String key = names.next();
@@ -55,8 +55,8 @@
         }
     }
 
-    /** A text that the file must have; {@code file} begins the error line. */
-    public static String text(JsonNode values, String name, String file) throws InvalidConfigurationException {
+    /** Returns a non-empty string that the file must have; the error line begins with {@code file}. */
+    public static String requiredText(JsonNode values, String name, String file) throws InvalidConfigurationException {
         if (!values.path(name).isTextual() || values.path(name).asText().isEmpty()) {
             throw new InvalidConfigurationException(file + ": " + name + " is missing");
         }
--- a/src/main/java/sandstack/config/EndpointListJson.java
+++ b/src/main/java/sandstack/config/EndpointListJson.java
@@ -13,8 +13,8 @@
 import sandstack.decisions.EndpointState;
 
 /**
- * Reads and writes the endpoint list in discovery's JSON form, which the configuration has too. Not thread-safe, as it
- * adds to the machine kinds.
+ * Reads and writes the endpoint list in discovery's JSON format, which the configuration file uses too. Not
+ * thread-safe, because reading adds machine kinds to a shared {@link MachineKinds}.
  */
 public final class EndpointListJson {
     private static final String STATE_READY = "ready";
@@ -27,21 +27,22 @@
     private final MachineKinds kinds;
 
     /**
-     * Creates a reader for these zones; machine kinds that it reads are added to {@code kinds}.
+     * Creates a reader and writer for an installation with these zones.
      *
-     * @param zones names of the settings' zones, in their order
+     * @param zones names of the zones, in the order of the settings
+     * @param kinds receives the machine kinds of the lists that are read
      */
     public EndpointListJson(List<String> zones, MachineKinds kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
 
-    /** Reads one update of discovery, a full list or a delta. */
+    /** Reads one update from discovery, which is a full list or a delta. */
     public EndpointRegistry.Update readUpdate(JsonNode object) throws InvalidConfigurationException {
         return read(object, object.path("all").asBoolean() ? EndpointListKind.FULL : EndpointListKind.DELTA);
     }
 
-    /** Reads a cached list, which may be stale. */
+    /** Reads a list that may be stale, because it does not come from discovery. */
     EndpointRegistry.Update readCached(JsonNode object) throws InvalidConfigurationException {
         return read(object, EndpointListKind.CACHED);
     }
@@ -84,7 +85,7 @@
         };
     }
 
-    /** A server that is gone may have no address. */
+    /** Reads the server's address, which may be missing if the server is gone. */
     private static PlatformConfig.Address address(JsonNode target, EndpointState state, String uid)
             throws InvalidConfigurationException {
         String text = target.path("endpoint").asText("");
@@ -93,7 +94,7 @@
                 : PlatformConfig.Address.parse(text, "endpoint of " + uid);
     }
 
-    /** The endpoint list in this form, as one full list. */
+    /** Writes the endpoint list as one full list. */
     public String toJson(EndpointRegistry endpoints) {
         ObjectNode list =
                 JSON.createObjectNode().put("rev", endpoints.version()).put("all", true);
@@ -113,16 +114,16 @@
         return list.toString();
     }
 
-    /** Reads the text of {@link #toJson} as a cached list. */
+    /** Reads a text that {@link #toJson} has written, as a cached list, which may be stale. */
     public EndpointRegistry.Update readCached(String text) throws InvalidConfigurationException {
         try {
             return readCached(JSON.readTree(text));
         } catch (JsonProcessingException e) {
-            throw new InvalidConfigurationException("a kept list of feed servers is not JSON");
+            throw new InvalidConfigurationException("the cached list of feed servers is not JSON");
         }
     }
 
-    /** A zone that the settings do not name gets the position after all others. */
+    /** The zone's position; a zone that the settings do not name has the position after all others. */
     private int zone(JsonNode zoneName) {
         int index = zones.indexOf(zoneName.asText());
         return index < 0 ? zones.size() : index;
--- a/src/main/java/sandstack/config/FlattenedSettings.java
+++ b/src/main/java/sandstack/config/FlattenedSettings.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 
 /**
- * The values of a JSON object by dotted paths, as {@code classes.0.gain}. Each getter checks the type of its value; an
- * {@link InvalidConfigurationException} names the path. Not thread-safe.
+ * The values of a JSON object, by dotted path, such as {@code classes.0.gain}. Each getter throws an
+ * {@link InvalidConfigurationException} that names the path if the value has another type. Not thread-safe.
  */
 final class FlattenedSettings {
     private final Map<String, Object> values = new HashMap<>();
     private final Map<String, Integer> arraySizes = new HashMap<>();
 
-    /** Reads the members of an object whose opening brace has been read. */
+    /** Reads the members of an object whose opening brace the parser has already read. */
     void read(JsonParser in) throws IOException {
         readObject(in, "");
     }
@@ -51,12 +51,12 @@
         arraySizes.put(path, size);
     }
 
-    /** A number that has to be there. */
+    /** A finite number, which must be present. */
     double requiredNumber(String path) throws InvalidConfigurationException {
         return finite(path, values.get(path));
     }
 
-    /** A number, or the default if it is absent. */
+    /** A finite number, or the default if it is absent. */
     double number(String path, double defaultValue) throws InvalidConfigurationException {
         Object value = values.get(path);
         return value == null ? defaultValue : finite(path, value);
@@ -69,7 +69,7 @@
         throw new InvalidConfigurationException(path + (value == null ? " is missing" : " is not a number"));
     }
 
-    /** A number that has to be there and above 0; truncated, so that a fraction below 1 counts as 0. */
+    /** A number, which must be present and at least 1; its fraction is cut off. */
     long requiredPositive(String path) throws InvalidConfigurationException {
         double value = requiredNumber(path);
         if (value < 1) {
@@ -78,12 +78,12 @@
         return (long) value;
     }
 
-    /** A duration in microseconds, truncated; 0 if it is absent. */
+    /** A duration in microseconds, whose fraction is cut off; 0 if it is absent. */
     long micros(String path) throws InvalidConfigurationException {
         return (long) number(path, 0);
     }
 
-    /** An integer that has to be there; truncated. */
+    /** A number, which must be present; its fraction is cut off. */
     int requiredInt(String path) throws InvalidConfigurationException {
         return (int) requiredNumber(path);
     }
@@ -106,7 +106,7 @@
         throw new InvalidConfigurationException(path + " is not a string");
     }
 
-    /** The size of an array that has to be there. */
+    /** The number of elements of an array, which must be present. */
     int requiredSize(String path) throws InvalidConfigurationException {
         Integer size = arraySizes.get(path);
         if (size == null) {
@@ -116,7 +116,7 @@
         return size;
     }
 
-    /** The size of an array; 0 if it is absent. */
+    /** The number of elements of an array; 0 if it is absent. */
     int size(String path) {
         return arraySizes.getOrDefault(path, 0);
     }
--- a/src/main/java/sandstack/config/FleetFile.java
+++ b/src/main/java/sandstack/config/FleetFile.java
@@ -11,15 +11,15 @@
 import sandstack.config.PlatformConfig.Address;
 
 /**
- * {@code deploy/fleet.toml}: the addresses of the members of this relay's fleet. Applies only if the command has
- * {@code --fleet} too.
+ * The configuration of this relay as a member of a fleet, read from {@code deploy/fleet.toml}. Applies only if the
+ * command is given {@code --fleet} too.
  *
- * @param installation name of the installation; members of others are ignored
- * @param listen address of this member
- * @param machine name of the failure domain of this member
- * @param members seed addresses of the fleet, some of which may be gone
- * @param relays names of all relays, as operators state them; empty if they are not stated
- * @param via addresses to connect to in place of a member's own, by that address
+ * @param installation name of the installation; members of other installations are ignored
+ * @param listen address at which this member accepts other members
+ * @param machine name of this member's failure domain
+ * @param members seed addresses, through which this member joins the fleet; some of their members may be gone
+ * @param relays names of all relays of the installation; empty if the operator does not state them
+ * @param via addresses to connect to instead of members' own addresses, by the member's own address
  */
 public record FleetFile(
         String installation,
@@ -36,16 +36,16 @@
     private static final int MAX_MEMBERS = 1_000;
     private static final int MAX_NAME_CHARS = 100;
 
-    /** Reads the file; null if it is missing or switched off. */
+    /** Reads the file; returns null if it is missing or disabled. */
     public static FleetFile read(DeployFiles files) throws InvalidConfigurationException {
-        JsonNode root = files.enabled(FILE);
+        JsonNode root = files.readIfEnabled(FILE);
         return root == null ? null : read(root);
     }
 
     static FleetFile read(JsonNode root) throws InvalidConfigurationException {
-        // in this order: of several invalid values, the first one is reported
-        DeployFiles.onlyKnown(root, KEYS, FILE + ": ");
-        Address listen = Address.parse(DeployFiles.text(root, "listen", FILE), FILE + ": listen");
+        // the order decides which of several invalid values is reported
+        DeployFiles.requireKnownKeys(root, KEYS, FILE + ": ");
+        Address listen = Address.parse(DeployFiles.requiredText(root, "listen", FILE), FILE + ": listen");
         List<String> members = members(root.path("members"));
         Set<String> relays = relays(root.path("relays"));
         Map<String, String> via = via(root);
@@ -101,9 +101,12 @@
         return Address.parse(value.asText(), FILE + ": " + path).toString();
     }
 
-    /** Names are written to logs and to the wire without escapes; the cluster library rejects names of one letter. */
+    /**
+     * Requires the characters and length of a name: names are written to logs and to the wire without escapes, and the
+     * cluster library rejects names of one letter.
+     */
     private static String requireName(JsonNode root, String key) throws InvalidConfigurationException {
-        return requireName(DeployFiles.text(root, key, FILE), key);
+        return requireName(DeployFiles.requiredText(root, key, FILE), key);
     }
 
     private static String requireName(String value, String key) throws InvalidConfigurationException {
--- a/src/main/java/sandstack/config/MachineKinds.java
+++ b/src/main/java/sandstack/config/MachineKinds.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Assigns positions to machine kinds: first to those that the operator names, then to others in the order in which
- * endpoint lists bring them. Kinds beyond {@value #MAX_KINDS} share the last position. O(kinds) per call; not
+ * Assigns a position to each machine kind: first to those of the capacity file, then to others in the order in which
+ * they first appear in endpoint lists. Kinds beyond {@value #MAX_KINDS} share the last position. O(kinds) per call; not
  * thread-safe.
  */
 public final class MachineKinds {
@@ -13,20 +13,20 @@
     private final List<String> names;
 
     /**
-     * Creates the positions, the first of which are given.
+     * Assigns the first positions, in the order of the list.
      *
-     * @param statedNames the kinds that the operator has named
+     * @param statedNames names of the machine kinds for which the operator states capacities
      */
     public MachineKinds(List<String> statedNames) {
         names = new ArrayList<>(statedNames);
     }
 
-    /** The kind at this position; empty if there is none. */
+    /** The name of the kind at this position; empty if there is none. */
     String name(int index) {
         return index >= 0 && index < names.size() ? names.get(index) : "";
     }
 
-    /** The position of this kind, which is added if it is new. */
+    /** The position of this kind; assigns the next one if the kind is new. */
     int indexOf(String model) {
         int index = names.indexOf(model);
         if (index >= 0) {
--- a/src/main/java/sandstack/config/PlatformConfig.java
+++ b/src/main/java/sandstack/config/PlatformConfig.java
@@ -18,20 +18,20 @@
 import sandstack.core.EndpointRegistry;
 
 /**
- * The platform's configuration of one relay: the file that {@code PROXY_CONFIG} names, and the environment variables,
- * which take precedence over it.
+ * The platform's configuration of one relay, read from the file that {@code PROXY_CONFIG} names and from further
+ * environment variables, which take precedence over the file.
  *
  * @param name the relay's name
- * @param listen address of the port for clients
+ * @param listen address at which the relay accepts clients
  * @param discovery address of discovery
  * @param operator address of the operators' port; null if there is none
- * @param socketInherited clients are accepted at a listening socket that the process has inherited as descriptor 0
- * @param seed of the relay's random numbers
- * @param maxDescriptors file descriptors that the process may hold
+ * @param socketInherited whether the listening socket for clients is inherited as descriptor 0 instead of opened
+ * @param seed seed of the relay's random numbers
+ * @param maxDescriptors limit of the file descriptors that the process may hold
  * @param effectiveSettings the settings of the load balancer
- * @param zones names of the settings' zones, in their order
- * @param cachedEndpoints the endpoint list as this relay last had it; null if there is none
- * @param keys the keys of the file
+ * @param zones names of the zones, in the order of the settings
+ * @param cachedEndpoints the endpoint list in the file, which may be stale; null if there is none
+ * @param keys all keys of the file, to find those that a reloaded file lacks
  */
 public record PlatformConfig(
         String name,
@@ -50,9 +50,9 @@
     private static final int DEFAULT_MAX_DESCRIPTORS = 4096;
     private static final ObjectMapper JSON = new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-    /** A host and a port. */
+    /** A host and a port, written {@code HOST:PORT}. */
     public record Address(String host, int port) {
-        /** Parses {@code HOST:PORT}; {@code what} names the value in the error. */
+        /** Parses {@code HOST:PORT}; the error line begins with {@code what}. */
         public static Address parse(String text, String what) throws InvalidConfigurationException {
             int colon = text.lastIndexOf(':');
             try {
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Reads the configuration that these environment variables name.
+     * Reads the configuration from these environment variables and the file that they name.
      *
      * @param kinds receives the machine kinds of the endpoint list
      */
@@ -97,9 +97,9 @@
     }
 
     /**
-     * Reads the configuration again after its file was replaced. The file now overrides the variable for discovery, as
-     * the variable still has the address of the start. A file that lacks a key of this configuration is rejected: it
-     * may be truncated or incomplete.
+     * Reads the configuration again after its file was replaced. The file's address of discovery now takes precedence
+     * over the environment variable, which still has the address of the process's start. A file that lacks a key of
+     * this configuration is rejected, because it may be truncated or incomplete.
      */
     public PlatformConfig reload(Map<String, String> env) throws InvalidConfigurationException {
         Map<String, String> fileFirst = new HashMap<>(env);
@@ -109,7 +109,7 @@
         return next;
     }
 
-    /** The changes in the next configuration that need a restart, a line each. */
+    /** The changes in {@code next} that take effect only after a restart, one line each. */
     public List<String> changesThatNeedRestart(PlatformConfig next) {
         List<String> changes = new ArrayList<>();
         for (Function<PlatformConfig, Object> component : List.<Function<PlatformConfig, Object>>of(
@@ -172,14 +172,14 @@
         return names;
     }
 
-    /** The virtual machine can inherit descriptor 0 and no other. */
+    /** Whether a socket is inherited; the Java virtual machine can inherit only descriptor 0. */
     private static boolean socketInherited(String descriptor) throws InvalidConfigurationException {
         if (descriptor == null || descriptor.isEmpty()) {
             return false;
         }
         if (!descriptor.equals("0")) {
             throw new InvalidConfigurationException(
-                    "PROXY_SOCKET_FD is " + descriptor + "; only descriptor 0 can be taken");
+                    "PROXY_SOCKET_FD is " + descriptor + "; only descriptor 0 can be inherited");
         }
         return true;
     }
--- a/src/main/java/sandstack/config/SettingsReader.java
+++ b/src/main/java/sandstack/config/SettingsReader.java
@@ -13,26 +13,26 @@
 import sandstack.settings.BalancerSettingsBuilder;
 
 /**
- * Maps the platform's settings of one instance to {@link BalancerSettings}. The platform's keys and values are named
- * here and nowhere else. Not thread-safe.
+ * Maps the platform's settings of one relay to {@link BalancerSettings}. No other class uses the platform's names of
+ * these settings and of their values. Not thread-safe.
  */
 public final class SettingsReader {
-    /** Values of {@code weights} for which a server's rating is its size. */
+    /** Values of {@code weights} with which a server's rating states its size. */
     private static final Set<String> SIZE_WEIGHTS = Set.of("nominal", "rough");
 
     private final FlattenedSettings values = new FlattenedSettings();
 
-    /** Reads the members of an object whose opening brace has been read. */
+    /** Reads the members of the settings object, whose opening brace the parser has already read. */
     public void read(JsonParser in) throws IOException {
         values.read(in);
     }
 
-    /** The settings in the terms of the load balancer. */
+    /** Converts the settings read so far; throws if one is missing or invalid. */
     public BalancerSettings settings() throws InvalidConfigurationException {
         List<RequestClass> classes = requestClasses();
         List<Tenant> tenants = tenants();
         BalancerSettingsBuilder builder = BalancerSettingsBuilder.of(classes);
-        // in this order: of several invalid values, the first one is reported
+        // the order decides which of several invalid values is reported
         readInstance(builder, tenants);
         readQuotasAndMode(builder);
         readCapabilitiesAndCosts(builder);
--- a/src/main/java/sandstack/directory/TenantDirectory.java
+++ b/src/main/java/sandstack/directory/TenantDirectory.java
@@ -21,8 +21,8 @@
 import sandstack.core.TenantRegistry;
 
 /**
- * Reads the tenants from an LDAP directory at an interval, on a thread of its own, because the library blocks. While
- * the directory is unreachable, the last list stays in force.
+ * Reads the tenants from an LDAP directory periodically, on its own thread, because the LDAP library blocks. While the
+ * directory is unreachable, the last list stays in force.
  */
 public final class TenantDirectory implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("sandstack.directory");
@@ -32,41 +32,41 @@
     private static final String FILE = "directory.toml";
 
     /**
-     * Address of the directory, and the search for tenants.
+     * Address and credentials of the directory, and how tenants are searched there.
      *
      * @param server address of the directory
-     * @param user distinguished name to bind as; empty for none
-     * @param password of the user
-     * @param base distinguished name below which tenants are searched
-     * @param filter of the search
-     * @param name attribute of a tenant's name
-     * @param share attribute of its share of the service
-     * @param connections attribute of its connection quota
-     * @param refreshMillis interval between two searches
+     * @param bindDn distinguished name to bind as; empty to search anonymously
+     * @param password password for {@code bindDn}
+     * @param baseDn distinguished name below which tenants are searched
+     * @param filter LDAP filter that selects the tenants
+     * @param nameAttribute attribute that holds a tenant's name
+     * @param shareAttribute attribute that holds the tenant's share of the service
+     * @param connectionsAttribute attribute that holds the tenant's connection quota
+     * @param refreshMillis interval between the end of a search and the next search
      */
-    public record DirectoryLocation(
+    public record DirectoryConfig(
             Address server,
-            String user,
+            String bindDn,
             String password,
-            String base,
+            String baseDn,
             String filter,
-            String name,
-            String share,
-            String connections,
+            String nameAttribute,
+            String shareAttribute,
+            String connectionsAttribute,
             long refreshMillis) {
 
         /** Reads the values of {@code directory.toml}. */
-        public static DirectoryLocation read(JsonNode values) throws InvalidConfigurationException {
+        public static DirectoryConfig read(JsonNode values) throws InvalidConfigurationException {
             long refreshSeconds = values.path("refresh_s").asLong(DEFAULT_REFRESH_SECONDS);
             if (refreshSeconds < 1) {
                 throw new InvalidConfigurationException(FILE + ": refresh_s must be at least 1");
             }
-            return new DirectoryLocation(
-                    Address.parse(DeployFiles.text(values, "server", FILE), FILE + ": server"),
+            return new DirectoryConfig(
+                    Address.parse(DeployFiles.requiredText(values, "server", FILE), FILE + ": server"),
                     values.path("user").asText(""),
                     values.path("password").asText(""),
-                    DeployFiles.text(values, "base", FILE),
-                    DeployFiles.text(values, "filter", FILE),
+                    DeployFiles.requiredText(values, "base", FILE),
+                    DeployFiles.requiredText(values, "filter", FILE),
                     values.path("name").asText("cn"),
                     values.path("share").asText("sandstackShare"),
                     values.path("connections").asText("sandstackConnections"),
@@ -74,7 +74,7 @@
         }
     }
 
-    private final DirectoryLocation location;
+    private final DirectoryConfig config;
     private final Consumer<List<TenantRegistry.Entry>> listener;
     private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread newThread = new Thread(task, "directory");
@@ -88,50 +88,50 @@
      *
      * @param listener receives each list that was read, on the directory's thread
      */
-    public TenantDirectory(DirectoryLocation location, Consumer<List<TenantRegistry.Entry>> listener) {
-        this.location = location;
+    public TenantDirectory(DirectoryConfig config, Consumer<List<TenantRegistry.Entry>> listener) {
+        this.config = config;
         this.listener = listener;
     }
 
-    /** Reads the directory at once and then at its refresh interval, until it is closed. */
+    /** Reads the directory now and then periodically, until {@link #close}. */
     public void start() {
-        // refresh reports its own failures; a shutdown of the scheduler ends it
+        // the future is not needed: refresh logs its own failures, and shutting down the scheduler ends it
         Futures.ignore(
-                scheduler.scheduleWithFixedDelay(this::refresh, 0, location.refreshMillis(), TimeUnit.MILLISECONDS));
+                scheduler.scheduleWithFixedDelay(this::refresh, 0, config.refreshMillis(), TimeUnit.MILLISECONDS));
     }
 
     private void refresh() {
         try {
             listener.accept(read());
             if (!reachable) {
-                LOG.info("directory reachable again address=" + location.server());
+                LOG.info("directory reachable again address=" + config.server());
             }
             reachable = true;
         } catch (LDAPException e) {
             if (reachable) {
-                LOG.warning("directory cannot be read, last tenants stay in force address=" + location.server()
+                LOG.warning("directory cannot be read, last tenants stay in force address=" + config.server()
                         + " cause=\"" + e.getResultCode().getName() + "\"");
             }
             reachable = false;
         } catch (RuntimeException e) {
-            // rethrown, it would silently end the scheduled refresh
-            LOG.warning("directory refresh failed address=" + location.server() + " cause=\"" + e + "\"");
+            // an exception that leaves this method would silently end the periodic refresh
+            LOG.warning("directory refresh failed address=" + config.server() + " cause=\"" + e + "\"");
         }
     }
 
-    /** Reads the list once. */
+    /** Searches the directory once, and returns its valid tenants. */
     List<TenantRegistry.Entry> read() throws LDAPException {
         LDAPConnectionOptions options = new LDAPConnectionOptions();
         options.setConnectTimeoutMillis(LDAP_TIMEOUT_MILLIS);
         options.setResponseTimeoutMillis(LDAP_TIMEOUT_MILLIS);
         try (LDAPConnection connection = new LDAPConnection(
-                options, location.server().host(), location.server().port())) {
-            if (!location.user().isEmpty()) {
-                connection.bind(location.user(), location.password());
+                options, config.server().host(), config.server().port())) {
+            if (!config.bindDn().isEmpty()) {
+                connection.bind(config.bindDn(), config.password());
             }
             List<TenantRegistry.Entry> tenants = new ArrayList<>();
-            for (SearchResultEntry found : search(connection)) {
-                toTenant(found).ifPresent(tenants::add);
+            for (SearchResultEntry entry : search(connection)) {
+                toTenant(entry).ifPresent(tenants::add);
             }
             return tenants;
         }
@@ -140,28 +140,28 @@
     private List<SearchResultEntry> search(LDAPConnection connection) throws LDAPException {
         return connection
                 .search(
-                        location.base(),
+                        config.baseDn(),
                         SearchScope.SUB,
-                        location.filter(),
-                        location.name(),
-                        location.share(),
-                        location.connections())
+                        config.filter(),
+                        config.nameAttribute(),
+                        config.shareAttribute(),
+                        config.connectionsAttribute())
                 .getSearchEntries();
     }
 
-    /** One tenant; empty if its attributes are invalid, which does not affect the other tenants. */
-    private Optional<TenantRegistry.Entry> toTenant(SearchResultEntry found) {
+    /** Converts one entry; empty if its attributes are invalid, which does not affect the other tenants. */
+    private Optional<TenantRegistry.Entry> toTenant(SearchResultEntry entry) {
         try {
-            String name = found.getAttributeValue(location.name());
-            double share = Double.parseDouble(found.getAttributeValue(location.share()));
-            double connections = Double.parseDouble(found.getAttributeValue(location.connections()));
+            String name = entry.getAttributeValue(config.nameAttribute());
+            double share = Double.parseDouble(entry.getAttributeValue(config.shareAttribute()));
+            double connections = Double.parseDouble(entry.getAttributeValue(config.connectionsAttribute()));
             if (name != null && share >= 0 && connections >= 0 && share <= 1) {
                 return Optional.of(new TenantRegistry.Entry(name, share, connections));
             }
         } catch (NumberFormatException | NullPointerException e) {
             // logged below
         }
-        LOG.warning("tenant ignored, its share or connections are invalid dn=\"" + found.getDN() + "\"");
+        LOG.warning("tenant ignored, its share or connections are invalid dn=\"" + entry.getDN() + "\"");
         return Optional.empty();
     }
 
--- a/src/main/java/sandstack/directory/package-info.java
+++ b/src/main/java/sandstack/directory/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tenants from an LDAP directory, read at an interval on a thread of its own, because the library blocks. Passes each
- * list to a listener; uses the LDAP library, {@code config} and {@code core}.
+ * Reads tenants from an LDAP directory, periodically and on its own thread, because the LDAP library blocks. Passes
+ * each list to a listener. Uses the LDAP library, {@code config} and {@code core}.
  */
 package sandstack.directory;
--- a/src/main/java/sandstack/faultinjection/FaultScheduleFile.java
+++ b/src/main/java/sandstack/faultinjection/FaultScheduleFile.java
@@ -41,7 +41,7 @@
             throw new InvalidConfigurationException(
                     location + e.getOriginalMessage().lines().findFirst().orElse("not TOML"));
         }
-        DeployFiles.onlyKnown(root, ROOT_KEYS, location);
+        DeployFiles.requireKnownKeys(root, ROOT_KEYS, location);
         int members = readInteger(root, "members", 1, MAX_MEMBERS, location);
         JsonNode stepTables = root.path("step");
         if (!stepTables.isArray() || stepTables.size() > MAX_STEPS) {
@@ -55,7 +55,7 @@
     }
 
     private static Step readStep(JsonNode table, int members, String location) throws InvalidConfigurationException {
-        DeployFiles.onlyKnown(table, STEP_KEYS, location);
+        DeployFiles.requireKnownKeys(table, STEP_KEYS, location);
         JsonNode at = table.path("at");
         if (!at.isNumber() || !(at.asDouble() >= 0) || at.asDouble() > MAX_SECONDS) {
             throw new InvalidConfigurationException(
--- a/src/main/java/sandstack/front/amqp/AmqpClientSession.java
+++ b/src/main/java/sandstack/front/amqp/AmqpClientSession.java
@@ -20,7 +20,10 @@
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.Peer;
 
-/** The client side of one AMQP connection, whose single link is one request. Used on the loop's thread only. */
+/**
+ * The client side of one AMQP connection, which carries a single link: the client's request. Used on the event loop's
+ * thread only.
+ */
 final class AmqpClientSession extends ClientSession
         implements AmqpConnection.Listener, ConnectionAdmission.AcceptedPeer {
     private final AmqpFront front;
@@ -43,20 +46,23 @@
 
     @Override
     public void reject() {
-        onGone(null);
+        endSession(null);
         amqpConnection.peer().close();
     }
 
-    // Events of the client's connection
+    // Called by the client's connection
 
-    /** Inserts a handler between the wire and the engine's performative handler, which consumes what it reads. */
+    /**
+     * Inserts the handler of unsettled maps between the wire and the engine's performative handler, which does not pass
+     * on what it reads.
+     */
     @Override
     public void onEngineCreated(Engine engine) {
         unsettledMaps = new UnsettledMapHandler();
         EngineHandler performatives = engine.pipeline().first();
         engine.pipeline()
                 .removeFirst()
-                .addFirst("resuming", unsettledMaps)
+                .addFirst("unsettled-maps", unsettledMaps)
                 .addFirst(ProtonConstants.AMQP_PERFORMATIVE_HANDLER, performatives);
     }
 
@@ -85,7 +91,7 @@
 
     private void onAttached(Link<?> newLink) {
         if (link != null) {
-            // one connection is one request: further links are rejected
+            // one connection carries one request, so further links are rejected
             detach(newLink, new ErrorCondition(AmqpError.NOT_ALLOWED, "one link a connection"));
             return;
         }
@@ -117,16 +123,16 @@
 
     /** The client has detached its link, or ended its session or connection. */
     private void onClientClosed() {
-        onGone(null);
+        endSession(null);
     }
 
     @Override
     public void onEnded(ConnectionOutcome outcome) {
-        onGone(outcome);
+        endSession(outcome);
     }
 
-    /** Ends the session; {@code failure} is null if the client has closed cleanly. */
-    private void onGone(ConnectionOutcome failure) {
+    /** Ends the session, at most once; {@code failure} is null if the client has closed cleanly. */
+    private void endSession(ConnectionOutcome failure) {
         if (ended) {
             return;
         }
@@ -147,8 +153,11 @@
         }
     }
 
-    /** Another connection has attached the same link: closes this session, then runs the callback. */
-    void superseded(Runnable whenClosed) {
+    /**
+     * Another connection has attached the same link: closes this session, and runs the callback once its attempt, if
+     * any, is closed at the feed server.
+     */
+    void onSuperseded(Runnable whenClosed) {
         AmqpUpstream oldUpstream = upstream;
         if (!ended) {
             releaseLink(false);
@@ -163,7 +172,9 @@
         }
     }
 
-    /** Ends the session and releases its link; unsettled deliveries are kept unless it ended cleanly. */
+    /**
+     * Marks the session as ended and releases its link; keeps unsettled deliveries unless the session ended cleanly.
+     */
     private void releaseLink(boolean clean) {
         ended = true;
         if (linkId != null) {
@@ -178,7 +189,7 @@
         }
     }
 
-    // Calls of the relay core
+    // Called by the relay core
 
     @Override
     protected ConnectionAttempt.Upstream startAttempt(ConnectionAttempt attempt) {
@@ -194,7 +205,7 @@
         amqpConnection.close(null);
     }
 
-    // Calls of the upstream connection
+    // Called by the upstream connection
 
     AmqpConnection amqpConnection() {
         return amqpConnection;
@@ -208,8 +219,10 @@
         return link;
     }
 
-    /** The feed server has attached: attaches the client's link, and returns the relay of its transfers. */
-    TransferRelay establish(Link<?> upstreamLink) {
+    /**
+     * The feed server has attached: attaches the client's link too, and returns the forwarder between the two links.
+     */
+    TransferForwarder establish(Link<?> upstreamLink) {
         link.setSource(upstreamLink.getRemoteSource());
         link.setTarget(upstreamLink.<Target>getRemoteTarget());
         link.setSenderSettleMode(upstreamLink.getRemoteSenderSettleMode());
@@ -217,20 +230,20 @@
         link.setProperties(upstreamLink.getRemoteProperties());
         link.open();
         return link instanceof Receiver receiver
-                ? new TransferRelay(
+                ? new TransferForwarder(
                         receiver,
                         amqpConnection,
                         (Sender) upstreamLink,
                         upstream.amqpConnection(),
                         tracker,
                         earlierDeliveries)
-                : new TransferRelay(
+                : new TransferForwarder(
                         (Receiver) upstreamLink, upstream.amqpConnection(), (Sender) link, amqpConnection, null, null);
     }
 
     /**
-     * Closes the connection with {@code connectionError}, or, if that is null, detaches the link first with
-     * {@code linkError}.
+     * Closes the connection. If {@code connectionError} is null, detaches the link with {@code linkError} before;
+     * either error may be null for none.
      */
     void close(ErrorCondition linkError, ErrorCondition connectionError) {
         if (ended) {
@@ -243,7 +256,7 @@
         amqpConnection.close(connectionError);
     }
 
-    /** Resets the client's connection. */
+    /** Closes the client's connection with a TCP reset; no effect if the session has ended. */
     void reset() {
         if (!ended) {
             releaseLink(false);
@@ -257,7 +270,10 @@
         }
     }
 
-    /** Detaches a link. A rejected one is attached first without termini, as the protocol requires. */
+    /**
+     * Detaches a link. A link that has not been attached is attached first, without termini: AMQP rejects a link by an
+     * attach without termini and a detach with the error.
+     */
     private void detach(Link<?> target, ErrorCondition error) {
         if (!protonConnection.isLocallyOpen() || protonConnection.isRemotelyClosed()) {
             return;
--- a/src/main/java/sandstack/front/amqp/AmqpConnection.java
+++ b/src/main/java/sandstack/front/amqp/AmqpConnection.java
@@ -13,12 +13,12 @@
 import sandstack.net.Peer;
 
 /**
- * One AMQP connection: moves bytes between a socket and a protocol engine, and maps their failures to outcomes. Used on
- * the loop's thread only.
+ * One AMQP connection: moves bytes between a socket and a protocol engine, and maps failures of both to outcomes. Used
+ * on the event loop's thread only.
  */
 final class AmqpConnection implements Peer.Listener {
     private static final Logger LOG = Logger.getLogger("sandstack.amqp");
-    /** The protocol header: "AMQP", the protocol id and three bytes of version. */
+    /** Length of the protocol header: "AMQP", the protocol id and three bytes of version. */
     private static final int HEADER_BYTES = 8;
 
     private static final int PROTOCOL_ID_INDEX = 4;
@@ -26,15 +26,15 @@
 
     private static final int MICROS_PER_MILLI = 1000;
 
-    /** Receives the events of the connection; those of the protocol come from the engine's handlers. */
+    /** Receives the events of the connection. Those of AMQP itself are received by the handlers set at the engine. */
     interface Listener {
-        /** The engine has been created and not started. */
+        /** The engine has been created and not started: its pipeline can be changed. */
         default void onEngineCreated(Engine engine) {}
 
         /** The engine has been started; its handlers can be set. */
         void onEngineStarted(Connection connection);
 
-        /** The connection has failed or was closed by the other side. Called at most once. */
+        /** The connection has failed, or the other side has closed its socket. Called at most once. */
         void onEnded(ConnectionOutcome outcome);
 
         /** All buffered output has been written. */
@@ -56,7 +56,7 @@
         peer.setListener(this);
     }
 
-    /** Starts the engine of an outbound connection; that of an accepted one starts with the client's header. */
+    /** Starts the engine of an outbound connection. That of an accepted one starts when the client's header arrives. */
     void start() {
         start(EngineFactory.PROTON.createNonSaslEngine());
     }
@@ -74,7 +74,7 @@
     }
 
     private void onEngineFailed(Throwable cause) {
-        // a protocol error of the peer is logged in one line and not as a fault of the relay
+        // logged in one line at INFO: a protocol error of the peer is not a fault of the relay
         LOG.info(() -> "AMQP connection failed cause=\"" + cause.getMessage() + "\"");
         notifyEnded(
                 cause instanceof IdleTimeoutException
@@ -105,13 +105,14 @@
         }
     }
 
-    /** Runs a call of the engine. A failed engine has notified its error handler already. */
+    /** Runs a task that calls the engine, and handles the engine's exceptions. */
     void runGuarded(Runnable work) {
         try {
             work.run();
         } catch (EngineStateException | IllegalStateException e) {
             LOG.fine(() -> "AMQP engine call failed cause=\"" + e.getMessage() + "\"");
             if (engine.isFailed()) {
+                // the engine has already notified its error handler
                 return;
             }
             notifyEnded(ConnectionOutcome.CLOSED_EARLY);
@@ -119,7 +120,7 @@
         }
     }
 
-    /** Sends heartbeats when due, checks the idle timeout of the other side, and schedules itself again. */
+    /** Sends a heartbeat if one is due, checks the other side's idle timeout, and schedules the next call of itself. */
     void tickIdle() {
         if (ended || !engine.isWritable() || !engine.connection().isLocallyOpen()) {
             return;
@@ -135,7 +136,7 @@
         });
     }
 
-    /** Closes the connection with this error, or without one if null, and lingers until the other side closes. */
+    /** Closes the connection with this error, if not null, and keeps the socket open until the other side closes. */
     void close(ErrorCondition error) {
         notifyEnded(null);
         if (engine != null && engine.isWritable() && engine.connection().isLocallyOpen()) {
@@ -145,7 +146,7 @@
         closeAfterLinger();
     }
 
-    /** Closes the socket without a close performative. */
+    /** Closes the socket at once, without a close performative. */
     void closeAbruptly() {
         notifyEnded(null);
         peer.close();
--- a/src/main/java/sandstack/front/amqp/AmqpFront.java
+++ b/src/main/java/sandstack/front/amqp/AmqpFront.java
@@ -15,29 +15,32 @@
 import sandstack.random.BoundedMap;
 
 /**
- * AMQP 1.0: listens for clients, connects to feed servers and assigns each link to one client session. Used on the
- * loop's thread, apart from listening before the loop has clients.
+ * The front of AMQP 1.0: listens for clients, connects to feed servers and assigns each link to one client session.
+ * Used on the event loop's thread, except for {@link #listen}, which is called before there are any connections.
  */
 public final class AmqpFront {
+    /** Maximum frame size that the relay announces to clients and feed servers. */
     static final int MAX_FRAME_BYTES = 64 * 1024;
+    /** Incoming capacity of each session, in bytes. */
     static final int SESSION_WINDOW_BYTES = 256 * 1024;
+    /** A client that sends nothing for this long is disconnected. */
     static final int CLIENT_IDLE_TIMEOUT_MILLIS = 20_000;
-    /** A feed server that is silent for so long is unresponsive. */
+    /** A feed server that sends nothing for this long is unresponsive. */
     static final int SERVER_IDLE_TIMEOUT_MILLIS = 4_500;
-    /** Links with unsettled deliveries that are remembered for clients which attach again. */
-    private static final int MAX_REMEMBERED_LINKS = 1024;
+    /** For how many links the unsettled deliveries are kept, in case the client attaches the link again. */
+    private static final int MAX_LINKS_WITH_UNSETTLED = 1024;
 
     private final EventLoop loop;
     private final Relay relay;
     private final String containerId;
     private final ConnectionAdmission admission;
     private final Map<LinkId, AmqpClientSession> sessions = new HashMap<>();
-    private final Map<LinkId, DeliveryTracker> unsettledByLink = new BoundedMap<>(MAX_REMEMBERED_LINKS);
+    private final Map<LinkId, DeliveryTracker> unsettledByLink = new BoundedMap<>(MAX_LINKS_WITH_UNSETTLED);
 
     /**
      * Creates a front that does not listen yet.
      *
-     * @param containerId the container id that the relay sends to clients
+     * @param containerId the AMQP container id that the relay sends to clients
      */
     public AmqpFront(EventLoop loop, Relay relay, ConnectionAdmission admission, String containerId) {
         this.loop = loop;
@@ -46,7 +49,7 @@
         this.admission = admission;
     }
 
-    /** Listens; returns the port. */
+    /** Starts accepting clients at this address; returns the port, which the kernel chooses if {@code port} is 0. */
     public int listen(String host, int port) throws IOException {
         return loop.listen(host, port, loop.chain(new BaseFilter() {
                     @Override
@@ -62,17 +65,19 @@
         return loop.connect(server.host(), server.port(), listener);
     }
 
-    /** Assigns the link to this session; the callback runs once an earlier session's attempt is closed. */
+    /**
+     * Assigns the link to this session. Runs the callback once the attempt of an earlier session, if any, is closed.
+     */
     void claimLink(LinkId id, AmqpClientSession client, Runnable whenClaimed) {
         AmqpClientSession earlier = sessions.put(id, client);
         if (earlier == null) {
             whenClaimed.run();
         } else {
-            earlier.superseded(whenClaimed);
+            earlier.onSuperseded(whenClaimed);
         }
     }
 
-    /** Releases the link of this session and keeps its unsettled deliveries, if not null. */
+    /** Releases the link of this session, and keeps its unsettled deliveries if {@code unsettled} is not null. */
     void releaseLink(LinkId id, AmqpClientSession client, DeliveryTracker unsettled) {
         sessions.remove(id, client);
         if (unsettled != null) {
@@ -83,14 +88,15 @@
 
     /**
      * Removes and returns the deliveries that an earlier connection of this link left unsettled; null if there are
-     * none. If the client has sent its unsettled map, only the deliveries in it count.
+     * none. Deliveries that are not in {@code clientUnsettled}, the client's unsettled map, are left out; null if the
+     * client has sent no map.
      */
-    DeliveryTracker takeUnsettled(LinkId id, Map<Binary, DeliveryState> stillHeld) {
+    DeliveryTracker takeUnsettled(LinkId id, Map<Binary, DeliveryState> clientUnsettled) {
         DeliveryTracker unsettled = unsettledByLink.remove(id);
-        if (unsettled != null && stillHeld != null) {
+        if (unsettled != null && clientUnsettled != null) {
             unsettled.unsettledStates().keySet().stream()
-                    .filter(tag -> !stillHeld.containsKey(tag))
-                    .forEach(unsettled::forget);
+                    .filter(tag -> !clientUnsettled.containsKey(tag))
+                    .forEach(unsettled::remove);
         }
         return unsettled;
     }
--- a/src/main/java/sandstack/front/amqp/AmqpMapping.java
+++ b/src/main/java/sandstack/front/amqp/AmqpMapping.java
@@ -14,20 +14,20 @@
 import sandstack.core.Rejection;
 import sandstack.core.TenantRegistry;
 
-/** Maps requests, rejections and outcomes between the terms of the core and those of AMQP. */
+/** Maps requests, rejections and outcomes between {@code core} and AMQP's link properties and error conditions. */
 final class AmqpMapping {
     static final Symbol CLASS = Symbol.valueOf("sandstack:class");
     static final Symbol KEY = Symbol.valueOf("sandstack:key");
     static final Symbol GROUP = Symbol.valueOf("sandstack:group");
     static final Symbol DEADLINE_MILLIS = Symbol.valueOf("sandstack:deadline-ms");
     static final Symbol TENANT = Symbol.valueOf("sandstack:tenant");
-    static final Symbol RETURNING = Symbol.valueOf("sandstack:again");
+    static final Symbol RECONNECTING = Symbol.valueOf("sandstack:again");
     static final Symbol RETRY_AFTER_MILLIS = Symbol.valueOf("sandstack:come-back-ms");
     private static final int MAX_TEXT_CHARS = 256;
 
     private AmqpMapping() {}
 
-    /** The request in a link's properties; null if they are invalid. */
+    /** The request that a link's properties describe; null if they are invalid. */
     static ClientRequest toClientRequest(
             Map<Symbol, Object> properties, EffectiveSettings effectiveSettings, TenantRegistry tenants) {
         if (properties == null) {
@@ -35,11 +35,11 @@
         }
         int requestClass = effectiveSettings.indexOf(text(properties, CLASS));
         String key = text(properties, KEY);
-        boolean withoutGroup = properties.get(GROUP) == null;
+        boolean hasNoGroup = properties.get(GROUP) == null;
         String group = text(properties, GROUP);
         if (requestClass < 0
                 || key == null
-                || (!withoutGroup && group == null)
+                || (!hasNoGroup && group == null)
                 || !(properties.get(DEADLINE_MILLIS) instanceof Number deadline)
                 || deadline.longValue() <= 0
                 || deadline.longValue() > Integer.MAX_VALUE) {
@@ -53,7 +53,7 @@
                 group,
                 deadline.longValue() * 1000,
                 0,
-                Boolean.TRUE.equals(properties.get(RETURNING)),
+                Boolean.TRUE.equals(properties.get(RECONNECTING)),
                 null);
     }
 
@@ -64,8 +64,7 @@
     }
 
     /**
-     * The properties as they are forwarded to a feed server: unchanged but for the deadline, which is the attempt's
-     * remaining time.
+     * The link properties for a feed server: the client's, with the deadline replaced by the attempt's remaining time.
      */
     static Map<Symbol, Object> toUpstreamProperties(Map<Symbol, Object> properties, long remainingMillis) {
         Map<Symbol, Object> forwarded = new HashMap<>(properties);
@@ -73,7 +72,7 @@
         return forwarded;
     }
 
-    /** The error with which a rejected client's link is detached. */
+    /** The error with which the link of a client that is not served is detached. */
     static ErrorCondition rejectionError(Rejection rejection) {
         return switch (rejection.kind()) {
             case REJECTED -> new ErrorCondition(
@@ -87,12 +86,12 @@
         };
     }
 
-    /** The error with which the connection of a client is closed that has to reconnect. */
+    /** The error with which a client's connection is closed when the client has to reconnect. */
     static ErrorCondition migrationError() {
         return new ErrorCondition(ConnectionError.CONNECTION_FORCED, "move: come again");
     }
 
-    /** The outcome of an attempt whose feed server detached or closed with this error; null for none. */
+    /** The outcome of an attempt whose feed server detached or closed; {@code error} is null if it sent no error. */
     static ConnectionOutcome outcome(ErrorCondition error, boolean established) {
         Symbol condition = error == null ? null : error.getCondition();
         boolean draining =
--- a/src/main/java/sandstack/front/amqp/AmqpUpstream.java
+++ b/src/main/java/sandstack/front/amqp/AmqpUpstream.java
@@ -14,11 +14,11 @@
 import sandstack.net.Peer;
 
 /**
- * The connection to the feed server of one attempt, with the link that corresponds to the client's. Used on the loop's
- * thread only.
+ * The connection to the feed server of one attempt, with the link that corresponds to the client's link. Used on the
+ * event loop's thread only.
  */
 final class AmqpUpstream implements ConnectionAttempt.Upstream, AmqpConnection.Listener, EventLoop.ConnectListener {
-    /** How long a superseded attempt waits for the feed server's close. */
+    /** How long a closed attempt waits for the feed server's close before it drops the connection. */
     private static final long CLOSE_TIMEOUT_MICROS = 500_000;
 
     private final AmqpFront front;
@@ -27,7 +27,7 @@
     private EventLoop.PendingConnect connecting;
     private AmqpConnection amqpConnection;
     private Link<?> link;
-    private TransferRelay transferRelay;
+    private TransferForwarder transferForwarder;
     private Runnable whenClosed;
     private DeadlineScheduler.Deadline closeTimeout;
     private boolean closed;
@@ -42,7 +42,7 @@
         connecting = front.connect(attempt.endpoint(), this);
     }
 
-    // Until the feed server has attached
+    // Before the feed server has attached
 
     @Override
     public void connected(Peer peer) {
@@ -92,13 +92,13 @@
     private void onAttached() {
         Object terminus = link instanceof Receiver ? link.getRemoteSource() : link.<Target>getRemoteTarget();
         if (attempt.hasEnded() || terminus == null) {
-            // an attach without a terminus is a rejection; the detach with its error follows
+            // an attach without a terminus rejects the link; a detach with the error follows
             return;
         }
         client.amqpConnection().runGuarded(() -> {
-            transferRelay = client.establish(link);
+            transferForwarder = client.establish(link);
             attempt.onEstablished();
-            transferRelay.start();
+            transferForwarder.start();
         });
     }
 
@@ -114,8 +114,8 @@
 
     /** All pending output to the client has been written. */
     void onClientFlushed() {
-        if (transferRelay != null) {
-            transferRelay.onFlushed();
+        if (transferForwarder != null) {
+            transferForwarder.onFlushed();
         }
     }
 
@@ -127,7 +127,7 @@
         onClientFlushed();
     }
 
-    /** The feed server has detached or closed; {@code error} is null if it gave none. */
+    /** The feed server has detached or closed; {@code error} is null if it sent no error. */
     private void onRemoteClosed(ErrorCondition error) {
         if (closed) {
             notifyClosed();
@@ -148,7 +148,7 @@
     public void onEnded(ConnectionOutcome outcome) {
         boolean wasEstablished = attempt.isEstablished();
         closed = true;
-        // until the feed server has sent its header, the attach has not been written
+        // the attach is written only after the feed server's header has been received
         attempt.onEnded(wasEstablished || amqpConnection.hasReceived() ? outcome : ConnectionOutcome.NOT_CONNECTED);
         notifyClosed();
         if (wasEstablished) {
@@ -160,7 +160,7 @@
         }
     }
 
-    /** The client has detached or closed. */
+    /** The client has detached its link or closed its session or connection. */
     void onClientClosed() {
         attempt.onEnded(ConnectionOutcome.CLIENT_LEFT);
         detachAndClose();
@@ -174,7 +174,7 @@
         notifyClosed();
     }
 
-    // Calls of the relay core
+    // Called by the relay core
 
     @Override
     public void abandon() {
@@ -187,7 +187,7 @@
         client.close(null, AmqpMapping.migrationError());
     }
 
-    /** Detaches the link and closes the connection, or cancels a pending connect. */
+    /** Detaches the link and closes the connection, or cancels a pending connect. No effect if already closed. */
     private void detachAndClose() {
         if (closed) {
             return;
@@ -211,7 +211,7 @@
         }
     }
 
-    /** Runs the callback once this attempt is closed at its feed server. */
+    /** Runs the callback once this attempt is closed at its feed server, or at once if it is already. */
     void whenClosed(Runnable callback) {
         if (closed && closeTimeout == null) {
             callback.run();
--- a/src/main/java/sandstack/front/amqp/AnonymousSaslListener.java
+++ b/src/main/java/sandstack/front/amqp/AnonymousSaslListener.java
@@ -7,7 +7,7 @@
 import org.apache.qpid.protonj2.types.Symbol;
 import org.apache.qpid.protonj2.types.transport.AMQPHeader;
 
-/** Accepts SASL ANONYMOUS and no other mechanism: clients are not authenticated, as in the line protocol. */
+/** Offers and accepts only SASL ANONYMOUS, because the relay does not authenticate clients in any of its protocols. */
 final class AnonymousSaslListener implements SaslServerListener {
     private static final Symbol ANONYMOUS = Symbol.valueOf("ANONYMOUS");
 
--- a/src/main/java/sandstack/front/amqp/DeliveryTracker.java
+++ b/src/main/java/sandstack/front/amqp/DeliveryTracker.java
@@ -6,13 +6,15 @@
 import org.apache.qpid.protonj2.types.transport.DeliveryState;
 
 /**
- * The states of the deliveries that a client has sent over one link and not settled. Outlives the connection, so that a
- * client which attaches the same link again learns them and need not send twice. Used on the loop's thread only.
+ * The states of the deliveries that a client has sent over one link and not settled. They are kept beyond the end of
+ * the connection: a client that attaches the same link again receives the states and does not have to send the
+ * deliveries twice. Used on the event loop's thread only.
  */
 final class DeliveryTracker {
+    /** Beyond this number, the delivery that was forwarded first is dropped. */
     private static final int MAX_DELIVERIES = 256;
 
-    /** A delivery's state at its feed server; null while none has been received. */
+    /** A delivery's last state at the feed server; {@code state} is null until one is received. */
     private record TrackedDelivery(DeliveryState state) {}
 
     private final Map<Binary, TrackedDelivery> deliveries = new LinkedHashMap<>() {
@@ -24,20 +26,20 @@
         }
     };
 
-    /** The complete delivery has been forwarded. */
+    /** Adds a delivery that has been received completely and is being forwarded. */
     void onForwarded(Binary tag) {
         deliveries.put(tag, new TrackedDelivery(null));
     }
 
-    /** The feed server has sent this state; null leaves the last one. */
+    /** Records a state that the feed server has sent; null leaves the last one unchanged. */
     void onState(Binary tag, DeliveryState state) {
         if (state != null && deliveries.containsKey(tag)) {
             deliveries.put(tag, new TrackedDelivery(state));
         }
     }
 
-    /** The client has settled the delivery. */
-    void forget(Binary tag) {
+    /** Removes a delivery that the client has settled or no longer holds. */
+    void remove(Binary tag) {
         deliveries.remove(tag);
     }
 
@@ -45,7 +47,7 @@
         return deliveries.containsKey(tag);
     }
 
-    /** The last state received; null if there is none. */
+    /** The last state received for this delivery; null if there is none. */
     DeliveryState state(Binary tag) {
         TrackedDelivery delivery = deliveries.get(tag);
         return delivery == null ? null : delivery.state();
@@ -55,7 +57,7 @@
         return deliveries.isEmpty();
     }
 
-    /** The states in the form of an attach's unsettled map. */
+    /** The states in the form of the unsettled map of an attach performative. */
     Map<Binary, DeliveryState> unsettledStates() {
         Map<Binary, DeliveryState> states = new LinkedHashMap<>();
         deliveries.forEach((tag, delivery) -> states.put(tag, delivery.state()));
--- a/src/main/java/sandstack/front/amqp/LinkId.java
+++ b/src/main/java/sandstack/front/amqp/LinkId.java
@@ -1,4 +1,10 @@
 package sandstack.front.amqp;
 
-/** Identity of a client's link: the client's container id, the link's name and its direction. */
+/**
+ * Identifies a client's link over several connections.
+ *
+ * @param containerId the client's container id
+ * @param name the link's name
+ * @param fromClient whether the client is the sender
+ */
 record LinkId(String containerId, String name, boolean fromClient) {}
--- a/src/main/java/sandstack/front/amqp/TransferRelay.java
+++ b/src/main/java/sandstack/front/amqp/TransferForwarder.java
@@ -13,11 +13,12 @@
 import org.apache.qpid.protonj2.types.transport.DeliveryState;
 
 /**
- * Forwards transfers from a receiver to a sender, and credit and dispositions in both directions. Settles nothing by
- * itself: a delivery is settled when both ends have settled it. Used on the loop's thread only.
+ * Forwards transfers from a receiver to a sender, credit from the sender to the receiver, and dispositions in both
+ * directions. A settlement by one end is forwarded to the other; the forwarder itself settles only aborted deliveries
+ * and those that an earlier connection has forwarded. Used on the event loop's thread only.
  */
-final class TransferRelay {
-    /** Bytes that may be pending at the sender before the receiver's connection stops reading. */
+final class TransferForwarder {
+    /** Bytes pending at the sender's connection above which the receiver's connection stops reading. */
     private static final int MAX_PENDING_BYTES = 64 * 1024;
 
     private final Receiver receiver;
@@ -31,12 +32,13 @@
     private IncomingDelivery incoming;
 
     /**
-     * Creates a relay from the receiver to the sender; {@link #start} sets the handlers.
+     * Creates a forwarder that does nothing before {@link #start}.
      *
-     * @param tracker records the state of each delivery; null if the client is the receiving end
-     * @param earlierDeliveries those of an earlier connection of this link; null if there are none
+     * @param tracker records the state of each delivery; null if the client receives the deliveries
+     * @param earlierDeliveries deliveries that an earlier connection of this link left unsettled; null if there are
+     *     none
      */
-    TransferRelay(
+    TransferForwarder(
             Receiver receiver,
             AmqpConnection receiverConnection,
             Sender sender,
@@ -59,7 +61,7 @@
         updateCredit();
     }
 
-    /** Grants the receiver the credit of the sender: credit is forwarded and never created. */
+    /** Raises the receiver's credit to the sender's. The relay forwards credit and never grants any of its own. */
     private void updateCredit() {
         senderConnection.runGuarded(this::sendBacklog);
         int additional = sender.getCredit() - receiver.getCredit();
@@ -86,7 +88,7 @@
         Binary tag = tagOf(delivery);
         if (forwarded == null) {
             if (earlierDeliveries != null && earlierDeliveries.contains(tag)) {
-                repeatOutcome(delivery, tag);
+                answerFromEarlierState(delivery, tag);
                 return;
             }
             forwarded = createForwarded(delivery, tag);
@@ -127,7 +129,7 @@
             }
             outgoing.streamBytes(next == null ? empty() : next, last);
             if (next != null && next.isReadable()) {
-                // the session window is full: the rest is sent when it opens
+                // the session window is full: the rest is sent when the window opens
                 break;
             }
             backlog.poll();
@@ -169,16 +171,17 @@
         delivery.settle();
     }
 
-    /** Answers a delivery that an earlier attempt of this link has forwarded, instead of forwarding it again. */
-    private void repeatOutcome(IncomingDelivery delivery, Binary tag) {
+    /** Answers a delivery that an earlier connection of this link has forwarded, instead of forwarding it again. */
+    private void answerFromEarlierState(IncomingDelivery delivery, Binary tag) {
         delivery.readAll();
         if (delivery.isPartial()) {
             return;
         }
         DeliveryState state = earlierDeliveries.state(tag);
-        earlierDeliveries.forget(tag);
+        earlierDeliveries.remove(tag);
         if (!delivery.isRemotelySettled()) {
-            // whether that feed server accepted it is unknown: the client decides, under a new tag
+            // without a state it is unknown whether the feed server accepted the delivery: MODIFIED lets the client
+            // decide whether to send it again under a new tag
             delivery.disposition(state != null ? state : new Modified().setDeliveryFailed(true), true);
         } else {
             delivery.settle();
@@ -186,7 +189,7 @@
         receiverConnection.runGuarded(this::updateCredit);
     }
 
-    /** The receiving end has sent a disposition. */
+    /** Forwards a disposition of the receiving end, which is the peer of {@link #sender}. */
     private void onReceiverDisposition(IncomingDelivery delivery, OutgoingDelivery forwarded, Binary tag) {
         if (tracker != null) {
             tracker.onState(tag, forwarded.getRemoteState());
@@ -199,10 +202,10 @@
         }
     }
 
-    /** The sending end has sent a disposition. */
+    /** Forwards a disposition of the sending end, which is the peer of {@link #receiver}. */
     private void onSenderDisposition(IncomingDelivery delivery, OutgoingDelivery forwarded, Binary tag) {
         if (tracker != null && delivery.isRemotelySettled()) {
-            tracker.forget(tag);
+            tracker.remove(tag);
         }
         if (!forwarded.isSettled()) {
             forwarded.disposition(delivery.getRemoteState(), delivery.isRemotelySettled());
--- a/src/main/java/sandstack/front/amqp/UnsettledMapHandler.java
+++ b/src/main/java/sandstack/front/amqp/UnsettledMapHandler.java
@@ -10,19 +10,19 @@
 import org.apache.qpid.protonj2.types.transport.DeliveryState;
 
 /**
- * Handles the unsettled maps of attaches, which the engine does not expose: keeps the client's, and writes the states
- * of its earlier deliveries into the answer. Used on the loop's thread only.
+ * Handles the unsettled maps of attach performatives, which the engine does not expose: keeps the client's map, and
+ * writes the states of the client's earlier deliveries into the relay's attach. Used on the event loop's thread only.
  */
 final class UnsettledMapHandler implements EngineHandler {
     private Map<Binary, DeliveryState> clientUnsettled;
     private DeliveryTracker earlierDeliveries;
 
-    /** The client's unsettled map; null if it has sent none. */
+    /** The unsettled map that the client has sent; null if it has sent none. */
     Map<Binary, DeliveryState> clientUnsettled() {
         return clientUnsettled;
     }
 
-    /** Sets the deliveries that are written into the answer; null for none. */
+    /** Sets the deliveries whose states the relay's attach contains; null for none. */
     void setEarlierDeliveries(DeliveryTracker deliveries) {
         earlierDeliveries = deliveries;
     }
--- a/src/main/java/sandstack/front/amqp/package-info.java
+++ b/src/main/java/sandstack/front/amqp/package-info.java
@@ -1,5 +1,6 @@
 /**
- * AMQP 1.0 as a second protocol for clients and feed servers, by the engine of the Proton library. Maps link properties
- * and error conditions to the terms of {@code core}, and takes no balancing decision. Runs on the loop's thread.
+ * The front of AMQP 1.0, the second protocol for clients and feed servers; uses the engine of the Proton library. Maps
+ * link properties and error conditions to the types of {@code core} and makes no balancing decision. Runs on the event
+ * loop's thread.
  */
 package sandstack.front.amqp;
--- a/src/main/java/sandstack/front/operators/OperatorDoor.java
+++ b/src/main/java/sandstack/front/operators/OperatorFront.java
@@ -13,33 +13,34 @@
 import sandstack.net.Peer;
 
 /**
- * The operators' port: each connection carries one command, a line, and gets one answer that begins with {@code ACK} or
- * {@code NAK}. Holds at most {@value #MAX_CALLERS} connections, which do not count towards the admission of clients.
- * Runs on the loop's thread; an accept, a command and an eviction cost O(1), {@code INFO} O(classes and feed servers).
+ * The front of the operators' port: each connection carries one command, a line, and receives one answer that begins
+ * with {@code ACK} or {@code NAK}. Holds at most {@value #MAX_CONNECTIONS} connections, which do not count towards the
+ * admission of clients. Runs on the event loop's thread; an accept, a command and an eviction cost O(1), {@code INFO}
+ * costs O(classes and feed servers).
  */
-public final class OperatorDoor {
-    /** Connections at one time; beyond that the oldest is closed. */
-    public static final int MAX_CALLERS = 24;
+public final class OperatorFront {
+    /** Maximum number of simultaneous connections; a further one closes the oldest. */
+    public static final int MAX_CONNECTIONS = 24;
 
     private static final int MAX_LINE_BYTES = 4096;
-    /** How long a command may take to arrive: enough for a person at a keyboard. */
+    /** How long a command may take to arrive; long enough to type it. */
     private static final long REQUEST_TIMEOUT_MICROS = 10_000_000;
-    /** How long an answered caller may keep its end open. */
+    /** How long the operator's end may stay open after the answer. */
     private static final long LINGER_MICROS = 1_000_000;
 
     private final EventLoop loop;
     private final DeadlineScheduler deadlines;
     private final Supplier<String> notReadyReason;
     private final Supplier<List<String>> metricLines;
-    private final Set<Caller> callers = new LinkedHashSet<>();
+    private final Set<OperatorConnection> connections = new LinkedHashSet<>();
 
     /**
-     * Creates a port that does not listen yet.
+     * Creates a front that does not listen yet.
      *
      * @param notReadyReason why this process cannot serve; supplies null once it can
-     * @param metricLines the metrics, a line each
+     * @param metricLines the metrics, one per line
      */
-    public OperatorDoor(
+    public OperatorFront(
             EventLoop loop,
             DeadlineScheduler deadlines,
             Supplier<String> notReadyReason,
@@ -50,22 +51,22 @@
         this.metricLines = metricLines;
     }
 
-    /** Listens; returns the port. */
+    /** Starts accepting operators at this address; returns the port, which the kernel chooses if {@code port} is 0. */
     public int listen(String host, int port) throws IOException {
         return loop.listen(host, port, loop.chain(new BaseFilter() {
                     @Override
                     public NextAction handleAccept(FilterChainContext context) {
-                        onAccepted(new Caller(EventLoop.peer(context)));
+                        onAccepted(new OperatorConnection(EventLoop.peer(context)));
                         return context.getStopAction();
                     }
                 }))
                 .port();
     }
 
-    private void onAccepted(Caller caller) {
-        callers.add(caller);
-        if (callers.size() > MAX_CALLERS) {
-            callers.iterator().next().close();
+    private void onAccepted(OperatorConnection connection) {
+        connections.add(connection);
+        if (connections.size() > MAX_CONNECTIONS) {
+            connections.iterator().next().close();
         }
     }
 
@@ -81,13 +82,13 @@
         }
     }
 
-    /** The connection of one caller. */
-    private final class Caller implements Peer.Listener {
+    /** One connection of an operator: reads one command, sends its answer and closes. */
+    private final class OperatorConnection implements Peer.Listener {
         private final Peer peer;
         private DeadlineScheduler.Deadline timeout;
         private boolean answered;
 
-        Caller(Peer peer) {
+        OperatorConnection(Peer peer) {
             this.peer = peer;
             peer.setListener(this);
             timeout = deadlines.schedule(
@@ -120,16 +121,16 @@
             answered = true;
             timeout.cancel();
             timeout = deadlines.schedule(loop.nowMicros() + LINGER_MICROS, this::close);
-            // a close over unread input makes the kernel send a reset, which can overtake the answer
+            // closing a socket with unread input makes the kernel send a RST, which can overtake the answer
             peer.discardInput();
             peer.send(answer);
             peer.shutdownOutput();
         }
 
-        /** Closes the connection and frees its descriptor. */
+        /** Closes the socket, if it is still open, and frees its place. */
         private void close() {
             timeout.cancel();
-            callers.remove(this);
+            connections.remove(this);
             peer.close();
         }
 
--- a/src/main/java/sandstack/front/platform/LineScanner.java
+++ b/src/main/java/sandstack/front/platform/LineScanner.java
@@ -4,8 +4,8 @@
 import sandstack.net.RingBuffer;
 
 /**
- * Scans one direction of an established connection and reports the beginning of each complete line. It copies no bytes
- * beyond that prefix. Used on the loop's thread only.
+ * Splits one direction of an established connection into lines and reports the first {@value #MAX_PREFIX_CHARS}
+ * characters of each complete line. Copies no bytes beyond that prefix. Used on the event loop's thread only.
  */
 final class LineScanner {
     /** Longer than any line that the relay evaluates. */
@@ -19,7 +19,7 @@
         this.listener = listener;
     }
 
-    /** Scans the newest bytes of a buffer. */
+    /** Scans the last {@code count} bytes of the buffer, which have just been received. */
     void onBytes(RingBuffer buffer, int count) {
         for (int i = buffer.size() - count; i < buffer.size(); i++) {
             char c = (char) (buffer.byteAt(i) & 0xff);
@@ -39,12 +39,12 @@
         }
     }
 
-    /** The received part of the incomplete line has been dropped from the buffer. */
+    /** Resets {@link #partialLineBytes}; the caller has dropped the incomplete line from the buffer. */
     void dropPartialLine() {
         partialLineBytes = 0;
     }
 
-    /** Bytes received of a line whose end has not been received. */
+    /** How many bytes of the last, still incomplete line have been received. */
     int partialLineBytes() {
         return partialLineBytes;
     }
--- a/src/main/java/sandstack/front/platform/LoadReportClassifier.java
+++ b/src/main/java/sandstack/front/platform/LoadReportClassifier.java
@@ -5,21 +5,21 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Tells apart the two values that feed servers send as {@code LOAD X}: the load of a connection, in microseconds of
- * work per second, and, where the settings say that delays are reported, the current message delay in milliseconds. An
- * overloaded server reports its delay once a second, on one connection of each relay. Taken for a load, it would make
- * that connection look idle and attract more load to an overloaded server.
+ * Distinguishes the two values that feed servers report as {@code LOAD X}: the load of a connection, in microseconds of
+ * work per second, and, if the settings enable delay reports, the current message delay in milliseconds. An overloaded
+ * server reports its delay once per second, on one connection of each relay. If the relay took a delay for a load, that
+ * connection would look idle, and the overloaded server would be sent more clients.
  *
- * <p>Classifies by magnitude where that is enough, else by the reporting interval. O(1) per report, one small entry per
- * feed server. Used on the loop's thread only.
+ * <p>Classifies by magnitude where that is unambiguous, otherwise by the reporting interval. O(1) per report, one small
+ * entry per feed server. Used on the event loop's thread only.
  */
 final class LoadReportClassifier {
     /**
-     * A smaller value is a delay: a load below a thousandth of a core is insignificant, and a delay of a second or more
-     * is preceded by a shorter one a second before.
+     * A smaller value is a delay, because a load below a thousandth of a core is insignificant. A larger value is a
+     * delay only one reporting interval after a delay: a delay of a second or more is preceded by a shorter one.
      */
     private static final double MIN_LOAD = 1_000;
-    /** A larger value is a load: no client waits that long for a message. */
+    /** A value from here on is a load: no client waits that long for a message. */
     private static final double MAX_DELAY_MILLIS = 10_000;
 
     private static final long DELAY_INTERVAL_MICROS = 1_000_000;
@@ -30,15 +30,18 @@
     private final Map<String, Long> lastDelayMicros = new HashMap<>();
 
     /**
-     * Creates a classifier without reports.
+     * Creates a classifier to which no delay has been reported.
      *
-     * @param delaysReported whether feed servers report delays at all, by the settings now in force
+     * @param delaysReported whether feed servers report delays at all, according to the current settings
      */
     LoadReportClassifier(BooleanSupplier delaysReported) {
         this.delaysReported = delaysReported;
     }
 
-    /** Whether this value, just reported by this feed server, is a delay. */
+    /**
+     * Whether the value that this feed server has just reported is a delay. A delay is recorded, so call this once per
+     * report.
+     */
     boolean isDelay(String server, double value, long nowMicros) {
         if (!delaysReported.getAsBoolean() || !(value >= 0) || value >= MAX_DELAY_MILLIS) {
             return false;
@@ -51,7 +54,7 @@
             }
         }
         if (lastDelayMicros.size() >= MAX_SERVERS) {
-            // removed servers would accumulate over the life of the process
+            // entries of removed servers would otherwise accumulate until the process ends
             lastDelayMicros
                     .values()
                     .removeIf(reportedMicros ->
--- a/src/main/java/sandstack/front/platform/OpenRequest.java
+++ b/src/main/java/sandstack/front/platform/OpenRequest.java
@@ -12,24 +12,24 @@
  * c=chat,d=2000,g=5c0f6e1a2b3d4c59}.
  */
 final class OpenRequest {
-    private static final int FIELDS = 4;
+    private static final int FIELD_COUNT = 4;
     private static final Pattern TOKEN = Pattern.compile("[!-~]{1,128}");
     private static final Pattern DECIMAL_MILLIS = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
 
     private final String id;
-    private final String key;
+    private final String clientKey;
     private final Map<String, String> parameters;
 
-    private OpenRequest(String id, String key, Map<String, String> parameters) {
+    private OpenRequest(String id, String clientKey, Map<String, String> parameters) {
         this.id = id;
-        this.key = key;
+        this.clientKey = clientKey;
         this.parameters = parameters;
     }
 
-    /** Parses a line without its line end; null if it is not of this form. */
+    /** Parses a line without its line end; returns null if it does not have the form of a request. */
     static OpenRequest parse(String line) {
         String[] fields = line.split(" ", -1);
-        if (fields.length != FIELDS
+        if (fields.length != FIELD_COUNT
                 || !fields[0].equals(PlatformProtocol.OPEN)
                 || !TOKEN.matcher(fields[1]).matches()
                 || !TOKEN.matcher(fields[2]).matches()) {
@@ -47,7 +47,7 @@
         return new OpenRequest(fields[1], fields[2], parameters);
     }
 
-    /** The request in the core's terms; null if a value is invalid or the request class is unknown. */
+    /** Converts to the request of {@code core}; returns null if a value is invalid or the request class is unknown. */
     ClientRequest toClientRequest(EffectiveSettings effectiveSettings, TenantRegistry tenants) {
         int requestClass = effectiveSettings.indexOf(parameters.get(PlatformProtocol.CLASS_PARAMETER));
         String deadline = parameters.get(PlatformProtocol.DEADLINE_PARAMETER);
@@ -65,7 +65,7 @@
                 ? tenants.indexOf(parameters.get(PlatformProtocol.TENANT_PARAMETER))
                 : 0;
         return new ClientRequest(
-                key,
+                clientKey,
                 requestClass,
                 tenant,
                 parameters.get(PlatformProtocol.GROUP_PARAMETER),
@@ -75,21 +75,20 @@
                 parameters.get(PlatformProtocol.PREVIOUS_SERVER_PARAMETER));
     }
 
-    /** The request id, unique to one connection. */
+    /** The request id; no two open requests of the relay may have the same. */
     String id() {
         return id;
     }
 
     /**
-     * The line as it is forwarded to a feed server: unchanged but for the deadline, which is the attempt's remaining
-     * time.
+     * The request line for a feed server: the client's line with the deadline replaced by the attempt's remaining time.
      */
     String toUpstreamLine(long remainingMillis) {
         StringBuilder line = new StringBuilder(PlatformProtocol.OPEN)
                 .append(' ')
                 .append(id)
                 .append(' ')
-                .append(key);
+                .append(clientKey);
         char separator = ' ';
         for (Map.Entry<String, String> parameter : parameters.entrySet()) {
             boolean isDeadline = parameter.getKey().equals(PlatformProtocol.DEADLINE_PARAMETER);
--- a/src/main/java/sandstack/front/platform/PlatformClientSession.java
+++ b/src/main/java/sandstack/front/platform/PlatformClientSession.java
@@ -10,10 +10,10 @@
 
 /**
  * The client side of one connection of the line protocol: reads the request, writes the answer and, once established,
- * forwards lines to its {@link UpstreamConnection}. Used on the loop's thread only.
+ * forwards lines to its {@link UpstreamConnection}. Used on the event loop's thread only.
  */
 final class PlatformClientSession extends ClientSession implements Peer.Listener, ConnectionAdmission.AcceptedPeer {
-    /** State of the connection. */
+    /** Progress of the client's connection, which passes these states in order and may skip some. */
     private enum State {
         AWAITING_REQUEST,
         AWAITING_SERVER,
@@ -36,14 +36,14 @@
         front.admission().onAccepted(peer, this);
     }
 
-    // Events of the client's socket and of its admission
+    // Called by the client's socket and by the connection admission
 
     @Override
     public void onBytesReceived(int count) {
         switch (state) {
             case AWAITING_REQUEST -> readLines();
             case AWAITING_SERVER -> {
-                // a second line before the answer is a protocol error
+                // input after the request line and before the answer is a protocol error
                 relay.onClientDisconnected(this);
                 rejectMalformed(request());
             }
@@ -94,7 +94,7 @@
     }
 
     /**
-     * Rejects malformed input, and records the rejection where the request is known.
+     * Rejects malformed input, and records the rejection if the request itself could be parsed.
      *
      * @param request the client's request; null if it could not be parsed
      */
@@ -129,7 +129,7 @@
         }
     }
 
-    /** The request has ended and its id is free again. */
+    /** Releases the id of the request, if any, so that another connection may use it. */
     private void releaseRequestId() {
         if (openRequest != null) {
             front.releaseRequestId(openRequest.id());
@@ -169,7 +169,7 @@
         }
     }
 
-    // Calls of the relay core
+    // Called by the relay core
 
     @Override
     protected ConnectionAttempt.Upstream startAttempt(ConnectionAttempt attempt) {
@@ -189,25 +189,28 @@
                 });
     }
 
-    // Calls of the upstream connection
+    // Called by the upstream connection
 
     Peer peer() {
         return peer;
     }
 
-    /** The feed server has accepted: from now on the client's socket writes from the upstream's input buffer. */
+    /** The feed server has accepted: from now on the client's socket sends what the upstream's input buffer holds. */
     void onEstablished() {
         state = State.ESTABLISHED;
         peer.writeInputOf(upstream.peer());
     }
 
-    /** Sends a last line, if not null, shuts the output down and lingers until the client closes. */
+    /**
+     * Sends the last line, if not null, shuts down the output, and keeps the socket open until the client closes or the
+     * linger time ends.
+     */
     void closeAfterLastLine(String lastLine) {
         if (state == State.CLOSING || peer.isClosed()) {
             return;
         }
         state = State.CLOSING;
-        // a close over unread input makes the kernel send a reset, which can overtake the answer
+        // closing a socket with unread input makes the kernel send a RST, which can overtake the answer
         peer.discardInput();
         releaseRequestId();
         front.admission().closeAfterLinger(peer);
--- a/src/main/java/sandstack/front/platform/PlatformFront.java
+++ b/src/main/java/sandstack/front/platform/PlatformFront.java
@@ -15,8 +15,8 @@
 import sandstack.net.ListeningSocket;
 
 /**
- * The platform's line protocol: listens for clients and connects to feed servers. Used on the loop's thread, apart from
- * listening before the loop has clients.
+ * The front of the platform's line protocol: listens for clients and connects to feed servers. Used on the event loop's
+ * thread, except for the listen methods, which are called before there are any connections.
  */
 public final class PlatformFront {
     private static final int MICROS_PER_MILLI = 1000;
@@ -37,7 +37,7 @@
                 new LoadReportClassifier(() -> relay.effectiveSettings().delaysReported());
     }
 
-    /** Listens; returns the port. */
+    /** Starts accepting clients at this address; returns the port, which the kernel chooses if {@code port} is 0. */
     public int listen(String host, int port) throws IOException {
         listeningSocket = loop.listen(host, port, chain());
         return listeningSocket.port();
@@ -49,7 +49,7 @@
         return listeningSocket.port();
     }
 
-    /** Stops accepting; a socket that other processes share stays open. */
+    /** Stops accepting clients. A listening socket that is shared with sibling processes stays open for them. */
     public void pauseAccepting() throws IOException {
         listeningSocket.pause();
     }
@@ -64,7 +64,7 @@
         });
     }
 
-    /** Claims this id for a request; false if an open request has it. */
+    /** Reserves this id for a request; returns false if an open request has it. */
     boolean claimRequestId(String id) {
         return openRequestIds.add(id);
     }
@@ -73,7 +73,7 @@
         openRequestIds.remove(id);
     }
 
-    /** A feed server has reported this value, a load or a delay, on an established connection. */
+    /** Handles the value of a {@code LOAD} line, which is the connection's load or the server's message delay. */
     void onLoadReport(ConnectionAttempt attempt, double value) {
         if (loadReports.isDelay(attempt.endpoint().entry().serverId(), value, nowMicros())) {
             attempt.onDelayReported(value * MICROS_PER_MILLI);
--- a/src/main/java/sandstack/front/platform/PlatformProtocol.java
+++ b/src/main/java/sandstack/front/platform/PlatformProtocol.java
@@ -1,6 +1,6 @@
 package sandstack.front.platform;
 
-/** Keywords and limits of the platform's line protocol, as they stand on the wire. */
+/** Keywords, parameter names and limits of the platform's line protocol, exactly as on the wire. */
 final class PlatformProtocol {
     static final String LINE_END = "\r\n";
     static final int MAX_LINE_BYTES = 4096;
@@ -11,26 +11,26 @@
     static final String PING_LINE = "PING" + LINE_END;
     static final String PONG_LINE = "PONG" + LINE_END;
 
-    /** A feed server accepts the request. */
+    /** A feed server's answer: the request is accepted. */
     static final String UP = "UP";
-    /** A rejection, with or without the milliseconds of a Retry-After. */
+    /** The request was not executed; a Retry-After in milliseconds may follow. */
     static final String BUSY = "BUSY";
-    /** A failure or a malformed request, to a client. */
+    /** The relay's answer to a client whose request failed or was malformed. */
     static final String ERR = "ERR";
-    /** A feed server could not parse the request. */
+    /** A feed server's answer: it could not parse the request. */
     static final String SYNTAX = "SYNTAX";
-    /** The client has to reconnect, because its feed server or its relay is draining. */
+    /** The client has to reconnect, because its feed server or its relay is draining or it is being migrated. */
     static final String MOVE = "MOVE";
-    /** A feed server has served the connection to its end. */
+    /** A feed server's last line on a connection that ends normally. */
     static final String BYE = "BYE";
-    /** Begins a feed server's load report or delay report. */
+    /** Prefix of a feed server's load report or delay report. */
     static final String LOAD_PREFIX = "LOAD ";
 
     /** Request parameter: the request class. */
     static final String CLASS_PARAMETER = "c";
-    /** Request parameter: how long the client waits, in milliseconds. */
+    /** Request parameter: how long the client waits for an answer, in milliseconds. */
     static final String DEADLINE_PARAMETER = "d";
-    /** Request parameter: the load that the client expects to cause. */
+    /** Request parameter: the client's estimate of the connection's load. */
     static final String LOAD_HINT_PARAMETER = "h";
     /** Request parameter: the tenant. */
     static final String TENANT_PARAMETER = "t";
@@ -38,7 +38,7 @@
     static final String GROUP_PARAMETER = "g";
     /** Request parameter: 1 for a client that reconnects. */
     static final String RECONNECT_PARAMETER = "again";
-    /** Request parameter: the feed server at which the client was before. */
+    /** Request parameter: the feed server of the connection, if it was established before the relay started. */
     static final String PREVIOUS_SERVER_PARAMETER = "at";
 
     private PlatformProtocol() {}
--- a/src/main/java/sandstack/front/platform/UpstreamConnection.java
+++ b/src/main/java/sandstack/front/platform/UpstreamConnection.java
@@ -8,11 +8,11 @@
 
 /**
  * The connection to the feed server of one attempt: sends the request, evaluates the answer and, once established,
- * forwards lines to the client and scans them for reports. Used on the loop's thread only.
+ * forwards lines to the client and scans them for load reports. Used on the event loop's thread only.
  */
 final class UpstreamConnection implements ConnectionAttempt.Upstream, Peer.Listener, EventLoop.ConnectListener {
     private static final Logger LOG = Logger.getLogger("sandstack.platform");
-    /** How long a migration waits for the end of a line that the feed server has sent in part. */
+    /** How long a migration waits for the rest of a line of which the feed server has sent a part. */
     private static final long LINE_END_TIMEOUT_MICROS = 500_000;
     /** How long a connection may stay half-closed. */
     private static final long HALF_CLOSED_TIMEOUT_MICROS = 10_000_000;
@@ -28,7 +28,7 @@
     private Peer peer;
     private boolean established;
     private boolean migrating;
-    /** Whether the request has been written completely. */
+    /** Whether the socket has accepted the complete request. */
     private boolean requestSent;
 
     private String lastLine = "";
@@ -49,7 +49,7 @@
         return peer;
     }
 
-    // Until the feed server has answered
+    // Before the feed server's answer
 
     @Override
     public void connected(Peer newPeer) {
@@ -110,7 +110,7 @@
         attempt.onEnded(outcome);
     }
 
-    // Events of the feed server's socket, before and after its answer
+    // Called by the feed server's socket, before and after the answer
 
     @Override
     public void onBytesReceived(int count) {
@@ -147,7 +147,7 @@
     @Override
     public void onConnectionLost() {
         if (!established) {
-            // a feed server that has not received the complete request has not run it
+            // a feed server that has not received the complete request cannot have executed it
             attempt.onEnded(requestSent ? ConnectionOutcome.RESET : ConnectionOutcome.NOT_CONNECTED);
             return;
         }
@@ -158,12 +158,12 @@
         } else if (outcome == ConnectionOutcome.RESET) {
             client.reset();
         } else {
-            // its last line was a proper end, and a reset here could keep that line from the client
+            // the feed server's last line announced the end; a reset here could keep that line from the client
             client.closeAfterLastLine(null);
         }
     }
 
-    /** The outcome of an established connection by the feed server's last line. */
+    /** The outcome of an established connection that the feed server's last line announces, else {@code otherwise}. */
     private ConnectionOutcome outcomeOfLastLine(ConnectionOutcome otherwise) {
         return switch (lastLine) {
             case PlatformProtocol.BYE -> ConnectionOutcome.SERVED;
@@ -202,19 +202,19 @@
         return attempt.endpoint().entry().serverId();
     }
 
-    /** Forwards what the client has sent to the feed server. */
+    /** Writes the client's buffered input to the feed server. */
     void forwardClientBytes() {
         attempt.onClientMessage();
         peer.flush();
     }
 
-    /** All forwarded bytes have been written to the client, so that more can be read from the feed server. */
+    /** All buffered bytes have been written to the client: there is room to read more from the feed server. */
     void onClientFlushed() {
         peer.resumeReading();
         closeIfBothEnded();
     }
 
-    /** The client has shut down its output: forwards that, and leaves the feed server's direction open. */
+    /** The client has shut down its output: sends the FIN on, and leaves the feed server's direction open. */
     void onClientEndOfInput() {
         attempt.onEnded(ConnectionOutcome.CLIENT_LEFT);
         peer.shutdownOutput();
@@ -242,7 +242,7 @@
         client.peer().close();
     }
 
-    // Calls of the relay core
+    // Called by the relay core
 
     @Override
     public void abandon() {
@@ -261,7 +261,10 @@
         migrateAtLineEnd();
     }
 
-    /** MOVE is sent between two lines: waits for the end of a line whose beginning has been written already. */
+    /**
+     * Migrates now if the client has been sent complete lines only, because MOVE has to be a line of its own. An
+     * incomplete line that is still in the buffer is dropped; one that has been written in part is completed first.
+     */
     private void migrateAtLineEnd() {
         if (scanner.partialLineBytes() <= peer.input().size()) {
             peer.input().dropLast(scanner.partialLineBytes());
@@ -276,7 +279,7 @@
         if (!client.peer().isClosed() && migrating) {
             migrating = false;
             peer.close();
-            // ends a line that the feed server left incomplete, so that MOVE is a line of its own
+            // terminates a line that was written in part, so that MOVE is a line of its own
             client.closeAfterLastLine(
                     scanner.partialLineBytes() > peer.input().size()
                             ? PlatformProtocol.LINE_END + MOVE_LINE
--- a/src/main/java/sandstack/front/platform/package-info.java
+++ b/src/main/java/sandstack/front/platform/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The platform's line protocol: client sessions, connections to feed servers, and the forwarding of bytes between the
- * two. Maps the protocol's keywords to the terms of {@code core}, and takes no balancing decision. Runs on the loop's
- * thread.
+ * The front of the platform's line protocol: client sessions, connections to feed servers, and the forwarding of bytes
+ * between the two. Maps the protocol's keywords to the types of {@code core} and makes no balancing decision. Runs on
+ * the event loop's thread.
  */
 package sandstack.front.platform;
--- a/src/main/java/sandstack/service/RelayService.java
+++ b/src/main/java/sandstack/service/RelayService.java
@@ -27,7 +27,7 @@
 import sandstack.directory.TenantDirectory;
 import sandstack.discovery.DiscoveryWatch;
 import sandstack.front.amqp.AmqpFront;
-import sandstack.front.operators.OperatorDoor;
+import sandstack.front.operators.OperatorFront;
 import sandstack.front.platform.PlatformFront;
 import sandstack.net.ConnectionAdmission;
 import sandstack.net.DescriptorBudget;
@@ -93,7 +93,7 @@
                 this::pollDiscovery);
         EndpointListJson listFormat = new EndpointListJson(config.zones(), kinds);
         watch = new DiscoveryWatch(loop, relay, config.discovery(), listFormat);
-        int reservedDescriptors = OTHER_DESCRIPTORS + (config.operator() == null ? 0 : OperatorDoor.MAX_CALLERS);
+        int reservedDescriptors = OTHER_DESCRIPTORS + (config.operator() == null ? 0 : OperatorFront.MAX_CONNECTIONS);
         int descriptors = descriptorsWithin(config.maxDescriptors() - reservedDescriptors);
         admission = new ConnectionAdmission(loop, relay.deadlines(), descriptors);
         listeners = new Listeners(config.name(), lifecycle, loop);
@@ -198,13 +198,13 @@
         // the library's own handler of SIGHUP ends the process
         Signal.handle(new Signal("HUP"), signal -> reloader.reload());
         lifecycle.onShutdown(this::stop);
-        JsonNode amqp = files.enabled(AMQP_FILE);
-        JsonNode directory = files.enabled(DIRECTORY_FILE);
-        TenantDirectory.DirectoryLocation directoryLocation =
-                directory == null ? null : TenantDirectory.DirectoryLocation.read(directory);
+        JsonNode amqp = files.readIfEnabled(AMQP_FILE);
+        JsonNode directory = files.readIfEnabled(DIRECTORY_FILE);
+        TenantDirectory.DirectoryConfig directoryConfig =
+                directory == null ? null : TenantDirectory.DirectoryConfig.read(directory);
         Address amqpAddress = amqp == null
                 ? null
-                : Address.parse(DeployFiles.text(amqp, "listen", AMQP_FILE), AMQP_FILE + ": listen");
+                : Address.parse(DeployFiles.requiredText(amqp, "listen", AMQP_FILE), AMQP_FILE + ": listen");
         if (config.socketInherited() && !(System.inheritedChannel() instanceof ServerSocketChannel)) {
             throw new InvalidConfigurationException("PROXY_SOCKET_FD is 0, but descriptor 0 is no listening socket");
         }
@@ -223,8 +223,8 @@
         if (amqpAddress != null) {
             listeners.open("AMQP", amqpAddress, new AmqpFront(loop, relay, admission, config.name())::listen);
         }
-        if (directoryLocation != null) {
-            new TenantDirectory(directoryLocation, tenants -> loop.execute(() -> relay.onTenants(tenants))).start();
+        if (directoryConfig != null) {
+            new TenantDirectory(directoryConfig, tenants -> loop.execute(() -> relay.onTenants(tenants))).start();
         }
     }
 
@@ -250,7 +250,7 @@
             operatorPort = listeners.open(
                     "operators",
                     config.operator(),
-                    new OperatorDoor(loop, relay.deadlines(), clientListener::notReadyReason, relay::metricLines)
+                    new OperatorFront(loop, relay.deadlines(), clientListener::notReadyReason, relay::metricLines)
                             ::listen);
         }
     }
--- a/src/main/java/sandstack/service/RelayServiceLoader.java
+++ b/src/main/java/sandstack/service/RelayServiceLoader.java
@@ -50,7 +50,7 @@
     }
 
     private static boolean isFleetEnabled() throws InvalidConfigurationException {
-        return deployFiles().enabled(FLEET_FILE) != null;
+        return deployFiles().readIfEnabled(FLEET_FILE) != null;
     }
 
     private static RelayService create(Path capacityFile) throws InvalidConfigurationException {
--- a/src/test/java/sandstack/config/CapacityFileTest.java
+++ b/src/test/java/sandstack/config/CapacityFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Stated capacities, read from the deploy file and from one that a command names. */
+/** Stated capacities, read from {@code deploy/capacity.toml} or from the file that a command names. */
 class CapacityFileTest {
     @TempDir
     Path folder;
@@ -23,16 +23,16 @@
     @Test
     void readsTheDeployFileAndANamedFile() throws Exception {
         assertThat(CapacityFile.read(new DeployFiles(Path.of("deploy")), null))
-                .as("as shipped")
+                .as("the file as shipped is disabled")
                 .isSameAs(CapacityFile.NONE);
         Path named = Files.writeString(
                 folder.resolve("site.toml"), "enabled = true\n[servers]\nwork = 1_000_000\nfirm = true\n");
-        CapacityFile theirs = CapacityFile.read(new DeployFiles(folder), named);
-        assertThat(theirs.statedCapacities().forKind(0).workPerRating()).isEqualTo(1e6);
-        assertThat(theirs.statedCapacities().forKind(0).upperBound()).isTrue();
+        CapacityFile namedFile = CapacityFile.read(new DeployFiles(folder), named);
+        assertThat(namedFile.statedCapacities().forKind(0).workPerRating()).isEqualTo(1e6);
+        assertThat(namedFile.statedCapacities().forKind(0).upperBound()).isTrue();
     }
 
-    /** The platform starts the same command in every deployment, so it must not name the capacity file of one. */
+    /** The platform starts the same command in every installation, so it must not name the capacity file of one. */
     @Test
     void theCommandOfThePlatformNamesNoCapacityFile() throws Exception {
         assertThat(Files.readString(Path.of("deploy/balancer.toml"))).doesNotContain("--capacity");
@@ -55,14 +55,14 @@
 
     @Test
     void errorOfANamedFileHasItsPath() throws Exception {
-        Path none = folder.resolve("none.toml");
-        assertThatThrownBy(() -> CapacityFile.read(new DeployFiles(folder), none))
+        Path missing = folder.resolve("none.toml");
+        assertThatThrownBy(() -> CapacityFile.read(new DeployFiles(folder), missing))
                 .isInstanceOf(InvalidConfigurationException.class)
-                .hasMessage("cannot read " + none);
-        Path wrong = Files.writeString(folder.resolve("site.toml"), "enabled = true\n[servers]\nwork = -1\n");
-        assertThatThrownBy(() -> CapacityFile.read(new DeployFiles(folder), wrong))
+                .hasMessage("cannot read " + missing);
+        Path invalid = Files.writeString(folder.resolve("site.toml"), "enabled = true\n[servers]\nwork = -1\n");
+        assertThatThrownBy(() -> CapacityFile.read(new DeployFiles(folder), invalid))
                 .isInstanceOf(InvalidConfigurationException.class)
-                .hasMessageStartingWith(wrong + ": servers.work must be");
+                .hasMessageStartingWith(invalid + ": servers.work must be");
     }
 
     @ParameterizedTest
--- a/src/test/java/sandstack/config/ConfigurationErrorLinesTest.java
+++ b/src/test/java/sandstack/config/ConfigurationErrorLinesTest.java
@@ -16,17 +16,18 @@
 import sandstack.directory.TenantDirectory;
 
 /**
- * The exact error line of each invalid configuration in {@code error-lines.tsv}, which lists the file, a part of a
- * valid file, its replacement and the line. The lines were printed by {@code serve} of a released build.
+ * The exact error line of each invalid configuration in {@code error-lines.tsv}. A row has the file's name, a part of
+ * the valid file, the replacement that makes the file invalid, and the error line as {@code serve} of a released build
+ * printed it.
  */
 class ConfigurationErrorLinesTest {
-    private static final Path CASES = Path.of("src/test/resources/config");
+    private static final Path RESOURCES = Path.of("src/test/resources/config");
     private static final Path VALID_CONFIG = Path.of("examples/config.json");
 
     @TempDir
     Path folder;
 
-    /** One invalid configuration and its error line. */
+    /** One row of {@code error-lines.tsv}: {@code replacement} takes the place of {@code valid} in the valid file. */
     record InvalidFile(String file, String valid, String replacement, String line) {
         static InvalidFile parse(String row) {
             String[] fields = row.split("\t", -1);
@@ -40,7 +41,7 @@
     }
 
     static Stream<InvalidFile> invalidFiles() throws IOException {
-        List<String> rows = Files.readAllLines(CASES.resolve("error-lines.tsv"));
+        List<String> rows = Files.readAllLines(RESOURCES.resolve("error-lines.tsv"));
         assertThat(rows).hasSize(136);
         return rows.stream().map(InvalidFile::parse);
     }
@@ -48,8 +49,8 @@
     @ParameterizedTest
     @MethodSource("invalidFiles")
     void anInvalidConfigurationHasItsErrorLine(InvalidFile invalid) throws IOException {
-        String valid =
-                Files.readString(invalid.file().equals("config.json") ? VALID_CONFIG : CASES.resolve(invalid.file()));
+        String valid = Files.readString(
+                invalid.file().equals("config.json") ? VALID_CONFIG : RESOURCES.resolve(invalid.file()));
         assertThat(valid).contains(invalid.valid());
         Path deploy = Files.createDirectory(folder.resolve("deploy"));
         Path target = invalid.file().equals("config.json") ? folder : deploy;
@@ -63,7 +64,7 @@
     @ParameterizedTest
     @MethodSource("validFiles")
     void theFilesBeforeTheReplacementAreValid(String file) throws Exception {
-        Path valid = file.equals("config.json") ? VALID_CONFIG : CASES.resolve(file);
+        Path valid = file.equals("config.json") ? VALID_CONFIG : RESOURCES.resolve(file);
         Path deploy = Files.createDirectory(folder.resolve("deploy"));
         Files.copy(valid, (file.equals("config.json") ? folder : deploy).resolve(file));
         read(file, deploy);
@@ -81,8 +82,8 @@
             case "capacity.toml" -> CapacityFile.read(files, null);
             case "fleet.toml" -> FleetFile.read(files);
             case "directory.toml" -> {
-                JsonNode values = files.enabled(file);
-                TenantDirectory.DirectoryLocation.read(values);
+                JsonNode values = files.readIfEnabled(file);
+                TenantDirectory.DirectoryConfig.read(values);
             }
             default -> throw new IllegalArgumentException(file);
         }
--- a/src/test/java/sandstack/config/FleetFileTest.java
+++ b/src/test/java/sandstack/config/FleetFileTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** {@code deploy/fleet.toml}: its values, and one error line for each invalid one. */
+/** Values of {@code deploy/fleet.toml}, and the single error line for each invalid value. */
 class FleetFileTest {
-    private static final String GOOD = "enabled = true\ninstallation = \"hq\"\nlisten = \"10.0.0.7:4600\"\n"
+    private static final String VALID = "enabled = true\ninstallation = \"hq\"\nlisten = \"10.0.0.7:4600\"\n"
             + "members = [\"10.0.0.7:4600\", \"10.0.0.8:4600\"]\n";
 
     private static FleetFile read(String toml) throws Exception {
@@ -22,7 +22,7 @@
     void isDisabledAsShippedAndReadWhereEnabled() throws Exception {
         assertThat(FleetFile.read(new DeployFiles(Path.of("deploy")))).isNull();
         assertThat(FleetFile.read(new DeployFiles(Path.of("examples")))).isNull();
-        FleetFile file = read(GOOD + "[via]\n\"10.0.0.8:4600\" = \"127.0.0.1:99\"\n");
+        FleetFile file = read(VALID + "[via]\n\"10.0.0.8:4600\" = \"127.0.0.1:99\"\n");
         assertThat(file.machine()).isEqualTo("10.0.0.7");
         assertThat(file.via()).containsEntry("10.0.0.8:4600", "127.0.0.1:99");
     }
@@ -47,10 +47,10 @@
                 "members =             | relays = [\"n 1\"]\\nmembers = | fleet.toml: relays must be 2 to 100 letters",
                 "members =             | via = 3\\nmembers =    | fleet.toml: via is not a table: 3",
             })
-    void invalidValueIsOneLineWithFileKeyAndValue(String good, String bad, String line) {
-        String toml = GOOD.replace(
-                good.replace("\\n", "\n").strip(), bad.replace("\\n", "\n").strip());
-        assertThat(toml).isNotEqualTo(GOOD);
+    void invalidValueIsOneLineWithFileKeyAndValue(String valid, String invalid, String line) {
+        String toml = VALID.replace(
+                valid.replace("\\n", "\n").strip(), invalid.replace("\\n", "\n").strip());
+        assertThat(toml).isNotEqualTo(VALID);
         assertThatThrownBy(() -> read(toml))
                 .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessageStartingWith(line)
@@ -59,9 +59,9 @@
 
     @Test
     void membersAreANonEmptyList() {
-        assertThatThrownBy(() -> read(GOOD.replaceFirst("members = .*", "members = []")))
+        assertThatThrownBy(() -> read(VALID.replaceFirst("members = .*", "members = []")))
                 .hasMessage("fleet.toml: members must be a list of 1 to 1000 addresses: 0 of them");
-        assertThatThrownBy(() -> read(GOOD.replaceFirst("members = .*", "members = 4")))
+        assertThatThrownBy(() -> read(VALID.replaceFirst("members = .*", "members = 4")))
                 .hasMessage("fleet.toml: members must be a list of 1 to 1000 addresses: 4");
     }
 }
--- a/src/test/java/sandstack/config/PlatformConfigTest.java
+++ b/src/test/java/sandstack/config/PlatformConfigTest.java
@@ -12,7 +12,7 @@
 import sandstack.decisions.EndpointListKind;
 import sandstack.decisions.EndpointState;
 
-/** The platform's configuration and the environment variables that override it. */
+/** The platform's configuration file, the environment variables that override it, and reloads of the file. */
 class PlatformConfigTest {
     private static final Path EXAMPLE = Path.of("examples/config.json");
 
@@ -37,8 +37,8 @@
         assertThat(config.cachedEndpoints().kind()).isEqualTo(EndpointListKind.CACHED);
         assertThat(config.cachedEndpoints().endpoints())
                 .hasSize(2)
-                .allMatch(line -> line.entry().state() == EndpointState.READY
-                        && line.entry().zone() == 0);
+                .allMatch(endpoint -> endpoint.entry().state() == EndpointState.READY
+                        && endpoint.entry().zone() == 0);
     }
 
     @Test
@@ -51,34 +51,34 @@
 
     @Test
     void invalidConfigurationIsReportedInOneLine() throws Exception {
-        String good = Files.readString(EXAMPLE);
+        String valid = Files.readString(EXAMPLE);
         assertRejected("", "settings is missing");
         assertRejected("{", "is not JSON");
-        assertRejected(good.replace("127.0.0.1:3000", "3000"), "listen is not HOST:PORT: 3000");
-        assertRejected(good.replace("\"seed\": \"", "\"seed\": \"xyz"), "seed is not a hexadecimal number");
+        assertRejected(valid.replace("127.0.0.1:3000", "3000"), "listen is not HOST:PORT: 3000");
+        assertRejected(valid.replace("\"seed\": \"", "\"seed\": \"xyz"), "seed is not a hexadecimal number");
         assertRejected(
-                good.replace("\"max_attempts\": 6", "\"max_attempts\": 0"),
+                valid.replace("\"max_attempts\": 6", "\"max_attempts\": 0"),
                 "caps.max_attempts is not a number above 0");
-        assertRejected(good.replace("\"state\": \"ready\"", "\"state\": \"asleep\""), "has no known state");
+        assertRejected(valid.replace("\"state\": \"ready\"", "\"state\": \"asleep\""), "has no known state");
         assertThatThrownBy(() -> read(Map.of())).hasMessage("PROXY_CONFIG is not set");
         assertThatThrownBy(() -> read(Map.of("PROXY_CONFIG", folder + "/none"))).hasMessageStartingWith("cannot read");
     }
 
     @Test
     void reloadedFileNeedsEveryKeyAndPositiveNumbers() throws Exception {
-        String good = Files.readString(EXAMPLE);
-        Path file = Files.writeString(folder.resolve("config.json"), good);
+        String valid = Files.readString(EXAMPLE);
+        Path file = Files.writeString(folder.resolve("config.json"), valid);
         Map<String, String> env = Map.of("PROXY_CONFIG", file.toString(), "PROXY_DISCOVERY", "127.0.0.9:9");
         PlatformConfig first = read(env);
         assertThat(first.reload(env).effectiveSettings()).isEqualTo(first.effectiveSettings());
         assertThat(first.reload(env).discovery())
-                .as("the file's, not the variable's")
+                .as("the address in the file takes precedence over the environment variable")
                 .hasToString("127.0.0.1:8500");
-        for (String[] wrong : new String[][] {
-            {good, "", "settings is missing"},
-            {good, "{", "is not JSON"},
-            {good, good.substring(0, good.length() / 2), "is not JSON"},
-            {good, good + "}", "is not JSON"},
+        for (String[] invalid : new String[][] {
+            {valid, "", "settings is missing"},
+            {valid, "{", "is not JSON"},
+            {valid, valid.substring(0, valid.length() / 2), "is not JSON"},
+            {valid, valid + "}", "is not JSON"},
             {"\"seed\": \"8c1f30d27a5be964\",", "", "seed"},
             {"\"moves\": 0.012", "\"other\": 1", "settings.costs.moves is missing"},
             {"\"gain\": 1.0, ", "", "settings.classes[].gain is missing"},
@@ -92,14 +92,15 @@
             {"\"max_attempts\": 6", "\"max_attempts\": 1e999", "caps.max_attempts is not a number"},
             {"\"name\": \"stock-check\"", "\"name\": \"order-status\"", "classes.2.name is there twice"}
         }) {
-            Files.writeString(file, good.replace(wrong[0], wrong[1]));
+            Files.writeString(file, valid.replace(invalid[0], invalid[1]));
             assertThatThrownBy(() -> first.reload(env))
-                    .as(wrong[1])
+                    .as(invalid[1])
                     .isInstanceOf(InvalidConfigurationException.class)
-                    .hasMessageContaining(wrong[2])
+                    .hasMessageContaining(invalid[2])
                     .satisfies(e -> assertThat(e.getMessage().lines()).hasSize(1));
         }
-        Files.writeString(file, good.replace("127.0.0.1:3000", "127.0.0.1:3001").replace("\"rev\": 1,", "\"rev\": 2,"));
+        Files.writeString(
+                file, valid.replace("127.0.0.1:3000", "127.0.0.1:3001").replace("\"rev\": 1,", "\"rev\": 2,"));
         assertThat(first.changesThatNeedRestart(first.reload(env)))
                 .containsExactly("127.0.0.1:3000 stays, not 127.0.0.1:3001");
     }
--- a/src/test/java/sandstack/config/SettingsReaderTest.java
+++ b/src/test/java/sandstack/config/SettingsReaderTest.java
@@ -14,10 +14,10 @@
 import sandstack.decisions.RequestClass;
 import sandstack.decisions.Tenant;
 
-/** Each of the platform's settings ends in its own component of the balancer's settings. */
+/** Each of the platform's settings is mapped to its component of {@link BalancerSettings}. */
 class SettingsReaderTest {
-    /** Every setting with a value of its own. */
-    private static final String ALL =
+    /** Every setting; the numbers differ, so that a test detects a value mapped to the wrong component. */
+    private static final String ALL_SETTINGS =
             """
             {"classes": [
                {"goal_time_us": 11, "deadline_us": 12, "gain": 1.5, "idempotency": "safe", "group": "zone",
@@ -48,7 +48,7 @@
 
     @Test
     void mapsEverySetting() throws Exception {
-        assertThat(read(ALL))
+        assertThat(read(ALL_SETTINGS))
                 .isEqualTo(new BalancerSettings(
                         2,
                         5,
@@ -126,6 +126,7 @@
     @ParameterizedTest
     @CsvSource({"nominal, true", "rough, true", "none, false"})
     void ratingsAreSizesByTheirKind(String weights, boolean expected) throws Exception {
-        assertThat(read(ALL.replace("rough", weights)).ratingsAreSizes()).isEqualTo(expected);
+        assertThat(read(ALL_SETTINGS.replace("rough", weights)).ratingsAreSizes())
+                .isEqualTo(expected);
     }
 }
--- a/src/test/java/sandstack/directory/StandInDirectory.java
+++ b/src/test/java/sandstack/directory/FakeLdapServer.java
@@ -31,19 +31,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An LDAP directory for tests: answers searches from a list of entries and has one user. */
-final class StandInDirectory extends LDAPListenerRequestHandler implements AutoCloseable {
+/**
+ * An LDAP server for tests, on a port of loopback. Answers searches of its one user from a list of entries, and rejects
+ * all changes. The library creates a handler of this class for each connection.
+ */
+final class FakeLdapServer extends LDAPListenerRequestHandler implements AutoCloseable {
     static final String USER = "cn=relay,dc=example";
-    static final String PASSWORD = "felt";
+    static final String PASSWORD = "secret";
 
     volatile List<Entry> entries = List.of();
     private final LDAPListener listener;
     private final LDAPListenerClientConnection connection;
     private boolean bound;
-    private final StandInDirectory first;
+    private final FakeLdapServer server;
 
-    StandInDirectory() throws Exception {
-        first = this;
+    FakeLdapServer() throws Exception {
+        server = this;
         connection = null;
         LDAPListenerConfig config = new LDAPListenerConfig(0, this);
         config.setListenAddress(InetAddress.getLoopbackAddress());
@@ -51,8 +54,8 @@
         listener.startListening();
     }
 
-    private StandInDirectory(StandInDirectory first, LDAPListenerClientConnection connection) {
-        this.first = first;
+    private FakeLdapServer(FakeLdapServer server, LDAPListenerClientConnection connection) {
+        this.server = server;
         this.connection = connection;
         this.listener = null;
     }
@@ -76,8 +79,8 @@
     }
 
     @Override
-    public LDAPListenerRequestHandler newInstance(LDAPListenerClientConnection made) {
-        return new StandInDirectory(first, made);
+    public LDAPListenerRequestHandler newInstance(LDAPListenerClientConnection newConnection) {
+        return new FakeLdapServer(server, newConnection);
     }
 
     @Override
@@ -99,7 +102,7 @@
         int result = ResultCode.SUCCESS_INT_VALUE;
         try {
             List<Entry> found = new ArrayList<>();
-            for (Entry entry : first.entries) {
+            for (Entry entry : server.entries) {
                 if (bound
                         && entry.matchesBaseAndScope(request.getBaseDN(), request.getScope())
                         && request.getFilter().matchesEntry(entry)) {
@@ -115,35 +118,35 @@
         return new LDAPMessage(id, new SearchResultDoneProtocolOp(result, null, null, null));
     }
 
-    private static final int NO = ResultCode.UNWILLING_TO_PERFORM_INT_VALUE;
+    private static final int UNWILLING_TO_PERFORM = ResultCode.UNWILLING_TO_PERFORM_INT_VALUE;
 
     @Override
     public LDAPMessage processAddRequest(int id, AddRequestProtocolOp request, List<Control> controls) {
-        return new LDAPMessage(id, new AddResponseProtocolOp(NO, null, null, null));
+        return new LDAPMessage(id, new AddResponseProtocolOp(UNWILLING_TO_PERFORM, null, null, null));
     }
 
     @Override
     public LDAPMessage processCompareRequest(int id, CompareRequestProtocolOp request, List<Control> controls) {
-        return new LDAPMessage(id, new CompareResponseProtocolOp(NO, null, null, null));
+        return new LDAPMessage(id, new CompareResponseProtocolOp(UNWILLING_TO_PERFORM, null, null, null));
     }
 
     @Override
     public LDAPMessage processDeleteRequest(int id, DeleteRequestProtocolOp request, List<Control> controls) {
-        return new LDAPMessage(id, new DeleteResponseProtocolOp(NO, null, null, null));
+        return new LDAPMessage(id, new DeleteResponseProtocolOp(UNWILLING_TO_PERFORM, null, null, null));
     }
 
     @Override
     public LDAPMessage processExtendedRequest(int id, ExtendedRequestProtocolOp request, List<Control> controls) {
-        return new LDAPMessage(id, new ExtendedResponseProtocolOp(NO, null, null, null, null, null));
+        return new LDAPMessage(id, new ExtendedResponseProtocolOp(UNWILLING_TO_PERFORM, null, null, null, null, null));
     }
 
     @Override
     public LDAPMessage processModifyRequest(int id, ModifyRequestProtocolOp request, List<Control> controls) {
-        return new LDAPMessage(id, new ModifyResponseProtocolOp(NO, null, null, null));
+        return new LDAPMessage(id, new ModifyResponseProtocolOp(UNWILLING_TO_PERFORM, null, null, null));
     }
 
     @Override
     public LDAPMessage processModifyDNRequest(int id, ModifyDNRequestProtocolOp request, List<Control> controls) {
-        return new LDAPMessage(id, new ModifyDNResponseProtocolOp(NO, null, null, null));
+        return new LDAPMessage(id, new ModifyDNResponseProtocolOp(UNWILLING_TO_PERFORM, null, null, null));
     }
 }
--- a/src/test/java/sandstack/directory/TenantDirectoryTest.java
+++ b/src/test/java/sandstack/directory/TenantDirectoryTest.java
@@ -11,55 +11,58 @@
 import org.junit.jupiter.api.Test;
 import sandstack.config.InvalidConfigurationException;
 import sandstack.core.TenantRegistry;
-import sandstack.directory.TenantDirectory.DirectoryLocation;
+import sandstack.directory.TenantDirectory.DirectoryConfig;
 
-/** Tenants read from a simulated LDAP directory, also while it is unreachable. */
+/** Tenants are read from a fake LDAP server, and the last list stays in force while the server is unreachable. */
 class TenantDirectoryTest {
-    private static DirectoryLocation where(int port, String more) throws Exception {
-        return DirectoryLocation.read(new TomlMapper()
+    private static DirectoryConfig config(int port, String furtherLines) throws Exception {
+        return DirectoryConfig.read(new TomlMapper()
                 .readTree("server = \"127.0.0.1:" + port + "\"\nuser = \""
-                        + StandInDirectory.USER + "\"\npassword = \"" + StandInDirectory.PASSWORD
-                        + "\"\nbase = \"ou=tenants,dc=example\"\nfilter = \"(objectClass=sandstackTenant)\"\n" + more));
+                        + FakeLdapServer.USER + "\"\npassword = \"" + FakeLdapServer.PASSWORD
+                        + "\"\nbase = \"ou=tenants,dc=example\"\nfilter = \"(objectClass=sandstackTenant)\"\n"
+                        + furtherLines));
     }
 
     @Test
     void readsTenantsAndIgnoresInvalidOnes() throws Exception {
-        try (StandInDirectory directory = new StandInDirectory()) {
+        try (FakeLdapServer directory = new FakeLdapServer()) {
             directory.entries = List.of(
-                    StandInDirectory.tenant("gobi", "0.6", "120"),
-                    StandInDirectory.tenant("altai", "0.4", "80"),
-                    StandInDirectory.tenant("broken", "much", "1"));
-            assertThat(new TenantDirectory(where(directory.port(), ""), list -> {}).read())
+                    FakeLdapServer.tenant("gobi", "0.6", "120"),
+                    FakeLdapServer.tenant("altai", "0.4", "80"),
+                    FakeLdapServer.tenant("broken", "much", "1"));
+            assertThat(new TenantDirectory(config(directory.port(), ""), list -> {}).read())
                     .containsExactly(
                             new TenantRegistry.Entry("gobi", 0.6, 120), new TenantRegistry.Entry("altai", 0.4, 80));
         }
     }
 
-    /** An unreachable directory must neither empty the list nor end the scheduled refresh. */
+    /** A failed refresh must not pass an empty list to the listener. */
     @Test
     void theLastListStaysWhileTheDirectoryIsUnreachable() throws Exception {
         BlockingQueue<List<TenantRegistry.Entry>> lists = new LinkedBlockingQueue<>();
-        StandInDirectory directory = new StandInDirectory();
-        directory.entries = List.of(StandInDirectory.tenant("gobi", "1", "10"));
-        DirectoryLocation where = where(directory.port(), "refresh_s = 1");
-        try (TenantDirectory reading = new TenantDirectory(where, lists::add)) {
-            reading.start();
+        FakeLdapServer directory = new FakeLdapServer();
+        directory.entries = List.of(FakeLdapServer.tenant("gobi", "1", "10"));
+        DirectoryConfig config = config(directory.port(), "refresh_s = 1");
+        try (TenantDirectory tenantDirectory = new TenantDirectory(config, lists::add)) {
+            tenantDirectory.start();
             assertThat(lists.poll(10, TimeUnit.SECONDS)).hasSize(1);
             directory.close();
-            for (List<TenantRegistry.Entry> more = lists.poll(1500, TimeUnit.MILLISECONDS);
-                    more != null;
-                    more = lists.poll(1500, TimeUnit.MILLISECONDS)) {
-                assertThat(more).as("a failure delivers no list").hasSize(1);
+            for (List<TenantRegistry.Entry> next = lists.poll(1500, TimeUnit.MILLISECONDS);
+                    next != null;
+                    next = lists.poll(1500, TimeUnit.MILLISECONDS)) {
+                assertThat(next)
+                        .as("a list that was read before the directory became unreachable")
+                        .hasSize(1);
             }
         }
     }
 
     @Test
     void invalidFileIsReportedInOneLine() {
-        assertThatThrownBy(() -> where(1, "refresh_s = 0"))
+        assertThatThrownBy(() -> config(1, "refresh_s = 0"))
                 .isInstanceOf(InvalidConfigurationException.class)
                 .hasMessage("directory.toml: refresh_s must be at least 1");
-        assertThatThrownBy(() -> DirectoryLocation.read(new TomlMapper().readTree("server = \"nowhere\"")))
+        assertThatThrownBy(() -> DirectoryConfig.read(new TomlMapper().readTree("server = \"nowhere\"")))
                 .hasMessageContaining("HOST:PORT");
     }
 }
--- a/src/test/java/sandstack/front/operators/OperatorDoorTest.java
+++ b/src/test/java/sandstack/front/operators/OperatorFrontTest.java
@@ -15,18 +15,18 @@
 import sandstack.core.DeadlineScheduler;
 import sandstack.net.EventLoop;
 
-/** The operators' port: its answers, invalid input and silent callers. */
+/** The operators' port: its answers, invalid input, and connections that send no complete command. */
 @Timeout(20)
-class OperatorDoorTest {
+class OperatorFrontTest {
     private final EventLoop loop = new EventLoop();
     private final DeadlineScheduler deadlines = new DeadlineScheduler();
-    private volatile String hindrance;
+    private volatile String notReadyReason;
     private int port;
 
     @BeforeEach
     void listen() throws IOException {
         loop.start(() -> deadlines.runExpired(loop.nowMicros()), deadlines::nextMicros);
-        port = new OperatorDoor(loop, deadlines, () -> hindrance, () -> List.of("a.b=1", "a.c=2"))
+        port = new OperatorFront(loop, deadlines, () -> notReadyReason, () -> List.of("a.b=1", "a.c=2"))
                 .listen("127.0.0.1", 0);
     }
 
@@ -35,14 +35,15 @@
         loop.stop();
     }
 
-    private Socket caller(String words) throws IOException {
+    private Socket connectAndSend(String text) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.getOutputStream().write(words.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
+        socket.getOutputStream().write(text.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1));
         return socket;
     }
 
-    private String call(String words) throws IOException {
-        try (Socket socket = caller(words)) {
+    /** Sends this text over a new connection, and returns all that is received until the connection ends. */
+    private String call(String text) throws IOException {
+        try (Socket socket = connectAndSend(text)) {
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
@@ -50,7 +51,7 @@
     @Test
     void pingTellsWhetherTheProcessCanServe() throws IOException {
         assertThat(call("PING\r\n")).isEqualTo("ACK\r\n");
-        hindrance = "draining";
+        notReadyReason = "draining";
         assertThat(call("PING\r\n")).isEqualTo("NAK draining\r\n");
     }
 
@@ -62,15 +63,15 @@
 
     @Test
     void invalidCommandIsAnsweredInOneLine() throws IOException {
-        for (String words : List.of(
+        for (String text : List.of(
                 "NONSENSE\r\n", "\r\n", "ping\r\n", "PING\r\nPING\r\n", "\u0000\u00ff\u0001\n", "P".repeat(4096))) {
-            assertThat(call(words)).startsWith("NAK ").endsWith("\r\n").hasLineCount(1);
+            assertThat(call(text)).startsWith("NAK ").endsWith("\r\n").hasLineCount(1);
         }
     }
 
     @Test
     void commandWithoutLineEndIsAnswered() throws IOException {
-        try (Socket socket = caller("PING")) {
+        try (Socket socket = connectAndSend("PING")) {
             socket.shutdownOutput();
             assertThat(new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
                     .isEqualTo("NAK the call has no line end\r\n");
@@ -79,19 +80,19 @@
 
     @Test
     void silentCallersDoNotBlockOthers() throws IOException {
-        List<Socket> silent = new ArrayList<>();
+        List<Socket> silentSockets = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            silent.add(caller(i % 2 == 0 ? "" : "PI"));
+            silentSockets.add(connectAndSend(i % 2 == 0 ? "" : "PI"));
         }
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         assertThat(call("PING\r\n")).isEqualTo("ACK\r\n");
-        assertThat(System.nanoTime() - began).isLessThan(1_000_000_000L);
-        // the last caller is still connected, and may send the rest of its command
-        Socket last = silent.get(49);
+        assertThat(System.nanoTime() - startNanos).isLessThan(1_000_000_000L);
+        // the newest of the silent connections is still open, and its command can be completed
+        Socket last = silentSockets.get(49);
         last.getOutputStream().write("NG\r\n".getBytes(StandardCharsets.UTF_8));
         assertThat(new String(last.getInputStream().readAllBytes(), StandardCharsets.UTF_8))
                 .isEqualTo("ACK\r\n");
-        for (Socket socket : silent) {
+        for (Socket socket : silentSockets) {
             socket.close();
         }
     }
--- a/src/test/java/sandstack/front/platform/ConcurrentEventsTest.java
+++ b/src/test/java/sandstack/front/platform/ConcurrentEventsTest.java
@@ -20,15 +20,16 @@
 import sandstack.front.platform.PausableRelay.RemoteEnd;
 
 /**
- * Events that arrive concurrently with a decision of the relay, on real sockets. The relay's thread is paused while the
- * other side acts, so that each race is deterministic. docs/crossings.md lists all of them.
+ * Events that arrive concurrently with a decision of the relay, on real sockets. The relay's event loop is paused while
+ * the other side acts, so that each race is deterministic. docs/crossings.md lists all such races.
  */
 @Timeout(60)
 class ConcurrentEventsTest {
-    /** Bytes of a request that a full socket has accepted. */
-    private static final int HALF_A_LINE = "OPEN id1 k c".length();
+    /** Bytes of a request line that a socket accepts before it accepts no more. */
+    private static final int PARTIAL_LINE_BYTES = "OPEN id1 k c".length();
 
-    private static final String OTHER_HALF = "=unsafe,d=";
+    /** The bytes that follow, up to the value of the deadline. */
+    private static final String NEXT_BYTES_OF_LINE = "=unsafe,d=";
 
     private PausableRelay pausableRelay;
 
@@ -44,20 +45,21 @@
         pausableRelay.close();
     }
 
-    private RemoteEnd clientWithRequest(String key, String cls) throws IOException {
+    private RemoteEnd clientWithRequest(String key, String className) throws IOException {
         RemoteEnd client = pausableRelay.client();
-        client.send(pausableRelay.openLine(key, cls, 2_000));
+        client.send(pausableRelay.openLine(key, className, 2_000));
         return client;
     }
 
     /**
-     * Asserts that no request was forwarded in between: the next one to reach a feed server is a new one with this key.
+     * Asserts that no request is waiting at the feed servers: sends a request with this key, and the next one to reach
+     * a feed server must be this one.
      */
     private void assertNextRequest(String key) throws Exception {
         RemoteEnd client = clientWithRequest(key, "safe");
         try (client;
                 RemoteEnd upstreamRequest = pausableRelay.nextUpstreamRequest()) {
-            assertThat(upstreamRequest.key).isEqualTo(key);
+            assertThat(upstreamRequest.clientKey).isEqualTo(key);
         }
     }
 
@@ -82,35 +84,38 @@
         assertNextRequest("next");
     }
 
-    /** How a client disconnects. */
-    private interface Leaving {
-        void of(RemoteEnd client) throws IOException;
+    /** The way in which a client ends its connection. */
+    private interface Disconnect {
+        void disconnect(RemoteEnd client) throws IOException;
     }
 
-    private RemoteEnd leftAsItsRetryFellDue(Leaving how) throws Exception {
+    /**
+     * Disconnects a client after its first attempt was reset and before the event loop runs the retry, which is due.
+     */
+    private RemoteEnd disconnectBeforeDueRetry(Disconnect disconnect) throws Exception {
         pausableRelay.pauseWhen(() -> outcomeCount(ConnectionOutcome.RESET) == 1);
         RemoteEnd client = clientWithRequest("gone", "safe");
         pausableRelay.nextUpstreamRequest().reset();
         pausableRelay.awaitPaused();
-        how.of(client);
+        disconnect.disconnect(client);
         pausableRelay.releaseWhenDue();
         return client;
     }
 
-    /** The retry falls due during a stall of the relay. */
+    /** The retry becomes due while the relay is stalled. */
     @Test
     void retryOfADisconnectedClientIsNotSent() throws Exception {
-        leftAsItsRetryFellDue(RemoteEnd::close);
+        disconnectBeforeDueRetry(RemoteEnd::close);
         assertNextRequest("next");
     }
 
-    /** A client that shuts its output down has cancelled its request. */
+    /** A client cancels its request by shutting down its output. */
     @Test
     void retryOfACancelledRequestIsNotSent() throws Exception {
-        RemoteEnd client = leftAsItsRetryFellDue(c -> c.socket.shutdownOutput());
+        RemoteEnd client = disconnectBeforeDueRetry(c -> c.socket.shutdownOutput());
         assertNextRequest("next");
         assertThat(client.readLine())
-                .as("the end of the cancelled request's connection")
+                .as("the relay closes the cancelled request's connection without an answer")
                 .isNull();
     }
 
@@ -122,13 +127,15 @@
         server.send("UP receipt\r\n");
         client.close();
         pausableRelay.release();
-        assertThat(server.readLine()).as("the feed server's side ends too").isNull();
+        assertThat(server.readLine())
+                .as("the relay closes the connection to the feed server")
+                .isNull();
         assertNextRequest("next");
         pausableRelay.onLoop(() -> assertThat(pausableRelay.relay.clients())
                 .allMatch(c -> c.request().clientKey().equals("next")));
     }
 
-    /** SIGTERM and the answer arrive in one turn: the client is served, and then receives MOVE. */
+    /** The relay starts to drain in the turn in which the answer arrives: the client receives the answer, then MOVE. */
     @Test
     void answerDuringShutdownIsForwardedAndTheClientMigrated() throws Exception {
         RemoteEnd client = clientWithRequest("k", "safe");
@@ -155,11 +162,11 @@
         pausableRelay.release();
         assertThat(client.readLine()).isEqualTo("ERR");
         assertThat(pausableRelay.noUpstreamRequest())
-                .as("nothing was sent again")
+                .as("the request is not retried")
                 .isTrue();
     }
 
-    /** The first answer counts, although the second arrives in the same read. */
+    /** The relay evaluates the first answer only, although a second one arrives in the same read. */
     @Test
     void secondAnswerIsIgnored() throws Exception {
         RemoteEnd client = clientWithRequest("k", "unsafe");
@@ -170,7 +177,7 @@
         assertThat(client.readLine()).isEqualTo("UP other");
     }
 
-    /** A rejection right before the reset must not be lost: the request has not run and may be retried. */
+    /** A rejection received right before a reset must not be lost: the request was not executed and may be retried. */
     @Test
     void answerRightBeforeAResetCounts() throws Exception {
         RemoteEnd client = clientWithRequest("k", "unsafe");
@@ -180,12 +187,14 @@
         first.reset();
         pausableRelay.release();
         RemoteEnd second = pausableRelay.nextUpstreamRequest();
-        assertThat(second.key).as("a request that has not run is retried").isEqualTo("k");
+        assertThat(second.clientKey)
+                .as("a request that was not executed is retried")
+                .isEqualTo("k");
         second.send("UP receipt\r\n");
         assertThat(client.readLine()).isEqualTo("UP receipt");
     }
 
-    /** The last line before a reset must reach the client. */
+    /** A line received right before a reset must reach the client. */
     @Test
     void moveRightBeforeAResetReachesTheClient() throws Exception {
         RemoteEnd client = establishedClient("k");
@@ -194,7 +203,9 @@
         client.upstreamEnd.reset();
         pausableRelay.release();
         assertThat(client.readLine()).isEqualTo("MOVE");
-        assertThat(client.readLine()).as("an end, not a reset").isNull();
+        assertThat(client.readLine())
+                .as("the connection is closed without a reset")
+                .isNull();
         pausableRelay.onLoop(() ->
                 assertThat(outcomeCount(ConnectionOutcome.SERVER_DRAINING)).isEqualTo(1));
     }
@@ -207,7 +218,7 @@
         assertThatThrownBy(client::readLine).hasMessageContaining("reset");
     }
 
-    /** The answer is in the kernel's buffer when the timeout of a silent server falls due. */
+    /** The answer is in the kernel's buffer when the timeout of an unresponsive server expires. */
     @Test
     void answerAtTheTimeoutKeepsTheConnection() throws Exception {
         RemoteEnd client = establishedClient("k");
@@ -221,7 +232,7 @@
         assertThat(client.readLine()).isEqualTo("M 2");
     }
 
-    /** The line exceeds the limit, although its end arrives in the same read. */
+    /** The answer exceeds the line limit, and its line end arrives in the same read. */
     @Test
     void answerLongerThanALineIsAnError() throws Exception {
         RemoteEnd client = clientWithRequest("k", "unsafe");
@@ -232,7 +243,7 @@
         assertThat(client.readLine()).isEqualTo("ERR");
     }
 
-    /** A request that arrived during a stall of the relay has arrived in time. */
+    /** A request that arrives while the relay is stalled is in time, although the request timeout has expired. */
     @Test
     void requestAtTheRequestTimeoutIsServed() throws Exception {
         RemoteEnd client = pausableRelay.client();
@@ -241,10 +252,10 @@
         pausableRelay.awaitPaused();
         client.send(pausableRelay.openLine("k", "safe", 2_000));
         pausableRelay.releaseWhenDue();
-        assertThat(pausableRelay.nextUpstreamRequest().key).isEqualTo("k");
+        assertThat(pausableRelay.nextUpstreamRequest().clientKey).isEqualTo("k");
     }
 
-    /** A close over unread bytes would be a reset; a request after the rejection must not be forwarded. */
+    /** A request after the rejection must not be forwarded, and must not cause the reset that a close would send. */
     @Test
     void requestAfterTheRequestTimeoutIsNeitherForwardedNorReset() throws Exception {
         RemoteEnd client = pausableRelay.client();
@@ -252,15 +263,15 @@
         assertThat(client.readLine()).isNull();
         client.send(pausableRelay.openLine("late", "safe", 2_000));
         pausableRelay.onLoop(() -> {});
-        // the second write fails where the first was answered by a reset
+        // this write would fail if the relay had answered the first with a reset
         client.send("more\r\n");
         assertNextRequest("next");
     }
 
-    /** A request between the last client's disconnect and the end of the process would be lost with the process. */
+    /** A request accepted between the end of the drain and the end of the process would be lost with the process. */
     @Test
     void requestAtADrainedRelayIsRejectedAtOnce() throws Exception {
-        RemoteEnd resting = pausableRelay.client();
+        RemoteEnd idle = pausableRelay.client();
         RemoteEnd second = pausableRelay.client();
         pausableRelay.onLoop(() -> {});
         CompletableFuture<Void> drained = new CompletableFuture<>();
@@ -269,28 +280,32 @@
             drained.complete(null);
         }));
         drained.get(20, TimeUnit.SECONDS);
-        second.send(pausableRelay.openLine("resting", "safe", 2_000));
-        assertThat(resting.readLine()).startsWith("BUSY ");
+        second.send(pausableRelay.openLine("late", "safe", 2_000));
+        assertThat(idle.readLine()).startsWith("BUSY ");
         assertThat(second.readLine()).startsWith("BUSY ");
-        assertThat(resting.readLine()).isNull();
+        assertThat(idle.readLine()).isNull();
         RemoteEnd client = clientWithRequest("late", "safe");
         assertThat(client.readLine()).matches("BUSY [1-9][0-9]{0,2}");
-        assertThat(pausableRelay.noUpstreamRequest()).as("requests forwarded").isTrue();
+        assertThat(pausableRelay.noUpstreamRequest())
+                .as("no request is forwarded")
+                .isTrue();
         pausableRelay.onLoop(() -> assertThat(pausableRelay.relay.isDraining()).isTrue());
     }
 
-    /** A connection to a feed server that has accepted the first bytes of the request and no more. */
-    private RemoteEnd halfWritten() throws Exception {
-        RemoteEnd way = pausableRelay.nextUpstreamConnection();
-        byte[] begun = way.socket.getInputStream().readNBytes(HALF_A_LINE);
-        assertThat(new String(begun, StandardCharsets.US_ASCII)).startsWith("OPEN ");
-        return way;
+    /** A feed server's end of a connection on which only the first bytes of the request line have been written. */
+    private RemoteEnd partialUpstreamRequest() throws Exception {
+        RemoteEnd connection = pausableRelay.nextUpstreamConnection();
+        byte[] firstBytes = connection.socket.getInputStream().readNBytes(PARTIAL_LINE_BYTES);
+        assertThat(new String(firstBytes, StandardCharsets.US_ASCII)).startsWith("OPEN ");
+        return connection;
     }
 
     private void assertRetried(RemoteEnd client) throws Exception {
         pausableRelay.writes.unlimited();
         RemoteEnd second = pausableRelay.nextUpstreamRequest();
-        assertThat(second.key).as("what never ran is tried again").isEqualTo("k");
+        assertThat(second.clientKey)
+                .as("a request that was not executed is retried")
+                .isEqualTo("k");
         second.send("UP receipt\r\n");
         assertThat(client.readLine()).isEqualTo("UP receipt");
         assertThat(pausableRelay.noUpstreamRequest()).isTrue();
@@ -299,53 +314,51 @@
     }
 
     /**
-     * A request that no feed server has received completely has not run, and is retried although its class is not
+     * A request that no feed server has received completely was not executed, and is retried although its class is not
      * idempotent.
      */
     @Test
     void upstreamResetBeforeTheCompleteRequestIsRetried() throws Exception {
-        pausableRelay.writes.limit(HALF_A_LINE);
+        pausableRelay.writes.limit(PARTIAL_LINE_BYTES);
         RemoteEnd client = clientWithRequest("k", "unsafe");
-        halfWritten().reset();
+        partialUpstreamRequest().reset();
         pausableRelay.awaitOnLoop(() -> outcomeCount(ConnectionOutcome.NOT_CONNECTED) == 1);
         assertRetried(client);
     }
 
     @Test
     void upstreamEndBeforeTheCompleteRequestIsRetried() throws Exception {
-        pausableRelay.writes.limit(HALF_A_LINE);
+        pausableRelay.writes.limit(PARTIAL_LINE_BYTES);
         RemoteEnd client = clientWithRequest("k", "unsafe");
-        RemoteEnd first = halfWritten();
+        RemoteEnd first = partialUpstreamRequest();
         first.socket.shutdownOutput();
         assertThat(first.socket.getInputStream().read())
-                .as("nothing more of the line came")
+                .as("the rest of the line is not sent")
                 .isEqualTo(-1);
         assertRetried(client);
     }
 
-    /** The feed server accepts no more bytes, and the attempt times out. */
+    /** The attempt times out while the feed server accepts no more bytes. */
     @Test
     void timeoutBeforeTheCompleteRequestIsRetried() throws Exception {
-        pausableRelay.writes.limit(HALF_A_LINE);
+        pausableRelay.writes.limit(PARTIAL_LINE_BYTES);
         RemoteEnd client = clientWithRequest("k", "unsafe");
-        assertThat(halfWritten().socket.getInputStream().read())
-                .as("the end of the attempt")
+        assertThat(partialUpstreamRequest().socket.getInputStream().read())
+                .as("the relay closes the connection of the timed-out attempt")
                 .isEqualTo(-1);
         assertRetried(client);
     }
 
     @Test
     void failedWriteOfAPartialRequestIsRetried() throws Exception {
-        pausableRelay.writes.limit(HALF_A_LINE);
+        pausableRelay.writes.limit(PARTIAL_LINE_BYTES);
         RemoteEnd client = clientWithRequest("k", "unsafe");
-        halfWritten();
-        pausableRelay.writes.failOn(OTHER_HALF);
+        partialUpstreamRequest();
+        pausableRelay.writes.failOn(NEXT_BYTES_OF_LINE);
         assertRetried(client);
     }
 
-    /**
-     * Servers missing from the list get no new requests; their clients are migrated or stay, and are not disconnected.
-     */
+    /** Servers missing from the list get no new requests; their clients are migrated or stay connected. */
     @Test
     void fullListAfterAGapAppliesToAConcurrentRequest() throws Exception {
         List<RemoteEnd> clients = new ArrayList<>();
@@ -365,9 +378,9 @@
                         pausableRelay.endpoint(3, EndpointState.READY)))));
         pausableRelay.release();
         for (int i = 0; i < 6; i++) {
-            RemoteEnd ask = pausableRelay.nextUpstreamRequest();
-            assertThat(ask.server).isEqualTo("s3");
-            ask.send("UP receipt\r\n");
+            RemoteEnd server = pausableRelay.nextUpstreamRequest();
+            assertThat(server.serverId).isEqualTo("s3");
+            server.send("UP receipt\r\n");
         }
         for (RemoteEnd client : clients.subList(6, 12)) {
             assertThat(client.readLine()).isEqualTo("UP receipt");
@@ -378,11 +391,11 @@
         }
     }
 
-    /** The last line is unread when a write fails, and must reach the client in place of a reset. */
+    /** The feed server's last line is unread when a write to it fails, and must reach the client instead of a reset. */
     @Test
     void unreadMoveBeforeAFailedWriteReachesTheClient() throws Exception {
         List<RemoteEnd> clients = new ArrayList<>();
-        // the order of the sockets is not defined: for some of the clients, theirs comes first
+        // the selector's order is undefined; among several connections, some client's socket precedes its server's
         for (int i = 0; i < 8; i++) {
             clients.add(establishedClient("k" + i));
         }
@@ -395,33 +408,35 @@
         pausableRelay.release();
         for (RemoteEnd client : clients) {
             assertThat(client.readLine()).isEqualTo("MOVE");
-            assertThat(client.readLine()).as("an end, not a reset").isNull();
+            assertThat(client.readLine())
+                    .as("the connection is closed without a reset")
+                    .isNull();
         }
     }
 
-    /** Once the last byte is written, the request may have run. */
+    /** Once its last byte has been written, the request may have been executed, and is not retried. */
     @Test
     void upstreamResetAfterTheCompleteRequestMayHaveRun() throws Exception {
-        pausableRelay.writes.limit(HALF_A_LINE);
+        pausableRelay.writes.limit(PARTIAL_LINE_BYTES);
         RemoteEnd client = clientWithRequest("k", "unsafe");
-        RemoteEnd first = halfWritten();
+        RemoteEnd first = partialUpstreamRequest();
         pausableRelay.writes.unlimited();
-        assertThat(first.readLine()).startsWith(OTHER_HALF);
+        assertThat(first.readLine()).startsWith(NEXT_BYTES_OF_LINE);
         first.reset();
         assertThat(client.readLine()).isEqualTo("ERR");
         assertThat(pausableRelay.noUpstreamRequest())
-                .as("nothing was sent again")
+                .as("the request is not retried")
                 .isTrue();
     }
 
     @Test
     void clientDisconnectDuringAPartialRequestClosesTheUpstream() throws Exception {
-        pausableRelay.writes.limit(HALF_A_LINE);
+        pausableRelay.writes.limit(PARTIAL_LINE_BYTES);
         RemoteEnd client = clientWithRequest("k", "safe");
-        RemoteEnd first = halfWritten();
+        RemoteEnd first = partialUpstreamRequest();
         client.close();
         assertThat(first.socket.getInputStream().read())
-                .as("nothing more of the line came")
+                .as("the rest of the line is not sent")
                 .isEqualTo(-1);
         pausableRelay.writes.unlimited();
         assertNextRequest("next");
--- a/src/test/java/sandstack/front/platform/LoadReportClassifierTest.java
+++ b/src/test/java/sandstack/front/platform/LoadReportClassifierTest.java
@@ -4,36 +4,36 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which value of a feed server is a delay and which a load. */
+/** Values of {@code LOAD} lines are classified as a load or a message delay. */
 class LoadReportClassifierTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private final LoadReportClassifier classifier = new LoadReportClassifier(() -> true);
 
     @Test
     void smallValueIsADelay() {
         assertThat(classifier.isDelay("a", 273.241, 0)).isTrue();
         assertThat(classifier.isDelay("a", 60_533.68, 100_000)).isFalse();
-        assertThat(classifier.isDelay("a", 33.347, SECOND)).isTrue();
+        assertThat(classifier.isDelay("a", 33.347, SECOND_MICROS)).isTrue();
     }
 
     @Test
     void ambiguousValueIsADelayOnlyAtTheReportingInterval() {
         assertThat(classifier.isDelay("a", 1_200, 0))
-                .as("without a report before")
+                .as("1200 without an earlier delay report is a load")
                 .isFalse();
-        assertThat(classifier.isDelay("a", 980, SECOND)).isTrue();
-        assertThat(classifier.isDelay("a", 2_100, SECOND * 2 + 10_000))
-                .as("at the interval")
+        assertThat(classifier.isDelay("a", 980, SECOND_MICROS)).isTrue();
+        assertThat(classifier.isDelay("a", 2_100, SECOND_MICROS * 2 + 10_000))
+                .as("2100 one interval after a delay is a delay")
                 .isTrue();
-        assertThat(classifier.isDelay("a", 2_500, SECOND * 2 + 400_000))
-                .as("not at the interval")
+        assertThat(classifier.isDelay("a", 2_500, SECOND_MICROS * 2 + 400_000))
+                .as("2500 between two reporting times is a load")
                 .isFalse();
-        assertThat(classifier.isDelay("b", 2_500, SECOND * 3 + 10_000))
-                .as("another server's interval")
+        assertThat(classifier.isDelay("b", 2_500, SECOND_MICROS * 3 + 10_000))
+                .as("2500 one interval after a delay of another server is a load")
                 .isFalse();
-        assertThat(classifier.isDelay("a", 3_000, SECOND * 3 + 10_000)).isTrue();
-        assertThat(classifier.isDelay("a", 45_000, SECOND * 4 + 10_000))
-                .as("a load at the interval")
+        assertThat(classifier.isDelay("a", 3_000, SECOND_MICROS * 3 + 10_000)).isTrue();
+        assertThat(classifier.isDelay("a", 45_000, SECOND_MICROS * 4 + 10_000))
+                .as("45000 is a load, even one interval after a delay")
                 .isFalse();
     }
 
--- a/src/test/java/sandstack/front/platform/PartialRequestTest.java
+++ b/src/test/java/sandstack/front/platform/PartialRequestTest.java
@@ -15,19 +15,19 @@
 import sandstack.front.platform.PausableRelay.RemoteEnd;
 
 /**
- * A valid request cut at every byte, on real sockets: an incomplete one is closed and not forwarded, one that is
- * completed later is answered as usual, and neither leaves state behind.
+ * A valid request interrupted after each of its bytes, on real sockets. An incomplete request is closed and not
+ * forwarded, one that is completed later is answered as usual, and neither leaves connections or clients in the relay.
  */
 @Timeout(60)
 class PartialRequestTest {
     private static final String REQUEST = "OPEN 9b1f03aa5c7e2d41 whole c=safe,d=5000,g=5c0f6e1a2b3d4c59,h=12.5\r\n";
-    private static final Logger PROGRAM = Logger.getLogger("sandstack");
+    private static final Logger ROOT_LOGGER = Logger.getLogger("sandstack");
 
-    private final List<String> logged = new ArrayList<>();
-    private final Handler log = new Handler() {
+    private final List<String> logMessages = new ArrayList<>();
+    private final Handler logHandler = new Handler() {
         @Override
-        public synchronized void publish(LogRecord line) {
-            logged.add(line.getMessage());
+        public synchronized void publish(LogRecord logRecord) {
+            logMessages.add(logRecord.getMessage());
         }
 
         @Override
@@ -43,24 +43,24 @@
         pausableRelay = new PausableRelay();
         pausableRelay.addServer();
         pausableRelay.addServer();
-        PROGRAM.addHandler(log);
+        ROOT_LOGGER.addHandler(logHandler);
     }
 
     @AfterEach
     void stop() throws Exception {
-        PROGRAM.removeHandler(log);
+        ROOT_LOGGER.removeHandler(logHandler);
         pausableRelay.close();
     }
 
-    /** What the client does after this many bytes of a request. */
-    private interface Cut {
-        void at(int bytes) throws Exception;
+    /** Sends the first bytes of {@link #REQUEST} from a client, which then interrupts the request. */
+    private interface Interruption {
+        void after(int bytes) throws Exception;
     }
 
-    /** Cuts inside the request at each byte; after each cut, the complete request is served under the same id. */
-    private void cutAtEveryByte(Cut cut) throws Exception {
+    /** Interrupts the request after each of its bytes; then the complete request is served under the same id. */
+    private void interruptAfterEveryByte(Interruption interruption) throws Exception {
         for (int bytes = 1; bytes < REQUEST.length(); bytes++) {
-            cut.at(bytes);
+            interruption.after(bytes);
         }
         try (RemoteEnd client = pausableRelay.client()) {
             client.send(REQUEST);
@@ -74,10 +74,10 @@
      */
     private void assertServed(RemoteEnd client) throws Exception {
         try (RemoteEnd server = pausableRelay.nextUpstreamRequest()) {
-            assertThat(server.key).isEqualTo("whole");
+            assertThat(server.clientKey).isEqualTo("whole");
             server.send("UP receipt\r\n");
             assertThat(client.readLine()).isEqualTo("UP receipt");
-            // the client closes first: a feed server that closes a new connection would count as a full one
+            // the client closes first: a feed server that closes a new connection counts as one at its connection limit
             client.close();
             assertThat(server.readLine()).isNull();
         }
@@ -86,23 +86,25 @@
     private void assertNothingLeft() throws Exception {
         pausableRelay.awaitOnLoop(() -> pausableRelay.admission.descriptorsInUse() == 0
                 && pausableRelay.relay.clients().isEmpty());
-        assertThat(pausableRelay.noUpstreamRequest()).as("requests forwarded").isTrue();
-        assertThat(logged).isEmpty();
+        assertThat(pausableRelay.noUpstreamRequest())
+                .as("no request is forwarded")
+                .isTrue();
+        assertThat(logMessages).isEmpty();
     }
 
-    /** A client that has sent this text, which the relay has read. */
-    private RemoteEnd saying(int bytes) throws Exception {
+    /** A client that has sent this many bytes of the request, which the relay has read. */
+    private RemoteEnd clientWithPartialRequest(int bytes) throws Exception {
         RemoteEnd client = pausableRelay.client();
         client.send(REQUEST.substring(0, bytes));
         pausableRelay.awaitOnLoop(() -> pausableRelay.admission.peersWithoutRequest() == 1);
-        // what was written before this turn is read in this turn or the one before
+        // after one more complete turn, the relay has read what the client wrote before it
         pausableRelay.onLoop(() -> {});
         return client;
     }
 
     @Test
     void incompleteRequestThatEndsIsClosedAtOnce() throws Exception {
-        cutAtEveryByte(bytes -> {
+        interruptAfterEveryByte(bytes -> {
             try (RemoteEnd client = pausableRelay.client()) {
                 client.send(REQUEST.substring(0, bytes));
                 client.socket.shutdownOutput();
@@ -113,8 +115,8 @@
 
     @Test
     void incompleteRequestThatEndsAfterAPauseIsClosedAtOnce() throws Exception {
-        cutAtEveryByte(bytes -> {
-            try (RemoteEnd client = saying(bytes)) {
+        interruptAfterEveryByte(bytes -> {
+            try (RemoteEnd client = clientWithPartialRequest(bytes)) {
                 client.socket.shutdownOutput();
                 assertThat(client.readLine()).isNull();
             }
@@ -123,7 +125,7 @@
 
     @Test
     void incompleteRequestThatIsResetLeavesNothing() throws Exception {
-        cutAtEveryByte(bytes -> {
+        interruptAfterEveryByte(bytes -> {
             RemoteEnd client = pausableRelay.client();
             client.send(REQUEST.substring(0, bytes));
             client.reset();
@@ -132,13 +134,13 @@
 
     @Test
     void incompleteRequestThatIsResetAfterAPauseLeavesNothing() throws Exception {
-        cutAtEveryByte(bytes -> saying(bytes).reset());
+        interruptAfterEveryByte(bytes -> clientWithPartialRequest(bytes).reset());
     }
 
     @Test
     void requestCompletedAfterAPauseIsServed() throws Exception {
-        cutAtEveryByte(bytes -> {
-            try (RemoteEnd client = saying(bytes)) {
+        interruptAfterEveryByte(bytes -> {
+            try (RemoteEnd client = clientWithPartialRequest(bytes)) {
                 client.send(REQUEST.substring(bytes));
                 assertServed(client);
             }
@@ -158,11 +160,14 @@
         assertNothingLeft();
     }
 
-    /** All cuts at once: each client is rejected at the request timeout, and the rest of a request is not forwarded. */
+    /**
+     * Many clients at once, each with a request of another length: each is rejected at the request timeout, and a
+     * request whose rest arrives later is not forwarded.
+     */
     @Test
     void incompleteRequestIsRejectedAtTheTimeout() throws Exception {
         List<RemoteEnd> clients = new ArrayList<>();
-        // as many as the descriptors of this relay allow
+        // every third length: the relay has not enough descriptors for all of them
         for (int bytes = 1; bytes < REQUEST.length(); bytes += 3) {
             RemoteEnd client = pausableRelay.client();
             client.send(REQUEST.substring(0, bytes));
@@ -173,12 +178,12 @@
             assertThat(client.readLine()).isNull();
         }
         for (int i = 0; i < clients.size(); i++) {
-            rest(clients.get(i), REQUEST.substring(1 + 3 * i));
+            sendAndClose(clients.get(i), REQUEST.substring(1 + 3 * i));
         }
         assertNothingLeft();
     }
 
-    private static void rest(RemoteEnd client, String text) throws IOException {
+    private static void sendAndClose(RemoteEnd client, String text) throws IOException {
         try (client) {
             client.send(text);
         }
--- a/src/test/java/sandstack/front/platform/PausableRelay.java
+++ b/src/test/java/sandstack/front/platform/PausableRelay.java
@@ -37,11 +37,11 @@
 import sandstack.settings.BalancerSettingsBuilder;
 
 /**
- * A relay on loopback whose thread the test can pause: what arrives meanwhile is in the kernel's buffers when the
- * thread continues, regardless of the machine's speed. This makes races deterministic.
+ * A relay on loopback whose event loop the test can pause. What arrives during the pause is in the kernel's buffers
+ * when the loop continues, regardless of the machine's speed, which makes races deterministic.
  */
 final class PausableRelay implements AutoCloseable {
-    /** The remote end of a connection of the relay: a client or a feed server. */
+    /** The remote end of one of the relay's connections: a client or a feed server. */
     static final class RemoteEnd implements AutoCloseable {
         final Socket socket;
         private final BufferedReader in;
@@ -61,11 +61,11 @@
             return in.readLine();
         }
 
-        /** At a feed server: the client key of the request. */
-        String key;
-        /** At a feed server: its name. */
-        String server;
-        /** At an established client: its feed server's end. */
+        /** The client key of the request that a feed server has received; null at a client. */
+        String clientKey;
+        /** The id of the feed server; null at a client. */
+        String serverId;
+        /** The feed server's end of the same connection; null unless this is an established client. */
         RemoteEnd upstreamEnd;
 
         void reset() throws IOException {
@@ -81,7 +81,7 @@
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-    /** Limits what the relay's sockets accept. */
+    /** Limits how many bytes the relay's sockets accept, or makes their writes fail. */
     final ShortWrites writes = new ShortWrites();
 
     final EventLoop loop = writes.loop();
@@ -93,11 +93,11 @@
     private volatile CountDownLatch released;
     private volatile BooleanSupplier pauseCondition = () -> false;
     private volatile CountDownLatch paused;
-    private int ids;
+    private int lastRequestId;
 
     PausableRelay() throws IOException {
         BalancerSettings settings = BalancerSettingsBuilder.of(
-                        List.of(cls(Idempotency.IDEMPOTENT), cls(Idempotency.NOT_IDEMPOTENT)))
+                        List.of(requestClass(Idempotency.IDEMPOTENT), requestClass(Idempotency.NOT_IDEMPOTENT)))
                 .endpointListPolled(true)
                 .pollIntervalMicros(10_000_000)
                 .connectTimeoutMicros(100_000)
@@ -120,15 +120,15 @@
         port = new PlatformFront(loop, relay, admission).listen("127.0.0.1", 0);
     }
 
-    private static RequestClass cls(Idempotency repeat) {
-        return new RequestClass(320_000, 2_000_000, 1, repeat, DeduplicationScope.ALL, 0, 0);
+    private static RequestClass requestClass(Idempotency idempotency) {
+        return new RequestClass(320_000, 2_000_000, 1, idempotency, DeduplicationScope.ALL, 0, 0);
     }
 
     private void turn() {
         relay.runTurn();
         if (pauseCondition.getAsBoolean()) {
             pauseCondition = () -> false;
-            // before the next turn, after the sockets have been selected
+            // executed before the next turn, after the selector has reported the sockets that are ready
             loop.execute(this::pauseUntilReleased);
         }
     }
@@ -143,55 +143,57 @@
         }
     }
 
-    /** Starts a feed server and adds it to the endpoint list. */
+    /** Starts a feed server, which only accepts connections, and adds it to the endpoint list. */
     void addServer() throws Exception {
         ServerSocket listening = new ServerSocket(0, 50, LOOPBACK);
         servers.add(listening);
-        String name = "s" + servers.size();
-        Thread accepting = new Thread(() -> accept(listening, name));
+        String serverId = "s" + servers.size();
+        Thread accepting = new Thread(() -> accept(listening, serverId));
         accepting.setDaemon(true);
         accepting.start();
         onLoop(() -> relay.onEndpointList(new EndpointRegistry.Update(
                 EndpointListKind.DELTA, servers.size(), List.of(endpoint(servers.size(), EndpointState.READY)))));
     }
 
-    /** The list entry of the n-th feed server, from 1. */
-    EndpointRegistry.Endpoint endpoint(int server, EndpointState phase) {
+    /** The list entry of the feed server with this number, counted from 1, in the given state. */
+    EndpointRegistry.Endpoint endpoint(int serverNumber, EndpointState state) {
         return new EndpointRegistry.Endpoint(
-                new EndpointEntry("s" + server, 0, 0, 0, 0, phase, 1),
+                new EndpointEntry("s" + serverNumber, 0, 0, 0, 0, state, 1),
                 "127.0.0.1",
-                servers.get(server - 1).getLocalPort());
+                servers.get(serverNumber - 1).getLocalPort());
     }
 
-    private void accept(ServerSocket listening, String name) {
+    private void accept(ServerSocket listening, String serverId) {
         try {
             while (true) {
-                RemoteEnd way = new RemoteEnd(listening.accept());
-                way.server = name;
-                upstreamConnections.add(way);
+                RemoteEnd connection = new RemoteEnd(listening.accept());
+                connection.serverId = serverId;
+                upstreamConnections.add(connection);
             }
         } catch (IOException e) {
-            // the test is over
+            // close() has closed the listening socket
         }
     }
 
-    /** The next connection to a feed server, unread. */
+    /** Waits for the next connection to any feed server, and reads nothing from it. */
     RemoteEnd nextUpstreamConnection() throws Exception {
-        RemoteEnd way = upstreamConnections.poll(20, TimeUnit.SECONDS);
-        assertThat(way).as("a connection to a feed server").isNotNull();
-        return way;
+        RemoteEnd connection = upstreamConnections.poll(20, TimeUnit.SECONDS);
+        assertThat(connection)
+                .as("the relay connects to a feed server within 20 s")
+                .isNotNull();
+        return connection;
     }
 
-    /** The next request that reaches a feed server. */
+    /** Waits for the next connection to any feed server, and reads the request line from it. */
     RemoteEnd nextUpstreamRequest() throws Exception {
-        RemoteEnd ask = nextUpstreamConnection();
-        String line = ask.readLine();
+        RemoteEnd connection = nextUpstreamConnection();
+        String line = connection.readLine();
         assertThat(line).startsWith("OPEN ");
-        ask.key = line.split(" ", 0)[2];
-        return ask;
+        connection.clientKey = line.split(" ", 0)[2];
+        return connection;
     }
 
-    /** Whether all connections to feed servers have been taken by the test. */
+    /** Whether there is no connection to a feed server beyond those that the test has taken. */
     boolean noUpstreamRequest() {
         return upstreamConnections.isEmpty();
     }
@@ -200,63 +202,65 @@
         return new RemoteEnd(new Socket(LOOPBACK, port));
     }
 
-    /** The line of a request with this key and a new id. */
-    String openLine(String key, String cls, int millis) {
-        return "OPEN id" + ++ids + " " + key + " c=" + cls + ",d=" + millis + "\r\n";
+    /** A request line with a new request id. */
+    String openLine(String clientKey, String className, int deadlineMillis) {
+        return "OPEN id" + ++lastRequestId + " " + clientKey + " c=" + className + ",d=" + deadlineMillis + "\r\n";
     }
 
-    /** Pauses the relay's thread before its next turn. */
+    /** Pauses the event loop before its next turn, and waits until it is paused. */
     void pause() throws InterruptedException {
-        arm();
+        preparePause();
         loop.execute(this::pauseUntilReleased);
         awaitPaused();
     }
 
-    /** Pauses it after the next turn that leaves the relay in this state. */
-    void pauseWhen(BooleanSupplier left) {
-        arm();
-        pauseCondition = left;
+    /** Makes the event loop pause after the next turn at whose end the condition holds. Returns at once. */
+    void pauseWhen(BooleanSupplier condition) {
+        preparePause();
+        pauseCondition = condition;
     }
 
-    private void arm() {
+    private void preparePause() {
         paused = new CountDownLatch(1);
         released = new CountDownLatch(1);
     }
 
     void awaitPaused() throws InterruptedException {
         assertThat(paused.await(20, TimeUnit.SECONDS))
-                .as("the relay's thread is paused")
+                .as("the event loop pauses within 20 s")
                 .isTrue();
     }
 
-    /** Lets it continue once its next deadline has passed. */
+    /** Lets the event loop continue once the relay's next deadline has passed. */
     void releaseWhenDue() {
-        // its thread is paused, so that the deadlines do not change
+        // the deadlines do not change meanwhile, because the event loop is paused
         while (loop.nowMicros() <= relay.deadlines().nextMicros()) {
             LockSupport.parkNanos(100_000);
         }
         release();
     }
 
+    /** Lets the event loop continue now. */
     void release() {
         released.countDown();
     }
 
-    void onLoop(Runnable what) throws Exception {
+    /** Runs a task on the event loop's thread, and waits until it has run. */
+    void onLoop(Runnable task) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(() -> {
-            what.run();
+            task.run();
             done.complete(null);
         });
         done.get(20, TimeUnit.SECONDS);
     }
 
-    /** Waits until the relay is in this state, read on its own thread. */
-    void awaitOnLoop(BooleanSupplier state) throws Exception {
-        AtomicBoolean is = new AtomicBoolean();
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); !is.get(); ) {
-            assertThat(System.nanoTime()).as("until the relay is as awaited").isLessThan(end);
-            onLoop(() -> is.set(state.getAsBoolean()));
+    /** Waits until the condition holds, which is evaluated on the event loop's thread. */
+    void awaitOnLoop(BooleanSupplier condition) throws Exception {
+        AtomicBoolean holds = new AtomicBoolean();
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); !holds.get(); ) {
+            assertThat(System.nanoTime()).as("the condition holds within 20 s").isLessThan(end);
+            onLoop(() -> holds.set(condition.getAsBoolean()));
         }
     }
 
