--- a/src/main/java/sandstack/config/ConfigurationKeys.java
+++ b/src/main/java/sandstack/config/ConfigurationKeys.java
@@ -8,8 +8,8 @@
 
 /**
  * The keys of a configuration. Of the objects in an array, only the keys that all of them have are included, as
- * {@code classes[].name}. The endpoint list is included as one key without its content, which changes without an
- * operator's doing.
+ * {@code classes[].name}. The endpoint list is included as one key without its content, which changes without action by
+ * an operator.
  *
  * @param paths the keys as dotted paths
  */
--- a/src/main/java/sandstack/config/FleetFile.java
+++ b/src/main/java/sandstack/config/FleetFile.java
@@ -16,7 +16,7 @@
  *
  * @param installation name of the installation; members of other installations are ignored
  * @param listen address at which this member accepts other members
- * @param machine name of this member's failure domain
+ * @param machine name of this member's failure domain; the host of {@code listen} if the file states none
  * @param members seed addresses, through which this member joins the fleet; some of their members may be gone
  * @param relays names of all relays of the installation; empty if the operator does not state them
  * @param via addresses to connect to instead of members' own addresses, by the member's own address
--- a/src/main/java/sandstack/config/SettingsReader.java
+++ b/src/main/java/sandstack/config/SettingsReader.java
@@ -33,7 +33,7 @@
         List<Tenant> tenants = tenants();
         BalancerSettingsBuilder builder = BalancerSettingsBuilder.of(classes);
         // the order decides which of several invalid values is reported
-        readInstance(builder, tenants);
+        readTopologyAndTenants(builder, tenants);
         readQuotasAndMode(builder);
         readCapabilitiesAndCosts(builder);
         readContract(builder);
@@ -41,7 +41,7 @@
                 .build();
     }
 
-    private void readInstance(BalancerSettingsBuilder builder, List<Tenant> tenants)
+    private void readTopologyAndTenants(BalancerSettingsBuilder builder, List<Tenant> tenants)
             throws InvalidConfigurationException {
         builder.instanceIndex(values.requiredInt("me"))
                 .instanceCount(values.requiredInt("siblings"))
--- a/src/main/java/sandstack/front/platform/OpenRequest.java
+++ b/src/main/java/sandstack/front/platform/OpenRequest.java
@@ -14,7 +14,7 @@
 final class OpenRequest {
     private static final int FIELD_COUNT = 4;
     private static final Pattern TOKEN = Pattern.compile("[!-~]{1,128}");
-    private static final Pattern DECIMAL_MILLIS = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
+    private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
 
     private final String id;
     private final String clientKey;
@@ -51,14 +51,12 @@
     ClientRequest toClientRequest(EffectiveSettings effectiveSettings, TenantRegistry tenants) {
         int requestClass = effectiveSettings.indexOf(parameters.get(PlatformProtocol.CLASS_PARAMETER));
         String deadline = parameters.get(PlatformProtocol.DEADLINE_PARAMETER);
-        if (requestClass < 0
-                || deadline == null
-                || !DECIMAL_MILLIS.matcher(deadline).matches()) {
+        if (requestClass < 0 || deadline == null || !DECIMAL.matcher(deadline).matches()) {
             return null;
         }
         long deadlineMicros = (long) (Double.parseDouble(deadline) * 1000);
         String loadHint = parameters.getOrDefault(PlatformProtocol.LOAD_HINT_PARAMETER, "0");
-        if (deadlineMicros <= 0 || !DECIMAL_MILLIS.matcher(loadHint).matches()) {
+        if (deadlineMicros <= 0 || !DECIMAL.matcher(loadHint).matches()) {
             return null;
         }
         int tenant = parameters.containsKey(PlatformProtocol.TENANT_PARAMETER)
--- a/src/main/java/sandstack/front/platform/UpstreamConnection.java
+++ b/src/main/java/sandstack/front/platform/UpstreamConnection.java
@@ -8,7 +8,7 @@
 
 /**
  * The connection to the feed server of one attempt: sends the request, evaluates the answer and, once established,
- * forwards lines to the client and scans them for load reports. Used on the event loop's thread only.
+ * forwards lines to the client and scans them for {@code LOAD} reports. Used on the event loop's thread only.
  */
 final class UpstreamConnection implements ConnectionAttempt.Upstream, Peer.Listener, EventLoop.ConnectListener {
     private static final Logger LOG = Logger.getLogger("sandstack.platform");
--- a/src/test/java/sandstack/front/platform/ConcurrentEventsTest.java
+++ b/src/test/java/sandstack/front/platform/ConcurrentEventsTest.java
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Asserts that no request is waiting at the feed servers: sends a request with this key, and the next one to reach
-     * a feed server must be this one.
+     * Asserts that no other request has been forwarded: sends a request with this key, which must be the next one to
+     * reach a feed server.
      */
     private void assertNextRequest(String key) throws Exception {
         RemoteEnd client = clientWithRequest(key, "safe");
@@ -135,7 +135,10 @@
                 .allMatch(c -> c.request().clientKey().equals("next")));
     }
 
-    /** The relay starts to drain in the turn in which the answer arrives: the client receives the answer, then MOVE. */
+    /**
+     * The relay starts to drain, as after SIGTERM, in the turn in which the answer arrives: the client receives the
+     * answer and then MOVE.
+     */
     @Test
     void answerDuringShutdownIsForwardedAndTheClientMigrated() throws Exception {
         RemoteEnd client = clientWithRequest("k", "safe");
--- a/src/test/java/sandstack/front/platform/PartialRequestTest.java
+++ b/src/test/java/sandstack/front/platform/PartialRequestTest.java
@@ -21,7 +21,7 @@
 @Timeout(60)
 class PartialRequestTest {
     private static final String REQUEST = "OPEN 9b1f03aa5c7e2d41 whole c=safe,d=5000,g=5c0f6e1a2b3d4c59,h=12.5\r\n";
-    private static final Logger ROOT_LOGGER = Logger.getLogger("sandstack");
+    private static final Logger SANDSTACK_LOGGER = Logger.getLogger("sandstack");
 
     private final List<String> logMessages = new ArrayList<>();
     private final Handler logHandler = new Handler() {
@@ -43,12 +43,12 @@
         pausableRelay = new PausableRelay();
         pausableRelay.addServer();
         pausableRelay.addServer();
-        ROOT_LOGGER.addHandler(logHandler);
+        SANDSTACK_LOGGER.addHandler(logHandler);
     }
 
     @AfterEach
     void stop() throws Exception {
-        ROOT_LOGGER.removeHandler(logHandler);
+        SANDSTACK_LOGGER.removeHandler(logHandler);
         pausableRelay.close();
     }
 
