--- a/src/main/java/sandstack/console/Console.java
+++ b/src/main/java/sandstack/console/Console.java
@@ -14,17 +14,17 @@
 import org.jline.terminal.Terminal;
 import org.jline.terminal.TerminalBuilder;
 
-/** The console of a running relay: a line editor on a terminal, plain lines of text anywhere else. */
+/** The console of a running relay: a line editor on a terminal, plain lines of text otherwise. */
 public final class Console {
     private final ConsoleCommands commands;
 
-    /** Creates a console that answers with these commands; {@link #run} starts it. */
+    /** Creates a console for these commands; {@link #run} starts it. */
     public Console(ConsoleCommands commands) {
         this.commands = commands;
     }
 
-    /** Reads and answers until the input ends or the user quits. */
-    @SuppressWarnings("SystemConsoleNull") // on Java 17 it is null without a terminal; isTerminal came with 22
+    /** Reads commands and prints their answers until the input ends or the user quits. Blocks the calling thread. */
+    @SuppressWarnings("SystemConsoleNull") // Java 17 returns null without a terminal; isTerminal() needs Java 22
     public void run() throws IOException {
         if (System.console() == null) {
             runPlain(System.in, System.out);
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Without a terminal: one command per input line, its answer as plain output lines. */
+    /** Runs without a terminal: one command per input line, its answer as plain output lines. */
     void runPlain(InputStream input, PrintStream output) throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null && !isQuit(line); line = in.readLine()) {
@@ -58,7 +58,7 @@
                 terminal.flush();
             }
         } catch (UserInterruptException | EndOfFileException e) {
-            // the user has ended the input
+            // Ctrl-C or Ctrl-D ends the console as "quit" does
         }
     }
 
--- a/src/main/java/sandstack/console/ConsoleCommands.java
+++ b/src/main/java/sandstack/console/ConsoleCommands.java
@@ -21,38 +21,42 @@
 import sandstack.core.TenantRegistry;
 
 /**
- * The commands of the console. A command runs on the relay's thread and {@link #answer} waits for it, except for those
- * with an argument, which run on the caller's thread.
+ * The commands of the console. A command without argument runs on the relay's thread while {@link #answer} waits for
+ * it; a command with an argument runs on the caller's thread.
+ *
+ * <p>{@code names} prints the endpoint list, {@code standing} the established connections by feed server,
+ * {@code endings} the outcomes of connections and the rejections, and {@code figures} the metrics.
  */
 public final class ConsoleCommands {
     private static final int ANSWER_TIMEOUT_SECONDS = 5;
 
     private final Relay relay;
-    private final Executor loop;
+    private final Executor relayExecutor;
     private final Supplier<List<String>> listeners;
     private final Runnable drain;
     private final Map<String, Supplier<List<String>>> commands = new LinkedHashMap<>();
-    /** Commands with one argument, by their words before it. */
+    /** Commands with one argument, by the words that precede the argument. */
     private final Map<String, Function<String, List<String>>> commandsWithArgument = new LinkedHashMap<>();
 
     /**
-     * Creates the commands of this relay.
+     * Creates the commands of a relay.
      *
-     * @param loop runs tasks on the relay's thread
-     * @param listeners a line for each address at which the relay listens
+     * @param relayExecutor runs tasks on the relay's thread
+     * @param listeners supplies one line for each address at which the relay listens
      * @param drain starts a graceful shutdown
-     * @param additionalCommands commands of optional parts
-     * @param additionalCommandsWithArgument commands of optional parts with one argument, which return in bounded time
+     * @param additionalCommands commands without argument of optional components, by their words
+     * @param additionalCommandsWithArgument commands of optional components that take one argument, by their words;
+     *     they must return in bounded time, because {@link #answer} sets no timeout for them
      */
     public ConsoleCommands(
             Relay relay,
-            Executor loop,
+            Executor relayExecutor,
             Supplier<List<String>> listeners,
             Runnable drain,
             Map<String, Supplier<List<String>>> additionalCommands,
             Map<String, Function<String, List<String>>> additionalCommandsWithArgument) {
         this.relay = relay;
-        this.loop = loop;
+        this.relayExecutor = relayExecutor;
         this.listeners = listeners;
         this.drain = drain;
         commands.put("listeners", this::listenerLines);
@@ -67,14 +71,14 @@
         commandsWithArgument.putAll(additionalCommandsWithArgument);
     }
 
-    /** All commands, for completion. */
+    /** The words of all commands, for tab completion. */
     Set<String> completions() {
         Set<String> completions = new LinkedHashSet<>(commands.keySet());
         completions.addAll(commandsWithArgument.keySet());
         return completions;
     }
 
-    /** The answer to one line, as lines of text. */
+    /** Runs the command in this input line and returns its output lines; empty for a blank line. */
     public List<String> answer(String line) {
         String text = line.trim();
         if (text.isEmpty()) {
@@ -91,12 +95,12 @@
         if (command == null) {
             return List.of("no such command: " + text + "; try help");
         }
-        return runOnLoop(command);
+        return runOnRelayThread(command);
     }
 
-    private List<String> runOnLoop(Supplier<List<String>> command) {
+    private List<String> runOnRelayThread(Supplier<List<String>> command) {
         CompletableFuture<List<String>> answer = new CompletableFuture<>();
-        loop.execute(() -> answer.complete(command.get()));
+        relayExecutor.execute(() -> answer.complete(command.get()));
         try {
             return answer.get(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
--- a/src/main/java/sandstack/simulator/ActionWriter.java
+++ b/src/main/java/sandstack/simulator/ActionWriter.java
@@ -10,7 +10,9 @@
 import sandstack.decisions.BalancerAction.StartAttempt;
 import sandstack.decisions.BalancerAction.WatchEndpointList;
 
-/** Writes the fields of one action in the simulator's terms, into an object that the caller begins and ends. */
+/**
+ * Writes the fields of one action, under the simulator's names, into a JSON object that the caller opens and closes.
+ */
 record ActionWriter(JsonGenerator out) implements BalancerAction.Handler<IOException> {
     @Override
     public void startAttempt(StartAttempt action) throws IOException {
--- a/src/main/java/sandstack/simulator/BatchReader.java
+++ b/src/main/java/sandstack/simulator/BatchReader.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Reads one batch at a time: the clock, the serial number and the events of each instance. Unknown fields are skipped.
- * The result is valid until the next batch is read. One thread.
+ * Reads one batch at a time: its clock, its serial number and the events of each instance. Unknown fields are skipped.
+ * The accessors return the batch read last; the next {@link #readNext} overwrites it. Used by one thread.
  */
 final class BatchReader {
     private final WireInput input;
@@ -17,13 +17,14 @@
     private long timeMicros;
     private long serial;
 
-    /** The events of one instance in a batch, in the order in which they happened. */
+    /** The events of one instance in a batch, in order of occurrence. */
     static final class InstanceEvents {
-        private int instance;
+        private int instanceId;
         private final List<EventFields> events = new ArrayList<>();
 
-        int instance() {
-            return instance;
+        /** The simulator's number for the instance. */
+        int instanceId() {
+            return instanceId;
         }
 
         List<EventFields> events() {
@@ -36,7 +37,7 @@
         this.eventReader = new EventReader(input);
     }
 
-    /** Reads the next batch; false at the end of the input. */
+    /** Reads the next batch; returns false at the end of the input. */
     boolean readNext() throws IOException, MalformedMessageException {
         try {
             if (input.next() == null) {
@@ -49,15 +50,17 @@
         }
     }
 
-    /** The clock of the batch. */
+    /** The time of all events of the batch, on the simulator's clock. */
     long timeMicros() {
         return timeMicros;
     }
 
+    /** The serial number of the batch, which the reply repeats. */
     long serial() {
         return serial;
     }
 
+    /** The events of the batch by instance, in the order of the input. */
     List<InstanceEvents> parts() {
         return parts;
     }
@@ -79,7 +82,7 @@
                 }
                 case "serial" -> {
                     serial = input.requireInteger(field);
-                    input.serialRead(serial);
+                    input.setSerial(serial);
                     hasSerial = true;
                 }
                 case "parts" -> {
@@ -117,7 +120,7 @@
             input.next();
             switch (field) {
                 case "who" -> {
-                    part.instance = (int) input.requireInteger(field);
+                    part.instanceId = (int) input.requireInteger(field);
                     hasInstance = true;
                 }
                 case "happened" -> {
--- a/src/main/java/sandstack/simulator/EndpointEntryReader.java
+++ b/src/main/java/sandstack/simulator/EndpointEntryReader.java
@@ -6,7 +6,8 @@
 import sandstack.decisions.EndpointState;
 
 /**
- * Reads one entry of an endpoint list. Unknown fields are skipped, and null is as good as an absent field. One thread.
+ * Reads one entry of an endpoint list. Unknown fields are skipped; a null value counts as an absent field. Used by one
+ * thread.
  */
 final class EndpointEntryReader {
     private static final double DEFAULT_RATING = 1;
@@ -14,7 +15,7 @@
 
     private final WireInput input;
 
-    // the entry that is being read
+    // fields of the entry being read
     private String server;
     private EndpointState state;
     private long zone;
@@ -27,7 +28,7 @@
         this.input = input;
     }
 
-    /** Reads the entry whose opening brace should be the current token. */
+    /** Reads one entry; the current token must be its opening brace. */
     EndpointEntry read() throws IOException, MalformedMessageException {
         input.expect(JsonToken.START_OBJECT, "an item of items is not an object");
         setDefaults();
--- a/src/main/java/sandstack/simulator/EventFields.java
+++ b/src/main/java/sandstack/simulator/EventFields.java
@@ -7,8 +7,8 @@
 import sandstack.decisions.EndpointEntry;
 
 /**
- * The fields of one event as they were read. The accessors check type and presence; their errors name the type of the
- * event and the field. One thread.
+ * The fields of one event, by their names on the wire. The accessors check presence and type; their errors name the
+ * event type and the field. Used by one thread.
  */
 final class EventFields {
     static final String LOAD_REPORT = "stats";
@@ -17,7 +17,9 @@
     private static final String TABLE = "table";
 
     private final WireInput input;
+    /** Values of type Long, Double, String, Boolean, {@code double[]} (load report) or List (endpoint entries). */
     private final Map<String, Object> values = new HashMap<>();
+
     private String type;
     private SettingsReader settings;
 
@@ -37,16 +39,17 @@
         values.put(field, value);
     }
 
-    /** The type of the event; null until it was read. */
+    /** The type of the event; null until it has been read. */
     String type() {
         return type;
     }
 
-    /** The settings of an instance; null for an event without them. */
+    /** The settings of the instance to start; null for an event without settings. */
     SettingsReader settings() {
         return settings;
     }
 
+    /** Whether the field is present with a value other than null. */
     boolean has(String field) {
         return values.get(field) != null;
     }
@@ -56,11 +59,11 @@
         if (value instanceof Long number) {
             return number;
         }
-        throw value == null ? lacks(field) : malformed(": not an integer: " + field);
+        throw value == null ? missing(field) : malformed(": not an integer: " + field);
     }
 
-    long integerOr(String field, long absent) throws MalformedMessageException {
-        return has(field) ? integer(field) : absent;
+    long integerOrDefault(String field, long defaultValue) throws MalformedMessageException {
+        return has(field) ? integer(field) : defaultValue;
     }
 
     double number(String field) throws MalformedMessageException {
@@ -68,18 +71,18 @@
         if (value instanceof Number number) {
             return number.doubleValue();
         }
-        throw value == null ? lacks(field) : malformed(": not a number: " + field);
+        throw value == null ? missing(field) : malformed(": not a number: " + field);
     }
 
     String text(String field) throws MalformedMessageException {
         String value = optionalText(field);
         if (value == null) {
-            throw lacks(field);
+            throw missing(field);
         }
         return value;
     }
 
-    /** A text; null where it is absent. */
+    /** A string field; null if absent. */
     String optionalText(String field) throws MalformedMessageException {
         Object value = values.get(field);
         if (value == null || value instanceof String) {
@@ -88,7 +91,7 @@
         throw malformed(": not a string: " + field);
     }
 
-    /** A flag; false where it is absent. */
+    /** A boolean field; false if absent. */
     boolean flag(String field) throws MalformedMessageException {
         Object value = values.get(field);
         if (value == null || value instanceof Boolean) {
@@ -97,7 +100,7 @@
         throw malformed(": not a bool: " + field);
     }
 
-    /** The load report of a server; null where it is absent. */
+    /** The load report of a server, one value per column; null if absent. */
     double[] loadReport() throws MalformedMessageException {
         Object value = values.get(LOAD_REPORT);
         if (value == null || value instanceof double[]) {
@@ -106,7 +109,7 @@
         throw malformed(": not a row: " + LOAD_REPORT);
     }
 
-    /** The number of an endpoint list, below the number of tables. */
+    /** The number of the endpoint list that the event defines or refers to: from 0 to {@code tableCount - 1}. */
     int tableIndex(int tableCount) throws MalformedMessageException {
         long table = integer(TABLE);
         if (table < 0 || table >= tableCount) {
@@ -115,30 +118,31 @@
         return (int) table;
     }
 
+    /** The entries of an endpoint list; an absent list is an error. */
     @SuppressWarnings("unchecked")
     List<EndpointEntry> entries() throws MalformedMessageException {
         if (values.get(ENTRIES) instanceof List<?> entries) {
             return (List<EndpointEntry>) entries;
         }
-        throw lacks(ENTRIES);
+        throw missing(ENTRIES);
     }
 
-    /** The error for a field whose value is not in the protocol. */
+    /** The error for a field whose value the protocol does not define. */
     MalformedMessageException unknownValue(String field) {
         return malformed(": " + field + " has no known value");
     }
 
-    /** The error for settings that the load balancer does not accept. */
+    /** The error for settings that the load balancer rejects. */
     MalformedMessageException invalidSettings(Exception cause) {
         return input.malformed(SETTINGS + ": " + cause.getMessage());
     }
 
-    /** An error in this event; the problem follows its type. */
+    /** An error in this event; the message appends {@code problem} to the event type without a separator. */
     MalformedMessageException malformed(String problem) {
         return input.malformed(type + problem);
     }
 
-    private MalformedMessageException lacks(String field) {
+    private MalformedMessageException missing(String field) {
         return malformed(" lacks " + field);
     }
 }
--- a/src/main/java/sandstack/simulator/EventReader.java
+++ b/src/main/java/sandstack/simulator/EventReader.java
@@ -9,12 +9,12 @@
 import sandstack.decisions.EndpointEntry;
 
 /**
- * Reads the fields of one event, of whatever type: settings, load reports and list entries in their own form, the
- * others as scalars. Unknown objects and arrays are skipped, and so is null. One thread.
+ * Reads the fields of one event of any type. Settings, load reports and endpoint entries are parsed; every other field
+ * is kept as a scalar. Unknown objects, unknown arrays and nulls are skipped. Used by one thread.
  */
 final class EventReader {
     private static final String TYPE = "t";
-    /** The settings name at most this many columns. */
+    /** Maximum number of values in a load report; the settings list at most this many report columns. */
     private static final int MAX_REPORT_COLUMNS = 4;
 
     private final WireInput input;
@@ -25,7 +25,7 @@
         this.entryReader = new EndpointEntryReader(input);
     }
 
-    /** Reads the event whose opening brace should be the current token. */
+    /** Reads one event; the current token must be its opening brace. */
     EventFields read() throws IOException, MalformedMessageException {
         input.expect(JsonToken.START_OBJECT, "an item of happened is not an object");
         EventFields event = new EventFields(input);
--- a/src/main/java/sandstack/simulator/EventTranslator.java
+++ b/src/main/java/sandstack/simulator/EventTranslator.java
@@ -14,14 +14,14 @@
 import sandstack.decisions.BalancerEvent.TimerExpired;
 import sandstack.decisions.EndpointListKind;
 
-/** Translates events from the simulator's terms to those of the load balancer. Stateless. */
+/** Translates the simulator's events into events of the load balancer. Stateless. */
 final class EventTranslator {
-    // bits of the field bitmap
-    private static final int LOAD_HINT_VALID = 1;
-    private static final int ESTABLISHED_ELSEWHERE = 8;
-    private static final int CLIENT_RETURNED = 16;
+    // bits of the field "bitmap" of a connection request
+    private static final int EXPECTED_LOAD_VALID = 1;
+    private static final int MID_FLOW = 8;
+    private static final int RECONNECTING = 16;
 
-    // values of the field sort
+    // values of the field "sort" of a connection update
     private static final int LOAD_UPDATE = 1;
     private static final int DELAY_UPDATE = 2;
 
@@ -29,7 +29,10 @@
 
     private EventTranslator() {}
 
-    /** The event in the load balancer's terms; null for a type that this version of the protocol does not know. */
+    /**
+     * The corresponding event of the load balancer; null for an event or update type that this version of the protocol
+     * does not define.
+     */
     static BalancerEvent translate(EventFields event) throws MalformedMessageException {
         return switch (event.type()) {
             case "Ingress" -> connectRequested(event);
@@ -47,7 +50,7 @@
         };
     }
 
-    /** The kind of an endpoint list event. */
+    /** What the update of an endpoint list event contains, from its field {@code form}. */
     static EndpointListKind listKind(EventFields event) throws MalformedMessageException {
         return switch (event.text("form")) {
             case "Partial" -> EndpointListKind.DELTA;
@@ -59,25 +62,27 @@
     }
 
     private static ConnectRequested connectRequested(EventFields event) throws MalformedMessageException {
-        long bits = event.integerOr("bitmap", 0);
-        boolean hasLoad = (bits & LOAD_HINT_VALID) != 0 && event.has("work_hint_us");
+        long bits = event.integerOrDefault("bitmap", 0);
+        boolean hasLoad = (bits & EXPECTED_LOAD_VALID) != 0 && event.has("work_hint_us");
         double load = hasLoad ? event.number("work_hint_us") : 0;
         return new ConnectRequested(
                 event.text("corr"),
                 (int) event.integer("kind"),
-                (int) event.integerOr("org", 0),
+                (int) event.integerOrDefault("org", 0),
                 event.optionalText("path_key"),
                 event.optionalText("group"),
                 event.integer("client_deadline_us"),
                 load,
-                (bits & ESTABLISHED_ELSEWHERE) != 0,
-                (bits & CLIENT_RETURNED) != 0);
+                (bits & MID_FLOW) != 0,
+                (bits & RECONNECTING) != 0);
     }
 
+    /** The number of the attempt within its request, from 0. */
     private static int attempt(EventFields event) throws MalformedMessageException {
         return (int) event.integer("go");
     }
 
+    /** A load or delay update of an established connection; null for an unknown sort. */
     private static BalancerEvent connectionUpdate(EventFields event) throws MalformedMessageException {
         long sort = event.integer("sort");
         String requestId = event.text("corr");
@@ -118,7 +123,7 @@
         };
     }
 
-    /** Timers return the token that {@link ActionWriter} wrote. */
+    /** The expiry of a timer, identified by the token that {@link ActionWriter} wrote as its {@code handle}. */
     private static TimerExpired timerExpired(EventFields event) throws MalformedMessageException {
         try {
             return new TimerExpired(Long.parseLong(event.text("handle")));
--- a/src/main/java/sandstack/simulator/MalformedMessageException.java
+++ b/src/main/java/sandstack/simulator/MalformedMessageException.java
@@ -1,14 +1,14 @@
 package sandstack.simulator;
 
-/** The simulator sent a message that breaks the rules of its protocol. The message text is one line. */
+/** The simulator's input violates its protocol. The exception message is one line. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
      * Creates the error.
      *
-     * @param position the batch in which it was found
-     * @param problem the event and field, and what is wrong with it
+     * @param position the batch that contains the error, or the last one before it
+     * @param problem the event and field, and what is wrong with them
      */
     MalformedMessageException(String position, String problem) {
         super(position + ": " + problem);
--- a/src/main/java/sandstack/simulator/SimulatorSession.java
+++ b/src/main/java/sandstack/simulator/SimulatorSession.java
@@ -23,17 +23,22 @@
 
 /**
  * A session with the simulator: reads batches of events, passes each event to the {@link LoadBalancer} of its instance
- * and writes the actions of a batch as one reply. It translates and decides nothing. One thread.
+ * and writes the resulting actions of a batch as one reply. The session only translates; all decisions are the load
+ * balancer's. Used by one thread.
  */
 public final class SimulatorSession {
     /** The type of the event that starts an instance. */
     static final String START = "Up";
 
     private static final String STOP = "PowerOff";
+
+    /** The type of the event that stores an endpoint list under a number, for all instances. */
     private static final String ENDPOINT_TABLE = "Catalog";
+
+    /** The type of the event that updates an instance's endpoint list; it refers to a stored list by number. */
     private static final String ENDPOINT_LIST = "Registry";
 
-    /** Endpoint lists are numbered from 0 to one less than this. */
+    /** Number of endpoint lists that the protocol can store; they are numbered from 0. */
     private static final int TABLE_COUNT = 16;
 
     private static final int INPUT_BUFFER_BYTES = 1 << 16;
@@ -41,10 +46,10 @@
     private final CapacityFile capacity;
     private final JsonFactory jsonFactory = new JsonFactory();
     private final Map<Integer, LoadBalancer> balancerByInstance = new HashMap<>();
-    /** Endpoint lists by number; null where none has been received. */
+    /** Stored endpoint lists by number; null if not received yet. */
     private final List<List<EndpointEntry>> endpointTables = new ArrayList<>(Collections.nCopies(TABLE_COUNT, null));
 
-    /** Creates a session in which nothing is stated of the capacity of servers. */
+    /** Creates a session without stated server capacities and limits. */
     public SimulatorSession() {
         this(CapacityFile.NONE);
     }
@@ -52,7 +57,7 @@
     /**
      * Creates a session.
      *
-     * @param capacity the stated capacities and limits of every instance
+     * @param capacity the stated capacities and limits, the same for all instances
      */
     public SimulatorSession(CapacityFile capacity) {
         this.capacity = capacity;
@@ -61,8 +66,8 @@
     /**
      * Replies to batches until the input ends.
      *
-     * @throws MalformedMessageException if the input breaks the protocol; the reply to that batch is missing or cut
-     *     short
+     * @throws MalformedMessageException if the input violates the protocol; the reply to that batch is missing or
+     *     incomplete
      */
     public void run(InputStream input, OutputStream output) throws IOException, MalformedMessageException {
         JsonGenerator out = jsonFactory.createGenerator(output, JsonEncoding.UTF8);
@@ -89,16 +94,16 @@
         out.flush();
     }
 
-    /** Writes the actions of one instance; nothing where there are none. */
+    /** Handles the events of one instance and writes their actions; writes nothing if there are none. */
     private void writePart(BatchReader.InstanceEvents part, long timeMicros, JsonGenerator out)
             throws IOException, MalformedMessageException {
         boolean started = false;
         for (EventFields event : part.events()) {
-            List<BalancerAction> actions = handle(part.instance(), event, timeMicros);
+            List<BalancerAction> actions = handle(part.instanceId(), event, timeMicros);
             if (!started && !actions.isEmpty()) {
                 started = true;
                 out.writeStartObject();
-                out.writeNumberField("who", part.instance());
+                out.writeNumberField("who", part.instanceId());
                 out.writeArrayFieldStart("steps");
             }
             for (BalancerAction action : actions) {
@@ -117,14 +122,14 @@
         out.writeEndObject();
     }
 
-    private List<BalancerAction> handle(int instance, EventFields event, long timeMicros)
+    private List<BalancerAction> handle(int instanceId, EventFields event, long timeMicros)
             throws MalformedMessageException {
         switch (event.type()) {
-            case START -> balancerByInstance.put(instance, newBalancer(event, timeMicros));
-            case STOP -> balancerByInstance.remove(instance);
+            case START -> balancerByInstance.put(instanceId, newBalancer(event, timeMicros));
+            case STOP -> balancerByInstance.remove(instanceId);
             case ENDPOINT_TABLE -> endpointTables.set(event.tableIndex(TABLE_COUNT), event.entries());
             default -> {
-                return pass(instance, event, timeMicros);
+                return passToBalancer(instanceId, event, timeMicros);
             }
         }
         return List.of();
@@ -143,12 +148,12 @@
         }
     }
 
-    /** Passes an event to the load balancer of its instance; one of an unknown type has no effect. */
-    private List<BalancerAction> pass(int instance, EventFields event, long timeMicros)
+    /** Passes an event to the load balancer of its instance; an event of unknown type has no effect. */
+    private List<BalancerAction> passToBalancer(int instanceId, EventFields event, long timeMicros)
             throws MalformedMessageException {
-        LoadBalancer balancer = balancerByInstance.get(instance);
+        LoadBalancer balancer = balancerByInstance.get(instanceId);
         if (balancer == null) {
-            throw event.malformed(" for instance " + instance + ", which has not started (field who)");
+            throw event.malformed(" for instance " + instanceId + ", which has not started (field who)");
         }
         BalancerEvent translated =
                 event.type().equals(ENDPOINT_LIST) ? endpointListUpdate(event) : EventTranslator.translate(event);
--- a/src/main/java/sandstack/testserver/FakeDiscovery.java
+++ b/src/main/java/sandstack/testserver/FakeDiscovery.java
@@ -13,8 +13,9 @@
 import sandstack.net.Peer;
 
 /**
- * A fake discovery: serves the list of feed servers by its published protocol, complete or as a watch. Scripted faults
- * delay its updates and make it unavailable. Used on the thread of its loop. A change costs O(watches).
+ * A fake discovery service: serves the list of feed servers over the published discovery protocol, as a single response
+ * or as a watch (a chunked response that continues with each change). Tests can delay its updates and make it
+ * unavailable. Used on the thread of its loop. A change costs O(watches).
  */
 public final class FakeDiscovery {
     private static final long KEEPALIVE_INTERVAL_MICROS = 2_000_000;
@@ -24,19 +25,19 @@
     private final TestServerLoop loop;
     private final int port;
     private final InstanceList instances = new InstanceList();
-    /** The connections that follow the list. */
+    /** The connections with an open watch. */
     private final Set<Connection> watches = new LinkedHashSet<>();
 
     private final Set<Connection> connections = new LinkedHashSet<>();
     private long updateDelayMicros;
     private boolean unavailable;
 
-    /** Listens at a port that the system chooses. */
+    /** Listens on a port that the system chooses. */
     public FakeDiscovery(TestServerLoop loop) throws IOException {
         this(loop, 0);
     }
 
-    /** Listens at a fixed port, or at one that the system chooses where it is 0. */
+    /** Listens on a fixed port; with 0, on a port that the system chooses. */
     public FakeDiscovery(TestServerLoop loop, int fixedPort) throws IOException {
         this.loop = loop;
         this.port = loop.listen(fixedPort, new BaseFilter() {
@@ -49,19 +50,19 @@
         loop.schedule(KEEPALIVE_INTERVAL_MICROS, this::sendKeepalives);
     }
 
-    /** The port at which discovery listens. */
+    /** The port on which discovery listens. */
     public int port() {
         return port;
     }
 
-    /** Delays the watch events of later changes. */
+    /** Sets the delay from a change to its watch events, for later changes. */
     public void delayUpdates(long micros) {
         updateDelayMicros = micros;
     }
 
-    /** While discovery is down it responds 503; going down resets all connections. */
-    public void setUnavailable(boolean isDown) {
-        unavailable = isDown;
+    /** Starts or ends an outage: its start resets all connections, and requests during it get status 503. */
+    public void setUnavailable(boolean isUnavailable) {
+        unavailable = isUnavailable;
         if (unavailable) {
             for (Connection connection : Set.copyOf(connections)) {
                 connection.peer.reset();
@@ -71,25 +72,27 @@
     }
 
     /**
-     * Adds a feed server to the list or changes its entry, and notifies the watches.
+     * Adds a feed server to the list or replaces its entry, and notifies the watches.
      *
+     * @param model machine type
+     * @param capacityHint relative capacity
      * @param state ready, draining or gone
      */
-    public void publish(FakeFeedServer server, String model, double hint, String state) {
+    public void publish(FakeFeedServer server, String model, double capacityHint, String state) {
         long previousRevision = instances.revision();
         instances.put(new InstanceList.Instance(
                 server.uid(),
                 TestServerLoop.LOOPBACK + ":" + server.port(),
                 server.zone(),
                 model,
-                hint,
+                capacityHint,
                 state,
                 server.bootedAtMicros() / 1000));
         loop.schedule(
                 updateDelayMicros, () -> Set.copyOf(watches).forEach(watch -> watch.sendChanges(previousRevision)));
     }
 
-    /** The complete list, in the form that a configuration holds under {@code known}. */
+    /** The complete list, in the form of the key {@code known} of a relay's configuration. */
     public ObjectNode knownInstances() {
         return instances.snapshot();
     }
@@ -99,10 +102,10 @@
         loop.schedule(KEEPALIVE_INTERVAL_MICROS, this::sendKeepalives);
     }
 
-    /** One connection of a client, with its watch where it requested one. */
+    /** One client connection, with its watch if it requested one. */
     private final class Connection implements Peer.Listener {
         final Peer peer;
-        /** The last revision sent on the watch; -1 for none. */
+        /** The last revision sent on the watch; -1 if none was sent. */
         private long sentRevision;
 
         Connection(Peer peer) {
@@ -143,7 +146,7 @@
             }
         }
 
-        /** The revision that a watch request already has; -1 where it states none. */
+        /** The revision from which a watch request continues; -1 if it names none. */
         private static long requestedRevision(String path) {
             int parameter = path.indexOf(REVISION_PARAMETER);
             return parameter < 0
--- a/src/main/java/sandstack/testserver/FakeFeedServer.java
+++ b/src/main/java/sandstack/testserver/FakeFeedServer.java
@@ -14,23 +14,24 @@
 import sandstack.net.Peer;
 
 /**
- * A fake feed server of the line protocol with scripted behaviour: it sets connections up with the work that its
- * {@link ServerProfile} states, echoes every line, rejects or sheds connections above its limit, drains, dies and
- * restarts cold. Used on the thread of its loop. A line costs O(1), {@link #kill} O(connections).
+ * A fake feed server of the line protocol with scripted behaviour: each set-up and each line takes the work that its
+ * {@link ServerProfile} states; it echoes every line and rejects or sheds connections above its limit. Tests can drain
+ * it, kill it and restart it with a cold start. Used on the thread of its loop. A line costs O(1), {@link #kill}
+ * O(connections).
  */
 public final class FakeFeedServer {
     /**
-     * What the server has counted.
+     * Counters since the server was created; a restart does not reset them.
      *
      * @param established established connections now
-     * @param maxEstablished the most there were at once
-     * @param setups connections that were established
+     * @param maxEstablished maximum number of connections established at the same time
+     * @param setups connections that became established
      * @param rejected requests rejected with {@code BUSY}
-     * @param shed established connections that were dropped above the limit
+     * @param shed connections dropped right after set-up because they exceeded the limit
      * @param lines lines received on established connections
      * @param requests valid requests for a connection
-     * @param syntaxErrors requests that were not valid
-     * @param busyMicros microseconds for which cores were busy, summed over all
+     * @param syntaxErrors invalid requests
+     * @param busyMicros busy time of the cores in microseconds, summed over all cores
      */
     public record Counters(
             int established,
@@ -50,7 +51,9 @@
     private final int port;
     private final Set<FeedSession> established = new LinkedHashSet<>();
     private final Set<FeedSession> sessions = new LinkedHashSet<>();
+    /** Established time of closed connections, by the attributes of their request. */
     private final Map<String, Long> closedSessionMicros = new HashMap<>();
+
     private final WorkQueue workQueue;
     private boolean draining;
     private boolean killed;
@@ -61,27 +64,27 @@
     private long lines;
     private long requests;
     private long syntaxErrors;
-    /** Accepted requests whose set-up has not completed. */
+    /** Number of accepted requests whose set-up has not completed. */
     private int pendingSetups;
 
     /**
-     * Listens at a port that the system chooses.
+     * Listens on a port that the system chooses.
      *
-     * @param uid id by which discovery lists the server
+     * @param uid id under which discovery lists the server
      * @param zone name of its zone
      */
-    public FakeFeedServer(TestServerLoop loop, String uid, String zone, ServerProfile machine) throws IOException {
-        this(loop, uid, zone, machine, 0);
+    public FakeFeedServer(TestServerLoop loop, String uid, String zone, ServerProfile profile) throws IOException {
+        this(loop, uid, zone, profile, 0);
     }
 
-    /** Listens at a fixed port, or at one that the system chooses where it is 0. */
-    public FakeFeedServer(TestServerLoop loop, String uid, String zone, ServerProfile machine, int fixedPort)
+    /** Listens on a fixed port; with 0, on a port that the system chooses. */
+    public FakeFeedServer(TestServerLoop loop, String uid, String zone, ServerProfile profile, int fixedPort)
             throws IOException {
         this.loop = loop;
         this.uid = uid;
         this.zone = zone;
-        this.profile = machine;
-        this.workQueue = new WorkQueue(loop, machine);
+        this.profile = profile;
+        this.workQueue = new WorkQueue(loop, profile);
         this.port = loop.listen(fixedPort, new BaseFilter() {
             @Override
             public NextAction handleAccept(FilterChainContext context) {
@@ -91,19 +94,19 @@
         });
     }
 
-    /** Rejects new connections and keeps the established ones. */
+    /** From now on rejects new connections; established ones stay. */
     public void drain() {
         draining = true;
     }
 
-    /** Asks all clients to move, as a draining feed server does. */
+    /** Sends {@code MOVE} on all established connections and closes them, as a draining feed server does. */
     public void moveClients() {
         for (FeedSession session : Set.copyOf(established)) {
             session.closeWith("MOVE\r\n");
         }
     }
 
-    /** Resets all connections and accepts none, like a process that has died. */
+    /** Resets all connections, and new ones at once, like a crashed process; {@link #restart} ends this. */
     public void kill() {
         killed = true;
         workQueue.clear();
@@ -112,7 +115,7 @@
         }
     }
 
-    /** Restarts as a fresh process; returns the start time in Unix milliseconds. */
+    /** Restarts as a new process that warms up again; returns its start time in Unix milliseconds. */
     public long restart() {
         killed = false;
         draining = false;
@@ -121,30 +124,30 @@
         return nowMicros / 1_000;
     }
 
-    /** Lets a noisy neighbour take this share of every core from now on; 0 ends it. */
+    /** Simulates a noisy neighbour that takes this share of every core, from 0 (none) to 1. */
     public void setNoisyNeighbourShare(double share) {
         workQueue.setStolenShare(share);
     }
 
-    /** Sends this load report, in microseconds of work a second, on every connection. */
+    /** Sends a load report on every established connection; the unit is microseconds of work per second. */
     public void sendLoadReports(double load) {
         for (FeedSession session : established) {
             session.send("LOAD " + load + "\r\n");
         }
     }
 
-    /** An established connection, as the receiver of lines that the feed server sends unasked. */
+    /** An established connection as the recipient of lines that the feed server initiates. */
     public interface Subscriber {
-        /** Sends a line, which ends with a line feed; returns false where the connection is closed. */
+        /** Sends a line, which must end with a line feed; returns false if the connection is closed. */
         boolean send(String line);
     }
 
-    /** The connections established now. */
+    /** A snapshot of the established connections. */
     public List<Subscriber> subscribers() {
         return List.copyOf(established);
     }
 
-    /** The id by which discovery lists the server. */
+    /** The id under which discovery lists the server. */
     public String uid() {
         return uid;
     }
@@ -154,23 +157,23 @@
         return zone;
     }
 
-    /** The port at which the server listens. */
+    /** The port on which the server listens. */
     public int port() {
         return port;
     }
 
-    /** The machine on which the server runs. */
+    /** The simulated machine and limits of the server. */
     public ServerProfile profile() {
         return profile;
     }
 
-    /** When the process last restarted, in microseconds of the loop's clock; 0 where it has not. */
+    /** When the process last restarted, in microseconds of the loop's clock; 0 if it never has. */
     public long bootedAtMicros() {
         return workQueue.bootedAtMicros();
     }
 
-    /** Whether the server rejects new connections because it drains. */
-    public boolean draining() {
+    /** Whether the server is draining and therefore rejects new connections. */
+    public boolean isDraining() {
         return draining;
     }
 
@@ -189,7 +192,9 @@
     }
 
     /**
-     * Seconds for which connections were established, by the value of one attribute of the request, such as the class.
+     * Total established time of connections in seconds, by the value of one attribute of their request.
+     *
+     * @param name name of the attribute, such as {@code c} for the class
      */
     public Map<String, Double> establishedSeconds(String name) {
         Map<String, Double> seconds = new LinkedHashMap<>();
@@ -203,6 +208,7 @@
         return seconds;
     }
 
+    /** The value of one attribute in a list such as {@code c=order-status,d=10000}; empty if absent. */
     private static String value(String attributes, String name) {
         for (String pair : attributes.split(",", 0)) {
             if (pair.startsWith(name + "=")) {
@@ -222,7 +228,7 @@
 
     void requestReceived(FeedSession session, String id) {
         requests++;
-        if (draining || (!profile.shedsNewest() && isFullWith(1))) {
+        if (draining || (!profile.shedsNewest() && wouldExceedLimit(1))) {
             rejected++;
             session.closeWith("BUSY\r\n");
             return;
@@ -245,7 +251,7 @@
         maxEstablished = Math.max(maxEstablished, established.size());
         setups++;
         session.setupCompleted(loop.nowMicros(), "UP " + uid + "-" + id + "\r\n");
-        if (profile.shedsNewest() && isFullWith(0)) {
+        if (profile.shedsNewest() && wouldExceedLimit(0)) {
             shed++;
             session.reset();
         }
@@ -266,8 +272,8 @@
         }
     }
 
-    /** Whether this many more connections would exceed the limit. */
-    private boolean isFullWith(int additional) {
+    /** Whether this many additional connections would exceed the limit. */
+    private boolean wouldExceedLimit(int additional) {
         return profile.maxConnections() > 0
                 && established.size() + pendingSetups + additional > profile.maxConnections();
     }
--- a/src/main/java/sandstack/testserver/FeedSession.java
+++ b/src/main/java/sandstack/testserver/FeedSession.java
@@ -9,7 +9,7 @@
 
     private final FakeFeedServer server;
     private final Peer peer;
-    /** Null until the request has been read. */
+    /** The attributes of the request; null until the request has been read. */
     private String attributes;
 
     private boolean settingUp;
@@ -31,7 +31,7 @@
         return closed;
     }
 
-    /** Whether the request was accepted and the work to set the connection up is not done yet. */
+    /** Whether the request was accepted and the set-up has not completed. */
     boolean isSettingUp() {
         return settingUp;
     }
--- a/src/main/java/sandstack/testserver/InstanceList.java
+++ b/src/main/java/sandstack/testserver/InstanceList.java
@@ -7,15 +7,17 @@
 import java.util.Map;
 
 /**
- * The feed servers that a discovery lists, with a revision for each change, in the JSON form of its published protocol.
- * No I/O and no clock. Not thread-safe. A change costs O(1), a snapshot O(instances).
+ * The list of feed servers that discovery serves, in the JSON form of the published discovery protocol, with a revision
+ * number that each change increments. An instance is discovery's word for one feed server. No I/O and no clock. Not
+ * thread-safe. A change costs O(1), a snapshot O(instances).
  */
 public final class InstanceList {
-    /** The state of an instance that is no longer listed. */
+    /** The state of a removed instance: it appears in changes but not in the complete list. */
     public static final String GONE = "gone";
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long BEFORE_FIRST_REVISION = -1;
+    /** Passed to {@link #changesSince} to request the complete list. */
+    private static final long NO_REVISION = -1;
 
     /**
      * One feed server.
@@ -24,7 +26,7 @@
      * @param model machine type
      * @param capacityHint relative capacity
      * @param state ready, draining or gone
-     * @param bootMillis when the process started, in Unix milliseconds; 0 for long ago
+     * @param bootMillis start time of the process in Unix milliseconds; 0 means long ago
      */
     public record Instance(
             String uid,
@@ -36,14 +38,14 @@
             long bootMillis) {}
 
     /** An instance and the revision at which it last changed. */
-    private record Listed(Instance instance, long revision) {}
+    private record VersionedInstance(Instance instance, long revision) {}
 
-    private final Map<String, Listed> byUid = new LinkedHashMap<>();
+    private final Map<String, VersionedInstance> byUid = new LinkedHashMap<>();
     private long revision = 1;
 
     /** Adds an instance or replaces the entry with the same uid. */
     public void put(Instance instance) {
-        byUid.put(instance.uid(), new Listed(instance, ++revision));
+        byUid.put(instance.uid(), new VersionedInstance(instance, ++revision));
     }
 
     /** The revision of the last change. */
@@ -51,20 +53,20 @@
         return revision;
     }
 
-    /** The complete list, without the instances that are gone. */
+    /** The complete list, without removed instances. */
     public ObjectNode snapshot() {
-        return changesSince(BEFORE_FIRST_REVISION);
+        return changesSince(NO_REVISION);
     }
 
-    /** The changes after a revision; the complete list where the revision is negative. */
+    /** The instances changed after this revision, including removed ones; the complete list if it is negative. */
     public ObjectNode changesSince(long fromRevision) {
         boolean all = fromRevision < 0;
         ObjectNode object = JSON.createObjectNode().put("rev", revision).put("all", all);
         ArrayNode targets = object.putArray("targets");
-        for (Listed listed : byUid.values()) {
-            boolean gone = listed.instance().state().equals(GONE);
-            if (all ? !gone : listed.revision() > fromRevision) {
-                appendInstance(targets, listed.instance());
+        for (VersionedInstance entry : byUid.values()) {
+            boolean gone = entry.instance().state().equals(GONE);
+            if (all ? !gone : entry.revision() > fromRevision) {
+                appendInstance(targets, entry.instance());
             }
         }
         return object;
--- a/src/main/java/sandstack/testserver/LineClient.java
+++ b/src/main/java/sandstack/testserver/LineClient.java
@@ -6,33 +6,34 @@
 import sandstack.net.Peer;
 
 /**
- * A client of the line protocol for tests: opens a connection, sends lines at an interval and measures the round trips.
+ * A test client of the line protocol: opens one connection, sends lines at an interval and measures their round trips.
  * Reports each change of its state to a listener. Used on the thread of its loop. A line costs O(1).
  */
 public final class LineClient {
-    /** The changes of state of a client. */
+    /** The state changes that a client reports. */
     public enum EventType {
         /** The connection is established. */
         ESTABLISHED,
         /** The relay rejected the connection. */
         REJECTED,
-        /** The connection failed or closed before a response, or the response is invalid. */
+        /** The connection failed or was closed before a response, or the response is invalid. */
         FAILED,
-        /** No response within the timeout. */
+        /** No response arrived within the timeout. */
         TIMED_OUT,
         /** The relay asked the established connection to move. */
         MOVED,
-        /** The established connection was reset or closed by the other side. */
+        /** The remote side reset or closed the established connection. */
         DISCONNECTED,
-        /** The client closed the connection. */
+        /** The client closed the connection or the attempt. */
         CLOSED
     }
 
     /**
-     * One change of state.
+     * One state change.
      *
-     * @param elapsedMicros microseconds since the request, or since the connection was established for what ends it
-     * @param retryAfterMillis with {@code BUSY} the milliseconds until a retry; 0 where the relay states none
+     * @param elapsedMicros microseconds since the client started to connect; since the connection was established if
+     *     the change ends an established connection
+     * @param retryAfterMillis milliseconds to wait before a retry, from a {@code BUSY} response; 0 if it states none
      */
     public record ClientEvent(LineClient client, EventType type, long elapsedMicros, long retryAfterMillis) {}
 
@@ -44,28 +45,34 @@
     private final ResponseReader responseReader = new ResponseReader();
     private Peer peer;
     private EventLoop.PendingConnect connecting;
+    /** When the connect started; once the connection is established, when that was. */
     private long phaseStartMicros;
+
     private boolean established;
     private boolean closed;
     private long lineIntervalMicros;
+    /** When the line in flight was sent; 0 if none is in flight. */
     private long lineSentMicros;
-    private RoundTripListener lineListener;
+
+    private RoundTripListener roundTripListener;
     private Consumer<String> deliveryListener;
     private Deadline responseTimeout;
 
     /** Receives the round trip of each line. */
     public interface RoundTripListener {
-        /** Called when a line came back, with its round trip in microseconds. */
+        /** Called on the thread of the loop when the echo of a line arrives. */
         void roundTrip(long roundTripMicros);
     }
 
     /**
-     * Connects and sends the request at once.
+     * Starts to connect; the request is sent as soon as the connection is made.
      *
-     * @param id unique for each connection
-     * @param attributes the attributes of the request after the key: class, deadline, group
-     * @param timeoutMicros time limit for the response
-     * @param eventListener is called on the thread of the loop
+     * @param id id of the request, unique for each connection
+     * @param key client key of the request
+     * @param attributes attributes of the request after the key, such as {@code c=order-status,d=10000,g=g1}: class,
+     *     deadline in milliseconds and group
+     * @param timeoutMicros time limit for the response, from the start of the connect
+     * @param eventListener called on the thread of the loop
      */
     public LineClient(
             TestServerLoop loop,
@@ -95,7 +102,7 @@
         });
     }
 
-    /** The key of the request. */
+    /** The client key of the request. */
     public String key() {
         return key;
     }
@@ -105,14 +112,14 @@
         return established && !closed;
     }
 
-    /** Sends a line at this interval from now on, but no more than one at a time. */
+    /** Sends a line at this interval from now on; skips an interval while the previous line is still in flight. */
     public void sendLines(long intervalMicros, RoundTripListener listener) {
         lineIntervalMicros = intervalMicros;
-        lineListener = listener;
+        roundTripListener = listener;
         sendLine();
     }
 
-    /** Sets the listener for lines that the feed server sends unasked. */
+    /** Sets the listener for lines that the feed server initiates, which are no echo of a line of this client. */
     public void onDelivery(Consumer<String> listener) {
         deliveryListener = listener;
     }
@@ -128,19 +135,19 @@
         loop.schedule(lineIntervalMicros, this::sendLine);
     }
 
-    /** How long the line in flight has been waiting for its reply, in microseconds; 0 where none is in flight. */
+    /** Time since the line in flight was sent, in microseconds; 0 if none is in flight. */
     public long lineInFlightMicros() {
         return lineSentMicros == 0 ? 0 : loop.nowMicros() - lineSentMicros;
     }
 
-    /** Closes the connection, as a client does that has finished. */
+    /** Closes the connection in the normal way; reports {@link EventType#CLOSED}. */
     public void close() {
         if (!closed) {
             close(EventType.CLOSED, 0);
         }
     }
 
-    /** Resets the connection, like a client whose process dies; its port is free at once. */
+    /** Resets the connection, like a client whose process is killed. The reset frees the client's port at once. */
     public void abort() {
         if (!closed && peer != null) {
             peer.reset();
@@ -155,7 +162,7 @@
         closed = true;
         responseTimeout.cancel();
         if (peer == null) {
-            // null where the connection failed before the call that starts it returned
+            // still null if connect() reported the failure before it returned
             if (connecting != null) {
                 connecting.cancel();
             }
@@ -207,7 +214,7 @@
             } else if (line.startsWith("line ") && lineSentMicros != 0) {
                 long roundTripMicros = loop.nowMicros() - lineSentMicros;
                 lineSentMicros = 0;
-                lineListener.roundTrip(roundTripMicros);
+                roundTripListener.roundTrip(roundTripMicros);
             } else if (deliveryListener != null) {
                 deliveryListener.accept(line);
             }
--- a/src/main/java/sandstack/testserver/ServerProfile.java
+++ b/src/main/java/sandstack/testserver/ServerProfile.java
@@ -1,16 +1,16 @@
 package sandstack.testserver;
 
 /**
- * The behaviour of a fake feed server.
+ * The simulated machine of a fake feed server and its connection limit.
  *
- * @param cores how many set-ups and lines are worked on at once
- * @param speed of one core, relative to a standard core
- * @param maxConnections maximum of established connections; 0 for no limit
- * @param shedsNewest whether it drops the newest connection above the limit, rather than reject it
- * @param setupMicros work to set a connection up, in microseconds
- * @param lineMicros work to answer a line, in microseconds
- * @param initialSpeedFraction fraction of the full speed right after a restart
- * @param warmUpMicros microseconds from a restart to full speed
+ * @param cores number of set-ups and lines processed concurrently
+ * @param speed speed of one core, relative to a standard core
+ * @param maxConnections maximum number of connections, established or in set-up; 0 for no limit
+ * @param shedsNewest whether a connection above the limit is set up and then reset; otherwise its request is rejected
+ * @param setupMicros work of one connection set-up, in microseconds of a standard core
+ * @param lineMicros work of one line, in microseconds of a standard core
+ * @param initialSpeedFraction fraction of the full speed directly after a restart
+ * @param warmUpMicros microseconds from a restart until full speed; 0 for no warm-up
  */
 public record ServerProfile(
         int cores,
@@ -21,16 +21,16 @@
         long lineMicros,
         double initialSpeedFraction,
         long warmUpMicros) {
-    /** Accepts any number of connections and takes no time for them. */
+    /** No connection limit and no work: every request is accepted and every line echoed at once. */
     public static final ServerProfile UNLIMITED = new ServerProfile(64, 1, 0, false, 0, 0, 1, 0);
 
-    /** A copy with a connection limit; 0 for none. */
+    /** Returns a copy with this connection limit; 0 for no limit. */
     public ServerProfile withConnectionLimit(int maxConnections, boolean shedNewest) {
         return new ServerProfile(
                 cores, speed, maxConnections, shedNewest, setupMicros, lineMicros, initialSpeedFraction, warmUpMicros);
     }
 
-    /** A copy with this many cores and this work for each set-up and line, in microseconds. */
+    /** Returns a copy with this number of cores and this work per set-up and per line, in microseconds. */
     public ServerProfile withWork(int coreCount, long setupMicros, long lineMicros) {
         return new ServerProfile(
                 coreCount,
--- a/src/main/java/sandstack/testserver/TestServerLoop.java
+++ b/src/main/java/sandstack/testserver/TestServerLoop.java
@@ -11,8 +11,9 @@
 import sandstack.net.EventLoop;
 
 /**
- * The event loop of the test servers and clients, with its thread and timers. They are created and used on that thread;
- * {@link #call} and {@link #run} get there from others. Servers listen on loopback only.
+ * The event loop of the test servers and test clients, with its thread and timers. Servers and clients are created and
+ * used on that thread only; other threads reach it through {@link #call}, {@link #run} and {@link #create}. Servers
+ * listen on loopback only.
  */
 public final class TestServerLoop implements AutoCloseable {
     static final String LOOPBACK = "127.0.0.1";
@@ -26,7 +27,7 @@
         eventLoop.start(() -> deadlines.runExpired(eventLoop.nowMicros()), deadlines::nextMicros);
     }
 
-    /** Calls a task on the thread of the loop and returns its result; fails after a timeout. */
+    /** Runs a task on the thread of the loop and returns its result; fails after a timeout. */
     public <T> T call(Supplier<T> task) {
         CompletableFuture<T> result = new CompletableFuture<>();
         eventLoop.execute(() -> {
@@ -46,7 +47,7 @@
         }
     }
 
-    /** Runs a task on the thread of the loop and waits until it is done. */
+    /** Runs a task on the thread of the loop and waits for it as {@link #call} does. */
     public void run(Runnable task) {
         call(() -> {
             task.run();
@@ -56,11 +57,11 @@
 
     /** Creates a server that may fail to listen. */
     public interface ServerFactory<T> {
-        /** Called on the thread of the eventLoop. */
+        /** Called on the thread of the loop. */
         T create() throws IOException;
     }
 
-    /** Creates a server on the thread of the loop and returns it. */
+    /** Creates a server on the thread of the loop and returns it; fails if it cannot listen. */
     public <T> T create(ServerFactory<T> factory) {
         return call(() -> {
             try {
@@ -71,7 +72,7 @@
         });
     }
 
-    /** Monotonic time in microseconds, close to Unix time. */
+    /** Monotonic time in microseconds, close to Unix time. May be called on any thread. */
     public long nowMicros() {
         return eventLoop.nowMicros();
     }
@@ -80,22 +81,22 @@
         return eventLoop;
     }
 
-    /** Listens on a port that the system chooses and returns it. To be called on the thread of the eventLoop. */
+    /** Listens on a port that the system chooses and returns that port. Call on the thread of the loop. */
     public int listen(BaseFilter filter) throws IOException {
         return listen(0, filter);
     }
 
-    /** Listens on this port, or on one that the system chooses where it is 0, and returns it. */
+    /** Listens on this port, or with 0 on a port that the system chooses, and returns the port. */
     int listen(int port, BaseFilter filter) throws IOException {
         return eventLoop.listen(LOOPBACK, port, eventLoop.chain(filter)).port();
     }
 
-    /** Opens a connection. To be called on the thread of the eventLoop. */
+    /** Opens a connection; the listener is called on the thread of the loop. Call on that thread. */
     public void connect(String host, int port, EventLoop.ConnectListener listener) {
         eventLoop.connect(host, port, listener);
     }
 
-    /** Schedules a task after a delay; it can be cancelled. To be called on the thread of the eventLoop. */
+    /** Schedules a task after a delay and returns its timer, which can be cancelled. Call on the thread of the loop. */
     public DeadlineScheduler.Deadline schedule(long delayMicros, Runnable task) {
         return deadlines.schedule(eventLoop.nowMicros() + delayMicros, task);
     }
@@ -105,7 +106,7 @@
         try {
             eventLoop.stop();
         } catch (IOException e) {
-            // the thread ends with the process at the latest
+            // ignored: the thread ends with the process at the latest
         }
     }
 }
--- a/src/main/java/sandstack/testserver/WorkQueue.java
+++ b/src/main/java/sandstack/testserver/WorkQueue.java
@@ -4,11 +4,11 @@
 import java.util.Deque;
 
 /**
- * The simulated processor of a {@link FakeFeedServer}: work waits in one queue for the first free core. Cores are
- * slower while the server warms up and while a noisy neighbour takes a part of them. Used on the thread of its loop.
+ * The simulated processor of a {@link FakeFeedServer}: tasks wait in one FIFO queue for the first free core. Cores are
+ * slower while the server warms up and while a noisy neighbour takes a share of them. Used on the thread of its loop.
  */
 final class WorkQueue {
-    /** Keeps the duration of work finite when a neighbour takes all of every core. */
+    /** Lower bound of the core speed; keeps durations finite when a noisy neighbour takes all of every core. */
     private static final double MIN_SPEED = 1e-6;
 
     private final TestServerLoop loop;
@@ -19,15 +19,17 @@
     private long bootedAtMicros;
     private double busyMicros;
 
-    /** Work in microseconds of a standard core, and what follows once it is done. */
+    /** Work in microseconds of a standard core, and the action that runs once it is done. */
     private record Task(long workMicros, Runnable completion) {}
 
-    WorkQueue(TestServerLoop loop, ServerProfile machine) {
+    WorkQueue(TestServerLoop loop, ServerProfile profile) {
         this.loop = loop;
-        this.profile = machine;
+        this.profile = profile;
     }
 
-    /** Does work and then runs the completion, which runs at once where there is no work. */
+    /**
+     * Queues work whose completion runs on the thread of the loop once the work is done; at once if there is no work.
+     */
     void submit(long workMicros, Runnable completion) {
         if (workMicros <= 0) {
             completion.run();
@@ -37,36 +39,37 @@
         startNext();
     }
 
-    /** Discards the work that has not started. */
+    /** Discards tasks that have not started; tasks in progress still complete. */
     void clear() {
         waiting.clear();
     }
 
-    /** Begins the warm-up of a process that has just started. */
+    /** Restarts the warm-up at this time. */
     void restarted(long nowMicros) {
         bootedAtMicros = nowMicros;
     }
 
-    /** When the process last restarted; 0 where it has not. */
+    /** When the process last restarted, in microseconds of the loop's clock; 0 if it never has. */
     long bootedAtMicros() {
         return bootedAtMicros;
     }
 
-    /** Sets the part of every core, from 0 to 1, that another program takes. */
+    /** Sets the share of every core, from 0 to 1, that a noisy neighbour takes. Tasks in progress are not slowed. */
     void setStolenShare(double share) {
         stolenShare = share;
     }
 
-    /** How long cores have been busy, summed over all of them. */
+    /** The total duration of all started tasks in microseconds. */
     double busyMicros() {
         return busyMicros;
     }
 
+    /** The current speed of one core, relative to a standard core. */
     private double speed() {
-        double warmedUp = profile.warmUpMicros() <= 0 || bootedAtMicros == 0
+        double warmUpProgress = profile.warmUpMicros() <= 0 || bootedAtMicros == 0
                 ? 1
                 : Math.min(1, (loop.nowMicros() - bootedAtMicros) / (double) profile.warmUpMicros());
-        double warmUpFactor = profile.initialSpeedFraction() + (1 - profile.initialSpeedFraction()) * warmedUp;
+        double warmUpFactor = profile.initialSpeedFraction() + (1 - profile.initialSpeedFraction()) * warmUpProgress;
         return profile.speed() * warmUpFactor * (1 - stolenShare);
     }
 
--- a/src/main/java/sandstack/testserver/ZoneLink.java
+++ b/src/main/java/sandstack/testserver/ZoneLink.java
@@ -9,8 +9,8 @@
 import sandstack.net.Peer;
 
 /**
- * A TCP proxy on the link from one zone to a feed server of another: delivers bytes in both directions in order, after
- * a delay with jitter. Used on the thread of its loop. Each delivery costs one timer.
+ * A TCP proxy that simulates the network from one zone to a feed server in another: delivers bytes in both directions,
+ * in order, after a delay with jitter. Used on the thread of its loop. Each delivery costs one timer.
  */
 public final class ZoneLink {
     private final TestServerLoop loop;
@@ -22,11 +22,12 @@
     private boolean partitioned;
 
     /**
-     * Listens at a port that the system chooses.
+     * Listens on a port that the system chooses.
      *
      * @param serverPort port of the feed server
-     * @param delayMicros in each direction
-     * @param jitterMicros upper bound of the random addition to the delay
+     * @param delayMicros delay in each direction
+     * @param jitterMicros exclusive upper bound of the random addition to the delay; 0 for no jitter
+     * @param seed seed of the jitter
      */
     public ZoneLink(TestServerLoop loop, int serverPort, long delayMicros, long jitterMicros, long seed)
             throws IOException {
@@ -44,12 +45,12 @@
         });
     }
 
-    /** The port at which the link listens. */
+    /** The port on which the link listens. */
     public int port() {
         return port;
     }
 
-    /** While the link is partitioned it drops all bytes and keeps the connections open. */
+    /** While partitioned, the link drops all bytes that arrive and keeps the connections open. */
     public void setPartitioned(boolean isPartitioned) {
         partitioned = isPartitioned;
     }
@@ -60,8 +61,8 @@
             @Override
             public void connected(Peer server) {
                 LinkEnd serverEnd = new LinkEnd(server);
-                clientEnd.other = serverEnd;
-                serverEnd.other = clientEnd;
+                clientEnd.oppositeEnd = serverEnd;
+                serverEnd.oppositeEnd = clientEnd;
                 clientEnd.onBytesReceived(0);
             }
 
@@ -72,11 +73,11 @@
         });
     }
 
-    /** One end of one connection. */
+    /** One of the two sockets of a proxied connection. */
     private final class LinkEnd implements Peer.Listener {
         private final Peer peer;
-        /** Null until the server is connected. */
-        private LinkEnd other;
+        /** Where bytes received here are sent; null until the server is connected. */
+        private LinkEnd oppositeEnd;
 
         private long lastDeliveryMicros;
 
@@ -86,7 +87,7 @@
         }
 
         private void scheduleDelivery(Runnable delivery) {
-            // never before the previous delivery, which would reorder bytes
+            // a delivery before the previous one would reorder bytes
             lastDeliveryMicros = Math.max(
                     lastDeliveryMicros,
                     loop.nowMicros() + delayMicros + (jitterMicros > 0 ? random.nextLong(jitterMicros) : 0));
@@ -95,12 +96,12 @@
 
         @Override
         public void onBytesReceived(int count) {
-            if (other == null || peer.input().isEmpty()) {
+            if (oppositeEnd == null || peer.input().isEmpty()) {
                 return;
             }
             byte[] bytes = peer.input().takeAll();
             if (!partitioned) {
-                scheduleDelivery(() -> other.write(bytes));
+                scheduleDelivery(() -> oppositeEnd.write(bytes));
             }
         }
 
@@ -115,15 +116,15 @@
 
         @Override
         public void onEndOfInput() {
-            if (other != null) {
-                scheduleDelivery(other.peer::shutdownOutput);
+            if (oppositeEnd != null) {
+                scheduleDelivery(oppositeEnd.peer::shutdownOutput);
             }
         }
 
         @Override
         public void onConnectionLost() {
-            if (other != null) {
-                scheduleDelivery(other.peer::reset);
+            if (oppositeEnd != null) {
+                scheduleDelivery(oppositeEnd.peer::reset);
             }
         }
     }
--- a/src/main/java/sandstack/testserver/package-info.java
+++ b/src/main/java/sandstack/testserver/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Test servers on loopback for what a relay meets: feed servers, discovery, clients and a link between zones. They
- * speak the published protocols, count independently of the relay and inject faults when they are told to. A
- * {@link sandstack.testserver.TestServerLoop} owns their thread. Uses {@code net} and {@code core}; no relay uses this
- * package.
+ * Test servers on loopback in place of the systems around a relay: fake feed servers, a fake discovery service, test
+ * clients and a link between zones. They implement the published protocols, keep counters that do not depend on the
+ * relay's own, and inject faults on request. A {@link sandstack.testserver.TestServerLoop} owns their thread. Uses
+ * {@code net} and {@code core}; a running relay does not use this package.
  */
 package sandstack.testserver;
--- a/src/test/java/sandstack/console/ConsoleTest.java
+++ b/src/test/java/sandstack/console/ConsoleTest.java
@@ -28,7 +28,7 @@
 
 /** The console without a terminal: one command per input line, its answer as output lines. */
 class ConsoleTest {
-    /** A client whose attempts are established at once. */
+    /** A client session whose attempts are established at once. */
     private static final class EstablishedSession extends ClientSession {
         @Override
         protected ConnectionAttempt.Upstream startAttempt(ConnectionAttempt attempt) {
@@ -81,12 +81,12 @@
         relay.onTenants(List.of(new TenantRegistry.Entry("gobi", 0.25, 40)));
         ClientSession client = new EstablishedSession();
         relay.accept(client, new ClientRequest("k", 0, 0, null, 1_000_000, 0, false, null));
-        ClientSession gone = new EstablishedSession();
-        relay.accept(gone, new ClientRequest("l", 0, 0, null, 1_000_000, 0, false, null));
+        ClientSession ended = new EstablishedSession();
+        relay.accept(ended, new ClientRequest("l", 0, 0, null, 1_000_000, 0, false, null));
         relay.runTurn();
-        gone.attempt().onEnded(ConnectionOutcome.SERVED);
-        String shown = run("listeners\nnames\nstanding\nendings\ntenants\n");
-        assertThat(shown)
+        ended.attempt().onEnded(ConnectionOutcome.SERVED);
+        String output = run("listeners\nnames\nstanding\nendings\ntenants\n");
+        assertThat(output)
                 .contains(
                         "lines at 127.0.0.1:9",
                         "version 7",
--- a/src/test/java/sandstack/simulator/SimulatorSessionTest.java
+++ b/src/test/java/sandstack/simulator/SimulatorSessionTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The adapter: the course of a request, every outcome, and the errors for malformed input. */
+/** The simulator adapter: a request from attempt to end, every outcome, and the errors for malformed input. */
 class SimulatorSessionTest {
     private static final String START = "{\"t\":\"Up\",\"entropy\":6,\"new\":{\"x\":[1]},\"profile_data\":{\"caps\":"
             + "{\"connect_timeout_us\":100000,\"max_attempts\":3,\"probes\":true,\"later\":[{\"a\":1}]},"
@@ -45,12 +45,12 @@
     }
 
     @Test
-    void emptyBatchGetsItsReply() throws Exception {
+    void emptyBatchGetsEmptyReply() throws Exception {
         assertEquals("{\"serial\":7,\"parts\":[]}", replies("{\"time_us\":1,\"serial\":7,\"parts\":[]}\n")[0]);
     }
 
     @Test
-    void aRequestIsFollowedFromAttemptToEnd() throws Exception {
+    void requestIsHandledFromAttemptToEnd() throws Exception {
         String[] replies = replies(batch(1, START + "," + ENDPOINT_LIST)
                 + batch(2, CONNECT)
                 + batch(
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void malformedInputIsNamedByBatchAndField() {
+    void errorsNameBatchAndField() {
         String start = batch(1, START + "," + ENDPOINT_LIST);
         assertTrue(errorMessage("hello\n").contains("not JSON"));
         assertTrue(errorMessage(start + "{\"time_us\":2,\"serial\":2,\"parts\":[}\n")
--- a/src/test/java/sandstack/simulator/TranscriptTest.java
+++ b/src/test/java/sandstack/simulator/TranscriptTest.java
@@ -15,22 +15,25 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * The bytes that the adapter writes, and the text of its errors, as recorded from an earlier revision. The recordings
- * hold every kind of event and action of the wire; their first line says how they were made.
+ * Compares the bytes that the adapter writes, and its error messages, with recordings from an earlier revision. The
+ * recordings contain every kind of event and action; the comment at the head of each file states how it was made.
  */
 class TranscriptTest {
+    /** Placeholder for the first batch of the file, which starts the instance. */
     private static final String START = "$START";
+
+    /** Starts the line with the expected error at the end of each block. */
     private static final String ERROR_PREFIX = "! ";
 
     @Test
-    void repliesAreThoseOfTheRecordedSession() throws Exception {
+    void repliesEqualTheRecordedReplies() throws Exception {
         String input = withoutHeader(resource("session-input.txt"));
         String output = withoutHeader(resource("session-output.txt"));
         assertThat(replies(input)).isEqualTo(output);
     }
 
     @TestFactory
-    List<DynamicTest> errorsAreThoseRecorded() throws IOException {
+    List<DynamicTest> errorMessagesEqualTheRecordedOnes() throws IOException {
         String[] blocks = withoutHeader(resource("malformed-input.txt")).split("\n\n", 0);
         String start = blocks[0].strip();
         List<DynamicTest> tests = new ArrayList<>();
@@ -52,7 +55,7 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    /** What the command prints after its name. */
+    /** The first line of what the command {@code simhost} prints to standard error, without the command's name. */
     private static String firstErrorLine(String input) {
         Throwable error = catchThrowable(() -> replies(input));
         assertThat(error).isInstanceOfAny(MalformedMessageException.class, IOException.class);
@@ -66,6 +69,7 @@
         }
     }
 
+    /** The text without its leading lines of comment. */
     private static String withoutHeader(String text) {
         String rest = text;
         while (rest.startsWith("#")) {
--- a/src/test/java/sandstack/testserver/TestServersTest.java
+++ b/src/test/java/sandstack/testserver/TestServersTest.java
@@ -19,7 +19,7 @@
 import sandstack.testserver.LineClient.ClientEvent;
 import sandstack.testserver.LineClient.EventType;
 
-/** The test servers and clients against each other and against plain sockets. */
+/** The test servers with the test client and with plain sockets. */
 class TestServersTest {
     private static final long TIMEOUT_MICROS = 10_000_000;
 
@@ -41,8 +41,8 @@
         }
     }
 
-    private FakeFeedServer server(ServerProfile machine) {
-        return loop.create(() -> new FakeFeedServer(loop, "s1", "home", machine));
+    private FakeFeedServer server(ServerProfile profile) {
+        return loop.create(() -> new FakeFeedServer(loop, "s1", "home", profile));
     }
 
     private LineClient client(int port) {
@@ -53,12 +53,12 @@
 
     private ClientEvent next() throws InterruptedException {
         ClientEvent next = events.poll(20, TimeUnit.SECONDS);
-        assertThat(next).as("a client event").isNotNull();
+        assertThat(next).as("next event of a client within 20 s").isNotNull();
         return next;
     }
 
     @Test
-    void rejectsAboveItsConnectionLimitAndCounts() throws Exception {
+    void rejectsConnectionsAboveItsLimitAndCountsThem() throws Exception {
         FakeFeedServer server = server(ServerProfile.UNLIMITED.withConnectionLimit(2, false));
         LineClient first = client(server.port());
         assertThat(next().type()).isEqualTo(EventType.ESTABLISHED);
@@ -68,13 +68,13 @@
         assertThat(next().type()).isEqualTo(EventType.REJECTED);
         loop.run(first::close);
         assertThat(next().type()).isEqualTo(EventType.CLOSED);
-        FakeFeedServer.Counters books = loop.call(server::counters);
-        while (books.established() > 1) {
-            books = loop.call(server::counters);
+        FakeFeedServer.Counters counters = loop.call(server::counters);
+        while (counters.established() > 1) {
+            counters = loop.call(server::counters);
         }
-        assertThat(books.setups()).isEqualTo(2);
-        assertThat(books.rejected()).isEqualTo(1);
-        assertThat(books.maxEstablished()).isEqualTo(2);
+        assertThat(counters.setups()).isEqualTo(2);
+        assertThat(counters.rejected()).isEqualTo(1);
+        assertThat(counters.maxEstablished()).isEqualTo(2);
         assertThat(loop.call(() -> server.establishedSeconds("c"))).containsOnlyKeys("order-status");
     }
 
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void drainsMovesClientsDiesAndRestarts() throws Exception {
+    void drainsMovesClientsAndRestartsAfterKill() throws Exception {
         FakeFeedServer server = server(ServerProfile.UNLIMITED);
         client(server.port());
         assertThat(next().type()).isEqualTo(EventType.ESTABLISHED);
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aNoisyNeighbourSlowsLinesDown() throws Exception {
+    void noisyNeighbourDelaysLines() throws Exception {
         FakeFeedServer server = server(ServerProfile.UNLIMITED.withWork(1, 0, 2_000));
         LineClient client = client(server.port());
         assertThat(next().type()).isEqualTo(EventType.ESTABLISHED);
@@ -125,13 +125,13 @@
     }
 
     @Test
-    void aLinkDelaysBothDirectionsAndKeepsTheOrder() throws Exception {
+    void zoneLinkDelaysBothDirectionsAndKeepsTheOrder() throws Exception {
         FakeFeedServer server = server(ServerProfile.UNLIMITED);
         ZoneLink link = loop.create(() -> new ZoneLink(loop, server.port(), 20_000, 10_000, 3));
         client(link.port());
-        ClientEvent up = next();
-        assertThat(up.type()).isEqualTo(EventType.ESTABLISHED);
-        assertThat(up.elapsedMicros()).isGreaterThanOrEqualTo(40_000);
+        ClientEvent establishedEvent = next();
+        assertThat(establishedEvent.type()).isEqualTo(EventType.ESTABLISHED);
+        assertThat(establishedEvent.elapsedMicros()).isGreaterThanOrEqualTo(40_000);
         BufferedReader in = open(link.port(), "OPEN a k c=x,d=9\r\n1\r\n2\r\n3\r\n");
         assertThat(in.readLine()).startsWith("UP");
         assertThat(List.of(in.readLine(), in.readLine(), in.readLine())).containsExactly("1", "2", "3");
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void discoveryServesTheListItsChangesAndOutages() throws Exception {
+    void discoveryServesListAndChangesAndSimulatesOutages() throws Exception {
         FakeFeedServer server = server(ServerProfile.UNLIMITED);
         FakeDiscovery discovery = loop.create(() -> new FakeDiscovery(loop));
         loop.run(() -> discovery.publish(server, "box", 1, "ready"));
@@ -156,8 +156,8 @@
         loop.run(() -> discovery.publish(server, "box", 1, "draining"));
         assertThat(awaitLineWith(in, "\"all\"")).contains("\"all\":false").contains("\"state\":\"draining\"");
         loop.run(() -> discovery.setUnavailable(true));
-        BufferedReader refused = open(discovery.port(), "GET /registry/instances HTTP/1.1\r\nHost: x\r\n\r\n");
-        assertThat(refused.readLine()).isEqualTo("HTTP/1.1 503 Service Unavailable");
+        BufferedReader duringOutage = open(discovery.port(), "GET /registry/instances HTTP/1.1\r\nHost: x\r\n\r\n");
+        assertThat(duringOutage.readLine()).isEqualTo("HTTP/1.1 503 Service Unavailable");
     }
 
     private static String awaitLineWith(BufferedReader in, String substring) throws IOException {
