--- a/src/main/java/sandstack/decisions/RequestTable.java
+++ b/src/main/java/sandstack/decisions/RequestTable.java
@@ -3,9 +3,9 @@
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import sandstack.capacity.RelayConnectionLimiter;
 import sandstack.capacity.InstallationLimits;
 import sandstack.capacity.RejectionReason;
+import sandstack.capacity.RelayConnectionLimiter;
 
 /**
  * The requests of this relay in the order of their arrival, each until its final answer or the end of its connection.
--- a/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
+++ b/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
@@ -87,9 +87,7 @@
 
     /** Copies the instance index, home zone and zone count from the settings of an instance. */
     public BalancerSettingsBuilder forRelayOf(BalancerSettings instance) {
-        return relayIndex(instance.relayIndex())
-                .homeZone(instance.homeZone())
-                .zoneCount(instance.zoneCount());
+        return relayIndex(instance.relayIndex()).homeZone(instance.homeZone()).zoneCount(instance.zoneCount());
     }
 
     /** Sets {@link BalancerSettings#relayIndex}. */
--- a/src/test/java/sandstack/FleetSwitchTest.java
+++ b/src/test/java/sandstack/FleetSwitchTest.java
@@ -79,8 +79,8 @@
     void theOptionAloneEndsWithTwo() throws Exception {
         Files.copy(Path.of("deploy/fleet.toml"), folder.resolve("fleet.toml"));
         assertThat(ended(run("--fleet")))
-                .isEqualTo(new Ended(
-                        2, "serve: fleet.toml: enabled is false, but --fleet is given; a member needs both"));
+                .isEqualTo(
+                        new Ended(2, "serve: fleet.toml: enabled is false, but --fleet is given; a member needs both"));
     }
 
     @Test
