--- a/src/main/java/sandstack/configuration/consensus/Checksummed.java
+++ b/src/main/java/sandstack/configuration/consensus/Checksummed.java
@@ -5,7 +5,7 @@
 import java.util.zip.CRC32C;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** A stored value after its CRC-32C, as the store's own checksums cover the headers of its pages only. */
+/** Prefixes stored values with their CRC-32C, because MVStore's checksums cover only the headers of its pages. */
 final class Checksummed {
     private Checksummed() {}
 
--- a/src/main/java/sandstack/configuration/consensus/CommittedProposals.java
+++ b/src/main/java/sandstack/configuration/consensus/CommittedProposals.java
@@ -10,9 +10,9 @@
 import sandstack.configuration.MalformedConfigurationException;
 
 /**
- * The latest committed proposals by idempotency key, so that a retry is answered with the version of the first attempt.
- * The oldest are dropped; a retry of such a one is rejected, as its base is no longer current. Part of the replicated
- * state: the same on every machine. Not thread-safe.
+ * Maps the idempotency keys of the latest committed proposals to their versions, so that a retry returns the version of
+ * the first attempt. Beyond the capacity the oldest keys are dropped; a retry under a dropped key is rejected, because
+ * its base version is no longer current. Part of the replicated state, thus equal on every machine. Not thread-safe.
  */
 final class CommittedProposals {
     private static final int ENCODED_PROPOSAL_BYTES = 4 * Long.BYTES;
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Writes them in the order in which they were committed. */
+    /** Writes keys and versions in commit order. */
     void write(FieldWriter out) {
         out.writeInt(versions.size());
         versions.forEach((key, version) -> {
@@ -46,7 +46,7 @@
         });
     }
 
-    /** Replaces them by those that were written. */
+    /** Replaces all keys and versions by those that {@link #write} wrote. */
     void read(BoundedReader in) throws MalformedConfigurationException {
         int count = in.readCount(capacity, ENCODED_PROPOSAL_BYTES);
         versions.clear();
--- a/src/main/java/sandstack/configuration/consensus/ConfigurationStateMachine.java
+++ b/src/main/java/sandstack/configuration/consensus/ConfigurationStateMachine.java
@@ -20,14 +20,14 @@
 import sandstack.configuration.MalformedConfigurationException;
 
 /**
- * Applies committed log entries to the configuration. The outcome depends on nothing but the entries before and the
- * limits, which all machines have to share (State Machine Safety, section 5.4.3 of the Raft paper). An invalid proposal
- * changes nothing. Called on the Raft node's thread only.
+ * Applies committed log entries to the configuration. The outcome of an entry depends only on the preceding entries and
+ * on the limits, which must be equal on all machines (State Machine Safety, section 5.4.3 of the Raft paper). An
+ * invalid proposal leaves the configuration unchanged. Called on the Raft node's thread only.
  */
 class ConfigurationStateMachine implements StateMachine {
-    /** Proposals whose outcome is remembered: some hours at 3,700 changes a day. */
-    static final int MAX_REMEMBERED_PROPOSALS = 1_024;
-    /** The longest chunk of a snapshot, so that one message stays small. */
+    /** Number of committed proposals whose keys are kept for retries: those of some hours at 3,700 changes a day. */
+    static final int MAX_RETAINED_PROPOSALS = 1_024;
+    /** Maximum size of a snapshot chunk; bounds the size of the message that carries it. */
     static final int MAX_CHUNK_BYTES = 64 << 10;
 
     private static final int STATE_FORMAT_VERSION = 1;
@@ -35,14 +35,14 @@
     private final ConfigurationCodec codec;
     private final ConfigurationHistory history;
     private final LongSupplier leaderTerm;
-    private final CommittedProposals committedProposals = new CommittedProposals(MAX_REMEMBERED_PROPOSALS);
+    private final CommittedProposals committedProposals = new CommittedProposals(MAX_RETAINED_PROPOSALS);
     private long term;
 
     /**
-     * Begins before the first change.
+     * Creates the state before the first change.
      *
-     * @param leaderTerm the term of the Raft node, read when this machine becomes leader
-     * @param listener receives each committed change in order, once in the life of this object
+     * @param leaderTerm supplies the term of the Raft node; called when this machine becomes leader
+     * @param listener receives each committed change in order, once per instance
      */
     ConfigurationStateMachine(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
         this.codec = new ConfigurationCodec(validator.limits());
@@ -50,12 +50,15 @@
         this.leaderTerm = leaderTerm;
     }
 
-    /** The configuration after the last applied change. */
+    /** Returns the configuration after the last applied change. */
     ConfigurationSnapshot current() {
         return history.current();
     }
 
-    /** The version at which a proposal was committed, as far as this machine has applied the log and remembers. */
+    /**
+     * Returns the version at which a proposal was committed; empty if it has not been applied yet, or its key has been
+     * dropped since.
+     */
     Optional<ConfigurationVersion> committedVersionOf(IdempotencyKey key) {
         return committedProposals.committedVersionOf(key);
     }
@@ -134,7 +137,7 @@
         int format = in.readInt();
         if (format != STATE_FORMAT_VERSION) {
             throw new MalformedConfigurationException(
-                    "state format " + format + ", this release knows " + STATE_FORMAT_VERSION);
+                    "state format " + format + ", this release reads " + STATE_FORMAT_VERSION);
         }
         long restoredTerm = in.readLong();
         committedProposals.read(in);
--- a/src/main/java/sandstack/configuration/consensus/ControlIdentity.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlIdentity.java
@@ -3,12 +3,12 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * The identity under which a machine votes. It belongs to one disk: a machine whose disk was replaced, wiped or rolled
- * back needs a new identity, as under the old one it could vote twice in a term or forget what it acknowledged (Raft
+ * The identity of a voter. It is bound to one disk: a machine whose disk was replaced, wiped or rolled back needs a new
+ * identity, because under the old one it could vote twice in a term or lose log entries that it acknowledged (Raft
  * requires term, vote and log to be persistent, figure 2 of its paper).
  */
 public record ControlIdentity(String identity) implements RaftEndpoint {
-    /** The longest identity. */
+    /** Maximum length of an identity, in characters. */
     public static final int MAX_CHARACTERS = 64;
 
     private static final String ALLOWED_PATTERN = "[A-Za-z0-9._-]{1," + MAX_CHARACTERS + "}";
@@ -20,7 +20,7 @@
     public ControlIdentity {
         if (!identity.matches(ALLOWED_PATTERN)) {
             throw new IllegalArgumentException(
-                    "an identity has 1 to " + MAX_CHARACTERS + " letters, digits, dots, dashes or underscores");
+                    "an identity must have 1 to " + MAX_CHARACTERS + " letters, digits, dots, dashes or underscores");
         }
     }
 
--- a/src/main/java/sandstack/configuration/consensus/ControlNode.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNode.java
@@ -25,11 +25,12 @@
 import sandstack.configuration.ConfigurationVersion;
 
 /**
- * One control machine's part in the consensus: replicates proposals where it leads, and reports to its listener what
- * was committed. All methods may be called on any thread; stages complete on the executor's.
+ * Runs the Raft node of one control machine: replicates proposals while this machine is the leader, and passes
+ * committed changes to a listener. All public methods may be called on any thread. A stage that is not yet complete
+ * when it is returned completes on a thread of the executor.
  */
 public final class ControlNode {
-    /** Makes the state machine, given how the term of the Raft node is read. */
+    /** Creates the state machine; {@code leaderTerm} supplies the current term of the Raft node. */
     @FunctionalInterface
     interface StateMachineFactory {
         ConfigurationStateMachine create(LongSupplier leaderTerm);
@@ -43,7 +44,7 @@
     private final RestartableRaftNode raftNode;
 
     /**
-     * Builds the node; it takes part from {@link #start} on.
+     * Creates the node. It neither sends messages nor votes before {@link #start}.
      *
      * @throws IOException where the store cannot be read or is rejected
      */
@@ -64,36 +65,37 @@
             ControlNodeSettings settings,
             ControlNodeEnvironment environment,
             ChangeValidator validator,
-            StateMachineFactory stateMachines)
+            StateMachineFactory stateMachineFactory)
             throws IOException {
         this.settings = settings;
         this.environment = environment;
         this.validator = validator;
         this.codec = new ConfigurationCodec(validator.limits());
-        this.stateMachine = stateMachines.create(this::currentTerm);
+        this.stateMachine = stateMachineFactory.create(this::currentTerm);
         this.raftNode = new RestartableRaftNode(settings, environment, stateMachine);
     }
 
-    /** Starts to take part: to vote, to follow or to lead. */
+    /** Starts the Raft node; from then on it may vote and become leader. */
     public CompletionStage<Void> start() {
         return raftNode.current().start().thenApply(ignored -> null);
     }
 
-    /** Stops taking part; pending proposals become indeterminate. */
+    /** Terminates the Raft node; the outcomes of pending proposals become indeterminate. */
     public CompletionStage<Void> stop() {
         return raftNode.current().terminate().thenApply(ignored -> null);
     }
 
-    /** A message of another control machine arrived. */
+    /** Handles a message that another control machine sent. */
     public void handle(RaftMessage message) {
         raftNode.handle(message);
     }
 
     /**
-     * Proposes a change. Completes at once where this machine cannot have it committed, and in any case within the
-     * proposal timeout, as long as the executor runs.
+     * Proposes a change. The stage completes without waiting for other machines if this machine cannot commit the
+     * change: its content is invalid, or this machine is not a leader with a recent heartbeat quorum. In any case it
+     * completes within the proposal timeout, as long as the executor runs.
      *
-     * @param key the same for each attempt of the same change
+     * @param key the same in each attempt to have this change committed
      */
     public CompletionStage<ProposalOutcome> propose(IdempotencyKey key, ConfigurationChange change) {
         Optional<ChangeRejection> rejection = validator.validateContent(change);
@@ -113,34 +115,38 @@
                 .exceptionally(failure -> outcomeOfFailure(key, failure));
     }
 
-    /** The version at which a change was committed, as far as this machine has applied the log and remembers. */
+    /**
+     * Returns the version at which a change was committed; empty if this machine has not applied the change yet, or has
+     * dropped its key since.
+     */
     public CompletionStage<Optional<ConfigurationVersion>> committedVersionOf(IdempotencyKey key) {
         CompletableFuture<Optional<ConfigurationVersion>> version = new CompletableFuture<>();
         environment.executor().submit(() -> version.complete(stateMachine.committedVersionOf(key)));
         return version;
     }
 
-    /** The leader that this machine knows of. */
+    /** Returns the leader of the current term; empty if it is not known. */
     public Optional<ControlIdentity> leader() {
         return Optional.ofNullable(
                 (ControlIdentity) raftNode.current().getTerm().getLeaderEndpoint());
     }
 
-    /** The current term of this machine. */
+    /** Returns Raft's current term on this machine. */
     public long currentTerm() {
         return raftNode.current().getTerm().getTerm();
     }
 
-    /** The committed members of the group. */
+    /** Returns the members of the group as of the last committed membership change. */
     public RaftGroupMembers members() {
         return raftNode.current().getCommittedMembers();
     }
 
     /**
-     * Admits, promotes or removes a machine; only the leader can. One change at a time (section 4.1 of the Raft
-     * dissertation).
+     * Adds, promotes or removes a machine; fails on any machine except the leader. At most one membership change may be
+     * in progress (section 4.1 of the Raft dissertation).
      *
-     * @param membersLogIndex index of the members that the caller saw; the change is rejected where they changed since
+     * @param membersLogIndex log index of the members on which the caller bases the change; the change fails if they
+     *     have changed since
      */
     public CompletionStage<RaftGroupMembers> changeMembership(
             ControlIdentity machine, MembershipChangeMode mode, long membersLogIndex) {
@@ -149,12 +155,12 @@
                 .thenApply(ordered -> ordered.getResult());
     }
 
-    /** The library's report of the node, for monitoring. */
+    /** Returns MicroRaft's report on the node (role, term, log and heartbeats), for monitoring. */
     public CompletionStage<RaftNodeReport> report() {
         return raftNode.current().getReport().thenApply(ordered -> ordered.getResult());
     }
 
-    /** The configuration as this machine has applied it; read on the executor's thread. */
+    /** Returns the configuration after the last change that this machine applied; called on the executor's thread. */
     ConfigurationSnapshot current() {
         return stateMachine.current();
     }
@@ -169,7 +175,10 @@
                 : Optional.of(new ProposalOutcome.NotLeader(leader.get()));
     }
 
-    /** A leader that misses two heartbeats of a quorum replicates nothing more, before it steps down. */
+    /**
+     * Whether this machine is a leader to which a quorum has responded within the last two heartbeat periods. A leader
+     * without these responses rejects proposals before it steps down, which takes the longer heartbeat timeout.
+     */
     private boolean hasRecentQuorumHeartbeat(RaftNodeReport report) {
         if (report.getRole() != RaftRole.LEADER) {
             return false;
@@ -177,13 +186,13 @@
         Duration maxAge = settings.timeouts().heartbeatPeriod().multipliedBy(2);
         long nowMillis = environment.clock().millis();
         return report.getQuorumHeartbeatTimestamp()
-                .map(heardMillis -> nowMillis - heardMillis <= maxAge.toMillis())
+                .map(heartbeatMillis -> nowMillis - heartbeatMillis <= maxAge.toMillis())
                 .orElse(false);
     }
 
     private CompletableFuture<ProposalOutcome> replicate(LogOperation.Proposal proposal) {
         CompletableFuture<ProposalOutcome> outcome = new CompletableFuture<>();
-        // the callback completes the outcome in both cases
+        // the callback completes the outcome on success and on failure
         Futures.ignore(raftNode.current().<ProposalOutcome>replicate(proposal).whenComplete((ordered, failure) -> {
             if (failure == null) {
                 outcome.complete(ordered.getResult());
@@ -217,6 +226,6 @@
 
     private ProposalOutcome rejectedWithoutQuorum() {
         return new ProposalOutcome.Rejected(new ChangeRejection(
-                ChangeRejection.Reason.NO_QUORUM, settings.self() + " knows of no leader that reaches a quorum"));
+                ChangeRejection.Reason.NO_QUORUM, settings.self() + ": no leader with a quorum is known"));
     }
 }
--- a/src/main/java/sandstack/configuration/consensus/ControlNodeEnvironment.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNodeEnvironment.java
@@ -6,12 +6,12 @@
 import java.util.Random;
 
 /**
- * The dependencies of a control node.
+ * The resources that the caller provides to a control node.
  *
- * @param executor runs the node's tasks one at a time
- * @param store what this machine persisted before, or a new one
- * @param clock for timeouts only; what is committed never depends on it
- * @param random for the election timeouts and the jitter of timers
+ * @param executor runs the node's tasks one at a time, as MicroRaft requires
+ * @param store the state that this machine persisted, or a new store
+ * @param clock for timeouts only; committed state never depends on it
+ * @param random for election timeouts and the jitter of timers
  */
 public record ControlNodeEnvironment(
         RaftNodeExecutor executor, Transport transport, EncodedRaftStore store, Clock clock, Random random) {}
--- a/src/main/java/sandstack/configuration/consensus/EncodedRaftStore.java
+++ b/src/main/java/sandstack/configuration/consensus/EncodedRaftStore.java
@@ -17,8 +17,8 @@
 import sandstack.configuration.FieldWriter;
 
 /**
- * The persistent state of Raft (term, vote, log and snapshot, figure 2 of the Raft paper), encoded and with checksums
- * in three sorted maps; subclasses flush the maps to a disk. Called on the Raft node's thread.
+ * Keeps Raft's persistent state (term, vote, log and snapshot, figure 2 of the Raft paper) in three sorted maps, whose
+ * values are encoded and carry checksums; subclasses flush the maps to a disk. Called on the Raft node's thread.
  */
 abstract class EncodedRaftStore implements RaftStore {
     static final String LOCAL_ENDPOINT = "local-endpoint";
@@ -31,27 +31,27 @@
         codec = new RaftRecordCodec(limits);
     }
 
-    /** The values that exist once, by their name. */
+    /** Returns the records that exist once (such as the members and the term), by name. */
     abstract Map<String, byte[]> header();
 
-    /** The log entries by index, in order. */
+    /** Returns the encoded log entries by index, in ascending order. */
     abstract Map<Long, byte[]> log();
 
-    /** The snapshot chunks by {@link #chunkKey}, in order. */
+    /** Returns the encoded snapshot chunks by {@link #chunkKey}, in ascending order. */
     abstract Map<Long, byte[]> snapshotChunks();
 
-    /** Entries or chunks were removed whose space on disk can be compacted. */
+    /** Called after log entries or snapshot chunks were removed, so that their space on disk can be reclaimed. */
     abstract void spaceReleased();
 
-    /** The name of the store in error messages. */
+    /** Returns the name of the store for error messages. */
     abstract String name();
 
-    /** What the store holds, for the Raft node to resume from; empty where the node never ran. */
+    /** Returns the state from which the Raft node resumes; empty if it has not completed its first start. */
     public Optional<RestoredRaftState> restore() throws IOException {
         return storedState().restore();
     }
 
-    /** The index of the newest snapshot of which there is a chunk; 0 for none. */
+    /** Returns the index of the newest snapshot of which at least one chunk is stored; 0 if there is none. */
     final long snapshotIndex() {
         return snapshotChunks().keySet().stream()
                 .mapToLong(key -> key / RaftRecordCodec.MAX_SNAPSHOT_CHUNKS)
@@ -59,7 +59,7 @@
                 .orElse(0);
     }
 
-    /** The term of an entry in the log; empty where there is none with this index. */
+    /** Returns the term of the log entry with this index; empty if there is no such entry, 0 if it is damaged. */
     final OptionalInt termOfEntry(long index) {
         byte[] entry = log().get(index);
         return entry == null
--- a/src/main/java/sandstack/configuration/consensus/FlushCounter.java
+++ b/src/main/java/sandstack/configuration/consensus/FlushCounter.java
@@ -8,9 +8,9 @@
 import sandstack.configuration.MalformedConfigurationException;
 
 /**
- * The number of flushes that the store beside it has made, in a small file of its own. It is written after each flush,
- * so that the store is never behind it unless the store's file was truncated or replaced by an older one. Two slots are
- * written alternately, so that a write torn by a crash leaves the one before. Not thread-safe.
+ * Counts the flushes of a store in a separate file. The count is written after each flush, so that the store holds
+ * fewer flushes than the count only if the store's file was truncated or replaced by an older one. Counts alternate
+ * between two slots, so that the previous count survives if a crash interrupts a write. Not thread-safe.
  */
 final class FlushCounter implements AutoCloseable {
     private static final int SLOT_BYTES = 512;
@@ -24,20 +24,20 @@
         this.file = file;
     }
 
-    /** The number of the next flush. */
+    /** Returns the number of the next flush; the first flush is number 1. */
     long nextFlush() {
         return lastFlush + 1;
     }
 
     /**
-     * Reads the number of the last flush.
+     * Reads the number of the last flush; rejects a count that is missing or damaged.
      *
-     * @param store named in the error message
+     * @param store name of the store, for the error message
      */
     long readLastFlush(String store) throws RejectedStoreException {
         if (!StoreFiles.exists(file)) {
-            throw new RejectedStoreException(store + ": the flush count " + file + " beside it is missing: whether the"
-                    + " file is the newest cannot be known; its machine takes a new identity");
+            throw new RejectedStoreException(store + ": the flush count " + file + " is missing, so the store may have"
+                    + " been rolled back; its machine needs a new identity");
         }
         try {
             lastFlush = Math.max(readSlot(0), readSlot(1));
@@ -45,17 +45,17 @@
             throw new RejectedStoreException(file + ": cannot be read: " + e.getMessage());
         }
         if (lastFlush <= 0) {
-            throw new RejectedStoreException(file + ": damaged: no flush count; its machine takes a new identity");
+            throw new RejectedStoreException(file + ": damaged: no flush count; its machine needs a new identity");
         }
         return lastFlush;
     }
 
-    /** Resumes from a store that was flushed once more than counted, as a crash between the two leaves it. */
+    /** Continues after the store's last flush, which is not counted if a crash came between flush and count. */
     void resumeFrom(long flush) {
         lastFlush = Math.max(lastFlush, flush);
     }
 
-    /** Counts a flush; returns when it is on disk. */
+    /** Writes the number of a completed flush; returns when it is on disk. */
     void writeFlush(long flush) throws IOException {
         byte[] value = Checksummed.wrap(MvStoreRaftStore.longBytes(flush));
         ByteBuffer bytes = ByteBuffer.wrap(value);
--- a/src/main/java/sandstack/configuration/consensus/IdempotencyKey.java
+++ b/src/main/java/sandstack/configuration/consensus/IdempotencyKey.java
@@ -3,11 +3,11 @@
 import java.util.UUID;
 
 /**
- * The idempotency key that a client gives to one change, the same in each attempt to have it committed. The same change
- * under the same key is applied once.
+ * Identifies one change of one client. The client sends the same key in each attempt to have the change committed, so
+ * that the change is applied at most once.
  */
 public record IdempotencyKey(long high, long low) {
-    /** The key with the bits of a UUID. */
+    /** Creates the key with the 128 bits of a UUID. */
     public static IdempotencyKey of(UUID uuid) {
         return new IdempotencyKey(uuid.getMostSignificantBits(), uuid.getLeastSignificantBits());
     }
--- a/src/main/java/sandstack/configuration/consensus/JitteredExecutor.java
+++ b/src/main/java/sandstack/configuration/consensus/JitteredExecutor.java
@@ -5,12 +5,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Delays each timer by up to a quarter at random. MicroRaft's followers check for their leader once in each heartbeat
- * period; machines that do so in step become candidates in step, and split the votes repeatedly (Raft randomizes
- * election timeouts for this reason, section 5.2 of its paper).
+ * Extends the delay of each timer by a random share of up to a quarter. MicroRaft's followers check for a leader once
+ * per heartbeat period; machines that check at the same time become candidates at the same time, and split the vote
+ * repeatedly (Raft randomizes election timeouts for this reason, section 5.2 of its paper).
  */
 final class JitteredExecutor implements RaftNodeExecutor {
-    /** The largest delay, as a share of the timer's own. */
+    /** The largest extension, as a ratio of the timer's delay. */
     private static final double MAX_JITTER_RATIO = 0.25;
 
     private final RaftNodeExecutor executor;
--- a/src/main/java/sandstack/configuration/consensus/LogOperation.java
+++ b/src/main/java/sandstack/configuration/consensus/LogOperation.java
@@ -3,21 +3,22 @@
 import java.util.Arrays;
 import java.util.Objects;
 
-/** An operation of the replicated log, which the state machine applies. */
+/** The operation of a log entry, which the state machine applies once the entry is committed. */
 public sealed interface LogOperation {
     /**
-     * The first entry of each leader: the operations after it belong to this term. MicroRaft does not pass the term of
-     * an entry to the state machine.
+     * The first entry that each leader appends; the entries after it belong to this term. The state machine needs it,
+     * because MicroRaft does not pass the term of an entry.
      */
     record NewTerm(long term) implements LogOperation {}
 
     /**
-     * A change that a client proposes.
+     * A configuration change that a client proposes.
      *
-     * @param encodedChange as {@link sandstack.configuration.ConfigurationCodec} writes it; never modified
+     * @param encodedChange the change as {@link sandstack.configuration.ConfigurationCodec} encodes it; not copied, and
+     *     must not be modified
      */
     record Proposal(IdempotencyKey key, byte[] encodedChange) implements LogOperation {
-        /** Rejects null. */
+        /** Creates the operation; neither key nor change is null. */
         public Proposal {
             Objects.requireNonNull(key, "key");
             Objects.requireNonNull(encodedChange, "encodedChange");
--- a/src/main/java/sandstack/configuration/consensus/MvStoreRaftStore.java
+++ b/src/main/java/sandstack/configuration/consensus/MvStoreRaftStore.java
@@ -15,21 +15,21 @@
 import sandstack.configuration.FieldWriter;
 
 /**
- * The persistent state of Raft in one MVStore file, with the identity that the disk belongs to. A flush returns when it
- * is on disk. Beside the file lies a flush count ({@code .flushes}): a file that is older than its count was truncated
- * or rolled back, and is rejected, as its machine would have forgotten votes and entries that it acknowledged. Not
- * thread-safe; starts no thread.
+ * Stores Raft's persistent state, and the identity to which the disk belongs, in one MVStore file. {@link #flush}
+ * returns when the state is on disk. A second file ({@code .flushes}) counts the flushes: a store with fewer flushes
+ * than were counted was truncated or rolled back, and is rejected, because its machine would have lost votes and log
+ * entries that it acknowledged. Not thread-safe; starts no thread.
  */
 public final class MvStoreRaftStore extends EncodedRaftStore implements AutoCloseable {
     static final String FORMAT = "format";
     static final String GROUP = "group";
     static final String IDENTITY = "identity";
     static final String FLUSHES = "flushes";
-    /** The layout that this release writes and reads. */
+    /** Version of the file layout that this release writes and reads. */
     static final long FORMAT_VERSION = 1;
 
     private static final int CACHE_MEGABYTES = 2;
-    /** Chunks of the file that are less full than this are rewritten after the log was compacted. */
+    /** MVStore's file chunks that are filled less than this are rewritten after the log was compacted. */
     private static final int MIN_FILL_PERCENT = 50;
 
     private static final int COMPACTION_WRITE_BYTES = 4 << 20;
@@ -51,7 +51,7 @@
                 .cacheSize(CACHE_MEGABYTES)
                 .open();
         store.setVersionsToKeep(0);
-        // each flush is synced before the next begins, so what it replaced may be overwritten
+        // each flush is synced before the next begins, so the space of replaced data may be reused at once
         store.setRetentionTime(0);
         flushCounter = new FlushCounter(file + ".flushes");
         header = openMap("header", StringDataType.INSTANCE);
@@ -64,16 +64,17 @@
     }
 
     /**
-     * Creates the store of an identity that never had one; rejects a file that exists.
+     * Creates the store of a new identity; rejects a path at which a store or its flush count exists.
      *
-     * @param newIdentitySetting the setting that permits it, named in the error message
+     * @param newIdentitySetting key of the setting that permits a new store, for the error message
      */
     public static MvStoreRaftStore create(
             String file, String newIdentitySetting, String group, ControlIdentity self, ConfigurationLimits limits)
             throws IOException {
         if (StoreFiles.exists(file) || StoreFiles.exists(file + ".flushes")) {
-            throw new RejectedStoreException(file + ": " + newIdentitySetting
-                    + " permits a new disk, but this file exists: remove " + newIdentitySetting + " from the settings");
+            throw new RejectedStoreException(
+                    file + ": " + newIdentitySetting + " permits a new store, but this file exists: remove "
+                            + newIdentitySetting + " from the settings");
         }
         MvStoreRaftStore created = open(file, limits);
         created.header.put(FORMAT, Checksummed.wrap(longBytes(FORMAT_VERSION)));
@@ -84,17 +85,17 @@
     }
 
     /**
-     * Opens the store of this identity; rejects one that is missing, of another machine, group or release, damaged or
-     * rolled back.
+     * Opens the store of this identity; rejects a store that is missing, damaged, rolled back, or of another identity,
+     * group or format version.
      *
-     * @param newIdentitySetting the setting that would permit a new store, named in the error message
+     * @param newIdentitySetting key of the setting that permits a new store, for the error message
      */
     public static MvStoreRaftStore reopen(
             String file, String newIdentitySetting, String group, ControlIdentity self, ConfigurationLimits limits)
             throws IOException {
         if (!StoreFiles.exists(file)) {
-            throw new RejectedStoreException(file + ": no disk of " + self + ": a machine that lost it takes a new"
-                    + " identity, states that as " + newIdentitySetting + " and is admitted by the others");
+            throw new RejectedStoreException(file + ": no store of " + self + ": a machine that lost its store needs a"
+                    + " new identity, declared by " + newIdentitySetting + ", and admission to the group");
         }
         MvStoreRaftStore opened = open(file, limits);
         try {
@@ -133,7 +134,7 @@
         long counted = flushCounter.readLastFlush(file);
         if (flushes < counted) {
             throw new RejectedStoreException(file + ": holds flush " + flushes + " but " + counted
-                    + " were made: it was truncated or set back; its machine takes a new identity");
+                    + " were made: it was truncated or rolled back; its machine needs a new identity");
         }
         flushCounter.resumeFrom(flushes);
     }
@@ -196,7 +197,7 @@
         flushCounter.close();
     }
 
-    /** Closes the file as a killed process does: what was not flushed is lost. */
+    /** Closes the file as a killed process does: unflushed changes are lost. */
     void closeImmediately() {
         store.closeImmediately();
         flushCounter.close();
--- a/src/main/java/sandstack/configuration/consensus/ProposalOutcome.java
+++ b/src/main/java/sandstack/configuration/consensus/ProposalOutcome.java
@@ -4,30 +4,34 @@
 import sandstack.configuration.ChangeRejection;
 import sandstack.configuration.ConfigurationVersion;
 
-/** What became of one attempt to have a change committed. */
+/** The outcome of one attempt to have a change committed. */
 public sealed interface ProposalOutcome {
-    /** The change is committed at this version; also the answer to a later retry. */
+    /** The change is committed at this version; retries return this version as long as the key is retained. */
     record Committed(ConfigurationVersion version) implements ProposalOutcome {}
 
     /**
-     * This attempt changes nothing, now or later. With {@code NO_QUORUM} and {@code TOO_MANY} it was not replicated; an
-     * earlier attempt whose outcome was {@link Indeterminate} may still be committed.
+     * This attempt does not change the configuration, now or later. If the reason is {@code NO_QUORUM} or
+     * {@code TOO_MANY}, the change was not replicated, and an earlier attempt whose outcome was {@link Indeterminate}
+     * may still be committed.
      */
     record Rejected(ChangeRejection rejection) implements ProposalOutcome {
-        /** Rejects null. */
+        /** Creates the outcome; the rejection is never null. */
         public Rejected {
             Objects.requireNonNull(rejection, "rejection");
         }
     }
 
-    /** This machine does not lead and did nothing; the leader that it knows of may accept the change. */
+    /** This machine is not the leader and did not replicate the change; this leader may accept it. */
     record NotLeader(ControlIdentity leader) implements ProposalOutcome {
-        /** Rejects null. */
+        /** Creates the outcome; the leader is never null. */
         public NotLeader {
             Objects.requireNonNull(leader, "leader");
         }
     }
 
-    /** The change may be committed, now or later, or never. Proposing it again under the same key tells. */
+    /**
+     * The change may be committed now, later or never. To find out, propose it again under the same key, which does not
+     * apply it twice.
+     */
     record Indeterminate(IdempotencyKey key) implements ProposalOutcome {}
 }
--- a/src/main/java/sandstack/configuration/consensus/RaftMessageCodec.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftMessageCodec.java
@@ -7,11 +7,12 @@
 import sandstack.configuration.MalformedConfigurationException;
 
 /**
- * The binary form of the messages between control machines: a type, the group, the sender, the term, and the fields of
- * the type. A frame of another group, of an unknown type or beyond the bounds is rejected with one line. Immutable.
+ * Encodes and decodes the messages between control machines: type, group, sender, term, and the fields of the type.
+ * Decoding rejects a frame of another group, of an unknown type or beyond the bounds with a message of one line.
+ * Immutable.
  */
 final class RaftMessageCodec {
-    /** The longest name of a group. */
+    /** Maximum length of a group's name, in UTF-8 bytes. */
     static final int MAX_GROUP_BYTES = 128;
 
     private static final int MAX_HEADER_BYTES = 512;
@@ -21,7 +22,7 @@
     private final RaftMessageReader reader;
     private final String group;
 
-    /** Accepts messages of this group only. */
+    /** Creates a codec that decodes messages of this group only. */
     RaftMessageCodec(String group, ConfigurationLimits limits) {
         this.group = group;
         this.records = new RaftRecordCodec(limits);
@@ -29,7 +30,7 @@
         this.reader = new RaftMessageReader(group, records);
     }
 
-    /** The longest frame that is decoded. */
+    /** Returns the maximum size of a frame that is decoded, in bytes. */
     int maxMessageBytes() {
         return MAX_HEADER_BYTES + ControlNodeSettings.MAX_ENTRIES_PER_MESSAGE * records.maxRecordBytes();
     }
--- a/src/main/java/sandstack/configuration/consensus/RaftMessageReader.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftMessageReader.java
@@ -19,24 +19,24 @@
 import sandstack.configuration.BoundedReader;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** Reads the fields of each type of message. Counts and lengths are checked before anything is allocated by them. */
+/** Reads the fields of each message type. Counts and lengths are checked before memory is allocated for them. */
 final class RaftMessageReader {
     private static final int MIN_ENTRY_BYTES = Long.BYTES + Integer.BYTES + Byte.BYTES;
 
-    /** What every message has. */
+    /** The fields that all message types have, besides type and group. */
     record Header(ControlIdentity sender, int term) {}
 
     private final RaftModelFactory models = new DefaultRaftModelFactory();
     private final RaftRecordCodec records;
     private final String group;
 
-    /** Reads messages of this group. */
+    /** Creates a reader; the group, which the caller has checked, is set in the messages that it returns. */
     RaftMessageReader(String group, RaftRecordCodec records) {
         this.group = group;
         this.records = records;
     }
 
-    /** Reads what only messages of this type have. */
+    /** Reads the fields that follow the header, and returns the complete message. */
     RaftMessage readFields(BoundedReader in, RaftMessageType type, Header header)
             throws MalformedConfigurationException {
         return switch (type) {
--- a/src/main/java/sandstack/configuration/consensus/RaftMessageType.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftMessageType.java
@@ -15,7 +15,7 @@
 
 /**
  * The types of Raft messages (RequestVote, AppendEntries and InstallSnapshot with their responses, pre-vote and
- * leadership transfer), each with its byte on the wire.
+ * leadership transfer), and the byte that represents each on the wire.
  */
 enum RaftMessageType {
     APPEND_ENTRIES(1, AppendEntriesRequest.class),
@@ -39,7 +39,7 @@
         this.messageClass = messageClass;
     }
 
-    /** The byte on the wire. */
+    /** Returns the byte that represents this type on the wire. */
     int code() {
         return code;
     }
@@ -50,7 +50,7 @@
                 return type;
             }
         }
-        throw new IllegalArgumentException("a message that cannot be sent: " + message.getClass());
+        throw new IllegalArgumentException("message type cannot be sent: " + message.getClass());
     }
 
     static RaftMessageType ofCode(byte code) throws MalformedConfigurationException {
--- a/src/main/java/sandstack/configuration/consensus/RaftMessageWriter.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftMessageWriter.java
@@ -13,7 +13,7 @@
 import io.microraft.model.message.VoteResponse;
 import sandstack.configuration.FieldWriter;
 
-/** Writes the fields of each type of message, in the order in which {@link RaftMessageReader} reads them. */
+/** Writes the fields of each message type, in the order in which {@link RaftMessageReader} reads them. */
 final class RaftMessageWriter {
     private final RaftRecordCodec records;
 
@@ -21,7 +21,7 @@
         this.records = records;
     }
 
-    /** Writes what only messages of its type have. */
+    /** Writes the fields that follow the header. */
     void writeFields(FieldWriter out, RaftMessage message) {
         if (message instanceof AppendEntriesRequest request) {
             writeAppendEntries(out, request);
--- a/src/main/java/sandstack/configuration/consensus/RaftRecordCodec.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftRecordCodec.java
@@ -20,13 +20,13 @@
 import sandstack.configuration.MalformedConfigurationException;
 
 /**
- * The binary form of the records that Raft stores and sends: log entries, snapshot chunks, members and terms. Input is
- * bounded. Immutable.
+ * Encodes and decodes the records that Raft stores and sends: log entries, snapshot chunks, members and terms. Decoding
+ * rejects counts and lengths beyond their bounds. Immutable.
  */
 final class RaftRecordCodec {
-    /** Members of a group with its learners, and those of a membership change in progress. */
+    /** Maximum number of members of a group, including learners and the members that a change in progress adds. */
     static final int MAX_MEMBERS = 16;
-    /** Chunks of one snapshot. */
+    /** Maximum number of chunks of a snapshot; also a factor of the stored {@link EncodedRaftStore#chunkKey}. */
     static final int MAX_SNAPSHOT_CHUNKS = 4_096;
 
     private static final int NEW_TERM = 1;
@@ -41,7 +41,7 @@
         maxChangeBytes = new ConfigurationCodec(limits).maxChangeBytes();
     }
 
-    /** The longest encoded log entry or snapshot chunk, with its members. */
+    /** Returns an upper bound of the size of an encoded log entry or snapshot chunk, with the members it contains. */
     int maxRecordBytes() {
         int members = 4 * MAX_MEMBERS * (Integer.BYTES + ControlIdentity.MAX_CHARACTERS);
         return Math.max(maxChangeBytes, ConfigurationStateMachine.MAX_CHUNK_BYTES) + members + 128;
@@ -166,7 +166,7 @@
             writeEndpoint(out, change.getEndpoint());
             out.writeText(change.getMode().name());
         } else {
-            throw new IllegalArgumentException("an operation that cannot be stored: " + operation);
+            throw new IllegalArgumentException("operation cannot be encoded: " + operation);
         }
     }
 
--- a/src/main/java/sandstack/configuration/consensus/RestartableRaftNode.java
+++ b/src/main/java/sandstack/configuration/consensus/RestartableRaftNode.java
@@ -12,9 +12,9 @@
 import sandstack.concurrent.Futures;
 
 /**
- * The library's Raft node, which is rebuilt from its store where {@link SnapshotStallDetector} or
- * {@link SnapshotConsistencyCheck} finds that it cannot go on by itself. {@link #current} may be read on any thread;
- * messages are handled on the executor's.
+ * Holds MicroRaft's node, and rebuilds it from its store when {@link SnapshotStallDetector} or
+ * {@link SnapshotConsistencyCheck} detects a state from which MicroRaft does not recover. {@link #current} may be
+ * called on any thread; messages are handled on the executor's thread.
  */
 final class RestartableRaftNode {
     private final ControlNodeSettings settings;
@@ -23,11 +23,11 @@
     private final SnapshotConsistencyCheck consistencyCheck;
     private final SnapshotStallDetector stallDetector;
     private volatile RaftNode current;
-    /** While it is set, messages are dropped, as on any network. Only touched on the executor's thread. */
+    /** While true, messages are dropped; Raft tolerates lost messages. Accessed on the executor's thread only. */
     private boolean restarting;
 
     /**
-     * Builds the node; it does not take part before it is started.
+     * Builds the node without starting it.
      *
      * @throws IOException where the store cannot be read or is rejected
      */
@@ -42,12 +42,12 @@
         this.current = build();
     }
 
-    /** The library's node as it was last built. */
+    /** Returns MicroRaft's node as it was last built; a restart replaces it, so callers must not keep it. */
     RaftNode current() {
         return current;
     }
 
-    /** Handles a message of another control machine, on the executor's thread. */
+    /** Passes a message of another control machine to the executor's thread, where it is handled. */
     void handle(RaftMessage message) {
         environment.executor().execute(() -> handleOnExecutor(message));
     }
@@ -75,7 +75,7 @@
         if (restarting) {
             return;
         }
-        boolean stalled = stallDetector.isStalledBy(message, environment.clock().millis());
+        boolean stalled = stallDetector.detectStall(message, environment.clock().millis());
         if (stalled
                 || consistencyCheck
                         .firstConflictingIndex(message, currentTerm())
@@ -86,10 +86,10 @@
         }
     }
 
-    /** Rebuilds the library's node from the store, as a restart of the process would; messages until then are lost. */
+    /** Rebuilds MicroRaft's node from the store, as a restart of the process would; drops messages until then. */
     private void restart(RaftMessage message) {
         restarting = true;
-        // no caller waits for the restart: messages are lost until the callback has run
+        // no caller waits for the restart: messages are dropped until the callback has run
         Futures.ignore(current.terminate().whenComplete((ignored, failure) -> {
             try {
                 removeConflictingEntries(message);
@@ -103,7 +103,10 @@
         }));
     }
 
-    /** Checks again now that the node handles nothing more: a later leader may have confirmed the entries meanwhile. */
+    /**
+     * Repeats the check after the node has terminated: before that, it may have accepted the stored entries from a
+     * later leader.
+     */
     private void removeConflictingEntries(RaftMessage message) throws IOException {
         OptionalLong firstConflicting = consistencyCheck.firstConflictingIndex(message, currentTerm());
         if (firstConflicting.isPresent()) {
--- a/src/main/java/sandstack/configuration/consensus/SnapshotConsistencyCheck.java
+++ b/src/main/java/sandstack/configuration/consensus/SnapshotConsistencyCheck.java
@@ -10,24 +10,25 @@
 import java.util.OptionalLong;
 
 /**
- * Raft's log consistency check (section 5.3 of its paper) where a leader's entries begin directly after this machine's
- * snapshot. MicroRaft 0.7 looks up the entry before them in the log only, not in the snapshot; where the log holds
- * entries after the snapshot, it rejects the leader's every time, and the machine stays behind until the leader's next
- * snapshot. Called on the executor's thread.
+ * Performs Raft's log consistency check (section 5.3 of its paper) for AppendEntries requests whose entries begin
+ * directly after this machine's snapshot. MicroRaft 0.7 looks up the preceding entry only in the log, not in the
+ * snapshot; if the log holds entries after the snapshot, it rejects each such request, and the machine lags until the
+ * leader's next snapshot. Called on the executor's thread.
  */
 final class SnapshotConsistencyCheck {
     private final RaftModelFactory models = new DefaultRaftModelFactory();
     private final EncodedRaftStore store;
 
-    /** Checks against what this store holds. */
+    /** Checks requests against the snapshot and the log of this store, which it does not modify. */
     SnapshotConsistencyCheck(EncodedRaftStore store) {
         this.store = store;
     }
 
     /**
-     * The index from which the log has to be removed, as a leader of the current or a later term contradicts the entry
-     * directly after the snapshot. Raft removes such entries ("delete the existing entry and all that follow it",
-     * AppendEntries rule 3): none is committed, as that leader has all that are (Leader Completeness, section 5.4).
+     * Returns the index from which the log must be truncated, because the entry directly after the snapshot conflicts
+     * with that of a leader of the current or a later term; empty if there is no conflict. Raft removes such entries
+     * ("delete the existing entry and all that follow it", AppendEntries rule 3): none is committed, as that leader has
+     * all committed entries (Leader Completeness, section 5.4).
      */
     OptionalLong firstConflictingIndex(RaftMessage message, long currentTerm) {
         if (!(message instanceof AppendEntriesRequest request)
@@ -43,8 +44,8 @@
     }
 
     /**
-     * The message without the entries that the log holds already: one index and one term identify one entry (Log
-     * Matching).
+     * Returns the message without the leading entries that the log already holds, which index and term identify (Log
+     * Matching, section 5.3); the message itself if there are none.
      */
     RaftMessage withoutStoredEntries(RaftMessage message) {
         if (!(message instanceof AppendEntriesRequest request) || !followsSnapshot(request)) {
--- a/src/main/java/sandstack/configuration/consensus/SnapshotStallDetector.java
+++ b/src/main/java/sandstack/configuration/consensus/SnapshotStallDetector.java
@@ -6,22 +6,22 @@
 import java.time.Duration;
 
 /**
- * Detects that a leader offers a snapshot repeatedly and no chunk of it arrives. MicroRaft 0.7 does not request chunks
- * again from a member that once did not answer; after a partition of the regions that can be all of them, and the
- * machine stays behind. Called on the executor's thread.
+ * Detects that a leader repeatedly offers a snapshot of which no chunk arrives. MicroRaft 0.7 does not request chunks
+ * again from a member that has once failed to respond. After a partition of the regions this can apply to all members,
+ * so that the machine lags permanently. Called on the executor's thread.
  */
 final class SnapshotStallDetector {
     private final long timeoutMillis;
     private long offeredSinceMillis;
     private boolean isOffered;
 
-    /** A stall is an offer that is repeated without a chunk for this long. */
+    /** Creates a detector that reports a stall when offers repeat without a chunk for the timeout. */
     SnapshotStallDetector(Duration timeout) {
         timeoutMillis = timeout.toMillis();
     }
 
-    /** Whether the node has to be restarted, as of this message; the detector then begins anew. */
-    boolean isStalledBy(RaftMessage message, long nowMillis) {
+    /** Records a message; returns true if the node must be restarted, and then resets the detector. */
+    boolean detectStall(RaftMessage message, long nowMillis) {
         if (message instanceof AppendEntriesRequest || isChunk(message)) {
             isOffered = false;
         } else if (message instanceof InstallSnapshotRequest && !isOffered) {
--- a/src/main/java/sandstack/configuration/consensus/StateChunk.java
+++ b/src/main/java/sandstack/configuration/consensus/StateChunk.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * One chunk of the state machine's encoded state, as snapshots are sent and stored.
+ * One chunk of the encoded state of the state machine; a snapshot is stored and sent as a list of chunks.
  *
- * @param bytes never modified
+ * @param bytes not copied, and must not be modified
  */
 public record StateChunk(byte[] bytes) {
     @Override
--- a/src/main/java/sandstack/configuration/consensus/StoreFiles.java
+++ b/src/main/java/sandstack/configuration/consensus/StoreFiles.java
@@ -2,7 +2,7 @@
 
 import org.h2.store.fs.FileUtils;
 
-/** Access to the store's files by the names that MVStore accepts. */
+/** Accesses store files through H2, whose file names may have a prefix that {@code java.nio.file} does not accept. */
 final class StoreFiles {
     private StoreFiles() {}
 
--- a/src/main/java/sandstack/configuration/consensus/StoredRaftState.java
+++ b/src/main/java/sandstack/configuration/consensus/StoredRaftState.java
@@ -17,9 +17,9 @@
 import sandstack.configuration.BoundedReader;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** Decodes a store, and rejects with one line what is damaged or inconsistent. Not thread-safe. */
+/** Decodes the records of a store; rejects damaged or inconsistent ones with a message of one line. Not thread-safe. */
 final class StoredRaftState {
-    /** Reads one value. */
+    /** Decodes a record from its bytes, after the checksum was verified. */
     private interface ValueReader<T> {
         T read(BoundedReader in) throws MalformedConfigurationException;
     }
@@ -56,7 +56,7 @@
         }
     }
 
-    /** The term of a log entry; 0, which no entry has, for one that is damaged. */
+    /** Returns the term of a log entry; 0, which is the term of no entry, if it is damaged. */
     int termOf(long index, byte[] entry) {
         try {
             return read("log entry " + index, entry, codec::readLogEntry).getTerm();
@@ -65,7 +65,7 @@
         }
     }
 
-    /** The state to resume from; empty where the node never ran. */
+    /** Returns the state from which the Raft node resumes; empty if it has not completed its first start. */
     Optional<RestoredRaftState> restore() throws RejectedStoreException {
         if (!header.containsKey(EncodedRaftStore.LOCAL_ENDPOINT)) {
             return Optional.empty();
@@ -81,11 +81,15 @@
         Optional<SnapshotEntry> snapshot = restoreSnapshot();
         List<LogEntry> entries =
                 restoreLog(snapshot.map(SnapshotEntry::getIndex).orElse(0L));
-        // the library takes null where there is no snapshot
+        // MicroRaft expects null where there is no snapshot
         return Optional.of(new RestoredRaftState(local, members, term, snapshot.orElse(null), entries));
     }
 
-    /** A node that was killed before its first start was complete has neither voted nor acknowledged anything. */
+    /**
+     * Returns empty for a node that was killed during its first start: it has neither voted nor acknowledged an entry,
+     * so it may start as a new node. Rejects a store that has a term, log or snapshot without the records of a complete
+     * start.
+     */
     private Optional<RestoredRaftState> restoreUnstarted() throws RejectedStoreException {
         if (!log.isEmpty() || !snapshotChunks.isEmpty() || header.containsKey(EncodedRaftStore.TERM)) {
             throw new RejectedStoreException(file + ": damaged: a log without members or term");
@@ -93,7 +97,7 @@
         return Optional.empty();
     }
 
-    /** The newest snapshot that has all its chunks. */
+    /** Returns the newest snapshot of which all chunks are stored. */
     private Optional<SnapshotEntry> restoreSnapshot() throws RejectedStoreException {
         TreeMap<Long, List<SnapshotChunk>> byIndex = new TreeMap<>();
         for (Map.Entry<Long, byte[]> entry : snapshotChunks.entrySet()) {
@@ -125,7 +129,7 @@
             LogEntry entry = read("log entry " + stored.getKey(), stored.getValue(), codec::readLogEntry);
             if (entry.getIndex() != stored.getKey() || entry.getIndex() != expected) {
                 throw new RejectedStoreException(
-                        file + ": damaged: log entry " + entry.getIndex() + " where " + expected + " follows");
+                        file + ": damaged: log entry " + entry.getIndex() + " where " + expected + " is expected");
             }
             expected++;
             entries.add(entry);
@@ -133,9 +137,9 @@
         return entries;
     }
 
-    private <T> T read(String what, byte[] wrapped, ValueReader<T> reader) throws RejectedStoreException {
+    private <T> T read(String recordName, byte[] wrapped, ValueReader<T> reader) throws RejectedStoreException {
         if (wrapped == null) {
-            throw new RejectedStoreException(file + ": damaged: " + what + " is missing");
+            throw new RejectedStoreException(file + ": damaged: " + recordName + " is missing");
         }
         try {
             BoundedReader in = new BoundedReader(Checksummed.unwrap(wrapped));
@@ -143,7 +147,7 @@
             in.requireEnd();
             return value;
         } catch (MalformedConfigurationException e) {
-            throw new RejectedStoreException(file + ": damaged: " + what + ": " + e.getMessage());
+            throw new RejectedStoreException(file + ": damaged: " + recordName + ": " + e.getMessage());
         }
     }
 }
--- a/src/main/java/sandstack/configuration/consensus/UnusableSnapshotException.java
+++ b/src/main/java/sandstack/configuration/consensus/UnusableSnapshotException.java
@@ -2,7 +2,7 @@
 
 import sandstack.configuration.MalformedConfigurationException;
 
-/** A snapshot of the state machine cannot be installed; the state before it stays. */
+/** Thrown if a snapshot of the state machine cannot be installed; the configuration before it is kept. */
 final class UnusableSnapshotException extends IllegalStateException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/sandstack/configuration/consensus/package-info.java
+++ b/src/main/java/sandstack/configuration/consensus/package-info.java
@@ -1,11 +1,12 @@
 /**
- * Consensus of the control machines on one order of configuration changes, by Raft (Ongaro and Ousterhout, "In Search
- * of an Understandable Consensus Algorithm") with the library MicroRaft, its persistent state in a file of H2's
- * MVStore. Only these two libraries are used here, and they are on the class path of no other command.
+ * Replicates configuration changes to the control machines in one order, by Raft (Ongaro and Ousterhout, "In Search of
+ * an Understandable Consensus Algorithm"). The library MicroRaft implements the algorithm; its state is persisted in a
+ * file of H2's MVStore. No other package uses these two libraries, and this package uses no others; they are in
+ * {@code lib-fleet}, which only the commands of a fleet member have on their class path.
  *
- * <p>{@link sandstack.configuration.consensus.ControlNode} is the entry; it drives a
- * {@link sandstack.configuration.consensus.ConfigurationStateMachine} and stores through a
- * {@link sandstack.configuration.consensus.MvStoreRaftStore}. Executor, transport, clock and random numbers are passed
- * in; nothing here starts a thread.
+ * <p>{@link sandstack.configuration.consensus.ControlNode} is the entry point. It applies committed log entries to a
+ * {@link sandstack.configuration.consensus.ConfigurationStateMachine} and persists Raft's state in a
+ * {@link sandstack.configuration.consensus.MvStoreRaftStore}. The caller provides executor, transport, clock and random
+ * numbers; no class of this package starts a thread.
  */
 package sandstack.configuration.consensus;
--- a/src/test/java/sandstack/configuration/consensus/ClusterOnDisksTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ClusterOnDisksTest.java
@@ -12,7 +12,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import sandstack.configuration.ConfigurationLimits;
 
-/** The simulated cluster over real files: killed machines recover from their files. */
+/**
+ * Runs the simulated cluster on real store files: killed machines recover from them, rolled-back files are rejected.
+ */
 class ClusterOnDisksTest {
     private static final String NEW_IDENTITY_SETTING = "new_identity";
     private static final int SNAPSHOT_INTERVAL_ENTRIES = 10;
@@ -20,11 +22,11 @@
     @TempDir
     Path folder;
 
-    /** A file per machine, created at its first start only. */
-    private final class FileStores implements SimulatedMachine.Stores {
+    /** Opens the file of one machine, which is created only at the first start. */
+    private final class FileStoreProvider implements SimulatedMachine.StoreProvider {
         private final SimulatedMachine machine;
 
-        FileStores(SimulatedMachine machine) {
+        FileStoreProvider(SimulatedMachine machine) {
             this.machine = machine;
         }
 
@@ -35,13 +37,13 @@
                     ? MvStoreRaftStore.reopen(
                             file.toString(),
                             NEW_IDENTITY_SETTING,
-                            SimulatedNetwork.GROUP,
+                            SimulatedRaftNetwork.GROUP,
                             machine.identity,
                             ConfigurationLimits.DEFAULT)
                     : MvStoreRaftStore.create(
                             file.toString(),
                             NEW_IDENTITY_SETTING,
-                            SimulatedNetwork.GROUP,
+                            SimulatedRaftNetwork.GROUP,
                             machine.identity,
                             ConfigurationLimits.DEFAULT);
         }
@@ -54,7 +56,7 @@
 
     private SimulatedCluster started() {
         SimulatedCluster cluster = new SimulatedCluster(5, 11, SNAPSHOT_INTERVAL_ENTRIES);
-        cluster.machines.forEach(machine -> machine.stores = new FileStores(machine));
+        cluster.machines.forEach(machine -> machine.storeProvider = new FileStoreProvider(machine));
         cluster.startAll();
         cluster.awaitLeader();
         return cluster;
@@ -98,7 +100,7 @@
         assertThatThrownBy(() -> cluster.start(machine))
                 .isInstanceOf(UncheckedIOException.class)
                 .hasMessageContaining(file.toString())
-                .hasMessageContaining("set back");
+                .hasMessageContaining("rolled back");
         machine.kill();
         cluster.machines.remove(machine);
         commit(cluster, 5);
--- a/src/test/java/sandstack/configuration/consensus/ConfigurationStateMachineTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ConfigurationStateMachineTest.java
@@ -16,7 +16,7 @@
 import sandstack.configuration.ConfigurationSnapshot;
 import sandstack.configuration.ConfigurationVersion;
 
-/** How log entries and snapshots change the state machine. */
+/** Checks how log entries and snapshots change the state machine. */
 class ConfigurationStateMachineTest {
     private static final ConfigurationCodec CODEC = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
 
@@ -108,26 +108,27 @@
     void damagedSnapshotIsNotInstalled() {
         run(new LogOperation.NewTerm(2));
         run(put(1, ConfigurationVersion.NONE, "a", "1"));
-        byte[] state = ((StateChunk) snapshotOf(machine).get(0)).bytes();
-        state[state.length - 1]++;
+        byte[] encodedState = ((StateChunk) snapshotOf(machine).get(0)).bytes();
+        encodedState[encodedState.length - 1]++;
         ConfigurationStateMachine other = machine();
-        assertThatThrownBy(() -> other.installSnapshot(2, List.of(new StateChunk(state))))
+        assertThatThrownBy(() -> other.installSnapshot(2, List.of(new StateChunk(encodedState))))
                 .isInstanceOf(UnusableSnapshotException.class)
                 .hasMessageContaining("do not match their digest");
         assertThat(other.current()).isEqualTo(ConfigurationSnapshot.EMPTY);
     }
 
-    /** A retry whose key was dropped is rejected by its base, so that nothing is applied twice. */
+    /** A retry under a dropped key is rejected because of its base version, so that no change is applied twice. */
     @Test
-    void onlyTheLatestKeysAreRemembered() {
+    void onlyTheLatestKeysAreRetained() {
         run(new LogOperation.NewTerm(1));
         LogOperation.Proposal first = put(0, ConfigurationVersion.NONE, "a", "0");
         run(first);
-        for (int i = 1; i <= ConfigurationStateMachine.MAX_REMEMBERED_PROPOSALS; i++) {
+        for (int i = 1; i <= ConfigurationStateMachine.MAX_RETAINED_PROPOSALS; i++) {
             run(put(i, machine.current().version(), "a", "" + i));
         }
-        ProposalOutcome again = (ProposalOutcome) run(first);
-        assertThat(((ProposalOutcome.Rejected) again).rejection().reason()).isEqualTo(Reason.CONFLICTING_BASE);
+        ProposalOutcome retryOutcome = (ProposalOutcome) run(first);
+        assertThat(((ProposalOutcome.Rejected) retryOutcome).rejection().reason())
+                .isEqualTo(Reason.CONFLICTING_BASE);
         assertThat(machine.committedVersionOf(new IdempotencyKey(0, 1))).isPresent();
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/ConsensusFiguresTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ConsensusFiguresTest.java
@@ -8,23 +8,26 @@
 import java.util.List;
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
-import sandstack.configuration.consensus.SimulatedNetwork.Traffic;
+import sandstack.configuration.consensus.SimulatedRaftNetwork.SentTraffic;
 
-/** Traffic, latency and store size of seven machines in simulated time: prints the figures and asserts their bounds. */
+/**
+ * Measures traffic, latency and store size of seven machines in simulated time; prints the figures and asserts their
+ * bounds.
+ */
 class ConsensusFiguresTest {
     private static final int MACHINES = 7;
     private static final int SNAPSHOT_INTERVAL_ENTRIES = 1_000;
-    private static final long BETWEEN_REGIONS_MICROS = 40_000;
+    private static final long INTER_REGION_DELAY_MICROS = 40_000;
     private static final Duration CHANGE_INTERVAL = Duration.ofMillis(86_400_000 / 3_700);
-    private static final Duration MEASURED = Duration.ofMinutes(30);
-    /** The budget for control traffic at a relay; a control machine has many times more. */
+    private static final Duration MEASUREMENT_DURATION = Duration.ofMinutes(30);
+    /** The budget of a relay for control traffic; that of a control machine is many times larger. */
     private static final int BUDGET_BYTES_PER_SECOND = 4_096;
 
     private static final Duration RECOVERY_BOUND = Duration.ofSeconds(16);
 
     private static SimulatedCluster started(long seed) {
         SimulatedCluster cluster = new SimulatedCluster(MACHINES, seed, SNAPSHOT_INTERVAL_ENTRIES);
-        cluster.network.betweenRegionsMicros = BETWEEN_REGIONS_MICROS;
+        cluster.network.interRegionDelayMicros = INTER_REGION_DELAY_MICROS;
         cluster.startAll();
         cluster.awaitLeader();
         cluster.runFor(Duration.ofSeconds(5));
@@ -32,37 +35,37 @@
     }
 
     private static void resetTraffic(SimulatedCluster cluster) {
-        for (Traffic traffic : cluster.network.sent.values()) {
+        for (SentTraffic traffic : cluster.network.sent.values()) {
             traffic.messages = 0;
             traffic.bytes = 0;
         }
     }
 
-    /** Prints what each machine sent; returns the most bytes a second. */
-    private static double printTraffic(String what, SimulatedCluster cluster) {
+    /** Prints the traffic that each machine sent; returns the maximum in bytes per second. */
+    private static double printTraffic(String scenario, SimulatedCluster cluster) {
         SimulatedMachine leader = cluster.awaitLeader();
-        double most = 0;
+        double maxBytesPerSecond = 0;
         for (SimulatedMachine machine : cluster.machines) {
-            Traffic traffic = cluster.network.sent.get(machine.identity);
-            double bytes = (double) traffic.bytes / MEASURED.toSeconds();
-            most = Math.max(most, bytes);
+            SentTraffic traffic = cluster.network.sent.get(machine.identity);
+            double bytesPerSecond = (double) traffic.bytes / MEASUREMENT_DURATION.toSeconds();
+            maxBytesPerSecond = Math.max(maxBytesPerSecond, bytesPerSecond);
             System.out.printf(
                     Locale.ROOT,
-                    "%s: %s %s sends %.2f messages and %.0f bytes a second%n",
-                    what,
+                    "%s: %s %s sends %.2f messages and %.0f bytes per second%n",
+                    scenario,
                     machine == leader ? "leader" : "follower",
                     machine.identity,
-                    (double) traffic.messages / MEASURED.toSeconds(),
-                    bytes);
+                    (double) traffic.messages / MEASUREMENT_DURATION.toSeconds(),
+                    bytesPerSecond);
         }
-        return most;
+        return maxBytesPerSecond;
     }
 
     @Test
     void trafficWhileIdle() {
         SimulatedCluster cluster = started(1);
         resetTraffic(cluster);
-        cluster.runFor(MEASURED);
+        cluster.runFor(MEASUREMENT_DURATION);
         assertThat(printTraffic("idle", cluster)).isLessThan(BUDGET_BYTES_PER_SECOND);
     }
 
@@ -72,13 +75,13 @@
             SimulatedCluster cluster = withLeaderIn(leaderRegion);
             resetTraffic(cluster);
             List<Long> millis = new ArrayList<>();
-            for (long i = 0; i < MEASURED.dividedBy(CHANGE_INTERVAL); i++) {
+            for (long i = 0; i < MEASUREMENT_DURATION.dividedBy(CHANGE_INTERVAL); i++) {
                 cluster.runFor(CHANGE_INTERVAL);
                 millis.add(cluster.commitChange().millis());
             }
             Collections.sort(millis);
             System.out.printf(
-                    "leader in the region of %d: agreed within %d ms (median), %d ms (most of %d)%n",
+                    "leader in the region of %d machines: commit latency %d ms (median), %d ms (maximum of %d)%n",
                     leaderRegion == 0 ? 3 : 4,
                     millis.get(millis.size() / 2),
                     millis.get(millis.size() - 1),
@@ -95,7 +98,7 @@
                 return cluster;
             }
         }
-        throw new AssertionError("no seed of 99 gives a leader in region " + region);
+        throw new AssertionError("none of the seeds 1 to 99 elects a leader in region " + region);
     }
 
     @Test
@@ -105,26 +108,26 @@
             SimulatedCluster cluster = started(seed);
             cluster.commitChange();
             cluster.runFor(Duration.ofMillis(seed * 37));
-            long killed = cluster.time.nowMicros();
+            long killedMicros = cluster.time.nowMicros();
             cluster.awaitLeader().kill();
             while (!(cluster.commitChange().outcome instanceof ProposalOutcome.Committed)) {
                 cluster.runFor(Duration.ofMillis(100));
             }
-            millis.add((cluster.time.nowMicros() - killed) / 1_000);
+            millis.add((cluster.time.nowMicros() - killedMicros) / 1_000);
         }
         Collections.sort(millis);
-        long most = millis.get(millis.size() - 1);
+        long maxMillis = millis.get(millis.size() - 1);
         System.out.printf(
-                "failover: the next change agreed %d ms after the leader's kill (median), %d ms (most of %d)%n",
-                millis.get(millis.size() / 2), most, millis.size());
-        assertThat(most).isLessThan(RECOVERY_BOUND.toMillis());
+                "failover: next commit %d ms after the leader was killed (median), %d ms (maximum of %d)%n",
+                millis.get(millis.size() / 2), maxMillis, millis.size());
+        assertThat(maxMillis).isLessThan(RECOVERY_BOUND.toMillis());
     }
 
     @Test
     void storeSizeAfterTheChangesOfADay() {
         SimulatedCluster cluster = started(1);
         SimulatedDisk disk = cluster.awaitLeader().disk;
-        disk.measured = true;
+        disk.countsBytes = true;
         for (int i = 0; i < 3_700; i++) {
             cluster.commitChange();
         }
--- a/src/test/java/sandstack/configuration/consensus/ControlNodeTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ControlNodeTest.java
@@ -15,13 +15,13 @@
 import sandstack.configuration.ConfigurationVersion;
 import sandstack.configuration.consensus.SimulatedCluster.Attempt;
 
-/** The consensus of the control machines in simulated time, under one fault at a time. */
+/** Checks the consensus of the control machines in simulated time, under one fault at a time. */
 class ControlNodeTest {
     private static final long SEED = 40;
     private static final int SNAPSHOT_INTERVAL_ENTRIES = 20;
-    /** All machines are equal this long after a fault ends. */
+    /** Time after the end of a fault within which all machines must have the same configuration. */
     private static final Duration CONVERGENCE_BOUND = Duration.ofSeconds(16);
-    /** A machine that reaches no quorum rejects proposals after this long. */
+    /** Time after the loss of the quorum from which a machine must reject proposals. */
     private static final Duration QUORUM_LOSS_BOUND = Duration.ofSeconds(8);
 
     private static SimulatedCluster started(int size) {
@@ -37,10 +37,10 @@
         }
     }
 
-    /** Null where the attempt was not rejected. */
+    /** Returns null if the attempt was not rejected. */
     private static Reason rejectionReasonOf(Attempt attempt) {
-        return attempt.outcome instanceof ProposalOutcome.Rejected refused
-                ? refused.rejection().reason()
+        return attempt.outcome instanceof ProposalOutcome.Rejected rejected
+                ? rejected.rejection().reason()
                 : null;
     }
 
@@ -97,7 +97,7 @@
         assertComplete(cluster, 10);
     }
 
-    /** It sends heartbeats and receives nothing, so that it has to step down without a quorum of responses. */
+    /** The leader sends heartbeats but receives no response, so it must step down without a quorum of responses. */
     @Test
     void leaderThatReceivesNothingStepsDown() {
         SimulatedCluster cluster = started(7);
@@ -111,10 +111,11 @@
     }
 
     /**
-     * It reaches and hears all machines but the leader, so that it requests votes repeatedly; pre-vote must stop it.
+     * The machine exchanges messages with all machines except the leader, from which it receives none, so it requests
+     * votes repeatedly. Pre-vote must prevent a new election.
      */
     @Test
-    void machineThatDoesNotHearTheLeaderDoesNotDisruptIt() {
+    void machineThatReceivesNothingFromTheLeaderDoesNotDisruptIt() {
         SimulatedCluster cluster = started(7);
         commit(cluster, 5);
         SimulatedMachine leader = cluster.awaitLeader();
@@ -135,7 +136,7 @@
     void partitionedMajorityCommitsAndMinorityRejectsAtOnce() {
         SimulatedCluster cluster = started(7);
         commit(cluster, 5);
-        // followers learn with the next message that the last change is committed
+        // a follower receives the commit index of the last change with the next message
         cluster.runFor(Duration.ofSeconds(2));
         cluster.cutRegions();
         cluster.runFor(QUORUM_LOSS_BOUND);
@@ -157,7 +158,7 @@
         assertThat(rejectionReasonOf(attempt)).isEqualTo(Reason.NO_QUORUM);
     }
 
-    /** The leader is in the minority; each proposal completes within the proposal timeout. */
+    /** The leader is in the partitioned minority; each proposal must complete within the proposal timeout. */
     @Test
     void isolatedLeaderCompletesEachProposalInTime() {
         SimulatedCluster cluster = started(7);
@@ -169,12 +170,13 @@
             cluster.runFor(Duration.ofSeconds(2));
         }
         commit(cluster, 5);
-        SimulatedMachine cutOff = cluster.awaitLeader();
+        SimulatedMachine partitionedLeader = cluster.awaitLeader();
         cluster.cutRegions();
         List<Attempt> attempts = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             attempts.add(cluster.propose(
-                    cutOff, cluster.randomChange(cutOff.node.current().version())));
+                    partitionedLeader,
+                    cluster.randomChange(partitionedLeader.node.current().version())));
             cluster.runFor(Duration.ofMillis(250));
         }
         cluster.runFor(Duration.ofSeconds(8));
@@ -196,15 +198,15 @@
         SimulatedMachine leader = cluster.awaitLeader();
         ConfigurationChange change = cluster.randomChange(leader.node.current().version());
         Attempt first = cluster.propose(leader, change);
-        Attempt two = cluster.propose(leader, change);
+        Attempt second = cluster.propose(leader, change);
         cluster.runFor(Duration.ofSeconds(1));
         commit(cluster, 30);
         leader.kill();
-        Attempt three = cluster.propose(cluster.awaitLeader(), change);
+        Attempt third = cluster.propose(cluster.awaitLeader(), change);
         cluster.runFor(Duration.ofSeconds(1));
         assertThat(first.outcome).isInstanceOf(ProposalOutcome.Committed.class);
-        assertThat(two.outcome).isEqualTo(first.outcome);
-        assertThat(three.outcome).isEqualTo(first.outcome);
+        assertThat(second.outcome).isEqualTo(first.outcome);
+        assertThat(third.outcome).isEqualTo(first.outcome);
         assertComplete(cluster, 33);
     }
 
@@ -213,10 +215,10 @@
         SimulatedCluster cluster = started(5);
         SimulatedMachine leader = cluster.awaitLeader();
         Attempt first = cluster.propose(leader, cluster.randomChange(ConfigurationVersion.NONE));
-        Attempt two = cluster.propose(leader, cluster.randomChange(ConfigurationVersion.NONE));
+        Attempt second = cluster.propose(leader, cluster.randomChange(ConfigurationVersion.NONE));
         cluster.runFor(Duration.ofSeconds(1));
         assertThat(first.outcome).isInstanceOf(ProposalOutcome.Committed.class);
-        assertThat(rejectionReasonOf(two)).isEqualTo(Reason.CONFLICTING_BASE);
+        assertThat(rejectionReasonOf(second)).isEqualTo(Reason.CONFLICTING_BASE);
         assertComplete(cluster, 1);
     }
 
@@ -224,19 +226,19 @@
     void invalidProposalIsRejectedBeforeReplication() {
         SimulatedCluster cluster = started(5);
         SimulatedMachine leader = cluster.awaitLeader();
-        String large = "x".repeat(ConfigurationLimits.DEFAULT.maxValueBytes() + 1);
+        String tooLongValue = "x".repeat(ConfigurationLimits.DEFAULT.maxValueBytes() + 1);
         ConfigurationChange tooLarge = ConfigurationChange.of(
-                ConfigurationVersion.NONE, "ann", "large", List.of(new ConfigurationEdit.Put("key", large)));
-        ConfigurationChange future = new ConfigurationChange(
+                ConfigurationVersion.NONE, "ann", "large", List.of(new ConfigurationEdit.Put("key", tooLongValue)));
+        ConfigurationChange futureFormat = new ConfigurationChange(
                 ConfigurationChange.FORMAT_VERSION + 1,
                 ConfigurationVersion.NONE,
                 "ann",
                 "future",
                 List.of(new ConfigurationEdit.Put("key", "value")));
-        Attempt large1 = cluster.propose(leader, tooLarge);
-        Attempt future1 = cluster.propose(leader, future);
-        assertThat(rejectionReasonOf(large1)).isEqualTo(Reason.VALUE_TOO_LARGE);
-        assertThat(rejectionReasonOf(future1)).isEqualTo(Reason.UNKNOWN_FORMAT);
+        Attempt largeAttempt = cluster.propose(leader, tooLarge);
+        Attempt futureAttempt = cluster.propose(leader, futureFormat);
+        assertThat(rejectionReasonOf(largeAttempt)).isEqualTo(Reason.VALUE_TOO_LARGE);
+        assertThat(rejectionReasonOf(futureAttempt)).isEqualTo(Reason.UNKNOWN_FORMAT);
         assertComplete(cluster, 0);
     }
 
--- a/src/test/java/sandstack/configuration/consensus/HistoryChecker.java
+++ b/src/test/java/sandstack/configuration/consensus/HistoryChecker.java
@@ -12,8 +12,9 @@
 import sandstack.configuration.ConfigurationVersion;
 
 /**
- * Checks what machines report and what clients are answered, and records each violation: one order on all machines
- * without gaps, nothing reported before a majority of the disks stores it, each change applied once, and true answers.
+ * Checks the changes that the machines report and the outcomes that the clients receive, and records each violation.
+ * All machines must report the same changes in one order without gaps, a change only after a majority of the disks
+ * stores it, and each change once; each outcome must agree with the committed history.
  */
 final class HistoryChecker {
     final List<String> violations = new ArrayList<>();
@@ -24,7 +25,7 @@
     private final Set<String> indeterminate = new HashSet<>();
     private final Set<String> proposed = new HashSet<>();
 
-    /** One incarnation of a machine's state machine. */
+    /** Checks the reports of one incarnation of a machine, which lasts from one start to the next. */
     final class Incarnation {
         private final ControlIdentity machine;
         private ConfigurationVersion last = ConfigurationVersion.NONE;
@@ -46,9 +47,9 @@
             if (!majorityHolds.getAsBoolean()) {
                 addViolation(machine + " reported " + last + " before a majority of the disks stored it");
             }
-            Long earlier = indexOfChange.putIfAbsent(change.change().reason(), last.index());
-            if (earlier != null) {
-                addViolation(change.change().reason() + " was applied at " + earlier + " and " + last);
+            Long earlierIndex = indexOfChange.putIfAbsent(change.change().reason(), last.index());
+            if (earlierIndex != null) {
+                addViolation(change.change().reason() + " was applied at " + earlierIndex + " and " + last);
             }
         }
 
@@ -58,7 +59,7 @@
             if (known == null
                     || !known.version().equals(last)
                     || !known.digest().equals(snapshot.digest())) {
-                addViolation(machine + " was restored to " + snapshot + ", the order has " + known);
+                addViolation(machine + " was restored to " + snapshot + ", the committed history has " + known);
             }
         }
     }
@@ -68,13 +69,14 @@
     }
 
     void outcomeReported(String change, ProposalOutcome outcome) {
-        if (outcome instanceof ProposalOutcome.Committed agreed) {
-            ConfigurationVersion before = reportedCommitted.putIfAbsent(change, agreed.version());
-            if (before != null && !before.equals(agreed.version())) {
-                addViolation(change + " was answered as " + before + " and " + agreed.version());
+        if (outcome instanceof ProposalOutcome.Committed committedOutcome) {
+            ConfigurationVersion earlierVersion = reportedCommitted.putIfAbsent(change, committedOutcome.version());
+            if (earlierVersion != null && !earlierVersion.equals(committedOutcome.version())) {
+                addViolation(change + " was reported as committed at " + earlierVersion + " and at "
+                        + committedOutcome.version());
             }
-        } else if (outcome instanceof ProposalOutcome.Rejected refused) {
-            switch (refused.rejection().reason()) {
+        } else if (outcome instanceof ProposalOutcome.Rejected rejected) {
+            switch (rejected.rejection().reason()) {
                 case NO_QUORUM, TOO_MANY -> {}
                 default -> reportedRejected.add(change);
             }
@@ -83,33 +85,34 @@
         }
     }
 
-    /** Checks the answers after the last fault; an unanswered attempt counts as indeterminate. */
-    void finish(Set<String> unanswered) {
-        indeterminate.addAll(unanswered);
+    /** Checks the outcomes after the last fault; a change with an attempt still pending counts as indeterminate. */
+    void finish(Set<String> pendingChanges) {
+        indeterminate.addAll(pendingChanges);
         reportedCommitted.forEach((change, version) -> {
-            CommittedChange there = committed.get(version.index());
-            if (there == null
-                    || !there.version().equals(version)
-                    || !there.change().reason().equals(change)) {
-                addViolation(change + " was answered as " + version + ", the order has " + there);
+            CommittedChange committedChange = committed.get(version.index());
+            if (committedChange == null
+                    || !committedChange.version().equals(version)
+                    || !committedChange.change().reason().equals(change)) {
+                addViolation(change + " was reported as committed at " + version + ", the committed history has "
+                        + committedChange);
             }
         });
         for (String change : reportedRejected) {
             if (indexOfChange.containsKey(change)) {
-                addViolation(change + " was rejected and is committed");
+                addViolation(change + " was reported as rejected but is committed");
             }
         }
         for (String change : indexOfChange.keySet()) {
             if (!proposed.contains(change)) {
-                addViolation(change + " is in the order and nobody asked for it");
+                addViolation(change + " is committed but was never proposed");
             }
             if (!reportedCommitted.containsKey(change) && !indeterminate.contains(change)) {
-                addViolation(change + " is committed and was never answered as committed or indeterminate");
+                addViolation(change + " is committed but was never reported as committed or indeterminate");
             }
         }
     }
 
-    /** Number of committed changes. */
+    /** Returns the number of distinct changes that machines reported as committed. */
     int committedChanges() {
         return committed.size();
     }
@@ -124,9 +127,9 @@
         }
     }
 
-    private void addViolation(String what) {
+    private void addViolation(String violation) {
         if (violations.size() < 20) {
-            violations.add(what);
+            violations.add(violation);
         }
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/PlantedFaultsTest.java
+++ b/src/test/java/sandstack/configuration/consensus/HistoryCheckerTest.java
@@ -14,13 +14,13 @@
 import sandstack.configuration.ConfigurationSnapshot;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** The checker detects planted faults, so that its silence in other tests is evidence. */
-class PlantedFaultsTest {
+/** The checker detects deliberately injected faults, so that an empty list of violations in other tests is evidence. */
+class HistoryCheckerTest {
     private static final Duration RECOVERY_TIME = Duration.ofSeconds(16);
 
-    /** Skips the entry of the eleventh proposal. */
+    /** Does not apply the entry of the eleventh proposal. */
     private static final class SkippingStateMachine extends ConfigurationStateMachine {
-        private int seen;
+        private int appliedProposals;
 
         SkippingStateMachine(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
             super(validator, listener, leaderTerm);
@@ -28,16 +28,16 @@
 
         @Override
         public Object runOperation(long commitIndex, Object operation) {
-            if (operation instanceof LogOperation.Proposal && ++seen == 11) {
+            if (operation instanceof LogOperation.Proposal && ++appliedProposals == 11) {
                 return null;
             }
             return super.runOperation(commitIndex, operation);
         }
     }
 
-    /** Applies a retry again, as it takes each idempotency key for a new one. */
-    private static final class ForgetfulStateMachine extends ConfigurationStateMachine {
-        ForgetfulStateMachine(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
+    /** Applies each retry again, because it replaces every idempotency key by a new one. */
+    private static final class ReapplyingStateMachine extends ConfigurationStateMachine {
+        ReapplyingStateMachine(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
             super(validator, listener, leaderTerm);
         }
 
@@ -62,9 +62,9 @@
         }
     }
 
-    private static SimulatedCluster cluster(SimulatedMachine.StateMachines planted, int plantedMachines) {
+    private static SimulatedCluster cluster(SimulatedMachine.StateMachineCreator faulty, int faultyMachines) {
         SimulatedCluster cluster = new SimulatedCluster(5, 1, 1_000);
-        cluster.machines.stream().limit(plantedMachines).forEach(machine -> machine.stateMachines = planted);
+        cluster.machines.stream().limit(faultyMachines).forEach(machine -> machine.stateMachineCreator = faulty);
         cluster.startAll();
         cluster.awaitLeader();
         return cluster;
@@ -86,7 +86,7 @@
 
     @Test
     void changeAppliedTwiceIsDetected() {
-        SimulatedCluster cluster = cluster(ForgetfulStateMachine::new, 5);
+        SimulatedCluster cluster = cluster(ReapplyingStateMachine::new, 5);
         SimulatedMachine leader = cluster.awaitLeader();
         ConfigurationChange change = cluster.randomChange(leader.node.current().version());
         cluster.propose(leader, change);
@@ -96,7 +96,7 @@
                 .anyMatch(violation -> violation.contains("was applied at 1 and 2"));
     }
 
-    /** A leader that reports a change when it is proposed, before the others store it. */
+    /** A leader reports a change when it is proposed, before the other machines have stored it. */
     @Test
     void changeReportedBeforeItsCommitIsDetected() {
         SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
@@ -113,7 +113,7 @@
                 .anyMatch(violation -> violation.contains("before a majority of the disks stored it"));
     }
 
-    /** Disks that lose what they acknowledged. */
+    /** Disks lose state whose flush they acknowledged. */
     @Test
     void disksThatLoseFlushesAreDetected() {
         SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
@@ -127,19 +127,19 @@
                 .anyMatch(violation -> violation.contains("where another machine reported"));
     }
 
-    /** Why a wiped disk must not vote under its old identity: the majority that stored a change can be lost. */
+    /** A wiped disk must not vote under its old identity, as a committed change can then lose its majority. */
     @Test
     void wipedDiskThatVotesUnderItsOldIdentityIsDetected() {
         SimulatedCluster cluster = cluster(ConfigurationStateMachine::new, 5);
-        List<SimulatedMachine> holders = cluster.machines.subList(0, 3);
+        List<SimulatedMachine> storingMachines = cluster.machines.subList(0, 3);
         List<SimulatedMachine> restartedLater = cluster.machines.subList(3, 5);
         cluster.runFor(Duration.ofSeconds(3));
         restartedLater.forEach(SimulatedMachine::kill);
         commit(cluster, 5);
-        holders.forEach(SimulatedMachine::kill);
-        holders.get(0).disk.wipe();
+        storingMachines.forEach(SimulatedMachine::kill);
+        storingMachines.get(0).disk.wipe();
         restartedLater.forEach(cluster::start);
-        cluster.start(holders.get(0));
+        cluster.start(storingMachines.get(0));
         commit(cluster, 5);
         assertThat(cluster.recoverAndCheck(RECOVERY_TIME))
                 .anyMatch(violation -> violation.contains("where another machine reported"));
--- a/src/test/java/sandstack/configuration/consensus/IgnoringListener.java
+++ b/src/test/java/sandstack/configuration/consensus/IgnoringListener.java
@@ -4,7 +4,7 @@
 import sandstack.configuration.CommittedChangeListener;
 import sandstack.configuration.ConfigurationSnapshot;
 
-/** Ignores all changes and snapshots. */
+/** A listener for tests that read the state from the state machine itself. */
 final class IgnoringListener implements CommittedChangeListener {
     @Override
     public void committed(CommittedChange change) {}
--- a/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
+++ b/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import sandstack.configuration.ConfigurationLimits;
 
-/** Raft's persistent state on a real disk: all that was flushed is restored, or the store is rejected in one line. */
+/** All state flushed to a real file is restored, or the store is rejected with a message of one line. */
 class MvStoreRaftStoreTest {
     private static final ControlIdentity SELF = new ControlIdentity("control-0");
     private static final String GROUP = "configuration";
@@ -100,16 +100,16 @@
         return state.getLogEntries().stream().map(LogEntry::getIndex).toList();
     }
 
-    private void assertRejected(String... words) {
+    private void assertRejected(String... messageParts) {
         assertThatThrownBy(() -> {
                     try (MvStoreRaftStore store = reopen()) {
                         store.restore();
                     }
                 })
                 .isInstanceOf(RejectedStoreException.class)
-                .satisfies(refusal -> {
-                    assertThat(refusal.getMessage()).contains(file).contains(words);
-                    assertThat(refusal.getMessage().lines()).hasSize(1);
+                .satisfies(rejection -> {
+                    assertThat(rejection.getMessage()).contains(file).contains(messageParts);
+                    assertThat(rejection.getMessage().lines()).hasSize(1);
                 });
     }
 
@@ -122,8 +122,8 @@
         store.flush();
         append(store, 9, 12);
         store.closeImmediately();
-        try (MvStoreRaftStore again = reopen()) {
-            RestoredRaftState state = again.restore().orElseThrow();
+        try (MvStoreRaftStore reopened = reopen()) {
+            RestoredRaftState state = reopened.restore().orElseThrow();
             assertThat(indexes(state)).containsExactly(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L);
             assertThat(state.getLogEntries().get(7).getOperation()).isEqualTo(entry(8).getOperation());
             assertThat(state.getTermPersistentState().getTerm()).isEqualTo(3);
@@ -143,8 +143,8 @@
         store.truncateLogEntriesUntil(4);
         store.flush();
         store.closeImmediately();
-        try (MvStoreRaftStore again = reopen()) {
-            RestoredRaftState state = again.restore().orElseThrow();
+        try (MvStoreRaftStore reopened = reopen()) {
+            RestoredRaftState state = reopened.restore().orElseThrow();
             assertThat(state.getSnapshotEntry().getIndex()).isEqualTo(5);
             assertThat(state.getSnapshotEntry().getSnapshotChunkCount()).isEqualTo(2);
             assertThat(indexes(state)).containsExactly(6L, 7L, 8L, 9L, 10L, 11L, 12L);
@@ -153,16 +153,16 @@
 
     @Test
     void missingStoreNeedsPermissionAndPermissionNeedsAMissingStore() throws IOException {
-        assertRejected("no disk of control-0", NEW_IDENTITY_SETTING);
+        assertRejected("no store of control-0", NEW_IDENTITY_SETTING);
         create().close();
         assertThatThrownBy(this::create)
                 .isInstanceOf(RejectedStoreException.class)
                 .hasMessageContaining(file)
                 .hasMessageContaining(NEW_IDENTITY_SETTING);
-        // the flush count alone shows that there was a store
+        // the flush count alone is evidence of an earlier store
         Files.delete(Path.of(file));
         assertThatThrownBy(this::create).isInstanceOf(RejectedStoreException.class);
-        assertRejected("no disk of control-0");
+        assertRejected("no store of control-0");
     }
 
     @Test
@@ -191,12 +191,12 @@
         store.closeImmediately();
         Path older = folder.resolve("older");
         Files.copy(Path.of(file), older);
-        MvStoreRaftStore again = reopen();
-        append(again, 6, 9);
-        again.flush();
-        again.close();
+        MvStoreRaftStore reopened = reopen();
+        append(reopened, 6, 9);
+        reopened.flush();
+        reopened.close();
         Files.copy(older, Path.of(file), StandardCopyOption.REPLACE_EXISTING);
-        assertRejected("truncated or set back", "new identity");
+        assertRejected("truncated or rolled back", "new identity");
     }
 
     @Test
@@ -213,20 +213,20 @@
         store.close();
         Path count = Path.of(file + ".flushes");
         byte[] before = Files.readAllBytes(count);
-        MvStoreRaftStore again = reopen();
-        append(again, 1, 1);
-        again.flush();
-        again.close();
+        MvStoreRaftStore reopened = reopen();
+        append(reopened, 1, 1);
+        reopened.flush();
+        reopened.close();
         Files.write(count, before);
-        MvStoreRaftStore third = reopen();
-        assertThat(indexes(third.restore().orElseThrow())).containsExactly(1L);
-        append(third, 2, 2);
-        third.flush();
-        third.close();
+        MvStoreRaftStore reopenedAgain = reopen();
+        assertThat(indexes(reopenedAgain.restore().orElseThrow())).containsExactly(1L);
+        append(reopenedAgain, 2, 2);
+        reopenedAgain.flush();
+        reopenedAgain.close();
         reopen().close();
     }
 
-    /** However a file is truncated or damaged, it is rejected or restored completely, never in part. */
+    /** A truncated or damaged file is either rejected or restored completely, never in part. */
     @Test
     void damagedFilesAreRejectedOrComplete() throws IOException {
         MvStoreRaftStore store = create();
@@ -242,14 +242,14 @@
         byte[] whole = Files.readAllBytes(Path.of(file));
         byte[] count = Files.readAllBytes(Path.of(file + ".flushes"));
         SplittableRandom random = new SplittableRandom(40);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 300; i++) {
             Files.write(Path.of(file), whole);
             Files.write(Path.of(file + ".flushes"), count);
             damage(random, whole.length);
-            refused += isRejectedOrComplete() ? 1 : 0;
+            rejected += isRejectedOrComplete() ? 1 : 0;
         }
-        assertThat(refused).isGreaterThan(100);
+        assertThat(rejected).isGreaterThan(100);
     }
 
     private void damage(SplittableRandom random, int length) throws IOException {
@@ -289,25 +289,27 @@
         }
     }
 
-    /** The log is compacted at each snapshot, so that the file does not grow with all that was written. */
+    /**
+     * The log is compacted at each snapshot, so the size of the file does not grow with the number of entries written.
+     */
     @Test
     void fileSizeStaysBounded() throws IOException {
-        int snapshotEvery = 100;
+        int snapshotIntervalEntries = 100;
         try (MvStoreRaftStore store = create()) {
             start(store);
-            long most = 0;
+            long maxBytes = 0;
             for (long index = 1; index <= 2_000; index++) {
                 append(store, index, index);
-                if (index % snapshotEvery == 0) {
+                if (index % snapshotIntervalEntries == 0) {
                     snapshot(store, index, 1, 1);
                     store.truncateLogEntriesUntil(index);
-                    store.deleteSnapshotChunks(index - snapshotEvery, 1);
+                    store.deleteSnapshotChunks(index - snapshotIntervalEntries, 1);
                 }
                 store.flush();
-                most = Math.max(most, Files.size(Path.of(file)));
+                maxBytes = Math.max(maxBytes, Files.size(Path.of(file)));
             }
-            System.out.println("2,000 entries of 200 bytes, snapshots every 100: file at most " + most + " bytes");
-            assertThat(most).isLessThan(4 << 20);
+            System.out.println("2,000 entries of 200 bytes, snapshots every 100: file at most " + maxBytes + " bytes");
+            assertThat(maxBytes).isLessThan(4 << 20);
         }
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/NewIdentityTest.java
+++ b/src/test/java/sandstack/configuration/consensus/NewIdentityTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** A machine whose disk is lost rejoins under a new identity; the old one is removed. */
+/** A machine that lost its disk rejoins under a new identity, and the old identity is removed from the group. */
 class NewIdentityTest {
     private static final Duration RECOVERY_TIME = Duration.ofSeconds(16);
     private static final int SNAPSHOT_INTERVAL_ENTRIES = 20;
@@ -16,9 +16,9 @@
     private static RaftGroupMembers change(
             SimulatedCluster cluster, ControlIdentity machine, MembershipChangeMode mode) {
         SimulatedMachine leader = cluster.awaitLeader();
-        long seen = leader.node.members().getLogIndex();
+        long membersLogIndex = leader.node.members().getLogIndex();
         CompletableFuture<RaftGroupMembers> change =
-                leader.node.changeMembership(machine, mode, seen).toCompletableFuture();
+                leader.node.changeMembership(machine, mode, membersLogIndex).toCompletableFuture();
         cluster.runFor(Duration.ofSeconds(4));
         assertThat(change).isCompleted();
         return change.join();
@@ -44,17 +44,18 @@
         cluster.runFor(Duration.ofSeconds(30));
         assertThat(replacement.node.current().version().index()).isZero();
 
-        RaftGroupMembers without = change(cluster, replaced.identity, MembershipChangeMode.REMOVE_MEMBER);
-        assertThat(without.getVotingMembers()).hasSize(4);
+        RaftGroupMembers afterRemoval = change(cluster, replaced.identity, MembershipChangeMode.REMOVE_MEMBER);
+        assertThat(afterRemoval.getVotingMembers()).hasSize(4);
         change(cluster, replacement.identity, MembershipChangeMode.ADD_LEARNER);
-        RaftGroupMembers with = change(cluster, replacement.identity, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
-        assertThat(with.getVotingMembers()).hasSize(5).contains(replacement.identity);
+        RaftGroupMembers afterPromotion =
+                change(cluster, replacement.identity, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
+        assertThat(afterPromotion.getVotingMembers()).hasSize(5).contains(replacement.identity);
         commit(cluster, 5);
         assertThat(cluster.recoverAndCheck(RECOVERY_TIME)).isEmpty();
         assertThat(replacement.node.current().version().index()).isEqualTo(50);
     }
 
-    /** A machine that is no member yet must not disrupt the leader. */
+    /** A machine that is not a member requests votes, which must not disrupt the leader. */
     @Test
     void machineThatIsNoMemberDisruptsNothing() {
         SimulatedCluster cluster = new SimulatedCluster(5, 4, SNAPSHOT_INTERVAL_ENTRIES);
@@ -62,7 +63,7 @@
         commit(cluster, 5);
         SimulatedMachine leader = cluster.awaitLeader();
         long term = leader.node.currentTerm();
-        SimulatedMachine nonMember = cluster.add("stranger", 1);
+        SimulatedMachine nonMember = cluster.add("non-member", 1);
         cluster.start(nonMember);
         cluster.runFor(Duration.ofSeconds(60));
         assertThat(cluster.awaitLeader()).isSameAs(leader);
--- a/src/test/java/sandstack/configuration/consensus/RandomFaultSchedule.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftFaultSchedule.java
@@ -7,8 +7,8 @@
 import java.util.SplittableRandom;
 import sandstack.configuration.ConfigurationChange;
 
-/** A cluster under random faults, and clients that propose to any machine and retry what stayed open. */
-final class RandomFaultSchedule {
+/** Runs a cluster under random faults, with clients that propose to any machine and propose some changes again. */
+final class RaftFaultSchedule {
     private static final int STEPS = 60;
     private static final int SNAPSHOT_INTERVAL_ENTRIES = 15;
     private static final int MAX_STEP_MILLIS = 2_500;
@@ -22,13 +22,13 @@
     private final List<ClientChange> clientChanges = new ArrayList<>();
     int faults;
 
-    RandomFaultSchedule(long seed) {
+    RaftFaultSchedule(long seed) {
         random = new SplittableRandom(seed);
         cluster = new SimulatedCluster(random.nextBoolean() ? 5 : 7, random.nextLong(), SNAPSHOT_INTERVAL_ENTRIES);
-        cluster.network.lossShare = random.nextInt(3) == 0 ? 0.05 : 0;
+        cluster.network.lossRatio = random.nextInt(3) == 0 ? 0.05 : 0;
     }
 
-    /** Runs the schedule and returns the violations. */
+    /** Runs the schedule, ends all faults and returns the violations. */
     List<String> run() {
         cluster.startAll();
         cluster.runFor(Duration.ofSeconds(3));
@@ -43,7 +43,7 @@
     private void proposeChanges() {
         for (int i = random.nextInt(4); i > 0; i--) {
             SimulatedMachine machine = randomElement(cluster.machines);
-            // most clients know the leader
+            // three in four proposals are sent to the leader
             if (random.nextInt(4) != 0) {
                 machine = cluster.leader().orElse(machine);
             }
@@ -105,8 +105,8 @@
         faults++;
     }
 
-    /** The attempt that was answered after the longest time. */
-    Optional<SimulatedCluster.Attempt> slowestAnswer() {
+    /** Returns the attempt that took longest among those with an outcome. */
+    Optional<SimulatedCluster.Attempt> slowestAttempt() {
         return clientChanges.stream()
                 .flatMap(change -> change.attempts().stream())
                 .filter(attempt -> attempt.outcome != null)
--- a/src/test/java/sandstack/configuration/consensus/RandomFaultSchedulesTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftFaultSchedulesTest.java
@@ -6,11 +6,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random faults: kills, pauses, one-way cuts, partitioned regions, lost messages.
- * {@code -Dsandstack.consensus.schedules=N} runs more than CI does, {@code -Dsandstack.consensus.first=SEED} from
- * another seed on.
+ * Runs schedules of random faults: kills, pauses, one-way cuts, partitioned regions and lost messages.
+ * {@code -Dsandstack.consensus.schedules=N} sets the number of schedules, and {@code -Dsandstack.consensus.first=SEED}
+ * the first seed, in order to run more than CI does.
  */
-class RandomFaultSchedulesTest {
+class RaftFaultSchedulesTest {
     private static final int SCHEDULES_PER_RUN = Integer.getInteger("sandstack.consensus.schedules", 25);
     private static final int FIRST_SEED = Integer.getInteger("sandstack.consensus.first", 1);
 
@@ -19,26 +19,29 @@
         int committed = 0;
         int faults = 0;
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SCHEDULES_PER_RUN; seed++) {
-            RandomFaultSchedule schedule = new RandomFaultSchedule(seed);
+            RaftFaultSchedule schedule = new RaftFaultSchedule(seed);
             List<String> violations = schedule.run();
-            assertThat(violations).as("seed " + seed).isEmpty();
+            assertThat(violations).as("violations under seed " + seed).isEmpty();
             committed += schedule.cluster.checker.committedChanges();
             faults += schedule.faults;
         }
         System.out.println(SCHEDULES_PER_RUN + " schedules without a violation: " + committed + " changes committed, "
                 + faults + " faults");
-        // a schedule in which nothing happens would show nothing
+        // schedules without changes or faults would be no evidence
         assertThat(committed).isGreaterThan(5 * SCHEDULES_PER_RUN);
         assertThat(faults).isGreaterThan(10 * SCHEDULES_PER_RUN);
     }
 
     /**
-     * Without {@link SnapshotConsistencyCheck} and {@link SnapshotStallDetector} a machine stays behind for good here.
+     * Without {@link SnapshotConsistencyCheck} and {@link SnapshotStallDetector} a machine lags permanently under these
+     * seeds.
      */
     @Test
     void regressionSeedsConverge() {
         for (long seed : new long[] {1081, 1089, 20242}) {
-            assertThat(new RandomFaultSchedule(seed).run()).as("seed " + seed).isEmpty();
+            assertThat(new RaftFaultSchedule(seed).run())
+                    .as("violations under seed " + seed)
+                    .isEmpty();
         }
     }
 
@@ -48,7 +51,7 @@
     }
 
     private static String outcomeOf(long seed) {
-        RandomFaultSchedule schedule = new RandomFaultSchedule(seed);
+        RaftFaultSchedule schedule = new RaftFaultSchedule(seed);
         List<String> violations = schedule.run();
         SimulatedMachine first = schedule.cluster.machines.get(0);
         return violations + " " + first.node.current() + " " + schedule.cluster.network.sent.get(first.identity).bytes;
--- a/src/test/java/sandstack/configuration/consensus/RaftFixturesTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftFixturesTest.java
@@ -24,7 +24,7 @@
 import sandstack.configuration.ConfigurationLimits;
 import sandstack.configuration.FixtureFile;
 
-/** What an earlier build of a control machine stored and sent is read, and the same is written. */
+/** The stores and messages of an earlier build can be read, and this build writes the same bytes. */
 class RaftFixturesTest {
     private static final String FLUSHES = ".flushes";
 
@@ -35,23 +35,25 @@
 
     @Test
     void encodedMessagesMatchTheFixtures() {
-        assertThat(FixtureFile.toHex(RaftSamples.encodedMessages())).isEqualTo(FixtureFile.read(RaftSamples.MESSAGES));
+        assertThat(FixtureFile.toHex(RaftSamples.encodedMessages()))
+                .isEqualTo(FixtureFile.read(RaftSamples.MESSAGES_FILE));
     }
 
     @Test
     void messagesOfTheFixturesAreDecoded() throws Exception {
         Map<String, RaftMessage> samples = RaftSamples.messages();
         for (Map.Entry<String, byte[]> fixture :
-                FixtureFile.readBytes(RaftSamples.MESSAGES).entrySet()) {
-            RaftMessage read = codec.decode(fixture.getValue());
-            assertThat(read.getClass()).isEqualTo(samples.get(fixture.getKey()).getClass());
-            assertThat(codec.encode(read)).as(fixture.getKey()).isEqualTo(fixture.getValue());
+                FixtureFile.readBytes(RaftSamples.MESSAGES_FILE).entrySet()) {
+            RaftMessage decoded = codec.decode(fixture.getValue());
+            assertThat(decoded.getClass())
+                    .isEqualTo(samples.get(fixture.getKey()).getClass());
+            assertThat(codec.encode(decoded)).as(fixture.getKey()).isEqualTo(fixture.getValue());
         }
     }
 
     @Test
     void stateMachineSnapshotMatchesTheFixture() {
-        byte[] fixture = FixtureFile.readBytes(RaftSamples.STATE).get("state");
+        byte[] fixture = FixtureFile.readBytes(RaftSamples.STATE_FILE).get("state");
         assertThat(RaftSamples.stateOf(RaftSamples.stateMachine())).isEqualTo(fixture);
         ConfigurationStateMachine restored =
                 new ConfigurationStateMachine(SimulatedMachine.VALIDATOR, new IgnoringListener(), () -> 1);
@@ -104,7 +106,7 @@
 
     @Test
     void seededFaultsReproduceTheTraces() {
-        Map<String, String> expected = FixtureFile.read(RaftSamples.TRACES);
+        Map<String, String> expected = FixtureFile.read(RaftSamples.TRACES_FILE);
         assertThat(expected).hasSize(RaftSamples.TRACED_SEEDS.size());
         for (long seed : RaftSamples.TRACED_SEEDS) {
             assertThat(RaftSamples.trace(seed)).isEqualTo(expected.get("seed-" + seed));
@@ -112,17 +114,17 @@
     }
 
     private Path copyStore() throws IOException {
-        Path file = folder.resolve(RaftSamples.STORE);
+        Path file = folder.resolve(RaftSamples.STORE_FILE);
         for (String suffix : List.of("", FLUSHES)) {
             try (InputStream fixture =
-                    RaftFixturesTest.class.getResourceAsStream("/configuration/" + RaftSamples.STORE + suffix)) {
+                    RaftFixturesTest.class.getResourceAsStream("/configuration/" + RaftSamples.STORE_FILE + suffix)) {
                 Files.copy(fixture, Path.of(file + suffix));
             }
         }
         return file;
     }
 
-    /** Every value of every map, in hexadecimal digits; read by the library alone. */
+    /** Returns every value of every map as hexadecimal digits, read by MVStore without the code under test. */
     private static Map<String, String> contentOf(Path file) {
         Map<String, String> content = new TreeMap<>();
         try (MVStore store = new MVStore.Builder()
--- a/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
@@ -21,7 +21,7 @@
 import sandstack.configuration.ConfigurationLimits;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** Round trips of Raft messages, and the rejection of anything else with one line. */
+/** Round trips of Raft messages, and the rejection of malformed frames with a message of one line. */
 class RaftMessageCodecTest {
     private static final String GROUP = "configuration";
     private static final ControlIdentity SENDER = new ControlIdentity("control-1");
@@ -108,13 +108,13 @@
                 .build();
     }
 
-    /** All types are in {@link RaftFixturesTest}; the simulated clusters send each through this codec. */
+    /** {@link RaftFixturesTest} covers all types; the simulated clusters also send every message through this codec. */
     @Example
     void messagesSurviveARoundTrip() throws MalformedConfigurationException {
         for (RaftMessage message : List.of(append(entries()), installSnapshot(), vote())) {
-            RaftMessage back = codec.decode(codec.encode(message));
-            assertThat(back.getClass()).isEqualTo(message.getClass());
-            assertThat(codec.encode(back)).isEqualTo(codec.encode(message));
+            RaftMessage decoded = codec.decode(codec.encode(message));
+            assertThat(decoded.getClass()).isEqualTo(message.getClass());
+            assertThat(codec.encode(decoded)).isEqualTo(codec.encode(message));
         }
     }
 
@@ -126,9 +126,9 @@
         for (int i = random.nextInt(4); i >= 0; i--) {
             frame[random.nextInt(frame.length)] = (byte) random.nextInt(256);
         }
-        byte[] cut = random.nextInt(3) == 0 ? Arrays.copyOf(frame, random.nextInt(frame.length)) : frame;
+        byte[] input = random.nextInt(3) == 0 ? Arrays.copyOf(frame, random.nextInt(frame.length)) : frame;
         try {
-            codec.decode(cut);
+            codec.decode(input);
         } catch (MalformedConfigurationException e) {
             assertThat(e.getMessage().lines()).hasSize(1);
             assertThat(e.getMessage()).hasSizeLessThan(200);
@@ -147,18 +147,18 @@
         assertThatThrownBy(() -> codec.decode(other)).hasMessage("a message of another group");
     }
 
-    /** Neither a length that claims 2 GB nor a frame of 60 MB is allocated. */
+    /** Neither a count of 2 billion, a length of 1 GB nor a frame of 60 MB makes the codec allocate memory for it. */
     @Example
     void oversizedClaimsAreRejectedBeforeAllocation() {
         byte[] frame = codec.encode(append(entries()));
-        int count = frame.length - 2 * Long.BYTES - encodedEntriesBytes() - Integer.BYTES;
-        ByteBuffer.wrap(frame).putInt(count, Integer.MAX_VALUE);
+        int countOffset = frame.length - 2 * Long.BYTES - encodedEntriesBytes() - Integer.BYTES;
+        ByteBuffer.wrap(frame).putInt(countOffset, Integer.MAX_VALUE);
         assertThatThrownBy(() -> codec.decode(frame)).hasMessageContaining("a count of 2147483647");
         byte[] huge = new byte[60 << 20];
         assertThatThrownBy(() -> codec.decode(huge)).hasMessage("a message of 62914560 bytes");
         byte[] longName = codec.encode(vote());
-        int sender = 1 + Integer.BYTES + GROUP.getBytes(StandardCharsets.UTF_8).length;
-        ByteBuffer.wrap(longName).putInt(sender, 1 << 30);
+        int senderOffset = 1 + Integer.BYTES + GROUP.getBytes(StandardCharsets.UTF_8).length;
+        ByteBuffer.wrap(longName).putInt(senderOffset, 1 << 30);
         assertThatThrownBy(() -> codec.decode(longName)).hasMessageContaining("a count of 1073741824");
     }
 
--- a/src/test/java/sandstack/configuration/consensus/RaftSamples.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftSamples.java
@@ -22,16 +22,16 @@
 import sandstack.configuration.FixtureFile;
 
 /**
- * What Raft stores and sends, one of each kind. {@code main} writes the bytes, a store on disk and the traces of
- * simulated clusters with the build on the class path; the fixtures were made by this class as it was in the commit
- * that added them, compiled against the build that they name.
+ * Samples of each record and message type that Raft stores or sends. {@code main} writes their bytes, a store on disk
+ * and the traces of simulated clusters with the build on the class path. The fixtures were written by the version of
+ * this class in the commit that added them, compiled against the build named in the fixtures.
  */
 final class RaftSamples {
-    static final String MESSAGES = "raft-messages.txt";
-    static final String STATE = "raft-state-machine.txt";
-    static final String TRACES = "raft-traces.txt";
-    static final String STORE = "raft-store.mv";
-    /** The last two are regression seeds of {@link RandomFaultSchedulesTest}. */
+    static final String MESSAGES_FILE = "raft-messages.txt";
+    static final String STATE_FILE = "raft-state-machine.txt";
+    static final String TRACES_FILE = "raft-traces.txt";
+    static final String STORE_FILE = "raft-store.mv";
+    /** The last two are regression seeds of {@link RaftFaultSchedulesTest}. */
     static final List<Long> TRACED_SEEDS = List.of(1L, 2L, 3L, 4L, 1081L, 20242L);
 
     static final String GROUP = "configuration";
@@ -53,7 +53,7 @@
                 .build();
     }
 
-    /** An entry for each operation, and one for each mode of a change of members. */
+    /** Returns an entry for each operation type, with one entry for each mode of a membership change. */
     static List<LogEntry> entries() {
         List<Object> operations = new ArrayList<>();
         operations.add(new LogOperation.NewTerm(TERM));
@@ -88,7 +88,7 @@
                 .build();
     }
 
-    /** Every message that control machines send. */
+    /** Returns a message of each type that control machines send, by name. */
     static Map<String, RaftMessage> messages() {
         Map<String, RaftMessage> messages = new LinkedHashMap<>();
         addLogMessages(messages);
@@ -225,7 +225,7 @@
         return new LogOperation.Proposal(new IdempotencyKey(id, -id), encoded);
     }
 
-    /** A state machine after one term and three proposals. */
+    /** Creates a state machine to which one new term and three proposals were applied. */
     static ConfigurationStateMachine stateMachine() {
         ConfigurationStateMachine machine =
                 new ConfigurationStateMachine(SimulatedMachine.VALIDATOR, new IgnoringListener(), () -> TERM);
@@ -236,14 +236,14 @@
         return machine;
     }
 
-    /** The encoded state of a machine; it fits into one chunk. */
+    /** Returns the encoded state of a state machine, which must fit into one chunk. */
     static byte[] stateOf(ConfigurationStateMachine machine) {
         List<Object> chunks = new ArrayList<>();
         machine.takeSnapshot(4, chunks::add);
         return ((StateChunk) chunks.get(0)).bytes();
     }
 
-    /** Writes a store with all that Raft remembers, and leaves it closed. */
+    /** Writes and closes a store with a record of each type that Raft persists. */
     static void writeStore(Path file) throws IOException {
         try (MvStoreRaftStore store = MvStoreRaftStore.create(
                 file.toString(), NEW_IDENTITY_SETTING, GROUP, SELF, ConfigurationLimits.DEFAULT)) {
@@ -263,9 +263,9 @@
         }
     }
 
-    /** The messages of one cluster under drawn faults, and the state at each machine in the end. */
+    /** Runs a cluster under random faults; returns a digest of its messages and of the final state of each machine. */
     static String trace(long seed) {
-        RandomFaultSchedule schedule = new RandomFaultSchedule(seed);
+        RaftFaultSchedule schedule = new RaftFaultSchedule(seed);
         List<String> violations = schedule.run();
         StringBuilder states = new StringBuilder();
         schedule.cluster.machines.forEach(
@@ -275,15 +275,18 @@
                 + Integer.toHexString(Arrays.hashCode(states.toString().toCharArray()));
     }
 
-    /** Writes the fixtures into the folder that is named first, with the command and commit that is named second. */
+    /**
+     * Writes the fixtures into the folder given first, with the comment given second, which names command and commit.
+     */
     public static void main(String[] arguments) throws IOException {
         Path folder = Path.of(arguments[0]);
         String comment = arguments[1];
-        FixtureFile.write(folder.resolve(MESSAGES), comment, FixtureFile.toHex(encodedMessages()));
-        FixtureFile.write(folder.resolve(STATE), comment, FixtureFile.toHex(Map.of("state", stateOf(stateMachine()))));
-        writeStore(folder.resolve(STORE));
+        FixtureFile.write(folder.resolve(MESSAGES_FILE), comment, FixtureFile.toHex(encodedMessages()));
+        FixtureFile.write(
+                folder.resolve(STATE_FILE), comment, FixtureFile.toHex(Map.of("state", stateOf(stateMachine()))));
+        writeStore(folder.resolve(STORE_FILE));
         Map<String, String> traces = new LinkedHashMap<>();
         TRACED_SEEDS.forEach(seed -> traces.put("seed-" + seed, trace(seed)));
-        FixtureFile.write(folder.resolve(TRACES), comment, traces);
+        FixtureFile.write(folder.resolve(TRACES_FILE), comment, traces);
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/SimulatedCluster.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedCluster.java
@@ -14,47 +14,47 @@
 import sandstack.configuration.ConfigurationEdit;
 import sandstack.configuration.ConfigurationVersion;
 
-/** Control machines in two regions, the first with the smaller half, in simulated time on one thread. */
+/** Runs control machines in two regions, the first of which has the minority, in simulated time on one thread. */
 final class SimulatedCluster {
-    private static final ControlNodeSettings.Timeouts TIMES = ControlNodeSettings.Timeouts.DEFAULT;
+    private static final ControlNodeSettings.Timeouts TIMEOUTS = ControlNodeSettings.Timeouts.DEFAULT;
     private static final int MAX_PENDING_PROPOSALS = 64;
-    /** Silenced; referenced here because a logger without a reference loses its level. */
-    private static final Logger LIBRARY = Logger.getLogger("io.microraft");
+    /** Switched off. The strong reference keeps the level, as loggers are only weakly referenced. */
+    private static final Logger MICRORAFT_LOGGER = Logger.getLogger("io.microraft");
 
     static {
-        LIBRARY.setLevel(Level.OFF);
+        MICRORAFT_LOGGER.setLevel(Level.OFF);
     }
 
-    /** A client's attempt to have a change committed. */
+    /** A client's attempt to have a change committed; the outcome is null while the attempt is pending. */
     static final class Attempt {
         final String change;
         final long proposedMicros;
-        long answeredMicros;
+        long completedMicros;
         ProposalOutcome outcome;
 
-        private Attempt(String change, long askedMicros) {
+        private Attempt(String change, long proposedMicros) {
             this.change = change;
-            this.proposedMicros = askedMicros;
+            this.proposedMicros = proposedMicros;
         }
 
         long millis() {
-            return (answeredMicros - proposedMicros) / 1_000;
+            return (completedMicros - proposedMicros) / 1_000;
         }
     }
 
     final SimulatedTime time = new SimulatedTime();
     final SplittableRandom random;
-    final SimulatedNetwork network;
+    final SimulatedRaftNetwork network;
     final HistoryChecker checker = new HistoryChecker();
     final List<SimulatedMachine> machines = new ArrayList<>();
     private final List<ControlIdentity> voters = new ArrayList<>();
-    private final Set<Attempt> unanswered = new HashSet<>();
+    private final Set<Attempt> pendingAttempts = new HashSet<>();
     private final int snapshotIntervalEntries;
     private int generatedChanges;
 
     SimulatedCluster(int size, long seed, int snapshotIntervalEntries) {
         this.random = new SplittableRandom(seed);
-        this.network = new SimulatedNetwork(time, random.split());
+        this.network = new SimulatedRaftNetwork(time, random.split());
         this.snapshotIntervalEntries = snapshotIntervalEntries;
         for (int i = 0; i < size; i++) {
             voters.add(new ControlIdentity("control-" + i));
@@ -72,7 +72,7 @@
         machine.start(settings(machine.identity));
     }
 
-    /** Adds a machine that is no voter yet. */
+    /** Adds a machine that is not a member of the group. */
     SimulatedMachine add(String identity, int region) {
         SimulatedMachine machine = new SimulatedMachine(this, new ControlIdentity(identity), region);
         machines.add(machine);
@@ -81,14 +81,14 @@
 
     ControlNodeSettings settings(ControlIdentity self) {
         return new ControlNodeSettings(
-                SimulatedNetwork.GROUP, self, voters, TIMES, MAX_PENDING_PROPOSALS, snapshotIntervalEntries);
+                SimulatedRaftNetwork.GROUP, self, voters, TIMEOUTS, MAX_PENDING_PROPOSALS, snapshotIntervalEntries);
     }
 
     void runFor(Duration duration) {
         time.runForMillis(duration.toMillis());
     }
 
-    /** The working machine that leads in the latest term. */
+    /** Returns the machine that leads in the latest term among those that are up and not paused. */
     Optional<SimulatedMachine> leader() {
         return machines.stream()
                 .filter(SimulatedMachine::isWorking)
@@ -103,7 +103,7 @@
         return leader().orElseThrow(() -> new AssertionError("no leader within 60 s"));
     }
 
-    /** A random change with a unique reason. */
+    /** Returns a random change; its reason is unique and identifies it in the checker. */
     ConfigurationChange randomChange(ConfigurationVersion base) {
         String reason = "change " + generatedChanges++;
         String key = "key-" + random.nextInt(20);
@@ -114,21 +114,21 @@
         return new IdempotencyKey(0, change.reason().hashCode());
     }
 
-    /** A client proposes a change to a machine that is up. */
+    /** Proposes a change to a machine, which must be up, and reports the outcome to the checker. */
     Attempt propose(SimulatedMachine machine, ConfigurationChange change) {
         Attempt attempt = new Attempt(change.reason(), time.nowMicros());
         checker.proposed(change.reason());
-        unanswered.add(attempt);
+        pendingAttempts.add(attempt);
         machine.node.propose(keyOf(change), change).thenAccept(outcome -> {
             attempt.outcome = outcome;
-            attempt.answeredMicros = time.nowMicros();
-            unanswered.remove(attempt);
+            attempt.completedMicros = time.nowMicros();
+            pendingAttempts.remove(attempt);
             checker.outcomeReported(change.reason(), outcome);
         });
         return attempt;
     }
 
-    /** A client proposes a change on the leader's state to it, and waits for the outcome. */
+    /** Proposes a change, based on the leader's configuration, to the leader and waits up to 10 s for the outcome. */
     Attempt commitChange() {
         SimulatedMachine leader = awaitLeader();
         Attempt attempt = propose(leader, randomChange(leader.node.current().version()));
@@ -138,7 +138,7 @@
         return attempt;
     }
 
-    /** Cuts the regions from each other, both ways. */
+    /** Drops all messages between the regions, in both directions. */
     void cutRegions() {
         for (SimulatedMachine one : machines) {
             for (SimulatedMachine other : machines) {
@@ -167,7 +167,7 @@
     /** Ends all faults, runs for the recovery time, and returns the violations. */
     List<String> recoverAndCheck(Duration recoveryTime) {
         network.heal();
-        network.lossShare = 0;
+        network.lossRatio = 0;
         for (SimulatedMachine machine : machines) {
             if (!machine.isUp()) {
                 start(machine);
@@ -176,12 +176,12 @@
             }
         }
         runFor(recoveryTime);
-        Set<String> open = new HashSet<>();
-        unanswered.forEach(attempt -> open.add(attempt.change));
-        checker.finish(open);
+        Set<String> pendingChanges = new HashSet<>();
+        pendingAttempts.forEach(attempt -> pendingChanges.add(attempt.change));
+        checker.finish(pendingChanges);
         List<String> violations = new ArrayList<>(checker.violations);
         if (!allEqual()) {
-            violations.add("the machines differ " + recoveryTime + " after all is mended");
+            violations.add("the machines still differ " + recoveryTime + " after all faults ended");
         }
         return violations;
     }
--- a/src/test/java/sandstack/configuration/consensus/SimulatedDisk.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedDisk.java
@@ -16,7 +16,7 @@
 import sandstack.configuration.ConfigurationCodec;
 import sandstack.configuration.ConfigurationLimits;
 
-/** A disk in memory: a crash leaves the state of the last flush. */
+/** An in-memory store; after a crash it holds the state of the last flush. */
 final class SimulatedDisk extends EncodedRaftStore {
     private final String name;
     private TreeMap<String, byte[]> header = new TreeMap<>();
@@ -28,8 +28,8 @@
     private boolean losesFlushes;
     long flushes;
     int maxLogEntries;
-    /** Whether bytes are counted, which reads all values at each flush. */
-    boolean measured;
+    /** Whether {@link #maxBytes} is updated; off by default, as this reads all values at each flush. */
+    boolean countsBytes;
 
     long maxBytes;
 
@@ -38,7 +38,7 @@
         this.name = name;
     }
 
-    /** Plants a fault: what is flushed from now on is lost in a crash. */
+    /** Injects a fault: state that is flushed after this call is lost in a crash. */
     void loseFlushes() {
         losesFlushes = true;
     }
@@ -56,7 +56,7 @@
         chunks = new TreeMap<>(durableChunks);
     }
 
-    /** Whether this change would survive a crash now, as a log entry of its term or in the snapshot. */
+    /** Whether the flushed state holds this change, as a log entry of its term or in the snapshot. */
     boolean stores(CommittedChange change) {
         return stores(durableState(), change);
     }
@@ -100,9 +100,9 @@
         }
         ConfigurationStateMachine state =
                 new ConfigurationStateMachine(SimulatedMachine.VALIDATOR, new IgnoringListener(), () -> 0);
-        List<Object> parts = new ArrayList<>();
-        ((List<?>) snapshot.getOperation()).forEach(chunk -> parts.add(((SnapshotChunk) chunk).getOperation()));
-        state.installSnapshot(snapshot.getIndex(), parts);
+        List<Object> stateChunks = new ArrayList<>();
+        ((List<?>) snapshot.getOperation()).forEach(chunk -> stateChunks.add(((SnapshotChunk) chunk).getOperation()));
+        state.installSnapshot(snapshot.getIndex(), stateChunks);
         return state.current().version().index();
     }
 
@@ -114,7 +114,7 @@
     public void flush() {
         flushes++;
         maxLogEntries = Math.max(maxLogEntries, log.size());
-        if (measured) {
+        if (countsBytes) {
             maxBytes = Math.max(maxBytes, sizeOf(header) + sizeOf(log) + sizeOf(chunks));
         }
         if (!losesFlushes) {
@@ -141,7 +141,7 @@
 
     @Override
     void spaceReleased() {
-        // nothing is compacted in memory
+        // memory needs no compaction
     }
 
     @Override
--- a/src/test/java/sandstack/configuration/consensus/SimulatedMachine.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedMachine.java
@@ -18,18 +18,18 @@
 import sandstack.configuration.ConfigurationLimits;
 import sandstack.configuration.ConfigurationSnapshot;
 
-/** One control machine in simulated time: it can be killed, paused and started again over its disk. */
+/** A control machine in simulated time, which can be paused, killed, and started again on its disk. */
 final class SimulatedMachine {
     static final ChangeValidator VALIDATOR = new ChangeValidator(ConfigurationLimits.DEFAULT, ConfigurationCheck.NONE);
 
-    /** Makes the state machine; tests plant faults here. */
-    interface StateMachines {
+    /** Creates the state machine; tests replace it in order to inject faults. */
+    interface StateMachineCreator {
         ConfigurationStateMachine create(
                 ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm);
     }
 
-    /** Opens the store of a machine at each start, and leaves it as a kill does. */
-    interface Stores {
+    /** Opens the store of a machine at each start, and closes it without a flush when the machine is killed. */
+    interface StoreProvider {
         EncodedRaftStore open() throws IOException;
 
         void crash(EncodedRaftStore store);
@@ -38,8 +38,8 @@
     final ControlIdentity identity;
     final int region;
     final SimulatedDisk disk;
-    /** The node's stores; the simulated disk, unless a test sets another. */
-    Stores stores;
+    /** Provides the simulated disk unless a test sets another provider. */
+    StoreProvider storeProvider;
 
     private EncodedRaftStore store;
     private final SimulatedCluster cluster;
@@ -47,7 +47,7 @@
     private int incarnation;
     private boolean up;
     private boolean paused;
-    StateMachines stateMachines = ConfigurationStateMachine::new;
+    StateMachineCreator stateMachineCreator = ConfigurationStateMachine::new;
     ControlNode node;
 
     SimulatedMachine(SimulatedCluster cluster, ControlIdentity identity, int region) {
@@ -55,7 +55,7 @@
         this.identity = identity;
         this.region = region;
         this.disk = new SimulatedDisk(identity.identity());
-        this.stores = new Stores() {
+        this.storeProvider = new StoreProvider() {
             @Override
             public EncodedRaftStore open() {
                 return disk;
@@ -83,12 +83,12 @@
         paused = false;
         pausedTasks.clear();
         try {
-            store = stores.open();
+            store = storeProvider.open();
             ControlNodeEnvironment environment = new ControlNodeEnvironment(
                     executor(), transport(), store, cluster.time.clock(), new Random(cluster.random.nextLong()));
             CommittedChangeListener listener = listener(cluster.checker.new Incarnation(identity));
             node = new ControlNode(
-                    settings, environment, VALIDATOR, term -> stateMachines.create(VALIDATOR, listener, term));
+                    settings, environment, VALIDATOR, term -> stateMachineCreator.create(VALIDATOR, listener, term));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -99,10 +99,12 @@
         incarnation++;
         up = false;
         pausedTasks.clear();
-        stores.crash(store);
+        storeProvider.crash(store);
     }
 
-    /** Whether the disk has this change; for a real file, whether it was written, as flushes are not observed here. */
+    /**
+     * Whether the disk stores this change; for a real file, whether it was written, as its flushes are not observed.
+     */
     boolean storesDurably(CommittedChange change) {
         return (store == null || store == disk) ? disk.stores(change) : (up && SimulatedDisk.stores(store, change));
     }
@@ -119,31 +121,31 @@
     }
 
     private void receive(RaftMessage message) {
-        int now = incarnation;
-        inIncarnation(now, () -> node.handle(message)).run();
+        int ownIncarnation = incarnation;
+        inIncarnation(ownIncarnation, () -> node.handle(message)).run();
     }
 
     private RaftNodeExecutor executor() {
-        int now = incarnation;
+        int ownIncarnation = incarnation;
         return new RaftNodeExecutor() {
             @Override
             public void execute(Runnable task) {
-                cluster.time.after(0, inIncarnation(now, task));
+                cluster.time.after(0, inIncarnation(ownIncarnation, task));
             }
 
             @Override
             public void submit(Runnable task) {
-                cluster.time.after(0, inIncarnation(now, task));
+                cluster.time.after(0, inIncarnation(ownIncarnation, task));
             }
 
             @Override
             public void schedule(Runnable task, long delay, TimeUnit unit) {
-                cluster.time.after(unit.toMicros(delay), inIncarnation(now, task));
+                cluster.time.after(unit.toMicros(delay), inIncarnation(ownIncarnation, task));
             }
         };
     }
 
-    /** A task of one incarnation: dropped when it ends, deferred while the machine is paused. */
+    /** Wraps a task so that it is dropped after its incarnation ended, and deferred while the machine is paused. */
     private Runnable inIncarnation(int taskIncarnation, Runnable task) {
         return () -> {
             if (!up || taskIncarnation != incarnation) {
@@ -158,11 +160,11 @@
     }
 
     private Transport transport() {
-        int now = incarnation;
+        int ownIncarnation = incarnation;
         return new Transport() {
             @Override
             public void send(RaftEndpoint target, RaftMessage message) {
-                if (now == incarnation) {
+                if (ownIncarnation == incarnation) {
                     cluster.network.send(identity, (ControlIdentity) target, message);
                 }
             }
@@ -174,16 +176,16 @@
         };
     }
 
-    private CommittedChangeListener listener(HistoryChecker.Incarnation watching) {
+    private CommittedChangeListener listener(HistoryChecker.Incarnation checkedIncarnation) {
         return new CommittedChangeListener() {
             @Override
             public void committed(CommittedChange change) {
-                watching.committed(change, () -> cluster.majorityStores(change));
+                checkedIncarnation.committed(change, () -> cluster.majorityStores(change));
             }
 
             @Override
             public void restored(ConfigurationSnapshot snapshot) {
-                watching.restored(snapshot);
+                checkedIncarnation.restored(snapshot);
             }
         };
     }
--- a/src/test/java/sandstack/configuration/consensus/SimulatedNetwork.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedRaftNetwork.java
@@ -14,15 +14,15 @@
 import sandstack.configuration.ConfigurationLimits;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** Carries encoded messages between machines of two regions, each direction by itself, and counts them. */
-final class SimulatedNetwork {
+/** Delivers encoded messages between machines of two regions, counts them, and can cut each direction separately. */
+final class SimulatedRaftNetwork {
     static final String GROUP = "configuration";
 
-    /** One way of a connection. */
+    /** One direction between two machines. */
     private record Direction(ControlIdentity from, ControlIdentity to) {}
 
-    /** Messages and bytes that one machine sent. */
-    static final class Traffic {
+    /** Numbers of messages and bytes that one machine sent, including lost ones. */
+    static final class SentTraffic {
         long messages;
         long bytes;
     }
@@ -32,33 +32,33 @@
     private final RaftMessageCodec codec = new RaftMessageCodec(GROUP, ConfigurationLimits.DEFAULT);
     private final Map<ControlIdentity, Integer> regions = new HashMap<>();
     private final Map<ControlIdentity, Consumer<RaftMessage>> receivers = new HashMap<>();
-    private final Set<Direction> cuts = new HashSet<>();
-    final Map<ControlIdentity, Traffic> sent = new HashMap<>();
-    /** One way between the regions. */
-    long betweenRegionsMicros = 20_000;
+    private final Set<Direction> cutDirections = new HashSet<>();
+    final Map<ControlIdentity, SentTraffic> sent = new HashMap<>();
+    /** Minimum one-way delay between machines of different regions. */
+    long interRegionDelayMicros = 20_000;
 
-    private static final long WITHIN_REGION_MICROS = 500;
-    /** Each message is delayed by up to this share of its delay more. */
-    private static final double JITTER = 0.2;
+    private static final long INTRA_REGION_DELAY_MICROS = 500;
+    /** Maximum random extension of a message's delay, as a ratio of the delay. */
+    private static final double MAX_JITTER_RATIO = 0.2;
 
-    double lossShare;
+    double lossRatio;
 
-    private final MessageDigest trace;
+    private final MessageDigest traceDigest;
 
-    SimulatedNetwork(SimulatedTime time, SplittableRandom random) {
+    SimulatedRaftNetwork(SimulatedTime time, SplittableRandom random) {
         this.time = time;
         this.random = random;
         try {
-            trace = MessageDigest.getInstance("SHA-256");
+            traceDigest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** A digest of all that was sent so far: moments, senders, receivers and bytes, in order. */
+    /** Returns the SHA-256 of all messages sent so far: times, senders, receivers and bytes, in order. */
     String traceDigest() {
         try {
-            return HexFormat.of().formatHex(((MessageDigest) trace.clone()).digest());
+            return HexFormat.of().formatHex(((MessageDigest) traceDigest.clone()).digest());
         } catch (CloneNotSupportedException e) {
             throw new IllegalStateException(e);
         }
@@ -67,33 +67,33 @@
     void attach(ControlIdentity machine, int region, Consumer<RaftMessage> receiver) {
         regions.put(machine, region);
         receivers.put(machine, receiver);
-        sent.computeIfAbsent(machine, ignored -> new Traffic());
+        sent.computeIfAbsent(machine, ignored -> new SentTraffic());
     }
 
     void cut(ControlIdentity from, ControlIdentity to) {
-        cuts.add(new Direction(from, to));
+        cutDirections.add(new Direction(from, to));
     }
 
     void heal() {
-        cuts.clear();
+        cutDirections.clear();
     }
 
     void send(ControlIdentity from, ControlIdentity to, RaftMessage message) {
         byte[] frame = codec.encode(message);
-        Traffic traffic = sent.get(from);
+        SentTraffic traffic = sent.get(from);
         traffic.messages++;
         traffic.bytes += frame.length;
-        trace.update((time.nowMicros() + " " + from + ">" + to + " ").getBytes(StandardCharsets.UTF_8));
-        trace.update(frame);
+        traceDigest.update((time.nowMicros() + " " + from + ">" + to + " ").getBytes(StandardCharsets.UTF_8));
+        traceDigest.update(frame);
         Direction direction = new Direction(from, to);
-        boolean lost = random.nextDouble() < lossShare;
-        long delay = regions.get(from).equals(regions.get(to)) ? WITHIN_REGION_MICROS : betweenRegionsMicros;
-        long jittered = delay + (long) (delay * JITTER * random.nextDouble());
+        boolean lost = random.nextDouble() < lossRatio;
+        long delay = regions.get(from).equals(regions.get(to)) ? INTRA_REGION_DELAY_MICROS : interRegionDelayMicros;
+        long jittered = delay + (long) (delay * MAX_JITTER_RATIO * random.nextDouble());
         if (lost || !receivers.containsKey(to)) {
             return;
         }
         time.after(jittered, () -> {
-            if (!cuts.contains(direction)) {
+            if (!cutDirections.contains(direction)) {
                 receivers.get(to).accept(decode(frame));
             }
         });
@@ -103,7 +103,7 @@
         try {
             return codec.decode(frame);
         } catch (MalformedConfigurationException e) {
-            throw new AssertionError("a message does not survive its codec", e);
+            throw new AssertionError("message encoded by the codec cannot be decoded", e);
         }
     }
 }
--- a/src/test/java/sandstack/configuration/consensus/SimulatedTime.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedTime.java
@@ -7,12 +7,12 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A clock that moves from task to task, in microseconds; one thread runs them all. */
+/** A simulated clock that advances to the time of the next scheduled task; all tasks run on the calling thread. */
 final class SimulatedTime {
     private static final long MICROS_PER_MILLI = 1_000;
     private static final long START_MILLIS = 1_700_000_000_000L;
 
-    /** A task at a moment; tasks of one moment run in the order in which they were scheduled. */
+    /** A scheduled task; tasks with the same time run in the order in which they were scheduled. */
     private record Task(long atMicros, long order, Runnable action) {}
 
     private final PriorityQueue<Task> tasks =
--- a/src/test/java/sandstack/configuration/consensus/SnapshotConsistencyCheckTest.java
+++ b/src/test/java/sandstack/configuration/consensus/SnapshotConsistencyCheckTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A snapshot up to 5, and entries 6 and 7 of term 2 in the log. */
+/** Checks requests against a store with a snapshot at index 5, and log entries 6 and 7 of term 2. */
 class SnapshotConsistencyCheckTest {
     private static final ControlIdentity SELF = new ControlIdentity("control-0");
     private static final DefaultRaftModelFactory MODELS = new DefaultRaftModelFactory();
@@ -41,7 +41,7 @@
         disk.persistLogEntries(entries(6, 2, 2));
     }
 
-    /** Entries from an index on, with these terms. */
+    /** Returns entries with consecutive indexes from {@code first} on, and with these terms. */
     private static List<LogEntry> entries(long first, int... terms) {
         List<LogEntry> entries = new ArrayList<>();
         for (int term : terms) {
--- a/src/test/java/sandstack/configuration/consensus/SnapshotStallDetectorTest.java
+++ b/src/test/java/sandstack/configuration/consensus/SnapshotStallDetectorTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Offers of a snapshot without chunks for 4 s. */
+/** Checks the detector, with a timeout of 4 s, on offers of a snapshot with and without a chunk. */
 class SnapshotStallDetectorTest {
     private static final ControlIdentity LEADER = new ControlIdentity("control-1");
     private static final DefaultRaftModelFactory MODELS = new DefaultRaftModelFactory();
@@ -53,18 +53,18 @@
 
     @Test
     void offersWithoutChunksAreAStallOnceInFourSeconds() {
-        assertThat(detector.isStalledBy(offer(null), 1_000)).isFalse();
-        assertThat(detector.isStalledBy(offer(null), 4_999)).isFalse();
-        assertThat(detector.isStalledBy(offer(null), 5_000)).isTrue();
-        assertThat(detector.isStalledBy(offer(null), 5_001)).isFalse();
-        assertThat(detector.isStalledBy(offer(null), 9_001)).isTrue();
+        assertThat(detector.detectStall(offer(null), 1_000)).isFalse();
+        assertThat(detector.detectStall(offer(null), 4_999)).isFalse();
+        assertThat(detector.detectStall(offer(null), 5_000)).isTrue();
+        assertThat(detector.detectStall(offer(null), 5_001)).isFalse();
+        assertThat(detector.detectStall(offer(null), 9_001)).isTrue();
     }
 
     @Test
     void chunkCountsAsProgress() {
-        assertThat(detector.isStalledBy(offer(null), 1_000)).isFalse();
-        assertThat(detector.isStalledBy(offer(chunk()), 4_000)).isFalse();
-        assertThat(detector.isStalledBy(offer(null), 5_000)).isFalse();
-        assertThat(detector.isStalledBy(offer(null), 8_999)).isFalse();
+        assertThat(detector.detectStall(offer(null), 1_000)).isFalse();
+        assertThat(detector.detectStall(offer(chunk()), 4_000)).isFalse();
+        assertThat(detector.detectStall(offer(null), 5_000)).isFalse();
+        assertThat(detector.detectStall(offer(null), 8_999)).isFalse();
     }
 }
