--- a/src/main/java/sandstack/measure/CapacityMeasurement.java
+++ b/src/main/java/sandstack/measure/CapacityMeasurement.java
@@ -12,35 +12,45 @@
 import sandstack.testserver.ServerProfile;
 
 /**
- * {@code measure capacity}: relays that have to estimate the capacity of their feed servers, without stated capacities:
- * with idle connections, with servers of different capacities, and with servers that lose processor time to a
- * neighbour.
+ * {@code measure capacity}: measures how relays without stated capacities estimate the capacity of their feed servers.
+ * Covers idle connections, servers of different capacities, and servers that lose processor time to a noisy neighbour.
  */
 final class CapacityMeasurement implements Measurement {
-    /** Log line of a rejection with its reason and attempts, also in the wording of earlier builds. */
+    /**
+     * Log line of a rejection; its groups are reason and attempts. Also matches the log lines of older
+     * {@code --against} builds.
+     */
     private static final Pattern REJECTION_LINE =
             Pattern.compile("(?:was answered (?:REFUSED|REJECTED) |answer=REJECTED reason=)([A-Z_]+)"
                     + " (?:retry_after_ms=)?[0-9]+ (?:after |attempts=)([0-9]+)");
 
     private static final Map<String, String> NO_DEPLOY_FILES = Map.of();
-    /** The platform's heap is too small for ten thousand connections. */
+    /** The heap size that the platform configures is too small for ten thousand connections. */
     private static final List<String> LARGE_MEMORY_OPTIONS = List.of("-Xmx512m", "-XX:MaxDirectMemorySize=64m");
 
     private static final int MAX_CLIENTS_WITH_DEFAULT_HEAP = 1000;
-    private static final int IDLE_BATCH = 7;
+    private static final int IDLE_BATCH_CONNECTIONS = 7;
     private static final double IDLE_ARRIVALS_PER_SECOND = 700;
-    private static final int MAX_ANSWER_POLLS = 100;
-    private static final double ANSWER_POLL_SECONDS = 0.05;
+    private static final int MAX_RESPONSE_POLLS = 100;
+    private static final double RESPONSE_POLL_SECONDS = 0.05;
     private static final int SERVERS = 10;
-    private static final int CAPACITY_STEP = 20;
+    /** Server i accepts (i + 1) times this number of connections. */
+    private static final int CAPACITY_STEP_CONNECTIONS = 20;
+
     private static final double SAMPLES_PER_SECOND = 4;
     private static final int NEIGHBOUR_SERVERS = 6;
     private static final int SERVERS_WITH_NEIGHBOUR = 2;
+    /** Fraction of a server's processor time that its neighbour takes. */
     private static final double NEIGHBOUR_LOAD = 0.74;
+
+    /** Target number of concurrent connections in the neighbour scenario. */
     private static final double NEIGHBOUR_CONCURRENCY = 240;
-    private static final double NEIGHBOUR_LIFETIME_SECONDS = 6;
+
+    private static final double NEIGHBOUR_MEAN_LIFETIME_SECONDS = 6;
     private static final long LINE_INTERVAL_MICROS = 200_000;
+    /** Round trip above which a line counts as late. */
     private static final long LATE_LINE_MICROS = 150_000;
+
     private static final double MICROS_PER_MILLI = 1000.0;
 
     @Override
@@ -59,7 +69,7 @@
                     1));
         }
         if (!options.quick()) {
-            // last, as its closed sockets keep their ports in TIME_WAIT for a minute
+            // runs last because its closed sockets keep their ports in TIME_WAIT for a minute
             measureIdleConnections(options, 9800, results, progress);
         }
         return results;
@@ -69,7 +79,7 @@
         TimeUnit.MICROSECONDS.sleep((long) (seconds * 1e6));
     }
 
-    /** Opens connections that stay idle; all of them have to be established. */
+    /** Opens connections that stay idle; the target is that all of them are established. */
     private static void measureIdleConnections(
             Options options, int clients, List<MetricResult> results, ProgressListener progress) throws Exception {
         try (Testbed testbed = new Testbed()) {
@@ -77,9 +87,9 @@
             testbed.addFeedServer("box", 1, ServerProfile.UNLIMITED);
             List<String> jvmOptions = clients > MAX_CLIENTS_WITH_DEFAULT_HEAP ? LARGE_MEMORY_OPTIONS : List.of();
             testbed.startRelays(options.jar(), 1, NO_DEPLOY_FILES, jvmOptions);
-            OpenLoopLoad load = new OpenLoopLoad(testbed.loop(), options.seed(), testbed.ports(), 20);
+            OpenLoopLoad load = new OpenLoopLoad(testbed.loop(), options.seed(), testbed.relayPorts(), 20);
             connectInBatches(testbed, load, clients);
-            OpenLoopLoad.Counts counts = awaitAllAnswered(testbed, load);
+            OpenLoopLoad.Counts counts = awaitAllResponses(testbed, load);
             progress.onProgress("idle, " + clients + " clients: " + counts);
             results.add(MetricResult.atLeast("idle: standing of " + clients, counts.established(), clients));
             results.add(MetricResult.atMost(
@@ -88,43 +98,43 @@
     }
 
     private static void connectInBatches(Testbed testbed, OpenLoopLoad load, int clients) throws InterruptedException {
-        for (int sent = 0; sent < clients; sent += IDLE_BATCH) {
-            int batch = Math.min(IDLE_BATCH, clients - sent);
+        for (int sent = 0; sent < clients; sent += IDLE_BATCH_CONNECTIONS) {
+            int batch = Math.min(IDLE_BATCH_CONNECTIONS, clients - sent);
             testbed.loop().run(() -> {
                 for (int i = 0; i < batch; i++) {
                     load.connectOne();
                 }
             });
-            pause(IDLE_BATCH / IDLE_ARRIVALS_PER_SECOND);
+            pause(IDLE_BATCH_CONNECTIONS / IDLE_ARRIVALS_PER_SECOND);
         }
     }
 
-    /** Waits until all attempts were answered, up to five seconds. */
-    private static OpenLoopLoad.Counts awaitAllAnswered(Testbed testbed, OpenLoopLoad load)
+    /** Waits for the responses to all attempts, for five seconds at most, and returns the counts at that time. */
+    private static OpenLoopLoad.Counts awaitAllResponses(Testbed testbed, OpenLoopLoad load)
             throws InterruptedException {
         OpenLoopLoad.Counts counts = testbed.loop().call(load::counts);
         for (int i = 0;
-                i < MAX_ANSWER_POLLS && counts.accepted() + counts.rejected() + counts.failed() < counts.attempts();
+                i < MAX_RESPONSE_POLLS && counts.accepted() + counts.rejected() + counts.failed() < counts.attempts();
                 i++) {
-            pause(ANSWER_POLL_SECONDS);
+            pause(RESPONSE_POLL_SECONDS);
             counts = testbed.loop().call(load::counts);
         }
         return counts;
     }
 
-    /** Durations of one load level, in seconds. */
+    /** Durations of one load level. */
     private record Timing(double meanLifetimeSeconds, double warmUpSeconds, double observedSeconds) {
         private static final Timing QUICK = new Timing(3, 5, 5);
         private static final Timing FULL = new Timing(10, 20, 20);
     }
 
-    /** Ten servers of two kinds with different, unstated capacities; three relays that share nothing. */
+    /** Ten servers of two models, each with a different capacity that is not stated; three independent relays. */
     private static void measureUnknownCapacities(Options options, List<MetricResult> results, ProgressListener progress)
             throws Exception {
         try (Testbed testbed = new Testbed()) {
             int totalCapacity = 0;
             for (int i = 0; i < SERVERS; i++) {
-                int capacity = CAPACITY_STEP + i * CAPACITY_STEP;
+                int capacity = CAPACITY_STEP_CONNECTIONS + i * CAPACITY_STEP_CONNECTIONS;
                 totalCapacity += capacity;
                 testbed.addFeedServer(
                         i % 2 == 0 ? "old-box" : "new-box",
@@ -132,7 +142,7 @@
                         ServerProfile.UNLIMITED.withConnectionLimit(capacity, i % 3 == 0));
             }
             testbed.startRelays(options.jar(), 3, NO_DEPLOY_FILES, List.of("-Dsandstack.log=FINE"));
-            OpenLoopLoad load = new OpenLoopLoad(testbed.loop(), options.seed(), testbed.ports(), 40);
+            OpenLoopLoad load = new OpenLoopLoad(testbed.loop(), options.seed(), testbed.relayPorts(), 40);
             Timing timing = options.quick() ? Timing.QUICK : Timing.FULL;
             measureBelowCapacity(testbed, load, totalCapacity, timing, results, progress);
             measureOverload(testbed, load, totalCapacity, timing, results, progress);
@@ -155,8 +165,8 @@
         OpenLoopLoad.Counts counts = testbed.loop().call(load::counts).since(before);
         long shed = shedConnections(testbed) - shedBefore;
         progress.onProgress("fleet at 80%: " + counts + ", shed " + shed);
-        double answered = Math.max(1, counts.accepted() + counts.rejected() + counts.failed());
-        results.add(MetricResult.atLeast("fleet at 80%: served share", counts.accepted() / answered, 0.99));
+        double responses = Math.max(1, counts.accepted() + counts.rejected() + counts.failed());
+        results.add(MetricResult.atLeast("fleet at 80%: served share", counts.accepted() / responses, 0.99));
         results.add(MetricResult.atMost("fleet at 80%: shed after the start", (double) shed, 0));
     }
 
@@ -175,7 +185,7 @@
         double established = meanEstablished(testbed, (int) (timing.observedSeconds() * SAMPLES_PER_SECOND));
         OpenLoopLoad.Counts counts = testbed.loop().call(load::counts).since(before);
         progress.onProgress("fleet at 150%: " + counts + ", capacity " + totalCapacity
-                + "; all rejections by reason and attempts " + rejectionsByReason(testbed.logs()));
+                + "; all rejections by reason and attempts " + rejectionsByReason(testbed.relayLogs()));
         results.add(MetricResult.atLeast("fleet at 150%: standing of what fits", established / totalCapacity, 0.9));
         results.add(MetricResult.atMost(
                 "fleet at 150%: refused after, 99 in 100, ms", counts.rejectionP99Micros() / MICROS_PER_MILLI, 50));
@@ -185,7 +195,7 @@
         results.add(MetricResult.informational("fleet at 150%: lost", (double) counts.lost()));
     }
 
-    /** The mean of all servers' established connections over this many samples. */
+    /** The number of connections established at all servers, averaged over this number of samples. */
     private static double meanEstablished(Testbed testbed, int samples) throws InterruptedException {
         double sum = 0;
         for (int i = 0; i < samples; i++) {
@@ -197,7 +207,7 @@
         return sum / samples;
     }
 
-    /** Counts the rejections in log lines by reason and number of attempts. */
+    /** Counts the rejections in the log lines; keys have the form {@code REASON after ATTEMPTS}. */
     static Map<String, Long> rejectionsByReason(List<String> logs) {
         Map<String, Long> counts = new TreeMap<>();
         for (String line : logs) {
@@ -220,7 +230,12 @@
                 .sum());
     }
 
-    /** Two of six servers lose 74% of their processor for a while; returns the lines that were answered in time. */
+    /**
+     * Two of six servers lose 74% of their processor time for a while.
+     *
+     * @param suffix appended to the metric names, to tell the builds apart
+     * @return number of lines answered in time, during the load of the neighbour and after it
+     */
     private static double measureNoisyNeighbour(
             Options options, Path jar, String suffix, List<MetricResult> results, ProgressListener progress)
             throws Exception {
@@ -229,9 +244,9 @@
                 testbed.addFeedServer("box", 1, ServerProfile.UNLIMITED.withWork(2, 2_000, 6_000));
             }
             testbed.startRelays(jar, 2, NO_DEPLOY_FILES, List.of());
-            OpenLoopLoad load = new OpenLoopLoad(testbed.loop(), options.seed(), testbed.ports(), 30);
+            OpenLoopLoad load = new OpenLoopLoad(testbed.loop(), options.seed(), testbed.relayPorts(), 30);
             testbed.loop().run(() -> load.sendLines(LINE_INTERVAL_MICROS, LATE_LINE_MICROS));
-            setTargetConcurrency(testbed, load, NEIGHBOUR_CONCURRENCY, NEIGHBOUR_LIFETIME_SECONDS);
+            setTargetConcurrency(testbed, load, NEIGHBOUR_CONCURRENCY, NEIGHBOUR_MEAN_LIFETIME_SECONDS);
             pause(options.quick() ? 4 : 10);
             OpenLoopLoad.Counts before = testbed.loop().call(load::counts);
             setNeighbourLoad(testbed, NEIGHBOUR_LOAD);
@@ -245,9 +260,9 @@
             results.add(MetricResult.informational("neighbour: late share during" + suffix, lateFraction(during)));
             results.add(MetricResult.informational("neighbour: late share after" + suffix, lateFraction(after)));
             results.add(MetricResult.informational("neighbour: standing at the end" + suffix, after.established()));
-            double inTime = during.lines() + after.lines() - during.lateLines() - after.lateLines();
-            results.add(MetricResult.informational("neighbour: lines in time" + suffix, inTime));
-            return inTime;
+            double linesInTime = during.lines() + after.lines() - during.lateLines() - after.lateLines();
+            results.add(MetricResult.informational("neighbour: lines in time" + suffix, linesInTime));
+            return linesInTime;
         }
     }
 
--- a/src/main/java/sandstack/measure/CheckedOutCommit.java
+++ b/src/main/java/sandstack/measure/CheckedOutCommit.java
@@ -4,14 +4,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** The commit that is checked out in the working directory, by {@code git describe}. */
+/** The commit that is checked out in the working directory, according to {@code git describe}. */
 final class CheckedOutCommit {
     private static final String UNKNOWN = "unknown";
     private static final long GIT_TIMEOUT_SECONDS = 5;
 
     private CheckedOutCommit() {}
 
-    /** Such as {@code 6d4714b}, with suffix {@code -dirty} for local changes; {@code unknown} outside a checkout. */
+    /**
+     * The abbreviated commit id, such as {@code 6d4714b}, with suffix {@code -dirty} for local changes; {@code unknown}
+     * outside a checkout or if git fails or takes more than five seconds. Blocks the calling thread.
+     */
     static String name() throws InterruptedException {
         try {
             Process git = new ProcessBuilder("git", "describe", "--always", "--dirty", "--exclude", "*")
--- a/src/main/java/sandstack/measure/ConnectionLimiter.java
+++ b/src/main/java/sandstack/measure/ConcurrencyLimiter.java
@@ -5,40 +5,41 @@
 import sandstack.capacity.StatedCapacities;
 
 /**
- * An algorithm that limits the concurrent connections to one server whose capacity it has to estimate. Implementations
- * are compared on the same simulated runs; all times are simulated microseconds. Not thread-safe.
+ * An algorithm that estimates the capacity of one server and limits the concurrent connections to it accordingly.
+ * {@link EstimatorMeasurement} compares the implementations on the same simulated runs. All times are simulated
+ * microseconds. Not thread-safe.
  */
-interface ConnectionLimiter {
+interface ConcurrencyLimiter {
     /**
      * Returns whether another connection may be attempted.
      *
-     * @param established connections that the server has now
+     * @param established number of connections currently established at the server
      */
     boolean admits(int established, long nowMicros);
 
     /**
      * Called after a connection was established.
      *
-     * @param established connections of the server, this one included
-     * @param setupMicros how long the setup took
-     * @param draw uniform in [0, 1), for algorithms that randomize
+     * @param established number of connections established at the server, including this one
+     * @param setupMicros duration of the setup
+     * @param draw random number, uniform in [0, 1), for randomized algorithms
      */
     void onEstablished(int established, long setupMicros, long nowMicros, double draw);
 
-    /** Called after the server rejected a connection while it had this many. */
+    /** Called after the server rejected an attempt; {@code established} connections were open at that time. */
     void onRejected(int established, long nowMicros, double draw);
 
-    /** Called after a client closed its connection; the server has this many left. */
+    /** Called after a client closed its connection; {@code established} connections remain. */
     void onClosed(int established);
 
-    /** Called after the server dropped an established connection; it has this many left. */
+    /** Called after the server dropped an established connection; {@code established} connections remain. */
     void onDropped(int established, long nowMicros, double draw);
 
     /** The algorithms that are compared. */
     enum Algorithm {
-        /** Knows the capacity: the upper bound for all others. Has no limiter. */
+        /** Attempts a connection exactly when the server accepts it: the reference for the others. Has no limiter. */
         ORACLE,
-        /** The estimate that the load balancer uses. Reports print it as BRACKET. */
+        /** The load balancer's {@link CapacityEstimate}. Reports print it as BRACKET. */
         CAPACITY_ESTIMATE {
             @Override
             public String toString() {
@@ -47,16 +48,16 @@
         },
         /** Additive increase, multiplicative decrease (RFC 5681), as in Netflix's concurrency-limits. */
         AIMD,
-        /** The ratio of the long-term mean setup time to the latest one, as in Gradient2Limit of that library. */
+        /** Follows the ratio of the long-term mean setup time to the latest one, as that library's Gradient2Limit. */
         GRADIENT,
         /**
-         * A Kalman filter: a random walk of the capacity, corrected by rejections; admits up to one sigma above the
-         * mean.
+         * A Kalman filter that models the capacity as a random walk and takes rejections as its measurements. Admits
+         * connections up to one standard deviation above the mean.
          */
         KALMAN;
 
         /** Returns a new limiter; null for {@link #ORACLE}. */
-        ConnectionLimiter newLimiter() {
+        ConcurrencyLimiter newLimiter() {
             return switch (this) {
                 case ORACLE -> null;
                 case CAPACITY_ESTIMATE -> new CapacityEstimateLimiter();
@@ -68,7 +69,7 @@
     }
 
     /** Adapts the load balancer's {@link CapacityEstimate}. */
-    final class CapacityEstimateLimiter implements ConnectionLimiter {
+    final class CapacityEstimateLimiter implements ConcurrencyLimiter {
         private final CapacityEstimate estimate = new CapacityModel(StatedCapacities.NONE, 20_000, 1).newEstimate();
 
         @Override
@@ -104,9 +105,12 @@
         }
     }
 
-    /** Raises the limit by one for each full limit of setups, lowers it by a tenth after a loss. */
-    class AimdLimiter implements ConnectionLimiter {
-        private static final long LOSS_WINDOW_MICROS = 100_000;
+    /**
+     * Raises the limit by one per {@code limit} setups while at least 90% of it is in use; lowers it by a tenth after a
+     * rejection or drop.
+     */
+    class AimdLimiter implements ConcurrencyLimiter {
+        private static final long MIN_DECREASE_INTERVAL_MICROS = 100_000;
         double limit = Double.POSITIVE_INFINITY;
         private long lastDecreaseMicros = Long.MIN_VALUE / 2;
 
@@ -124,8 +128,8 @@
 
         @Override
         public void onRejected(int established, long nowMicros, double draw) {
-            // rejections in one burst count as one loss
-            if (nowMicros - lastDecreaseMicros > LOSS_WINDOW_MICROS) {
+            // a burst of rejections lowers the limit only once
+            if (nowMicros - lastDecreaseMicros > MIN_DECREASE_INTERVAL_MICROS) {
                 limit = Math.max(1, Math.min(limit, established) * 0.9);
                 lastDecreaseMicros = nowMicros;
             }
@@ -140,7 +144,10 @@
         }
     }
 
-    /** Scales the limit by the ratio of the long-term mean setup time to the latest one. */
+    /**
+     * Scales the limit by the ratio of the long-term mean setup time to the latest one, while at least half of the
+     * limit is in use.
+     */
     final class GradientLimiter extends AimdLimiter {
         private double longTermMeanMicros;
 
@@ -159,14 +166,14 @@
         }
     }
 
-    /** Tracks mean and variance of the server's capacity. */
-    final class KalmanLimiter implements ConnectionLimiter {
+    /** Estimates mean and variance of the server's capacity by a Kalman filter. */
+    final class KalmanLimiter implements ConcurrencyLimiter {
         private double mean = Double.POSITIVE_INFINITY;
         private double variance;
         private long updatedAtMicros;
 
         private void predict(long nowMicros) {
-            // assumes a change of a tenth of the capacity in a second
+            // process noise: the capacity changes by about a tenth per second
             double standardDeviation = mean * 0.1 + 1;
             variance += standardDeviation * standardDeviation * (nowMicros - updatedAtMicros) / 1e6;
             updatedAtMicros = nowMicros;
@@ -197,8 +204,8 @@
                 return;
             }
             predict(nowMicros);
-            double noise = Math.pow(0.02 * established + 0.5, 2);
-            double gain = variance / (variance + noise);
+            double measurementNoise = Math.pow(0.02 * established + 0.5, 2);
+            double gain = variance / (variance + measurementNoise);
             mean += gain * (established - mean);
             variance *= 1 - gain;
         }
--- a/src/main/java/sandstack/measure/EstimatorMeasurement.java
+++ b/src/main/java/sandstack/measure/EstimatorMeasurement.java
@@ -5,21 +5,23 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import sandstack.measure.ConnectionLimiter.Algorithm;
+import sandstack.measure.ConcurrencyLimiter.Algorithm;
 import sandstack.measure.EstimatorSimulation.CapacityProfile;
 import sandstack.measure.EstimatorSimulation.Outcome;
 
 /**
- * {@code measure estimators}: compares algorithms that estimate a server's capacity on the same simulated runs, by the
- * utilization that each reaches and the connections that it loses to rejections and load shedding. Deterministic for a
- * seed; takes a second or two.
+ * {@code measure estimators}: compares algorithms that estimate a server's capacity on the same simulated runs. Reports
+ * the utilization that each algorithm reaches and its rates of rejected and shed connections. Deterministic for a seed;
+ * takes one to two seconds.
  */
 final class EstimatorMeasurement implements Measurement {
+    /** Simulated duration of a run. */
     private static final long QUICK_MICROS = 80_000_000;
+
     private static final long FULL_MICROS = 200_000_000;
-    /** Of the utilization that the oracle reaches. */
+    /** Minimum ratio of the estimate's utilization to that of the oracle. */
     private static final double MIN_UTILIZATION = 0.85;
-    /** The capacity changes faster than an estimate can follow. */
+    /** Lower, because this profile changes its capacity faster than an estimate can follow. */
     private static final double MIN_UTILIZATION_ON_AND_OFF = 0.6;
 
     private static final double MAX_REJECTED_PER_SECOND = 1.5;
--- a/src/main/java/sandstack/measure/EstimatorSimulation.java
+++ b/src/main/java/sandstack/measure/EstimatorSimulation.java
@@ -4,20 +4,24 @@
 import java.util.SplittableRandom;
 
 /**
- * Simulates one server with a varying capacity under an open-loop load of one and a half times its largest capacity. A
- * limiter decides which arrivals are attempted; others go to another server. Deterministic for a seed; not thread-safe.
+ * Simulates one server with a varying capacity under an open-loop load of 1.5 times its maximum capacity. A limiter
+ * decides which arrivals attempt a connection to this server; the others are not simulated further, as they would be
+ * placed on another server. Deterministic for a seed. Not thread-safe.
  */
 final class EstimatorSimulation {
     private static final long STEP_MICROS = 1_000;
     private static final double MEAN_LIFETIME_MICROS = 5e6;
+    /** Offered load as a multiple of the maximum capacity. */
     private static final double OFFERED_LOAD = 1.5;
+
     private static final double MICROS_PER_SECOND = 1e6;
-    /** The first tenth of a run warms up and does not count for the utilization. */
+    /** The first tenth of a run is warm-up and excluded from the utilization. */
     private static final int WARM_UP_DIVISOR = 10;
 
+    /** Setup time at an idle server. */
     private static final double IDLE_SETUP_MICROS = 1_000;
 
-    /** The capacity of the simulated server over time. Reports print the names. */
+    /** The capacity of the simulated server over time. Reports print the names of the constants. */
     enum CapacityProfile {
         /** A small constant capacity. */
         FEW(3) {
@@ -54,14 +58,14 @@
                 return nowMicros / 2_500_000 % 2 == 0 ? 200 : 52;
             }
         },
-        /** Shares its capacity with clients of other relays whose number varies. */
+        /** Also serves a varying number of connections of other relays, which the limiter cannot observe. */
         OTHERS_UNSEEN(100) {
             @Override
             int capacity(long nowMicros) {
                 return (int) (70 + 30 * Math.sin(nowMicros / 8e6));
             }
         },
-        /** Keeps its capacity while a slow dependency delays setups for 20 s. */
+        /** Has a constant capacity, while a slow dependency makes setups 60 times as long for 20 s. */
         SLOW_STORE(200) {
             @Override
             int capacity(long nowMicros) {
@@ -80,10 +84,10 @@
             this.maxCapacity = maxCapacity;
         }
 
-        /** Concurrent connections that the server accepts at this time. */
+        /** Maximum of concurrent connections at this time. */
         abstract int capacity(long nowMicros);
 
-        /** Factor by which setups take longer than usual at this time. */
+        /** Factor by which setups are slowed down at this time; 1 for none. */
         double setupSlowdown(long nowMicros) {
             return 1;
         }
@@ -92,15 +96,15 @@
     /**
      * Result of a run.
      *
-     * @param utilization mean used fraction of the capacity after warm-up
-     * @param rejectedPerSecond attempts that the server rejected
-     * @param shedPerSecond established connections that the server dropped
+     * @param utilization mean fraction of the capacity in use after the warm-up
+     * @param rejectedPerSecond rate of attempts that the server rejected, including the warm-up
+     * @param shedPerSecond rate of established connections that the server dropped, including the warm-up
      */
     record Outcome(double utilization, double rejectedPerSecond, double shedPerSecond) {}
 
     private final CapacityProfile profile;
-    /** Null for the oracle, which attempts exactly what the server accepts. */
-    private final ConnectionLimiter limiter;
+    /** Null for the oracle, which attempts a connection exactly when the server accepts it. */
+    private final ConcurrencyLimiter limiter;
 
     private final SplittableRandom random;
     private final PriorityQueue<Long> endTimes = new PriorityQueue<>();
@@ -110,14 +114,14 @@
     private long rejected;
     private long shed;
 
-    EstimatorSimulation(CapacityProfile profile, ConnectionLimiter limiter, long seed) {
+    EstimatorSimulation(CapacityProfile profile, ConcurrencyLimiter limiter, long seed) {
         this.profile = profile;
         this.limiter = limiter;
         this.random = new SplittableRandom(seed);
         this.arrivalsPerMicro = OFFERED_LOAD * profile.maxCapacity / MEAN_LIFETIME_MICROS;
     }
 
-    /** Runs for this simulated time; to be called once. */
+    /** Simulates a run of this duration; must be called only once. */
     Outcome run(long durationMicros) {
         double usedCapacity = 0;
         double totalCapacity = 0;
@@ -147,7 +151,7 @@
 
     private void shedAbove(int capacity, long now) {
         while (established > capacity) {
-            // lifetimes are memoryless, so any end time may be the one of the shed connection
+            // lifetimes are exponentially distributed and thus memoryless: removing any end time is equivalent
             endTimes.poll();
             established--;
             shed++;
--- a/src/main/java/sandstack/measure/FleetMeasurement.java
+++ b/src/main/java/sandstack/measure/FleetMeasurement.java
@@ -10,9 +10,10 @@
 import sandstack.faultinjection.ProcessFleet;
 
 /**
- * {@code measure fleet}: failure detection in a fleet of twelve real processes. Measures how fast members detect that
- * one is killed, partitioned or paused, how soon all views converge again, false suspicions, and the cost of a member
- * at several fleet sizes. Views are polled member by member on one thread, so times are accurate to about 0.1 s.
+ * {@code measure fleet}: failure detection in a fleet of twelve relay processes. Measures the time until members detect
+ * that another one is killed, partitioned or paused, the time until all views converge after the fault, the number of
+ * false suspicions, and the resource usage per member at several fleet sizes. Views are polled member by member on one
+ * thread, so times are accurate to about 0.1 s.
  */
 final class FleetMeasurement implements Measurement {
     private static final int MEMBERS = 12;
@@ -21,24 +22,26 @@
     private static final double BYTES_PER_MIB = 1024.0 * 1024;
     private static final double MICROS_PER_SECOND = 1e6;
     private static final int ZONES = 3;
-    private static final int ROUNDS = 17;
-    private static final double STEADY_SECONDS = 600;
-    private static final double STEADY_SECONDS_QUICK = 5;
-    private static final long BUSY_NANOS = 1_000_000_000L;
-    private static final long BUSY_PAUSE_MILLIS = 500;
-    private static final long START_UP_MILLIS = 3_000;
-    private static final long COST_MILLIS = 5_000;
+    private static final int ROUNDS_PER_FAULT = 17;
+    /** Duration of the count of false suspicions. */
+    private static final double FAULT_FREE_SECONDS = 600;
+
+    private static final double FAULT_FREE_SECONDS_QUICK = 5;
+    private static final long BUSY_THREAD_NANOS = 1_000_000_000L;
+    private static final long IDLE_PAUSE_MILLIS = 500;
+    private static final long SETTLE_MILLIS = 3_000;
+    private static final long COST_WINDOW_MILLIS = 5_000;
     private static final String ALIVE = "ALIVE";
     private static final String LOST = "LOST";
 
-    /** The injected fault of a member; CUT partitions it from all others. */
+    /** Fault injected into one member; CUT partitions it from all others. Metric names contain the constants. */
     private enum Fault {
         KILL,
         CUT,
         PAUSE
     }
 
-    /** Measured durations in seconds. */
+    /** Collects durations and computes their percentiles, in seconds. */
     private static final class DurationSamples {
         private final List<Double> seconds = new ArrayList<>();
 
@@ -60,13 +63,13 @@
         List<String> program = List.of("-jar", options.jar().toString());
         List<MetricResult> results = new ArrayList<>();
         SplittableRandom random = new SplittableRandom(options.seed());
-        try (ProcessFleet rig = startFleet(program, MEMBERS)) {
+        try (ProcessFleet fleet = startFleet(program, MEMBERS)) {
             for (Fault fault : Fault.values()) {
-                results.addAll(measureFault(rig, fault, random, options.quick(), progress));
+                results.addAll(measureFault(fleet, fault, random, options.quick(), progress));
             }
-            double seconds = options.quick() ? STEADY_SECONDS_QUICK : STEADY_SECONDS;
+            double seconds = options.quick() ? FAULT_FREE_SECONDS_QUICK : FAULT_FREE_SECONDS;
             results.add(MetricResult.atMost(
-                    "views that doubt a member that lives", countFalseSuspicions(rig, seconds, progress), 0));
+                    "views that doubt a member that lives", countFalseSuspicions(fleet, seconds, progress), 0));
         }
         for (int size : options.quick() ? new int[] {5} : new int[] {5, 20, 100}) {
             progress.onProgress("cost at " + size + " members");
@@ -76,16 +79,16 @@
     }
 
     private static List<MetricResult> measureFault(
-            ProcessFleet rig, Fault fault, SplittableRandom random, boolean quick, ProgressListener progress)
+            ProcessFleet fleet, Fault fault, SplittableRandom random, boolean quick, ProgressListener progress)
             throws IOException {
         DurationSamples detectionTimes = new DurationSamples();
         DurationSamples convergenceTimes = new DurationSamples();
-        for (int i = 0; i < (quick ? 1 : ROUNDS); i++) {
-            double convergence = injectFault(rig, fault, random.nextInt(MEMBERS), detectionTimes, !quick);
+        for (int i = 0; i < (quick ? 1 : ROUNDS_PER_FAULT); i++) {
+            double convergence = injectFault(fleet, fault, random.nextInt(MEMBERS), detectionTimes, !quick);
             convergenceTimes.add(convergence);
             progress.onProgress(String.format(
                     Locale.ROOT,
-                    "%s %d: noticed after %.1f s, equal again after %.1f s",
+                    "%s %d: detected after %.1f s (median), converged after %.1f s",
                     fault,
                     i + 1,
                     detectionTimes.percentile(0.5),
@@ -102,54 +105,54 @@
     }
 
     private static ProcessFleet startFleet(List<String> program, int size) throws IOException {
-        ProcessFleet rig = new ProcessFleet(program, size, ZONES);
-        rig.startAll();
-        if (ProcessFleet.awaitMicros(rig::allAlive, TIMEOUT_SECONDS + size) < 0) {
-            String logs = rig.logs();
-            rig.close();
-            throw new IOException("a fleet of " + size + " did not form a complete view; its logs: " + logs);
+        ProcessFleet fleet = new ProcessFleet(program, size, ZONES);
+        fleet.startAll();
+        if (ProcessFleet.awaitMicros(fleet::allAlive, TIMEOUT_SECONDS + size) < 0) {
+            String logs = fleet.logs();
+            fleet.close();
+            throw new IOException("a fleet of " + size + " did not converge to a complete view; logs: " + logs);
         }
-        return rig;
+        return fleet;
     }
 
     /**
-     * Injects a fault, waits for its detection, ends it and waits until all members see all others alive.
+     * Injects a fault, waits for its detection, ends the fault and waits until every member sees all others as alive.
      *
-     * @param detectionTimes receives the time until detection at each other member
-     * @param untilLost whether the fault lasts until the member is declared lost, not only until it is suspected
+     * @param detectionTimes the time until detection is added for each other member
+     * @param untilLost whether the fault lasts until the member is declared lost, rather than only suspected
      * @return seconds from the end of the fault until convergence; infinite after a timeout
      */
     private static double injectFault(
-            ProcessFleet rig, Fault fault, int victim, DurationSamples detectionTimes, boolean untilLost)
+            ProcessFleet fleet, Fault fault, int victim, DurationSamples detectionTimes, boolean untilLost)
             throws IOException {
         switch (fault) {
-            case KILL -> rig.kill(victim);
-            case PAUSE -> rig.pause(victim);
-            default -> setPartitioned(rig, victim, true);
+            case KILL -> fleet.kill(victim);
+            case PAUSE -> fleet.pause(victim);
+            default -> setPartitioned(fleet, victim, true);
         }
-        awaitDetection(rig, victim, detectionTimes);
-        int observer = (victim + 1) % rig.size();
+        awaitDetection(fleet, victim, detectionTimes);
+        int observer = (victim + 1) % fleet.size();
         ProcessFleet.awaitMicros(
-                () -> !untilLost || LOST.equals(rig.memberStatuses(observer).get(ProcessFleet.memberName(victim))),
+                () -> !untilLost || LOST.equals(fleet.memberStatuses(observer).get(ProcessFleet.memberName(victim))),
                 TIMEOUT_SECONDS);
         switch (fault) {
-            case KILL -> rig.start(victim);
-            case PAUSE -> rig.resume(victim);
-            default -> setPartitioned(rig, victim, false);
+            case KILL -> fleet.start(victim);
+            case PAUSE -> fleet.resume(victim);
+            default -> setPartitioned(fleet, victim, false);
         }
-        long micros = ProcessFleet.awaitMicros(rig::allAlive, TIMEOUT_SECONDS);
+        long micros = ProcessFleet.awaitMicros(fleet::allAlive, TIMEOUT_SECONDS);
         return micros < 0 ? Double.POSITIVE_INFINITY : micros / MICROS_PER_SECOND;
     }
 
-    private static void awaitDetection(ProcessFleet rig, int victim, DurationSamples detectionTimes) {
+    private static void awaitDetection(ProcessFleet fleet, int victim, DurationSamples detectionTimes) {
         long startNanos = System.nanoTime();
-        boolean[] detected = new boolean[rig.size()];
+        boolean[] detected = new boolean[fleet.size()];
         detected[victim] = true;
         ProcessFleet.awaitMicros(
                 () -> {
                     boolean all = true;
-                    for (int i = 0; i < rig.size(); i++) {
-                        if (!detected[i] && detects(rig, i, victim)) {
+                    for (int i = 0; i < fleet.size(); i++) {
+                        if (!detected[i] && detects(fleet, i, victim)) {
                             detected[i] = true;
                             detectionTimes.add((System.nanoTime() - startNanos) / NANOS_PER_SECOND);
                         }
@@ -160,42 +163,45 @@
                 TIMEOUT_SECONDS);
     }
 
-    private static boolean detects(ProcessFleet rig, int observer, int victim) {
-        Map<String, String> statuses = rig.memberStatuses(observer);
+    private static boolean detects(ProcessFleet fleet, int observer, int victim) {
+        Map<String, String> statuses = fleet.memberStatuses(observer);
         return statuses != null && !ALIVE.equals(statuses.get(ProcessFleet.memberName(victim)));
     }
 
-    private static void setPartitioned(ProcessFleet rig, int member, boolean partitioned) {
-        for (int i = 0; i < rig.size(); i++) {
+    private static void setPartitioned(ProcessFleet fleet, int member, boolean partitioned) {
+        for (int i = 0; i < fleet.size(); i++) {
             if (i != member && partitioned) {
-                rig.partition(member, i);
+                fleet.partition(member, i);
             } else if (i != member) {
-                rig.heal(member, i);
+                fleet.heal(member, i);
             }
         }
     }
 
-    /** Counts entries of views that are not alive, while no fault is injected but one core is kept busy at times. */
-    private static double countFalseSuspicions(ProcessFleet rig, double seconds, ProgressListener progress)
+    /**
+     * Counts view entries that are not alive although no fault is injected; meanwhile a busy thread loads one core for
+     * one second at a time.
+     */
+    private static double countFalseSuspicions(ProcessFleet fleet, double seconds, ProgressListener progress)
             throws InterruptedException {
         long endNanos = System.nanoTime() + (long) (seconds * NANOS_PER_SECOND);
         int suspicions = 0;
         while (System.nanoTime() < endNanos) {
             Thread busyThread = new Thread(FleetMeasurement::spin);
             busyThread.start();
-            for (int i = 0; i < rig.size(); i++) {
-                Map<String, String> statuses = rig.memberStatuses(i);
+            for (int i = 0; i < fleet.size(); i++) {
+                Map<String, String> statuses = fleet.memberStatuses(i);
                 suspicions += statuses == null ? 0 : countNotAlive(statuses);
             }
             busyThread.join();
-            Thread.sleep(BUSY_PAUSE_MILLIS);
+            Thread.sleep(IDLE_PAUSE_MILLIS);
         }
-        progress.onProgress(suspicions + " doubts in " + seconds + " s");
+        progress.onProgress(suspicions + " false suspicions in " + seconds + " s");
         return suspicions;
     }
 
     private static void spin() {
-        long end = System.nanoTime() + BUSY_NANOS;
+        long end = System.nanoTime() + BUSY_THREAD_NANOS;
         while (System.nanoTime() < end) {
             Thread.onSpinWait();
         }
@@ -209,23 +215,24 @@
 
     private static void measureMemberCost(List<String> program, int size, List<MetricResult> results)
             throws IOException, InterruptedException {
-        try (ProcessFleet rig = startFleet(program, size)) {
-            // lets the load of the start pass
-            Thread.sleep(START_UP_MILLIS);
-            long bytesBefore = rig.forwardedBytes();
-            double processorSecondsBefore = FleetUsage.processorSeconds(rig);
+        try (ProcessFleet fleet = startFleet(program, size)) {
+            // excludes the load of the start-up
+            Thread.sleep(SETTLE_MILLIS);
+            long bytesBefore = fleet.forwardedBytes();
+            double processorSecondsBefore = FleetUsage.processorSeconds(fleet);
             long startNanos = System.nanoTime();
-            Thread.sleep(COST_MILLIS);
+            Thread.sleep(COST_WINDOW_MILLIS);
             double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
             String suffix = ", " + size + " members";
             results.add(MetricResult.informational(
-                    "bytes sent a second and member" + suffix, (rig.forwardedBytes() - bytesBefore) / seconds / size));
+                    "bytes sent a second and member" + suffix,
+                    (fleet.forwardedBytes() - bytesBefore) / seconds / size));
             results.add(MetricResult.informational(
                     "processor ms a second and member" + suffix,
-                    (FleetUsage.processorSeconds(rig) - processorSecondsBefore) * 1000 / seconds / size));
+                    (FleetUsage.processorSeconds(fleet) - processorSecondsBefore) * 1000 / seconds / size));
             results.add(MetricResult.informational(
-                    "resident MB a member" + suffix, FleetUsage.meanResidentBytes(rig) / BYTES_PER_MIB));
-            results.add(MetricResult.informational("threads a member" + suffix, FleetUsage.meanThreads(rig)));
+                    "resident MB a member" + suffix, FleetUsage.meanResidentBytes(fleet) / BYTES_PER_MIB));
+            results.add(MetricResult.informational("threads a member" + suffix, FleetUsage.meanThreads(fleet)));
         }
     }
 }
--- a/src/main/java/sandstack/measure/FleetUsage.java
+++ b/src/main/java/sandstack/measure/FleetUsage.java
@@ -5,50 +5,51 @@
 import java.nio.file.Path;
 import sandstack.faultinjection.ProcessFleet;
 
-/** Resource usage of the member processes of a fleet, from Linux's {@code /proc}. */
+/** Resource usage of the member processes of a fleet, read from {@code /proc}; works on Linux only. */
 public final class FleetUsage {
-    /** USER_HZ, the unit of processor times in {@code /proc/PID/stat}. */
+    /** USER_HZ: clock ticks per second, the unit of processor times in {@code /proc/PID/stat}. */
     private static final double TICKS_PER_SECOND = 100;
 
     private static final double BYTES_PER_KIB = 1_024;
 
-    /** Fields of {@code /proc/PID/stat} after the command name: time in user mode and in kernel mode. */
-    private static final int USER_TIME = 11;
+    /** Index of utime, the time in user mode, among the fields of {@code /proc/PID/stat} after the command name. */
+    private static final int USER_TIME_FIELD = 11;
 
-    private static final int SYSTEM_TIME = 12;
+    /** Index of stime, the time in kernel mode, counted likewise. */
+    private static final int SYSTEM_TIME_FIELD = 12;
 
     private FleetUsage() {}
 
-    /** Processor time of all members since their starts, in seconds. */
-    public static double processorSeconds(ProcessFleet rig) throws IOException {
+    /** Total processor time of all members since each was started, in seconds. */
+    public static double processorSeconds(ProcessFleet fleet) throws IOException {
         double ticks = 0;
-        for (int i = 0; i < rig.size(); i++) {
-            String stat = Files.readString(Path.of("/proc/" + rig.processId(i) + "/stat"));
+        for (int i = 0; i < fleet.size(); i++) {
+            String stat = Files.readString(Path.of("/proc/" + fleet.processId(i) + "/stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
-            ticks += Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[SYSTEM_TIME]);
+            ticks += Long.parseLong(fields[USER_TIME_FIELD]) + Long.parseLong(fields[SYSTEM_TIME_FIELD]);
         }
         return ticks / TICKS_PER_SECOND;
     }
 
-    /** Mean resident memory of a member, in bytes. */
-    public static double meanResidentBytes(ProcessFleet rig) throws IOException {
-        return meanOfStatusField(rig, "VmRSS") * BYTES_PER_KIB;
+    /** Resident memory in bytes, averaged over all members. */
+    public static double meanResidentBytes(ProcessFleet fleet) throws IOException {
+        return meanOfStatusField(fleet, "VmRSS") * BYTES_PER_KIB;
     }
 
-    /** Mean number of threads of a member. */
-    public static double meanThreads(ProcessFleet rig) throws IOException {
-        return meanOfStatusField(rig, "Threads");
+    /** Number of threads, averaged over all members. */
+    public static double meanThreads(ProcessFleet fleet) throws IOException {
+        return meanOfStatusField(fleet, "Threads");
     }
 
-    private static double meanOfStatusField(ProcessFleet rig, String field) throws IOException {
+    private static double meanOfStatusField(ProcessFleet fleet, String field) throws IOException {
         double sum = 0;
-        for (int i = 0; i < rig.size(); i++) {
-            for (String line : Files.readAllLines(Path.of("/proc/" + rig.processId(i) + "/status"))) {
+        for (int i = 0; i < fleet.size(); i++) {
+            for (String line : Files.readAllLines(Path.of("/proc/" + fleet.processId(i) + "/status"))) {
                 if (line.startsWith(field + ":")) {
                     sum += Double.parseDouble(line.replaceAll("[^0-9]", ""));
                 }
             }
         }
-        return sum / rig.size();
+        return sum / fleet.size();
     }
 }
--- a/src/main/java/sandstack/measure/MeasureCommand.java
+++ b/src/main/java/sandstack/measure/MeasureCommand.java
@@ -17,10 +17,11 @@
 import picocli.CommandLine.Spec;
 import sandstack.measure.page.CapacityPageCommand;
 
-/** {@code measure NAME}: prints the metrics of one measurement; exits 0 only if all targets are met. */
+/** {@code measure NAME}: runs one measurement and prints its metrics; exits 0 only if all targets are met. */
 @Command(
         name = "measure",
-        description = "Starts real relays and stand-ins on loopback and measures one matter.",
+        description =
+                "Runs one measurement with relay processes and stand-in servers on loopback, and checks its targets.",
         mixinStandardHelpOptions = true,
         subcommands = {ScaleCommand.class, CapacityPageCommand.class})
 public final class MeasureCommand implements Callable<Integer> {
@@ -39,41 +40,49 @@
             index = "0",
             arity = "0..1",
             paramLabel = "NAME",
-            description = "What to measure: capacity, estimators, fleet.")
+            description = "The measurement: capacity, estimators or fleet.")
     private String name;
 
-    @Option(names = "--quick", description = "A short run of 40 s at most.")
+    @Option(names = "--quick", description = "Shorten the run to 40 s at most.")
     private boolean quick;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "Also write the aims to this file.")
+    @Option(
+            names = "--json",
+            paramLabel = "FILE",
+            description = "Also write the metrics and their targets to this JSON file.")
     private Path json;
 
     @Option(
             names = "--jar",
             paramLabel = "JAR",
             defaultValue = "target/sandstack.jar",
-            description = "The program that relays are started from (default: ${DEFAULT-VALUE}).")
+            description = "The build that relays are started from (default: ${DEFAULT-VALUE}).")
     private Path jar;
 
-    @Option(names = "--against", paramLabel = "JAR", description = "Another build to compare with on the same seeds.")
+    @Option(names = "--against", paramLabel = "JAR", description = "Another build to compare with, on the same seed.")
     private Path baselineJar;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Of all arrivals.")
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "Seed of all random draws (default: ${DEFAULT-VALUE}).")
     private long seed;
 
     @Override
     public Integer call() throws Exception {
         if (name == null) {
-            throw new ParameterException(spec.commandLine(), "what to measure is missing: " + names());
+            throw new ParameterException(
+                    spec.commandLine(), "the name of the measurement is missing; choose one of " + measurementNames());
         }
         Measurement measurement = MEASUREMENTS.get(name);
         if (measurement == null) {
             throw new ParameterException(
-                    spec.commandLine(), "no measurement is called " + name + "; there are " + names());
+                    spec.commandLine(), "unknown measurement " + name + "; choose one of " + measurementNames());
         }
         for (Path needed : baselineJar == null ? List.of(jar) : List.of(jar, baselineJar)) {
             if (!Files.isRegularFile(needed)) {
-                throw new ParameterException(spec.commandLine(), "there is no " + needed + "; build the program first");
+                throw new ParameterException(spec.commandLine(), "there is no file " + needed + "; build it first");
             }
         }
         List<MetricResult> results = measurement.run(new Measurement.Options(quick, jar, baselineJar, seed), line -> {
@@ -87,7 +96,7 @@
         return results.stream().allMatch(MetricResult::met) ? 0 : 1;
     }
 
-    private static String names() {
+    private static String measurementNames() {
         return String.join(", ", MEASUREMENTS.keySet());
     }
 
--- a/src/main/java/sandstack/measure/MetricResult.java
+++ b/src/main/java/sandstack/measure/MetricResult.java
@@ -3,12 +3,12 @@
 import java.util.Locale;
 
 /**
- * A measured metric and its target.
+ * The measured value of a metric and its target.
  *
- * @param name what was measured, with its unit
- * @param value measured value, in the unit that the name states
- * @param target such as {@code >= 0.99}; empty for a metric without a target
- * @param met whether the value meets the target; true without one
+ * @param name name of the metric, with its unit
+ * @param value measured value in that unit
+ * @param target condition such as {@code >= 0.99}; empty for a metric without a target
+ * @param met whether the value meets the target; true for a metric without a target
  */
 public record MetricResult(String name, double value, String target, boolean met) {
     /** A metric whose target is a minimum. */
@@ -26,7 +26,7 @@
         return new MetricResult(name, value, "", true);
     }
 
-    /** Formats whole numbers without decimals, others with four. */
+    /** Formats whole numbers below 1e12 without decimals, others with four. */
     static String format(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e12
                 ? Long.toString((long) value)
--- a/src/main/java/sandstack/measure/OpenLoopLoad.java
+++ b/src/main/java/sandstack/measure/OpenLoopLoad.java
@@ -10,8 +10,8 @@
 import sandstack.testserver.TestServerLoop;
 
 /**
- * Open-loop load: clients arrive as a Poisson process, whether or not earlier ones were answered, and close their
- * connections after exponentially distributed lifetimes. All methods run on the thread of the event loop.
+ * Open-loop load: clients arrive as a Poisson process, independently of the responses to earlier ones, and close their
+ * connections after exponentially distributed lifetimes. All methods must be called on the thread of the event loop.
  */
 final class OpenLoopLoad {
     private static final long DEADLINE_MICROS = 3_000_000;
@@ -19,7 +19,7 @@
 
     private final TestServerLoop loop;
     private final SplittableRandom random;
-    private final List<Integer> ports;
+    private final List<Integer> relayPorts;
     private final int groups;
     private final Set<LineClient> established = new LinkedHashSet<>();
     private final Histogram rejectionMicros = new Histogram(MAX_RECORDED_MICROS, 3);
@@ -39,29 +39,33 @@
     private long lateLines;
 
     /**
-     * Creates a load without arrivals.
+     * Creates a load; clients arrive only after {@link #setArrivals}.
      *
-     * @param ports relays that clients connect to in turn
-     * @param groups number of client groups; the first is the largest
+     * @param relayPorts ports of the relays, to which clients connect in turn
+     * @param groups number of client groups, which differ in size; the first is the largest
      */
-    OpenLoopLoad(TestServerLoop loop, long seed, List<Integer> ports, int groups) {
+    OpenLoopLoad(TestServerLoop loop, long seed, List<Integer> relayPorts, int groups) {
         this.loop = loop;
         this.random = new SplittableRandom(seed);
-        this.ports = ports;
+        this.relayPorts = relayPorts;
         this.groups = groups;
     }
 
     /**
      * Counters since the start of the load.
      *
+     * @param attempts clients that have started to connect
      * @param accepted connections that were established
-     * @param failed attempts without an answer
-     * @param lost established connections that the other side broke
-     * @param migrated connections that the relay asked to reconnect elsewhere
-     * @param established connections that are open now
-     * @param rejectionP99Micros 99th percentile of the time to a rejection since the last reset
-     * @param lines answered lines
-     * @param lateLines answered lines that took longer than the threshold
+     * @param rejected attempts that a relay rejected
+     * @param failed attempts that failed or timed out without a valid response
+     * @param lost established connections that were reset or closed by the relay
+     * @param migrated established connections that the relay asked to migrate
+     * @param established connections that are currently open
+     * @param rejectionP99Micros 99th percentile of the time until a rejection, since the last reset
+     * @param rejectionMaxMicros maximum of the time until a rejection, since the last reset
+     * @param setupP99Micros 99th percentile of the time until a connection is established, since the last reset
+     * @param lines lines that received a response
+     * @param lateLines lines whose round trip was above the threshold
      */
     record Counts(
             long attempts,
@@ -76,7 +80,7 @@
             long setupP99Micros,
             long lines,
             long lateLines) {
-        /** The increase since earlier counts; latencies and open connections stay as they are. */
+        /** The increase of all counters since {@code before}; latencies and open connections are current values. */
         Counts since(Counts before) {
             return new Counts(
                     attempts - before.attempts,
@@ -116,14 +120,17 @@
         setupMicros.reset();
     }
 
-    /** Clients that connect from now on send a line at this interval; an answer after the threshold is late. */
+    /**
+     * Lets clients that become established from now on send a line at this interval. A line counts as late if its round
+     * trip is above the threshold.
+     */
     void sendLines(long intervalMicros, long thresholdMicros) {
         lineIntervalMicros = intervalMicros;
         lateThresholdMicros = thresholdMicros;
     }
 
     /**
-     * Sets the arrival rate; 0 stops arrivals.
+     * Sets the arrival rate of clients; 0 stops arrivals.
      *
      * @param lifetimeSeconds mean lifetime of a connection; 0 for connections that stay open
      */
@@ -151,11 +158,12 @@
         });
     }
 
-    /** Connects one more client now. */
+    /** Starts to connect one client. */
     void connectOne() {
         long number = ++attempts;
+        // squaring the draw makes the groups with low numbers the largest
         int group = (int) (groups * Math.pow(random.nextDouble(), 2));
-        String name =
+        String requestClass =
                 switch ((int) (number % 4)) {
                     case 0 -> "stock-check";
                     case 1 -> "catalogue-feed";
@@ -163,10 +171,10 @@
                 };
         new LineClient(
                 loop,
-                ports.get((int) (number % ports.size())),
+                relayPorts.get((int) (number % relayPorts.size())),
                 "i" + number,
                 "k" + number,
-                "c=" + name + ",d=" + DEADLINE_MICROS / 1000 + ",g=g" + group,
+                "c=" + requestClass + ",d=" + DEADLINE_MICROS / 1000 + ",g=g" + group,
                 DEADLINE_MICROS,
                 this::onClientEvent);
     }
@@ -198,9 +206,9 @@
             loop.schedule((long) (exponential() * meanLifetimeSeconds * 1e6), client::close);
         }
         if (lineIntervalMicros > 0) {
-            client.sendLines(lineIntervalMicros, lasted -> {
-                lineMicros.recordValue(Math.min(lasted, MAX_RECORDED_MICROS));
-                lateLines += lasted > lateThresholdMicros ? 1 : 0;
+            client.sendLines(lineIntervalMicros, roundTripMicros -> {
+                lineMicros.recordValue(Math.min(roundTripMicros, MAX_RECORDED_MICROS));
+                lateLines += roundTripMicros > lateThresholdMicros ? 1 : 0;
             });
         }
     }
--- a/src/main/java/sandstack/measure/RunCommand.java
+++ b/src/main/java/sandstack/measure/RelayCommandLine.java
@@ -7,21 +7,26 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The command with which the platform starts a relay: {@code run} of deploy/balancer.toml in the working directory. */
-public final class RunCommand {
+/**
+ * The command line that the platform starts a relay with: {@code run} of deploy/balancer.toml in the working directory.
+ */
+public final class RelayCommandLine {
     private static final Path FILE = Path.of("deploy/balancer.toml");
     private static final List<String> HEAP_SIZE_OPTIONS = List.of("-Xms", "-Xmx");
     private static final List<String> CLASS_ARCHIVE_OPTIONS = List.of("-Xshare", "-XX:SharedArchiveFile");
 
-    private RunCommand() {}
+    private RelayCommandLine() {}
 
     /** The complete command line. */
     public static String read() throws IOException {
         return new TomlMapper().readTree(Files.readString(FILE)).path("run").asText();
     }
 
-    /** Its options of the virtual machine for compiler and collector, without heap sizes and class data archive. */
-    public static List<String> compilerAndCollector() throws IOException {
+    /**
+     * The {@code -X} options of the JVM, such as those for compiler and garbage collector, without heap sizes and class
+     * data archive.
+     */
+    public static List<String> compilerAndCollectorOptions() throws IOException {
         return Arrays.stream(read().split(" "))
                 .filter(option -> option.startsWith("-X"))
                 .filter(option -> HEAP_SIZE_OPTIONS.stream().noneMatch(option::startsWith))
--- a/src/main/java/sandstack/measure/RelayProcess.java
+++ b/src/main/java/sandstack/measure/RelayProcess.java
@@ -25,15 +25,15 @@
 import java.util.stream.Stream;
 
 /**
- * A relay in a process of its own, started with the command {@code run} of deploy/balancer.toml, with its configuration
- * and its deploy folder in a temporary folder. A daemon thread reads its log.
+ * A relay process, started with the command line {@code run} of deploy/balancer.toml. Its configuration and deploy
+ * folder are in a temporary folder, which {@link #close} deletes. A daemon thread reads the log of the process.
  */
 public final class RelayProcess implements AutoCloseable {
-    /** The build of the working directory. */
+    /** The jar that a build in the working directory produces. */
     public static final Path BUILT_JAR = Path.of("target/sandstack.jar");
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** Log line with the port for clients, also in the wording of earlier builds. */
+    /** Log line with the port for clients. Also matches the log line of older builds, to which a build is compared. */
     private static final Pattern LISTENING_LINE = Pattern.compile(
             "(?:listener opened relay=.* protocol=lines address=|listens for lines at )[^ ]*:([0-9]+)$");
 
@@ -41,16 +41,18 @@
     private static final List<String> REQUEST_CLASSES = List.of("order-status", "catalogue-feed", "stock-check");
 
     /**
-     * The configuration of a relay.
+     * The configuration of a relay process.
      *
-     * @param index among the relays, from zero
-     * @param relayCount number of relays
+     * @param name name of the relay
+     * @param index index of the relay among all relays, from zero
+     * @param relayCount number of all relays
      * @param zones names of all zones
-     * @param homeZone index of the relay's own zone
-     * @param knownEndpoints the endpoint list that it starts with
-     * @param maxDescriptors limit of file descriptors in its configuration
-     * @param deployFiles names and contents of the files in its deploy folder
-     * @param jvmOptions appended to those of {@code run}
+     * @param homeZone index in {@code zones} of the relay's zone
+     * @param discoveryPort port of discovery on loopback
+     * @param knownEndpoints initial endpoint list
+     * @param maxDescriptors maximum number of file descriptors in the configuration
+     * @param deployFiles contents of the files in the deploy folder, by file name
+     * @param jvmOptions JVM options in addition to those of {@code run}
      */
     public record Setup(
             String name,
@@ -69,7 +71,11 @@
     private final int port;
     private final Queue<String> log = new ConcurrentLinkedQueue<>();
 
-    /** Starts a relay from this jar and waits until it listens. */
+    /**
+     * Starts a relay from this jar and blocks until it listens.
+     *
+     * @throws IOException if the process exits or does not listen within 20 s; the message contains its log
+     */
     public RelayProcess(Path jar, Setup setup) throws IOException {
         folder = Files.createTempDirectory("sandstack-relay");
         process = processBuilder(jar, setup).start();
@@ -81,7 +87,7 @@
             port = listeningPort.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
             close();
-            throw new IOException("a relay did not start; it logged: " + String.join(" | ", log), e);
+            throw new IOException("the relay did not start; its log: " + String.join(" | ", log), e);
         }
     }
 
@@ -104,8 +110,8 @@
     private static String command(Path jar, Path deploy, Setup setup) throws IOException {
         String options = "-Dsandstack.deploy=" + deploy + " " + String.join(" ", setup.jvmOptions());
         // the relay reads stated capacities from its own deploy folder
-        String run = RunCommand.read().replaceFirst(" --capacity \\S+", "");
-        // the class data archive fits one jar only; a relay of another jar starts without it
+        String run = RelayCommandLine.read().replaceFirst(" --capacity \\S+", "");
+        // the class data archive is valid for one jar only; the JVM ignores it for another jar
         return run.replace("-jar target/sandstack.jar", options + " -jar " + jar.toAbsolutePath());
     }
 
@@ -137,7 +143,7 @@
         return root;
     }
 
-    /** A free port of the system's choice; older builds cannot report which port they got for port 0. */
+    /** A free port; port 0 is not used because older builds do not log the port that the system assigned. */
     private static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return socket.getLocalPort();
@@ -184,36 +190,37 @@
                 .put("group", "all");
     }
 
-    /** The port on which it accepts clients. */
+    /** The port on which the relay accepts clients. */
     public int port() {
         return port;
     }
 
-    /** Its log lines so far, oldest first. */
+    /** A copy of the log lines so far, oldest first; callable from any thread. */
     public List<String> log() {
         return List.copyOf(log);
     }
 
-    /** The id of its process. */
+    /** The process id. */
     public long pid() {
         return process.pid();
     }
 
-    /** Whether its process is running. */
+    /** Whether the process is running. */
     public boolean isAlive() {
         return process.isAlive();
     }
 
-    /** Sends SIGTERM, as the platform does. */
+    /** Sends SIGTERM, as the platform does to stop a relay; does not wait for the exit. */
     public void stop() {
         process.destroy();
     }
 
-    /** Waits for the process to exit; returns false after the timeout. */
+    /** Blocks until the process exits; returns false if it still runs after the timeout. */
     public boolean awaitExit(long timeoutSeconds) throws InterruptedException {
         return process.waitFor(timeoutSeconds, TimeUnit.SECONDS);
     }
 
+    /** Kills the process and deletes its temporary folder. */
     @Override
     public void close() {
         process.destroyForcibly();
@@ -221,7 +228,7 @@
             files.sorted(Comparator.reverseOrder())
                     .forEach(file -> file.toFile().delete());
         } catch (IOException e) {
-            // a leftover temporary folder is harmless
+            // ignored: a leftover temporary folder has no effect on later runs
         }
     }
 }
--- a/src/main/java/sandstack/measure/ScaleCommand.java
+++ b/src/main/java/sandstack/measure/ScaleCommand.java
@@ -24,10 +24,13 @@
 import sandstack.measure.scale.ScaleReport;
 import sandstack.measure.scale.ScaleRun;
 
-/** {@code measure scale}: measures how costs grow with size; exits 0 only if no measurement failed. */
+/**
+ * {@code measure scale}: measures how costs grow with size, and extrapolates them to the planned sizes. Exits 0 only if
+ * no measurement failed.
+ */
 @Command(
         name = "scale",
-        description = "Measures how costs grow with size, fits a shape to each series and tells what it comes to at the"
+        description = "Measures how costs grow with size, fits a shape to each series and extrapolates it to the"
                 + " planned size.",
         mixinStandardHelpOptions = true)
 public final class ScaleCommand implements Callable<Integer> {
@@ -36,23 +39,26 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--quick", description = "A short run of 45 s at most.")
+    @Option(names = "--quick", description = "Shorten the run to 45 s at most.")
     private boolean quick;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "Also write the series and their fits to this file.")
+    @Option(
+            names = "--json",
+            paramLabel = "FILE",
+            description = "Also write the series and their fits to this JSON file.")
     private Path json;
 
-    @Option(names = "--only", paramLabel = "NAME", description = "Run this measurement alone.")
+    @Option(names = "--only", paramLabel = "NAME", description = "Run only this measurement.")
     private String only;
 
     @Option(
             names = "--plan",
             paramLabel = "FILE",
             defaultValue = CapacityFiles.PLAN,
-            description = "The planned sizes (default: ${DEFAULT-VALUE}).")
+            description = "File with the planned sizes (default: ${DEFAULT-VALUE}).")
     private Path plan;
 
-    /** Runs all measurements. */
+    /** Creates the command with all measurements. */
     public ScaleCommand() {
         this(ScaleMeasurements.all());
     }
@@ -63,11 +69,11 @@
 
     @Override
     public Integer call() throws InvalidConfigurationException, IOException, InterruptedException {
-        List<ScaleMeasurement> selection = selected();
+        List<ScaleMeasurement> selected = selectedMeasurements();
         Plan plannedSizes = CapacityFiles.readPlan(plan);
         long startNanos = System.nanoTime();
         ScaleRun run = new ScaleRun(quick ? Effort.QUICK : Effort.FULL, this::printProgress);
-        for (ScaleMeasurement measurement : selection) {
+        for (ScaleMeasurement measurement : selected) {
             run.measure(measurement);
         }
         ScaleReport report = report(run, (System.nanoTime() - startNanos) / 1e9);
@@ -80,10 +86,10 @@
         return report.failures().isEmpty() ? 0 : 1;
     }
 
-    private List<ScaleMeasurement> selected() {
+    private List<ScaleMeasurement> selectedMeasurements() {
         Path folder = json == null ? null : json.toAbsolutePath().getParent();
         if (folder != null && !Files.isDirectory(folder)) {
-            throw new ParameterException(spec.commandLine(), "there is no folder " + folder + " to write to");
+            throw new ParameterException(spec.commandLine(), "the folder " + folder + " does not exist");
         }
         if (only == null) {
             return measurements;
@@ -93,7 +99,7 @@
         if (matching.isEmpty()) {
             String names = measurements.stream().map(ScaleMeasurement::name).collect(Collectors.joining(", "));
             throw new ParameterException(
-                    spec.commandLine(), "no scale measurement is called " + only + "; there are " + names);
+                    spec.commandLine(), "unknown measurement " + only + "; choose one of " + names);
         }
         return matching;
     }
--- a/src/main/java/sandstack/measure/ScaleMeasurements.java
+++ b/src/main/java/sandstack/measure/ScaleMeasurements.java
@@ -18,7 +18,7 @@
 final class ScaleMeasurements {
     private ScaleMeasurements() {}
 
-    /** New instances of all measurements; none starts anything before it measures. */
+    /** New instances of all measurements; they start processes and threads only when they are run. */
     static List<ScaleMeasurement> all() {
         return List.of(
                 new LoadBalancerScale(),
--- a/src/main/java/sandstack/measure/ScaleTable.java
+++ b/src/main/java/sandstack/measure/ScaleTable.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.OptionalDouble;
 import sandstack.measure.page.Plan;
-import sandstack.measure.page.Quantity;
+import sandstack.measure.page.QuantityFormat;
 import sandstack.measure.scale.FittedModel;
 import sandstack.measure.scale.ScaleReport;
 import sandstack.measure.scale.ScaleReport.Failure;
@@ -13,7 +13,8 @@
 import sandstack.measure.scale.Series;
 
 /**
- * Formats a report for a terminal: each series with its fitted shape, residual and extrapolation to the planned size.
+ * Formats a report as a table for a terminal: a row for each series with its fitted shape, the residual of the fit, the
+ * extrapolation to the planned size and the measured points.
  */
 final class ScaleTable {
     private static final String ROW_FORMAT = "%-44s %-12s %9s %18s  %s";
@@ -47,14 +48,15 @@
         String residual = fit == null ? "-" : String.format(Locale.ROOT, "%.2f%%", fit.residual() * 100);
         String extrapolated = fit == null || plannedSize.isEmpty()
                 ? "-"
-                : Quantity.format(fit.valueAt(plannedSize.getAsDouble()), series.unit());
+                : QuantityFormat.format(fit.valueAt(plannedSize.getAsDouble()), series.unit());
         return String.format(ROW_FORMAT, series.id(), shape, residual, extrapolated, points(series));
     }
 
     private static String points(Series series) {
         List<String> points = new ArrayList<>();
         for (Series.Point point : series.points()) {
-            points.add(Quantity.formatNumber(point.size()) + ": " + Quantity.format(point.value(), series.unit()));
+            points.add(QuantityFormat.formatNumber(point.size()) + ": "
+                    + QuantityFormat.format(point.value(), series.unit()));
         }
         return String.join(", ", points) + " by " + series.per();
     }
--- a/src/main/java/sandstack/measure/StandInCommand.java
+++ b/src/main/java/sandstack/measure/StandInCommand.java
@@ -10,27 +10,31 @@
 import sandstack.testserver.ServerProfile;
 import sandstack.testserver.TestServerLoop;
 
-/** {@code standin}: runs stand-in feed servers and a stand-in discovery on loopback until interrupted. */
+/** {@code standin}: runs fake feed servers and a fake discovery on loopback until the process is interrupted. */
 @Command(
         name = "standin",
-        description = "Stand-in feed servers and a discovery on loopback, to try a relay by hand.",
+        description = "Runs stand-in feed servers and a stand-in discovery on loopback, to try out a relay.",
         mixinStandardHelpOptions = true)
 public final class StandInCommand implements Callable<Integer> {
-    @Option(names = "--servers", paramLabel = "N", defaultValue = "2", description = "How many (default: 2).")
+    @Option(
+            names = "--servers",
+            paramLabel = "N",
+            defaultValue = "2",
+            description = "Number of feed servers (default: 2).")
     private int servers;
 
     @Option(
             names = "--cap",
             paramLabel = "N",
             defaultValue = "0",
-            description = "Connections that each holds; 0 for any number (default: 0).")
-    private int cap;
+            description = "Maximum of connections of each feed server; 0 for no limit (default: 0).")
+    private int maxConnections;
 
     @Option(
             names = "--first-port",
             paramLabel = "PORT",
             defaultValue = "3101",
-            description = "Port of the first feed server; the others follow (default: 3101).")
+            description = "Port of the first feed server; the others use the following ports (default: 3101).")
     private int firstPort;
 
     @Option(
@@ -49,11 +53,12 @@
                         loop,
                         "toy-" + (i + 1),
                         "home",
-                        ServerProfile.UNLIMITED.withConnectionLimit(cap, false),
+                        ServerProfile.UNLIMITED.withConnectionLimit(maxConnections, false),
                         firstPort + i);
                 loop.run(() -> discovery.publish(server, "box", 1, "ready"));
             }
-            System.out.println(servers + " feed servers from port " + firstPort + ", discovery at " + discoveryPort);
+            System.out.println(
+                    servers + " feed servers from port " + firstPort + ", discovery on port " + discoveryPort);
             new CountDownLatch(1).await();
         }
         return 0;
--- a/src/main/java/sandstack/measure/Testbed.java
+++ b/src/main/java/sandstack/measure/Testbed.java
@@ -10,7 +10,7 @@
 import sandstack.testserver.ServerProfile;
 import sandstack.testserver.TestServerLoop;
 
-/** Stand-in feed servers, a stand-in discovery and relay processes for one measurement, all in one zone. */
+/** Fake feed servers, a fake discovery and relay processes for one measurement, all in one zone. */
 public final class Testbed implements AutoCloseable {
     private static final int DEFAULT_MAX_DESCRIPTORS = 20_000;
 
@@ -20,15 +20,15 @@
     private final List<FakeFeedServer> servers = new ArrayList<>();
     private final List<RelayProcess> relays = new ArrayList<>();
 
-    /** Starts a discovery without feed servers; each relay may use 20,000 file descriptors. */
+    /** Starts an empty discovery; the configuration of each relay allows 20,000 file descriptors. */
     public Testbed() throws IOException {
         this(DEFAULT_MAX_DESCRIPTORS);
     }
 
     /**
-     * Starts a discovery without feed servers.
+     * Starts an empty discovery.
      *
-     * @param maxDescriptors file descriptors that the configuration of each relay allows
+     * @param maxDescriptors maximum number of file descriptors in the configuration of each relay
      */
     public Testbed(int maxDescriptors) throws IOException {
         this.maxDescriptors = maxDescriptors;
@@ -36,27 +36,29 @@
     }
 
     /**
-     * Starts a feed server and registers it as ready.
+     * Starts a feed server and registers it in discovery as ready.
      *
-     * @param model machine kind that discovery reports
-     * @param hint relative capacity that discovery reports
+     * @param model machine model in discovery
+     * @param capacityHint relative capacity in discovery
+     * @param profile behaviour of the server
      */
-    public FakeFeedServer addFeedServer(String model, double hint, ServerProfile machine) {
+    public FakeFeedServer addFeedServer(String model, double capacityHint, ServerProfile profile) {
         return loop.create(() -> {
-            FakeFeedServer server = new FakeFeedServer(loop, "s" + servers.size(), "home", machine);
+            FakeFeedServer server = new FakeFeedServer(loop, "s" + servers.size(), "home", profile);
             servers.add(server);
-            discovery.publish(server, model, hint, "ready");
+            discovery.publish(server, model, capacityHint, "ready");
             return server;
         });
     }
 
     /**
-     * Starts relays and waits until they listen.
+     * Starts relays one after the other and blocks until all of them listen.
      *
-     * @param files names and contents of the files in each relay's deploy folder
-     * @param options of the virtual machine
+     * @param deployFiles contents of the files in the deploy folder of each relay, by file name
+     * @param jvmOptions JVM options in addition to those of the platform
      */
-    public void startRelays(Path jar, int count, Map<String, String> files, List<String> options) throws IOException {
+    public void startRelays(Path jar, int count, Map<String, String> deployFiles, List<String> jvmOptions)
+            throws IOException {
         for (int i = 0; i < count; i++) {
             relays.add(new RelayProcess(
                     jar,
@@ -69,12 +71,12 @@
                             discovery.port(),
                             loop.call(discovery::knownInstances),
                             maxDescriptors,
-                            files,
-                            options)));
+                            deployFiles,
+                            jvmOptions)));
         }
     }
 
-    /** The event loop of all stand-ins and clients. */
+    /** The event loop on which discovery, all feed servers and all clients run. */
     public TestServerLoop loop() {
         return loop;
     }
@@ -89,16 +91,16 @@
         return List.copyOf(relays);
     }
 
-    List<Integer> ports() {
+    List<Integer> relayPorts() {
         return relays.stream().map(RelayProcess::port).toList();
     }
 
-    /** The log lines of all relays. */
-    List<String> logs() {
+    /** The log lines of all relays, in the order in which the relays were started. */
+    List<String> relayLogs() {
         return relays.stream().flatMap(relay -> relay.log().stream()).toList();
     }
 
-    /** Kills the relays and closes all connections of the stand-ins. */
+    /** Kills the relays and stops the event loop with all its connections. */
     @Override
     public void close() {
         relays.forEach(RelayProcess::close);
--- a/src/main/java/sandstack/measure/package-info.java
+++ b/src/main/java/sandstack/measure/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Benchmarks as commands. Each starts relay processes and stand-ins on loopback, measures, prints the metrics and
- * checks them against targets. Also the commands that run stand-ins or one connection by hand. Owns the relay processes
- * that it starts; only the command line depends on this package.
+ * The measurements of {@code measure}. Each one starts relay processes and fake servers on loopback, or runs a
+ * simulation, prints the measured metrics and checks them against targets. Also the commands {@code standin} and
+ * {@code open} for manual experiments. A measurement kills the processes that it has started before it returns. Apart
+ * from its own sub-packages, only the command line depends on this package.
  */
 package sandstack.measure;
--- a/src/main/java/sandstack/measure/page/BreakingPoint.java
+++ b/src/main/java/sandstack/measure/page/BreakingPoint.java
@@ -3,7 +3,10 @@
 import java.util.OptionalDouble;
 import sandstack.config.InvalidConfigurationException;
 
-/** Finds the size from which a cost exceeds its budget in some scenario, with all other numbers as planned. */
+/**
+ * Finds the largest size at which a cost is within its budget in every scenario. All other planning numbers keep their
+ * planned values, except those derived from the size.
+ */
 final class BreakingPoint {
     private static final int BISECTION_STEPS = 40;
 
@@ -15,27 +18,30 @@
         this.costModels = costModels;
     }
 
-    /** The largest size within the budget; empty if the planned size is within it, or a size of one exceeds it. */
+    /**
+     * The largest size within the budget, found by bisection on a logarithmic scale. Empty if the planned size is
+     * within the budget, or if a size of one exceeds it.
+     */
     OptionalDouble find(CostModel costModel) throws InvalidConfigurationException {
-        double within = 1;
-        double beyond = costModel.size();
-        if (exceeds(costModel, within) || !exceeds(costModel, beyond)) {
+        double withinBudget = 1;
+        double aboveBudget = costModel.size();
+        if (exceedsBudget(costModel, withinBudget) || !exceedsBudget(costModel, aboveBudget)) {
             return OptionalDouble.empty();
         }
         for (int i = 0; i < BISECTION_STEPS; i++) {
-            double middle = Math.sqrt(within * beyond);
-            if (exceeds(costModel, middle)) {
-                beyond = middle;
+            double middle = Math.sqrt(withinBudget * aboveBudget);
+            if (exceedsBudget(costModel, middle)) {
+                aboveBudget = middle;
             } else {
-                within = middle;
+                withinBudget = middle;
             }
         }
-        return OptionalDouble.of(within);
+        return OptionalDouble.of(withinBudget);
     }
 
-    private boolean exceeds(CostModel costModel, double size) throws InvalidConfigurationException {
-        Plan other = plan.withSize(costModel.per(), size);
-        CostModels evaluated = CostModelEvaluator.evaluateAll("at another size", other, costModels);
+    private boolean exceedsBudget(CostModel costModel, double size) throws InvalidConfigurationException {
+        Plan resizedPlan = plan.withSize(costModel.per(), size);
+        CostModels evaluated = CostModelEvaluator.evaluateAll("plan with another size", resizedPlan, costModels);
         return evaluated.find(costModel.id()).orElseThrow().maxUtilization() > 1;
     }
 }
--- a/src/main/java/sandstack/measure/page/CapacityFiles.java
+++ b/src/main/java/sandstack/measure/page/CapacityFiles.java
@@ -16,15 +16,15 @@
 import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.scale.ScaleReport;
 
-/** Reads and writes the JSON files of the capacity page; errors state file, key and value in one line. */
+/** Reads and writes the JSON files of the capacity page. Error messages are one line with file, key and value. */
 public final class CapacityFiles {
-    /** The planning numbers, relative to the root of the repository. */
+    /** File with the planning numbers, relative to the root of the repository. */
     public static final String PLAN = "docs/capacity/plan.json";
 
-    /** The cost models. */
+    /** File with the cost models, relative to the root of the repository. */
     static final String COST_MODELS = "docs/capacity/slopes.json";
 
-    /** The page whose tables are generated. */
+    /** The page with the generated tables, relative to the root of the repository. */
     static final String PAGE = "docs/CAPACITY.md";
 
     private static final long MAX_FILE_BYTES = 4_000_000;
@@ -36,13 +36,17 @@
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
             .build();
 
-    /** Accepts missing keys; the validators report those that are required. */
+    /** Accepts missing keys; the validators report a missing key that is required. */
     private static final ObjectMapper LENIENT_JSON =
             JSON.copy().disable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
 
     private CapacityFiles() {}
 
-    /** Reads and validates the planning numbers. */
+    /**
+     * Reads and validates the planning numbers.
+     *
+     * @throws InvalidConfigurationException if the file cannot be read or is invalid
+     */
     public static Plan readPlan(Path file) throws InvalidConfigurationException {
         Plan plan = read(LENIENT_JSON, file, Plan.class);
         PlanValidator.validate(file.toString(), plan);
@@ -69,11 +73,11 @@
     private static <T> T read(ObjectMapper mapper, Path file, Class<T> type) throws InvalidConfigurationException {
         JsonNode tree = readTree(file);
         try {
-            T read = mapper.treeToValue(tree, type);
-            if (read == null) {
+            T value = mapper.treeToValue(tree, type);
+            if (value == null) {
                 throw new InvalidConfigurationException(file + ": is null");
             }
-            return read;
+            return value;
         } catch (JsonMappingException e) {
             throw new InvalidConfigurationException(file + ": " + keyPath(e) + ": " + abbreviated(valueAt(tree, e))
                     + ": " + firstLine(e.getOriginalMessage()));
@@ -82,7 +86,7 @@
         }
     }
 
-    /** Reads the page. */
+    /** Reads the page as UTF-8. */
     static String readPage(Path file) throws InvalidConfigurationException {
         return new String(readBytes(file), StandardCharsets.UTF_8);
     }
@@ -101,11 +105,11 @@
     private static byte[] readBytes(Path file) throws InvalidConfigurationException {
         try {
             if (!Files.isRegularFile(file)) {
-                throw new InvalidConfigurationException(file + ": there is no such file");
+                throw new InvalidConfigurationException(file + ": no such file");
             }
             if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new InvalidConfigurationException(
-                        file + ": has " + Files.size(file) + " bytes, " + MAX_FILE_BYTES + " at most");
+                        file + ": size of " + Files.size(file) + " bytes is above the maximum of " + MAX_FILE_BYTES);
             }
             return Files.readAllBytes(file);
         } catch (IOException e) {
@@ -113,7 +117,7 @@
         }
     }
 
-    /** Such as {@code slopes[3].shape}. */
+    /** The path of the key that an error is about, such as {@code slopes[3].shape}. */
     private static String keyPath(JsonMappingException exception) {
         StringBuilder key = new StringBuilder();
         for (JsonMappingException.Reference reference : exception.getPath()) {
--- a/src/main/java/sandstack/measure/page/CapacityPageCommand.java
+++ b/src/main/java/sandstack/measure/page/CapacityPageCommand.java
@@ -14,8 +14,8 @@
 import sandstack.config.InvalidConfigurationException;
 
 /**
- * {@code measure capacity-page}: writes or checks the generated tables of the page; exits 1 if a check finds a
- * difference.
+ * {@code measure capacity-page}: writes the generated tables of the page, or checks them with {@code --check}. Exits 1
+ * if a check finds a difference.
  */
 @Command(
         name = "capacity-page",
@@ -26,17 +26,16 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--check", description = "Write nothing; exit 1 where page and JSON disagree.")
+    @Option(names = "--check", description = "Write nothing; exit 1 if the page differs from its JSON files.")
     private boolean check;
 
     @Option(
             names = "--take",
             paramLabel = "FILE",
-            description =
-                    "First put the series of this file of measure scale into the cost models; may be given again.")
+            description = "First merge the series of this report of measure scale into the cost models; repeatable.")
     private List<Path> reports = new ArrayList<>();
 
-    @Option(names = "--reckon", description = "First evaluate all derived figures of the cost models anew.")
+    @Option(names = "--reckon", description = "First recompute all derived figures of the cost models.")
     private boolean evaluate;
 
     @Option(
@@ -49,25 +48,27 @@
     @Override
     public Integer call() throws InvalidConfigurationException, IOException {
         if (check && (evaluate || !reports.isEmpty())) {
-            throw new ParameterException(spec.commandLine(), "--check writes nothing; --take and --reckon do");
+            throw new ParameterException(
+                    spec.commandLine(), "--check cannot be combined with --take or --reckon, which write files");
         }
         Plan plan = CapacityFiles.readPlan(root.resolve(CapacityFiles.PLAN));
         Path costModelFile = root.resolve(CapacityFiles.COST_MODELS);
         CostModels costModels = CapacityFiles.readCostModels(costModelFile);
         if (evaluate || !reports.isEmpty()) {
-            costModels = updated(costModelFile, plan, costModels);
+            costModels = update(costModelFile, plan, costModels);
         }
         CostModelValidator.validate(costModelFile.toString(), plan, costModels);
         return writeOrCheckPage(plan, costModels);
     }
 
-    private CostModels updated(Path file, Plan plan, CostModels before)
+    private CostModels update(Path file, Plan plan, CostModels before)
             throws InvalidConfigurationException, IOException {
         CostModels costModels = before;
         for (Path report : reports) {
             ReportMerge merge = ReportMerge.merge(plan, costModels, CapacityFiles.readReport(report));
             costModels = merge.costModels();
-            merge.ignoredSeries().forEach(id -> printError("not on the page: " + id));
+            merge.ignoredSeries()
+                    .forEach(id -> printError("ignored series, without a cost model or with too few sizes: " + id));
         }
         costModels = CostModelEvaluator.evaluateAll(file.toString(), plan, costModels);
         CapacityFiles.writeCostModels(file, costModels);
@@ -81,7 +82,7 @@
                 new PageWithTables(file.toString(), before).replaceTables(new CapacityTables(plan, costModels).all());
         int line = PageWithTables.firstDifference(before, after);
         if (check && line > 0) {
-            printError(file + ": line " + line + " is not what the JSON gives; run measure capacity-page");
+            printError(file + ": line " + line + " differs from what the JSON files yield; run measure capacity-page");
             return 1;
         }
         if (line > 0) {
--- a/src/main/java/sandstack/measure/page/CapacityTables.java
+++ b/src/main/java/sandstack/measure/page/CapacityTables.java
@@ -13,14 +13,18 @@
 import sandstack.measure.scale.Resource;
 import sandstack.measure.scale.Role;
 
-/** Generates the tables of the page, by the names of their markers. */
+/** Generates the tables of the page from plan and cost models. */
 final class CapacityTables {
+    /** Marks values that are not measured. */
     private static final String DERIVED_SUFFIX = " (r)";
+
+    /** Marks values extrapolated far beyond the measured sizes. */
     private static final String EXTRAPOLATED_SUFFIX = " (x)";
+
     private static final String NONE = "-";
     private static final String MISSING = "missing";
 
-    /** Resources that the page reports for each role; bytes on the network cover messages. */
+    /** Resources that the page reports for each role; a model of NETWORK bytes also covers MESSAGES. */
     private static final Set<Resource> REPORTED_RESOURCES =
             EnumSet.of(Resource.STATE, Resource.MESSAGES, Resource.PROCESSOR, Resource.MEMORY, Resource.DISK);
 
@@ -32,16 +36,20 @@
         this.costModels = costModels;
     }
 
-    /** All tables; each role has one of its costs and one of its costs in each scenario. */
+    /**
+     * All tables by the names of their markers on the page. Each role has a table of its costs and a table of its costs
+     * in each scenario.
+     */
     Map<String, String> all() throws InvalidConfigurationException {
         Map<String, String> tables = new LinkedHashMap<>();
         tables.put("plan", planTable());
         for (Role role : Role.values()) {
             String name = role.name().toLowerCase(Locale.ROOT).replace('_', '-');
-            List<CostModel> ofRole =
-                    costModels.models().stream().filter(s -> s.role() == role).toList();
-            tables.put(name, costTable(ofRole));
-            tables.put(name + "-occasions", scenarioTable(ofRole));
+            List<CostModel> modelsOfRole = costModels.models().stream()
+                    .filter(model -> model.role() == role)
+                    .toList();
+            tables.put(name, costTable(modelsOfRole));
+            tables.put(name + "-occasions", scenarioTable(modelsOfRole));
         }
         tables.put("order", breakingPointTable());
         tables.put("methods", methodTable());
@@ -51,11 +59,11 @@
     private String planTable() {
         MarkdownTable table = new MarkdownTable("number", "value", "from");
         for (PlanNumber number : plan.numbers()) {
-            String from = number.source().name().toLowerCase(Locale.ROOT);
+            String source = number.source().name().toLowerCase(Locale.ROOT);
             table.row(
                     number.meaning(),
-                    Quantity.format(number.value(), number.unit()),
-                    number.arithmetic() == null ? from : from + ": `" + number.arithmetic() + "`");
+                    QuantityFormat.format(number.value(), number.unit()),
+                    number.arithmetic() == null ? source : source + ": `" + number.arithmetic() + "`");
         }
         return table.text();
     }
@@ -71,28 +79,28 @@
                     figure(costModel),
                     costModel.budget() == null
                             ? NONE
-                            : Quantity.format(costModel.budget().value(), costModel.unit()),
+                            : QuantityFormat.format(costModel.budget().value(), costModel.unit()),
                     costModel.utilization() == null ? NONE : ratio(costModel.utilization()),
                     mechanism(costModel));
         }
-        for (String unknown : resourcesWithoutModel(costModels)) {
-            table.row(unknown, "not measured, not reckoned", NONE, NONE, NONE, NONE, NONE);
+        for (String resource : resourcesWithoutModel(costModels)) {
+            table.row(resource, "not measured, not reckoned", NONE, NONE, NONE, NONE, NONE);
         }
         return table.text();
     }
 
-    /** Reported resources of which a role has no cost model. */
+    /** Labels of the reported resources for which a role has no cost model. */
     private static List<String> resourcesWithoutModel(List<CostModel> costModels) {
-        Set<Resource> known = EnumSet.noneOf(Resource.class);
-        costModels.forEach(s -> known.add(s.resource()));
-        List<String> unknown = new ArrayList<>();
+        Set<Resource> modelled = EnumSet.noneOf(Resource.class);
+        costModels.forEach(model -> modelled.add(model.resource()));
+        List<String> missing = new ArrayList<>();
         for (Resource resource : REPORTED_RESOURCES) {
-            boolean throughBytes = resource == Resource.MESSAGES && known.contains(Resource.NETWORK);
-            if (!known.contains(resource) && !throughBytes) {
-                unknown.add(label(resource));
+            boolean coveredByNetwork = resource == Resource.MESSAGES && modelled.contains(Resource.NETWORK);
+            if (!modelled.contains(resource) && !coveredByNetwork) {
+                missing.add(label(resource));
             }
         }
-        return unknown;
+        return missing;
     }
 
     private static String label(Resource resource) {
@@ -114,9 +122,9 @@
         return costModel.mechanism().equals(MISSING) ? "**" + MISSING + "**" : costModel.mechanism();
     }
 
-    /** The figure at the planned size, with a suffix if it was derived or extrapolated far. */
+    /** The cost at the planned size, with a suffix if it is not measured or extrapolated far. */
     private static String figure(CostModel costModel) {
-        return Quantity.format(costModel.figure(), costModel.unit()) + suffix(costModel);
+        return QuantityFormat.format(costModel.figure(), costModel.unit()) + suffix(costModel);
     }
 
     private static String shape(CostModel costModel) {
@@ -129,7 +137,7 @@
     }
 
     private static String largestMeasuredSize(CostModel costModel) {
-        return Quantity.formatNumber(costModel.sizes().stream()
+        return QuantityFormat.formatNumber(costModel.sizes().stream()
                 .mapToDouble(Double::doubleValue)
                 .max()
                 .orElse(0));
@@ -139,8 +147,8 @@
         if (!costModel.origin().hasRun()) {
             return "`" + costModel.arithmetic() + "`";
         }
-        String base = Quantity.format(costModel.coefficients().get(0), costModel.unit());
-        String slope = Quantity.format(costModel.coefficients().get(1), costModel.unit());
+        String base = QuantityFormat.format(costModel.coefficients().get(0), costModel.unit());
+        String slope = QuantityFormat.format(costModel.coefficients().get(1), costModel.unit());
         return switch (costModel.shape()) {
             case CONSTANT -> base;
             case LOGARITHMIC -> base + " + " + slope + " x ln(" + costModel.per() + ")";
@@ -151,7 +159,7 @@
     }
 
     private static String ratio(double utilization) {
-        return Quantity.formatNumber(utilization);
+        return QuantityFormat.formatNumber(utilization);
     }
 
     private static String scenarioTable(List<CostModel> costModels) {
@@ -170,14 +178,14 @@
         return table.text();
     }
 
-    /** The cost in a scenario, and in bold its multiple of the budget if it exceeds that. */
+    /** The cost in a scenario; if it exceeds the budget, also its multiple of the budget in bold. */
     private static String demand(CostModel costModel, DerivedValue demand) {
         if (demand == null) {
             return NONE;
         }
         boolean asMeasured = costModel.isMeasured() && demand.arithmetic().equals("figure");
-        String text =
-                Quantity.format(demand.value(), costModel.unit()) + (asMeasured ? suffix(costModel) : DERIVED_SUFFIX);
+        String text = QuantityFormat.format(demand.value(), costModel.unit())
+                + (asMeasured ? suffix(costModel) : DERIVED_SUFFIX);
         if (costModel.budget() == null || demand.value() <= costModel.budget().value()) {
             return text;
         }
@@ -185,26 +193,27 @@
     }
 
     /**
-     * A cost that exceeds its budget.
+     * A cost that exceeds its budget at the planned size in some scenario.
      *
-     * @param size from which it does; empty if every size does
+     * @param size largest size within the budget; empty if a size of one already exceeds it
      */
     private record ExceededBudget(CostModel costModel, OptionalDouble size) {
-        /** The size divided by the planned size. */
+        /** The size divided by the planned size; 0 if a size of one already exceeds the budget. */
         double fractionOfPlan() {
             return size.orElse(0) / costModel.size();
         }
     }
 
     /**
-     * Costs that exceed their budget in some scenario, ordered by the fraction of the planned size at which they do.
+     * Table of the costs that exceed their budget in some scenario, ordered by the fraction of the planned size at
+     * which they do so.
      */
     private String breakingPointTable() throws InvalidConfigurationException {
-        BreakingPoint point = new BreakingPoint(plan, costModels);
+        BreakingPoint breakingPoint = new BreakingPoint(plan, costModels);
         List<ExceededBudget> exceeded = new ArrayList<>();
         for (CostModel costModel : costModels.models()) {
             if (costModel.maxUtilization() > 1) {
-                exceeded.add(new ExceededBudget(costModel, point.find(costModel)));
+                exceeded.add(new ExceededBudget(costModel, breakingPoint.find(costModel)));
             }
         }
         exceeded.sort(Comparator.comparing(ExceededBudget::fractionOfPlan));
@@ -216,7 +225,7 @@
                     Integer.toString(i + 1),
                     costModel.role().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ", " + costName(costModel),
                     breaksAt(exceeded.get(i)),
-                    Quantity.formatNumber(costModel.size()) + " " + costModel.per(),
+                    QuantityFormat.formatNumber(costModel.size()) + " " + costModel.per(),
                     worstScenario(costModel),
                     ratio(costModel.maxUtilization()) + suffix(costModel),
                     mechanism(costModel));
@@ -229,20 +238,20 @@
             return "the first" + suffix(exceeded.costModel());
         }
         double size = Math.floor(exceeded.size().getAsDouble());
-        return Quantity.formatNumber(size) + " " + exceeded.costModel().per() + suffix(exceeded.costModel());
+        return QuantityFormat.formatNumber(size) + " " + exceeded.costModel().per() + suffix(exceeded.costModel());
     }
 
     private static String worstScenario(CostModel costModel) {
-        double most = costModel.figure();
-        String at = "always";
+        double maxDemand = costModel.figure();
+        String worst = "always";
         for (Scenario scenario : Scenario.values()) {
             DerivedValue demand = costModel.scenarios().get(scenario);
-            if (demand != null && demand.value() > most) {
-                most = demand.value();
-                at = scenario.title();
+            if (demand != null && demand.value() > maxDemand) {
+                maxDemand = demand.value();
+                worst = scenario.title();
             }
         }
-        return at;
+        return worst;
     }
 
     private String methodTable() {
@@ -261,8 +270,8 @@
     private static String points(CostModel costModel) {
         List<String> points = new ArrayList<>();
         for (int i = 0; i < costModel.sizes().size(); i++) {
-            points.add(Quantity.formatNumber(costModel.sizes().get(i)) + ": "
-                    + Quantity.format(costModel.values().get(i), costModel.unit()));
+            points.add(QuantityFormat.formatNumber(costModel.sizes().get(i)) + ": "
+                    + QuantityFormat.format(costModel.values().get(i), costModel.unit()));
         }
         return String.join("; ", points);
     }
--- a/src/main/java/sandstack/measure/page/CostModel.java
+++ b/src/main/java/sandstack/measure/page/CostModel.java
@@ -14,29 +14,32 @@
 import sandstack.measure.scale.Shape;
 
 /**
- * How one cost of one role grows with size, its extrapolation to the planned size, and the mechanism that bears it.
- * Either fitted to the points of a run, or derived by a formula.
+ * How one cost of one role grows with size, its extrapolation to the planned size, and the mechanism that handles it. A
+ * model is either fitted to the points of a run or derived by a formula.
  *
  * @param id id of the measured series
+ * @param role role of a machine or process that has the cost
+ * @param resource resource that is used
  * @param title name of the cost on the page
- * @param unit of the values
- * @param per what the sizes count
- * @param shape fitted growth; for a derived model, for the page only
+ * @param unit unit of the values
+ * @param per quantity that the sizes count, such as {@code relays}
+ * @param origin source of the figure
+ * @param shape fitted growth; for a derived model, only shown on the page
  * @param coefficients base and slope of the shape; empty for a derived model
  * @param residual relative residual of the fit; null for a derived model
- * @param sizes measured sizes; empty for a derived model
- * @param values at these sizes
+ * @param sizes sizes measured by the run; empty for a derived model
+ * @param values measured values at these sizes
  * @param method how the values were obtained, in one sentence
- * @param command of the run; null for a derived model
- * @param date of the run; null for a derived model
+ * @param command command of the run; null for a derived model
+ * @param date date of the run; null for a derived model
  * @param commit that was measured; null for a derived model
  * @param arithmetic {@link Formula} of a derived model's figure; null for a fitted one
  * @param size planned size
  * @param figure cost at the planned size; null until evaluated
- * @param budget available amount; null for no bound
+ * @param budget available amount of the resource; null if unlimited
  * @param utilization figure divided by budget; null without a budget
- * @param mechanism that bears the cost at the planned size, or {@code missing}
- * @param scenarios cost in each scenario; a missing scenario was not evaluated
+ * @param mechanism mechanism that handles the cost at the planned size, or {@code missing}
+ * @param scenarios cost in each scenario; scenarios without an entry are not considered
  */
 @JsonPropertyOrder({
     "id",
@@ -88,10 +91,10 @@
         String mechanism,
         @JsonProperty("occasions") Map<Scenario, DerivedValue> scenarios) {
 
-    /** Beyond this multiple of the largest measured size, an extrapolation is marked on the page. */
+    /** An extrapolation beyond this multiple of the largest measured size is marked on the page. */
     private static final double MAX_EXTRAPOLATION_FACTOR = 10;
 
-    /** Copies lists and map; null becomes empty. */
+    /** Replaces a null list or map, as of a key missing in the file, by an empty one. */
     public CostModel {
         coefficients = coefficients == null ? List.of() : List.copyOf(coefficients);
         sizes = sizes == null ? List.of() : List.copyOf(sizes);
@@ -118,7 +121,7 @@
                         * sizes.stream().mapToDouble(Double::doubleValue).max().orElse(size);
     }
 
-    /** The measured points. */
+    /** The measured points; empty for a derived model. */
     List<Point> points() {
         List<Point> points = new ArrayList<>();
         for (int i = 0; i < sizes.size(); i++) {
@@ -127,17 +130,17 @@
         return points;
     }
 
-    /** Whether the figure is based on a measurement, not on a simulation or formula. */
+    /** Whether the figure is based on a measurement, rather than on a simulation or formula. */
     boolean isMeasured() {
         return origin == Origin.MEASURED;
     }
 
-    /** A copy for another planned size; the figures are to be evaluated anew. */
+    /** A copy with another planned size; its figures are stale until evaluated by {@link CostModelEvaluator}. */
     CostModel withSize(double newSize) {
         return with(newSize, figure, budget, utilization, scenarios);
     }
 
-    /** A copy with evaluated figures. */
+    /** A copy with these figures and the resulting utilization. */
     CostModel withFigures(double newFigure, DerivedValue newBudget, Map<Scenario, DerivedValue> newScenarios) {
         Double newUtilization = newBudget == null ? null : newFigure / newBudget.value();
         return with(size, newFigure, newBudget, newUtilization, newScenarios);
@@ -175,8 +178,8 @@
                 newScenarios);
     }
 
-    /** A copy with the results of a run; the figures are to be evaluated anew. */
-    CostModel measuredBy(Run run, Series series, FittedModel fit, double plannedSize) {
+    /** A copy with the results of a run; its figures are stale until evaluated by {@link CostModelEvaluator}. */
+    CostModel withMeasurement(Run run, Series series, FittedModel fit, double plannedSize) {
         return new CostModel(
                 id,
                 series.role(),
@@ -203,6 +206,6 @@
                 scenarios);
     }
 
-    /** The run that measured the points. */
+    /** The run of {@code measure scale} that measured the points. */
     record Run(String command, String date, String commit) {}
 }
--- a/src/main/java/sandstack/measure/page/CostModelEvaluator.java
+++ b/src/main/java/sandstack/measure/page/CostModelEvaluator.java
@@ -11,11 +11,13 @@
 /**
  * Evaluates all derived figures of cost models: the planned size, the figure at that size, the budget, the utilization
  * and the cost in each scenario. Formulas may refer to planning numbers, to {@code base}, {@code slope} and
- * {@code figure} of their own model, and in brackets to the figure of an earlier model.
+ * {@code figure} of the same model, and by an id in brackets to the figure of a preceding model.
  */
 final class CostModelEvaluator {
     private final String file;
     private final Plan plan;
+
+    /** Figures of the models evaluated so far, by their id in brackets. */
     private final Map<String, Double> figures = new HashMap<>();
 
     private CostModelEvaluator(String file, Plan plan) {
@@ -23,7 +25,11 @@
         this.plan = plan;
     }
 
-    /** Returns the cost models with all figures evaluated. */
+    /**
+     * Returns copies of the cost models with all figures evaluated.
+     *
+     * @param file name of the file, for error messages
+     */
     static CostModels evaluateAll(String file, Plan plan, CostModels costModels) throws InvalidConfigurationException {
         CostModelEvaluator evaluator = new CostModelEvaluator(file, plan);
         List<CostModel> evaluated = new ArrayList<>();
@@ -33,12 +39,12 @@
         return new CostModels(evaluated);
     }
 
-    private CostModel evaluate(CostModel before) throws InvalidConfigurationException {
-        CostModel costModel = before.withSize(plan.sizeOf(before.per()).orElse(before.size()));
+    private CostModel evaluate(CostModel stale) throws InvalidConfigurationException {
+        CostModel costModel = stale.withSize(plan.sizeOf(stale.per()).orElse(stale.size()));
         String key = file + ": " + costModel.id();
         Map<String, Double> variables = new HashMap<>();
         double figure = costModel.origin().hasRun()
-                ? extrapolated(key, costModel, variables)
+                ? extrapolate(key, costModel, variables)
                 : evaluateFormula(key, costModel.arithmetic(), variables);
         variables.put("figure", figure);
         figures.put("[" + costModel.id() + "]", figure);
@@ -53,7 +59,7 @@
         }
         DerivedValue evaluated = budget.withValue(evaluateFormula(key + ".budget", budget.arithmetic(), variables));
         if (!(evaluated.value() > 0)) {
-            throw new InvalidConfigurationException(key + ".budget: " + evaluated.value() + ": must be above 0");
+            throw new InvalidConfigurationException(key + ".budget: " + evaluated.value() + ": must be greater than 0");
         }
         return evaluated;
     }
@@ -69,11 +75,11 @@
         return demands;
     }
 
-    private static double extrapolated(String key, CostModel costModel, Map<String, Double> variables)
+    private static double extrapolate(String key, CostModel costModel, Map<String, Double> variables)
             throws InvalidConfigurationException {
         if (costModel.coefficients().size() != 2 || costModel.shape() == null) {
             throw new InvalidConfigurationException(
-                    key + ".coefficients: " + costModel.coefficients() + ": must be base and slope of a shape");
+                    key + ".coefficients: " + costModel.coefficients() + ": must be base and slope, with a shape");
         }
         variables.put("base", costModel.coefficients().get(0));
         variables.put("slope", costModel.coefficients().get(1));
--- a/src/main/java/sandstack/measure/page/CostModelValidator.java
+++ b/src/main/java/sandstack/measure/page/CostModelValidator.java
@@ -9,7 +9,7 @@
 import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.scale.FittedModel;
 
-/** Validates that cost models agree with the plan and that all their figures follow from their inputs. */
+/** Validates that cost models agree with the plan, and that their stored figures equal the evaluated ones. */
 final class CostModelValidator {
     private static final double RELATIVE_TOLERANCE = 1e-6;
     private static final int COEFFICIENTS = 2;
@@ -25,7 +25,8 @@
     /**
      * Validates all cost models.
      *
-     * @throws InvalidConfigurationException for the first one that is inconsistent
+     * @param file name of the file, for error messages
+     * @throws InvalidConfigurationException for the first inconsistency
      */
     static void validate(String file, Plan plan, CostModels costModels) throws InvalidConfigurationException {
         CostModelValidator validator = new CostModelValidator(file, plan);
@@ -64,10 +65,10 @@
     private void validateSize(CostModel costModel) throws InvalidConfigurationException {
         OptionalDouble planned = plan.sizeOf(String.valueOf(costModel.per()));
         if (planned.isEmpty()) {
-            throw invalid(costModel, "per", costModel.per(), "the plan has no size of it");
+            throw invalid(costModel, "per", costModel.per(), "the plan has no size for it");
         }
         if (planned.getAsDouble() != costModel.size()) {
-            throw invalid(costModel, "size", costModel.size(), "the plan says " + planned.getAsDouble());
+            throw invalid(costModel, "size", costModel.size(), "the plan has " + planned.getAsDouble());
         }
     }
 
@@ -76,13 +77,16 @@
         requirePresent(costModel, "date", costModel.date());
         requirePresent(costModel, "commit", costModel.commit());
         if (costModel.sizes().size() != costModel.values().size()) {
-            throw invalid(costModel, "values", costModel.values(), "not as many as sizes");
+            throw invalid(costModel, "values", costModel.values(), "must be as many values as sizes");
         }
         FittedModel fit = FittedModel.selectBest(costModel.points())
-                .orElseThrow(() ->
-                        invalid(costModel, "sizes", costModel.sizes(), "fewer than " + FittedModel.MIN_DISTINCT_SIZES));
+                .orElseThrow(() -> invalid(
+                        costModel,
+                        "sizes",
+                        costModel.sizes(),
+                        "must have at least " + FittedModel.MIN_DISTINCT_SIZES + " distinct sizes"));
         if (fit.shape() != costModel.shape()) {
-            throw invalid(costModel, "shape", costModel.shape(), "its points give " + fit.shape());
+            throw invalid(costModel, "shape", costModel.shape(), "the best fit to its points is " + fit.shape());
         }
         if (costModel.coefficients().size() != COEFFICIENTS) {
             throw invalid(costModel, "coefficients", costModel.coefficients(), "must be base and slope");
@@ -94,20 +98,22 @@
 
     private void validateDerived(CostModel costModel) throws InvalidConfigurationException {
         requirePresent(costModel, "arithmetic", costModel.arithmetic());
-        for (Map.Entry<String, Object> run : Map.<String, Object>of(
+        for (Map.Entry<String, Object> runValues : Map.<String, Object>of(
                         "sizes", costModel.sizes(),
                         "values", costModel.values(),
                         "coefficients", costModel.coefficients())
                 .entrySet()) {
-            if (!((List<?>) run.getValue()).isEmpty()) {
-                throw invalid(costModel, run.getKey(), run.getValue(), "a derived cost model has none");
+            if (!((List<?>) runValues.getValue()).isEmpty()) {
+                throw invalid(
+                        costModel, runValues.getKey(), runValues.getValue(), "must be empty for a derived cost model");
             }
         }
         if (costModel.command() != null
                 || costModel.date() != null
                 || costModel.commit() != null
                 || costModel.residual() != null) {
-            throw invalid(costModel, "command", costModel.command(), "a derived cost model has no run and no residual");
+            throw invalid(
+                    costModel, "command", costModel.command(), "a derived cost model must have no run and no residual");
         }
     }
 
@@ -137,7 +143,7 @@
                 ? Objects.equals(actual, expected)
                 : Math.abs(actual - expected) <= RELATIVE_TOLERANCE * Math.max(Math.abs(expected), RELATIVE_TOLERANCE);
         if (!equal) {
-            throw invalid(costModel, key, actual, "the rest of the file gives " + expected);
+            throw invalid(costModel, key, actual, "expected from the other values: " + expected);
         }
     }
 
--- a/src/main/java/sandstack/measure/page/CostModels.java
+++ b/src/main/java/sandstack/measure/page/CostModels.java
@@ -5,14 +5,14 @@
 import java.util.Objects;
 import java.util.Optional;
 
-/** All cost models in the order of the page; the content of {@code docs/capacity/slopes.json}. */
+/** The content of {@code docs/capacity/slopes.json}: all cost models in the order of the page. */
 public record CostModels(@JsonProperty("slopes") List<CostModel> models) {
-    /** Copies the list. */
+    /** Rejects a null list, as of a file without the key. */
     public CostModels {
         models = List.copyOf(Objects.requireNonNull(models, "slopes: missing"));
     }
 
-    /** The model with this id. */
+    /** The model with this id; empty if there is none. */
     Optional<CostModel> find(String id) {
         return models.stream().filter(model -> model.id().equals(id)).findFirst();
     }
--- a/src/main/java/sandstack/measure/page/Formula.java
+++ b/src/main/java/sandstack/measure/page/Formula.java
@@ -3,10 +3,12 @@
 import java.util.function.Function;
 
 /**
- * Parser and evaluator of formulas: numbers, variables, {@code + - * /} and parentheses. A variable is a planning
- * number such as {@code relays}, or the figure of another cost model, such as {@code [relay.memory]}.
+ * Recursive descent parser and evaluator of formulas, which consist of numbers, variables, {@code + - * /} and
+ * parentheses. A variable is the name of a planning number such as {@code relays}, or the id of another cost model in
+ * brackets such as {@code [relay.memory]}, which stands for the figure of that model.
  */
 final class Formula {
+    /** Maximum nesting of parentheses; bounds the depth of the recursion. */
     private static final int MAX_DEPTH = 20;
 
     private final String text;
@@ -19,7 +21,7 @@
         this.variables = variables;
     }
 
-    /** Thrown for a formula that cannot be evaluated; the message continues a sentence about the formula. */
+    /** Thrown for a formula that cannot be evaluated; the message does not include the formula. */
     static final class MalformedFormulaException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -31,7 +33,7 @@
     /**
      * Evaluates a formula.
      *
-     * @param variables returns the value of a variable, brackets included, or null for an unknown one
+     * @param variables returns the value of a variable by its name, including brackets; null for an unknown variable
      */
     static double evaluate(String text, Function<String, Double> variables) throws MalformedFormulaException {
         Formula parser = new Formula(text, variables);
@@ -40,7 +42,7 @@
             throw parser.unexpected();
         }
         if (!Double.isFinite(value)) {
-            throw new MalformedFormulaException("comes to no finite number");
+            throw new MalformedFormulaException("the result is not a finite number");
         }
         return value;
     }
@@ -82,7 +84,7 @@
     private double parseParentheses() throws MalformedFormulaException {
         consume();
         if (++depth > MAX_DEPTH) {
-            throw new MalformedFormulaException("more than " + MAX_DEPTH + " parentheses deep");
+            throw new MalformedFormulaException("more than " + MAX_DEPTH + " levels of parentheses");
         }
         double value = parseSum();
         if (peek() != ')') {
@@ -101,7 +103,7 @@
         try {
             return Double.parseDouble(text.substring(start, position));
         } catch (NumberFormatException e) {
-            throw new MalformedFormulaException("has no number at " + text.substring(start, position));
+            throw new MalformedFormulaException("malformed number " + text.substring(start, position));
         }
     }
 
@@ -116,7 +118,7 @@
     private String parseReference() throws MalformedFormulaException {
         int end = text.indexOf(']', position);
         if (end < 0) {
-            throw new MalformedFormulaException("has a bracket that does not end");
+            throw new MalformedFormulaException("unclosed bracket");
         }
         String name = text.substring(position, end + 1);
         position = end + 1;
@@ -126,12 +128,12 @@
     private double valueOf(String name) throws MalformedFormulaException {
         Double value = variables.apply(name);
         if (value == null) {
-            throw new MalformedFormulaException("names " + name + ", which there is not");
+            throw new MalformedFormulaException("the variable " + name + " is not defined");
         }
         return value;
     }
 
-    /** The next character after blanks, without consuming it; 0 at the end. */
+    /** Skips spaces and returns the next character without consuming it; 0 at the end. */
     private char peek() {
         while (position < text.length() && text.charAt(position) == ' ') {
             position++;
@@ -148,6 +150,6 @@
     private MalformedFormulaException unexpected() {
         char found = peek();
         return new MalformedFormulaException(
-                found == 0 ? "ends too early" : "has " + found + " at position " + (position + 1));
+                found == 0 ? "unexpected end" : "unexpected " + found + " at position " + (position + 1));
     }
 }
--- a/src/main/java/sandstack/measure/page/MarkdownTable.java
+++ b/src/main/java/sandstack/measure/page/MarkdownTable.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Builds a Markdown table. */
+/** Builds a Markdown table row by row. */
 final class MarkdownTable {
     private final List<String> lines = new ArrayList<>();
     private final int columns;
@@ -15,10 +15,10 @@
         lines.add("|" + " --- |".repeat(columns));
     }
 
-    /** Adds a row and returns this table; there have to be as many cells as columns. */
+    /** Adds a row and returns this table; requires one cell for each column. */
     MarkdownTable row(String... cells) {
         if (cells.length != columns) {
-            throw new IllegalArgumentException(cells.length + " cells in a table of " + columns);
+            throw new IllegalArgumentException(cells.length + " cells, number of columns is " + columns);
         }
         List<String> escaped =
                 Arrays.stream(cells).map(c -> c.replace("|", "\\|")).toList();
@@ -26,7 +26,7 @@
         return this;
     }
 
-    /** The table without a line break at its end. */
+    /** The table without a trailing line break. */
     String text() {
         return String.join("\n", lines);
     }
--- a/src/main/java/sandstack/measure/page/Origin.java
+++ b/src/main/java/sandstack/measure/page/Origin.java
@@ -1,15 +1,15 @@
 package sandstack.measure.page;
 
-/** The source of a cost model. */
+/** How the figure of a cost model was obtained. Constants are stored by name in the cost model file. */
 public enum Origin {
-    /** Points were measured by a run. */
+    /** Fitted to points that a run measured. */
     MEASURED,
-    /** Points were computed by a run of a simulation or model. */
+    /** Fitted to points that a run computed by a simulation or model. */
     MODELLED,
-    /** The figure is derived by a formula, without a run. */
+    /** Derived by a formula, without a run. */
     RECKONED;
 
-    /** Whether the model has points, command, date and commit. */
+    /** Whether the cost model has points, command, date and commit. */
     boolean hasRun() {
         return this != RECKONED;
     }
--- a/src/main/java/sandstack/measure/page/Plan.java
+++ b/src/main/java/sandstack/measure/page/Plan.java
@@ -7,14 +7,18 @@
 import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.page.PlanNumber.Source;
 
-/** The capacity plan: all planning numbers, derived ones after those that they depend on. */
+/**
+ * The capacity plan.
+ *
+ * @param numbers all planning numbers; a derived number follows those that it depends on
+ */
 public record Plan(List<PlanNumber> numbers) {
-    /** Copies the list. */
+    /** Rejects a null list, as of a file without the key. */
     public Plan {
         numbers = List.copyOf(Objects.requireNonNull(numbers, "numbers: missing"));
     }
 
-    /** The planned size for series by this quantity, such as {@code relays}. */
+    /** The planned size of a quantity that series grow with, such as {@code relays}; empty if there is none. */
     public OptionalDouble sizeOf(String per) {
         return numbers.stream()
                 .filter(n -> n.sizeOf().contains(per))
@@ -23,9 +27,10 @@
     }
 
     /**
-     * A copy with another size and with all derived numbers evaluated anew.
+     * A copy with another planned size, in which all derived numbers are evaluated again.
      *
-     * @param per quantity whose size changes
+     * @param per quantity whose planned size changes
+     * @throws InvalidConfigurationException if a formula cannot be evaluated
      */
     Plan withSize(String per, double size) throws InvalidConfigurationException {
         List<PlanNumber> changed = new ArrayList<>();
@@ -34,14 +39,14 @@
             if (number.sizeOf().contains(per)) {
                 value = size;
             } else if (number.source() == Source.DERIVED) {
-                value = derived(number, new Plan(changed));
+                value = evaluateDerived(number, new Plan(changed));
             }
             changed.add(number.withValue(value));
         }
         return new Plan(changed);
     }
 
-    private static double derived(PlanNumber number, Plan previous) throws InvalidConfigurationException {
+    private static double evaluateDerived(PlanNumber number, Plan previous) throws InvalidConfigurationException {
         try {
             return Formula.evaluate(number.arithmetic(), previous::valueOf);
         } catch (Formula.MalformedFormulaException e) {
@@ -50,7 +55,7 @@
         }
     }
 
-    /** The value of the number with this name; null if there is none. */
+    /** The value of the planning number with this name; null if there is none. */
     Double valueOf(String name) {
         return numbers.stream()
                 .filter(n -> n.name().equals(name))
--- a/src/main/java/sandstack/measure/page/PlanNumber.java
+++ b/src/main/java/sandstack/measure/page/PlanNumber.java
@@ -3,30 +3,32 @@
 import java.util.List;
 
 /**
- * A planning number.
+ * A planning number, such as the number of relays.
  *
- * @param name variable in a {@link Formula}
- * @param value in the unit
- * @param meaning text on the page
- * @param arithmetic formula of a {@link Source#DERIVED} number, over numbers before it; null for others
- * @param sizeOf quantities of series of which this is the planned size; may be empty
+ * @param name name as a variable in a {@link Formula}
+ * @param value value in the unit
+ * @param unit unit of the value
+ * @param source how the value was obtained
+ * @param meaning description on the page
+ * @param arithmetic {@link Formula} of a {@link Source#DERIVED} number over preceding numbers; null for others
+ * @param sizeOf quantities of which this number is the planned size; may be empty
  */
 public record PlanNumber(
         String name, double value, String unit, Source source, String meaning, String arithmetic, List<String> sizeOf) {
 
-    /** The source of a planning number. */
+    /** How a planning number was obtained. Constants are stored by name in the plan file. */
     public enum Source {
         /** Stated by the operators. */
         STATED,
-        /** Current setting of the program or its machine. */
+        /** Current setting of the program or of its machine. */
         SETTING,
-        /** Placeholder until the number is known. */
+        /** Assumed until the actual number is known. */
         ASSUMED,
-        /** Derived from numbers before it. */
+        /** Computed by a formula from preceding numbers. */
         DERIVED
     }
 
-    /** Copies the list; null becomes empty. */
+    /** Replaces a null list, as of a key missing in the file, by an empty one. */
     public PlanNumber {
         sizeOf = sizeOf == null ? List.of() : List.copyOf(sizeOf);
     }
--- a/src/main/java/sandstack/measure/page/PlanValidator.java
+++ b/src/main/java/sandstack/measure/page/PlanValidator.java
@@ -7,7 +7,9 @@
 import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.page.PlanNumber.Source;
 
-/** Validates planning numbers: unique names, values above zero, derived values equal to their formulas. */
+/**
+ * Validates planning numbers: unique names, values above zero, derived values equal to the results of their formulas.
+ */
 final class PlanValidator {
     private static final double RELATIVE_TOLERANCE = 1e-9;
 
@@ -29,12 +31,13 @@
             }
             for (String size : number.sizeOf()) {
                 if (!sizes.add(size)) {
-                    throw new InvalidConfigurationException(key + ".sizeOf: " + size + ": is another number's too");
+                    throw new InvalidConfigurationException(
+                            key + ".sizeOf: " + size + ": duplicate, another number has it");
                 }
             }
             validateFormula(key, number, previous);
             if (previous.put(number.name(), number.value()) != null) {
-                throw new InvalidConfigurationException(key + ".name: " + number.name() + ": stands twice");
+                throw new InvalidConfigurationException(key + ".name: " + number.name() + ": duplicate");
             }
         }
     }
@@ -44,7 +47,7 @@
         if (number.source() != Source.DERIVED) {
             if (number.arithmetic() != null) {
                 throw new InvalidConfigurationException(
-                        key + ".arithmetic: " + number.arithmetic() + ": only a DERIVED number has arithmetic");
+                        key + ".arithmetic: " + number.arithmetic() + ": must be missing unless the source is DERIVED");
             }
             return;
         }
@@ -53,7 +56,7 @@
             double value = Formula.evaluate(number.arithmetic(), previous::get);
             if (Math.abs(value - number.value()) > RELATIVE_TOLERANCE * Math.abs(value)) {
                 throw new InvalidConfigurationException(
-                        key + ".value: " + number.value() + ": its arithmetic comes to " + value);
+                        key + ".value: " + number.value() + ": its formula yields " + value);
             }
         } catch (Formula.MalformedFormulaException e) {
             throw new InvalidConfigurationException(
--- a/src/main/java/sandstack/measure/page/Quantity.java
+++ b/src/main/java/sandstack/measure/page/QuantityFormat.java
@@ -6,15 +6,15 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Formats quantities for people: three significant digits, scaled units for bytes and seconds. */
-public final class Quantity {
+/** Formats quantities for reports, with three significant digits and SI prefixes for bytes and seconds. */
+public final class QuantityFormat {
     private static final int SIGNIFICANT_DIGITS = 3;
     private static final double PREFIX_FACTOR = 1000;
     private static final List<String> BYTES = List.of("B", "KB", "MB", "GB", "TB", "PB");
     private static final List<String> SECONDS = List.of("ns", "us", "ms", "s");
 
-    /** Units that are scaled, and the position of each in its series of prefixed units. */
-    private static final Map<String, Scale> SCALED = Map.of(
+    /** First words of the units that are scaled, with the position of each among its prefixed units. */
+    private static final Map<String, Scale> SCALES = Map.of(
             "bytes", new Scale(BYTES, 0),
             "megabytes", new Scale(BYTES, 2),
             "us", new Scale(SECONDS, 1),
@@ -26,18 +26,18 @@
 
     private static final Pattern FIRST_WORD = Pattern.compile("^[a-z]+");
 
-    /** A series of prefixed units, and the index of one of them. */
+    /** Units of one dimension, each 1000 times the previous one, and the index of one of them. */
     private record Scale(List<String> units, int index) {}
 
-    private Quantity() {}
+    private QuantityFormat() {}
 
     /**
      * Formats a value with its unit, such as {@code 470 MB a second} for {@code 4.7e8} and {@code bytes a second}.
-     * Scales units that begin with bytes or seconds; appends others unchanged.
+     * Scales units whose first word is a unit of bytes or seconds; appends other units unchanged.
      */
     public static String format(double value, String unit) {
         Matcher unitMatcher = FIRST_WORD.matcher(unit);
-        Scale scale = unitMatcher.find() ? SCALED.get(unitMatcher.group()) : null;
+        Scale scale = unitMatcher.find() ? SCALES.get(unitMatcher.group()) : null;
         return scale == null
                 ? formatNumber(value) + " " + unit
                 : scaled(value, scale) + unit.substring(unitMatcher.end());
@@ -57,7 +57,10 @@
         return formatNumber(scaled) + " " + scale.units.get(index);
     }
 
-    /** Formats a number with three significant digits; whole numbers in full below a million, in millions above. */
+    /**
+     * Formats a number with three significant digits, in millions or billions from a million on; smaller whole numbers
+     * in full.
+     */
     public static String formatNumber(double value) {
         double size = Math.abs(value);
         if (size >= 1e9) {
--- a/src/main/java/sandstack/measure/page/ReportMerge.java
+++ b/src/main/java/sandstack/measure/page/ReportMerge.java
@@ -13,10 +13,10 @@
 import sandstack.measure.scale.Series;
 
 /**
- * Result of merging the series of a report into the cost models with the same ids.
+ * The result of merging the series of a report into the cost models with the same ids.
  *
- * @param costModels with the measured ones replaced; their figures are to be evaluated anew
- * @param ignoredSeries ids of series without a cost model, or with fewer than three sizes
+ * @param costModels all cost models, updated from the report; figures of updated ones are stale until evaluated
+ * @param ignoredSeries ids of series without a cost model, or with too few distinct sizes for a fit
  */
 record ReportMerge(CostModels costModels, List<String> ignoredSeries) {
     static ReportMerge merge(Plan plan, CostModels costModels, ScaleReport report)
@@ -32,7 +32,7 @@
             Optional<FittedModel> fit = measured == null ? Optional.empty() : FittedModel.selectBest(measured.points());
             if (fit.isPresent()) {
                 seriesById.remove(costModel.id());
-                merged.add(costModel.measuredBy(run, measured, fit.get(), plannedSize(plan, measured)));
+                merged.add(costModel.withMeasurement(run, measured, fit.get(), plannedSize(plan, measured)));
             } else {
                 merged.add(costModel);
             }
@@ -44,7 +44,7 @@
         OptionalDouble size = plan.sizeOf(series.per());
         if (size.isEmpty()) {
             throw new InvalidConfigurationException(
-                    series.id() + ".per: " + series.per() + ": the plan has no size of it");
+                    series.id() + ".per: " + series.per() + ": the plan has no size for it");
         }
         return size.getAsDouble();
     }
--- a/src/main/java/sandstack/measure/page/Scenario.java
+++ b/src/main/java/sandstack/measure/page/Scenario.java
@@ -1,14 +1,17 @@
 package sandstack.measure.page;
 
-/** Events for which a fleet needs capacity, in the order of the columns of the page. */
+/**
+ * Events that a fleet must have capacity for, in the order of the columns of the page. Constants are stored by name in
+ * the cost model file.
+ */
 public enum Scenario {
-    /** Single machine failures and restarts of relays. */
+    /** Failures of single machines and restarts of relays. */
     ORDINARY_DAY("ordinary day"),
-    /** Loss of a rack or its switch. */
+    /** Failure of a rack or of its switch. */
     RACK_LOST("a rack lost"),
-    /** Loss and recovery of a zone. */
+    /** Failure and recovery of a zone. */
     ZONE_LOST("a zone lost and back"),
-    /** Network partition between the regions for ten minutes, and its end. */
+    /** Network partition between the regions for ten minutes, and the recovery from it. */
     REGIONS_APART("regions apart 10 min and back"),
     /** Rolling replacement of all relays. */
     ROLLOUT("a rollout of all relays");
--- a/src/main/java/sandstack/measure/page/package-info.java
+++ b/src/main/java/sandstack/measure/page/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The capacity plan: planning numbers and cost models in JSON, validated and extrapolated to the planned size, and the
- * tables of {@code docs/CAPACITY.md} that are generated from them. Measures nothing.
+ * The capacity plan: reads planning numbers and cost models from JSON, validates them, extrapolates the costs to the
+ * planned sizes and generates the tables of {@code docs/CAPACITY.md}. Runs no measurements; takes their results from
+ * the reports of {@code measure scale}.
  */
 package sandstack.measure.page;
--- a/src/main/java/sandstack/measure/scale/ProbeProcess.java
+++ b/src/main/java/sandstack/measure/scale/ProbeProcess.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import sandstack.measure.RunCommand;
+import sandstack.measure.RelayCommandLine;
 
 /**
  * Runs the main method of a probe class in its own process, with the compiler and collector options of {@code run}, so
@@ -27,7 +27,7 @@
     static ProbeOutput run(Class<?> probe, int... arguments) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(RunCommand.compilerAndCollector());
+        command.addAll(RelayCommandLine.compilerAndCollectorOptions());
         command.addAll(HEAP_OPTIONS);
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), probe.getName()));
         Arrays.stream(arguments).mapToObj(Integer::toString).forEach(command::add);
--- a/src/test/java/sandstack/measure/CapacityMeasurementTest.java
+++ b/src/test/java/sandstack/measure/CapacityMeasurementTest.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Rejections are counted in the logs of the builds that a measurement may compare. */
+/** Counting of rejections in logs, also in the log format of older builds that a measurement may be compared to. */
 class CapacityMeasurementTest {
     @Test
-    void rejectionsAreCountedByReasonAndAttemptsInTheWordingOfEachBuild() {
+    void rejectionsAreCountedByReasonAndAttemptsInTheLogFormatOfEachBuild() {
         List<String> log = List.of(
                 "command 7 of k7 was answered REFUSED FULL 0 after 1 executions",
                 "command 8 of k8 was answered REJECTED FULL 250 after 1 executions",
--- a/src/test/java/sandstack/measure/FittedShapesTest.java
+++ b/src/test/java/sandstack/measure/FittedShapesTest.java
@@ -13,13 +13,14 @@
 import sandstack.measure.scale.ScaleRun;
 
 /**
- * Every series of {@code measure scale} with the small effort has the shape that a file states, and is deterministic.
+ * With the small effort, every series of {@code measure scale} is fitted by the shape listed in a file, and repeated
+ * runs yield equal results.
  */
 class FittedShapesTest {
     private static final String TOO_FEW_SIZES = "TOO_FEW_SIZES";
-    private static final Path EXPECTED = Path.of("src/test/resources/measure/small-shapes.txt");
+    private static final Path EXPECTED_SHAPES = Path.of("src/test/resources/measure/small-shapes.txt");
 
-    private static List<Result> measured() throws InterruptedException {
+    private static List<Result> runAll() throws InterruptedException {
         ScaleRun run = new ScaleRun(Effort.SMALL, line -> {});
         for (ScaleMeasurement measurement : ScaleMeasurements.all()) {
             run.measure(measurement);
@@ -33,19 +34,19 @@
     }
 
     @Test
-    void everySeriesHasItsShapeAndComesOutAlike() throws InterruptedException, IOException {
-        List<Result> once = measured();
-        List<String> shapes = once.stream()
+    void everySeriesHasTheExpectedShapeAndIsDeterministic() throws InterruptedException, IOException {
+        List<Result> firstRun = runAll();
+        List<String> shapes = firstRun.stream()
                 .map(result -> result.series().id() + " " + shape(result))
                 .sorted()
                 .toList();
 
-        assertThat(shapes).isEqualTo(Files.readAllLines(EXPECTED));
-        assertThat(measured()).isEqualTo(once);
+        assertThat(shapes).isEqualTo(Files.readAllLines(EXPECTED_SHAPES));
+        assertThat(runAll()).isEqualTo(firstRun);
     }
 
     @Test
-    void measurementsHaveNamesOfTheirOwn() {
+    void measurementNamesAreUnique() {
         assertThat(ScaleMeasurements.all()).extracting(ScaleMeasurement::name).doesNotHaveDuplicates();
     }
 }
--- a/src/test/java/sandstack/measure/ScaleCommandTest.java
+++ b/src/test/java/sandstack/measure/ScaleCommandTest.java
@@ -19,22 +19,22 @@
 import sandstack.measure.scale.Series;
 import sandstack.measure.scale.Shape;
 
-/** The command {@code measure scale} with measurements of known values. */
+/** The command {@code measure scale} with measurements that return fixed values. */
 class ScaleCommandTest {
     @TempDir
     Path folder;
 
-    private final StringWriter said = new StringWriter();
+    private final StringWriter output = new StringWriter();
 
-    /** Yields one series with these values at 50, 100 and 200 relays. */
-    private record Known(String name, String id, double... values) implements ScaleMeasurement {
+    /** Returns one series with these three values, at 50, 100 and 200 relays. */
+    private record FixedMeasurement(String name, String id, double... values) implements ScaleMeasurement {
         @Override
         public List<Series> measure(Effort effort) {
             List<Series.Point> points = List.of(
                     new Series.Point(50, values[0]),
                     new Series.Point(100, values[1]),
                     new Series.Point(200, values[2]));
-            String method = "known values, " + effort;
+            String method = "fixed values, " + effort;
             return List.of(
                     new Series(id, Role.RELAY_CONTROL, Resource.NETWORK, "bytes a second", "relays", method, points));
         }
@@ -48,18 +48,18 @@
 
         @Override
         public List<Series> measure(Effort effort) throws IOException {
-            throw new IOException("no room\nat all");
+            throw new IOException("no space\nleft");
         }
     };
 
-    private int run(List<ScaleMeasurement> measurements, String... words) {
+    private int run(List<ScaleMeasurement> measurements, String... arguments) {
         return new CommandLine(new ScaleCommand(measurements))
-                .setOut(new PrintWriter(said))
-                .setErr(new PrintWriter(said))
-                .execute(words);
+                .setOut(new PrintWriter(output))
+                .setErr(new PrintWriter(output))
+                .execute(arguments);
     }
 
-    private ScaleReport report(Path file) throws IOException {
+    private ScaleReport readReport(Path file) throws IOException {
         return new ObjectMapper().readValue(file.toFile(), ScaleReport.class);
     }
 
@@ -67,11 +67,15 @@
     void eachSeriesIsFittedAndExtrapolated() throws IOException {
         Path json = folder.resolve("r.json");
 
-        int exit = run(List.of(new Known("list", "list.bytes", 150, 250, 450)), "--quick", "--json", json.toString());
+        int exit = run(
+                List.of(new FixedMeasurement("list", "list.bytes", 150, 250, 450)),
+                "--quick",
+                "--json",
+                json.toString());
 
         assertThat(exit).isZero();
-        assertThat(said.toString()).containsPattern("list\\.bytes +LINEAR +0\\.00% +11\\.3 KB a second");
-        ScaleReport report = report(json);
+        assertThat(output.toString()).containsPattern("list\\.bytes +LINEAR +0\\.00% +11\\.3 KB a second");
+        ScaleReport report = readReport(json);
         assertThat(report.command()).isEqualTo("measure scale --quick");
         assertThat(report.effort()).isEqualTo(ScaleMeasurement.Effort.QUICK);
         assertThat(report.results()).hasSize(1);
@@ -80,39 +84,40 @@
     }
 
     @Test
-    void oneThatFailsIsToldAndTheOthersStillCount() throws IOException {
+    void failedMeasurementIsReportedAndTheOthersStillRun() throws IOException {
         Path json = folder.resolve("r.json");
-        List<ScaleMeasurement> all = List.of(FAILING, new Known("list", "list.bytes", 150, 250, 450));
+        List<ScaleMeasurement> all = List.of(FAILING, new FixedMeasurement("list", "list.bytes", 150, 250, 450));
 
         assertThat(run(all, "--json", json.toString())).isEqualTo(1);
 
-        assertThat(said.toString()).contains("FAILED failing: java.io.IOException: no room");
-        assertThat(report(json).failures()).hasSize(1);
-        assertThat(report(json).results()).hasSize(1);
+        assertThat(output.toString()).contains("FAILED failing: java.io.IOException: no space");
+        assertThat(readReport(json).failures()).hasSize(1);
+        assertThat(readReport(json).results()).hasSize(1);
     }
 
     @Test
-    void twoSeriesOfOneNameAreAFailure() throws IOException {
+    void secondSeriesWithTheSameIdIsAFailure() throws IOException {
         Path json = folder.resolve("r.json");
-        List<ScaleMeasurement> all = List.of(new Known("one", "x", 1, 1, 1), new Known("other", "x", 2, 2, 2));
+        List<ScaleMeasurement> all =
+                List.of(new FixedMeasurement("one", "x", 1, 1, 1), new FixedMeasurement("other", "x", 2, 2, 2));
 
         assertThat(run(all, "--json", json.toString())).isEqualTo(1);
-        assertThat(report(json).failures().get(0).measurement()).isEqualTo("other");
+        assertThat(readReport(json).failures().get(0).measurement()).isEqualTo("other");
     }
 
     @Test
-    void oneMeasurementCanBeChosen() throws IOException {
+    void onlyTheSelectedMeasurementRuns() throws IOException {
         Path json = folder.resolve("r.json");
-        List<ScaleMeasurement> all = List.of(FAILING, new Known("list", "list.bytes", 150, 250, 450));
+        List<ScaleMeasurement> all = List.of(FAILING, new FixedMeasurement("list", "list.bytes", 150, 250, 450));
 
         assertThat(run(all, "--only", "list", "--json", json.toString())).isZero();
-        assertThat(report(json).command()).isEqualTo("measure scale --only list");
+        assertThat(readReport(json).command()).isEqualTo("measure scale --only list");
         assertThat(run(all, "--only", "nothing")).isEqualTo(2);
-        assertThat(said.toString()).contains("no scale measurement is called nothing; there are failing, list");
+        assertThat(output.toString()).contains("unknown measurement nothing; choose one of failing, list");
     }
 
     @Test
-    void whereNothingCanBeWrittenNothingIsMeasured() {
+    void noMeasurementRunsIfTheReportCannotBeWritten() {
         Path json = folder.resolve("none/r.json");
 
         assertThat(run(List.of(FAILING), "--json", json.toString())).isEqualTo(2);
--- a/src/test/java/sandstack/measure/StoredFormsTest.java
+++ b/src/test/java/sandstack/measure/StoredFormatsTest.java
@@ -28,9 +28,10 @@
 import sandstack.measure.scale.storm.RetryStormScale;
 
 /**
- * The forms of files and of printed tables that earlier builds wrote; a renamed class or field must not change them.
+ * The formats of files and printed tables that earlier builds wrote. Guards against changing them unintentionally by
+ * renaming a class, field or constant.
  */
-class StoredFormsTest {
+class StoredFormatsTest {
     private static final Path STORED = Path.of("src/test/resources/measure/stored");
     private static final Path STORM_REPORT = STORED.resolve("storm-report.json");
     private static final List<String> PAGE_FILES =
@@ -50,12 +51,12 @@
                 .execute(arguments);
     }
 
-    private static String stored(String file) throws IOException {
+    private static String readStored(String file) throws IOException {
         return Files.readString(STORED.resolve(file));
     }
 
-    /** The report without what differs from run to run: when it was made, of which commit, in what time. */
-    private static String withoutRun(String report) {
+    /** Removes the values that differ between runs: date, commit and duration. */
+    private static String withoutRunDetails(String report) {
         return report.replaceAll("\"(date|commit|seconds)\" : [^\n]*", "\"$1\"");
     }
 
@@ -64,15 +65,15 @@
     }
 
     @Test
-    void aReportOfAnEarlierBuildIsReadAndWrittenUnchanged() throws IOException {
+    void reportOfAnEarlierBuildIsReadAndWrittenUnchanged() throws IOException {
         ScaleReport report = JSON.readValue(STORM_REPORT.toFile(), ScaleReport.class);
 
         assertThat(JSON.copy().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(report))
-                .isEqualTo(stored("storm-report.json"));
+                .isEqualTo(readStored("storm-report.json"));
     }
 
     @Test
-    void theSimulatedRetryStormGivesTheReportAndTheTableOfAnEarlierBuild() throws IOException {
+    void simulatedRetryStormYieldsTheReportAndTableOfAnEarlierBuild() throws IOException {
         Path json = folder.resolve("report.json");
 
         assertThat(run(
@@ -84,58 +85,59 @@
                         json.toString()))
                 .isZero();
 
-        assertThat(withoutRun(Files.readString(json))).isEqualTo(withoutRun(stored("storm-report.json")));
-        assertThat(withoutSeconds(out.toString())).isEqualTo(withoutSeconds(stored("storm-table.txt")));
-        assertThat(withoutSeconds(err.toString())).isEqualTo(withoutSeconds(stored("storm-progress.txt")));
+        assertThat(withoutRunDetails(Files.readString(json)))
+                .isEqualTo(withoutRunDetails(readStored("storm-report.json")));
+        assertThat(withoutSeconds(out.toString())).isEqualTo(withoutSeconds(readStored("storm-table.txt")));
+        assertThat(withoutSeconds(err.toString())).isEqualTo(withoutSeconds(readStored("storm-progress.txt")));
     }
 
     @Test
-    void theEstimatorComparisonGivesTheFilesAndLinesOfAnEarlierBuild() throws IOException {
+    void estimatorComparisonYieldsTheFileAndOutputOfAnEarlierBuild() throws IOException {
         Path json = folder.resolve("estimators.json");
 
         assertThat(run(new MeasureCommand(), "estimators", "--quick", "--jar", "pom.xml", "--json", json.toString()))
                 .isZero();
 
-        assertThat(Files.readString(json)).isEqualTo(stored("estimators.json"));
-        assertThat(out.toString()).isEqualTo(stored("estimators-table.txt"));
-        assertThat(err.toString()).isEqualTo(stored("estimators-progress.txt"));
+        assertThat(Files.readString(json)).isEqualTo(readStored("estimators.json"));
+        assertThat(out.toString()).isEqualTo(readStored("estimators-table.txt"));
+        assertThat(err.toString()).isEqualTo(readStored("estimators-progress.txt"));
     }
 
     @Test
-    void aReportOfAnEarlierBuildIsTakenIntoTheSlopes() throws IOException {
+    void reportOfAnEarlierBuildIsMergedIntoTheCostModels() throws IOException {
         Files.createDirectories(folder.resolve("docs/capacity"));
         for (String file : PAGE_FILES) {
             Files.copy(Path.of(file), folder.resolve(file));
         }
-        JsonNode slopesBefore =
+        JsonNode costModelsBefore =
                 JSON.readTree(folder.resolve("docs/capacity/slopes.json").toFile());
 
         assertThat(run(new CapacityPageCommand(), "--root", folder.toString(), "--take", STORM_REPORT.toString()))
                 .isZero();
 
-        JsonNode slopes =
+        JsonNode costModels =
                 JSON.readTree(folder.resolve("docs/capacity/slopes.json").toFile());
-        List<String> taken = new ArrayList<>();
-        for (int i = 0; i < slopes.path("slopes").size(); i++) {
-            JsonNode slope = slopes.path("slopes").get(i);
-            JsonNode before = slopesBefore.path("slopes").get(i);
-            if (slope.path("command").asText().equals("measure scale --quick --only storm")) {
-                taken.add(slope.path("id").asText());
+        List<String> mergedIds = new ArrayList<>();
+        for (int i = 0; i < costModels.path("slopes").size(); i++) {
+            JsonNode costModel = costModels.path("slopes").get(i);
+            JsonNode before = costModelsBefore.path("slopes").get(i);
+            if (costModel.path("command").asText().equals("measure scale --quick --only storm")) {
+                mergedIds.add(costModel.path("id").asText());
             } else {
-                assertThat(slope).isEqualTo(before);
+                assertThat(costModel).isEqualTo(before);
             }
-            assertThat(slope.fieldNames()).toIterable().containsExactlyElementsOf(before::fieldNames);
+            assertThat(costModel.fieldNames()).toIterable().containsExactlyElementsOf(before::fieldNames);
         }
-        assertThat(taken).containsExactlyElementsOf(stormSlopes(slopesBefore));
+        assertThat(mergedIds).containsExactlyElementsOf(stormModelIds(costModelsBefore));
         assertThat(run(new CapacityPageCommand(), "--root", folder.toString(), "--check"))
                 .isZero();
     }
 
-    private static List<String> stormSlopes(JsonNode slopes) {
+    private static List<String> stormModelIds(JsonNode costModels) {
         List<String> ids = new ArrayList<>();
-        for (JsonNode slope : slopes.path("slopes")) {
-            if (slope.path("id").asText().startsWith("storm.")) {
-                ids.add(slope.path("id").asText());
+        for (JsonNode costModel : costModels.path("slopes")) {
+            if (costModel.path("id").asText().startsWith("storm.")) {
+                ids.add(costModel.path("id").asText());
             }
         }
         return ids;
@@ -155,7 +157,7 @@
         assertThat(names(ClientBehaviour.values())).isEqualTo("AT_ONCE SPREAD SPREAD_THEN_ADVICE AT_ONCE_THEN_ADVICE");
     }
 
-    /** As they are written to a file, separated by spaces. */
+    /** The names of the constants as Jackson writes them, separated by spaces. */
     private static String names(Enum<?>[] constants) throws IOException {
         List<String> names = new ArrayList<>();
         JSON.readTree(JSON.writeValueAsBytes(constants)).forEach(name -> names.add(name.asText()));
--- a/src/test/java/sandstack/measure/page/CapacityPageTest.java
+++ b/src/test/java/sandstack/measure/page/CapacityPageTest.java
@@ -28,7 +28,7 @@
 import sandstack.measure.scale.ScaleReport;
 import sandstack.measure.scale.Series;
 
-/** The page agrees with its JSON files, and a change of either alone is detected. */
+/** The page in the repository agrees with its JSON files, and a change to only one of them is detected. */
 class CapacityPageTest {
     private static final Path REPOSITORY = Path.of("");
     private static final Pattern TABLE = Pattern.compile("<!-- table: .*?<!-- end: [a-z-]+ -->", Pattern.DOTALL);
@@ -36,109 +36,111 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     @TempDir
-    Path copy;
+    Path repositoryCopy;
 
-    private final StringWriter said = new StringWriter();
+    private final StringWriter errors = new StringWriter();
 
     @BeforeEach
-    void copyOfAll() throws IOException {
-        Files.createDirectories(copy.resolve("docs/capacity"));
+    void copyPageAndJson() throws IOException {
+        Files.createDirectories(repositoryCopy.resolve("docs/capacity"));
         for (String file : List.of(CapacityFiles.PAGE, CapacityFiles.PLAN, CapacityFiles.COST_MODELS)) {
-            Files.copy(REPOSITORY.resolve(file), copy.resolve(file));
+            Files.copy(REPOSITORY.resolve(file), repositoryCopy.resolve(file));
         }
     }
 
-    private int run(String... words) {
-        List<String> all = new ArrayList<>(List.of("--root", copy.toString()));
-        all.addAll(List.of(words));
+    private int run(String... arguments) {
+        List<String> all = new ArrayList<>(List.of("--root", repositoryCopy.toString()));
+        all.addAll(List.of(arguments));
         return new CommandLine(new CapacityPageCommand())
-                .setErr(new PrintWriter(said))
-                .setExecutionExceptionHandler((e, line, parsed) -> {
-                    said.append(e.getMessage()).append('\n');
+                .setErr(new PrintWriter(errors))
+                .setExecutionExceptionHandler((e, commandLine, parseResult) -> {
+                    errors.append(e.getMessage()).append('\n');
                     return e instanceof InvalidConfigurationException ? 2 : 1;
                 })
                 .execute(all.toArray(String[]::new));
     }
 
     private String read(String file) throws IOException {
-        return Files.readString(copy.resolve(file));
+        return Files.readString(repositoryCopy.resolve(file));
     }
 
     private void write(String file, String text) throws IOException {
-        Files.writeString(copy.resolve(file), text);
+        Files.writeString(repositoryCopy.resolve(file), text);
     }
 
-    private JsonNode slopes() throws IOException {
+    private JsonNode readCostModels() throws IOException {
         return JSON.readTree(read(CapacityFiles.COST_MODELS));
     }
 
     @Test
-    void thePageAgreesWithItsJson() {
-        assertThat(run("--check")).as(said.toString()).isZero();
+    void pageAgreesWithItsJson() {
+        assertThat(run("--check")).as(errors.toString()).isZero();
     }
 
     @Test
-    void aNumberChangedInAnyTableOfThePageIsFound() throws IOException {
+    void changedNumberInAnyTableOfThePageIsDetected() throws IOException {
         String page = read(CapacityFiles.PAGE);
         Matcher tables = TABLE.matcher(page);
-        int altered = 0;
+        int changedTables = 0;
         while (tables.find()) {
             Matcher number = NUMBER.matcher(page).region(tables.start(), tables.end());
             if (number.find()) {
                 write(CapacityFiles.PAGE, page.substring(0, number.start()) + "7" + page.substring(number.start()));
                 assertThat(run("--check")).as(tables.group()).isEqualTo(1);
-                altered++;
+                changedTables++;
             }
         }
-        assertThat(altered).isGreaterThan(10);
+        assertThat(changedTables).isGreaterThan(10);
     }
 
     @Test
-    void aFigureChangedInTheJsonIsFoundForEachSlope() throws IOException {
-        int count = slopes().path("slopes").size();
+    void changedFigureInTheJsonIsDetectedForEachCostModel() throws IOException {
+        int count = readCostModels().path("slopes").size();
         for (int i = 0; i < count; i++) {
-            JsonNode slopes = slopes();
-            ObjectNode slope = (ObjectNode) slopes.path("slopes").get(i);
-            slope.put("figure", slope.path("figure").asDouble() * 1.01 + 1);
+            JsonNode costModels = readCostModels();
+            ObjectNode costModel = (ObjectNode) costModels.path("slopes").get(i);
+            costModel.put("figure", costModel.path("figure").asDouble() * 1.01 + 1);
             String before = read(CapacityFiles.COST_MODELS);
-            write(CapacityFiles.COST_MODELS, slopes.toString());
+            write(CapacityFiles.COST_MODELS, costModels.toString());
 
-            assertThat(run("--check")).as(slope.path("id").asText()).isEqualTo(2);
+            assertThat(run("--check")).as(costModel.path("id").asText()).isEqualTo(2);
 
             write(CapacityFiles.COST_MODELS, before);
         }
         assertThat(count).isGreaterThan(30);
-        assertThat(said.toString()).contains(".figure: ");
+        assertThat(errors.toString()).contains(".figure: ");
     }
 
     @ParameterizedTest
     @CsvSource({"mechanism, by hand", "title, another cost", "method, another way"})
-    void wordsChangedInTheJsonAreFound(String key, String words) throws IOException {
-        JsonNode slopes = slopes();
-        ((ObjectNode) slopes.path("slopes").get(0)).put(key, words);
-        write(CapacityFiles.COST_MODELS, slopes.toString());
+    void changedTextInTheJsonIsDetected(String key, String text) throws IOException {
+        JsonNode costModels = readCostModels();
+        ((ObjectNode) costModels.path("slopes").get(0)).put(key, text);
+        write(CapacityFiles.COST_MODELS, costModels.toString());
 
         assertThat(run("--check")).isEqualTo(1);
-        assertThat(said.toString()).contains("is not what the JSON gives");
+        assertThat(errors.toString()).contains("differs from what the JSON files yield");
     }
 
     @Test
-    void aPlanningNumberChangedIsFoundAndTheFiguresFollowOnceReckonedAnew() throws IOException {
+    void changedPlanningNumberIsDetectedAndReckonRecomputesTheFigures() throws IOException {
         write(CapacityFiles.PLAN, read(CapacityFiles.PLAN).replace("\"value\": 48,", "\"value\": 64,"));
         write(CapacityFiles.PLAN, read(CapacityFiles.PLAN).replace("\"value\": 50331648,", "\"value\": 67108864,"));
 
-        assertThat(run("--check")).as("stale figures").isEqualTo(2);
-        assertThat(run("--reckon")).as(said.toString()).isZero();
+        assertThat(run("--check"))
+                .as("check with figures that do not follow from the changed plan")
+                .isEqualTo(2);
+        assertThat(run("--reckon")).as(errors.toString()).isZero();
         assertThat(run("--check")).isZero();
         assertThat(read(CapacityFiles.PAGE)).contains("67.1 MB");
     }
 
     @Test
-    void writingThePageTwiceChangesNothing() throws IOException {
+    void recomputingAnUnchangedPageWritesIdenticalFiles() throws IOException {
         String page = read(CapacityFiles.PAGE);
         String json = read(CapacityFiles.COST_MODELS);
 
-        assertThat(run("--reckon")).as(said.toString()).isZero();
+        assertThat(run("--reckon")).as(errors.toString()).isZero();
 
         assertThat(read(CapacityFiles.PAGE)).isEqualTo(page);
         assertThat(read(CapacityFiles.COST_MODELS)).isEqualTo(json);
@@ -149,14 +151,14 @@
         for (int i = 0; i < values.length; i++) {
             points.add(new Series.Point(1_000 * (i + 1), values[i]));
         }
-        return new Series(id, Role.RELAY_CONNECTIONS, Resource.MEMORY, "bytes", per, "known values", points);
+        return new Series(id, Role.RELAY_CONNECTIONS, Resource.MEMORY, "bytes", per, "fixed values", points);
     }
 
-    private String report(Series... series) throws IOException {
+    private String writeReport(Series... series) throws IOException {
         List<ScaleReport.Result> results = Arrays.stream(series)
                 .map(s -> new ScaleReport.Result("known", s, null))
                 .toList();
-        Path file = copy.resolve("report.json");
+        Path file = repositoryCopy.resolve("report.json");
         JSON.writeValue(
                 file.toFile(),
                 new ScaleReport("measure scale", "2026-01-02", "abc1234", Effort.FULL, 1, results, List.of()));
@@ -164,17 +166,19 @@
     }
 
     @Test
-    void whatARunMeasuredComesOntoThePage() throws IOException {
-        String report = report(
+    void measuredSeriesAreMergedIntoThePage() throws IOException {
+        String report = writeReport(
                 series("relay.memory.heap", "connections", 2e6, 3e6, 4e6),
                 series("relay.memory.resident", "connections", 2e6, 3e6),
                 series("no.such.slope", "connections", 1, 2, 3));
 
-        assertThat(run("--take", report)).as(said.toString()).isZero();
+        assertThat(run("--take", report)).as(errors.toString()).isZero();
 
-        assertThat(said.toString())
-                .contains("not on the page: relay.memory.resident", "not on the page: no.such.slope");
-        assertThat(run("--check")).as(said.toString()).isZero();
+        assertThat(errors.toString())
+                .contains(
+                        "ignored series, without a cost model or with too few sizes: relay.memory.resident",
+                        "ignored series, without a cost model or with too few sizes: no.such.slope");
+        assertThat(run("--check")).as(errors.toString()).isZero();
         assertThat(read(CapacityFiles.PAGE))
                 .contains(
                         "| memory: heap | 1 MB + 1 KB x connections | linear, residual 0.0%, to 3,000 | 81.4 MB (x) |")
@@ -182,18 +186,18 @@
     }
 
     @Test
-    void aRunWhoseSizesAreNotPlannedIsToldInOneLine() throws IOException {
-        String report = report(series("relay.memory.heap", "cups", 2e6, 3e6, 4e6));
+    void runWithoutAPlannedSizeIsReportedInOneLine() throws IOException {
+        String report = writeReport(series("relay.memory.heap", "cups", 2e6, 3e6, 4e6));
         String before = read(CapacityFiles.COST_MODELS);
 
         assertThat(run("--take", report)).isEqualTo(2);
 
-        assertThat(said.toString().trim()).isEqualTo("relay.memory.heap.per: cups: the plan has no size of it");
+        assertThat(errors.toString().trim()).isEqualTo("relay.memory.heap.per: cups: the plan has no size for it");
         assertThat(read(CapacityFiles.COST_MODELS)).isEqualTo(before);
     }
 
     @Test
-    void checkWritesNothing() {
+    void checkCannotBeCombinedWithReckon() {
         assertThat(run("--check", "--reckon")).isEqualTo(2);
     }
 }
--- a/src/test/java/sandstack/measure/page/FormulaTest.java
+++ b/src/test/java/sandstack/measure/page/FormulaTest.java
@@ -14,11 +14,11 @@
 
 /** Evaluation of formulas, and errors in malformed ones. */
 class FormulaTest {
-    private static final Map<String, Double> NAMES =
+    private static final Map<String, Double> VARIABLES =
             Map.of("relays", 5_600.0, "zones", 8.0, "[relay.memory-per.x]", 5.0);
 
-    private static double value(String text) throws Formula.MalformedFormulaException {
-        return Formula.evaluate(text, NAMES::get);
+    private static double evaluate(String text) throws Formula.MalformedFormulaException {
+        return Formula.evaluate(text, VARIABLES::get);
     }
 
     @ParameterizedTest
@@ -32,37 +32,38 @@
         "relays * (zones - 1) / zones, 4900",
         "[relay.memory-per.x] * 2 - 1, 9"
     })
-    void expressionsAreReadAsOnPaper(String text, double expected) throws Formula.MalformedFormulaException {
-        assertThat(value(text)).isCloseTo(expected, within(1e-12));
+    void operatorsHaveTheUsualPrecedenceAndAssociativity(String text, double expected)
+            throws Formula.MalformedFormulaException {
+        assertThat(evaluate(text)).isCloseTo(expected, within(1e-12));
     }
 
     @ParameterizedTest
     @CsvSource(
             delimiter = ';',
             value = {
-                "'';ends too early",
-                "1 +;ends too early",
-                "(1 + 2;ends too early",
-                "1 2;has 2 at position 3",
-                "1 + $;has $ at position 5",
-                "1.2.3;has no number at 1.2.3",
-                "relais;names relais, which there is not",
-                "[relay;has a bracket that does not end",
-                "1 / 0;comes to no finite number"
+                "'';unexpected end",
+                "1 +;unexpected end",
+                "(1 + 2;unexpected end",
+                "1 2;unexpected 2 at position 3",
+                "1 + $;unexpected $ at position 5",
+                "1.2.3;malformed number 1.2.3",
+                "relais;the variable relais is not defined",
+                "[relay;unclosed bracket",
+                "1 / 0;the result is not a finite number"
             })
-    void whatIsWrongIsTold(String text, String why) {
-        assertThatThrownBy(() -> value(text))
+    void malformedFormulaIsReported(String text, String expectedMessage) {
+        assertThatThrownBy(() -> evaluate(text))
                 .isInstanceOf(Formula.MalformedFormulaException.class)
-                .hasMessage(why);
+                .hasMessage(expectedMessage);
     }
 
     @Test
-    void depthIsBounded() {
-        assertThatThrownBy(() -> value("(".repeat(100_000))).isInstanceOf(Formula.MalformedFormulaException.class);
+    void parenthesesDepthIsBounded() {
+        assertThatThrownBy(() -> evaluate("(".repeat(100_000))).isInstanceOf(Formula.MalformedFormulaException.class);
     }
 
     @Property
-    void productsComeBeforeSums(
+    void productsBindMoreTightlyThanSums(
             @ForAll @IntRange(min = 0, max = 1_000) int a,
             @ForAll @IntRange(min = 0, max = 1_000) int b,
             @ForAll @IntRange(min = 1, max = 1_000) int c,
@@ -70,6 +71,6 @@
             throws Formula.MalformedFormulaException {
         String text = a + " - " + b + "/" + c + "*" + d + " + " + a;
 
-        assertThat(value(text)).isCloseTo(a - (double) b / c * d + a, within(1e-6));
+        assertThat(evaluate(text)).isCloseTo(a - (double) b / c * d + a, within(1e-6));
     }
 }
--- a/src/test/java/sandstack/measure/page/QuantityTest.java
+++ b/src/test/java/sandstack/measure/page/QuantityFormatTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Values are formatted with three significant digits and a unit prefix. */
-class QuantityTest {
+class QuantityFormatTest {
     @ParameterizedTest
     @CsvSource(
             delimiter = ';',
@@ -34,7 +34,7 @@
                 "-3.25;cores;-3.25 cores",
                 "0.0000123;cores;1.23e-05 cores"
             })
-    void valuesAreReadable(double value, String unit, String text) {
-        assertThat(Quantity.format(value, unit)).isEqualTo(text);
+    void valuesHaveThreeSignificantDigitsAndAPrefixedUnit(double value, String unit, String expected) {
+        assertThat(QuantityFormat.format(value, unit)).isEqualTo(expected);
     }
 }
