--- a/src/main/java/sandstack/measure/FleetMeasurement.java
+++ b/src/main/java/sandstack/measure/FleetMeasurement.java
@@ -34,7 +34,10 @@
     private static final String ALIVE = "ALIVE";
     private static final String LOST = "LOST";
 
-    /** Fault injected into one member; CUT partitions it from all others. Metric names contain the constants. */
+    /**
+     * Fault injected into one member; CUT partitions it from all others. Metric names begin with the lower-case
+     * constant.
+     */
     private enum Fault {
         KILL,
         CUT,
@@ -118,7 +121,7 @@
     /**
      * Injects a fault, waits for its detection, ends the fault and waits until every member sees all others as alive.
      *
-     * @param detectionTimes the time until detection is added for each other member
+     * @param detectionTimes receives one time until detection for each other member
      * @param untilLost whether the fault lasts until the member is declared lost, rather than only suspected
      * @return seconds from the end of the fault until convergence; infinite after a timeout
      */
--- a/src/main/java/sandstack/measure/page/CapacityTables.java
+++ b/src/main/java/sandstack/measure/page/CapacityTables.java
@@ -15,13 +15,15 @@
 
 /** Generates the tables of the page from plan and cost models. */
 final class CapacityTables {
-    /** Marks values that are not measured. */
+    /** Marks values that a formula or model yields rather than a measurement. */
     private static final String DERIVED_SUFFIX = " (r)";
 
     /** Marks values extrapolated far beyond the measured sizes. */
     private static final String EXTRAPOLATED_SUFFIX = " (x)";
 
     private static final String NONE = "-";
+
+    /** Mechanism of a cost that no mechanism handles; printed in bold. */
     private static final String MISSING = "missing";
 
     /** Resources that the page reports for each role; a model of NETWORK bytes also covers MESSAGES. */
--- a/src/main/java/sandstack/measure/page/CostModel.java
+++ b/src/main/java/sandstack/measure/page/CostModel.java
@@ -18,7 +18,7 @@
  * model is either fitted to the points of a run or derived by a formula.
  *
  * @param id id of the measured series
- * @param role role of a machine or process that has the cost
+ * @param role part of the system that has the cost
  * @param resource resource that is used
  * @param title name of the cost on the page
  * @param unit unit of the values
@@ -27,12 +27,12 @@
  * @param shape fitted growth; for a derived model, only shown on the page
  * @param coefficients base and slope of the shape; empty for a derived model
  * @param residual relative residual of the fit; null for a derived model
- * @param sizes sizes measured by the run; empty for a derived model
- * @param values measured values at these sizes
+ * @param sizes sizes of the points of the run; empty for a derived model
+ * @param values values of the points at these sizes
  * @param method how the values were obtained, in one sentence
  * @param command command of the run; null for a derived model
  * @param date date of the run; null for a derived model
- * @param commit that was measured; null for a derived model
+ * @param commit commit that was measured; null for a derived model
  * @param arithmetic {@link Formula} of a derived model's figure; null for a fitted one
  * @param size planned size
  * @param figure cost at the planned size; null until evaluated
@@ -121,7 +121,7 @@
                         * sizes.stream().mapToDouble(Double::doubleValue).max().orElse(size);
     }
 
-    /** The measured points; empty for a derived model. */
+    /** The points of the run; empty for a derived model. */
     List<Point> points() {
         List<Point> points = new ArrayList<>();
         for (int i = 0; i < sizes.size(); i++) {
@@ -206,6 +206,6 @@
                 scenarios);
     }
 
-    /** The run of {@code measure scale} that measured the points. */
+    /** The run of {@code measure scale} that the points are from. */
     record Run(String command, String date, String commit) {}
 }
