--- a/src/main/java/sandstack/measure/configuration/ConfigurationHeap.java
+++ b/src/main/java/sandstack/measure/configuration/ConfigurationHeap.java
@@ -51,6 +51,7 @@
             throw new IllegalStateException("an encoded snapshot cannot be decoded", e);
         }
         double bytesPerSnapshot = (UsedHeap.bytes() - heapBytesBefore) / (double) DECODED_COPIES;
+        // using the list here keeps the snapshots reachable until the heap has been measured
         return snapshots.size() == DECODED_COPIES ? bytesPerSnapshot : Double.NaN;
     }
 
--- a/src/main/java/sandstack/measure/configuration/ConfigurationScale.java
+++ b/src/main/java/sandstack/measure/configuration/ConfigurationScale.java
@@ -6,9 +6,9 @@
 import sandstack.measure.scale.Series;
 
 /**
- * Costs and latencies of the configuration distribution by the size of the fleet: real publishers on seven control
- * machines and real followers on up to 5,600 relays, in simulated time on a simulated network. The consensus of the
- * control machines is modelled; its messages and processor time are not included.
+ * Costs and latencies of configuration distribution by the number of relays: real publishers on seven control machines
+ * and real followers on up to 5,600 relays, in simulated time on a simulated network. The consensus of the control
+ * machines is modelled; its messages and processor time are not included.
  */
 public final class ConfigurationScale implements ScaleMeasurement {
     private static final List<Integer> SIZES_FULL = List.of(50, 200, 800, 2_400, 5_600);
--- a/src/main/java/sandstack/measure/configuration/ConfigurationSeries.java
+++ b/src/main/java/sandstack/measure/configuration/ConfigurationSeries.java
@@ -6,13 +6,13 @@
 import sandstack.measure.scale.Role;
 import sandstack.measure.scale.Series;
 
-/** Converts the results of fleets of several sizes to series. */
+/** Converts the results of {@link FleetScenario} at several fleet sizes to series. */
 final class ConfigurationSeries {
     private static final String PER = "relays";
     private static final String METHOD_SUFFIX =
             "; hollow relays with 7 control machines in simulated time, configuration of 28 KB";
 
-    /** Quantities with their resources and units. */
+    /** Measured quantities, with their resources and units. */
     private enum Quantity {
         BYTES(Resource.NETWORK, "bytes/s"),
         MESSAGES(Resource.MESSAGES, "messages/s"),
@@ -37,7 +37,7 @@
         this.results = List.copyOf(results);
     }
 
-    /** Traffic of a relay. */
+    /** Traffic of a relay while idle, with changes, and during a partition of the regions. */
     List<Series> ofRelays() {
         String idle = "sent and received, nothing changes";
         String changing = "at 3,700 changes a day";
--- a/src/main/java/sandstack/measure/configuration/FleetScenario.java
+++ b/src/main/java/sandstack/measure/configuration/FleetScenario.java
@@ -11,11 +11,14 @@
 import sandstack.measure.configuration.FleetScenarioResult.FaultEffect;
 import sandstack.measure.configuration.FleetScenarioResult.Rates;
 
-/** Runs the changes and faults of a day on a hollow fleet of one size and measures their costs. Not thread-safe. */
+/**
+ * Runs a sequence of changes and faults on a hollow fleet of one size and measures their costs and latencies. Not
+ * thread-safe.
+ */
 final class FleetScenario {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long STEP_MICROS = 20_000;
-    /** Maximum simulated time of an activation. */
+    /** Maximum simulated time until a change is active at all relays. */
     private static final long TIMEOUT_MICROS = 120 * MICROS_PER_SECOND;
 
     private static final int MACHINES = 7;
@@ -44,7 +47,7 @@
         this.fleet = new HollowConfigurationFleet(HollowConfigurationFleet.Plan.of(relays, MACHINES, seed));
     }
 
-    /** Runs all phases; to be called once. */
+    /** Runs all phases. Must be called only once. */
     FleetScenarioResult run() {
         long heapBytesBefore = durations.measuresCosts() ? UsedHeap.bytes() : 0;
         double convergenceAfterStart = startFleet();
@@ -82,7 +85,7 @@
                 heapBytesPerRelay);
     }
 
-    /** Rates at the planned rate of changes, and the longest activation. */
+    /** Rates at the planned rate of changes, and the longest time until a change was active at all relays. */
     private record ChangePhase(Rates rates, double activationSeconds) {}
 
     /** Rates during a partition, and the effect of its end. */
@@ -122,7 +125,7 @@
         return new FaultEffect(seconds, hellos.takePeak());
     }
 
-    /** Commits the configuration that the fleet starts with. */
+    /** Commits the initial configuration, with {@value #KEYS} keys. */
     private void proposeInitialConfiguration() {
         List<ConfigurationEdit> edits = new ArrayList<>();
         for (int key = 0; key < KEYS; key++) {
@@ -162,7 +165,9 @@
         propose(edits);
     }
 
-    /** Makes changes at the planned rate; returns the longest activation in seconds. */
+    /**
+     * Proposes changes at the planned rate; returns the longest time until one was active at all relays, in seconds.
+     */
     private double runChanges(int changes) {
         double longest = 0;
         for (int i = 0; i < changes; i++) {
@@ -177,7 +182,10 @@
         return longest;
     }
 
-    /** Kills the machine with most relays at the time of a change; returns the seconds until its activation. */
+    /**
+     * Kills the control machine with most relays when a change is proposed; returns the seconds until the change is
+     * active at all relays.
+     */
     private double killBusiestMachine() {
         HollowControlMachine busiest = fleet.machines().stream()
                 .max(Comparator.comparingInt(
@@ -209,9 +217,12 @@
         return secondsUntilActiveEverywhere();
     }
 
-    /** Loses a zone, makes a change and restarts the zone; returns the seconds from the restart until convergence. */
+    /**
+     * Kills the relays of a zone, proposes a change and restarts the relays; returns the seconds from the restart until
+     * convergence.
+     */
     private double restartZone() {
-        List<HollowRelay> zone = new ArrayList<>();
+        List<HollowConfigurationRelay> zone = new ArrayList<>();
         for (int i = 0; i < fleet.relays().size(); i += ZONES) {
             zone.add(fleet.relays().get(i));
         }
@@ -230,7 +241,7 @@
         long micros = fleet.advanceUntilActiveEverywhere(STEP_MICROS, TIMEOUT_MICROS);
         if (micros < 0) {
             throw new IllegalStateException(
-                    "not in force everywhere after " + TIMEOUT_MICROS / MICROS_PER_SECOND + " s");
+                    "the change is not active at all relays after " + TIMEOUT_MICROS / MICROS_PER_SECOND + " s");
         }
         return micros / (double) MICROS_PER_SECOND;
     }
@@ -241,7 +252,7 @@
         long wallBefore = System.nanoTime();
         long threadBefore = threadCpuNanos();
         task.run();
-        // busy times are wall-clock times; scales them by the share of the processor that this thread had
+        // busyNanos is wall-clock time; the share of it in which this thread ran converts it to processor time
         double cpuFraction = durations.measuresCosts()
                 ? (threadCpuNanos() - threadBefore) / (double) Math.max(1, System.nanoTime() - wallBefore)
                 : 0;
--- a/src/main/java/sandstack/measure/configuration/FleetScenarioResult.java
+++ b/src/main/java/sandstack/measure/configuration/FleetScenarioResult.java
@@ -1,14 +1,14 @@
 package sandstack.measure.configuration;
 
 /**
- * Costs and latencies of the configuration distribution in a fleet of one size. Rates are per second of simulated time.
+ * Costs and latencies of configuration distribution in a fleet of one size. Rates are per second of simulated time.
  *
  * @param relays size of the fleet
  * @param idle rates without changes
  * @param changing rates at the planned rate of changes
  * @param partitioned rates while the regions are partitioned
- * @param activationSeconds longest time from the commit of a change until it was active at all relays
- * @param kill loss of a control machine at the time of a change, until its activation at all relays
+ * @param activationSeconds longest time from the commit of a change until it is active at all relays
+ * @param kill loss of a control machine when a change is proposed, until the change is active at all relays
  * @param partition end of the partition, until convergence of all relays; hellos during the partition
  * @param zoneStart simultaneous start of a zone's relays, until convergence of all relays
  * @param convergenceAfterStartSeconds time from the start of all relays with empty disks until convergence
@@ -44,7 +44,7 @@
      * @param relayCpuMicros processor time; 0 unless measured
      * @param controlMessages sent and received
      * @param controlBytes sent and received
-     * @param controlOtherRegionBytes part of these that crosses regions
+     * @param controlOtherRegionBytes part of {@code controlBytes} that crosses regions
      * @param controlCpuMicros mean processor time of a control machine; 0 unless measured
      */
     record Rates(
--- a/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
@@ -17,13 +17,18 @@
 import sandstack.configuration.RelayIdentity;
 import sandstack.measure.scale.SimulatedClock;
 
-/** A fleet of relays and control machines in two regions, in one process and in simulated time. Not thread-safe. */
+/**
+ * A fleet of hollow relays and control machines in two regions, in one process and in simulated time. Not thread-safe.
+ */
 public final class HollowConfigurationFleet {
     /** Interval of a relay's turns. */
     static final long RELAY_TURN_MICROS = 250_000;
-    /** A consensus library retains some thousands of log entries. */
+    /** Default of {@link Plan#maxReplayedChanges}: a consensus library retains some thousands of log entries. */
     private static final int MAX_REPLAYED_CHANGES = 1_000;
-    /** Relays take turns in groups, as one event for many turns keeps the event queue short. */
+    /**
+     * Number of groups in which relays run their turns: one event for the turns of many relays keeps the event queue
+     * short.
+     */
     private static final int TURN_GROUPS = 25;
     /** Interval of a control machine's turns. */
     static final long CONTROL_TURN_MICROS = 100_000;
@@ -38,8 +43,9 @@
      * @param machines number of control machines
      * @param publisher settings of the control machines
      * @param follower settings of the relays
-     * @param maxReplayedChanges most changes that a lagging control machine replays; beyond, it installs a snapshot
-     * @param seed of all random draws
+     * @param maxReplayedChanges maximum number of changes that a lagging control machine replays; one that lags further
+     *     installs a snapshot
+     * @param seed seed of all random numbers
      */
     public record Plan(
             int relays,
@@ -63,7 +69,7 @@
     private final ConfigurationCodec codec = new ConfigurationCodec(ConfigurationLimits.DEFAULT);
     private final ConfigurationMessageCodec messages = new ConfigurationMessageCodec(codec);
     private final List<HollowControlMachine> machines = new ArrayList<>();
-    private final List<HollowRelay> relays = new ArrayList<>();
+    private final List<HollowConfigurationRelay> relays = new ArrayList<>();
     private final List<ControlMachine> controlMachines = new ArrayList<>();
     private final ModelledConsensus consensus;
     private long connections;
@@ -80,7 +86,7 @@
             controlMachines.add(new ControlMachine(machine.name(), machine.region()));
         }
         for (int i = 0; i < plan.relays(); i++) {
-            relays.add(new HollowRelay(this, "relay-" + i, REGIONS.get(i % 2)));
+            relays.add(new HollowConfigurationRelay(this, "relay-" + i, REGIONS.get(i % 2)));
         }
         runTurns(0);
     }
@@ -101,13 +107,13 @@
         return consensus;
     }
 
-    /** All control machines. */
+    /** The control machines, running or not. */
     public List<HollowControlMachine> machines() {
         return List.copyOf(machines);
     }
 
-    /** All relays. */
-    public List<HollowRelay> relays() {
+    /** The relays, running or not. */
+    public List<HollowConfigurationRelay> relays() {
         return List.copyOf(relays);
     }
 
@@ -125,8 +131,8 @@
     }
 
     /**
-     * Advances until the last committed snapshot is active at every relay; returns the microseconds, -1 after the
-     * timeout.
+     * Advances until the last committed snapshot is active at every relay. Returns the simulated time until then in
+     * microseconds, or -1 after the timeout.
      */
     public long advanceUntilActiveEverywhere(long stepMicros, long timeoutMicros) {
         long startMicros = clock.nowMicros();
@@ -154,7 +160,7 @@
         clock.schedule(RELAY_TURN_MICROS / TURN_GROUPS, () -> runTurns((group + 1) % TURN_GROUPS));
     }
 
-    ConfigurationFollower newFollower(HollowRelay relay) {
+    ConfigurationFollower newFollower(HollowConfigurationRelay relay) {
         return new ConfigurationFollower(
                 plan.follower(),
                 new RelayIdentity(relay.name(), relay.region()),
@@ -170,7 +176,7 @@
         return new ConfigurationPublisher(plan.publisher(), codec, machine, clock.nowMicros());
     }
 
-    HollowConnection connect(HollowRelay relay, String machineName) {
+    HollowConnection connect(HollowConfigurationRelay relay, String machineName) {
         HollowControlMachine machine = machines.stream()
                 .filter(each -> each.name().equals(machineName))
                 .findFirst()
--- a/src/main/java/sandstack/measure/configuration/HollowRelay.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationRelay.java
@@ -11,23 +11,23 @@
 import sandstack.configuration.FollowerOutput;
 import sandstack.configuration.MalformedConfigurationException;
 
-/** A relay without clients: a real follower on a simulated network and disk. Not thread-safe. */
-public final class HollowRelay extends HollowProcess implements FollowerOutput {
+/** A hollow relay: a real follower on a simulated network and disk, without clients. Not thread-safe. */
+public final class HollowConfigurationRelay extends HollowProcess implements FollowerOutput {
     private final HollowConfigurationFleet fleet;
     private final InMemoryConfigurationStore store = new InMemoryConfigurationStore();
     private final Map<String, HollowConnection> connections = new LinkedHashMap<>();
-    private BiConsumer<HollowRelay, ConfigurationSnapshot> activationListener = (relay, snapshot) -> {};
+    private BiConsumer<HollowConfigurationRelay, ConfigurationSnapshot> activationListener = (relay, snapshot) -> {};
     private Consumer<ConfigurationMessage> messageListener = message -> {};
     private ConfigurationFollower follower;
     private long logLines;
 
-    HollowRelay(HollowConfigurationFleet fleet, String name, String region) {
+    HollowConfigurationRelay(HollowConfigurationFleet fleet, String name, String region) {
         super(name, region);
         this.fleet = fleet;
     }
 
     /** Sets the listener for activated snapshots. */
-    public void setActivationListener(BiConsumer<HollowRelay, ConfigurationSnapshot> listener) {
+    public void setActivationListener(BiConsumer<HollowConfigurationRelay, ConfigurationSnapshot> listener) {
         activationListener = listener;
     }
 
@@ -36,7 +36,7 @@
         messageListener = listener;
     }
 
-    /** Its disk. */
+    /** The simulated disk, whose content survives a kill. */
     public InMemoryConfigurationStore store() {
         return store;
     }
@@ -46,7 +46,7 @@
         return follower;
     }
 
-    /** Number of log lines. */
+    /** Number of lines that the follower has logged. */
     public long logLines() {
         return logLines;
     }
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Called when the control machine has closed a connection. */
+    /** Called when a connection was closed by the control machine. */
     void onConnectionClosed(HollowConnection connection) {
         execute(() -> {
             if (connections.remove(connection.machine().name(), connection)) {
--- a/src/main/java/sandstack/measure/configuration/HollowConnection.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConnection.java
@@ -1,30 +1,30 @@
 package sandstack.measure.configuration;
 
-/** A connection of a relay with a control machine. Not thread-safe. */
+/** A simulated connection of a relay to a control machine. Not thread-safe. */
 final class HollowConnection {
-    /** One direction of a connection, which keeps the order of frames unless a fault delays one. */
+    /** One direction of a connection. Frames arrive in order unless a fault delays one. */
     static final class Direction {
         long lastArrivalMicros;
     }
 
     private final long number;
-    private final HollowRelay relay;
+    private final HollowConfigurationRelay relay;
     private final HollowControlMachine machine;
     private final Direction toMachine = new Direction();
     private final Direction toRelay = new Direction();
 
     /**
-     * Opens a connection.
+     * Creates an open connection.
      *
      * @param number unique in the fleet
      */
-    HollowConnection(long number, HollowRelay relay, HollowControlMachine machine) {
+    HollowConnection(long number, HollowConfigurationRelay relay, HollowControlMachine machine) {
         this.number = number;
         this.relay = relay;
         this.machine = machine;
     }
 
-    HollowRelay relay() {
+    HollowConfigurationRelay relay() {
         return relay;
     }
 
@@ -40,7 +40,7 @@
         return toRelay;
     }
 
-    /** The relay's name at the control machine. */
+    /** The name of the relay's end of the connection in the control machine's publisher. */
     String peer() {
         return Long.toString(number);
     }
--- a/src/main/java/sandstack/measure/configuration/HollowControlMachine.java
+++ b/src/main/java/sandstack/measure/configuration/HollowControlMachine.java
@@ -8,7 +8,7 @@
 import sandstack.configuration.MalformedConfigurationException;
 import sandstack.configuration.PublisherOutput;
 
-/** A control machine: a real publisher on a simulated network and a modelled consensus. Not thread-safe. */
+/** A hollow control machine: a real publisher on a simulated network and a modelled consensus. Not thread-safe. */
 public final class HollowControlMachine extends HollowProcess implements PublisherOutput {
     private final HollowConfigurationFleet fleet;
     private final Map<String, HollowConnection> connections = new LinkedHashMap<>();
@@ -27,17 +27,17 @@
         return publisher;
     }
 
-    /** Number of received hellos. */
+    /** Number of received {@link ConfigurationMessage.Hello} messages. */
     public long helloCount() {
         return helloCount;
     }
 
-    /** The largest number of concurrent sessions. */
+    /** The largest number of concurrent follower sessions so far. */
     public int maxSessions() {
         return maxSessions;
     }
 
-    /** Number of log lines. */
+    /** Number of lines that the publisher has logged. */
     public long logLines() {
         return logLines;
     }
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Called when the relay has closed a connection. */
+    /** Called when a connection was closed by the relay. */
     void onConnectionClosed(HollowConnection connection) {
         execute(() -> {
             connections.remove(connection.peer());
--- a/src/main/java/sandstack/measure/configuration/HollowProcess.java
+++ b/src/main/java/sandstack/measure/configuration/HollowProcess.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A simulated process, which can be killed, restarted and paused. Not thread-safe. */
+/** A simulated process on its own machine; it can be killed, restarted and paused. Not thread-safe. */
 public abstract class HollowProcess {
     private final String name;
     private final String region;
-    private final Traffic traffic = new Traffic();
+    private final ProcessTraffic traffic = new ProcessTraffic();
     private final List<Runnable> deferredTasks = new ArrayList<>();
     private boolean running;
     private boolean paused;
@@ -20,37 +20,39 @@
         this.region = region;
     }
 
-    /** Its name in the fleet. */
+    /** The name, unique in the fleet. */
     public String name() {
         return name;
     }
 
-    /** The region of its machine. */
+    /** The name of the region. */
     public String region() {
         return region;
     }
 
     /** Counters of sent and received messages. */
-    public Traffic traffic() {
+    public ProcessTraffic traffic() {
         return traffic;
     }
 
-    /** Whether it is running, paused or not. */
+    /** Whether the process is running; also true while it is paused. */
     public boolean isRunning() {
         return running;
     }
 
-    /** Whether it is paused. */
+    /** Whether the process is paused, so that its tasks are deferred. */
     public boolean isPaused() {
         return paused;
     }
 
-    /** Whether it was killed with its machine, so that peers are not notified of closed connections. */
+    /**
+     * Whether the process was killed together with its machine, so that peers are not notified of closed connections.
+     */
     boolean isMachineLost() {
         return machineLost;
     }
 
-    /** Number of starts. */
+    /** Number of times that the process has been started. */
     public long incarnation() {
         return incarnation;
     }
@@ -65,7 +67,7 @@
         busyNanos = 0;
     }
 
-    /** Starts it from its disk. */
+    /** Starts the process with the state on its disk. */
     public void start() {
         running = true;
         paused = false;
@@ -76,7 +78,7 @@
     }
 
     /**
-     * Kills it.
+     * Kills the process and drops its deferred tasks.
      *
      * @param withMachine whether its machine is lost too, so that peers are not notified of closed connections
      */
@@ -88,12 +90,12 @@
         onKilled();
     }
 
-    /** Pauses it; tasks are deferred. */
+    /** Pauses the process, if it is running; tasks are deferred. */
     public void pause() {
         paused = running;
     }
 
-    /** Resumes it and runs the deferred tasks. */
+    /** Resumes the process and runs the deferred tasks. */
     public void resume() {
         paused = false;
         List<Runnable> tasks = List.copyOf(deferredTasks);
--- a/src/main/java/sandstack/measure/configuration/InMemoryConfigurationStore.java
+++ b/src/main/java/sandstack/measure/configuration/InMemoryConfigurationStore.java
@@ -8,7 +8,10 @@
 import sandstack.configuration.ConfigurationStore;
 import sandstack.configuration.ConfigurationStoreException;
 
-/** A relay's simulated disk, which survives its process and can be wiped, rolled back or corrupted. Not thread-safe. */
+/**
+ * A relay's simulated disk, whose content survives a kill of the process and can be wiped, rolled back or corrupted.
+ * Not thread-safe.
+ */
 public final class InMemoryConfigurationStore implements ConfigurationStore {
     private static final int MAX_SNAPSHOTS = 8;
 
@@ -23,26 +26,26 @@
         keepsHistory = true;
     }
 
-    /** Deletes everything. */
+    /** Deletes all snapshots and ends other faults, except a full disk. */
     public void wipe() {
         snapshots.clear();
         corrupted = false;
         unreadable = false;
     }
 
-    /** Replaces the latest snapshot by an older one, as far as these are retained. */
+    /** Removes the latest {@code steps} snapshots, except the oldest one that is retained. */
     public void rollBack(int steps) {
         for (int i = 0; i < steps && snapshots.size() > 1; i++) {
             snapshots.remove(snapshots.size() - 1);
         }
     }
 
-    /** Makes the entries no longer match their digest. */
+    /** Makes the stored digest differ from that of the entries, until the next successful write. */
     public void corrupt() {
         corrupted = true;
     }
 
-    /** Makes loading fail. */
+    /** Makes loading fail, until the next successful write. */
     public void makeUnreadable() {
         unreadable = true;
     }
--- a/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
+++ b/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
@@ -26,7 +26,7 @@
     /** Time from a commit to its replication: more than the one-way latency between regions. */
     private static final long REPLICATION_DELAY_MICROS = 60_000;
 
-    /** State of a control machine's replica. */
+    /** State of one control machine's replica of the committed changes. */
     private static final class Replica {
         int appliedChanges;
         long lastMajorityMicros = Long.MIN_VALUE / 2;
@@ -65,12 +65,12 @@
         return history.current();
     }
 
-    /** The committed snapshot at an index. */
+    /** The snapshot after the committed change at an index; empty if there is none. */
     public Optional<ConfigurationSnapshot> state(long index) {
         return index < states.size() ? Optional.of(states.get((int) index)) : Optional.empty();
     }
 
-    /** Commit time of the change at an index. */
+    /** Simulated commit time of the change at an index, in microseconds. */
     public long commitMicros(long index) {
         return commitMicros.get((int) index - 1);
     }
@@ -111,7 +111,7 @@
         return 2 * reachableMachines > fleet.machines().size();
     }
 
-    /** Rolls the disk of a machine back by this many changes. */
+    /** Rolls the disk of a machine back by {@code steps} changes, at most to the empty configuration. */
     public void rollBack(HollowControlMachine machine, int steps) {
         Replica replica = replica(machine);
         replica.appliedChanges = Math.max(0, replica.appliedChanges - steps);
--- a/src/main/java/sandstack/measure/configuration/PeakHelloRate.java
+++ b/src/main/java/sandstack/measure/configuration/PeakHelloRate.java
@@ -3,7 +3,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The peak rate of hellos per second at a control machine, sampled every simulated second. Not thread-safe. */
+/**
+ * The peak rate of hellos, with which relays request sessions, per second at one control machine. Sampled every
+ * simulated second. Not thread-safe.
+ */
 final class PeakHelloRate {
     private static final long SAMPLE_INTERVAL_MICROS = 1_000_000;
 
--- a/src/main/java/sandstack/measure/configuration/Traffic.java
+++ b/src/main/java/sandstack/measure/configuration/ProcessTraffic.java
@@ -1,8 +1,11 @@
 package sandstack.measure.configuration;
 
 /** Counters of messages and bytes of one process. Not thread-safe. */
-public final class Traffic {
-    /** Length prefix, and IPv4 and TCP headers with timestamps of the segment and its acknowledgement. */
+public final class ProcessTraffic {
+    /**
+     * Bytes per frame in addition to its content: the length prefix, and IPv4 and TCP headers with timestamps, of the
+     * segment and of its acknowledgement.
+     */
     public static final int FRAME_OVERHEAD_BYTES = 4 + 52 + 52;
 
     long messages;
@@ -25,11 +28,11 @@
     }
 
     void count(int frameBytes, boolean otherRegion) {
-        int all = frameBytes + FRAME_OVERHEAD_BYTES;
+        int wireBytes = frameBytes + FRAME_OVERHEAD_BYTES;
         messages++;
-        bytes += all;
+        bytes += wireBytes;
         if (otherRegion) {
-            otherRegionBytes += all;
+            otherRegionBytes += wireBytes;
         }
     }
 
--- a/src/main/java/sandstack/measure/configuration/SimulatedNetwork.java
+++ b/src/main/java/sandstack/measure/configuration/SimulatedNetwork.java
@@ -9,7 +9,7 @@
 final class SimulatedNetwork {
     private static final long SAME_REGION_MICROS = 500;
     private static final long OTHER_REGION_MICROS = 35_000;
-    /** Latencies are uniform up to this multiple of the minimum. */
+    /** Latencies are uniformly distributed from the minimum to this multiple of it. */
     private static final int MAX_LATENCY_FACTOR = 2;
 
     private final SimulatedClock clock;
--- a/src/main/java/sandstack/measure/configuration/UsedHeap.java
+++ b/src/main/java/sandstack/measure/configuration/UsedHeap.java
@@ -1,13 +1,16 @@
 package sandstack.measure.configuration;
 
-/** The used heap of this process. */
+/** Measures the used heap of this process. */
 final class UsedHeap {
-    /** The serial collector compacts completely in one of four full collections (MarkSweepAlwaysCompactCount). */
+    /**
+     * By default the serial collector compacts the whole heap in one of four full collections
+     * (MarkSweepAlwaysCompactCount).
+     */
     private static final int COLLECTIONS = 4;
 
     private UsedHeap() {}
 
-    /** Used bytes after full collections. */
+    /** Used heap in bytes, after as many full collections as a complete compaction needs. */
     static long bytes() {
         for (int i = 0; i < COLLECTIONS; i++) {
             System.gc();
--- a/src/main/java/sandstack/measure/configuration/package-info.java
+++ b/src/main/java/sandstack/measure/configuration/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Simulation of the configuration distribution at the size of a whole fleet, in one process: real publishers and
- * followers on a simulated clock and an in-memory network with fault injection.
+ * Simulation of configuration distribution in a fleet of hollow processes: many relays and control machines run in one
+ * process, with real followers and publishers, but without clients, sockets and a real consensus. The clock is
+ * simulated, and the in-memory network injects faults. See {@link sandstack.measure.scale.hollow} for the term.
  */
 package sandstack.measure.configuration;
--- a/src/main/java/sandstack/measure/scale/ClientPool.java
+++ b/src/main/java/sandstack/measure/scale/ClientPool.java
@@ -8,11 +8,12 @@
 import sandstack.testserver.TestServerLoop;
 
 /**
- * Closed-loop load: clients that connect to one relay and stay, with a bounded number of setups in flight. Gives up
- * after too many unserved attempts. All methods run on the thread of the event loop.
+ * Closed-loop load generator: keeps a bounded number of connection setups to one relay in flight until a target number
+ * of connections is established. Established connections stay open. Gives up after {@link #MAX_UNSERVED} rejected or
+ * failed attempts. All methods run on the event loop thread.
  */
 final class ClientPool {
-    /** After this many rejected or failed attempts the relay counts as full. */
+    /** Number of rejected and failed attempts in one {@link #growTo} after which the relay is considered full. */
     static final int MAX_UNSERVED = 32;
 
     private static final long DEADLINE_MICROS = 3_000_000;
@@ -25,7 +26,7 @@
     private Consumer<String> onDelivery = line -> {};
     private int target;
     private int inFlight;
-    private int unservedBefore;
+    private int unservedAtGrowth;
     private long attempts;
     private long accepted;
     private long rejected;
@@ -38,13 +39,15 @@
     }
 
     /**
-     * Counters since the start of the pool.
+     * Counters since the pool was created.
      *
      * @param established connections that are open now
-     * @param inFlight setups without an answer
+     * @param inFlight setups without an answer so far
+     * @param attempts started setups
+     * @param accepted setups that the relay completed
      * @param rejected attempts that the relay rejected
      * @param failed attempts without an answer, or with an invalid one
-     * @param lost established connections that the other side closed
+     * @param lost established connections that the other side closed or reset
      */
     record Counts(int established, int inFlight, long attempts, long accepted, long rejected, long failed, long lost) {
         long unserved() {
@@ -61,28 +64,30 @@
         onDelivery = listener;
     }
 
-    /** Connects clients until this many are established, with at most this many setups in flight. */
+    /**
+     * Connects clients until {@code connections} are established, with at most {@code maxInFlight} setups in flight.
+     */
     void growTo(int connections, int maxInFlight) {
         target = connections;
-        unservedBefore = (int) (rejected + failed);
+        unservedAtGrowth = (int) (rejected + failed);
         for (int i = inFlight; i < maxInFlight; i++) {
             connectNext();
         }
     }
 
-    /** Whether no setup is in flight: the target is reached, or the pool gave up. */
+    /** Whether no setup is in flight, because the target is reached or the pool gave up. */
     boolean isSettled() {
         return inFlight == 0;
     }
 
-    /** Resets this many of the oldest connections. */
+    /** Resets the {@code count} connections that were established first. */
     void resetOldest(int count) {
         established.stream().limit(count).toList().forEach(LineClient::abort);
     }
 
     private void connectNext() {
-        boolean givenUp = rejected + failed - unservedBefore >= MAX_UNSERVED;
-        if (givenUp || established.size() + inFlight >= target) {
+        boolean hasGivenUp = rejected + failed - unservedAtGrowth >= MAX_UNSERVED;
+        if (hasGivenUp || established.size() + inFlight >= target) {
             return;
         }
         inFlight++;
@@ -113,12 +118,15 @@
             failed++;
         }
         if (!wasEstablished) {
-            // deferred, as a connection that fails at once would recurse
+            // deferred, because a connection that fails immediately would recurse
             loop.schedule(0, this::onAttemptEnded);
         }
     }
 
-    /** Counts the attempt as in flight until here, so that the pool never seems settled between two attempts. */
+    /**
+     * Ends an attempt and starts the next one. The attempt counts as in flight until then, so that the pool is not
+     * settled between the two.
+     */
     private void onAttemptEnded() {
         inFlight--;
         connectNext();
--- a/src/main/java/sandstack/measure/scale/DeliveryLoad.java
+++ b/src/main/java/sandstack/measure/scale/DeliveryLoad.java
@@ -8,11 +8,12 @@
 import sandstack.testserver.TestServerLoop;
 
 /**
- * Open-loop load of deliveries: feed servers send lines to their clients in turn at a fixed rate. Each line carries its
- * send time, from which its delay is recorded. All methods run on the thread of the event loop.
+ * Open-loop load generator for deliveries: feed servers send lines at a fixed rate to their clients in round-robin
+ * order. Each line carries its send time, from which its delay is recorded on arrival. All methods run on the event
+ * loop thread.
  */
 final class DeliveryLoad {
-    /** Length of a line with its line feed, in bytes. */
+    /** Length of a line including its line feed, in bytes. */
     static final int LINE_BYTES = 100;
 
     private static final long TICK_MICROS = 1_000;
@@ -35,7 +36,7 @@
         clients.onDelivery(this::onDelivery);
     }
 
-    /** Lines sent and arrived, and percentiles of their delays. */
+    /** Number of lines sent and arrived, and percentiles of the delays of those that arrived. */
     record Result(long sent, long arrived, long medianMicros, long p99Micros) {}
 
     /** Sends one line to each current connection of these servers. */
@@ -48,7 +49,7 @@
         }
     }
 
-    /** Sends lines at a rate per second to the current connections of these servers, until {@link #stop}. */
+    /** Sends {@code rate} lines per second to the current connections of these servers, until {@link #stop}. */
     void start(List<FakeFeedServer> servers, long rate) {
         subscribers.clear();
         servers.forEach(server -> subscribers.addAll(server.subscribers()));
--- a/src/main/java/sandstack/measure/scale/EndpointListProbe.java
+++ b/src/main/java/sandstack/measure/scale/EndpointListProbe.java
@@ -15,11 +15,13 @@
 import sandstack.discovery.JsonObjectStream;
 
 /**
- * Main class of a probe process that measures how a relay handles an endpoint list, from its bytes to the load
- * balancer, without sockets. Arguments: numbers of feed servers.
+ * Main class of a probe process that measures the cost of endpoint lists in a relay, from parsing the bytes to updating
+ * the load balancer, without sockets. Arguments: numbers of feed servers, which are the sizes of the printed points.
  */
 final class EndpointListProbe {
+    /** Names of the curves in the output. */
     static final String HEAP = "heap";
+
     static final String ALLOCATED = "allocated";
     static final String FULL_LIST = "whole";
     static final String DELTA = "change";
@@ -30,7 +32,10 @@
     private static final int WARM_UP_LISTS = 40;
     private static final int DELTAS_PER_ROUND = 20;
     private static final long SEED = 7;
-    /** Switched off, as each change would be logged. Held, as loggers are weakly reachable. */
+    /**
+     * Turned off, because each endpoint change would be logged. Kept in a field, because the log manager holds only
+     * weak references to loggers.
+     */
     private static final Logger LOG = Logger.getLogger("sandstack");
 
     private final Relay relay = new Relay(LoadBalancerDriver.settings(), SEED, System::nanoTime, () -> {});
@@ -85,7 +90,7 @@
         receive(second);
     }
 
-    /** Handles bytes in chunks as they arrive from the watch, then runs the relay's turn. */
+    /** Parses bytes in chunks, as a watch delivers them, then runs one turn of the relay. */
     private void receive(byte[] bytes) throws IOException, InvalidConfigurationException {
         for (int from = 0; from < bytes.length; from += CHUNK_BYTES) {
             byte[] chunk = Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + CHUNK_BYTES));
--- a/src/main/java/sandstack/measure/scale/EndpointListScale.java
+++ b/src/main/java/sandstack/measure/scale/EndpointListScale.java
@@ -5,8 +5,8 @@
 import sandstack.measure.scale.Series.Point;
 
 /**
- * Cost of the endpoint list: its bytes, a relay's processor time and memory for it, and the computed load of all relays
- * on one discovery. With {@link Effort#SMALL} no time and no heap is measured.
+ * Cost of the endpoint list: its size in bytes, a relay's processor time and memory to handle it, and the computed load
+ * of all relays on one discovery service. With {@link Effort#SMALL} measures neither time nor heap.
  */
 public final class EndpointListScale implements ScaleMeasurement {
     private static final String SERVERS = "feed servers";
@@ -16,11 +16,12 @@
     private static final int[] SERVERS_FULL = {100, 500, 1_000, 2_500, 5_000};
     private static final int[] RELAYS_SMALL = {50, 100, 200};
     private static final int[] RELAYS_ALL = {50, 200, 800, 2_400, 5_600};
-    private static final int SERVERS_IN_CHANGE = 1_000;
+    /** Number of feed servers in the endpoint list whose delta is sent to all relays. */
+    private static final int FAN_OUT_SERVERS = 1_000;
 
     private static final long OUTAGE_MICROS = 10_000_000;
     private static final long SEED = 1;
-    /** A watch sends an empty line as keepalive, as an HTTP chunk of six bytes. */
+    /** Each watch sends empty lines as keepalives, each of which is an HTTP chunk of six bytes. */
     private static final double KEEPALIVES_PER_SECOND = 0.5;
 
     private static final int KEEPALIVE_BYTES = 6;
@@ -58,33 +59,33 @@
     }
 
     private static List<Series> sizeSeries(int[] sizes) {
-        List<Point> whole = new ArrayList<>();
-        List<Point> change = new ArrayList<>();
+        List<Point> fullListBytes = new ArrayList<>();
+        List<Point> deltaBytes = new ArrayList<>();
         for (int servers : sizes) {
             SampleEndpointList list = new SampleEndpointList(servers);
-            whole.add(new Point(servers, list.fullList().length));
+            fullListBytes.add(new Point(servers, list.fullList().length));
             list.setState(0, SampleEndpointList.DRAINING);
-            change.add(new Point(servers, list.lastDelta().length));
+            deltaBytes.add(new Point(servers, list.lastDelta().length));
         }
         return List.of(
-                discovery("whole-list", Resource.NETWORK, "bytes", SERVERS, BYTES_METHOD + ", whole", whole),
+                discovery("whole-list", Resource.NETWORK, "bytes", SERVERS, BYTES_METHOD + ", whole", fullListBytes),
                 discovery(
                         "change",
                         Resource.NETWORK,
                         "bytes",
                         SERVERS,
                         BYTES_METHOD + ", one feed server changed",
-                        change));
+                        deltaBytes));
     }
 
     private static List<Series> fanOutSeries(int[] sizes) {
-        SampleEndpointList list = new SampleEndpointList(SERVERS_IN_CHANGE);
+        SampleEndpointList list = new SampleEndpointList(FAN_OUT_SERVERS);
         list.setState(0, SampleEndpointList.DRAINING);
-        int changeBytes = list.lastDelta().length;
+        int bytesPerDelta = list.lastDelta().length;
         List<Point> fanOut = new ArrayList<>();
         List<Point> keepalive = new ArrayList<>();
         for (int relays : sizes) {
-            fanOut.add(new Point(relays, (double) changeBytes * relays));
+            fanOut.add(new Point(relays, (double) bytesPerDelta * relays));
             keepalive.add(new Point(relays, KEEPALIVES_PER_SECOND * KEEPALIVE_BYTES * relays));
         }
         return List.of(
@@ -93,7 +94,7 @@
                         Resource.NETWORK,
                         "bytes a change",
                         RELAYS,
-                        "reckoned: the bytes of a change among " + SERVERS_IN_CHANGE
+                        "reckoned: the bytes of a change among " + FAN_OUT_SERVERS
                                 + " feed servers times the relays, each of which has a watch",
                         fanOut),
                 discovery(
--- a/src/main/java/sandstack/measure/scale/FittedModel.java
+++ b/src/main/java/sandstack/measure/scale/FittedModel.java
@@ -11,29 +11,32 @@
 /**
  * A model {@code base + slope * basis(size)} of one shape, fitted to measured points by least squares.
  *
- * <p>The residual is the root mean square deviation divided by the mean magnitude of the values. Model selection
- * compares residuals with a lower bound of {@link #NOISE_FLOOR}: a trend has to be significant against the constant
- * (F-test at the 5% level), and a trend that is one step more complex than another needs at most
- * {@link #COMPLEXITY_FACTOR} times its residual.
+ * <p>The residual is the root mean square deviation divided by the mean magnitude of the values. Model selection first
+ * adds {@link #NOISE_FLOOR} to each residual as the root of the sum of squares. A trend is selected only if it is
+ * significant against the constant (F-test at the 5% level). A trend that is one step more complex than another is
+ * selected only if its residual is at most {@link #COMPLEXITY_FACTOR} times that of the other.
  *
  * @param base value at basis zero
  * @param slope of the shape's basis; zero for a constant
- * @param residual relative, zero for a fit that passes through every point
+ * @param residual as a fraction of the mean magnitude; zero for a fit that passes through every point
  */
 public record FittedModel(Shape shape, double base, double slope, double residual) {
     /** Assumed relative measurement noise. */
     public static final double NOISE_FLOOR = 0.005;
 
-    /** The number of distinct sizes that model selection needs. */
+    /** Minimum number of distinct sizes for model selection. */
     public static final int MIN_DISTINCT_SIZES = 3;
 
-    /** The ratio of residuals that justifies one step of complexity. */
+    /** Maximum ratio of residuals at which one more step of complexity is justified. */
     private static final double COMPLEXITY_FACTOR = 0.75;
 
     /** 95th percentile of the F distribution with 1 and 1, 2, 3, ... degrees of freedom. */
     private static final double[] F_95TH_PERCENTILE = {161.4, 18.51, 10.13, 7.71, 6.61, 5.99, 5.59, 5.32, 5.12, 4.96};
 
-    /** Selects the model with the best residual for its complexity; empty with fewer than three distinct sizes. */
+    /**
+     * Selects the trend with the lowest residual after the complexity penalty, or the constant if that trend is not
+     * significant; empty with fewer than {@link #MIN_DISTINCT_SIZES} distinct sizes.
+     */
     public static Optional<FittedModel> selectBest(List<Point> points) {
         if (points.stream().mapToDouble(Point::size).distinct().count() < MIN_DISTINCT_SIZES) {
             return Optional.empty();
@@ -73,7 +76,7 @@
     /**
      * Fits a model of one shape.
      *
-     * @throws IllegalArgumentException without points, or if one is not finite
+     * @throws IllegalArgumentException if there are no points, a number is not finite or a size is negative
      */
     public static FittedModel leastSquares(Shape shape, List<Point> points) {
         if (points.isEmpty()) {
--- a/src/main/java/sandstack/measure/scale/LiveHeap.java
+++ b/src/main/java/sandstack/measure/scale/LiveHeap.java
@@ -5,9 +5,12 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 
-/** The size of all live objects of another virtual machine, by {@code jcmd GC.class_histogram}. */
+/** The size of all live objects of another JVM process, from {@code jcmd GC.class_histogram}. */
 final class LiveHeap {
-    /** By default the serial collector leaves 5% of the heap uncompacted in three of four full collections. */
+    /**
+     * JVM option to compact the whole heap in each full collection. By default the serial collector leaves 5% of the
+     * heap uncompacted in three of four full collections.
+     */
     static final String COMPACT_ALWAYS = "-XX:MarkSweepAlwaysCompactCount=1";
 
     private static final long TIMEOUT_SECONDS = 20;
@@ -15,7 +18,7 @@
 
     private LiveHeap() {}
 
-    /** Runs a full collection in the process and returns the bytes of the live objects. */
+    /** Runs a full garbage collection in the process and returns the size of its live objects in bytes. */
     static long bytesOf(long pid) throws IOException, InterruptedException {
         Path jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd");
         Process process = new ProcessBuilder(jcmd.toString(), Long.toString(pid), "GC.class_histogram")
@@ -32,7 +35,7 @@
         }
     }
 
-    /** Parses instances and bytes of all classes from the last line. */
+    /** Parses the total size of all classes in bytes from the line that begins with {@value #TOTAL_LINE_PREFIX}. */
     static long total(String histogram) throws IOException {
         for (String line : histogram.lines().toList()) {
             if (line.startsWith(TOTAL_LINE_PREFIX)) {
--- a/src/main/java/sandstack/measure/scale/LoadBalancerDriver.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerDriver.java
@@ -27,13 +27,15 @@
  * lists. No I/O; simulated time advances only in the methods that state it. Not thread-safe.
  */
 final class LoadBalancerDriver {
-    /** Interval of the load balancer's sweep over all servers and connections: half of the shortest deadline. */
-    static final long SWEEP_INTERVAL_MICROS = 900_000;
+    /**
+     * Interval of the load balancer's periodic update of all servers and connections: half of the shortest deadline.
+     */
+    static final long UPDATE_INTERVAL_MICROS = 900_000;
 
     /** Interval at which relays poll the endpoint list. */
     static final long POLL_INTERVAL_MICROS = 10_000_000;
 
-    private static final long SHORT_DEADLINE_MICROS = 2 * SWEEP_INTERVAL_MICROS;
+    private static final long SHORT_DEADLINE_MICROS = 2 * UPDATE_INTERVAL_MICROS;
     private static final long LONG_DEADLINE_MICROS = 3_000_000;
     private static final long SETUP_MICROS = 900;
     private static final int RELAYS = 5_600;
@@ -41,7 +43,9 @@
     private static final int MACHINE_KINDS = 2;
     private static final int SERVERS_PER_CELL = 10;
     private static final int CONNECTIONS_PER_GROUP = 40;
+    /** Token of no timer: an event with it has no effect except that the load balancer runs a due periodic update. */
     private static final long NO_TIMER_TOKEN = Long.MAX_VALUE;
+
     private static final long SEED = 7;
 
     private final LoadBalancer loadBalancer;
@@ -50,10 +54,10 @@
     private long requests;
     private int established;
 
-    /** An established connection and its server. */
+    /** The id of an established connection and of its feed server. */
     record Connection(String id, String server) {}
 
-    /** Creates a load balancer with an endpoint list of this many servers. */
+    /** Creates a load balancer with an endpoint list of {@code servers} feed servers. */
     LoadBalancerDriver(int servers) {
         loadBalancer = new LoadBalancer(settings(), StatedCapacities.NONE, InstallationLimits.NONE, SEED, nowMicros);
         for (int i = 0; i < servers; i++) {
@@ -95,7 +99,7 @@
         return established;
     }
 
-    /** Establishes connections until there are this many, 100 microseconds apart. */
+    /** Establishes connections at intervals of 100 microseconds until there are {@code connections}. */
     void establishAll(int connections) {
         while (established < connections) {
             nowMicros += 100;
@@ -106,7 +110,7 @@
     /**
      * Establishes one more connection without advancing the time.
      *
-     * @throws IllegalStateException if the load balancer does not place it at once
+     * @throws IllegalStateException if the load balancer does not start an attempt immediately
      */
     Connection establish() {
         String id = "r" + ++requests;
@@ -144,9 +148,9 @@
         loadBalancer.handle(new EndpointListUpdate(EndpointListKind.DELTA, List.of(endpoints.get(server))), nowMicros);
     }
 
-    /** Advances the time by one sweep interval and runs the sweep. */
-    void runSweep() {
-        nowMicros += SWEEP_INTERVAL_MICROS;
+    /** Advances the time by one update interval and runs the periodic update. */
+    void runPeriodicUpdate() {
+        nowMicros += UPDATE_INTERVAL_MICROS;
         loadBalancer.handle(new TimerExpired(NO_TIMER_TOKEN), nowMicros);
     }
 }
--- a/src/main/java/sandstack/measure/scale/LoadBalancerProbe.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerProbe.java
@@ -5,23 +5,25 @@
 import sandstack.measure.scale.LoadBalancerDriver.Connection;
 
 /**
- * Main class of a probe process that measures the load balancer alone. Arguments: the number of servers, then
- * increasing numbers of connections, which are the sizes of the printed points.
+ * Main class of a probe process that measures the load balancer without the rest of the relay. Arguments: the number of
+ * feed servers, then increasing numbers of connections, which are the sizes of the printed points.
  */
 final class LoadBalancerProbe {
+    /** Names of the curves in the output. */
     static final String HEAP = "heap";
+
     static final String PLACEMENT = "placement";
     static final String DELTA = "change";
     static final String FULL_LIST = "whole-list";
-    static final String SWEEP = "look";
+    static final String PERIODIC_UPDATE = "look";
 
     private static final int WARM_UP_CONNECTIONS = 4_000;
     private static final int WARM_UP_LISTS = 400;
-    private static final int WARM_UP_SWEEPS = 40;
+    private static final int WARM_UP_UPDATES = 40;
     private static final int ROUNDS = 5;
     private static final int PLACEMENTS_PER_ROUND = 300;
     private static final int LISTS_PER_ROUND = 20;
-    private static final int SWEEPS_PER_ROUND = 4;
+    private static final int UPDATES_PER_ROUND = 4;
 
     private LoadBalancerProbe() {}
 
@@ -44,7 +46,10 @@
                     FULL_LIST,
                     connections,
                     ProbeClock.medianMicros(ROUNDS, LISTS_PER_ROUND, driver::sendFullEndpointList));
-            ProbeOutput.print(SWEEP, connections, ProbeClock.medianMicros(ROUNDS, SWEEPS_PER_ROUND, driver::runSweep));
+            ProbeOutput.print(
+                    PERIODIC_UPDATE,
+                    connections,
+                    ProbeClock.medianMicros(ROUNDS, UPDATES_PER_ROUND, driver::runPeriodicUpdate));
         }
     }
 
@@ -54,11 +59,11 @@
         microsPerPlacement(driver);
         ProbeClock.medianMicros(1, WARM_UP_LISTS, () -> driver.sendEndpointDelta(0));
         ProbeClock.medianMicros(1, WARM_UP_LISTS, driver::sendFullEndpointList);
-        ProbeClock.medianMicros(1, WARM_UP_SWEEPS, driver::runSweep);
+        ProbeClock.medianMicros(1, WARM_UP_UPDATES, driver::runPeriodicUpdate);
         ProbeClock.liveBytes();
     }
 
-    /** Microseconds per placement; closes the connections afterwards. */
+    /** Median processor time of a placement in microseconds; closes the placed connections afterwards. */
     private static double microsPerPlacement(LoadBalancerDriver driver) throws Exception {
         Deque<Connection> connections = new ArrayDeque<>();
         double micros =
--- a/src/main/java/sandstack/measure/scale/LoadBalancerScale.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerScale.java
@@ -7,8 +7,9 @@
 import sandstack.measure.scale.Series.Point;
 
 /**
- * Memory and processor time of the load balancer alone, by established connections and by feed servers. With
- * {@link Effort#SMALL} counts the entries of its state, in this process.
+ * Memory and processor time of the load balancer without the rest of the relay, by the number of established
+ * connections and of feed servers. With {@link Effort#SMALL} counts the objects and entries of its state in this
+ * process instead.
  */
 public final class LoadBalancerScale implements ScaleMeasurement {
     private static final String CONNECTIONS = "connections";
@@ -32,10 +33,10 @@
         PLACEMENT("placement", Role.RELAY_PLACEMENT, "a placement"),
         LIST_DELTA("list-change", Role.RELAY_CONTROL, "a list that changes one feed server"),
         FULL_LIST("whole-list", Role.RELAY_CONTROL, "a whole list with nothing new"),
-        SWEEP(
+        PERIODIC_UPDATE(
                 "look",
                 Role.RELAY_PLACEMENT,
-                "a look at the whole, due each " + LoadBalancerDriver.SWEEP_INTERVAL_MICROS / 1000 + " ms");
+                "a look at the whole, due each " + LoadBalancerDriver.UPDATE_INTERVAL_MICROS / 1000 + " ms");
 
         private final String id;
         private final Role role;
@@ -73,7 +74,7 @@
     }
 
     private static List<Series> byConnections(int servers, ProbeOutput output) {
-        String fixed = METHOD + servers + " feed servers; ";
+        String methodPrefix = METHOD + servers + " feed servers; ";
         return List.of(
                 new Series(
                         "decision.heap",
@@ -81,16 +82,21 @@
                         Resource.MEMORY,
                         "bytes",
                         CONNECTIONS,
-                        fixed + "heap after a full collection, with the names of connections, keys and groups",
+                        methodPrefix + "heap after a full collection, with the names of connections, keys and groups",
                         output.points(LoadBalancerProbe.HEAP)),
-                time(Operation.PLACEMENT, "", CONNECTIONS, fixed, output.points(LoadBalancerProbe.PLACEMENT)),
-                time(Operation.LIST_DELTA, "", CONNECTIONS, fixed, output.points(LoadBalancerProbe.DELTA)),
-                time(Operation.FULL_LIST, "", CONNECTIONS, fixed, output.points(LoadBalancerProbe.FULL_LIST)),
-                time(Operation.SWEEP, "", CONNECTIONS, fixed, output.points(LoadBalancerProbe.SWEEP)));
+                time(Operation.PLACEMENT, "", CONNECTIONS, methodPrefix, output.points(LoadBalancerProbe.PLACEMENT)),
+                time(Operation.LIST_DELTA, "", CONNECTIONS, methodPrefix, output.points(LoadBalancerProbe.DELTA)),
+                time(Operation.FULL_LIST, "", CONNECTIONS, methodPrefix, output.points(LoadBalancerProbe.FULL_LIST)),
+                time(
+                        Operation.PERIODIC_UPDATE,
+                        "",
+                        CONNECTIONS,
+                        methodPrefix,
+                        output.points(LoadBalancerProbe.PERIODIC_UPDATE)));
     }
 
     private static List<Series> byServers(SortedMap<Integer, ProbeOutput> outputs, int connections) {
-        String fixed = METHOD + connections + " connections; ";
+        String methodPrefix = METHOD + connections + " connections; ";
         return List.of(
                 new Series(
                         "decision.heap-by-servers",
@@ -98,17 +104,17 @@
                         Resource.MEMORY,
                         "bytes",
                         SERVERS,
-                        fixed + "heap after a full collection",
+                        methodPrefix + "heap after a full collection",
                         pointsByServers(outputs, LoadBalancerProbe.HEAP)),
-                timeByServers(Operation.PLACEMENT, fixed, outputs, LoadBalancerProbe.PLACEMENT),
-                timeByServers(Operation.LIST_DELTA, fixed, outputs, LoadBalancerProbe.DELTA),
-                timeByServers(Operation.FULL_LIST, fixed, outputs, LoadBalancerProbe.FULL_LIST),
-                timeByServers(Operation.SWEEP, fixed, outputs, LoadBalancerProbe.SWEEP));
+                timeByServers(Operation.PLACEMENT, methodPrefix, outputs, LoadBalancerProbe.PLACEMENT),
+                timeByServers(Operation.LIST_DELTA, methodPrefix, outputs, LoadBalancerProbe.DELTA),
+                timeByServers(Operation.FULL_LIST, methodPrefix, outputs, LoadBalancerProbe.FULL_LIST),
+                timeByServers(Operation.PERIODIC_UPDATE, methodPrefix, outputs, LoadBalancerProbe.PERIODIC_UPDATE));
     }
 
     private static Series timeByServers(
-            Operation operation, String fixed, SortedMap<Integer, ProbeOutput> outputs, String curve) {
-        return time(operation, "-by-servers", SERVERS, fixed, pointsByServers(outputs, curve));
+            Operation operation, String methodPrefix, SortedMap<Integer, ProbeOutput> outputs, String curve) {
+        return time(operation, "-by-servers", SERVERS, methodPrefix, pointsByServers(outputs, curve));
     }
 
     /** The first point of a curve at each number of servers. */
@@ -119,14 +125,15 @@
         return points;
     }
 
-    private static Series time(Operation operation, String idSuffix, String per, String fixed, List<Point> points) {
+    private static Series time(
+            Operation operation, String idSuffix, String per, String methodPrefix, List<Point> points) {
         return new Series(
                 "decision." + operation.id + idSuffix,
                 operation.role,
                 Resource.PROCESSOR,
                 "microseconds",
                 per,
-                fixed + TIME + operation.description,
+                methodPrefix + TIME + operation.description,
                 points);
     }
 
@@ -146,7 +153,7 @@
         for (int servers : SERVERS_SMALL) {
             byServers.add(new Point(servers, reachableState(servers, 0)));
         }
-        String how = "the decision module alone: its objects and the entries of its maps and lists, counted; ";
+        String methodPrefix = "the decision module alone: its objects and the entries of its maps and lists, counted; ";
         return List.of(
                 new Series(
                         "decision.entries",
@@ -154,7 +161,7 @@
                         Resource.STATE,
                         "entries",
                         CONNECTIONS,
-                        how + FEW_SERVERS + " feed servers",
+                        methodPrefix + FEW_SERVERS + " feed servers",
                         byConnections),
                 new Series(
                         "decision.entries-by-servers",
@@ -162,7 +169,7 @@
                         Resource.STATE,
                         "entries",
                         SERVERS,
-                        how + "no connections",
+                        methodPrefix + "no connections",
                         byServers));
     }
 
--- a/src/main/java/sandstack/measure/scale/ProbeClock.java
+++ b/src/main/java/sandstack/measure/scale/ProbeClock.java
@@ -5,7 +5,7 @@
 import java.lang.management.ThreadMXBean;
 import java.util.Arrays;
 
-/** Processor time of the calling thread and live heap of this process, for a probe process. */
+/** Measures processor time of the calling thread and live heap within a probe process. */
 final class ProbeClock {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final MemoryMXBean MEMORY = ManagementFactory.getMemoryMXBean();
@@ -23,7 +23,7 @@
         return THREADS.getCurrentThreadCpuTime() / NANOS_PER_MICRO;
     }
 
-    /** Processor time per iteration in microseconds: the median of several rounds. */
+    /** Processor time per iteration in microseconds, as the median of several rounds. */
     static double medianMicros(int rounds, int iterationsPerRound, Task work) throws Exception {
         double[] microsPerIteration = new double[rounds];
         for (int round = 0; round < rounds; round++) {
@@ -37,7 +37,10 @@
         return microsPerIteration[rounds / 2];
     }
 
-    /** Bytes of live objects after a collection. The first call includes objects that it allocates itself. */
+    /**
+     * Heap in bytes after a garbage collection. The result of the first call includes objects that the call itself
+     * allocates.
+     */
     static long liveBytes() {
         System.gc();
         return MEMORY.getHeapMemoryUsage().getUsed();
--- a/src/main/java/sandstack/measure/scale/ProbeOutput.java
+++ b/src/main/java/sandstack/measure/scale/ProbeOutput.java
@@ -15,7 +15,7 @@
         System.out.println(curve + " " + size + " " + value);
     }
 
-    /** Parses printed lines. */
+    /** Parses lines of {@link #print}. */
     static ProbeOutput read(List<String> lines) {
         ProbeOutput output = new ProbeOutput();
         for (String line : lines) {
@@ -34,7 +34,7 @@
     List<Point> points(String curve) {
         List<Point> points = curves.get(curve);
         if (points == null) {
-            throw new IllegalStateException("the probe printed no " + curve);
+            throw new IllegalStateException("the probe printed no points of curve " + curve);
         }
         return points;
     }
--- a/src/main/java/sandstack/measure/scale/ProbeProcess.java
+++ b/src/main/java/sandstack/measure/scale/ProbeProcess.java
@@ -10,8 +10,8 @@
 import sandstack.measure.RunCommand;
 
 /**
- * Runs the main method of a probe class in its own process, with the compiler and collector options of {@code run}, so
- * that times and heap sizes are those of a relay.
+ * Runs the main method of a probe class in its own process. The JVM has the compiler and garbage collector options of
+ * the {@code run} command, so that times and heap sizes are comparable to those of a relay.
  */
 final class ProbeProcess {
     private static final List<String> HEAP_OPTIONS = List.of("-Xmx1g", LiveHeap.COMPACT_ALWAYS);
@@ -22,7 +22,7 @@
     /**
      * Runs the probe until it exits.
      *
-     * @throws IOException if it fails; the message has the first line of its output
+     * @throws IOException if it fails; the message contains the first line of its output
      */
     static ProbeOutput run(Class<?> probe, int... arguments) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>();
--- a/src/main/java/sandstack/measure/scale/ProcessUsage.java
+++ b/src/main/java/sandstack/measure/scale/ProcessUsage.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 
 /**
- * Resource usage of a process, from Linux's {@code /proc}; reading it does not affect the process.
+ * Resource usage of a process, from {@code /proc} of Linux; reading it does not affect the process.
  *
  * @param threadNanos processor time of each thread since its start, by thread id
  * @param residentBytes resident memory
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Processor time since an earlier usage, in microseconds. Excludes threads that ended in between, such as idle
+     * Processor time since an earlier reading, in microseconds. Excludes threads that ended in between, such as idle
      * compiler threads.
      */
     double processorMicrosSince(ProcessUsage before) {
@@ -42,7 +42,9 @@
         return micros / NANOS_PER_MICRO;
     }
 
-    /** Uses {@code schedstat}, whose first field is in nanoseconds; {@code stat} has ticks of ten milliseconds. */
+    /**
+     * Reads {@code schedstat}, whose first field is in nanoseconds; {@code stat} counts in ticks of ten milliseconds.
+     */
     private static Map<String, Long> threadNanos(Path threads) throws IOException {
         Map<String, Long> nanos = new HashMap<>();
         for (Path thread : entries(threads)) {
--- a/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
@@ -8,7 +8,7 @@
 import sandstack.measure.scale.Series.Point;
 
 /**
- * Cost and delay of one line that a relay forwards from a feed server to its client, and the processor time of idle
+ * Processor time and delay per line that a relay forwards from a feed server to a client, and processor time of idle
  * connections.
  */
 public final class RelayDeliveryScale implements ScaleMeasurement {
@@ -25,7 +25,7 @@
     private static final int[] CONNECTIONS_FULL = {1_000, 4_000, 9_000};
     private static final long[] RATES_QUICK = {1_000, 4_000};
     private static final long[] RATES_FULL = {1_000, 2_000, 4_000, 8_750};
-    /** Rate of the points by connections. */
+    /** Delivery rate while the number of connections varies. */
     private static final long LINES_PER_SECOND = 2_000;
 
     private static final long WARM_UP_MILLIS = 400;
@@ -56,7 +56,7 @@
         return "relay-delivery";
     }
 
-    /** Points of all series by one size. */
+    /** The points of all series that vary one size, the number of connections or the rate. */
     private static final class PointsBySize {
         final List<Point> processor = new ArrayList<>();
         final List<Point> median = new ArrayList<>();
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Processor time per line and the delays of one period. */
+    /** Processor time per line, and delays, in one measurement period. */
     private record Sample(double microsPerLine, DeliveryLoad.Result delays) {}
 
     /** Starts a process, so returns no series with {@link Effort#SMALL}. */
--- a/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
@@ -7,8 +7,8 @@
 import sandstack.measure.RelayProcess;
 
 /**
- * Fills the heap of one relay with the options of {@code run} and measures how it behaves at its limit, by heap size.
- * Runs with {@link ScaleMeasurement.Effort#FULL} only.
+ * Behaviour of a relay with a full heap, by heap size: starts the relay with the options of the {@code run} command and
+ * connects clients until it accepts no more. Runs with {@link ScaleMeasurement.Effort#FULL} only.
  */
 public final class RelayHeapLimitScale implements ScaleMeasurement {
     private static final String METHOD =
@@ -44,16 +44,17 @@
     }
 
     /**
-     * State of a relay at its limit.
+     * State of a relay whose heap or file descriptors are exhausted.
      *
-     * @param heapMegabytes size of its heap
+     * @param heapMegabytes maximum size of its heap
      * @param established connections when it accepted no more
      * @param rejected attempts that it rejected
      * @param failed attempts without an answer
-     * @param lost established connections that broke
-     * @param unresponsive established connections through which a line of the feed server did not arrive
+     * @param lost established connections that the relay closed or reset
+     * @param unresponsive established connections on which a line from the feed server did not arrive
      * @param outOfMemoryLogLines log lines with OutOfMemoryError
-     * @param reconnected accepted of {@value #RECONNECTING_CLIENTS} clients that came after as many had left
+     * @param reconnected number accepted of {@value #RECONNECTING_CLIENTS} clients that connected after as many had
+     *     disconnected
      * @param alive whether its process was still running
      */
     record Exhaustion(
--- a/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
+++ b/src/main/java/sandstack/measure/scale/RelayUnderLoad.java
@@ -16,11 +16,14 @@
  * Closing resets all connections, so that no port stays in TIME_WAIT.
  */
 final class RelayUnderLoad implements AutoCloseable {
-    /** A heap that no measured number of connections fills. */
+    /** JVM options with more heap than any measured number of connections needs. */
     static final List<String> LARGE_MEMORY_OPTIONS =
             List.of("-Xmx512m", "-XX:MaxDirectMemorySize=64m", LiveHeap.COMPACT_ALWAYS);
 
-    /** Limit in the relay's configuration; each connection takes two, here and in the relay. */
+    /**
+     * File descriptor limit in the relay's configuration. Each connection takes two in the relay and two in this
+     * process.
+     */
     private static final int MAX_DESCRIPTORS = 19_000;
 
     private static final int MAX_SETUPS_IN_FLIGHT = 32;
@@ -35,7 +38,7 @@
     /**
      * Starts a relay and two feed servers.
      *
-     * @param options of the virtual machine, appended to those of {@code run}
+     * @param options JVM options, appended to those of the {@code run} command
      */
     RelayUnderLoad(Path jar, List<String> options) throws IOException {
         testbed = new Testbed(MAX_DESCRIPTORS);
@@ -71,14 +74,18 @@
         return ProcessUsage.of(relay.pid());
     }
 
-    /** Connects and resets this many clients, so that the relay's code is compiled before measurements. */
+    /**
+     * Connects and resets {@code connections} clients, so that the relay's code is JIT-compiled before measurements.
+     */
     void warmUp(int connections) throws InterruptedException {
         growTo(connections);
         loop().run(() -> clients.resetOldest(connections));
         pause(RESET_MILLIS);
     }
 
-    /** Connects clients until this many are established or the relay accepts no more; returns the counters. */
+    /**
+     * Connects clients until {@code connections} are established or the relay accepts no more; returns the counters.
+     */
     ClientPool.Counts growTo(int connections) throws InterruptedException {
         loop().run(() -> clients.growTo(connections, MAX_SETUPS_IN_FLIGHT));
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SETTLE_TIMEOUT_MILLIS);
@@ -89,7 +96,7 @@
     }
 
     /**
-     * Connects clients until this many are established.
+     * Connects clients until {@code connections} are established.
      *
      * @throws IllegalStateException if the relay accepts fewer
      */
--- a/src/main/java/sandstack/measure/scale/Resource.java
+++ b/src/main/java/sandstack/measure/scale/Resource.java
@@ -1,10 +1,10 @@
 package sandstack.measure.scale;
 
-/** Kinds of costs. */
+/** Kinds of resources whose use is measured. */
 public enum Resource {
-    /** Entries in memory. */
+    /** Numbers of entries, such as connections or file descriptors. */
     STATE,
-    /** Messages sent and received. */
+    /** Messages, calls or connection attempts. */
     MESSAGES,
     /** Bytes on the network. */
     NETWORK,
@@ -14,6 +14,6 @@
     MEMORY,
     /** Disk in bytes. */
     DISK,
-    /** Time until a change is complete. */
+    /** Delays and durations. */
     LATENCY
 }
--- a/src/main/java/sandstack/measure/scale/Role.java
+++ b/src/main/java/sandstack/measure/scale/Role.java
@@ -1,6 +1,6 @@
 package sandstack.measure.scale;
 
-/** Parts of the system that bear costs. */
+/** Parts of the system to which costs are attributed. */
 public enum Role {
     /** A relay, for the connections that it holds. */
     RELAY_CONNECTIONS,
--- a/src/main/java/sandstack/measure/scale/SampleEndpointList.java
+++ b/src/main/java/sandstack/measure/scale/SampleEndpointList.java
@@ -7,7 +7,7 @@
 import sandstack.testserver.InstanceList;
 import sandstack.testserver.InstanceList.Instance;
 
-/** A discovery's endpoint list with feed servers in four zones, in its wire format. */
+/** An endpoint list with feed servers in four zones, in the wire format of the discovery service. */
 final class SampleEndpointList {
     static final List<String> ZONES = List.of("zone-a", "zone-b", "zone-c", "zone-d");
     static final String READY = "ready";
@@ -25,7 +25,7 @@
         }
     }
 
-    /** Changes the state of a feed server. */
+    /** Sets the state of a feed server, such as {@link #READY}, in a new revision of the list. */
     void setState(int server, String state) {
         String host = "10.1." + server / SERVERS_PER_SUBNET + "." + server % SERVERS_PER_SUBNET;
         list.put(new Instance(
--- a/src/main/java/sandstack/measure/scale/ScaleReport.java
+++ b/src/main/java/sandstack/measure/scale/ScaleReport.java
@@ -20,7 +20,7 @@
         List<Result> results,
         List<Failure> failures) {
 
-    /** Copies the lists. */
+    /** Makes unmodifiable copies of the lists. */
     public ScaleReport {
         results = List.copyOf(results);
         failures = List.copyOf(failures);
--- a/src/main/java/sandstack/measure/scale/ScaleRun.java
+++ b/src/main/java/sandstack/measure/scale/ScaleRun.java
@@ -10,7 +10,10 @@
 import sandstack.measure.scale.ScaleReport.Failure;
 import sandstack.measure.scale.ScaleReport.Result;
 
-/** Runs measurements one after another and fits models to their series; a failed one does not stop the others. */
+/**
+ * Runs measurements one after another and fits models to their series. A failed measurement does not prevent the next
+ * ones.
+ */
 public final class ScaleRun {
     private final Effort effort;
     private final Consumer<String> progress;
@@ -28,7 +31,7 @@
         this.progress = progress;
     }
 
-    /** Runs one measurement; a failed one adds no series. */
+    /** Runs one measurement; adds its series to {@link #results}, or its failure to {@link #failures}. */
     public void measure(ScaleMeasurement measurement) throws InterruptedException {
         String name = measurement.name();
         progress.accept(name + " ...");
@@ -37,7 +40,7 @@
             List<Result> measured = new ArrayList<>();
             for (Series series : measurement.measure(effort)) {
                 if (!seriesIds.add(series.id())) {
-                    throw new IllegalStateException("two series are called " + series.id());
+                    throw new IllegalStateException("duplicate series id " + series.id());
                 }
                 measured.add(new Result(
                         name, series, FittedModel.selectBest(series.points()).orElse(null)));
--- a/src/main/java/sandstack/measure/scale/Series.java
+++ b/src/main/java/sandstack/measure/scale/Series.java
@@ -8,7 +8,7 @@
  * A quantity measured at several sizes.
  *
  * @param id unique and stable, in lower case with dots and dashes, such as {@code relay.memory-per-connection}
- * @param role part of the system that bears the cost
+ * @param role part of the system to which the cost is attributed
  * @param resource kind of cost
  * @param unit of the values, such as {@code bytes}
  * @param per what the sizes count, such as {@code connections}
@@ -30,19 +30,19 @@
      */
     public record Point(double size, double value) {}
 
-    /** Copies the points. */
+    /** Makes an unmodifiable copy of the points. */
     public Series {
         points = List.copyOf(points);
     }
 
-    /** Converts samples to points. */
+    /** Converts samples to points, in the same order. */
     public static <T> List<Point> points(List<T> samples, ToDoubleFunction<T> size, ToDoubleFunction<T> value) {
         return samples.stream()
                 .map(sample -> new Point(size.applyAsDouble(sample), value.applyAsDouble(sample)))
                 .toList();
     }
 
-    /** Whether a model or simulation computed the values. */
+    /** Whether the values are computed or simulated instead of measured. */
     @JsonIgnore
     public boolean isModelled() {
         return method.startsWith(COMPUTED_PREFIX) || method.startsWith(SIMULATED_PREFIX);
--- a/src/main/java/sandstack/measure/scale/Shape.java
+++ b/src/main/java/sandstack/measure/scale/Shape.java
@@ -46,11 +46,11 @@
         this.complexity = complexity;
     }
 
-    /** Steps of complexity above {@link #CONSTANT}. */
+    /** Number of steps of complexity above {@link #CONSTANT}. */
     int complexity() {
         return complexity;
     }
 
-    /** The factor of the slope at a size. */
+    /** The function of the size that the slope is multiplied by. */
     public abstract double basis(double size);
 }
--- a/src/main/java/sandstack/measure/scale/SimulatedClock.java
+++ b/src/main/java/sandstack/measure/scale/SimulatedClock.java
@@ -5,7 +5,7 @@
 
 /** A simulated clock with scheduled events, in microseconds. O(log events) per event; not thread-safe. */
 public final class SimulatedClock {
-    /** A scheduled event; events of the same time run in the order of their sequence numbers. */
+    /** A scheduled event; events due at the same time run in the order of their sequence numbers. */
     private record Event(long dueMicros, long sequence, Runnable action) {}
 
     private final PriorityQueue<Event> events =
@@ -13,9 +13,9 @@
     private long nowMicros;
     private long lastSequence;
 
-    /** Creates a clock that shows this time. */
-    public SimulatedClock(long now) {
-        this.nowMicros = now;
+    /** Creates a clock that starts at a time in microseconds. */
+    public SimulatedClock(long startMicros) {
+        this.nowMicros = startMicros;
     }
 
     /** The current simulated time. */
@@ -23,12 +23,14 @@
         return nowMicros;
     }
 
-    /** Schedules an action; actions of the same time run in the order of the calls, negative delays count as zero. */
+    /**
+     * Schedules an action. Actions due at the same time run in the order of the calls; a negative delay counts as zero.
+     */
     public void schedule(long delayMicros, Runnable action) {
         events.add(new Event(nowMicros + Math.max(0, delayMicros), ++lastSequence, action));
     }
 
-    /** Schedules an action repeatedly, without an end. */
+    /** Schedules an action to run periodically; it cannot be cancelled. */
     public void scheduleRepeatedly(long initialDelayMicros, long periodMicros, Runnable action) {
         schedule(initialDelayMicros, () -> {
             action.run();
@@ -36,7 +38,7 @@
         });
     }
 
-    /** Advances the time and runs all events that are due until then. */
+    /** Advances the time by {@code micros} and runs all events that become due. */
     public void advance(long micros) {
         long endMicros = nowMicros + micros;
         while (!events.isEmpty() && events.peek().dueMicros() <= endMicros) {
--- a/src/main/java/sandstack/measure/scale/hollow/FaultInjection.java
+++ b/src/main/java/sandstack/measure/scale/hollow/FaultInjection.java
@@ -10,21 +10,21 @@
 
 /**
  * Injects faults into hollow fleets and measures the simulated time until all observed relays have detected them. Each
- * fault uses a new fleet and is aborted when it exceeds its wall-clock time.
+ * fault uses a new fleet; the simulation is aborted when it exceeds its wall-clock limit.
  */
 final class FaultInjection {
-    /** Maximum simulated time until detection. */
+    /** Maximum simulated time from a fault to its detection. */
     private static final long TIMEOUT_MICROS = 600_000_000;
-    /** Simulated time before a fault, for the messages of the start. */
+    /** Simulated time before a fault, in which the startup traffic ends. */
     private static final long SETTLE_MICROS = 3_000_000;
 
     private static final int ZONES = FleetLayout.ZONES;
     private static final long SEED = 40;
 
     /**
-     * Result of a fault.
+     * Time and traffic until a fault was detected.
      *
-     * @param fault name of the fault in ids of series
+     * @param fault name of the fault in series ids
      * @param relays size of the fleet
      * @param micros simulated time until detection; -1 if aborted
      * @param messages mean number sent by a relay until then
@@ -45,7 +45,7 @@
     private final long maxWallNanos;
 
     /**
-     * Creates an injection without fleets.
+     * Creates no fleet yet; each fault creates its own.
      *
      * @param fleetSize number of relays
      * @param maxWallSeconds wall-clock limit of one fault
@@ -68,7 +68,7 @@
         return fleet;
     }
 
-    /** Starts one more relay; ends when all see all others alive. */
+    /** Starts one more relay; ends when all observed relays have all relays as alive in their views. */
     Outcome join() {
         BooleanSupplier isOverdue = deadline();
         HollowFleet fleet = newSettledFleet(1);
@@ -76,12 +76,12 @@
         return outcome("join", fleet, fleet.advanceUntil(allAlive(relays + 1), TIMEOUT_MICROS, isOverdue));
     }
 
-    /** Kills one relay; ends when no other sees it alive. */
+    /** Kills one relay; ends when no observed relay has it as alive in its view. */
     Outcome kill() {
         return kill("kill", status -> status != MemberStatus.ALIVE);
     }
 
-    /** Kills one relay; ends when all others have declared it lost. */
+    /** Kills one relay; ends when all observed relays have declared it lost. */
     Outcome killUntilLost() {
         return kill("given-up", status -> status == MemberStatus.LOST);
     }
@@ -95,7 +95,7 @@
         return outcome(fault, fleet, fleet.advanceUntil(detected, TIMEOUT_MICROS, isOverdue));
     }
 
-    /** Kills one of eight zones; ends when all others have declared all its relays lost. */
+    /** Kills all relays of one zone; ends when all other observed relays have declared them lost. */
     Outcome loseZone() {
         BooleanSupplier isOverdue = deadline();
         HollowFleet fleet = newSettledFleet(0);
@@ -110,7 +110,10 @@
                         allHaveStatus(lost, status -> status == MemberStatus.LOST), TIMEOUT_MICROS, isOverdue));
     }
 
-    /** Heals a partition after which each region has declared the other lost; ends when all see all others alive. */
+    /**
+     * Partitions the regions until the observed relays of each have declared those of the other lost, then heals the
+     * partition; ends when all observed relays have all relays as alive in their views.
+     */
     Outcome healPartition() {
         BooleanSupplier isOverdue = deadline();
         HollowFleet fleet = newSettledFleet(0);
--- a/src/main/java/sandstack/measure/scale/hollow/FleetLayout.java
+++ b/src/main/java/sandstack/measure/scale/hollow/FleetLayout.java
@@ -9,8 +9,9 @@
 import sandstack.fleet.Incarnation;
 
 /**
- * Identities of the relays of a hollow fleet: round-robin over the zones, of which each half is a region. All names
- * have the same length at every size.
+ * Identities of the relays of a hollow fleet: relays are assigned round-robin to zones, and each half of the zones
+ * forms a region. Ids, names and addresses have the same length for all relays, since {@link #wireSizes} is computed
+ * from one of them.
  *
  * @param size number of relays in the stated configuration, including those that join later
  */
@@ -46,7 +47,7 @@
         return zone(index) * REGIONS / ZONES;
     }
 
-    /** Names of all relays. */
+    /** Names of all relays, including those that join later. */
     Set<String> relays() {
         return new TreeSet<>(names());
     }
--- a/src/main/java/sandstack/measure/scale/hollow/Traffic.java
+++ b/src/main/java/sandstack/measure/scale/hollow/FleetTraffic.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Counts messages and bytes sent by all members of a fleet. Not thread-safe. */
-final class Traffic {
+final class FleetTraffic {
     /** Counters of one kind. */
     private static final class Count {
         private long messages;
--- a/src/main/java/sandstack/measure/scale/hollow/GossipModel.java
+++ b/src/main/java/sandstack/measure/scale/hollow/GossipModel.java
@@ -8,9 +8,9 @@
 
 /**
  * Models infection-style dissemination as in the gossip library: in each period of {@link #PERIOD_MICROS} every
- * infected member forwards a gossip to {@link #FANOUT} others, during {@link #REPEAT_MULTIPLIER} times the logarithm of
- * the members periods, but not to members from which it received it. Uses the state of the network at the time of the
- * call for the whole dissemination. Counts each message.
+ * infected member forwards a gossip to {@link #FANOUT} others, except those from which it received it, for
+ * {@link #REPEAT_MULTIPLIER} times {@link #ceilLog2} of the number of members periods. The whole dissemination uses the
+ * state of the network at the time of the call. Each message is counted.
  *
  * <p>O(members log members) per gossip; not thread-safe.
  */
@@ -20,23 +20,26 @@
     static final int REPEAT_MULTIPLIER = 3;
 
     private final SimulatedClock clock;
-    private final Network network;
-    private final Traffic traffic;
+    private final HollowNetwork network;
+    private final FleetTraffic traffic;
     private final List<HollowRelay> relays;
 
-    GossipModel(SimulatedClock clock, Network network, Traffic traffic, List<HollowRelay> relays) {
+    GossipModel(SimulatedClock clock, HollowNetwork network, FleetTraffic traffic, List<HollowRelay> relays) {
         this.clock = clock;
         this.network = network;
         this.traffic = traffic;
         this.relays = relays;
     }
 
-    /** The logarithm of the library: the number of bits. */
+    /** The logarithm as the library computes it: the bit length of {@code members}. */
     static int ceilLog2(int members) {
         return Integer.SIZE - Integer.numberOfLeadingZeros(members);
     }
 
-    /** Spreads a gossip; the callback is called once for each other member that it reaches, when it does. */
+    /**
+     * Disseminates a gossip; {@code onReceived} is called once for each other member that it reaches, at the simulated
+     * time of arrival.
+     */
     void spread(int origin, MessageKind kind, int bytes, IntConsumer onReceived) {
         traffic.record(kind, new Dissemination(onReceived).run(origin), bytes);
     }
--- a/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
@@ -20,13 +20,13 @@
 
 /**
  * Many hollow relays on one simulated clock. Each relay runs the real {@link Membership} and handles every message.
- * Views, which cost most, are computed for a few observed relays only, as they do not affect what a relay sends. Relays
- * share states in memory, so heap is measured by {@link MembershipCost}.
+ * Views, which cost most, are computed only for a few observed relays, because they do not affect what a relay sends.
+ * Relays share states in memory, so {@link MembershipCost} measures the heap instead.
  *
  * <p>Deterministic for a seed. Not thread-safe; {@link #formFullMembership} uses the common pool.
  */
 final class HollowFleet {
-    /** Time until a probe without an answer fails. */
+    /** Time after which a probe without an answer fails. */
     static final long PROBE_TIMEOUT_MICROS = 400_000;
     /** Interval at which an observed relay computes its view. */
     static final long VIEW_INTERVAL_MICROS = 200_000;
@@ -37,8 +37,8 @@
     private final FleetLayout layout;
     private final WireSizes wireSizes;
     private final SimulatedClock clock = new SimulatedClock(START_MICROS);
-    private final Network network = new Network();
-    private final Traffic traffic = new Traffic();
+    private final HollowNetwork network = new HollowNetwork();
+    private final FleetTraffic traffic = new FleetTraffic();
     private final SplittableRandom random;
     private final List<HollowRelay> relays = new ArrayList<>();
     private final Map<String, HollowRelay> byId = new HashMap<>();
@@ -49,7 +49,7 @@
     private final ThreadCpuTime viewCpuTime = new ThreadCpuTime();
 
     /**
-     * Creates relays without any membership.
+     * Creates relays that are not yet members of each other.
      *
      * @param size initial number of relays
      * @param joiningRelays number of relays that may join later
@@ -87,7 +87,8 @@
     }
 
     /**
-     * Makes all relays members of each other with known states, as after a long time without changes, and starts them.
+     * Makes all relays members of each other that have received all states, as in a fleet that has been stable for a
+     * long time, and starts them.
      */
     void formFullMembership() {
         long atMicros = clock.nowMicros();
@@ -207,7 +208,7 @@
         }
     }
 
-    /** Starts one more relay, which joins through the seeds. */
+    /** Starts one more relay, which joins through the seed members. */
     HollowRelay join() {
         HollowRelay relay = add();
         protocol.join(relay);
@@ -226,7 +227,7 @@
         network.setPartitioned(partitioned);
     }
 
-    /** Runs the events of this much simulated time. */
+    /** Advances the simulated time by {@code micros} and runs the events that become due. */
     void advance(long micros) {
         clock.advance(micros);
     }
@@ -235,7 +236,7 @@
      * Advances until a condition holds for the views of all observed relays.
      *
      * @param isOverdue checked between steps; aborts when true
-     * @return the simulated microseconds; -1 after the timeout or an abort
+     * @return the simulated time until then, in microseconds; -1 after the timeout or an abort
      */
     long advanceUntil(Predicate<Membership.View> condition, long timeoutMicros, BooleanSupplier isOverdue) {
         long startMicros = clock.nowMicros();
@@ -262,7 +263,7 @@
         return FleetLayout.region(byId.get(id).index());
     }
 
-    Traffic traffic() {
+    FleetTraffic traffic() {
         return traffic;
     }
 
@@ -270,17 +271,17 @@
         return clock.nowMicros();
     }
 
-    /** Processor time of the turns and messages of all relays. */
+    /** Processor time of the membership of all relays in turns and on received messages. */
     ThreadCpuTime membershipCpuTime() {
         return membershipCpuTime;
     }
 
-    /** Processor time of the computed views. */
+    /** Processor time of computing the views of the observed relays. */
     ThreadCpuTime viewCpuTime() {
         return viewCpuTime;
     }
 
-    /** The largest number of reports, pairs of a member and its reporter, that a view is computed from. */
+    /** The largest number of reports, each a pair of a member and its reporter, in the view of an observed relay. */
     long maxReportsInView() {
         return views.values().stream()
                 .mapToLong(view -> view.rows().stream()
--- a/src/main/java/sandstack/measure/scale/hollow/HollowFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowFleetScale.java
@@ -14,9 +14,9 @@
 import sandstack.measure.scale.hollow.FaultInjection.Outcome;
 
 /**
- * Fleets of hollow relays: the traffic of a relay in steady state, and the time and traffic until a join, a kill, the
- * loss of a zone and the end of a partition are detected. A series ends before the first size that exceeds its
- * wall-clock limit.
+ * Costs of hollow fleets by the number of relays: the traffic of a relay in steady state, and the time and traffic
+ * until a join, a kill, the loss of a zone and the end of a partition are detected. A series ends before the first size
+ * whose simulation exceeds its wall-clock limit.
  */
 public final class HollowFleetScale implements ScaleMeasurement {
     private static final String PER = "relays";
@@ -37,7 +37,7 @@
     private static final long SEED = 4;
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** Rates of one relay per second without faults, and the size of a view. */
+    /** Rates per second of one relay without faults, and the size of a view. */
     private record SteadyState(
             int relays, double messages, double bytes, double membershipCpuMillis, long reportsInView) {}
 
@@ -124,7 +124,7 @@
         return series;
     }
 
-    /** Outcomes at increasing sizes, up to the first aborted one. */
+    /** Outcomes at increasing sizes, up to and including the first aborted one. */
     private static List<Outcome> outcomes(Function<FaultInjection, Outcome> fault, int[] sizes, double maxWallSeconds) {
         List<Outcome> outcomes = new ArrayList<>();
         for (int size : sizes) {
@@ -139,7 +139,7 @@
 
     private static List<Series> series(String kind, List<Outcome> outcomes) {
         List<Outcome> complete = outcomes.stream().filter(Outcome::isComplete).toList();
-        String ends = outcomes.stream()
+        String truncation = outcomes.stream()
                 .filter(outcome -> !outcome.isComplete())
                 .map(outcome -> String.format(
                         Locale.ROOT, "; ends before %d relays: %s", outcome.relays(), outcome.abortReason()))
@@ -152,7 +152,7 @@
                         Resource.LATENCY,
                         "seconds",
                         PER,
-                        METHOD + "; simulated time until the relays that are looked at know" + ends,
+                        METHOD + "; simulated time until the relays that are looked at know" + truncation,
                         Series.points(complete, Outcome::relays, Outcome::seconds)),
                 new Series(
                         "hollow." + kind + ".bytes",
@@ -160,7 +160,7 @@
                         Resource.NETWORK,
                         "bytes",
                         PER,
-                        METHOD + "; sent by each relay until then" + ends,
+                        METHOD + "; sent by each relay until then" + truncation,
                         Series.points(complete, Outcome::relays, Outcome::bytes)));
     }
 }
--- a/src/main/java/sandstack/measure/scale/hollow/Network.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowNetwork.java
@@ -4,17 +4,18 @@
 import java.util.List;
 
 /**
- * The network between hollow relays, with running relays, latencies and partitions of the regions. O(1) per call; not
- * thread-safe.
+ * The network between hollow relays: which relays are running, latencies, and partitions of the regions. O(1) per call;
+ * not thread-safe.
  */
-final class Network {
-    /** One-way latency. */
+final class HollowNetwork {
+    /** One-way latency between relays of the same region. */
     static final long SAME_REGION_MICROS = 500;
 
+    /** One-way latency between relays of different regions. */
     static final long OTHER_REGION_MICROS = 15_000;
 
     private final List<Boolean> up = new ArrayList<>();
-    private boolean regionsApart;
+    private boolean regionsPartitioned;
 
     int size() {
         return up.size();
@@ -33,13 +34,13 @@
         return relay < up.size() && up.get(relay);
     }
 
-    void setPartitioned(boolean apart) {
-        regionsApart = apart;
+    void setPartitioned(boolean partitioned) {
+        regionsPartitioned = partitioned;
     }
 
     /** Whether two relays can exchange messages now. */
     boolean canReach(int from, int to) {
-        return isUp(from) && isUp(to) && (!regionsApart || FleetLayout.region(from) == FleetLayout.region(to));
+        return isUp(from) && isUp(to) && (!regionsPartitioned || FleetLayout.region(from) == FleetLayout.region(to));
     }
 
     long delayMicros(int from, int to) {
--- a/src/main/java/sandstack/measure/scale/hollow/HollowRelay.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowRelay.java
@@ -7,16 +7,19 @@
 import sandstack.fleet.Incarnation;
 import sandstack.fleet.Membership;
 
-/** A relay without sockets: the real {@link Membership} and the state of the modelled library. Not thread-safe. */
+/**
+ * A hollow relay: the real {@link Membership} and the modelled state of the gossip library, without connections. Not
+ * thread-safe.
+ */
 final class HollowRelay {
     private final int index;
     private final Incarnation incarnation;
     private final Membership membership;
     private final PeerOrder pingOrder;
     private final PeerOrder gossipOrder;
-    /** Members in the library's membership table. */
+    /** Indices of the members in the library's membership table. */
     private final BitSet knownMembers = new BitSet();
-    /** Suspected members with the ids of their suspicions. */
+    /** Ids of the current suspicions by the index of the suspected member. */
     private final Map<Integer, Long> suspicionByMember = new HashMap<>();
 
     private long lastSuspicion;
--- a/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
@@ -17,8 +17,8 @@
 import sandstack.fleet.Membership;
 
 /**
- * Measures memory and processor time of one {@link Membership} in a fleet, with peers that answer every probe. States
- * are decoded from JSON, so that none are shared in memory. Not thread-safe.
+ * Measures memory and processor time of one {@link Membership} in a fleet whose other members answer every probe. Their
+ * states are decoded from JSON, so that they share no objects in memory. Not thread-safe.
  */
 final class MembershipCost {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -26,20 +26,20 @@
     private static final int TURNS_PER_VIEW = (int) (HollowFleet.VIEW_INTERVAL_MICROS / Membership.TICK_MICROS);
     private static final double TURNS_PER_SECOND = 1e6 / Membership.TICK_MICROS;
     private static final double VIEWS_PER_SECOND = 1e6 / HollowFleet.VIEW_INTERVAL_MICROS;
-    /** Fewer turns for large fleets, whose views are slow. */
     private static final int WARM_UP_TURNS = 40;
-
     private static final int TIMED_TURNS = 60;
+    /** Larger fleets, whose views are slow, have no warm-up and fewer timed turns. */
     private static final int LARGE_FLEET = 400;
+
     private static final int TIMED_TURNS_LARGE = 12;
 
     /**
      * Costs of one relay.
      *
      * @param relays size of the fleet
-     * @param heapBytes retained by the membership after a collection
+     * @param heapBytes heap that the membership retains after garbage collection
      * @param joinSeconds processor time to add all other members
-     * @param cpuMillisPerSecond processor time of turns, probes, answers and views per second
+     * @param cpuMillisPerSecond processor time per second of turns, probes, answers and views
      * @param viewMillis processor time of one view
      * @param stateMillis processor time to apply one changed state
      */
@@ -96,7 +96,10 @@
                 cost.stateTime.millisPerCall());
     }
 
-    /** Fails before the slow join: a state that reports all others has a maximum size. */
+    /**
+     * Throws before the slow join if a state cannot report all other members; the number of members in a state is
+     * limited.
+     */
     private static void requireSupportedSize(int size) {
         Set<String> others =
                 IntStream.range(1, size).mapToObj(Integer::toString).collect(Collectors.toSet());
@@ -156,7 +159,7 @@
         membership.stateToGossip(nowMicros);
     }
 
-    /** Receives changed states of some members. */
+    /** Applies changed states of at most {@link #WARM_UP_TURNS} members. */
     private void receiveStateChanges() {
         Set<String> ids = incarnations.stream().map(Incarnation::id).collect(Collectors.toSet());
         for (Incarnation incarnation : incarnations.subList(1, Math.min(size, WARM_UP_TURNS))) {
--- a/src/main/java/sandstack/measure/scale/hollow/MembershipCostScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MembershipCostScale.java
@@ -10,7 +10,7 @@
 import sandstack.measure.scale.Series;
 import sandstack.measure.scale.hollow.MembershipCost.Costs;
 
-/** Memory and processor time of one relay's membership by the size of the fleet. */
+/** Memory and processor time of one relay's membership, by the number of relays in the fleet. */
 public final class MembershipCostScale implements ScaleMeasurement {
     private static final String PER = "relays";
     private static final String METHOD = "one membership of the program in a process, its peers answer in memory on a"
@@ -23,7 +23,7 @@
         return "membership-cost";
     }
 
-    /** Has no costs that come out alike every time: with {@link Effort#SMALL} there is nothing to measure. */
+    /** Returns no series with {@link Effort#SMALL}, because none of these costs is deterministic. */
     @Override
     public List<Series> measure(Effort effort) {
         if (effort == Effort.SMALL) {
--- a/src/main/java/sandstack/measure/scale/hollow/MessageKind.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MessageKind.java
@@ -1,6 +1,6 @@
 package sandstack.measure.scale.hollow;
 
-/** Messages between members of a fleet. */
+/** Messages between members of a fleet: those of the membership and those of the gossip library. */
 enum MessageKind {
     /** Reachability probe of the membership. */
     PROBE,
@@ -8,17 +8,17 @@
     PROBE_ANSWER,
     /** A member's changed state, disseminated by gossip. */
     STATE_GOSSIP,
-    /** Ping of the library. */
+    /** Ping of the library's failure detector. */
     PING,
     /** Acknowledgement of a ping. */
     PING_ACK,
-    /** Request for an indirect ping. */
+    /** Request to another member to send an indirect ping. */
     PING_REQUEST,
-    /** Membership table of the library. */
+    /** Membership table of the library, sent for a full sync. */
     SYNC,
-    /** Membership table in answer to one. */
+    /** Membership table in answer to a sync. */
     SYNC_ACK,
-    /** A changed record of the membership table, disseminated by gossip. */
+    /** A changed record of the library's membership table, disseminated by gossip. */
     RECORD_GOSSIP,
     /** Request for a member's metadata. */
     METADATA_REQUEST,
--- a/src/main/java/sandstack/measure/scale/hollow/PeerOrder.java
+++ b/src/main/java/sandstack/measure/scale/hollow/PeerOrder.java
@@ -2,7 +2,10 @@
 
 import java.util.SplittableRandom;
 
-/** A random permutation of all other members, used in turn to choose targets of pings and gossip, as in the library. */
+/**
+ * A random permutation of all other members, from which targets of pings and gossip are chosen in turn, as in the
+ * gossip library.
+ */
 final class PeerOrder {
     private final int[] order;
     private int next;
--- a/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
@@ -30,7 +30,10 @@
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Costs of one member, and the times until all others have suspected a killed member and declared it lost. */
+    /**
+     * Costs of one member, the time until no other member has a killed member as alive, and the time until all others
+     * have declared it lost.
+     */
     private record Costs(
             int relays,
             double bytesPerSecond,
@@ -113,42 +116,42 @@
     }
 
     private Costs measure(int size) throws IOException, InterruptedException {
-        try (ProcessFleet rig = new ProcessFleet(List.of("-jar", jar.toString()), size, ZONES)) {
-            rig.startAll();
-            if (ProcessFleet.awaitMicros(rig::allAlive, TIMEOUT_SECONDS + size) < 0) {
+        try (ProcessFleet fleet = new ProcessFleet(List.of("-jar", jar.toString()), size, ZONES)) {
+            fleet.startAll();
+            if (ProcessFleet.awaitMicros(fleet::allAlive, TIMEOUT_SECONDS + size) < 0) {
                 throw new IOException("did not see itself whole within " + (TIMEOUT_SECONDS + size) + " s");
             }
             Thread.sleep(SETTLE_MILLIS);
-            long bytesBefore = rig.forwardedBytes();
-            double processorBefore = FleetUsage.processorSeconds(rig);
+            long bytesBefore = fleet.forwardedBytes();
+            double processorBefore = FleetUsage.processorSeconds(fleet);
             long startNanos = System.nanoTime();
             Thread.sleep(OBSERVED_MILLIS);
             double memberSeconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND * size;
-            double bytesPerSecond = (rig.forwardedBytes() - bytesBefore) / memberSeconds;
+            double bytesPerSecond = (fleet.forwardedBytes() - bytesBefore) / memberSeconds;
             double cpuMillisPerSecond =
-                    (FleetUsage.processorSeconds(rig) - processorBefore) * MILLIS_PER_SECOND / memberSeconds;
-            double resident = FleetUsage.meanResidentBytes(rig);
-            rig.kill(size - 1);
+                    (FleetUsage.processorSeconds(fleet) - processorBefore) * MILLIS_PER_SECOND / memberSeconds;
+            double residentBytes = FleetUsage.meanResidentBytes(fleet);
+            fleet.kill(size - 1);
             long killNanos = System.nanoTime();
-            awaitStatusEverywhere(rig, size - 1, status -> !"ALIVE".equals(status));
-            double detected = (System.nanoTime() - killNanos) / NANOS_PER_SECOND;
-            awaitStatusEverywhere(rig, size - 1, "LOST"::equals);
+            awaitStatusEverywhere(fleet, size - 1, status -> !"ALIVE".equals(status));
+            double detectedSeconds = (System.nanoTime() - killNanos) / NANOS_PER_SECOND;
+            awaitStatusEverywhere(fleet, size - 1, "LOST"::equals);
             return new Costs(
                     size,
                     bytesPerSecond,
                     cpuMillisPerSecond,
-                    resident,
-                    detected,
+                    residentBytes,
+                    detectedSeconds,
                     (System.nanoTime() - killNanos) / NANOS_PER_SECOND);
         }
     }
 
-    private static void awaitStatusEverywhere(ProcessFleet rig, int victim, Predicate<String> expected)
+    private static void awaitStatusEverywhere(ProcessFleet fleet, int victim, Predicate<String> expected)
             throws IOException {
         long micros = ProcessFleet.awaitMicros(
                 () -> {
                     for (int i = 0; i < victim; i++) {
-                        Map<String, String> statuses = rig.memberStatuses(i);
+                        Map<String, String> statuses = fleet.memberStatuses(i);
                         if (statuses == null || !expected.test(statuses.get(ProcessFleet.memberName(victim)))) {
                             return false;
                         }
--- a/src/main/java/sandstack/measure/scale/hollow/SwimProtocolModel.java
+++ b/src/main/java/sandstack/measure/scale/hollow/SwimProtocolModel.java
@@ -7,10 +7,10 @@
 import sandstack.measure.scale.SimulatedClock;
 
 /**
- * Models the messages of the gossip library beneath the membership, which follows SWIM: a ping every half second,
- * indirect pings through three other members, suspicion disseminated by gossip, and a full sync of the membership table
- * with one member every two seconds. The intervals are those that the program configures. Does not model processor
- * time, connections and lost packets.
+ * Models the messages of the gossip library (ScaleCube Cluster) beneath the membership. The library follows the SWIM
+ * protocol (Das, Gupta and Motivala, 2002): a ping every half second, indirect pings through three other members, and
+ * suspicions disseminated by gossip. It also syncs the full membership table with one member every two seconds. The
+ * intervals are those that the program configures. Processor time, connections and lost packets are not modelled.
  *
  * <p>O(1) per ping, O(members) per sync; not thread-safe.
  */
@@ -22,18 +22,18 @@
     static final long SYNC_INTERVAL_MICROS = 2_000_000;
     static final int SEEDS = 3;
 
-    /** Receives changes of a member's table. */
+    /** Receives changes of a member's membership table. */
     interface Listener {
-        /** Called after a member was added. */
+        /** Called after {@code member} was added to the table of {@code at}. */
         void memberAdded(HollowRelay at, HollowRelay member);
 
-        /** Called after a member was removed. */
+        /** Called after {@code member} was removed from the table of {@code at}. */
         void memberRemoved(HollowRelay at, HollowRelay member);
     }
 
     private final SimulatedClock clock;
-    private final Network network;
-    private final Traffic traffic;
+    private final HollowNetwork network;
+    private final FleetTraffic traffic;
     private final WireSizes wireSizes;
     private final List<HollowRelay> relays;
     private final GossipModel gossip;
@@ -42,8 +42,8 @@
 
     SwimProtocolModel(
             SimulatedClock clock,
-            Network network,
-            Traffic traffic,
+            HollowNetwork network,
+            FleetTraffic traffic,
             WireSizes sizes,
             List<HollowRelay> relays,
             GossipModel gossip,
@@ -65,7 +65,7 @@
         clock.scheduleRepeatedly(random.nextLong(SYNC_INTERVAL_MICROS), SYNC_INTERVAL_MICROS, () -> sync(relay));
     }
 
-    /** Syncs a new member with the seeds and starts it. */
+    /** Syncs a new member with the seed members and starts it. */
     void join(HollowRelay relay) {
         for (int seed = 0; seed < Math.min(SEEDS, relays.size()); seed++) {
             syncWith(relay, relays.get(seed));
@@ -115,7 +115,7 @@
         }
     }
 
-    private void suspect(HollowRelay relay, int target, boolean gossips) {
+    private void suspect(HollowRelay relay, int target, boolean shouldGossip) {
         long suspicion = network.isUp(relay.index()) ? relay.suspect(target) : 0;
         if (suspicion == 0) {
             return;
@@ -126,7 +126,7 @@
                 remove(relay, target, true);
             }
         });
-        if (gossips) {
+        if (shouldGossip) {
             gossip(relay.index(), receiver -> {
                 if (receiver == target) {
                     refute(target);
@@ -137,7 +137,7 @@
         }
     }
 
-    /** Gossips that a suspected or removed member is alive. */
+    /** Disseminates that a suspected or removed member is alive. */
     private void refute(int member) {
         gossip(member, at -> {
             relays.get(at).clearSuspicion(member);
@@ -145,12 +145,12 @@
         });
     }
 
-    private void remove(HollowRelay relay, int target, boolean gossips) {
+    private void remove(HollowRelay relay, int target, boolean shouldGossip) {
         if (!relay.removeMember(target)) {
             return;
         }
         listener.memberRemoved(relay, relays.get(target));
-        if (gossips) {
+        if (shouldGossip) {
             gossip(relay.index(), at -> {
                 if (at == target) {
                     refute(target);
@@ -183,7 +183,7 @@
         return set.stream().skip(n).findFirst().orElseThrow();
     }
 
-    /** Exchanges the tables of two members. */
+    /** Exchanges the membership tables of two members. */
     private void syncWith(HollowRelay relay, HollowRelay other) {
         if (relay == other || !network.canReach(relay.index(), other.index())) {
             return;
@@ -209,7 +209,7 @@
     }
 
     /** Adds an unknown member after fetching its metadata. */
-    private void add(HollowRelay relay, int member, boolean gossips) {
+    private void add(HollowRelay relay, int member, boolean shouldGossip) {
         if (relay.knownMembers().get(member) || !network.canReach(relay.index(), member)) {
             return;
         }
@@ -218,7 +218,7 @@
         clock.schedule(2 * network.delayMicros(relay.index(), member), () -> {
             if (network.canReach(relay.index(), member) && relay.addMember(member)) {
                 listener.memberAdded(relay, relays.get(member));
-                if (gossips) {
+                if (shouldGossip) {
                     gossip(relay.index(), at -> add(relays.get(at), member, false));
                 }
             }
--- a/src/main/java/sandstack/measure/scale/hollow/ThreadCpuTime.java
+++ b/src/main/java/sandstack/measure/scale/hollow/ThreadCpuTime.java
@@ -3,7 +3,7 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 
-/** Accumulates processor time of the calling thread over calls of a task. */
+/** Accumulates the processor time of the calling thread in measured tasks. Not thread-safe. */
 final class ThreadCpuTime {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
--- a/src/main/java/sandstack/measure/scale/hollow/WireSizes.java
+++ b/src/main/java/sandstack/measure/scale/hollow/WireSizes.java
@@ -5,8 +5,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Sizes of the messages between members in bytes, including the length prefix. The library's messages are linear in the
- * lengths of the names in them; the constants are measured sizes, and a test compares each formula with the codec.
+ * Sizes of the messages between members in bytes, including the length prefix. The sizes of the gossip library's
+ * messages are linear in the lengths of the names in them; the constants are the remaining bytes. A test compares each
+ * formula with the codec.
  *
  * @param id length of a member's id in characters
  * @param name length of its name
@@ -53,7 +54,7 @@
         return PING_REQUEST + 2 * member() + address;
     }
 
-    /** A membership table with this many members. */
+    /** A membership table with {@code members} members. */
     public int sync(int members) {
         return SYNC + address + members * (RECORD + member());
     }
--- a/src/main/java/sandstack/measure/scale/storm/ClientBehaviour.java
+++ b/src/main/java/sandstack/measure/scale/storm/ClientBehaviour.java
@@ -1,13 +1,16 @@
 package sandstack.measure.scale.storm;
 
-/** When a client retries after it lost its relay or was rejected. The names are part of the ids of series. */
+/**
+ * When a client retries after the loss of its relay and after a rejection. The names are part of series ids;
+ * {@code ADVICE} in them is the Retry-After of a rejection.
+ */
 public enum ClientBehaviour {
-    /** At once; after each rejection, one connect timeout later. */
+    /** Immediately after the loss; after each rejection, one connect timeout later. */
     AT_ONCE,
-    /** After a random delay, after the loss and after each rejection. */
+    /** After a random delay, both after the loss and after each rejection. */
     SPREAD,
-    /** After a random delay; after a rejection, at the Retry-After of the relay. */
+    /** After a random delay after the loss; after a rejection, at the Retry-After of the relay. */
     SPREAD_THEN_ADVICE,
-    /** At once; after a rejection, at the Retry-After of the relay. */
+    /** Immediately after the loss; after a rejection, at the Retry-After of the relay. */
     AT_ONCE_THEN_ADVICE
 }
--- a/src/main/java/sandstack/measure/scale/storm/RetryStormResult.java
+++ b/src/main/java/sandstack/measure/scale/storm/RetryStormResult.java
@@ -4,15 +4,15 @@
  * Result of a simulated retry storm. Rates are per second.
  *
  * @param attemptsPerSecond mean attempts at a relay in each second
- * @param peakAttempts the largest of these
+ * @param peakAttempts maximum of {@code attemptsPerSecond}
  * @param peakAttemptsInStep most attempts in one step at any sampled relay, as a rate
- * @param overloadedSeconds number of seconds with more attempts than a relay sets up
- * @param lastOverloadedSecond the last of these, counted from the loss
- * @param secondsUntil99Percent until 99% of the clients were accepted; -1 if they were not
- * @param secondsUntilAll until all clients were accepted, including those in a relay's queue; -1 if they were not
+ * @param overloadedSeconds number of seconds in which a relay receives more attempts than it can set up
+ * @param lastOverloadedSecond the last of these seconds, counted from the loss
+ * @param secondsUntil99Percent time until 99% of the clients are accepted; -1 if fewer are
+ * @param secondsUntilAll time until all clients are accepted, including those in a relay's queue; -1 if not all are
  * @param attemptsPerClient mean attempts of a client
  * @param rejectionsPerClient mean rejections of a client
- * @param peakAtFeedServer most attempts at one feed server in a second
+ * @param peakAtFeedServer maximum rate of attempts at one feed server
  */
 public record RetryStormResult(
         double[] attemptsPerSecond,
--- a/src/main/java/sandstack/measure/scale/storm/RetryStormScale.java
+++ b/src/main/java/sandstack/measure/scale/storm/RetryStormScale.java
@@ -9,7 +9,10 @@
 import sandstack.measure.scale.ScaleMeasurement;
 import sandstack.measure.scale.Series;
 
-/** Simulates the retry storm after the loss of a zone, whose clients reconnect to the remaining relays. */
+/**
+ * Attempts and recovery time in the simulated retry storm after the loss of a zone, whose clients reconnect to the
+ * remaining relays.
+ */
 public final class RetryStormScale implements ScaleMeasurement {
     private static final String PER_RELAYS = "relays";
     private static final String PER_INTERVAL = "longest interval";
@@ -20,15 +23,19 @@
     private static final int[] LAST_INTERVALS = {8, 9, 10, 11, 12};
     private static final int[] FIRST_INTERVALS = {1, 4, 7, 8, 9, 10, 11};
     private static final double[] SETUPS_PER_SECOND = {570, 1_140, 2_280, 4_560};
+    /** Cost of a rejection, as a fraction of a setup. */
     private static final double REJECTION_COST = 0.1;
+
+    /** Number of simulated relays, by effort. */
     private static final int SAMPLED_SMALL = 2;
+
     private static final int SAMPLED_QUICK = 4;
     private static final int SAMPLED_FULL = 16;
     private static final long SEED = 7;
 
     private final RetryStormSettings planned;
 
-    /** A result at a size. */
+    /** The result of a simulation at one size. */
     private record Sample(double size, RetryStormResult result) {}
 
     /** Reported metrics; the ids are part of the ids of series. */
@@ -37,7 +44,7 @@
         ATTEMPTS_AT_FEED_SERVER("attempts-at-feed-server", Resource.MESSAGES, "attempts a second"),
         ATTEMPTS_PER_CLIENT("attempts-each", Resource.MESSAGES, "attempts a client"),
         OVERLOADED_SECONDS("seconds-over", Resource.LATENCY, "seconds"),
-        SECONDS_UNTIL_BACK("seconds-until-back", Resource.LATENCY, "seconds");
+        SECONDS_UNTIL_99_PERCENT("seconds-until-back", Resource.LATENCY, "seconds");
 
         private final String id;
         private final Resource resource;
@@ -55,7 +62,7 @@
                 case ATTEMPTS_AT_FEED_SERVER -> result.peakAtFeedServer();
                 case ATTEMPTS_PER_CLIENT -> result.attemptsPerClient();
                 case OVERLOADED_SECONDS -> result.overloadedSeconds();
-                case SECONDS_UNTIL_BACK -> result.secondsUntil99Percent();
+                case SECONDS_UNTIL_99_PERCENT -> result.secondsUntil99Percent();
             };
         }
     }
@@ -107,7 +114,7 @@
             series.add(series(prefix, Metric.ATTEMPTS_AT_RELAY, PER_RELAYS, samples));
             series.add(series(prefix, Metric.ATTEMPTS_AT_FEED_SERVER, PER_RELAYS, samples));
             series.add(series(prefix, Metric.OVERLOADED_SECONDS, PER_RELAYS, samples));
-            series.add(series(prefix, Metric.SECONDS_UNTIL_BACK, PER_RELAYS, samples));
+            series.add(series(prefix, Metric.SECONDS_UNTIL_99_PERCENT, PER_RELAYS, samples));
         }
         return series;
     }
@@ -116,28 +123,28 @@
         return byInterval("interval", PER_INTERVAL, LAST_INTERVALS, planned::withLastInterval, sampled);
     }
 
-    /** A first interval wide enough for all clients makes doubling up to it unnecessary. */
+    /** Varies the first interval: one that is long enough for all clients makes doubling unnecessary. */
     private List<Series> byFirstInterval(int sampled) {
         return byInterval("first-interval", PER_FIRST, FIRST_INTERVALS, planned::withFirstInterval, sampled);
     }
 
-    /** Series for free rejections, and one for rejections that cost a part of a setup. */
+    /** Returns series for rejections without cost, and one for rejections that cost {@link #REJECTION_COST}. */
     private List<Series> byInterval(
             String prefix, String per, int[] intervals, IntFunction<RetryStormSettings> settingsOf, int sampled) {
-        List<Sample> free = new ArrayList<>();
-        List<Sample> costly = new ArrayList<>();
+        List<Sample> withoutCost = new ArrayList<>();
+        List<Sample> withCost = new ArrayList<>();
         for (int interval : intervals) {
             RetryStormSettings settings = settingsOf.apply(interval);
-            free.add(new Sample(interval, simulate(settings, ClientBehaviour.SPREAD_THEN_ADVICE, sampled)));
-            costly.add(new Sample(
+            withoutCost.add(new Sample(interval, simulate(settings, ClientBehaviour.SPREAD_THEN_ADVICE, sampled)));
+            withCost.add(new Sample(
                     interval,
                     simulate(settings.withRejectionCost(REJECTION_COST), ClientBehaviour.SPREAD_THEN_ADVICE, sampled)));
         }
         return List.of(
-                series(prefix, Metric.OVERLOADED_SECONDS, per, free),
-                series(prefix, Metric.ATTEMPTS_PER_CLIENT, per, free),
-                series(prefix, Metric.SECONDS_UNTIL_BACK, per, free),
-                series(prefix + ".costly-refusals", Metric.SECONDS_UNTIL_BACK, per, costly));
+                series(prefix, Metric.OVERLOADED_SECONDS, per, withoutCost),
+                series(prefix, Metric.ATTEMPTS_PER_CLIENT, per, withoutCost),
+                series(prefix, Metric.SECONDS_UNTIL_99_PERCENT, per, withoutCost),
+                series(prefix + ".costly-refusals", Metric.SECONDS_UNTIL_99_PERCENT, per, withCost));
     }
 
     private List<Series> byRate(int sampled) {
@@ -148,11 +155,11 @@
         }
         return List.of(
                 series("rate", Metric.OVERLOADED_SECONDS, PER_RATE, samples),
-                series("rate", Metric.SECONDS_UNTIL_BACK, PER_RATE, samples));
+                series("rate", Metric.SECONDS_UNTIL_99_PERCENT, PER_RATE, samples));
     }
 
-    private static RetryStormResult simulate(RetryStormSettings setting, ClientBehaviour behaviour, int sampled) {
-        return new RetryStormSimulation(setting, behaviour, sampled, SEED).run();
+    private static RetryStormResult simulate(RetryStormSettings settings, ClientBehaviour behaviour, int sampled) {
+        return new RetryStormSimulation(settings, behaviour, sampled, SEED).run();
     }
 
     private static String name(ClientBehaviour behaviour) {
--- a/src/main/java/sandstack/measure/scale/storm/RetryStormSettings.java
+++ b/src/main/java/sandstack/measure/scale/storm/RetryStormSettings.java
@@ -2,7 +2,7 @@
 
 /** Settings of a simulated retry storm. */
 public record RetryStormSettings(Fleet fleet, Admission admission, Backoff backoff, Clients clients) {
-    /** Setups of silent connections per second on half a core, as measured (docs/ROADMAP.md, "Crowds"). */
+    /** Number of idle connections that a relay sets up per second on half a core (docs/ROADMAP.md, "Crowds"). */
     public static final double MEASURED_SETUPS_PER_SECOND = 570;
 
     private static final Fleet PLANNED_FLEET = new Fleet(5_600, 8, 80_400, 1_000);
@@ -23,11 +23,11 @@
     public record Fleet(int relays, int zones, int clientsPerRelay, int feedServers) {}
 
     /**
-     * Admission of a relay.
+     * Admission control of a relay.
      *
-     * @param setupsPerSecond its capacity
+     * @param setupsPerSecond connections that the relay can set up per second
      * @param rejectionCost cost of a rejection, as a fraction of a setup
-     * @param maxQueueMicros maximum queueing delay; clients that would wait longer are rejected at once
+     * @param maxQueueMicros maximum queueing delay; clients that would wait longer are rejected immediately
      */
     public record Admission(double setupsPerSecond, double rejectionCost, long maxQueueMicros) {}
 
@@ -49,7 +49,7 @@
      */
     public record Clients(long minSpreadMicros, long maxSpreadMicros, long connectTimeoutMicros) {}
 
-    /** The planned fleet with the measured setup rate and free rejections. */
+    /** The planned fleet with {@link #MEASURED_SETUPS_PER_SECOND} and rejections without cost. */
     public static RetryStormSettings planned() {
         return new RetryStormSettings(PLANNED_FLEET, MEASURED_ADMISSION, LOAD_BALANCER_BACKOFF, DEFAULT_CLIENTS);
     }
--- a/src/main/java/sandstack/measure/scale/storm/RetryStormSimulation.java
+++ b/src/main/java/sandstack/measure/scale/storm/RetryStormSimulation.java
@@ -6,12 +6,12 @@
 /**
  * Discrete-time simulation of a retry storm at a sample of the remaining relays, client by client; each attempt goes to
  * a random relay of the sample. A relay sets up a bounded number of connections per second, queues those that it can
- * set up within its maximum queueing delay, and rejects all others at once.
+ * set up within its maximum queueing delay, and rejects all others immediately.
  *
  * <p>Deterministic for a seed. O(attempts); not thread-safe.
  */
 public final class RetryStormSimulation {
-    /** Length of a step. */
+    /** Length of a step of the simulation. */
     public static final long STEP_MICROS = 10_000;
 
     private static final int STEPS_PER_SECOND = (int) (1_000_000 / STEP_MICROS);
@@ -52,7 +52,7 @@
         setupBudget = new double[sampledRelays];
     }
 
-    /** Simulates until all clients are accepted, two minutes at most; to be called once. */
+    /** Simulates until all clients are accepted, at most two minutes. Must be called only once. */
     public RetryStormResult run() {
         for (int client = 0; client < backoffInterval.length; client++) {
             dueClients.add(0, stepOf(firstAttemptMicros()), client);
@@ -77,7 +77,7 @@
         return result(step);
     }
 
-    /** Attempts of one step come in random order (Fisher-Yates). */
+    /** Randomizes the order of the attempts of one step (Fisher-Yates). */
     private void shuffle(int[] clients) {
         for (int i = clients.length - 1; i > 0; i--) {
             int other = random.nextInt(i + 1);
@@ -124,7 +124,7 @@
             return;
         }
         rejections++;
-        // bounds the cost of rejections: further attempts would wait in the accept queue of the system
+        // bounds the cost of rejections: further attempts would wait in the accept queue of the operating system
         setupBudget[relay] = Math.max(setupBudget[relay] - settings.admission().rejectionCost(), -maxBacklog);
         dueClients.add(step + 1, stepOf(nextAttemptMicros(client, step * STEP_MICROS)), client);
     }
--- a/src/main/java/sandstack/measure/scale/storm/StepBuckets.java
+++ b/src/main/java/sandstack/measure/scale/storm/StepBuckets.java
@@ -10,13 +10,13 @@
     private final int[][] clients;
     private final int[] counts;
 
-    /** Creates buckets for this many steps; later attempts are dropped. */
+    /** Creates buckets for {@code steps} steps; attempts at later steps are dropped. */
     StepBuckets(int steps) {
         clients = new int[steps][];
         counts = new int[steps];
     }
 
-    /** Schedules a client's attempt at a step, but not before the earliest one. */
+    /** Schedules a client's attempt at {@code step}, or at {@code earliest} if that is later. */
     void add(int earliest, int step, int client) {
         int dueStep = Math.max(earliest, step);
         if (dueStep >= clients.length) {
--- a/src/main/java/sandstack/measure/scale/storm/package-info.java
+++ b/src/main/java/sandstack/measure/scale/storm/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Simulated retry storm after the loss of a zone: the attempts at each remaining relay and feed server, and for how
- * long they exceed the capacity.
+ * Simulated retry storm after the loss of a zone: the rate of attempts at the remaining relays and at the feed servers,
+ * and how long it exceeds their capacity.
  */
 package sandstack.measure.scale.storm;
--- a/src/test/java/sandstack/measure/configuration/RandomFaultSchedule.java
+++ b/src/test/java/sandstack/measure/configuration/DistributionFaultSchedule.java
@@ -11,16 +11,16 @@
 import sandstack.configuration.FollowerSettings;
 import sandstack.configuration.PublisherSettings;
 
-/** A random schedule of faults and changes on a small fleet, from a seed. */
-final class RandomFaultSchedule implements NetworkFaults {
+/** A random schedule of faults and changes on a small hollow fleet. Deterministic for a seed. */
+final class DistributionFaultSchedule implements NetworkFaults {
     static final long MICROS_PER_SECOND = 1_000_000;
-    /** Maximum time from the end of all faults until convergence. */
+    /** Maximum simulated time from the end of all faults until convergence. */
     static final long CONVERGENCE_TIMEOUT_MICROS = 16 * MICROS_PER_SECOND;
 
     private static final int RELAYS = 16;
     private static final int STEPS = 24;
     private static final int MAX_REPLAYED_CHANGES = 20;
-    /** A short history and small chunks, so that relays also fetch snapshots. */
+    /** Settings with a short history and small chunks, so that relays also fetch snapshots. */
     private static final PublisherSettings SMALL_LIMITS = new PublisherSettings(
             20, 2 * MICROS_PER_SECOND, 8 * MICROS_PER_SECOND, 4, 400, 6, 1 << 20, 100, 3, 1 << 20, 1_000, 50, 200);
 
@@ -37,7 +37,7 @@
     private int committedChanges;
     private int rejectedChanges;
 
-    RandomFaultSchedule(long seed) {
+    DistributionFaultSchedule(long seed) {
         random = new SplittableRandom(seed);
         int machines = random.nextBoolean() ? 7 : 5;
         fleet = new HollowConfigurationFleet(new HollowConfigurationFleet.Plan(
@@ -54,12 +54,12 @@
         return invariants;
     }
 
-    /** Kinds of injected faults. */
+    /** Kinds of the faults that were injected so far. */
     Set<String> injectedFaults() {
         return injectedFaults;
     }
 
-    /** Time from the end of all faults until convergence; -1 after the timeout. */
+    /** Simulated time from the end of all faults until convergence; -1 after the timeout. */
     long convergenceMicros() {
         return convergenceMicros;
     }
@@ -73,7 +73,7 @@
     }
 
     /** Runs the schedule, ends all faults and checks convergence. */
-    RandomFaultSchedule run() {
+    DistributionFaultSchedule run() {
         fleet.setFaults(this);
         fleet.startAll();
         fleet.clock().advance(2 * MICROS_PER_SECOND);
@@ -121,8 +121,8 @@
                 this::healLinks,
                 this::partitionRegions,
                 this::healRegions,
-                this::disturbNetwork,
-                this::calmNetwork);
+                this::startNetworkFaults,
+                this::endNetworkFaults);
         kinds.get(random.nextInt(kinds.size())).run();
     }
 
@@ -130,7 +130,7 @@
         return fleet.machines().get(random.nextInt(fleet.machines().size()));
     }
 
-    private HollowRelay anyRelay() {
+    private HollowConfigurationRelay anyRelay() {
         return fleet.relays().get(random.nextInt(fleet.relays().size()));
     }
 
@@ -143,12 +143,12 @@
         injectedFaults.add("kill machine");
         if (random.nextInt(3) == 0) {
             fleet.consensus().rollBack(machine, random.nextBoolean() ? Integer.MAX_VALUE : random.nextInt(1, 10));
-            injectedFaults.add("older or wiped disk of a machine");
+            injectedFaults.add("rolled back or wiped disk of a machine");
         }
     }
 
     private void killRelay() {
-        HollowRelay relay = anyRelay();
+        HollowConfigurationRelay relay = anyRelay();
         if (!relay.isRunning()) {
             return;
         }
@@ -161,11 +161,11 @@
             }
             case 1 -> {
                 relay.store().rollBack(random.nextInt(1, 7));
-                onDiskChanged(relay, "older disk of a relay");
+                onDiskChanged(relay, "rolled back disk of a relay");
             }
             case 2 -> {
                 relay.store().corrupt();
-                onDiskChanged(relay, "damaged disk of a relay");
+                onDiskChanged(relay, "corrupted disk of a relay");
             }
             case 3 -> {
                 relay.store().makeUnreadable();
@@ -175,9 +175,9 @@
         }
     }
 
-    private void onDiskChanged(HollowRelay relay, String what) {
+    private void onDiskChanged(HollowConfigurationRelay relay, String fault) {
         invariants.onDiskChanged(relay);
-        injectedFaults.add(what);
+        injectedFaults.add(fault);
     }
 
     private void startAll() {
@@ -206,7 +206,7 @@
         if (random.nextInt(3) == 0) {
             fleet.relays().forEach(relay -> cutLinks.add(link(machine, relay)));
         }
-        injectedFaults.add("one-way cut");
+        injectedFaults.add("one-way partition");
     }
 
     private void healLinks() {
@@ -215,21 +215,21 @@
 
     private void partitionRegions() {
         regionsPartitioned = true;
-        injectedFaults.add("cut of the regions");
+        injectedFaults.add("partition of the regions");
     }
 
     private void healRegions() {
         regionsPartitioned = false;
     }
 
-    private void disturbNetwork() {
+    private void startNetworkFaults() {
         lossRate = random.nextDouble() * 0.4;
         duplicationRate = random.nextDouble() * 0.3;
         delayRate = random.nextDouble() * 0.5;
         injectedFaults.add("loss, delay, reordering and duplication");
     }
 
-    private void calmNetwork() {
+    private void endNetworkFaults() {
         lossRate = 0;
         duplicationRate = 0;
         delayRate = 0;
@@ -238,7 +238,7 @@
     private void endFaults() {
         healLinks();
         healRegions();
-        calmNetwork();
+        endNetworkFaults();
         resumeAll();
         startAll();
     }
--- a/src/test/java/sandstack/measure/configuration/DistributionInvariants.java
+++ b/src/test/java/sandstack/measure/configuration/DistributionInvariants.java
@@ -7,12 +7,15 @@
 import java.util.Optional;
 import sandstack.configuration.ConfigurationSnapshot;
 
-/** Checks every snapshot that a relay activates against the invariants of the distribution. */
+/**
+ * Checks every snapshot that a relay activates against the invariants of configuration distribution: each activated
+ * snapshot was committed, and the index of a relay's snapshots increases, except after a fault of its disk.
+ */
 final class DistributionInvariants {
     private final ModelledConsensus consensus;
     private final List<String> violations = new ArrayList<>();
-    private final Map<HollowRelay, Activation> lastActivations = new HashMap<>();
-    private long checkedStates;
+    private final Map<HollowConfigurationRelay, Activation> lastActivations = new HashMap<>();
+    private long checkedSnapshots;
 
     /** The last activation of a relay. */
     private static final class Activation {
@@ -25,9 +28,9 @@
         fleet.relays().forEach(relay -> relay.setActivationListener(this::onActivated));
     }
 
-    /** Called when a relay activated a snapshot. */
-    void onActivated(HollowRelay relay, ConfigurationSnapshot snapshot) {
-        checkedStates++;
+    /** Checks a snapshot that a relay has activated. */
+    void onActivated(HollowConfigurationRelay relay, ConfigurationSnapshot snapshot) {
+        checkedSnapshots++;
         long index = snapshot.version().index();
         Activation last = lastActivations.computeIfAbsent(relay, r -> new Activation());
         if (last.incarnation == relay.incarnation() && index <= last.index) {
@@ -40,26 +43,26 @@
         last.index = index;
         Optional<ConfigurationSnapshot> committed = consensus.state(index);
         if (committed.isEmpty()) {
-            violations.add(relay.name() + " has " + snapshot.version() + ", which was not agreed");
+            violations.add(relay.name() + " has " + snapshot.version() + ", which was not committed");
         } else if (!committed.get().equals(snapshot)) {
-            violations.add(relay.name() + " has another state at " + snapshot.version() + " than was agreed");
+            violations.add(relay.name() + " has another state at " + snapshot.version() + " than was committed");
         }
     }
 
-    /** Called after a relay's disk was changed: its next incarnation may start with an older snapshot. */
-    void onDiskChanged(HollowRelay relay) {
+    /** Must be called after a fault of a relay's disk; its next incarnation may start with an older snapshot. */
+    void onDiskChanged(HollowConfigurationRelay relay) {
         lastActivations.computeIfAbsent(relay, r -> new Activation()).index = 0;
     }
 
-    /** Called when all relays have to have converged. */
+    /** Checks that the last committed snapshot is active at every relay. */
     void checkConverged(HollowConfigurationFleet fleet) {
         ConfigurationSnapshot committed = consensus.current();
-        for (HollowRelay relay : fleet.relays()) {
+        for (HollowConfigurationRelay relay : fleet.relays()) {
             ConfigurationSnapshot active = relay.follower().activeSnapshot();
             if (!active.equals(committed)) {
                 violations.add(
-                        relay.name() + " has " + active.version() + " in the end, agreed is " + committed.version()
-                                + "; it follows " + relay.follower().status());
+                        relay.name() + " has " + active.version() + " at the end, committed is " + committed.version()
+                                + "; follower status " + relay.follower().status());
             }
         }
     }
@@ -70,7 +73,7 @@
     }
 
     /** Number of checked snapshots. */
-    long checkedStates() {
-        return checkedStates;
+    long checkedSnapshots() {
+        return checkedSnapshots;
     }
 }
--- a/src/test/java/sandstack/measure/configuration/PlantedFaultsTest.java
+++ b/src/test/java/sandstack/measure/configuration/InvariantDetectionTest.java
@@ -16,23 +16,27 @@
 import sandstack.configuration.ConfigurationSnapshot;
 import sandstack.configuration.ConfigurationVersion;
 
-/** The invariants detect planted faults of a follower or publisher; the same schedules pass without them. */
-class PlantedFaultsTest {
-    private static final long SECOND = 1_000_000;
+/**
+ * {@link DistributionInvariants} detects deliberate errors of a follower or publisher. {@link ConfigurationFaultsTest}
+ * runs the same schedules without them.
+ */
+class InvariantDetectionTest {
+    private static final long MICROS_PER_SECOND = 1_000_000;
     private static final int SCHEDULES = 20;
 
-    /** Applies the changes that a relay receives without the checks of the real follower. */
-    private static final class CarelessFollower {
-        private final HollowRelay relay;
+    /** An incorrect follower, which applies received changes without the checks of the real one. */
+    private static final class UncheckedFollower {
+        private final HollowConfigurationRelay relay;
         private final DistributionInvariants invariants;
-        private final boolean goesBack;
+        private final boolean acceptsOlderChanges;
         private final Map<String, String> entries = new TreeMap<>();
         private long index;
 
-        CarelessFollower(HollowRelay relay, DistributionInvariants invariants, boolean goesBack) {
+        UncheckedFollower(
+                HollowConfigurationRelay relay, DistributionInvariants invariants, boolean acceptsOlderChanges) {
             this.relay = relay;
             this.invariants = invariants;
-            this.goesBack = goesBack;
+            this.acceptsOlderChanges = acceptsOlderChanges;
         }
 
         void received(ConfigurationMessage message) {
@@ -41,12 +45,12 @@
             }
         }
 
-        private void apply(CommittedChange agreed) {
-            if (!goesBack && agreed.version().index() <= index) {
+        private void apply(CommittedChange committed) {
+            if (!acceptsOlderChanges && committed.version().index() <= index) {
                 return;
             }
-            index = agreed.version().index();
-            for (ConfigurationEdit edit : agreed.change().edits()) {
+            index = committed.version().index();
+            for (ConfigurationEdit edit : committed.change().edits()) {
                 if (edit instanceof Put put) {
                     entries.put(put.key(), put.value());
                 } else {
@@ -55,70 +59,71 @@
             }
             invariants.onActivated(
                     relay,
-                    ConfigurationSnapshot.of(agreed.version(), agreed.change().formatVersion(), entries));
+                    ConfigurationSnapshot.of(
+                            committed.version(), committed.change().formatVersion(), entries));
         }
     }
 
-    private static long schedulesFound(boolean goesBack, String message) {
-        long found = 0;
+    private static long countDetectingSchedules(boolean acceptsOlderChanges, String message) {
+        long detecting = 0;
         for (long seed = 1; seed <= SCHEDULES; seed++) {
-            RandomFaultSchedule faults = new RandomFaultSchedule(seed);
-            HollowRelay relay = faults.fleet().relays().get(0);
+            DistributionFaultSchedule faults = new DistributionFaultSchedule(seed);
+            HollowConfigurationRelay relay = faults.fleet().relays().get(0);
             relay.setActivationListener((r, snapshot) -> {});
-            CarelessFollower careless = new CarelessFollower(relay, faults.invariants(), goesBack);
-            relay.setMessageListener(careless::received);
+            UncheckedFollower follower = new UncheckedFollower(relay, faults.invariants(), acceptsOlderChanges);
+            relay.setMessageListener(follower::received);
             faults.run();
             boolean detected = faults.invariants().violations().stream().anyMatch(line -> line.contains(message));
             assertThat(faults.invariants().violations()).allMatch(line -> line.startsWith(relay.name() + " "));
-            found += detected ? 1 : 0;
+            detecting += detected ? 1 : 0;
         }
-        return found;
+        return detecting;
     }
 
     @Test
-    void aFollowerThatAppliesAGapIsFound() {
-        assertThat(schedulesFound(false, "has another state")).isGreaterThan(SCHEDULES / 2);
+    void detectsFollowerThatSkipsChanges() {
+        assertThat(countDetectingSchedules(false, "has another state")).isGreaterThan(SCHEDULES / 2);
     }
 
     @Test
-    void aFollowerThatGoesBackIsFound() {
-        // detectable only if an older message arrives late or twice
-        assertThat(schedulesFound(true, " went from ")).isGreaterThanOrEqualTo(SCHEDULES / 4);
+    void detectsFollowerThatAppliesOlderChanges() {
+        // detectable only in schedules in which an older message arrives late or twice
+        assertThat(countDetectingSchedules(true, " went from ")).isGreaterThanOrEqualTo(SCHEDULES / 4);
     }
 
-    /** Split brain: a machine publishes a change that no quorum committed. */
+    /** Split brain: a control machine publishes a change that no quorum has committed. */
     @Test
-    void aPublisherThatSendsWhatWasNotAgreedIsFound() {
+    void detectsPublisherOfUncommittedChange() {
         HollowConfigurationFleet fleet = new HollowConfigurationFleet(HollowConfigurationFleet.Plan.of(8, 5, 3));
         DistributionInvariants invariants = new DistributionInvariants(fleet);
         fleet.startAll();
-        fleet.clock().advance(2 * SECOND);
+        fleet.clock().advance(2 * MICROS_PER_SECOND);
         fleet.consensus().propose(fleet.machines().get(0), List.of(new Put("a", "1")));
-        fleet.clock().advance(2 * SECOND);
+        fleet.clock().advance(2 * MICROS_PER_SECOND);
         assertThat(invariants.violations()).isEmpty();
         HollowControlMachine machine = fleet.machines().stream()
                 .filter(each -> each.publisher().sessionCount() > 0)
                 .findFirst()
                 .orElseThrow();
-        machine.publisher().committed(forged(fleet.consensus().current()));
-        fleet.clock().advance(SECOND);
-        assertThat(invariants.violations()).isNotEmpty().allMatch(line -> line.endsWith("which was not agreed"));
+        machine.publisher().committed(uncommittedChange(fleet.consensus().current()));
+        fleet.clock().advance(MICROS_PER_SECOND);
+        assertThat(invariants.violations()).isNotEmpty().allMatch(line -> line.endsWith("which was not committed"));
     }
 
-    private static CommittedChange forged(ConfigurationSnapshot current) {
+    private static CommittedChange uncommittedChange(ConfigurationSnapshot current) {
         ConfigurationChange change =
-                ConfigurationChange.of(current.version(), "nobody", "not agreed", List.of(new Put("a", "2")));
+                ConfigurationChange.of(current.version(), "nobody", "not committed", List.of(new Put("a", "2")));
         ConfigurationVersion version = current.version().next(9);
         ConfigurationDigest digest = current.apply(version, change).digest();
         return new CommittedChange(version, change, digest);
     }
 
-    /** A relay that no message reaches fails the convergence check. */
+    /** A relay that receives no message fails the convergence check. */
     @Test
-    void aRelayThatStaysBehindIsFound() {
+    void detectsRelayThatDoesNotConverge() {
         HollowConfigurationFleet fleet = new HollowConfigurationFleet(HollowConfigurationFleet.Plan.of(8, 5, 3));
         DistributionInvariants invariants = new DistributionInvariants(fleet);
-        HollowRelay unreachable = fleet.relays().get(5);
+        HollowConfigurationRelay unreachable = fleet.relays().get(5);
         fleet.setFaults(new NetworkFaults() {
             @Override
             public boolean canReach(HollowProcess from, HollowProcess to) {
@@ -127,8 +132,8 @@
         });
         fleet.startAll();
         fleet.consensus().propose(fleet.machines().get(0), List.of(new Put("a", "1")));
-        fleet.clock().advance(RandomFaultSchedule.CONVERGENCE_TIMEOUT_MICROS);
+        fleet.clock().advance(DistributionFaultSchedule.CONVERGENCE_TIMEOUT_MICROS);
         invariants.checkConverged(fleet);
-        assertThat(invariants.violations()).hasSize(1).allMatch(line -> line.startsWith("relay-5 has 0/0 in the end"));
+        assertThat(invariants.violations()).hasSize(1).allMatch(line -> line.startsWith("relay-5 has 0/0 at the end"));
     }
 }
--- a/src/test/java/sandstack/measure/scale/ClientPoolTest.java
+++ b/src/test/java/sandstack/measure/scale/ClientPoolTest.java
@@ -13,9 +13,9 @@
 import sandstack.testserver.ServerProfile;
 import sandstack.testserver.TestServerLoop;
 
-/** The load of the measurements, straight at a stand-in feed server. */
+/** {@link ClientPool} and {@link DeliveryLoad}, connected directly to a stand-in feed server. */
 class ClientPoolTest {
-    private static final int CAP = 50;
+    private static final int CONNECTION_LIMIT = 50;
 
     private TestServerLoop loop;
 
@@ -29,8 +29,8 @@
         loop.close();
     }
 
-    private FakeFeedServer server(ServerProfile machine) {
-        return loop.create(() -> new FakeFeedServer(loop, "s0", "home", machine));
+    private FakeFeedServer server(ServerProfile profile) {
+        return loop.create(() -> new FakeFeedServer(loop, "s0", "home", profile));
     }
 
     private ClientPool pool(FakeFeedServer server) {
@@ -43,15 +43,15 @@
         return loop.call(pool::counts);
     }
 
-    private void await(BooleanSupplier holds) throws InterruptedException {
-        for (int i = 0; i < 500 && !loop.call(holds::getAsBoolean); i++) {
+    private void await(BooleanSupplier condition) throws InterruptedException {
+        for (int i = 0; i < 500 && !loop.call(condition::getAsBoolean); i++) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
-        assertThat(loop.call(holds::getAsBoolean)).isTrue();
+        assertThat(loop.call(condition::getAsBoolean)).isTrue();
     }
 
     @Test
-    void growsToExactlySoManyAndOnFromThere() throws InterruptedException {
+    void growsToTargetRepeatedly() throws InterruptedException {
         FakeFeedServer server = server(ServerProfile.UNLIMITED);
         ClientPool pool = pool(server);
 
@@ -61,27 +61,28 @@
     }
 
     @Test
-    void givesUpWhereTheServerIsFullAndCountsTheRefused() throws InterruptedException {
-        ClientPool.Counts count = grow(pool(server(ServerProfile.UNLIMITED.withConnectionLimit(CAP, false))), 500);
+    void givesUpAndCountsRejectionsWhenServerIsFull() throws InterruptedException {
+        ClientPool.Counts counts =
+                grow(pool(server(ServerProfile.UNLIMITED.withConnectionLimit(CONNECTION_LIMIT, false))), 500);
 
-        assertThat(count.established()).isEqualTo(CAP);
-        assertThat(count.rejected()).isBetween((long) ClientPool.MAX_UNSERVED, ClientPool.MAX_UNSERVED + 8L);
-        assertThat(count.failed() + count.lost()).isZero();
+        assertThat(counts.established()).isEqualTo(CONNECTION_LIMIT);
+        assertThat(counts.rejected()).isBetween((long) ClientPool.MAX_UNSERVED, ClientPool.MAX_UNSERVED + 8L);
+        assertThat(counts.failed() + counts.lost()).isZero();
     }
 
     @Test
-    void givesUpWhereNobodyListens() throws InterruptedException {
+    void givesUpWhenPortIsClosed() throws InterruptedException {
         FakeFeedServer server = server(ServerProfile.UNLIMITED);
         loop.run(server::kill);
 
-        ClientPool.Counts count = grow(pool(server), 500);
+        ClientPool.Counts counts = grow(pool(server), 500);
 
-        assertThat(count.established()).isZero();
-        assertThat(count.failed()).isBetween((long) ClientPool.MAX_UNSERVED, ClientPool.MAX_UNSERVED + 8L);
+        assertThat(counts.established()).isZero();
+        assertThat(counts.failed()).isBetween((long) ClientPool.MAX_UNSERVED, ClientPool.MAX_UNSERVED + 8L);
     }
 
     @Test
-    void tellsLossesFromItsOwnResets() throws InterruptedException {
+    void countsLossesButNotOwnResets() throws InterruptedException {
         FakeFeedServer server = server(ServerProfile.UNLIMITED);
         ClientPool pool = pool(server);
         grow(pool, 30);
@@ -109,7 +110,7 @@
     }
 
     @Test
-    void deliversAtItsRateToAllInTurnAndTimesEachLine() throws InterruptedException {
+    void sendsAtRateAndRecordsDelays() throws InterruptedException {
         FakeFeedServer server = server(ServerProfile.UNLIMITED);
         ClientPool pool = pool(server);
         DeliveryLoad deliveries = loop.call(() -> new DeliveryLoad(loop, pool));
--- a/src/test/java/sandstack/measure/scale/FittedModelTest.java
+++ b/src/test/java/sandstack/measure/scale/FittedModelTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 import sandstack.measure.scale.Series.Point;
 
-/** Shapes are recognised, and fits are those of least squares. */
+/** Model selection recognizes the shape of a series, and fits minimize the squared error. */
 class FittedModelTest {
-    /** The sizes that hollow relays are measured at. */
+    /** Sizes of hollow fleets in measurements. */
     private static final double[] RELAYS = {50, 200, 800, 2_400, 5_600};
 
     private static final double NOISE = 0.002;
@@ -33,13 +33,13 @@
         return points;
     }
 
-    private static FittedModel best(List<Point> points) {
+    private static FittedModel selectBest(List<Point> points) {
         return FittedModel.selectBest(points).orElseThrow();
     }
 
-    /** The base is no more than the rise over all sizes, else the noise of the base hides the shape. */
+    /** The base is at most half of the rise over all sizes, because the noise of a larger base hides the shape. */
     @Property
-    void theShapeThatASeriesWasMadeFromIsRecognised(
+    void recognizesShapeOfGeneratedSeries(
             @ForAll Shape shape,
             @ForAll @DoubleRange(min = 0, max = 0.5) double base,
             @ForAll @Scale(6) @DoubleRange(min = 1e-6, max = 1e6) double rise,
@@ -48,36 +48,36 @@
         double slope = constant ? 0 : rise / shape.basis(RELAYS[RELAYS.length - 1]);
         List<Point> points = series(shape, constant ? rise : base * rise, slope, NOISE, seed, RELAYS);
 
-        FittedModel fit = best(points);
+        FittedModel fit = selectBest(points);
 
         assertThat(fit.shape()).isEqualTo(shape);
         assertThat(fit.residual()).isLessThan(2 * NOISE);
         double largest = RELAYS[RELAYS.length - 1];
-        double made = (constant ? rise : base * rise) + slope * shape.basis(largest);
-        assertThat(fit.valueAt(largest)).isCloseTo(made, within(made * 2 * NOISE));
+        double expected = (constant ? rise : base * rise) + slope * shape.basis(largest);
+        assertThat(fit.valueAt(largest)).isCloseTo(expected, within(expected * 2 * NOISE));
     }
 
     @Property
-    void noiseAloneIsNoTrend(
+    void noiseIsNotATrend(
             @ForAll @Scale(3) @DoubleRange(min = 1e-3, max = 1e9) double value,
             @ForAll long seed,
             @ForAll @IntRange(min = 3, max = 9) int sizes) {
-        double[] doubled = new double[sizes];
+        double[] doublingSizes = new double[sizes];
         for (int i = 0; i < sizes; i++) {
-            doubled[i] = 50 << i;
+            doublingSizes[i] = 50 << i;
         }
 
-        assertThat(best(series(Shape.CONSTANT, value, 0, FittedModel.NOISE_FLOOR, seed, doubled))
+        assertThat(selectBest(series(Shape.CONSTANT, value, 0, FittedModel.NOISE_FLOOR, seed, doublingSizes))
                         .shape())
                 .isEqualTo(Shape.CONSTANT);
     }
 
     @Property
-    void exactLinearDataIsFittedExactly(
+    void fitsExactLinearSeriesExactly(
             @ForAll @DoubleRange(min = 0, max = 1e6) double base,
             @ForAll @DoubleRange(min = 1, max = 1e4) double slope,
             @ForAll @DoubleRange(min = 1, max = 1e8) double planned) {
-        FittedModel fit = best(series(Shape.LINEAR, base, slope, 0, 0, 1_000, 4_000, 9_000));
+        FittedModel fit = selectBest(series(Shape.LINEAR, base, slope, 0, 0, 1_000, 4_000, 9_000));
         FittedModel line =
                 FittedModel.leastSquares(Shape.LINEAR, series(Shape.LINEAR, base, slope, 0, 0, 1_000, 4_000, 9_000));
 
@@ -91,27 +91,28 @@
     }
 
     @Property
-    void leastSquaresIsNoWorseThanAnyNeighbour(
+    void leastSquaresFitHasMinimalError(
             @ForAll Shape shape,
             @ForAll long seed,
-            @ForAll @DoubleRange(min = -0.1, max = 0.1) double off,
-            @ForAll @DoubleRange(min = -0.1, max = 0.1) double tilt) {
+            @ForAll @DoubleRange(min = -0.1, max = 0.1) double baseChange,
+            @ForAll @DoubleRange(min = -0.1, max = 0.1) double slopeChange) {
         List<Point> points = series(Shape.LINEAR, 10, 0.5, 0.2, seed, RELAYS);
         FittedModel fit = FittedModel.leastSquares(shape, points);
-        FittedModel other = new FittedModel(shape, fit.base() * (1 + off), fit.slope() * (1 + tilt), 0);
+        FittedModel neighbour =
+                new FittedModel(shape, fit.base() * (1 + baseChange), fit.slope() * (1 + slopeChange), 0);
 
-        assertThat(squares(fit, points)).isLessThanOrEqualTo(squares(other, points) * (1 + 1e-9));
+        assertThat(squaredError(fit, points)).isLessThanOrEqualTo(squaredError(neighbour, points) * (1 + 1e-9));
     }
 
-    private static double squares(FittedModel fit, List<Point> points) {
+    private static double squaredError(FittedModel fit, List<Point> points) {
         return points.stream()
                 .mapToDouble(p -> Math.pow(p.value() - fit.valueAt(p.size()), 2))
                 .sum();
     }
 
     @Test
-    void residentMemoryThatWasMeasuredBeforeIsLinear() {
-        FittedModel fit = best(
+    void recognizesMeasuredResidentMemoryAsLinear() {
+        FittedModel fit = selectBest(
                 List.of(new Point(200, 63.3), new Point(1_000, 68.2), new Point(2_000, 72.1), new Point(4_000, 83.8)));
 
         assertThat(fit.shape()).isEqualTo(Shape.LINEAR);
@@ -119,20 +120,20 @@
         assertThat(fit.residual()).isLessThan(0.01);
     }
 
-    /** Steeper than any shape that there is: the steepest is nearest. */
+    /** Values that grow faster than every shape fit the steepest one best. */
     @Test
-    void whatGrowsFasterThanTheSquareIsNoConstant() {
-        FittedModel fit =
-                best(List.of(new Point(50, 5.08), new Point(100, 5.68), new Point(200, 22.2), new Point(400, 215.9)));
+    void fitsSquareToFasterGrowth() {
+        FittedModel fit = selectBest(
+                List.of(new Point(50, 5.08), new Point(100, 5.68), new Point(200, 22.2), new Point(400, 215.9)));
 
         assertThat(fit.shape()).isEqualTo(Shape.SQUARE);
         assertThat(fit.residual()).isBetween(0.1, 0.5);
     }
 
-    /** Noise of a tenth does not turn a line into something simpler. */
+    /** Noise of 10% does not make a linear series look simpler. */
     @Test
-    void timesThatWereMeasuredRoughlyAreStillLinear() {
-        FittedModel fit = best(List.of(
+    void recognizesNoisyTimesAsLinear() {
+        FittedModel fit = selectBest(List.of(
                 new Point(100, 1_185),
                 new Point(500, 3_524),
                 new Point(1_000, 5_676),
@@ -143,19 +144,19 @@
     }
 
     @Test
-    void zeroEverywhereIsAConstantWithoutResidual() {
-        assertThat(best(List.of(new Point(0, 0), new Point(10, 0), new Point(100, 0))))
+    void fitsZerosAsConstantWithoutResidual() {
+        assertThat(selectBest(List.of(new Point(0, 0), new Point(10, 0), new Point(100, 0))))
                 .isEqualTo(new FittedModel(Shape.CONSTANT, 0, 0, 0));
     }
 
     @Test
-    void aShapeNeedsThreeSizes() {
+    void needsThreeDistinctSizes() {
         assertThat(FittedModel.selectBest(List.of(new Point(20, 1), new Point(20, 2), new Point(50, 3))))
                 .isEmpty();
     }
 
     @Test
-    void whatIsNoNumberIsRefused() {
+    void rejectsMissingAndNonFinitePoints() {
         assertThatThrownBy(() -> FittedModel.leastSquares(Shape.LINEAR, List.of(new Point(1, Double.NaN))))
                 .isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> FittedModel.leastSquares(Shape.LINEAR, List.of()))
--- a/src/test/java/sandstack/measure/scale/ProcessUsageTest.java
+++ b/src/test/java/sandstack/measure/scale/ProcessUsageTest.java
@@ -11,24 +11,24 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Processor time, memory and descriptors of a process, as the system tells them. */
+/** Processor time, memory and file descriptors of a process, as the operating system reports them. */
 class ProcessUsageTest {
-    private static final long OWN = ProcessHandle.current().pid();
+    private static final long OWN_PID = ProcessHandle.current().pid();
 
     @Test
-    void processorTimeGrowsByWhatAThreadWorks() throws IOException {
-        long micros = 200_000;
-        ProcessUsage before = ProcessUsage.of(OWN);
-        double began = ProbeClock.threadCpuMicros();
-        while (ProbeClock.threadCpuMicros() - began < micros) {
+    void includesProcessorTimeOfBusyThread() throws IOException {
+        long workMicros = 200_000;
+        ProcessUsage before = ProcessUsage.of(OWN_PID);
+        double startMicros = ProbeClock.threadCpuMicros();
+        while (ProbeClock.threadCpuMicros() - startMicros < workMicros) {
             Thread.onSpinWait();
         }
-        // the kernel brings the figure up to date at its ticks
-        assertThat(ProcessUsage.of(OWN).processorMicrosSince(before)).isGreaterThan(micros * 9 / 10.0);
+        // the kernel updates the thread's time only at its timer ticks
+        assertThat(ProcessUsage.of(OWN_PID).processorMicrosSince(before)).isGreaterThan(workMicros * 9 / 10.0);
     }
 
     @Test
-    void aThreadThatHasEndedTakesNothingAway() {
+    void excludesEndedThreads() {
         ProcessUsage before = new ProcessUsage(Map.of("1", 5_000L, "2", 90_000L), 0, 0);
         ProcessUsage after = new ProcessUsage(Map.of("1", 7_000L, "3", 4_000L), 0, 0);
 
@@ -36,14 +36,14 @@
     }
 
     @Test
-    void openFilesAreCounted() throws IOException {
-        int before = ProcessUsage.of(OWN).descriptors();
+    void countsOpenFiles() throws IOException {
+        int before = ProcessUsage.of(OWN_PID).descriptors();
         List<FileChannel> open = new ArrayList<>();
         try {
             for (int i = 0; i < 50; i++) {
                 open.add(FileChannel.open(Path.of("/dev/null")));
             }
-            assertThat(ProcessUsage.of(OWN).descriptors() - before).isBetween(45, 55);
+            assertThat(ProcessUsage.of(OWN_PID).descriptors() - before).isBetween(45, 55);
         } finally {
             for (FileChannel channel : open) {
                 channel.close();
@@ -52,17 +52,17 @@
     }
 
     @Test
-    void residentMemoryIsThatOfAVirtualMachine() throws IOException {
-        assertThat(ProcessUsage.of(OWN).residentBytes()).isBetween(20L << 20, 8L << 30);
+    void residentMemoryIsPlausibleForJvm() throws IOException {
+        assertThat(ProcessUsage.of(OWN_PID).residentBytes()).isBetween(20L << 20, 8L << 30);
     }
 
     @Test
-    void aProcessThatIsNotThereIsAnError() {
+    void failsForMissingProcess() {
         assertThatThrownBy(() -> ProcessUsage.of(Integer.MAX_VALUE)).isInstanceOf(IOException.class);
     }
 
     @Test
-    void theHeapIsTheTotalOfTheHistogram() throws Exception {
+    void liveHeapIsTotalOfHistogram() throws Exception {
         assertThat(LiveHeap.total(" num     #instances         #bytes  class name (module)\n"
                         + "   1:         14206        1230224  [B (java.base@17)\n"
                         + "Total         97331        4973320\n"))
--- a/src/test/java/sandstack/measure/scale/ReachableObjectsTest.java
+++ b/src/test/java/sandstack/measure/scale/ReachableObjectsTest.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Objects that can be reached from one, counted by class. */
+/** Counts of the objects and entries that are reachable from one object. */
 class ReachableObjectsTest {
-    /** Something of this program that holds others; not private, as some fields are read by reflection only. */
+    /** An object with references to others; not private, because some fields are read only by reflection. */
     static class Node {
         final List<Object> next = new ArrayList<>();
         final Map<String, Object> byName = new java.util.HashMap<>();
@@ -17,12 +17,12 @@
         int number = 7;
     }
 
-    /** The field of its superclass counts too. */
+    /** An object with references in fields of its superclass. */
     static final class Leaf extends Node {
         final Effort effort = Effort.ONE;
     }
 
-    /** A constant, which belongs to no object. */
+    /** An enum, whose constants are not counted. */
     private enum Effort {
         ONE
     }
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void followsCircles() {
+    void handlesCycles() {
         Node one = new Node();
         Node other = new Node();
         one.next.add(other);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void looksAtFieldsOfSuperclassesAndNotAtEnums() {
+    void followsFieldsOfSuperclassesButNotEnums() {
         Leaf leaf = new Leaf();
         leaf.next.add(new Node());
 
--- a/src/test/java/sandstack/measure/scale/hollow/HollowFleetTest.java
+++ b/src/test/java/sandstack/measure/scale/hollow/HollowFleetTest.java
@@ -16,54 +16,60 @@
 
 /** Deterministic counts and growth shapes of hollow fleets. */
 class HollowFleetTest {
-    private static final int SECONDS = 20;
+    private static final int OBSERVED_SECONDS = 20;
 
-    private static HollowFleet watched(int size) {
+    private static HollowFleet runSteadyFleet(int size) {
         HollowFleet fleet = new HollowFleet(size, 0, 1);
         fleet.formFullMembership();
         fleet.advance(2_000_000);
         fleet.traffic().clear();
-        fleet.advance(SECONDS * 1_000_000L);
+        fleet.advance(OBSERVED_SECONDS * 1_000_000L);
         return fleet;
     }
 
-    private static double each(HollowFleet fleet, MessageKind kind, int size) {
-        return fleet.traffic().messages(kind) / (double) SECONDS / size;
+    private static double messagesPerMemberSecond(HollowFleet fleet, MessageKind kind, int size) {
+        return fleet.traffic().messages(kind) / (double) OBSERVED_SECONDS / size;
     }
 
     @Test
-    void aViewGoesThroughAReportOfEachMemberAboutEachOther() {
+    void viewHasReportOfEachMemberAboutEachOther() {
         for (int size : new int[] {8, 16, 32, 64}) {
-            assertThat(watched(size).maxReportsInView()).as("at %d", size).isEqualTo((long) size * (size - 1));
+            assertThat(runSteadyFleet(size).maxReportsInView())
+                    .as("reports with %d members", size)
+                    .isEqualTo((long) size * (size - 1));
         }
     }
 
     @Test
-    void probesGrowWithTheMembersUpToTwentyASecondAndStayThere() {
-        assertThat(each(watched(8), MessageKind.PROBE, 8)).isBetween(6.9, 7.1);
-        assertThat(each(watched(16), MessageKind.PROBE, 16)).isBetween(14.8, 15.2);
-        assertThat(each(watched(32), MessageKind.PROBE, 32)).isBetween(18.5, 20.5);
-        assertThat(each(watched(64), MessageKind.PROBE, 64)).isBetween(18.5, 20.5);
+    void probeRateGrowsWithMembersUpToTwentyPerSecond() {
+        assertThat(messagesPerMemberSecond(runSteadyFleet(8), MessageKind.PROBE, 8))
+                .isBetween(6.9, 7.1);
+        assertThat(messagesPerMemberSecond(runSteadyFleet(16), MessageKind.PROBE, 16))
+                .isBetween(14.8, 15.2);
+        assertThat(messagesPerMemberSecond(runSteadyFleet(32), MessageKind.PROBE, 32))
+                .isBetween(18.5, 20.5);
+        assertThat(messagesPerMemberSecond(runSteadyFleet(64), MessageKind.PROBE, 64))
+                .isBetween(18.5, 20.5);
     }
 
     @Test
-    void nothingIsSpreadWhileNothingHappens() {
-        HollowFleet fleet = watched(16);
+    void steadyFleetSendsNoGossip() {
+        HollowFleet fleet = runSteadyFleet(16);
         assertThat(fleet.traffic().messages(MessageKind.STATE_GOSSIP)).isZero();
         assertThat(fleet.traffic().messages(MessageKind.RECORD_GOSSIP)).isZero();
-        assertThat(each(fleet, MessageKind.PING, 16)).isBetween(1.9, 2.1);
+        assertThat(messagesPerMemberSecond(fleet, MessageKind.PING, 16)).isBetween(1.9, 2.1);
         assertThat(fleet.traffic().messages(MessageKind.PING_ACK))
                 .isEqualTo(fleet.traffic().messages(MessageKind.PING));
-        // one each two seconds, except those whose random target is the sender itself
-        assertThat(each(fleet, MessageKind.SYNC, 16)).isBetween(0.4, 0.5);
+        // a member syncs every two seconds, unless the random target is the member itself
+        assertThat(messagesPerMemberSecond(fleet, MessageKind.SYNC, 16)).isBetween(0.4, 0.5);
     }
 
     @Test
-    void gossipReachesAllAndIsSentThreeTimesAPeriodForThreeLogarithmsOfPeriods() {
+    void gossipReachesAllMembersWithBoundedMessages() {
         int size = 64;
         SimulatedClock clock = new SimulatedClock(0);
-        Network network = new Network();
-        Traffic traffic = new Traffic();
+        HollowNetwork network = new HollowNetwork();
+        FleetTraffic traffic = new FleetTraffic();
         List<HollowRelay> relays = new ArrayList<>();
         GossipModel gossip = new GossipModel(clock, network, traffic, relays);
         SplittableRandom random = new SplittableRandom(3);
@@ -71,19 +77,19 @@
             relays.add(new HollowRelay(i, new FleetLayout(size), size, 0, random));
             network.add();
         }
-        List<Integer> heard = new ArrayList<>();
-        gossip.spread(5, MessageKind.STATE_GOSSIP, 100, heard::add);
+        List<Integer> receivers = new ArrayList<>();
+        gossip.spread(5, MessageKind.STATE_GOSSIP, 100, receivers::add);
         clock.advance(10 * GossipModel.PERIOD_MICROS);
-        assertThat(heard)
+        assertThat(receivers)
                 .containsExactlyInAnyOrderElementsOf(
                         IntStream.range(0, size).filter(i -> i != 5).boxed().collect(Collectors.toList()));
-        int most = 3 * 3 * 7 * size;
-        assertThat(traffic.messages()).isBetween(most / 2L, (long) most);
+        int maxMessages = 3 * 3 * 7 * size;
+        assertThat(traffic.messages()).isBetween(maxMessages / 2L, (long) maxMessages);
         assertThat(traffic.bytes()).isEqualTo(100 * traffic.messages());
     }
 
     @Test
-    void allFaultsAreKnownAndAGivenUpMemberIsKnownLaterThanADoubtedOne() {
+    void allFaultsAreDetectedAndLossLaterThanSuspicion() {
         FaultInjection faults = new FaultInjection(16, 600);
         for (FaultInjection.Outcome outcome : List.of(
                 faults.join(), faults.kill(), faults.killUntilLost(), faults.loseZone(), faults.healPartition())) {
@@ -97,14 +103,14 @@
     }
 
     @Test
-    void aFleetInWhichOneReachesMoreThanAThousandOthersIsRefused() {
+    void rejectsMoreThanThousandReachedMembers() {
         assertThatThrownBy(() -> MembershipCost.measure(1_002))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining("1000");
     }
 
     @Test
-    void theSmallMeasurementComesOutAlikeAndBytesGrowFasterThanMessages() {
+    void smallMeasurementIsDeterministicAndBytesGrowFasterThanMessages() {
         List<Series> first = new HollowFleetScale().measure(Effort.SMALL);
         assertThat(new HollowFleetScale().measure(Effort.SMALL)).isEqualTo(first);
         assertThat(first).extracting(Series::id).doesNotHaveDuplicates();
