--- a/src/main/java/sandstack/core/ConnectionAttempt.java
+++ b/src/main/java/sandstack/core/ConnectionAttempt.java
@@ -41,7 +41,7 @@
     private DeadlineScheduler.Deadline connectTimer;
     private DeadlineScheduler.Deadline attemptTimer;
     private DeadlineScheduler.Deadline unresponsiveTimer;
-    /** When the client's oldest unanswered message was sent; 0 if all are answered. */
+    /** When the client sent its first message since the feed server's last answer; 0 if it has sent none. */
     private long unansweredSinceMicros;
 
     private boolean requestWritten;
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Polls the sockets once more before the connect counts as failed. After the relay process was suspended, the
-     * deadline is past before the sockets are polled, although the connection may have been opened in the meantime.
+     * Lets the event loop poll the sockets once more before the connect counts as failed. If the relay process was
+     * suspended, the deadline passes before the sockets are polled, although the connection may have been opened.
      */
     private void connectTimedOut() {
         connectTimer = coordinator
@@ -94,9 +94,9 @@
     }
 
     /**
-     * Called when the connection to the feed server is open; returns whether the request may be written. If meanwhile
-     * the feed server began to drain or was removed from the list, or the client disconnected, the attempt is cancelled
-     * and nothing is sent.
+     * Called when the connection to the feed server is open; returns whether the request may be written. Returns false
+     * and cancels the attempt if the client has disconnected or if the feed server is draining or no longer listed; the
+     * state of the feed server is ignored for an adopted connection.
      */
     public boolean onConnected() {
         client.checkConnected();
@@ -195,7 +195,10 @@
         open.migrate();
     }
 
-    /** Cancels the attempt; the connection to the feed server is closed before the end is reported. */
+    /**
+     * Cancels the attempt. The connection to the feed server is closed before the end is reported, because the report
+     * may start another attempt.
+     */
     void cancel(ConnectionOutcome outcome) {
         Upstream open = upstream;
         if (state != State.ENDED && open != null) {
--- a/src/main/java/sandstack/core/ConnectionOutcome.java
+++ b/src/main/java/sandstack/core/ConnectionOutcome.java
@@ -10,8 +10,8 @@
     /** The feed server closed the connection with the protocol's closing message. */
     SERVED(AttemptOutcome.OK),
     /**
-     * The feed server told the client to migrate, as it does while it drains. The request may have been executed; this
-     * is not a failure of the server.
+     * The feed server sent the client a migration message, as it does while it drains. The request may have been
+     * executed; this is not a failure of the server.
      */
     SERVER_DRAINING(AttemptOutcome.CANCELLED),
     /** The client disconnected, before or after the connection was established. */
--- a/src/main/java/sandstack/core/EndpointListUpdater.java
+++ b/src/main/java/sandstack/core/EndpointListUpdater.java
@@ -16,8 +16,8 @@
  */
 final class EndpointListUpdater {
     /**
-     * How long a feed server that told a client to migrate counts as draining, unless an update from discovery replaces
-     * its entry before.
+     * How long a feed server counts as draining after it has sent a client a migration message, unless an update from
+     * discovery replaces its entry before.
      */
     private static final long ASSUMED_DRAINING_MICROS = 10_000_000;
 
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Marks a feed server that told a client to migrate as draining. Discovery reports the drain only seconds later;
-     * without this, clients that reconnect meanwhile would be placed on that server again.
+     * Marks a feed server as draining after it has sent a client a migration message. Discovery reports the drain only
+     * seconds later; without this, clients that reconnect meanwhile would be placed on that server again.
      */
     void assumeDraining(EndpointRegistry.Endpoint endpoint) {
         EndpointEntry entry = endpoint.entry();
--- a/src/main/java/sandstack/core/EndpointRegistry.java
+++ b/src/main/java/sandstack/core/EndpointRegistry.java
@@ -31,7 +31,7 @@
         }
     }
 
-    /** An update of the list: all endpoints or the changed ones, depending on the kind, and the resulting version. */
+    /** All endpoints or only the changed ones, depending on the kind, and the version of the list after the update. */
     public record Update(EndpointListKind kind, long version, List<Endpoint> endpoints) {
         List<EndpointEntry> entries() {
             return endpoints.stream().map(Endpoint::entry).toList();
@@ -65,15 +65,15 @@
     }
 
     /**
-     * Whether this endpoint is still in the list. Compares identity, because an equal endpoint of a later update counts
-     * as a replacement.
+     * Whether no update has replaced or removed this endpoint. Compares identity, because an equal endpoint of a later
+     * update counts as a replacement.
      */
     boolean isCurrent(Endpoint endpoint) {
         Object current = endpoints.get(endpoint.entry().serverId());
         return current == endpoint;
     }
 
-    /** A live view of the endpoints of all listed feed servers, in the order in which they were first listed. */
+    /** The endpoints of all listed feed servers, as a view that reflects later updates. */
     public Collection<Endpoint> endpoints() {
         return endpoints.values();
     }
--- a/src/main/java/sandstack/faultinjection/FaultSchedule.java
+++ b/src/main/java/sandstack/faultinjection/FaultSchedule.java
@@ -23,13 +23,16 @@
         HEAL("heal", true),
         /** Resets all connections between two members. */
         RESET("reset", true),
-        /** Delays the traffic between two members by 200 to 400 ms and limits it to 64 KiB per second. */
+        /**
+         * Delays the traffic between two members by 200 to 400 ms, and limits each direction of a connection to 64 KiB
+         * per second.
+         */
         SLOW("slow", true),
         /** Kills the process. */
         KILL("kill", false),
         /** Asks the process to terminate. */
         STOP("stop", false),
-        /** Starts the process, unless it runs. */
+        /** Starts the process if it does not run. */
         START("start", false),
         /** Suspends the process by a signal. */
         PAUSE("pause", false),
@@ -61,7 +64,7 @@
      * @param otherMember the second member; {@link #NO_OTHER} for an action on a single member
      */
     public record Step(double atSeconds, Action action, int member, int otherMember) {
-        /** In place of the second member, for an action on a single member. */
+        /** Value of {@code otherMember} for an action on a single member. */
         static final int NO_OTHER = -1;
 
         @Override
--- a/src/main/java/sandstack/faultinjection/Invariant.java
+++ b/src/main/java/sandstack/faultinjection/Invariant.java
@@ -4,7 +4,7 @@
 enum Invariant {
     FLEET_STARTS_COMPLETE("a fleet that starts without faults becomes complete"),
     MAJORITY_IS_MORE_THAN_HALF("a majority is more than half of the configured relays"),
-    UNKNOWN_AFTER_PAUSE("a resumed member is unknown before it acts"),
+    UNKNOWN_AFTER_PAUSE("the quorum state of a resumed member is unknown at first"),
     REACHABLE_IS_NOT_LOST("a reachable member is not lost"),
     DEAD_IS_NO_MEMBER("a process that has ended is not a member"),
     RUNNING_HAS_NOT_LEFT("a running member has not left"),
--- a/src/main/java/sandstack/faultinjection/ReachabilityModel.java
+++ b/src/main/java/sandstack/faultinjection/ReachabilityModel.java
@@ -9,12 +9,12 @@
  */
 final class ReachabilityModel {
     /**
-     * Maximum number of links in a chain over which one member counts as reachable from another: a member learns about
-     * the other one from members that it reaches itself, with at most one further relay in between.
+     * Maximum number of links in a chain over which one member counts as reachable from another: a member receives
+     * reports on the other one from members that it reaches itself, with at most one further relay in between.
      */
     private static final int MAX_HOPS = 3;
     /** A shorter pause may remain undetected by the paused member. */
-    private static final long MIN_NOTICEABLE_PAUSE_MICROS = 3_000_000;
+    private static final long MIN_DETECTABLE_PAUSE_MICROS = 3_000_000;
 
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
     private static final long REACHABLE = -1;
@@ -91,7 +91,7 @@
 
     private void resume(int member, long nowMicros) {
         // the member need not be paused: healAll resumes all members, and a RESUME step may precede its PAUSE step
-        if (paused[member] && nowMicros - pausedAtMicros[member] >= MIN_NOTICEABLE_PAUSE_MICROS) {
+        if (paused[member] && nowMicros - pausedAtMicros[member] >= MIN_DETECTABLE_PAUSE_MICROS) {
             resumedAtMicros[member] = nowMicros;
         }
         paused[member] = false;
--- a/src/main/java/sandstack/fleet/MemberTable.java
+++ b/src/main/java/sandstack/fleet/MemberTable.java
@@ -19,8 +19,8 @@
  * guaranteed: that two members have the same table at the same moment. During a partition each side reports the other
  * as lost.
  *
- * <p>Not thread-safe. {@link #rows} costs O(members squared), an event O(1) unless it removes members. Only the latest
- * {@link #MAX_DEPARTED} departed members are retained.
+ * <p>Not thread-safe. {@link #rows} costs O(members squared) and so do events that may evict departed members; other
+ * events cost O(members) at most. Only the latest {@link #MAX_DEPARTED} departed members are retained.
  */
 public final class MemberTable {
     static final int MAX_DEPARTED = 64;
@@ -33,7 +33,7 @@
         /** Known only by gossip: no member has reported that it reaches it. */
         boolean unconfirmed;
 
-        /** When the library last added or removed it. */
+        /** When it was last added, removed or left. */
         long sinceMicros;
 
         /** The status in the last {@link #rows}; null before the first. */
@@ -120,7 +120,7 @@
     /**
      * The library has removed the incarnation; ignored if the incarnation has left. The library probes indirectly
      * through only a few members, and withdraws a suspicion only after contact with the suspected member itself. It may
-     * therefore remove a member that others reach; such a member remains one in this table because of their reports.
+     * therefore remove a member that others reach; it remains a member in this table because of their reports.
      */
     public void memberRemoved(String id, long nowMicros) {
         memberDeparted(id, false, nowMicros);
--- a/src/main/java/sandstack/fleet/Membership.java
+++ b/src/main/java/sandstack/fleet/Membership.java
@@ -109,9 +109,9 @@
     }
 
     /**
-     * Gossip from an incarnation has arrived that may identify its sender. The library discovers members at random,
-     * which takes long for two that started on different sides of a partition, so an incarnation that other members
-     * reach is probed even before the library discovers it.
+     * Gossip has arrived, possibly with the incarnation of its sender. The library discovers members at random, which
+     * takes long for two that started on different sides of a partition, so an incarnation that other members reach is
+     * probed even before the library discovers it.
      *
      * @param id incarnation id of the sender
      * @param incarnation the sender; null if the message does not include it
@@ -160,7 +160,7 @@
      * Changes a value that this member publishes.
      *
      * @param value the new value; null removes it
-     * @throws IllegalArgumentException if it is too long, or there are too many
+     * @throws IllegalArgumentException if the key or the value is too long, or there would be too many values
      */
     public void publish(String key, String value, long nowMicros) {
         if (memberValues.publish(key, value, nowMicros)) {
--- a/src/main/java/sandstack/fleet/link/FilteredMessageCodec.java
+++ b/src/main/java/sandstack/fleet/link/FilteredMessageCodec.java
@@ -82,7 +82,7 @@
             rejectedCount.incrementAndGet();
             lastRejected.set(true);
             throw e instanceof InvalidClassException
-                    ? new IOException("message contains types that are not allowed")
+                    ? new IOException("message contains a type that is not allowed or exceeds a limit")
                     : e;
         }
     }
--- a/src/main/java/sandstack/handover/DescriptorQuota.java
+++ b/src/main/java/sandstack/handover/DescriptorQuota.java
@@ -7,9 +7,9 @@
     private DescriptorQuota() {}
 
     /**
-     * Returns how many descriptors this process may use: those in use, plus an equal share of the free ones. As each
-     * process grows by at most its share until it has read the others' numbers again, all together never exceed the
-     * total.
+     * Returns how many descriptors this process may use: those in use, plus an equal share of the free ones. Each
+     * process grows by at most its share until it has read the others' numbers again, so all processes together never
+     * exceed the total.
      *
      * @param total number of descriptors for all processes together
      * @param ownInUse number of descriptors that this process uses
--- a/src/main/java/sandstack/handover/SiblingProcesses.java
+++ b/src/main/java/sandstack/handover/SiblingProcesses.java
@@ -29,7 +29,7 @@
     public static final long HEARTBEAT_INTERVAL_MICROS = 250_000;
     /** A process whose marker is older than this no longer counts as running. */
     private static final long LIVENESS_TIMEOUT_MICROS = 2_000_000;
-    /** Files older than this are left over from killed processes; any process that finds one deletes it. */
+    /** A file older than this counts as left over from a killed process; any process that finds it deletes it. */
     private static final long MAX_FILE_AGE_MICROS = 60_000_000;
 
     private static final long MICROS_PER_MILLI = 1000;
@@ -39,7 +39,7 @@
     private static final String MARKER_SUFFIX = ".kin";
     private static final String LIST_SUFFIX = ".list";
     private static final String TEMPORARY_SUFFIX = ".aside";
-    /** Limit on the number of files examined per heartbeat, in case the folder contains many others. */
+    /** Maximum number of files examined per read of the folder, and of rejected files that are logged. */
     private static final int MAX_FILES = 64;
 
     private static final long MAX_FILE_BYTES = 8L << 20;
@@ -84,7 +84,7 @@
     private final String relayName;
     private final String token = Long.toHexString(ThreadLocalRandom.current().nextLong());
     private final LongSupplier clock;
-    /** Names of the files that could not be decoded, so that each is logged once. */
+    /** Names of the rejected files (too large, not decodable, or another relay's), so that each is logged once. */
     private final Set<String> loggedFiles = new HashSet<>();
 
     private Thread thread;
--- a/src/main/java/sandstack/net/PeerTransportFilter.java
+++ b/src/main/java/sandstack/net/PeerTransportFilter.java
@@ -6,7 +6,7 @@
 
 /**
  * The lowest filter of a chain: creates a {@link Peer} for each accepted connection and reads into its buffer. Replaces
- * Grizzly's transport filter, which closes both directions when the peer closes one.
+ * Grizzly's transport filter, which closes both directions when the remote side closes one.
  */
 final class PeerTransportFilter extends BaseFilter {
     private final EventLoop loop;
--- a/src/main/java/sandstack/net/TurnSelectorHandler.java
+++ b/src/main/java/sandstack/net/TurnSelectorHandler.java
@@ -14,15 +14,17 @@
 
 /**
  * Runs queued tasks and one turn before each select, and limits the select to the time until the next turn is due.
- * After a stall it selects once more before the turn. {@link #execute} may be called on any thread; everything else
- * runs on the selector's thread.
+ * After a stall it selects once more before the turn. {@link #execute} may be called on any thread; after the start,
+ * everything else runs on the selector's thread.
  */
 final class TurnSelectorHandler extends DefaultSelectorHandler implements Executor {
     private static final Logger LOG = Logger.getLogger("sandstack.net");
-    /** If the last select is longer ago than this, another one precedes the next turn. */
+    /**
+     * Maximum age of the readiness on which a turn acts; if the last select is older, another one precedes the turn.
+     */
     private static final long MAX_READINESS_AGE_MICROS = 10_000;
 
-    /** Upper bound of one select, also while no turn is due. */
+    /** Maximum duration of one select, even if no turn is scheduled. */
     private static final long MAX_SELECT_MILLIS = 1000;
 
     private final LongSupplier clockMicros;
--- a/src/main/java/sandstack/service/RelayServiceLoader.java
+++ b/src/main/java/sandstack/service/RelayServiceLoader.java
@@ -16,7 +16,10 @@
 
     private RelayServiceLoader() {}
 
-    /** The deploy files, in the directory that the system property {@value #DEPLOY_PROPERTY} names. */
+    /**
+     * The deploy files, in the directory that the system property {@value #DEPLOY_PROPERTY} names; by default
+     * {@value #DEFAULT_DEPLOY_DIRECTORY}.
+     */
     public static DeployFiles deployFiles() {
         return new DeployFiles(Path.of(System.getProperty(DEPLOY_PROPERTY, DEFAULT_DEPLOY_DIRECTORY)));
     }
@@ -25,7 +28,7 @@
      * Loads a relay that is not a member of a fleet.
      *
      * @param capacityFile file with the stated capacities; null for the file in the deploy directory
-     * @throws InvalidConfigurationException also if the fleet file enables the fleet
+     * @throws InvalidConfigurationException if the configuration is invalid, or the fleet file enables the fleet
      */
     public static RelayService load(Path capacityFile) throws InvalidConfigurationException {
         LogSetup.start();
@@ -40,7 +43,8 @@
      * Loads a relay that is going to be a member of the fleet.
      *
      * @param capacityFile file with the stated capacities; null for the file in the deploy directory
-     * @throws InvalidConfigurationException also if the fleet file does not enable the fleet
+     * @throws InvalidConfigurationException if the configuration is invalid, or the fleet file does not enable the
+     *     fleet
      */
     public static RelayService loadFleetMember(Path capacityFile) throws InvalidConfigurationException {
         LogSetup.start();
--- a/src/test/java/sandstack/faultinjection/FleetProcessesTest.java
+++ b/src/test/java/sandstack/faultinjection/FleetProcessesTest.java
@@ -63,7 +63,7 @@
     @Test
     void aKilledMemberIsLostAStoppedOneHasLeftAndARestartIsANewIncarnation() throws Exception {
         startFleet(4);
-        String before = processes.memberEntry(0, "m3").path("life").asText();
+        String firstIncarnation = processes.memberEntry(0, "m3").path("life").asText();
         processes.stop(2);
         eventually(
                 "m2 has left",
@@ -74,20 +74,20 @@
         processes.start(3);
         processes.start(2);
         eventually("all members report all members as alive again", 30, processes::allAlive);
-        assertThat(processes.memberEntry(0, "m3").path("life").asText()).isNotEqualTo(before);
+        assertThat(processes.memberEntry(0, "m3").path("life").asText()).isNotEqualTo(firstIncarnation);
     }
 
     @Test
-    void aRestartBeforeFailureDetectionTakesItsNameAtOnce() throws Exception {
+    void aRestartBeforeFailureDetectionTakesOverItsName() throws Exception {
         startFleet(3);
-        String before = processes.memberEntry(0, "m2").path("life").asText();
+        String firstIncarnation = processes.memberEntry(0, "m2").path("life").asText();
         processes.kill(2);
         processes.start(2);
         eventually("a new incarnation of the same name is alive", 15, () -> {
             var entry = processes.memberEntry(0, "m2");
             return entry != null
                     && entry.path("standing").asText().equals("ALIVE")
-                    && !entry.path("life").asText().equals(before);
+                    && !entry.path("life").asText().equals(firstIncarnation);
         });
         assertThat(processes.member(2).isAlive()).isTrue();
     }
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aOneWayPartitionIsPartialAndHalvesJoinedByAThirdMemberStayOneFleet() throws IOException {
+    void aOneWayPartitionIsPartialAndHalvesWithACommonMemberStayOneFleet() throws IOException {
         startFleet(5);
         processes.partitionOneWay(2, 4);
         eventually("m4 is partially reachable", 15, () -> reportsStatus(0, 4, "PARTLY"));
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void aSecondProcessWithTheNameOfALiveMemberIsRejected() throws Exception {
+    void aSecondProcessWithTheNameOfARunningMemberIsRejected() throws Exception {
         startFleet(2);
         processes.kill(1);
         processes.start(1, "m0");
--- a/src/test/java/sandstack/faultinjection/InvariantCheckerTest.java
+++ b/src/test/java/sandstack/faultinjection/InvariantCheckerTest.java
@@ -23,7 +23,7 @@
     private static final long MICROS_PER_SECOND = 1_000_000;
     private final History history = new History();
 
-    /** Records that a member reports a view with these statuses of m0, m1 and m2, at a time in seconds. */
+    /** Records that {@code observer} reports these statuses of m0, m1 and m2, at a time in seconds. */
     private void viewObserved(double second, int observer, MemberStatus... statuses) {
         Map<String, MemberEntry> entries = new TreeMap<>();
         for (int j = 0; j < statuses.length; j++) {
@@ -76,7 +76,7 @@
 
     /** A member that counts only the relays in its view would report its part of the fleet as the complete fleet. */
     @Test
-    void aMinorityThatClaimsAMajorityIsAViolation() {
+    void aMinorityThatReportsAMajorityIsAViolation() {
         allAlive(0);
         quorumObserved(0, 0, QuorumState.COMPLETE, 3);
         quorumObserved(1, 0, QuorumState.MAJORITY, 2);
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void aDeadProcessIsNoMemberAfterTheDetectionTimeout() {
+    void anEndedProcessIsNoMemberAfterTheDetectionTimeout() {
         allAlive(0);
         stepApplied(1, Action.KILL, 1, -1);
         viewObserved(10, 0, MemberStatus.ALIVE, MemberStatus.SUSPECT, MemberStatus.ALIVE);
@@ -186,7 +186,7 @@
      */
     @Test
     @Timeout(100)
-    void aFaultHiddenFromTheCheckerIsFoundWithRealMembers() throws Exception {
+    void aFaultHiddenFromTheCheckerIsAViolationWithRealProcesses() throws Exception {
         List<String> program = List.of("-cp", System.getProperty("java.class.path"), "sandstack.Main");
         FaultSchedule schedule = new FaultSchedule(
                 3,
--- a/src/test/java/sandstack/fleet/MembershipTest.java
+++ b/src/test/java/sandstack/fleet/MembershipTest.java
@@ -99,8 +99,8 @@
         }
 
         /**
-         * The running members that a chain of running members connects to {@code from}, over links that satisfy the
-         * predicate.
+         * {@code from} and the running members that it reaches directly or through other running members, over links
+         * that satisfy the predicate.
          */
         Set<Incarnation> reachableByChain(Incarnation from, BiPredicate<Incarnation, Incarnation> link) {
             Set<Incarnation> reachable = new HashSet<>(Set.of(from));
@@ -117,7 +117,7 @@
             return reachable;
         }
 
-        /** Delivers gossip to all members that a chain of members connects to the sender. */
+        /** Delivers gossip to all members that the sender reaches directly or through other members. */
         void gossip(Incarnation from, MemberState state) {
             for (Incarnation to : reachableByChain(from, this::passes)) {
                 if (!to.equals(from)) {
@@ -158,7 +158,10 @@
             }
         }
 
-        /** Adds at each member the members that a chain connects to it, and removes the others after the timeout. */
+        /**
+         * Updates the library's list at each running member: adds the members that it reaches directly or through
+         * others over links that work in both directions, and removes the others after the timeout.
+         */
         private void updateLibrary() {
             for (Incarnation a : incarnations) {
                 if (!running(a)) {
@@ -222,7 +225,7 @@
     }
 
     @Property(tries = 50)
-    void receivedValuesWerePublishedAndNeverGoBack(@ForAll long seed) {
+    void receivedValuesWerePublishedAndVersionsNeverDecrease(@ForAll long seed) {
         Simulation sim = fleet(seed, 4);
         Map<String, Long> latestVersions = new HashMap<>();
         for (int step = 0; step < 30; step++) {
@@ -304,7 +307,8 @@
         sim.start("same");
         sim.run(3_000_000);
         List<String> owners = sim.incarnations.stream()
-                .map(row -> sim.memberships.get(row.id()).nameOwnerId().orElse(null))
+                .map(incarnation ->
+                        sim.memberships.get(incarnation.id()).nameOwnerId().orElse(null))
                 .toList();
         assertThat(owners).containsExactly(null, "same-0");
         assertThat(sim.memberships.get("same-0").ownsName()).isTrue();
@@ -403,8 +407,8 @@
         membership.stateReceived(known.id(), new MemberState(1, Map.of(), Set.of(late.id()), Set.of()), 2);
         assertThat(status(membership, "c", 3)).isEqualTo(MemberStatus.PARTIALLY_REACHABLE);
         List<Incarnation> probed = new ArrayList<>();
-        for (long now = 100_000; now <= 2_000_000; now += TICK_MICROS) {
-            probed.addAll(membership.tick(now));
+        for (long nowMicros = 100_000; nowMicros <= 2_000_000; nowMicros += TICK_MICROS) {
+            probed.addAll(membership.tick(nowMicros));
         }
         assertThat(probed).contains(late);
         membership.probeAnswered(
@@ -419,9 +423,9 @@
                 .isEqualTo(MemberStatus.LEFT);
     }
 
-    private static MemberStatus status(Membership membership, String name, long now) {
-        return membership.view(now).rows().stream()
-                .filter(line -> line.incarnation().name().equals(name))
+    private static MemberStatus status(Membership membership, String name, long nowMicros) {
+        return membership.view(nowMicros).rows().stream()
+                .filter(row -> row.incarnation().name().equals(name))
                 .findFirst()
                 .orElseThrow()
                 .status();
--- a/src/test/java/sandstack/fleet/ReachabilityTrackerTest.java
+++ b/src/test/java/sandstack/fleet/ReachabilityTrackerTest.java
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void departedMemberIsNoLongerProbed() {
+    void departedMemberIsNoLongerTracked() {
         tracker.setMembers(List.of("a", "b"));
         tracker.probeTimedOut("a");
         tracker.probeTimedOut("a");
--- a/src/test/java/sandstack/fleet/link/CompatibilityTest.java
+++ b/src/test/java/sandstack/fleet/link/CompatibilityTest.java
@@ -118,11 +118,11 @@
         Membership membership =
                 new Membership(SELF, Set.of("edge-1", "edge-2", "edge-3", "edge-4"), 0, new SplittableRandom(1));
         membership.memberAdded(OTHER, 0);
-        for (long now = 0; now <= 6_000_000; now += 100_000) {
-            for (Incarnation target : membership.tick(now)) {
-                membership.probeAnswered(target, new ProbeResponse(1, OTHER.id(), OTHER.name(), null, true), now);
+        for (long nowMicros = 0; nowMicros <= 6_000_000; nowMicros += 100_000) {
+            for (Incarnation target : membership.tick(nowMicros)) {
+                membership.probeAnswered(target, new ProbeResponse(1, OTHER.id(), OTHER.name(), null, true), nowMicros);
             }
-            membership.view(now);
+            membership.view(nowMicros);
         }
         List<String> lines = new ArrayList<>();
         for (String name : List.of("edge-9", "edge-2", "edge-3", "edge-4")) {
--- a/src/test/java/sandstack/fleet/link/FleetMemberTest.java
+++ b/src/test/java/sandstack/fleet/link/FleetMemberTest.java
@@ -233,7 +233,7 @@
                         .build(),
                 bytes);
         assertThatThrownBy(() -> codec.deserialize(new ByteArrayInputStream(bytes.toByteArray())))
-                .hasMessage("message contains types that are not allowed");
+                .hasMessage("message contains a type that is not allowed or exceeds a limit");
         assertThat(codec.rejectedCount()).isEqualTo(1);
     }
 
