--- a/src/main/java/sandstack/capacity/AdaptiveLimit.java
+++ b/src/main/java/sandstack/capacity/AdaptiveLimit.java
@@ -9,8 +9,9 @@
  * <ul>
  *   <li>A trial that succeeds resets n to its minimum and raises the limit towards the plateau, which is the limit
  *       before the failure. It raises it by a quarter of the gap or by a step that doubles with each success, whichever
- *       is larger, but by at most a quarter of the limit. Past the plateau the step starts again at 1, like the window
- *       growth of CUBIC (RFC 9438, section 4.1).
+ *       is larger, but by at most a quarter of the limit and not past the plateau. A trial that reaches the plateau
+ *       raises the limit by its one connection only. It starts the step again at 1, like the window growth of CUBIC
+ *       (RFC 9438, section 4.1), and sets a new plateau at about twice the amount in use.
  *   <li>A trial that fails increments n, and the next interval starts where the current one ends, as in a backoff
  *       between retries.
  * </ul>
@@ -18,11 +19,9 @@
  * <p>Owned by one {@link CapacityEstimate}; used by one thread; every call is O(1) and allocates nothing.
  */
 final class AdaptiveLimit {
-    /** Largest n: the longest interval between trials is 2 to the power of this, in slots. */
+    /** Largest n, for the longest interval of 2^n slots. */
     static final int MAX_BACKOFF_EXPONENT = 8;
-    /**
-     * Smallest n, for the shortest interval between trials; a server shows the effect of a trial only after some time.
-     */
+    /** Smallest n, for the shortest interval; a server shows the effect of a trial only after some time. */
     private static final int MIN_BACKOFF_EXPONENT = 4;
     /**
      * Largest raise after one trial, as a fraction of the limit, so that no single trial admits a flood of connections.
@@ -30,17 +29,21 @@
     private static final double MAX_STEP_FRACTION = 0.25;
     /** Upper bound of the step, so that repeated doubling cannot overflow. */
     private static final int MAX_STEP = 1 << 20;
-    /** Half of the smallest value, so that adding a duration to it cannot underflow. */
+    /** A time before all others; half of {@link Long#MIN_VALUE}, so that differences do not overflow. */
     private static final long LONG_AGO_MICROS = Long.MIN_VALUE / 2;
 
     private final long slotMicros;
     private double limit = Double.POSITIVE_INFINITY;
-    /** Limit before the last failure; after a trial past it, about twice the amount that was in use then. */
+    /** Limit before the last failure; after a trial that reached it, about twice the amount in use at that time. */
     private double plateau;
-    /** Next raise of the limit, as a multiple of the amount that one connection adds. */
+    /**
+     * Raise by the next trial, before the bounds in the class comment apply, as a multiple of the amount that one
+     * connection adds.
+     */
     private double step = 1;
-
+    /** The n of the current interval; 0 initially and after a restart of the server. */
     private int backoffExponent;
+
     private long intervalEndMicros = LONG_AGO_MICROS;
     private long nextTrialMicros;
     private boolean trialInFlight;
@@ -84,7 +87,8 @@
     }
 
     /**
-     * Records an established connection; if the amount in use exceeds the limit, the limit is raised.
+     * Records an established connection. If the amount in use exceeds the limit, the limit becomes that amount, and a
+     * trial raises it further.
      *
      * @param inUse amount in use, including the new connection
      * @param unit average amount that one connection adds
@@ -108,7 +112,7 @@
         scheduleTrial(nowMicros, uniformDraw);
     }
 
-    /** Past the plateau there is no evidence of the capacity, so the step starts again at 1 and doubles from there. */
+    /** From the plateau on there is no evidence of the capacity, so the step starts again at 1. */
     private void leavePlateau(double inUse) {
         step = 1;
         plateau = 2 * inUse + 1;
@@ -152,8 +156,8 @@
     }
 
     /**
-     * Draws the time of the next trial. Its interval starts at the end of the current one or, if that is more than the
-     * longest interval ahead, one longest interval from now.
+     * Draws the time of the next trial. Its interval starts when the current one ends, or now if that has ended, but no
+     * later than one longest interval from now.
      */
     private void scheduleTrial(long nowMicros, double uniformDraw) {
         long longestMicros = slotMicros << MAX_BACKOFF_EXPONENT;
--- a/src/main/java/sandstack/capacity/CapacityEstimate.java
+++ b/src/main/java/sandstack/capacity/CapacityEstimate.java
@@ -1,21 +1,22 @@
 package sandstack.capacity;
 
 /**
- * The connections and load that this relay has at one server, and an estimate of how much the server can hold, from
- * evidence that this relay has. Connections and load have separate limits, since a server is bounded both in the number
- * of connections it holds and in the work it does. Other relays use the same server, and this relay does not observe
- * their use, so a limit is the part available to this relay and not the size of the server.
+ * The connections and load that this relay has at one server, and an estimate of how much the server can hold, from the
+ * evidence that this relay observes. Connections and load have separate limits, since a server is bounded both in the
+ * number of connections it holds and in the work it does. Other relays use the same server, and this relay does not
+ * observe their use, so a limit is the part available to this relay and not the size of the server.
  *
- * <p>Loads are microseconds of work per second on a standard core; ratings are the sizes in the endpoint list.
+ * <p>Loads are microseconds of work per second on a standard core; a rating is the weight of the server in the endpoint
+ * list, and capacities are proportional to it.
  *
  * <p>Owned by the load balancer's state of that server; used by one thread; every call is O(1) and allocates nothing.
- * For any sequence of reports, no value becomes negative or NaN, and a closed server without a trial in flight gets its
- * next trial within twice the longest interval, that is 2 * 2^8 slots.
+ * For any sequence of reports, no value becomes negative or NaN, and a server that its limit closes gets its next
+ * trial, unless one is in flight, within twice the longest interval, that is 2 * 2^8 slots.
  */
 public final class CapacityEstimate {
-    /** Upper bound of a reported load, since a peer may report any value any number of times. */
+    /** Upper bound of a reported load, since a connection may report any value any number of times. */
     private static final double MAX_LOAD = 1e9;
-    /** Ratings from this value on count as errors in the endpoint list. */
+    /** Ratings from this value on are treated as errors in the endpoint list. */
     private static final double MAX_RATING = 1e9;
 
     private static final double DEFAULT_RATING = 1;
@@ -107,8 +108,9 @@
     }
 
     /**
-     * The number of average connections that fills this server after its slow start: the stated capacity or, while no
-     * loads are known, at least what other servers currently hold.
+     * The number of connections of mean load that fills this server after its slow start. If a capacity is stated and
+     * loads are known, this is the stated capacity. Otherwise it is at least the number that the connections of all
+     * ready servers, or the most that one server has held, correspond to at the rating of this server.
      */
     public double capacityInConnections() {
         double statedPerRating =
--- a/src/main/java/sandstack/capacity/CapacityModel.java
+++ b/src/main/java/sandstack/capacity/CapacityModel.java
@@ -9,16 +9,17 @@
  */
 public final class CapacityModel {
     /**
-     * The mean load counts the stated default load as that of this many connections, so that a few reports do not
+     * The default load enters the mean load like the reports of this many connections, so that a few reports do not
      * replace it.
      */
     private static final int ASSUMED_CONNECTIONS = 8;
-    /** The mean load covers at most this many connections, with more weight on the latest. */
+    /** The mean load covers at most this many known loads, with more weight on the latest. */
     private static final int MEAN_WINDOW_CONNECTIONS = 256;
     /** Weight of one observation in the moving average of a machine kind. */
     private static final double KIND_LEARNING_RATE = 0.1;
     /**
-     * Machine kinds numbered from this value on share the last entry, since an endpoint list may contain any number.
+     * Number of entries by machine kind; higher kinds share the last entry, since an endpoint list may contain any
+     * number.
      */
     private static final int MAX_KINDS = 64;
     /** Lower bound of the sum of ratings, so that a division by it stays finite. */
@@ -153,8 +154,8 @@
     }
 
     /**
-     * Whether the mean load rests on more than a built-in default: a connection came with its load or reported it, or
-     * the operator stated a default load. A built-in default alone never closes a server.
+     * Whether the mean load rests on more than a built-in default: a request stated an expected load, a connection
+     * reported its load, or the operator stated a default load. A built-in default alone never closes a server.
      */
     public boolean loadsKnown() {
         return knownLoadCount > 0 || statedCapacities.defaultCapacity().defaultConnectionLoad() > 0;
--- a/src/main/java/sandstack/capacity/ClassLoads.java
+++ b/src/main/java/sandstack/capacity/ClassLoads.java
@@ -7,8 +7,9 @@
  * The mean load of each request class, from the reports of its connections, and the fraction of each class that is shed
  * while the servers are overloaded.
  *
- * <p>Loads are microseconds of work per second. Owned by the load balancer; used by one thread; every call is O(1),
- * except that {@link #updateShedFractions} is O(classes squared).
+ * <p>Loads are microseconds of work per second. Owned by the load balancer; used by one thread;
+ * {@link #updateShedFractions} is O(classes squared), {@link #resize} and {@link #clearEstablishedLoads} are
+ * O(classes), and the other calls are O(1).
  */
 public final class ClassLoads {
     /** Weight of one report in the moving average of its class. */
@@ -27,7 +28,7 @@
         shedFractions = Arrays.copyOf(shedFractions, classCount);
     }
 
-    /** Adds the load that a connection of this class reported to the mean; the first report is the mean. */
+    /** Adds a reported load to the moving average of its class, which starts with the first report. */
     public void onLoadReported(int classIndex, double load) {
         double weight = meanLoads[classIndex] == 0 ? 1 : REPORT_WEIGHT;
         meanLoads[classIndex] += (load - meanLoads[classIndex]) * weight;
--- a/src/main/java/sandstack/capacity/RejectionReason.java
+++ b/src/main/java/sandstack/capacity/RejectionReason.java
@@ -1,12 +1,12 @@
 package sandstack.capacity;
 
-/** Why the load balancer rejects a request: when it arrives, if no server can take it, or after failed attempts. */
+/** Why the load balancer rejects a request, either when it arrives or after failed attempts. */
 public enum RejectionReason {
-    /** Most servers are overloaded, and the request belongs to the fraction of the load that is shed meanwhile. */
+    /** Most servers are or were recently overloaded, and the client belongs to the fraction that is shed. */
     SHED,
     /**
-     * No server takes one more connection by the evidence so far, or a server has just rejected it and little capacity
-     * is free on all servers together.
+     * By the evidence so far, every server is full, or a server has just rejected the request and all servers together
+     * have little free capacity.
      */
     FULL,
     /** The remaining free capacity is reserved for classes of higher priority. */
--- a/src/main/java/sandstack/capacity/SheddingPlan.java
+++ b/src/main/java/sandstack/capacity/SheddingPlan.java
@@ -67,8 +67,9 @@
     /**
      * The fraction of each tenant's connections that exceeds its quota, estimated from the connections of one relay.
      * Two corrections avoid false excess of a tenant within its quota: a count has to exceed the tenant's share by two
-     * standard deviations, and the share is at least the tenant's fraction of all quotas applied to the connections of
-     * this relay, since a relay has more than its share of connections while other relays are down. O(tenants).
+     * standard deviations, and the share is at least the tenant's fraction of the sum of all quotas, multiplied by the
+     * connections of this relay, since a relay has more than its share of connections while other relays are down.
+     * O(tenants).
      *
      * @param connectionCounts connections of each tenant on this relay
      * @param quotas connections of each tenant over all relays; 0 if none is stated
--- a/src/main/java/sandstack/decisions/BalancerSettings.java
+++ b/src/main/java/sandstack/decisions/BalancerSettings.java
@@ -20,7 +20,8 @@
  *     relay when the set of relays changes; otherwise connections are terminated at the relay; not used
  * @param sharedGroups whether connections of one group share work on a server
  * @param endpointListPolled whether the endpoint list has to be polled; otherwise changes are pushed
- * @param pollIntervalMicros with {@code endpointListPolled}: longest time without a poll or a watch
+ * @param pollIntervalMicros with {@code endpointListPolled}: longest time that the relay may go without a poll or a
+ *     watch of the list; 0 if none is stated
  * @param maxAttempts attempts allowed for one request; at least 1
  * @param connectTimeoutMicros time after which an attempt to connect to a server counts as failed
  * @param retryAfterHonored whether clients honour Retry-After; not used, since it is sent in any case
@@ -34,9 +35,9 @@
  * @param drainGraceMicros time during which a server may still get attempts after it was listed as draining or gone
  * @param slowStartInitialFraction fraction of its full capacity that a server has when it starts, from 0 to 1
  * @param slowStartDurationMicros time from its start after which a server has its full capacity
- * @param overloadMultiple load, as a multiple of its present capacity, that overloads a server in slow start if it
- *     lasts for {@code overloadWindowMicros}
- * @param overloadWindowMicros time for which a load of {@code overloadMultiple} has to last to overload a server
+ * @param overloadMultiple load that overloads a server in slow start if it lasts for {@code overloadWindowMicros}, as a
+ *     multiple of the current capacity of the server
+ * @param overloadWindowMicros time for which the load has to stay at that multiple to overload the server
  * @param ratingsAreSizes whether the rating of a server is approximately its size; otherwise ratings are 1 or change
  *     with the load
  */
@@ -78,6 +79,7 @@
     public BalancerSettings {
         classes = List.copyOf(classes);
         tenants = List.copyOf(tenants);
+        // operators see these messages; the setting names in them differ from the component names
         require(!classes.isEmpty(), "classes", "is empty");
         for (RequestClass requestClass : classes) {
             require(requestClass.latencyObjectiveMicros() > 0, "classes.aim", "must be above 0");
@@ -105,12 +107,12 @@
         require(overloadWindowMicros >= 0, "tipAfter", "is negative");
     }
 
-    /** The rules for a stale endpoint list and the backoff of its polls that follow from these settings. */
+    /** The staleness timeouts and the poll backoff of the endpoint list, derived from these settings. */
     public EndpointListStaleness endpointListStaleness() {
         return new EndpointListStaleness(!endpointListPolled, pollIntervalMicros);
     }
 
-    /** Whether {@link #classes} has this index. */
+    /** Whether {@link #classes} has an element with this index. */
     public boolean hasClass(int classIndex) {
         return classIndex >= 0 && classIndex < classes.size();
     }
@@ -142,7 +144,10 @@
                 .orElse(Double.MAX_VALUE);
     }
 
-    /** The fraction of its full capacity that a server has; 1 after its slow start, or if its start time is 0. */
+    /**
+     * The fraction of its full capacity that a server has; 1 after its slow start, if its start time is 0, which means
+     * long ago, or if servers have no slow start.
+     */
     public double slowStartFraction(long startedAtMicros, long nowMicros) {
         if (startedAtMicros == 0 || slowStartDurationMicros == 0) {
             return 1;
--- a/src/main/java/sandstack/decisions/LoadBalancer.java
+++ b/src/main/java/sandstack/decisions/LoadBalancer.java
@@ -189,7 +189,7 @@
 
         /**
          * Handles the only timer of an established connection, which is set for the end of a trial of its server or for
-         * the migration off a draining server. The present state of the server decides which of the two applies: on a
+         * the migration off a draining server. The current state of the server decides which of the two applies: on a
          * ready server the connection counts as a successful trial, even if the timer was set for a migration.
          */
         private void onConnectionTimer(TrackedRequest request) {
--- a/src/main/java/sandstack/decisions/ServerPicker.java
+++ b/src/main/java/sandstack/decisions/ServerPicker.java
@@ -36,7 +36,7 @@
         filter.setClasses(classes);
     }
 
-    /** Picks the server for a request; null if none can take it, for which {@link #candidateSummary} has the reason. */
+    /** Picks the server for a request; null if none can take it, and {@link #candidateSummary} then has the reason. */
     ServerState pick(TrackedRequest request) {
         boolean grouped = request.event.group() != null;
         long seed = grouped ? groups.subgroupHash(request) : context.nextRandom();
@@ -47,6 +47,7 @@
         } else if (spillover.staysInHomeZone()) {
             best = pickAmong(request, endpoints.homeZoneServers, seed);
         }
+        // other zones are also examined if the free capacity found so far is reserved for other classes
         if (best == null || !filter.admitsClassOf(request)) {
             ServerState otherZoneServer = pickAmong(request, endpoints.otherZoneServers, seed);
             best = otherZoneServer != null ? otherZoneServer : best;
--- a/src/main/java/sandstack/decisions/ServerState.java
+++ b/src/main/java/sandstack/decisions/ServerState.java
@@ -12,7 +12,7 @@
  * Confined to the thread of the load balancer. All calls are O(1).
  */
 final class ServerState {
-    /** Time of an event that has not happened; differences to it are large and do not overflow. */
+    /** Time of an event that has not happened; half of {@link Long#MIN_VALUE}, so that differences do not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     final String id;
@@ -22,7 +22,7 @@
     // from the endpoint list; owner: EndpointTable
     int zone;
     int cell;
-    /** Size relative to other servers; above 0. */
+    /** Weight relative to other servers; above 0. See {@link EndpointEntry}. */
     double rating = 1;
 
     EndpointState state = EndpointState.GONE;
--- a/src/main/java/sandstack/random/BoundedMap.java
+++ b/src/main/java/sandstack/random/BoundedMap.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * A map of bounded size: when an insertion exceeds the bound, the key that was inserted first is evicted. Iterates in
+ * A map of bounded size: when a new key exceeds the bound, the key that was inserted first is evicted. Iterates in
  * insertion order. Not thread-safe; every call is O(1).
  */
 public final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
--- a/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
+++ b/src/main/java/sandstack/settings/BalancerSettingsBuilder.java
@@ -6,9 +6,8 @@
 import sandstack.decisions.Tenant;
 
 /**
- * Builds {@link BalancerSettings}. Unset values have neutral defaults: one instance in one zone, no tenants, costs of
- * 0, no optional feature allowed, servers that start at full capacity. Only {@link #build} checks values. Not
- * thread-safe.
+ * Builds {@link BalancerSettings}. Unset values have neutral defaults: one relay in one zone, no tenants, costs of 0,
+ * no optional feature allowed, servers that start at full capacity. Only {@link #build} checks values. Not thread-safe.
  */
 public final class BalancerSettingsBuilder {
     private int relayIndex;
@@ -85,9 +84,9 @@
         return new BalancerSettingsBuilder(settings);
     }
 
-    /** Copies the instance index, home zone and zone count from the settings of an instance. */
-    public BalancerSettingsBuilder forRelayOf(BalancerSettings instance) {
-        return relayIndex(instance.relayIndex()).homeZone(instance.homeZone()).zoneCount(instance.zoneCount());
+    /** Copies the relay index, home zone and zone count from the settings of a relay. */
+    public BalancerSettingsBuilder forRelayOf(BalancerSettings settings) {
+        return relayIndex(settings.relayIndex()).homeZone(settings.homeZone()).zoneCount(settings.zoneCount());
     }
 
     /** Sets {@link BalancerSettings#relayIndex}. */
--- a/src/test/java/sandstack/capacity/CapacityEstimateTest.java
+++ b/src/test/java/sandstack/capacity/CapacityEstimateTest.java
@@ -72,7 +72,7 @@
                 }
             }
             assertThat(other.establishedConnections()).isEqualTo(capacity);
-            // 200 s of attempts, 10 ms apart; an interval of 2^8 slots lasts 5 s
+            // 200 s of attempts, 10 ms apart; the longest interval of 2^8 slots lasts 5 s, so roughly 40 trials fail
             assertThat(rejected)
                     .as("rejections by a server with capacity " + capacity)
                     .isBetween(20, 60);
@@ -200,28 +200,29 @@
                 SLOT_MICROS,
                 3);
         CapacityEstimate estimate = shared.newEstimate();
+        // the drawn load also serves as a rating, which may be out of range
         estimate.onEndpointListed((int) seed, load);
         long timeMicros = 0;
-        double previousLoad = CapacityEstimate.sanitizeLoad(load);
+        double sanitizedLoad = CapacityEstimate.sanitizeLoad(load);
         for (int reportKind : reportKinds) {
             timeMicros += intervalMicros;
             switch (reportKind) {
                 case 0 -> estimate.onAttemptStarted();
                 case 1 -> estimate.onAttemptEnded();
                 case 2, 3 -> {
-                    shared.onEstablished(previousLoad);
-                    estimate.onEstablished(previousLoad, timeMicros, draws.nextDouble());
+                    shared.onEstablished(sanitizedLoad);
+                    estimate.onEstablished(sanitizedLoad, timeMicros, draws.nextDouble());
                 }
                 case 4 -> {
                     shared.onClosed();
-                    estimate.onClosed(previousLoad);
+                    estimate.onClosed(sanitizedLoad);
                 }
                 case 5 -> estimate.onRejected(timeMicros, draws.nextDouble());
                 case 6, 7 -> estimate.onConnectionDropped(timeMicros, draws.nextDouble());
                 case 8 -> {
                     double newLoad = CapacityEstimate.sanitizeLoad(draws.nextDouble() * load);
-                    shared.onLoadReported(previousLoad, newLoad);
-                    estimate.onLoadChanged(previousLoad, newLoad);
+                    shared.onLoadReported(sanitizedLoad, newLoad);
+                    estimate.onLoadChanged(sanitizedLoad, newLoad);
                 }
                 default -> estimate.onRestart();
             }
--- a/src/test/java/sandstack/decisions/ActionDigest.java
+++ b/src/test/java/sandstack/decisions/ActionDigest.java
@@ -34,10 +34,10 @@
     }
 
     /** Adds the number and the time of an event, whose actions follow. */
-    void event(int number, long now) {
+    void event(int number, long nowMicros) {
         code('E');
         number(number);
-        number(now);
+        number(nowMicros);
     }
 
     /** Adds whether a server is closed to new requests. */
--- a/src/test/java/sandstack/decisions/CapacityEvidenceTest.java
+++ b/src/test/java/sandstack/decisions/CapacityEvidenceTest.java
@@ -19,7 +19,9 @@
 import sandstack.decisions.BalancerEvent.ConnectionEstablished;
 import sandstack.decisions.BalancerEvent.LoadReported;
 
-/** Use of capacity evidence and of the limits of an installation. */
+/**
+ * Tests that placement follows evidence of the capacity of servers, and that it enforces the limits of an installation.
+ */
 class CapacityEvidenceTest {
     private static BalancerHarness newHarness(InstallationLimits limits, int servers) {
         BalancerHarness harness =
@@ -95,7 +97,7 @@
             rejected.add(id);
         }
         assertThat(harness.answeredRequests)
-                .as("requests answered without time passing")
+                .as("requests answered at once, without a retry after a backoff")
                 .containsAll(rejected);
         assertThat(rejections(harness))
                 .hasSize(before + 40)
@@ -103,7 +105,7 @@
         long attempted =
                 rejected.stream().filter(harness.latestAttempts::containsKey).count();
         assertThat(attempted)
-                .as("requests attempted, of 40, since one attempt per server is enough")
+                .as("attempted requests, of 40 on 3 full servers, where one rejection by a server is evidence enough")
                 .isLessThanOrEqualTo(6);
         // the end of a connection frees capacity for another
         harness.send(new AttemptEnded(
@@ -121,10 +123,10 @@
         fillServers(harness, List.of("s0", "s1"));
         harness.send(new AttemptEnded(
                 "r0", 0, harness.latestAttempts.get("r0").serverId(), AttemptOutcome.OK, true, 1, null));
-        assertThat(establish(harness, "light", 1, "x")).isNull();
+        assertThat(establish(harness, "lowPriority", 1, "x")).isNull();
         assertThat(rejections(harness).get(rejections(harness).size() - 1).reason())
                 .isEqualTo(RejectionReason.RESERVED);
-        assertThat(establish(harness, "worthy", 0, "x")).isNotNull();
+        assertThat(establish(harness, "highPriority", 0, "x")).isNotNull();
     }
 
     @Test
--- a/src/test/java/sandstack/decisions/DigestCondition.java
+++ b/src/test/java/sandstack/decisions/DigestCondition.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 
 /**
- * A condition of the servers and clients of a {@link DigestStream} that lasts for some hundred events. It determines
+ * A condition of the servers and clients of a {@link DigestStream} that lasts for a few hundred events. It determines
  * the longest pause between events, the frequencies of the kinds of events, and the behaviour of servers.
  */
 enum DigestCondition {
@@ -43,7 +43,10 @@
         };
     }
 
-    /** Draws a kind of event, as an index into the weights. */
+    /**
+     * Draws a kind of event, as an index into the weights; {@link DigestStream} creates the event of that kind. Kind 0
+     * gets what the weights leave of 100; weights beyond a sum of 100 have no effect.
+     */
     int kind(SplittableRandom random) {
         int[] weights = weights();
         int draw = random.nextInt(100);
@@ -56,6 +59,10 @@
         return 0;
     }
 
+    /**
+     * Weights in percent of these kinds of events: request, end of an attempt, end of a connection, load report, delay
+     * report, endpoint list, rare event, disconnect.
+     */
     private int[] weights() {
         return switch (this) {
             case CALM -> new int[] {24, 30, 10, 12, 12, 3, 3, 3};
@@ -90,6 +97,7 @@
         return OUTCOMES[random.nextInt(OUTCOMES.length)];
     }
 
+    /** Draws a load for a report, in microseconds of work per second; a few draws are invalid or extreme. */
     double load(SplittableRandom random) {
         return switch (random.nextInt(60)) {
             case 0 -> 0;
@@ -101,7 +109,7 @@
         };
     }
 
-    /** Draws the message delay that the delay of a server moves towards. */
+    /** Draws a target towards which the message delay of a server changes. */
     double delayMicros(SplittableRandom random) {
         double objectiveMultiple = this == OVERLOAD ? 0.7 + random.nextDouble() * 2 : random.nextDouble() * 0.8;
         return DigestScenario.MESSAGE_OBJECTIVE_MICROS * objectiveMultiple;
--- a/src/test/java/sandstack/decisions/DigestScenario.java
+++ b/src/test/java/sandstack/decisions/DigestScenario.java
@@ -31,7 +31,7 @@
     private static final int[] RELAY_COUNTS = {1, 3, 100, 1, 3, 1, 100, 3, 1, 3};
     private static final int[] ZONE_COUNTS = {3, 3, 1, 1, 3, 3, 3, 1, 3, 3};
     private static final int[] HOME_ZONES = {0, 1, 0, 0, 2, 1, 0, 0, 0, 2};
-    private static final int[] CAPACITY_KINDS = {1, 0, 3, 2, 2, 0, 1, 3, 2, 1};
+    private static final int[] STATED_CAPACITY_VARIANTS = {1, 0, 3, 2, 2, 0, 1, 3, 2, 1};
     private static final boolean[] LIMITED = {false, false, false, true, false, true, false, false, false, true};
     private static final boolean[] LOADS_REPORTED = {true, false, true, true, true, false, true, true, false, true};
     private static final boolean[] DELAYS_REPORTED = {false, true, false, false, true, true, true, false, false, true};
@@ -45,7 +45,7 @@
     /** The scenario of a seed, from 0 to {@link #COUNT} - 1. */
     static DigestScenario of(int seed) {
         StatedCapacities statedCapacities =
-                switch (CAPACITY_KINDS[seed]) {
+                switch (STATED_CAPACITY_VARIANTS[seed]) {
                     case 0 -> StatedCapacities.NONE;
                     case 1 -> new StatedCapacities(UPPER_BOUND, List.of());
                     case 3 -> new StatedCapacities(LARGE_UPPER_BOUND, List.of());
@@ -103,8 +103,8 @@
     }
 
     /**
-     * Draws settings for a reload: possibly one more class, and other attempt limits, latency objectives and numbers of
-     * relays.
+     * Draws settings for a reload: other latency objectives, possibly one more class, another limit of attempts and
+     * possibly another number of relays.
      */
     static BalancerSettings reloaded(BalancerSettings from, SplittableRandom random) {
         List<RequestClass> classes = new ArrayList<>();
--- a/src/test/java/sandstack/decisions/DigestServers.java
+++ b/src/test/java/sandstack/decisions/DigestServers.java
@@ -77,7 +77,7 @@
     }
 
     /** Draws the next endpoint list event, mostly a change of one server. */
-    EndpointListUpdate next(long now) {
+    EndpointListUpdate next(long nowMicros) {
         int draw = random.nextInt(24);
         if (draw == 0) {
             return new EndpointListUpdate(EndpointListKind.FAILED, List.of());
@@ -90,11 +90,11 @@
         }
         if (draw == 4 && machines.size() < MAX_COUNT) {
             Machine added = add();
-            added.startedAtMicros = now;
+            added.startedAtMicros = nowMicros;
             return delta(added);
         }
         Machine machine = any();
-        change(machine, now);
+        change(machine, nowMicros);
         return random.nextInt(5) == 0 ? delta(machine, any()) : delta(machine);
     }
 
@@ -115,15 +115,15 @@
         return new EndpointListUpdate(EndpointListKind.DELTA, entries);
     }
 
-    private void change(Machine machine, long now) {
+    private void change(Machine machine, long nowMicros) {
         if (machine.state != EndpointState.READY) {
             machine.state = EndpointState.READY;
-            machine.startedAtMicros = now - random.nextInt(2_000_000);
+            machine.startedAtMicros = nowMicros - random.nextInt(2_000_000);
         } else if (countReady() > INITIAL_COUNT * 3 / 4) {
             switch (random.nextInt(4)) {
                 case 0 -> machine.state = EndpointState.DRAINING;
                 case 1 -> machine.state = EndpointState.GONE;
-                case 2 -> machine.startedAtMicros = now;
+                case 2 -> machine.startedAtMicros = nowMicros;
                 default -> machine.rating = 0.5 + random.nextDouble();
             }
         }
--- a/src/test/java/sandstack/decisions/DigestStream.java
+++ b/src/test/java/sandstack/decisions/DigestStream.java
@@ -89,7 +89,7 @@
         if (!followUps.isEmpty()) {
             return followUps.poll();
         }
-        OptionalLong token = timers.due(nowMicros, random);
+        OptionalLong token = timers.pollDue(nowMicros, random);
         if (token.isPresent()) {
             return new TimerExpired(token.getAsLong());
         }
--- a/src/test/java/sandstack/decisions/DigestTimers.java
+++ b/src/test/java/sandstack/decisions/DigestTimers.java
@@ -6,9 +6,10 @@
 
 /** The timers of a {@link DigestStream}, some of which expire late. Not thread-safe. */
 final class DigestTimers {
+    /** Bound on the delay, beyond its due time, of a timer that expires late. */
     private static final int MAX_DELAY_MICROS = 200_000;
 
-    /** A timer; ordered by due time, then by the order of setting. */
+    /** A timer; ordered by due time, then by the order in which timers were set. */
     private record Timer(long dueMicros, int order, long token) implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
@@ -24,14 +25,17 @@
         timers.add(new Timer(dueMicros, count++, token));
     }
 
-    /** The token of an expired timer; empty if none has expired, or if the next one is delayed. */
-    OptionalLong due(long now, SplittableRandom random) {
-        if (timers.isEmpty() || timers.peek().dueMicros > now) {
+    /**
+     * Removes the next timer that is due and returns its token; empty if none is due, or if a random draw delays the
+     * timer.
+     */
+    OptionalLong pollDue(long nowMicros, SplittableRandom random) {
+        if (timers.isEmpty() || timers.peek().dueMicros > nowMicros) {
             return OptionalLong.empty();
         }
         Timer timer = timers.poll();
         if (random.nextInt(8) == 0) {
-            set(now + random.nextInt(MAX_DELAY_MICROS), timer.token);
+            set(nowMicros + random.nextInt(MAX_DELAY_MICROS), timer.token);
             return OptionalLong.empty();
         }
         return OptionalLong.of(timer.token);
--- a/src/test/java/sandstack/decisions/FleetOperations.java
+++ b/src/test/java/sandstack/decisions/FleetOperations.java
@@ -22,7 +22,7 @@
                 MIN_QUEUE_SECONDS + (MAX_QUEUE_SECONDS - MIN_QUEUE_SECONDS) * fleet.random.nextDouble();
     }
 
-    /** Starts a discovery outage: relays keep the present list. */
+    /** Starts a discovery outage: relays keep the current list. */
     void failDiscovery() {
         List<EndpointEntry> lastList = fleet.endpointList();
         fleet.relays.forEach(relay -> relay.cachedList = lastList);
--- a/src/test/java/sandstack/decisions/MemoryBoundTest.java
+++ b/src/test/java/sandstack/decisions/MemoryBoundTest.java
@@ -55,8 +55,10 @@
                 heldEntries(harness.loadBalancer) < 5000,
                 heldEntries(harness.loadBalancer) + " entries held at the end");
         assertTrue(maxEntries < 12_000, maxEntries + " entries held at most");
-        // the backoff states of client keys have reached their limit of 4,096
-        assertTrue(maxEntries > 4_096, maxEntries + " entries held at most");
+        // the backoff states of client keys fill up to their limit of 4,096 entries, so the total exceeds it
+        assertTrue(
+                maxEntries > 4_096,
+                maxEntries + " entries held at most, too few to reach the limit of the backoff states");
     }
 
     /**
--- a/src/test/java/sandstack/decisions/RuleChecker.java
+++ b/src/test/java/sandstack/decisions/RuleChecker.java
@@ -23,9 +23,9 @@
 import sandstack.decisions.BalancerEvent.ConnectionEstablished;
 
 /**
- * Checks the actions of one load balancer against its contract: each request gets one answer by its deadline; attempts
- * are made one at a time, within the limits, not at drained servers, and never so that a request could take effect
- * twice.
+ * Checks the actions of one load balancer against its contract: each request gets one answer by its deadline. A request
+ * has at most {@link BalancerSettings#maxAttempts} attempts, one at a time, none of them at a server after its drain
+ * grace, and none that could make it take effect twice.
  */
 final class RuleChecker implements BalancerAction.Handler<RuntimeException> {
     /** The latest attempt of each request. */
@@ -43,9 +43,9 @@
     private final LongSupplier clockMicros;
     private final Map<String, Long> drainingSinceMicros = new HashMap<>();
     private final Map<String, Long> attemptStartMicros = new HashMap<>();
-    /** Server of the first attempt of each request that may have been executed. */
+    /** By request id, the server of the first attempt that may have been executed. */
     private final Map<String, EndpointEntry> possibleExecutionServer = new HashMap<>();
-
+    /** By request id, the start of the first attempt that may have been executed. */
     private final Map<String, Long> possibleExecutionStartMicros = new HashMap<>();
 
     RuleChecker(BalancerSettings settings, Map<String, EndpointEntry> endpoints, LongSupplier clockMicros) {
@@ -155,7 +155,7 @@
                     requestClass.idempotency() == Idempotency.IDEMPOTENT
                             || (requestClass.idempotency() == Idempotency.WITH_KEY
                                     && requestClass.deduplicationScope() == DeduplicationScope.ALL),
-                    "rejected a request that may have been executed");
+                    "rejected a request that may have been executed and must not be repeated");
         }
     }
 
--- a/src/test/java/sandstack/decisions/UnstatedCapacityTest.java
+++ b/src/test/java/sandstack/decisions/UnstatedCapacityTest.java
@@ -13,7 +13,10 @@
 import sandstack.decisions.BalancerEvent.LoadReported;
 import sandstack.settings.BalancerSettingsBuilder;
 
-/** The load balancer without stated capacities: settings, the endpoint list and reported loads decide. */
+/**
+ * Tests placement without stated capacities, where the settings, the ratings in the endpoint list and reported loads
+ * determine how full a server is.
+ */
 class UnstatedCapacityTest {
     private static BalancerHarness newHarness(boolean ratingsAreSizes) {
         BalancerSettings base = BalancerHarness.settings().build();
@@ -50,7 +53,7 @@
         return attempt.serverId();
     }
 
-    /** A default load may lower the weight of a server, but closes none. */
+    /** A default load may lower the weight of a server, but never closes it. */
     @Test
     void defaultLoadClosesNoServer() {
         BalancerHarness harness = newHarness(true);
@@ -61,7 +64,10 @@
         }
     }
 
-    /** If ratings are sizes, a unit of rating does one second of work per second; otherwise only evidence counts. */
+    /**
+     * If ratings are sizes, a unit of rating does one second of work per second; otherwise only evidence limits a
+     * server.
+     */
     @Test
     void reportedLoadsFillAServerOfListedSize() {
         for (boolean ratingsAreSizes : new boolean[] {true, false}) {
@@ -78,9 +84,9 @@
         }
     }
 
-    /** Without the bound, a large group would use one server alone while others are idle. */
+    /** Without the bound of {@link GroupPlacement}, a large group would use one server alone while others are idle. */
     @Test
-    void groupMovesOnWhereAServerExceedsItsBound() {
+    void groupContinuesOnAnotherServerIfOneExceedsItsBound() {
         BalancerHarness harness = newHarness(true);
         harness.listServers(6, 1);
         Map<String, Integer> connectionsByServer = new HashMap<>();
