--- a/src/main/java/sandstack/configuration/ChangeValidator.java
+++ b/src/main/java/sandstack/configuration/ChangeValidator.java
@@ -35,7 +35,7 @@
     /** Why a change cannot be committed directly after the current configuration; empty if it can. */
     public Optional<ChangeRejection> validate(ConfigurationSnapshot current, ConfigurationChange change) {
         return validateContent(change).or(() -> validateBase(current, change)).or(() -> {
-            // validity does not depend on the term, so the current one stands in for that of the commit
+            // validity does not depend on the term, so the current one stands in for that of the log entry
             ConfigurationVersion next = current.version().next(current.version().term());
             return validateSnapshot(current.apply(next, change));
         });
--- a/src/main/java/sandstack/configuration/ConfigurationChange.java
+++ b/src/main/java/sandstack/configuration/ConfigurationChange.java
@@ -4,13 +4,13 @@
 import java.util.Objects;
 
 /**
- * A proposal of edits that take effect together or not at all. A rollback is an ordinary change whose edits restore the
- * earlier values. Immutable.
+ * Edits that take effect together or not at all. A rollback is an ordinary change whose edits restore the earlier
+ * values. {@link CommittedChange} adds the version and the digest. Immutable.
  *
  * @param formatVersion the format version that a reader must support; this release writes {@link #FORMAT_VERSION}
- * @param baseVersion the current version when the change was written; the change is rejected if another was committed
- *     since then
- * @param author the name of the operator or tool that proposes the change
+ * @param baseVersion the version of the configuration to which the edits apply; the change is rejected if this is no
+ *     longer the current version when the change is applied
+ * @param author the name of the proposer; must not be blank
  * @param reason the purpose of the change, for the operators' log
  */
 public record ConfigurationChange(
@@ -32,7 +32,7 @@
 
     /** Creates a change in the format version that this release writes, {@link #FORMAT_VERSION}. */
     public static ConfigurationChange of(
-            ConfigurationVersion basedOn, String author, String reason, List<ConfigurationEdit> edits) {
-        return new ConfigurationChange(FORMAT_VERSION, basedOn, author, reason, edits);
+            ConfigurationVersion baseVersion, String author, String reason, List<ConfigurationEdit> edits) {
+        return new ConfigurationChange(FORMAT_VERSION, baseVersion, author, reason, edits);
     }
 }
--- a/src/main/java/sandstack/configuration/ConfigurationEdit.java
+++ b/src/main/java/sandstack/configuration/ConfigurationEdit.java
@@ -7,9 +7,9 @@
     /** The key whose value this edit sets or removes. */
     String key();
 
-    /** Sets the value of a key, which may be new. */
+    /** Sets the value of a key; adds the key if it is absent. */
     record Put(String key, String value) implements ConfigurationEdit {
-        /** Creates an edit of any length; {@link ChangeValidator} checks the sizes. */
+        /** Creates an edit without checking its size, which {@link ChangeValidator} does. */
         public Put {
             Objects.requireNonNull(key, "key");
             Objects.requireNonNull(value, "value");
@@ -18,7 +18,7 @@
 
     /** Removes a key and its value; has no effect if the key is absent. */
     record Remove(String key) implements ConfigurationEdit {
-        /** Creates an edit of any length; {@link ChangeValidator} checks the sizes. */
+        /** Creates an edit without checking its size, which {@link ChangeValidator} does. */
         public Remove {
             Objects.requireNonNull(key, "key");
         }
--- a/src/main/java/sandstack/configuration/ConfigurationHistory.java
+++ b/src/main/java/sandstack/configuration/ConfigurationHistory.java
@@ -58,7 +58,7 @@
         return new Outcome.Accepted(committed);
     }
 
-    /** Replaces the state by a snapshot that the consensus installs; ignores one that is not later than the state. */
+    /** Replaces the state with a snapshot that the consensus installs; ignores one that is not later than the state. */
     public void restore(ConfigurationSnapshot snapshot) {
         if (snapshot.version().index() <= current.version().index()) {
             return;
--- a/src/main/java/sandstack/configuration/ConfigurationPublisher.java
+++ b/src/main/java/sandstack/configuration/ConfigurationPublisher.java
@@ -26,11 +26,11 @@
  *
  * <p><b>Bounded memory and load.</b> A session is a cursor into one shared list of recent changes and a few numbers;
  * nothing is queued per session. A relay that does not acknowledge is sent at most one window of changes. A relay that
- * lacks changes older than the list requests a snapshot in chunks. The number of sessions, the rate of hellos, the
- * message rate of each relay and the rate of snapshot bytes are limited.
+ * lacks changes which are no longer in the list is offered a snapshot, which it requests in chunks. The number of
+ * sessions, the rate of hellos, the message rate of each relay and the rate of snapshot bytes are limited.
  *
- * <p><b>Guaranteed:</b> only committed changes and snapshots are sent. <b>Not guaranteed:</b> delivery; a relay
- * requests lost changes and chunks again.
+ * <p><b>Guaranteed:</b> only committed changes, and snapshots of committed configurations, are sent. <b>Not
+ * guaranteed:</b> delivery; a relay requests lost changes and chunks again.
  *
  * <p>Not thread-safe. Times are in microseconds of a monotonic clock. A committed change and a tick cost O(sessions), a
  * message O(1) plus the cost of its reply.
@@ -45,8 +45,8 @@
      * @param head the latest committed state of this machine
      * @param relaysByVersion the number of relays for each active version
      * @param relaysRejecting the names of the relays that rejected a later version, with the reason
-     * @param relaysWithDigestMismatch the names of the relays whose digest differs from this machine's at the same
-     *     version
+     * @param relaysWithDigestMismatch the names of the relays whose last report had the version that was current on
+     *     this machine at that time, but another digest
      */
     public record Overview(
             ConfigurationHead head,
@@ -98,7 +98,10 @@
         sessions.forEach(this::sendChanges);
     }
 
-    /** Handles a message of a peer. A message that exceeds the peer's rate closes its session. */
+    /**
+     * Handles a message of a peer. A message that exceeds the peer's message rate closes its session. A message of an
+     * unknown session is dropped and, within a rate limit, answered with a rejection.
+     */
     public void received(String peer, FollowerMessage message, long nowMicros) {
         if (message instanceof Hello hello) {
             openSession(peer, hello, nowMicros);
@@ -210,7 +213,7 @@
     }
 
     /**
-     * Sends the next batch of changes if the window of changes in flight has headroom. If the changes are no longer
+     * Sends the next batch of changes if the window of changes in flight has headroom. If the next change is no longer
      * kept, offers a snapshot instead.
      */
     private void sendChanges(String peer, RelaySession session) {
--- a/src/main/java/sandstack/configuration/ConfigurationSize.java
+++ b/src/main/java/sandstack/configuration/ConfigurationSize.java
@@ -4,7 +4,9 @@
 final class ConfigurationSize {
     private ConfigurationSize() {}
 
-    /** The size of a text. An unpaired surrogate counts as one byte, as the encoder replaces it by a question mark. */
+    /**
+     * The size of a text. An unpaired surrogate counts as one byte, as the encoder replaces it with a question mark.
+     */
     static long ofText(String text) {
         return text.codePoints().mapToLong(ConfigurationSize::ofCodePoint).sum();
     }
--- a/src/main/java/sandstack/configuration/ConfigurationVersion.java
+++ b/src/main/java/sandstack/configuration/ConfigurationVersion.java
@@ -2,10 +2,11 @@
 
 /**
  * A position in the history of committed changes. The index increases by one with each change. The term is that of the
- * leader that proposed the change, and never decreases along a history. Two versions with the same index and different
- * terms belong to different histories (the Log Matching property, section 5.3 of the Raft paper). Immutable.
+ * leader that appended the change to the Raft log, and never decreases along a history. Two versions with the same
+ * index and different terms belong to different histories (the Log Matching property, section 5.3 of the Raft paper).
+ * Immutable.
  *
- * @param term the term of the consensus; 0 before the first change
+ * @param term the Raft term; 0 before the first change
  * @param index the number of changes committed so far
  */
 public record ConfigurationVersion(long term, long index) implements Comparable<ConfigurationVersion> {
@@ -24,10 +25,13 @@
     }
 
     /**
-     * The version of the next change, if it is committed in {@code commitTerm}; a lower term than this one is raised.
+     * The version of the change that directly follows this one.
+     *
+     * @param entryTerm the term of the change's log entry; if it is lower than this version's term, that is kept,
+     *     because terms never decrease
      */
-    public ConfigurationVersion next(long commitTerm) {
-        return new ConfigurationVersion(Math.max(term, commitTerm), index + 1);
+    public ConfigurationVersion next(long entryTerm) {
+        return new ConfigurationVersion(Math.max(term, entryTerm), index + 1);
     }
 
     /** Whether a change with this version can directly follow the other version. */
--- a/src/main/java/sandstack/configuration/ControlConnection.java
+++ b/src/main/java/sandstack/configuration/ControlConnection.java
@@ -1,8 +1,9 @@
 package sandstack.configuration;
 
 /**
- * A relay's view of its connection to one control machine, from the hello on. The machine is satisfactory by the rule
- * of {@link MachineSelection#isSatisfactory}. Not thread-safe; times are in microseconds of the relay's clock.
+ * A relay's view of its connection to one control machine, from the sending of the hello. Whether the machine is
+ * satisfactory is defined by {@link MachineSelection#isSatisfactory}. Not thread-safe; times are in microseconds of the
+ * relay's clock.
  */
 final class ControlConnection {
     private final String machine;
@@ -10,6 +11,7 @@
     /** The last head that the machine reported; null before its welcome. */
     private ConfigurationHead head;
 
+    /** Whether the last reported head was satisfactory; true before the first one. */
     private boolean isSatisfactory = true;
     /** The time at which the machine became unsatisfactory; undefined while it is satisfactory. */
     private long unsatisfactorySinceMicros;
--- a/src/main/java/sandstack/configuration/ControlSession.java
+++ b/src/main/java/sandstack/configuration/ControlSession.java
@@ -105,7 +105,8 @@
     }
 
     /**
-     * Handles the welcome of the current attempt. The relay switches to the machine unless its present one is better.
+     * Handles the welcome of the current attempt. The relay switches to the machine if it has no session or
+     * {@link MachineSelection#isBetter} prefers that machine to the current one.
      *
      * @return whether the relay follows the machine of the attempt from now on
      */
--- a/src/main/java/sandstack/configuration/FollowerOutput.java
+++ b/src/main/java/sandstack/configuration/FollowerOutput.java
@@ -11,10 +11,15 @@
      */
     void send(String machine, ConfigurationMessage.FollowerMessage message);
 
-    /** Closes the connection to a control machine after the messages sent before. */
+    /**
+     * Closes the connection to a control machine after all messages that were passed to {@link #send} before are sent.
+     */
     void close(String machine);
 
-    /** Called when a configuration becomes active. The store was called before, and may have failed. */
+    /**
+     * Called when a configuration becomes active: the stored one at the start, then each received one. A received
+     * configuration was passed to the {@link ConfigurationStore} before; it becomes active even if the store failed.
+     */
     void activated(ConfigurationSnapshot snapshot);
 
     /** Writes one line to the relay's log. */
--- a/src/main/java/sandstack/configuration/MachineSelection.java
+++ b/src/main/java/sandstack/configuration/MachineSelection.java
@@ -1,6 +1,8 @@
 package sandstack.configuration;
 
-/** The rules by which a relay chooses between control machines, from the heads that they reported. Stateless. */
+/**
+ * The rules by which a relay chooses between control machines, from the {@link ConfigurationHead}s that they report.
+ */
 final class MachineSelection {
     private MachineSelection() {}
 
--- a/src/main/java/sandstack/configuration/PublisherOutput.java
+++ b/src/main/java/sandstack/configuration/PublisherOutput.java
@@ -12,7 +12,7 @@
      */
     boolean send(String peer, ConfigurationMessage.PublisherMessage message);
 
-    /** Closes the connection to a peer after the messages sent before. */
+    /** Closes the connection to a peer after all messages that were passed to {@link #send} before are sent. */
     void close(String peer);
 
     /** Writes one line to the control machine's log. */
--- a/src/main/java/sandstack/configuration/SnapshotDownload.java
+++ b/src/main/java/sandstack/configuration/SnapshotDownload.java
@@ -4,11 +4,11 @@
 import sandstack.configuration.ConfigurationMessage.SnapshotChunk;
 
 /**
- * Assembles one encoded snapshot from its chunks, in order. Its memory is bounded by the total size that the first
- * chunk states, which the caller has checked. Not thread-safe.
+ * Assembles one encoded snapshot from its chunks, in order. Memory use is bounded by the total size that the first
+ * chunk states; the caller checks that size before it creates a download. Not thread-safe.
  */
 final class SnapshotDownload {
-    /** The number of repeated requests for the same chunk after which the download is abandoned. */
+    /** The maximum number of times that the same chunk is requested again; the next timeout ends the download. */
     private static final int MAX_RETRIES = 8;
 
     private final ConfigurationVersion version;
--- a/src/main/java/sandstack/configuration/consensus/CommittedProposals.java
+++ b/src/main/java/sandstack/configuration/consensus/CommittedProposals.java
@@ -10,9 +10,10 @@
 import sandstack.configuration.MalformedConfigurationException;
 
 /**
- * Maps the idempotency keys of the latest committed proposals to their versions, so that a retry returns the version of
- * the first attempt. Beyond the capacity the oldest keys are dropped; a retry under a dropped key is rejected, because
- * its base version is no longer current. Part of the replicated state, thus equal on every machine. Not thread-safe.
+ * Maps the idempotency key of each of the latest committed proposals to the version at which it was committed, so that
+ * a retry returns the version of the first attempt. Beyond the capacity the oldest keys are dropped; a retry under a
+ * dropped key is rejected, because its base version is no longer current. Part of the replicated state, and therefore
+ * equal on all machines. Not thread-safe.
  */
 final class CommittedProposals {
     private static final int ENCODED_PROPOSAL_BYTES = 4 * Long.BYTES;
@@ -46,7 +47,7 @@
         });
     }
 
-    /** Replaces all keys and versions by those that {@link #write} wrote. */
+    /** Replaces all keys and versions with those that {@link #write} wrote. */
     void read(BoundedReader in) throws MalformedConfigurationException {
         int count = in.readCount(capacity, ENCODED_PROPOSAL_BYTES);
         versions.clear();
--- a/src/main/java/sandstack/configuration/consensus/ControlNode.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNode.java
@@ -46,7 +46,7 @@
     /**
      * Creates the node. It neither sends messages nor votes before {@link #start}.
      *
-     * @throws IOException where the store cannot be read or is rejected
+     * @throws IOException if the store cannot be read or is rejected
      */
     public static ControlNode create(
             ControlNodeSettings settings,
--- a/src/main/java/sandstack/configuration/consensus/ControlNodeSettings.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNodeSettings.java
@@ -5,14 +5,15 @@
 import java.util.List;
 
 /**
- * The settings of one control machine; group, voters and timeouts are the same on all machines.
+ * The settings of one control machine; group, voters and timeouts must be equal on all machines.
  *
  * @param group the name of the Raft group; messages of other groups are rejected, so that machines of two installations
  *     never vote for each other
  * @param self the identity of this machine and its disk
- * @param bootstrapVoters the initial voters of the group; used only while the store is empty
+ * @param bootstrapVoters the initial voters of the group; used only if the store is empty at the start
  * @param timeouts timeouts of heartbeats, elections and proposals
- * @param maxPendingProposals number of uncommitted proposals at which the leader rejects further ones
+ * @param maxPendingProposals number of uncommitted proposals at which the leader rejects further ones until some are
+ *     committed
  * @param snapshotIntervalEntries number of committed log entries after which the log is compacted into a snapshot
  */
 public record ControlNodeSettings(
@@ -25,7 +26,7 @@
     /** The smallest group that keeps a quorum after the loss of one voter. */
     static final int MIN_VOTERS = 3;
 
-    /** Further voters slow each commit and add little fault tolerance. */
+    /** The largest group; further voters would slow each commit and add little fault tolerance. */
     static final int MAX_VOTERS = 9;
     /** Batch size of an AppendEntries message, in log entries; each entry holds a change of bounded size. */
     static final int APPEND_BATCH_ENTRIES = 16;
@@ -33,23 +34,24 @@
     static final int MAX_ENTRIES_PER_MESSAGE = APPEND_BATCH_ENTRIES + 1;
 
     /**
-     * The timeouts after which a leader counts as failed, an election as undecided and a proposal as indeterminate.
+     * The times after which a failed leader is replaced, an undecided election is repeated, and the outcome of a
+     * proposal is reported as indeterminate.
      *
      * @param heartbeatPeriod time between two heartbeats of the leader, in whole seconds as MicroRaft requires
-     * @param heartbeatTimeout time in whole seconds without a heartbeat after which followers start an election, and
-     *     without responses of a quorum after which a leader steps down
+     * @param heartbeatTimeout time in whole seconds after which followers that receive no heartbeat start an election,
+     *     and a leader that receives no responses of a quorum steps down
      * @param electionTimeout time after which an undecided election is repeated
      * @param proposalTimeout time after which the outcome of a pending proposal is reported as indeterminate
      */
     public record Timeouts(
             Duration heartbeatPeriod, Duration heartbeatTimeout, Duration electionTimeout, Duration proposalTimeout) {
-        /** Heartbeats each second, an election after 4 s without one, elections of 1 s, proposals of 6 s. */
+        /** Heartbeats each second; timeouts of 4 s for heartbeats, 1 s for an election and 6 s for a proposal. */
         public static final Timeouts DEFAULT = new Timeouts(
                 Duration.ofSeconds(1), Duration.ofSeconds(4), Duration.ofSeconds(1), Duration.ofSeconds(6));
 
         /**
-         * Rejects timeouts that are not positive, and a heartbeat timeout under two periods, which a single late
-         * heartbeat would exceed.
+         * Rejects a heartbeat period below 1 s, an election or proposal timeout below 1 ms, and a heartbeat timeout
+         * below two periods, which a single late heartbeat would exceed.
          */
         public Timeouts {
             if (heartbeatPeriod.toSeconds() < 1 || electionTimeout.toMillis() < 1 || proposalTimeout.toMillis() < 1) {
--- a/src/main/java/sandstack/configuration/consensus/RaftMessageWriter.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftMessageWriter.java
@@ -27,15 +27,15 @@
             writeAppendEntries(out, request);
         } else if (message instanceof AppendEntriesSuccessResponse response) {
             out.writeLong(response.getLastLogIndex());
-            writeSequences(out, response.getQuerySequenceNumber(), response.getFlowControlSequenceNumber());
+            writeSequenceNumbers(out, response.getQuerySequenceNumber(), response.getFlowControlSequenceNumber());
         } else if (message instanceof AppendEntriesFailureResponse response) {
             out.writeLong(response.getExpectedNextIndex());
-            writeSequences(out, response.getQuerySequenceNumber(), response.getFlowControlSequenceNumber());
+            writeSequenceNumbers(out, response.getQuerySequenceNumber(), response.getFlowControlSequenceNumber());
         } else if (message instanceof InstallSnapshotRequest request) {
             writeInstallSnapshot(out, request);
         } else if (message instanceof InstallSnapshotResponse response) {
             out.writeLong(response.getSnapshotIndex()).writeInt(response.getRequestedSnapshotChunkIndex());
-            writeSequences(out, response.getQuerySequenceNumber(), response.getFlowControlSequenceNumber());
+            writeSequenceNumbers(out, response.getQuerySequenceNumber(), response.getFlowControlSequenceNumber());
         } else if (message instanceof PreVoteRequest request) {
             out.writeInt(request.getLastLogTerm()).writeLong(request.getLastLogIndex());
         } else if (message instanceof PreVoteResponse response) {
@@ -57,7 +57,7 @@
                 .writeLong(request.getCommitIndex())
                 .writeInt(request.getLogEntries().size());
         request.getLogEntries().forEach(entry -> records.write(out, entry));
-        writeSequences(out, request.getQuerySequenceNumber(), request.getFlowControlSequenceNumber());
+        writeSequenceNumbers(out, request.getQuerySequenceNumber(), request.getFlowControlSequenceNumber());
     }
 
     private void writeInstallSnapshot(FieldWriter out, InstallSnapshotRequest request) {
@@ -71,10 +71,10 @@
         }
         records.writeEndpoints(out, request.getSnapshottedMembers());
         records.write(out, request.getGroupMembersView());
-        writeSequences(out, request.getQuerySequenceNumber(), request.getFlowControlSequenceNumber());
+        writeSequenceNumbers(out, request.getQuerySequenceNumber(), request.getFlowControlSequenceNumber());
     }
 
-    private static void writeSequences(FieldWriter out, long query, long flowControl) {
+    private static void writeSequenceNumbers(FieldWriter out, long query, long flowControl) {
         out.writeLong(query).writeLong(flowControl);
     }
 }
--- a/src/main/java/sandstack/configuration/consensus/RestartableRaftNode.java
+++ b/src/main/java/sandstack/configuration/consensus/RestartableRaftNode.java
@@ -29,7 +29,7 @@
     /**
      * Builds the node without starting it.
      *
-     * @throws IOException where the store cannot be read or is rejected
+     * @throws IOException if the store cannot be read or is rejected
      */
     RestartableRaftNode(
             ControlNodeSettings settings, ControlNodeEnvironment environment, ConfigurationStateMachine stateMachine)
@@ -104,8 +104,9 @@
     }
 
     /**
-     * Repeats the check after the node has terminated: before that, it may have accepted the stored entries from a
-     * later leader.
+     * Removes the conflicting entries from the store if the conflict still exists now that the node has terminated.
+     * Between the first check and the termination, the node may have accepted the stored entries from the leader of a
+     * later term; these must not be removed.
      */
     private void removeConflictingEntries(RaftMessage message) throws IOException {
         OptionalLong firstConflicting = consistencyCheck.firstConflictingIndex(message, currentTerm());
--- a/src/test/java/sandstack/configuration/ConfigurationMessageCodecTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationMessageCodecTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void messagesSurviveARoundTrip() throws Exception {
+    void roundTripPreservesMessages() throws Exception {
         assertThat(oneOfEachKind(1).stream().map(Object::getClass).distinct())
                 .hasSize(ConfigurationMessage.FollowerMessage.class.getPermittedSubclasses().length
                         + ConfigurationMessage.PublisherMessage.class.getPermittedSubclasses().length);
--- a/src/test/java/sandstack/configuration/ConfigurationSamples.java
+++ b/src/test/java/sandstack/configuration/ConfigurationSamples.java
@@ -23,10 +23,10 @@
 import sandstack.configuration.ConfigurationMessage.Welcome;
 
 /**
- * One value of each encoded form that is stored or sent, and one for each constant that a form can contain.
- * {@code main} writes the fixture files: the encoded values and the distribution traces of the build on the class path.
- * The existing fixtures are from the version of this class in the commit that added them, compiled against the build
- * that the files name in their first line.
+ * One value of each type that is stored or sent, and one for each enum constant that a type can contain. {@code main}
+ * writes the fixture files: the encoded values, and the distribution traces of the build on the class path. The
+ * committed fixtures were written by an earlier version of this class, which is in the commit that added them. It was
+ * compiled against the build whose commit the first line of the files names.
  */
 final class ConfigurationSamples {
     static final String FORMS = "forms.txt";
@@ -52,7 +52,7 @@
         return ConfigurationSnapshot.of(BASE, 1, Map.of("a", "1", "b", "é", "key-10", "value", "key-2", ""));
     }
 
-    /** One message of each kind by its fixture name; kinds with a reason have one message for each reason. */
+    /** One message of each kind by its fixture name; kinds with a reason also have one message for each reason. */
     static Map<String, ConfigurationMessage> messages() {
         Map<String, ConfigurationMessage> messages = new LinkedHashMap<>();
         ConfigurationVersion version = BASE;
--- a/src/test/java/sandstack/configuration/consensus/ConsensusFiguresTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ConsensusFiguresTest.java
@@ -77,7 +77,7 @@
             List<Long> millis = new ArrayList<>();
             for (long i = 0; i < MEASUREMENT_DURATION.dividedBy(CHANGE_INTERVAL); i++) {
                 cluster.runFor(CHANGE_INTERVAL);
-                millis.add(cluster.commitChange().millis());
+                millis.add(cluster.commitChange().latencyMillis());
             }
             Collections.sort(millis);
             System.out.printf(
--- a/src/test/java/sandstack/configuration/consensus/ControlNodeTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ControlNodeTest.java
@@ -182,11 +182,11 @@
         cluster.runFor(Duration.ofSeconds(8));
         assertThat(attempts).allSatisfy(attempt -> {
             assertThat(attempt.outcome).isNotNull().isNotInstanceOf(ProposalOutcome.Committed.class);
-            assertThat(attempt.millis()).isLessThanOrEqualTo(6_000);
+            assertThat(attempt.latencyMillis()).isLessThanOrEqualTo(6_000);
         });
         Attempt last = attempts.get(attempts.size() - 1);
         assertThat(last.outcome).isInstanceOf(ProposalOutcome.Rejected.class);
-        assertThat(last.millis()).isZero();
+        assertThat(last.latencyMillis()).isZero();
         commit(cluster, 5);
         assertComplete(cluster, 10);
     }
--- a/src/test/java/sandstack/configuration/consensus/HistoryCheckerTest.java
+++ b/src/test/java/sandstack/configuration/consensus/HistoryCheckerTest.java
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Applies each retry again, because it replaces every idempotency key by a new one. */
+    /** Applies each retry again, because it replaces every idempotency key with a new one. */
     private static final class ReapplyingStateMachine extends ConfigurationStateMachine {
         ReapplyingStateMachine(ChangeValidator validator, CommittedChangeListener listener, LongSupplier leaderTerm) {
             super(validator, listener, leaderTerm);
--- a/src/test/java/sandstack/configuration/consensus/RaftFaultSchedule.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftFaultSchedule.java
@@ -110,7 +110,7 @@
         return clientChanges.stream()
                 .flatMap(change -> change.attempts().stream())
                 .filter(attempt -> attempt.outcome != null)
-                .max((a, b) -> Long.compare(a.millis(), b.millis()));
+                .max((a, b) -> Long.compare(a.latencyMillis(), b.latencyMillis()));
     }
 
     private <T> T randomElement(List<T> list) {
--- a/src/test/java/sandstack/configuration/consensus/RaftFaultSchedulesTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftFaultSchedulesTest.java
@@ -6,16 +6,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Runs schedules of random faults: kills, pauses, one-way cuts, partitioned regions and lost messages.
- * {@code -Dsandstack.consensus.schedules=N} sets the number of schedules, and {@code -Dsandstack.consensus.first=SEED}
- * the first seed, in order to run more than CI does.
+ * Runs schedules of random faults: machines are killed and paused, messages are lost, and links are cut in one
+ * direction or between the regions. {@code -Dsandstack.consensus.schedules=N} sets the number of schedules, and
+ * {@code -Dsandstack.consensus.first=SEED} the first seed, for runs with more or other schedules than in CI.
  */
 class RaftFaultSchedulesTest {
     private static final int SCHEDULES_PER_RUN = Integer.getInteger("sandstack.consensus.schedules", 25);
     private static final int FIRST_SEED = Integer.getInteger("sandstack.consensus.first", 1);
 
     @Test
-    void randomSchedulesViolateNothing() {
+    void randomSchedulesCauseNoViolations() {
         int committed = 0;
         int faults = 0;
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SCHEDULES_PER_RUN; seed++) {
@@ -27,7 +27,7 @@
         }
         System.out.println(SCHEDULES_PER_RUN + " schedules without a violation: " + committed + " changes committed, "
                 + faults + " faults");
-        // schedules without changes or faults would be no evidence
+        // schedules without changes or faults would pass without testing anything
         assertThat(committed).isGreaterThan(5 * SCHEDULES_PER_RUN);
         assertThat(faults).isGreaterThan(10 * SCHEDULES_PER_RUN);
     }
--- a/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftMessageCodecTest.java
@@ -39,7 +39,7 @@
     }
 
     private static List<LogEntry> entries() {
-        Object change = MODELS.createUpdateRaftGroupMembersOpBuilder()
+        Object membershipChange = MODELS.createUpdateRaftGroupMembersOpBuilder()
                 .setMembers(List.<RaftEndpoint>of(SENDER))
                 .setVotingMembers(List.<RaftEndpoint>of())
                 .setEndpoint(SENDER)
@@ -49,7 +49,7 @@
         for (Object operation : List.of(
                 new LogOperation.NewTerm(4),
                 new LogOperation.Proposal(new IdempotencyKey(1, 2), new byte[300]),
-                change)) {
+                membershipChange)) {
             entries.add(MODELS.createLogEntryBuilder()
                     .setIndex(entries.size() + 8)
                     .setTerm(4)
@@ -110,7 +110,7 @@
 
     /** {@link RaftFixturesTest} covers all types; the simulated clusters also send every message through this codec. */
     @Example
-    void messagesSurviveARoundTrip() throws MalformedConfigurationException {
+    void roundTripPreservesMessages() throws MalformedConfigurationException {
         for (RaftMessage message : List.of(append(entries()), installSnapshot(), vote())) {
             RaftMessage decoded = codec.decode(codec.encode(message));
             assertThat(decoded.getClass()).isEqualTo(message.getClass());
@@ -143,13 +143,14 @@
                 .isInstanceOf(MalformedConfigurationException.class)
                 .hasMessage("message type 17 is unknown");
         byte[] other = new RaftMessageCodec("other", ConfigurationLimits.DEFAULT).encode(vote());
+        // the first byte of the group's name, after the type and the length
         other[TYPE_OFFSET + 5] = 'x';
         assertThatThrownBy(() -> codec.decode(other)).hasMessage("a message of another group");
     }
 
     /** Neither a count of 2 billion, a length of 1 GB nor a frame of 60 MB makes the codec allocate memory for it. */
     @Example
-    void oversizedClaimsAreRejectedBeforeAllocation() {
+    void oversizedCountsAndFramesAreRejectedBeforeAllocation() {
         byte[] frame = codec.encode(append(entries()));
         int countOffset = frame.length - 2 * Long.BYTES - encodedEntriesBytes() - Integer.BYTES;
         ByteBuffer.wrap(frame).putInt(countOffset, Integer.MAX_VALUE);
--- a/src/test/java/sandstack/configuration/consensus/RaftSamples.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftSamples.java
@@ -22,9 +22,10 @@
 import sandstack.configuration.FixtureFile;
 
 /**
- * Samples of each record and message type that Raft stores or sends. {@code main} writes their bytes, a store on disk
- * and the traces of simulated clusters with the build on the class path. The fixtures were written by the version of
- * this class in the commit that added them, compiled against the build named in the fixtures.
+ * Samples of each record and message type that Raft stores or sends. {@code main} writes the fixture files: the encoded
+ * samples, a store, and the traces of simulated clusters of the build on the class path. The committed fixtures were
+ * written by an earlier version of this class, which is in the commit that added them. It was compiled against the
+ * build whose commit the first line of the text files names.
  */
 final class RaftSamples {
     static final String MESSAGES_FILE = "raft-messages.txt";
@@ -276,7 +277,9 @@
     }
 
     /**
-     * Writes the fixtures into the folder given first, with the comment given second, which names command and commit.
+     * Writes the fixture files.
+     *
+     * @param arguments the target folder, and the comment for the first line: the command and the commit of the build
      */
     public static void main(String[] arguments) throws IOException {
         Path folder = Path.of(arguments[0]);
--- a/src/test/java/sandstack/configuration/consensus/SimulatedCluster.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedCluster.java
@@ -18,7 +18,7 @@
 final class SimulatedCluster {
     private static final ControlNodeSettings.Timeouts TIMEOUTS = ControlNodeSettings.Timeouts.DEFAULT;
     private static final int MAX_PENDING_PROPOSALS = 64;
-    /** Switched off. The strong reference keeps the level, as loggers are only weakly referenced. */
+    /** Switched off. The level would be lost without this reference, as the log manager keeps loggers only weakly. */
     private static final Logger MICRORAFT_LOGGER = Logger.getLogger("io.microraft");
 
     static {
@@ -37,7 +37,8 @@
             this.proposedMicros = proposedMicros;
         }
 
-        long millis() {
+        /** Returns the time from the proposal to its outcome. */
+        long latencyMillis() {
             return (completedMicros - proposedMicros) / 1_000;
         }
     }
@@ -128,7 +129,10 @@
         return attempt;
     }
 
-    /** Proposes a change, based on the leader's configuration, to the leader and waits up to 10 s for the outcome. */
+    /**
+     * Proposes a change, based on the leader's configuration, to the leader and waits up to 10 s for the outcome, which
+     * is null if there is none by then.
+     */
     Attempt commitChange() {
         SimulatedMachine leader = awaitLeader();
         Attempt attempt = propose(leader, randomChange(leader.node.current().version()));
@@ -156,7 +160,7 @@
         return holders > voters.size() / 2;
     }
 
-    boolean allEqual() {
+    boolean allConfigurationsEqual() {
         return machines.stream()
                         .map(machine -> machine.node.current())
                         .distinct()
@@ -180,7 +184,7 @@
         pendingAttempts.forEach(attempt -> pendingChanges.add(attempt.change));
         checker.finish(pendingChanges);
         List<String> violations = new ArrayList<>(checker.violations);
-        if (!allEqual()) {
+        if (!allConfigurationsEqual()) {
             violations.add("the machines still differ " + recoveryTime + " after all faults ended");
         }
         return violations;
