--- a/src/test/java/sandstack/DocumentationTest.java
+++ b/src/test/java/sandstack/DocumentationTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The pages that lead readers through the code name classes, members, packages and files that exist. */
+/** Classes, members, packages and files that the documentation names exist. */
 class DocumentationTest {
     private static final Path SOURCES = Path.of("src/main/java");
     private static final List<Path> ALL_SOURCES = List.of(SOURCES, Path.of("src/test/java"));
     private static final Pattern CODE_SPAN = Pattern.compile("`([^`\n]+)`");
-    /** A class with at least one lower-case letter, so that words of the protocol in capitals are none. */
+    /** A class name needs a lower-case letter, which excludes the capitalized words of protocols. */
     private static final Pattern CLASS_OR_MEMBER =
             Pattern.compile("([A-Z]\\w*[a-z]\\w*)((?:\\.[A-Z]\\w*[a-z]\\w*)*)(?:[.#](\\w+)(?:\\(\\))?)?");
 
@@ -29,7 +29,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"docs/architecture.md", "docs/glossary.md", "docs/design.md", "README.md"})
-    void pageNamesWhatExists(String page) throws IOException {
+    void namesInPageExist(String page) throws IOException {
         Map<String, Path> classes = classes();
         List<String> missing = new ArrayList<>();
         int checked = 0;
@@ -54,8 +54,8 @@
                 }
             }
         }
-        assertThat(missing).as("named in %s and not there", page).isEmpty();
-        assertThat(checked).as("names in %s", page).isGreaterThan(10);
+        assertThat(missing).as("names in %s that do not exist", page).isEmpty();
+        assertThat(checked).as("number of names checked in %s", page).isGreaterThan(10);
     }
 
     private static boolean existsInSources(Matcher code, Map<String, Path> classes) throws IOException {
--- a/src/test/java/sandstack/EarlySignalTest.java
+++ b/src/test/java/sandstack/EarlySignalTest.java
@@ -32,50 +32,60 @@
 import sandstack.testserver.ServerProfile;
 import sandstack.testserver.TestServerLoop;
 
-/** SIGTERM and SIGKILL in the first second of a process: between any two lines of its start, and at stepped times. */
+/**
+ * SIGTERM and SIGKILL during the startup of a relay: right after a given log line, and at times stepped over the whole
+ * startup. Each accepted client gets exactly one response, and a migration if it was established; the next process can
+ * bind the address.
+ */
 @Timeout(90)
 class EarlySignalTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    private static final Pattern LISTENS =
+    private static final Pattern LISTENER_OPENED =
             Pattern.compile("listener opened relay=\\S+ protocol=lines address=127.0.0.1:([0-9]+)");
-    private static final int TERMINATED = 128 + 15;
-    /** The virtual machine's own message, with exit code 1, where the signal comes before any of our code is run. */
-    private static final String VIRTUAL_MACHINE_NOT_STARTED = "Error occurred during initialization of VM";
-    /** A start is signalled at so many times, the last twice as late as its listener opens. */
-    private static final int STEPS = 12;
-    /** So many are started in parallel: no more than a small machine can run. */
-    private static final int AT_ONCE = 3;
-    /** After a signal to stop, clients go on connecting for so long. */
-    private static final long STILL_COMING_MILLIS = 300;
+    private static final int SIGTERM_EXIT_CODE = 128 + 15;
+    /**
+     * Printed by the JVM, with exit code 1, if the signal arrives before it has initialized and thus before any code of
+     * the relay runs.
+     */
+    private static final String JVM_NOT_INITIALIZED = "Error occurred during initialization of VM";
+    /**
+     * Number of signal times; they are spread evenly from the process start to twice the time of the first connection.
+     */
+    private static final int SIGNAL_TIMES = 12;
+    /** Number of processes in parallel; limited for small machines. */
+    private static final int PARALLEL_STARTS = 3;
+    /** How long clients continue to connect after SIGTERM. */
+    private static final long CONNECTING_AFTER_SIGNAL_MILLIS = 300;
 
     @TempDir
     Path folder;
 
-    private TestServerLoop standInLoop;
+    private TestServerLoop testServerLoop;
     private FakeDiscovery discovery;
     private final List<FakeFeedServer> servers = new ArrayList<>();
     private final List<Process> started = new ArrayList<>();
 
     @BeforeEach
-    void makeStandIns() throws IOException {
-        standInLoop = new TestServerLoop();
-        discovery = standInLoop.create(() -> new FakeDiscovery(standInLoop));
+    void startTestServers() throws IOException {
+        testServerLoop = new TestServerLoop();
+        discovery = testServerLoop.create(() -> new FakeDiscovery(testServerLoop));
         for (int i = 1; i <= 2; i++) {
             String uid = "toy-" + i;
-            servers.add(
-                    standInLoop.create(() -> new FakeFeedServer(standInLoop, uid, "home", ServerProfile.UNLIMITED)));
+            servers.add(testServerLoop.create(
+                    () -> new FakeFeedServer(testServerLoop, uid, "home", ServerProfile.UNLIMITED)));
         }
-        standInLoop.run(() -> servers.forEach(s -> discovery.publish(s, "box", 1, "ready")));
+        testServerLoop.run(() -> servers.forEach(s -> discovery.publish(s, "box", 1, "ready")));
     }
 
     @AfterEach
     void stop() {
         started.forEach(Process::destroyForcibly);
-        standInLoop.close();
+        testServerLoop.close();
     }
 
     /**
-     * The example's configuration with our feed servers and short deadlines: a process that has served ends within 1 s.
+     * The example configuration with the test's feed servers and discovery. The deadlines of 300 ms let a relay that
+     * has served clients terminate within 1 s.
      */
     private String config(int discoveryPort) throws IOException {
         String text = Files.readString(Path.of("examples/config.json"))
@@ -89,20 +99,22 @@
         return text;
     }
 
-    private Process signalled(String config, String... args) throws IOException {
+    private Process startSignalled(String config, String... args) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
-        List<String> command = new ArrayList<>(
-                List.of(Program.java(), "-cp", System.getProperty("java.class.path"), "sandstack.SignalledStart"));
+        List<String> command = new ArrayList<>(List.of(
+                RelayLauncher.java(), "-cp", System.getProperty("java.class.path"), "sandstack.SignalledStart"));
         command.addAll(List.of(args));
-        ProcessBuilder program = new ProcessBuilder(command).redirectErrorStream(true);
-        program.environment().putAll(Map.of("PROXY_CONFIG", file.toString()));
-        Process process = program.start();
+        ProcessBuilder processBuilder = new ProcessBuilder(command).redirectErrorStream(true);
+        processBuilder.environment().putAll(Map.of("PROXY_CONFIG", file.toString()));
+        Process process = processBuilder.start();
         started.add(process);
         return process;
     }
 
-    /** The lines that a client receives for one request; an {@link IOException}'s text last where that ends them. */
-    private static List<String> receivedBy(Socket client, String id, int millis) {
+    /**
+     * Sends one request and returns the lines received until the end of the connection; after an error, its text last.
+     */
+    private static List<String> exchange(Socket client, String id, int millis) {
         List<String> lines = new ArrayList<>();
         try (client) {
             client.setSoTimeout(20_000);
@@ -120,63 +132,69 @@
         return lines;
     }
 
-    /** Whether a client that received these lines has its one answer, and was migrated if it was served. */
-    private static boolean answered(List<? extends String> heard) {
-        String first = heard.isEmpty() ? "" : heard.get(0);
-        // ERR where its deadline passed: that may happen on an overloaded machine
-        return (heard.size() == 1 && (first.startsWith("BUSY") || first.equals("ERR")))
-                || (heard.size() == 2 && first.startsWith("UP ") && heard.get(1).equals("MOVE"));
+    /** Whether these are one rejection or error, or {@code UP} followed by {@code MOVE}. */
+    private static boolean isOneResponse(List<? extends String> received) {
+        String first = received.isEmpty() ? "" : received.get(0);
+        // ERR: the deadline expired, which may happen on an overloaded machine
+        return (received.size() == 1 && (first.startsWith("BUSY") || first.equals("ERR")))
+                || (received.size() == 2
+                        && first.startsWith("UP ")
+                        && received.get(1).equals("MOVE"));
     }
 
-    /** A client that connected before the rest of the start was done was reset without MOVE. */
+    /**
+     * Guards against a shutdown hook that is registered after the listener is open: clients that connected in between
+     * were reset without MOVE.
+     */
     @Test
     void aSignalRightAfterTheListenerIsOpenMigratesTheClientThatConnected() throws Exception {
-        Process relay = signalled(config(discovery.port()), "protocol=lines", "input");
+        Process relay = startSignalled(config(discovery.port()), "protocol=lines", "input");
         BufferedReader log = relay.inputReader();
-        Matcher listens = LISTENS.matcher("");
+        Matcher listens = LISTENER_OPENED.matcher("");
         while (!listens.reset(log.readLine()).find()) {
             continue;
         }
         Socket client = new Socket(LOOPBACK, Integer.parseInt(listens.group(1)));
-        CompletableFuture<List<String>> hears = CompletableFuture.supplyAsync(() -> receivedBy(client, "first", 3_000));
+        CompletableFuture<List<String>> receivedLines =
+                CompletableFuture.supplyAsync(() -> exchange(client, "first", 3_000));
         relay.getOutputStream().write('\n');
         relay.getOutputStream().flush();
-        assertThat(hears.get(20, TimeUnit.SECONDS)).matches(EarlySignalTest::answered);
+        assertThat(receivedLines.get(20, TimeUnit.SECONDS)).matches(EarlySignalTest::isOneResponse);
         assertThat(log.lines().toList())
                 .anyMatch(line -> line.contains("relay stopped"))
                 .noneMatch(line -> line.contains("Exception"));
-        assertThat(relay.waitFor()).isEqualTo(TERMINATED);
+        assertThat(relay.waitFor()).isEqualTo(SIGTERM_EXIT_CODE);
     }
 
     /**
-     * A process that had been told to stop opened its listener all the same, and reset the clients it accepted when it
-     * ended.
+     * Guards against a listener that opens after SIGTERM: the clients that it accepts would be reset when the process
+     * exits.
      */
     @Test
     void aSignalBeforeTheListenerIsOpenKeepsItShut() throws Exception {
-        String pushed = config(Program.freePort()).replace("on_request", "pushed");
-        Process relay = signalled(pushed, "discovery watch failed reason=\"no connection\"");
+        String pushed = config(RelayLauncher.freePort()).replace("on_request", "pushed");
+        Process relay = startSignalled(pushed, "discovery watch failed reason=\"no connection\"");
         assertThat(relay.inputReader().lines().toList())
                 .anyMatch(line -> line.contains("discovery watch failed reason=\"no connection\""))
                 .noneMatch(line -> line.contains("listener opened") || line.contains("Exception"));
-        assertThat(relay.waitFor()).isEqualTo(TERMINATED);
+        assertThat(relay.waitFor()).isEqualTo(SIGTERM_EXIT_CODE);
     }
 
-    /** One start, and what became of it. */
+    /** One started process and the responses to the clients that connected to it. */
     private final class Start {
         final int port;
         final String name;
         final Process process;
         final ConcurrentLinkedQueue<CompletableFuture<List<String>>> clients = new ConcurrentLinkedQueue<>();
 
-        Start(Program program, String name) throws IOException {
+        Start(RelayLauncher launcher, String name) throws IOException {
             this.name = name;
-            port = Program.freePort();
+            port = RelayLauncher.freePort();
             Path file = Files.writeString(folder.resolve(name + ".json"), config(discovery.port()));
-            process = program.startAt(port, name, file);
+            process = launcher.startAt(port, name, file);
         }
 
-        /** Connects one client after another until then, as soon as the listener is open. */
+        /** Connects clients at an interval of 2 ms until this time or the exit of the process. */
         void connectUntil(long nanos) throws Exception {
             while (System.nanoTime() < nanos && process.isAlive()) {
                 connect();
@@ -184,116 +202,113 @@
             }
         }
 
-        void connectOnce() throws Exception {
-            for (long end = after(20_000); clients.isEmpty() && System.nanoTime() < end; ) {
+        void connectFirst() throws Exception {
+            for (long end = nanosAfter(20_000); clients.isEmpty() && System.nanoTime() < end; ) {
                 connect();
             }
-            assertThat(clients).as("a client that came to " + name).isNotEmpty();
+            assertThat(clients).as("clients that connected to " + name).isNotEmpty();
         }
 
         private void connect() throws IOException {
             try {
                 Socket client = new Socket(LOOPBACK, port);
                 String id = "id" + clients.size();
-                clients.add(CompletableFuture.supplyAsync(() -> receivedBy(client, id, 300), task -> {
+                clients.add(CompletableFuture.supplyAsync(() -> exchange(client, id, 300), task -> {
                     Thread thread = new Thread(task);
                     thread.setDaemon(true);
                     thread.start();
                 }));
             } catch (ConnectException e) {
-                // not listening yet, or not any more
+                // not listening yet, or no longer
             }
         }
     }
 
-    private static long after(long millis) {
+    private static long nanosAfter(long millis) {
         return System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    /** Stops the process now; each client that connected to it has its answer. */
-    private void stopGracefully(Program program, Start start) throws Exception {
+    /** Sends SIGTERM and checks the log, the exit code and that each connected client got its response. */
+    private void stopGracefully(RelayLauncher launcher, Start start) throws Exception {
         start.process.destroy();
-        start.connectUntil(after(STILL_COMING_MILLIS));
+        start.connectUntil(nanosAfter(CONNECTING_AFTER_SIGNAL_MILLIS));
         assertThat(start.process.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        String log = program.log(start.name);
-        if (log.startsWith(VIRTUAL_MACHINE_NOT_STARTED)) {
+        String log = launcher.log(start.name);
+        if (log.startsWith(JVM_NOT_INITIALIZED)) {
             assertThat(start.clients).isEmpty();
             return;
         }
-        assertThat(start.process.exitValue()).as(start.name + ": " + log).isEqualTo(TERMINATED);
+        assertThat(start.process.exitValue()).as(start.name + ": " + log).isEqualTo(SIGTERM_EXIT_CODE);
         assertThat(log).doesNotContain("Exception", "SEVERE");
         for (CompletableFuture<List<String>> client : start.clients) {
             assertThat(client.get(20, TimeUnit.SECONDS))
-                    .as("what a client heard of " + start.name + ": " + log)
-                    .matches(EarlySignalTest::answered);
+                    .as("lines that a client received from " + start.name + ": " + log)
+                    .matches(EarlySignalTest::isOneResponse);
         }
     }
 
-    /**
-     * Stops a process as soon as its first client has connected; returns how many milliseconds after its start that
-     * was.
-     */
-    private long stoppedAtItsFirstClient(Program program) throws Exception {
-        long began = System.nanoTime();
-        Start start = new Start(program, "first");
-        start.connectOnce();
-        long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
-        stopGracefully(program, start);
-        return took;
+    /** Stops a process as soon as its first client has connected; returns the milliseconds from start to connection. */
+    private long stopAtFirstClient(RelayLauncher launcher) throws Exception {
+        long startNanos = System.nanoTime();
+        Start start = new Start(launcher, "first");
+        start.connectFirst();
+        long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
+        stopGracefully(launcher, start);
+        return elapsedMillis;
     }
 
-    private Void stoppedAfter(Program program, long millis) throws Exception {
-        Start start = new Start(program, "after" + millis);
-        start.connectUntil(after(millis));
-        stopGracefully(program, start);
+    private Void stopAfter(RelayLauncher launcher, long millis) throws Exception {
+        Start start = new Start(launcher, "after" + millis);
+        start.connectUntil(nanosAfter(millis));
+        stopGracefully(launcher, start);
         return null;
     }
 
-    /** Whenever the signal comes: each accepted client has an answer, and MOVE after UP. */
+    /** Each accepted client gets a response, and MOVE after UP. */
     @Test
     void aSignalAtAnyTimeOfAStartResetsNoClient() throws Exception {
-        Program program = new Program(folder);
-        ExecutorService starting = Executors.newFixedThreadPool(AT_ONCE);
+        RelayLauncher launcher = new RelayLauncher(folder);
+        ExecutorService executor = Executors.newFixedThreadPool(PARALLEL_STARTS);
         try {
-            long listensAfter = stoppedAtItsFirstClient(program);
+            long startupMillis = stopAtFirstClient(launcher);
             List<Future<Void>> stopped = new ArrayList<>();
-            for (int step = 0; step < STEPS; step++) {
-                long millis = 2 * listensAfter * step / STEPS;
-                stopped.add(starting.submit(() -> stoppedAfter(program, millis)));
+            for (int step = 0; step < SIGNAL_TIMES; step++) {
+                long millis = 2 * startupMillis * step / SIGNAL_TIMES;
+                stopped.add(executor.submit(() -> stopAfter(launcher, millis)));
             }
             for (Future<Void> start : stopped) {
                 start.get();
             }
         } finally {
-            starting.shutdownNow();
-            program.stop();
+            executor.shutdownNow();
+            launcher.stop();
         }
     }
 
-    /** Nothing that a killed process leaves behind keeps the next one from its address. */
+    /** A process that was killed leaves nothing behind that prevents the next one from binding its address. */
     @Test
-    void aKillAtAnyTimeOfAStartLeavesRoomForTheNextProcess() throws Exception {
-        Program program = new Program(folder);
+    void aKillAtAnyTimeOfAStartLeavesTheAddressFree() throws Exception {
+        RelayLauncher launcher = new RelayLauncher(folder);
         try {
-            long listensAfter = stoppedAtItsFirstClient(program);
+            long startupMillis = stopAtFirstClient(launcher);
             for (int step = 0; step < 4; step++) {
-                Start killed = new Start(program, "killed" + step);
-                killed.connectUntil(after(listensAfter * step / 2));
+                Start killed = new Start(launcher, "killed" + step);
+                killed.connectUntil(nanosAfter(startupMillis * step / 2));
                 killed.process.destroyForcibly();
                 assertThat(killed.process.waitFor(20, TimeUnit.SECONDS)).isTrue();
                 String next = "next" + step;
-                Process process = program.startAt(killed.port, next, folder.resolve(killed.name + ".json"));
-                assertThat(program.port(next)).isEqualTo(killed.port);
+                Process process = launcher.startAt(killed.port, next, folder.resolve(killed.name + ".json"));
+                assertThat(launcher.port(next)).isEqualTo(killed.port);
                 Socket client = new Socket(LOOPBACK, killed.port);
-                CompletableFuture<List<String>> hears =
-                        CompletableFuture.supplyAsync(() -> receivedBy(client, "next", 300));
+                CompletableFuture<List<String>> receivedLines =
+                        CompletableFuture.supplyAsync(() -> exchange(client, "next", 300));
                 process.destroy();
-                assertThat(hears.get(20, TimeUnit.SECONDS)).matches(EarlySignalTest::answered);
+                assertThat(receivedLines.get(20, TimeUnit.SECONDS)).matches(EarlySignalTest::isOneResponse);
                 assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
-                assertThat(program.log(next)).contains("relay stopped").doesNotContain("Exception", "SEVERE");
+                assertThat(launcher.log(next)).contains("relay stopped").doesNotContain("Exception", "SEVERE");
             }
         } finally {
-            program.stop();
+            launcher.stop();
         }
     }
 }
--- a/src/test/java/sandstack/FleetSwitchTest.java
+++ b/src/test/java/sandstack/FleetSwitchTest.java
@@ -14,38 +14,43 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Nobody turns the fleet on, or leaves it off, by accident: it takes the file and the command. */
+/** A relay is a fleet member only if {@code deploy/fleet.toml} is enabled and the command has {@code --fleet}. */
 @Timeout(60)
 class FleetSwitchTest {
-    private static final Pattern LISTENS = Pattern.compile("listener opened relay=\\S+ protocol=lines ");
+    private static final Pattern LISTENER_OPENED = Pattern.compile("listener opened relay=\\S+ protocol=lines ");
 
     @TempDir
     Path folder;
 
-    /** What a command ended with, and its last line. */
-    private record Ended(int code, String said) {}
+    /**
+     * The exit of a command.
+     *
+     * @param code the exit code
+     * @param errors its output lines that mention fleet.toml
+     */
+    private record Exit(int code, String errors) {}
 
-    /** The very run of deploy/balancer.toml, with these words after it, on the classes of this build. */
-    private List<String> run(String... more) throws Exception {
+    /** The command {@code run} of deploy/balancer.toml on the classes under test, with these arguments appended. */
+    private List<String> run(String... arguments) throws Exception {
         String run = new TomlMapper()
                 .readTree(Files.readString(Path.of("deploy/balancer.toml")))
                 .path("run")
                 .asText();
         assertThat(run).contains("-jar target/sandstack.jar serve").doesNotContain("fleet");
-        List<String> words = new ArrayList<>(List.of(run.replaceFirst("^exec ", "")
+        List<String> command = new ArrayList<>(List.of(run.replaceFirst("^exec ", "")
                 .replaceFirst("-XX:SharedArchiveFile=\\S+", "-Xshare:auto")
                 .replace(
                         "-jar target/sandstack.jar",
                         "-verbose:class -Dsandstack.deploy=" + folder + " -cp " + System.getProperty("java.class.path")
                                 + " sandstack.Main")
                 .split(" ")));
-        words.set(0, SocketHolder.java());
-        words.addAll(List.of(more));
-        return words;
+        command.set(0, SocketHolder.java());
+        command.addAll(List.of(arguments));
+        return command;
     }
 
-    private Process start(List<String> words) throws Exception {
-        ProcessBuilder builder = new ProcessBuilder(words)
+    private Process start(List<String> command) throws Exception {
+        ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(folder.resolve("out").toFile());
         builder.environment().put("PROXY_CONFIG", "examples/config.json");
@@ -53,47 +58,47 @@
         return builder.start();
     }
 
-    private String out() throws Exception {
+    private String output() throws Exception {
         return Files.readString(folder.resolve("out"), StandardCharsets.UTF_8);
     }
 
-    private Ended ended(List<String> words) throws Exception {
-        Process process = start(words);
+    private Exit awaitExit(List<String> command) throws Exception {
+        Process process = start(command);
         assertThat(process.waitFor(30, TimeUnit.SECONDS)).isTrue();
-        List<String> said =
-                out().lines().filter(line -> line.contains("fleet.toml")).toList();
-        return new Ended(process.exitValue(), String.join("\n", said));
+        List<String> errors =
+                output().lines().filter(line -> line.contains("fleet.toml")).toList();
+        return new Exit(process.exitValue(), String.join("\n", errors));
     }
 
     @Test
-    void anEnabledFileAloneEndsWithTwo() throws Exception {
+    void enabledFileWithoutOptionExitsWith2() throws Exception {
         Files.writeString(
                 folder.resolve("fleet.toml"),
                 Files.readString(Path.of("deploy/fleet.toml")).replace("enabled = false", "enabled = true"));
-        assertThat(ended(run()))
-                .isEqualTo(new Ended(
+        assertThat(awaitExit(run()))
+                .isEqualTo(new Exit(
                         2, "serve: fleet.toml: enabled is true, but the command does not say --fleet; it takes both"));
     }
 
     @Test
-    void theOptionAloneEndsWithTwo() throws Exception {
+    void optionWithDisabledFileExitsWith2() throws Exception {
         Files.copy(Path.of("deploy/fleet.toml"), folder.resolve("fleet.toml"));
-        assertThat(ended(run("--fleet")))
-                .isEqualTo(new Ended(
+        assertThat(awaitExit(run("--fleet")))
+                .isEqualTo(new Exit(
                         2, "serve: fleet.toml: enabled is false, but the command says --fleet; it takes both"));
     }
 
     @Test
-    void asShippedNothingOfItIsLoaded() throws Exception {
+    void shippedConfigurationLoadsNoFleetClass() throws Exception {
         Files.copy(Path.of("deploy/fleet.toml"), folder.resolve("fleet.toml"));
         Process process = start(run());
-        while (!LISTENS.matcher(out()).find()) {
-            assertThat(process.isAlive()).as(out()).isTrue();
+        while (!LISTENER_OPENED.matcher(output()).find()) {
+            assertThat(process.isAlive()).as(output()).isTrue();
         }
         assertThat(process.descendants()).isEmpty();
         process.destroy();
         assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(out())
+        assertThat(output())
                 .contains("sandstack.core.Relay")
                 .doesNotContain(
                         "sandstack.fleet",
--- a/src/test/java/sandstack/PushedListTest.java
+++ b/src/test/java/sandstack/PushedListTest.java
@@ -17,11 +17,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The program where an agent has each change whether or not it is asked: what it has binds from the first moment, and
- * again at once after silence and after an outage.
+ * A relay beside a local discovery agent that receives each change without being polled ({@code membership_mode}
+ * {@code pushed}). The agent's list applies before the first client is accepted, and again at once after silence and
+ * after an outage.
  */
 class PushedListTest {
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     @TempDir
     Path folder;
@@ -42,15 +43,15 @@
                 .replaceFirst("(\"discovery\": *)\"[^\"]*\"", "$1\"127.0.0.1:" + port + "\"");
         assertThat(config).contains("on_request");
         Path file = Files.writeString(folder.resolve("config.json"), config.replace("on_request", "pushed"));
-        ProcessBuilder program = new ProcessBuilder(
+        ProcessBuilder processBuilder = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin/java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
                         "sandstack.Main",
                         "serve")
                 .redirectErrorStream(true);
-        program.environment().put("PROXY_CONFIG", file.toString());
-        relay = program.start();
+        processBuilder.environment().put("PROXY_CONFIG", file.toString());
+        relay = processBuilder.start();
         log = relay.inputReader();
     }
 
@@ -60,14 +61,14 @@
         agent.close();
     }
 
-    private void answer() throws Exception {
+    private void acceptWatch() throws Exception {
         watch = agent.accept();
         BufferedReader in = new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.UTF_8));
         assertThat(in.readLine()).startsWith("GET /registry/instances?watch=1");
-        watch.getOutputStream().write(HEAD.getBytes(StandardCharsets.UTF_8));
+        watch.getOutputStream().write(RESPONSE_HEAD.getBytes(StandardCharsets.UTF_8));
     }
 
-    private void tell(int rev, String state) throws Exception {
+    private void sendList(int rev, String state) throws Exception {
         String text = "{\"rev\":" + rev + ",\"all\":true,\"targets\":[{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.1:9\","
                 + "\"az\":\"ulaanbaatar\",\"state\":\"" + state + "\",\"capacity_hint\":1,\"boot_ms\":0}]}\n";
         watch.getOutputStream()
@@ -79,25 +80,25 @@
         while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertThat(line).as("a log line with: " + text).isNotNull();
+        assertThat(line).as("log line with: " + text).isNotNull();
         return line;
     }
 
-    /** Without a watch where lists are pushed, clients would be placed by the list of the last run. */
+    /** Without the watch before the first client, clients would be placed by the outdated list of the configuration. */
     @Test
-    void asksBeforeItTakesClientsAndAgainAtOnceAfterSilenceAndOutage() throws Exception {
-        answer();
-        tell(50, "ready");
+    void opensTheWatchBeforeTheListenerAndAgainAtOnceAfterSilenceAndOutage() throws Exception {
+        acceptWatch();
+        sendList(50, "ready");
         awaitLogged(" protocol=lines address=");
 
-        // silence: the watch is closed, and the next one is opened without the backoff of a shared discovery
+        // silence: the relay closes the watch and opens the next one without the backoff that a shared discovery needs
         awaitLogged("discovery watch failed reason=\"no data for");
-        long silent = System.nanoTime();
-        answer();
-        long asked = System.nanoTime() - silent;
-        tell(51, "ready");
+        long silenceNanos = System.nanoTime();
+        acceptWatch();
+        long reopenedNanos = System.nanoTime() - silenceNanos;
+        sendList(51, "ready");
 
-        // an outage: the agent refuses connections, then recovers; its list applies at once
+        // outage: the agent refuses connections, then recovers; its list applies at once
         agent.close();
         watch.setSoLinger(true, 0);
         watch.close();
@@ -107,17 +108,17 @@
         agent.setReuseAddress(true);
         agent.setSoTimeout(20_000);
         agent.bind(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-        long back = System.nanoTime();
-        answer();
-        long told = System.nanoTime() - back;
+        long recoveryNanos = System.nanoTime();
+        acceptWatch();
+        long reconnectedNanos = System.nanoTime() - recoveryNanos;
         assertThat(relay.isAlive()).isTrue();
-        assertThat(TimeUnit.NANOSECONDS.toMillis(asked)).isLessThan(2_000);
-        assertThat(TimeUnit.NANOSECONDS.toMillis(told)).isLessThan(2_000);
+        assertThat(TimeUnit.NANOSECONDS.toMillis(reopenedNanos)).isLessThan(2_000);
+        assertThat(TimeUnit.NANOSECONDS.toMillis(reconnectedNanos)).isLessThan(2_000);
     }
 
-    /** A silent agent delays a new process for a second, and not for good. */
+    /** A silent agent delays the listener by one second only. */
     @Test
-    void servesByTheListThatItWasGivenWhereTheAgentIsSilent() throws Exception {
+    void servesWithTheConfiguredListWhileTheAgentIsSilent() throws Exception {
         awaitLogged(" protocol=lines address=");
         assertThat(relay.isAlive()).isTrue();
     }
--- a/src/test/java/sandstack/FirstTryTest.java
+++ b/src/test/java/sandstack/ReadmeCommandsTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What a newcomer does first: the README's own command lines, typed as written, from the root. */
-class FirstTryTest {
-    private static final long SECONDS = 20;
+/** The README's command lines work as written, run by a shell in the root directory. */
+class ReadmeCommandsTest {
+    private static final long TIMEOUT_SECONDS = 20;
     private static final int CLIENTS = 300;
     private static final int GROUPS = 20;
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The README's lines that start the program, in their order. */
+    /** The indented lines of the README that run the jar, in their order. */
     private static List<String> commandLines() throws IOException {
         return Files.readAllLines(Path.of("README.md")).stream()
                 .filter(line -> line.startsWith("    ") && line.contains("-jar target/sandstack.jar"))
@@ -46,8 +46,10 @@
                 .toList();
     }
 
-    /** Types a line at a shell in the root. The tests run before the jar is made: the classes are the same. */
-    private Process type(String line) throws IOException {
+    /**
+     * Runs a line by a shell in the root directory, on the classes under test: the jar does not exist before the tests.
+     */
+    private Process run(String line) throws IOException {
         Process p = new ProcessBuilder(
                         "/bin/sh",
                         "-c",
@@ -62,27 +64,27 @@
         return p;
     }
 
-    /** Reads until a line has these words; what was read. */
-    private static String readUntil(Process p, String words) throws Exception {
+    /** Reads until a line contains this text; returns all that was read. */
+    private static String readUntil(Process p, String text) throws Exception {
         return CompletableFuture.supplyAsync(() -> {
-                    StringBuilder said = new StringBuilder();
+                    StringBuilder output = new StringBuilder();
                     BufferedReader in = p.inputReader();
                     try {
                         for (String line = in.readLine(); line != null; line = in.readLine()) {
-                            said.append(line).append('\n');
-                            if (line.contains(words)) {
-                                return said.toString();
+                            output.append(line).append('\n');
+                            if (line.contains(text)) {
+                                return output.toString();
                             }
                         }
                     } catch (IOException e) {
-                        said.append(e);
+                        output.append(e);
                     }
-                    throw new IllegalStateException("never said " + words + ": " + said);
+                    throw new IllegalStateException("no line with " + text + " in: " + output);
                 })
-                .get(SECONDS, TimeUnit.SECONDS);
+                .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private String ask(int i) throws IOException {
+    private String connect(int i) throws IOException {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), 3000);
         clients.add(client);
         client.setSoTimeout(5_000);
@@ -93,30 +95,32 @@
     }
 
     @Test
-    void theReadmesLinesServeAndSoAreThreeHundredClientsOfTwoIdleServers() throws Exception {
+    void readmeCommandsServeThreeHundredClientsWithTwoIdleServers() throws Exception {
         List<String> lines = commandLines();
-        assertThat(lines).as("the stand-ins, the relay, one connection by hand").hasSize(3);
-        readUntil(type(lines.get(0)), "2 feed servers");
-        Process console = type(lines.get(1));
+        assertThat(lines)
+                .as("README lines: the test servers, the relay, one connection")
+                .hasSize(3);
+        readUntil(run(lines.get(0)), "2 feed servers");
+        Process console = run(lines.get(1));
         console.outputWriter().append("listeners\n").flush();
         readUntil(console, "lines at 127.0.0.1:3000");
-        Process open = type(lines.get(2));
+        Process open = run(lines.get(2));
         assertThat(new String(open.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
                         .lines()
                         .toList())
-                .satisfies(said -> assertThat(said.get(0)).startsWith("UP "))
-                .satisfies(said -> assertThat(said.get(1)).isEqualTo("hello"))
+                .satisfies(output -> assertThat(output.get(0)).startsWith("UP "))
+                .satisfies(output -> assertThat(output.get(1)).isEqualTo("hello"))
                 .hasSize(2);
         assertThat(open.waitFor()).isZero();
-        List<String> refused = new ArrayList<>();
+        List<String> rejected = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            String answer = ask(i);
+            String answer = connect(i);
             if (answer == null || !answer.startsWith("UP ")) {
-                refused.add(answer);
+                rejected.add(answer);
             }
         }
-        assertThat(refused)
-                .as("of %d clients that tell no load, at idle feed servers", CLIENTS)
+        assertThat(rejected)
+                .as("rejected of %d clients without load reports at idle feed servers", CLIENTS)
                 .isEmpty();
     }
 }
--- a/src/test/java/sandstack/Program.java
+++ b/src/test/java/sandstack/RelayLauncher.java
@@ -19,17 +19,18 @@
 import sandstack.service.RelayService;
 
 /**
- * The program as {@code run} of deploy/balancer.toml starts it, from a jar and a class archive made of the classes
- * under test: neither is built yet when tests run. One log file a process, in the test's folder.
+ * Starts relays with the command {@code run} of deploy/balancer.toml. The jar and the class archive are made of the
+ * classes under test, as the build makes its own only after the tests. Each process logs to its own file in the test's
+ * folder.
  */
-final class Program {
+final class RelayLauncher {
     private final Path folder;
     private final String classPath;
     private final Path archive;
     private final List<Process> started = new CopyOnWriteArrayList<>();
 
-    /** Makes jar and archive; about two seconds. */
-    Program(Path folder) throws Exception {
+    /** Makes the jar and the archive, in about two seconds. */
+    RelayLauncher(Path folder) throws Exception {
         this.folder = folder;
         Path jar = folder.resolve("program.jar");
         Path classes = Path.of(RelayService.class
@@ -71,8 +72,8 @@
     }
 
     /**
-     * The example's configuration with this discovery and so many descriptors; it listens at a port of the system's
-     * choice.
+     * Writes the example configuration with this discovery port and this limit on descriptors. The relay listens at an
+     * ephemeral port.
      */
     Path config(String name, int discovery, int sockets) throws IOException {
         return Files.writeString(
@@ -84,12 +85,12 @@
     }
 
     /**
-     * Starts one relay at a port of the system's choice.
+     * Starts one relay at an ephemeral port.
      *
-     * @param around words before the command, as {@code taskset -c 0}
+     * @param prefix prefix of the command, such as {@code taskset -c 0}; may be empty
      */
-    Process start(String around, String name, Path config) throws IOException {
-        return process(List.of("/bin/sh", "-c", command(around)), name, config, 0);
+    Process start(String prefix, String name, Path config) throws IOException {
+        return process(List.of("/bin/sh", "-c", command(prefix)), name, config, 0);
     }
 
     /** Starts one relay that listens at this port. */
@@ -97,14 +98,14 @@
         return process(List.of("/bin/sh", "-c", command("")), name, config, port);
     }
 
-    private String command(String around) throws IOException {
+    private String command(String prefix) throws IOException {
         String run = Files.readString(Path.of("deploy/balancer.toml"))
                 .lines()
                 .filter(line -> line.startsWith("run = "))
                 .map(line -> line.substring(line.indexOf('"') + 1, line.lastIndexOf('"')))
                 .findFirst()
                 .orElseThrow();
-        String command = run.replace("exec java ", "exec " + around + " " + java() + " ")
+        String command = run.replace("exec java ", "exec " + prefix + " " + java() + " ")
                 .replace("target/sandstack.jsa", archive.toString())
                 .replace("-jar target/sandstack.jar", "-cp " + classPath + " sandstack.Main");
         assertThat(command).contains(archive.toString(), "sandstack.Main serve");
@@ -125,7 +126,7 @@
         return Files.readString(folder.resolve(name + ".log"));
     }
 
-    /** Waits for a line with this text; returns the line. */
+    /** Waits for a line with this text in a relay's log; returns the line. */
     String awaitLogged(String name, String text) throws Exception {
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(40); System.nanoTime() < end; Thread.sleep(20)) {
             for (String line : log(name).split("\n", 0)) {
@@ -134,10 +135,10 @@
                 }
             }
         }
-        throw new AssertionError("not logged: " + text + "; but " + log(name));
+        throw new AssertionError("not logged: " + text + "; log: " + log(name));
     }
 
-    /** Waits until this relay serves; returns its port. */
+    /** Waits until a relay's listener for the line protocol is open; returns its port. */
     int port(String name) throws Exception {
         String line = awaitLogged(name, " protocol=lines address=");
         return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).trim());
@@ -147,7 +148,7 @@
         started.forEach(Process::destroyForcibly);
     }
 
-    /** A port that nobody listens at now. */
+    /** Returns a port that is free now; another process may bind it before the caller does. */
     static int freePort() throws IOException {
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return probe.getLocalPort();
--- a/src/test/java/sandstack/ReloadTest.java
+++ b/src/test/java/sandstack/ReloadTest.java
@@ -19,7 +19,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as the platform runs it, under the signals that the platform sends. */
+/**
+ * A relay process configured as on the platform: SIGHUP reloads the configuration file, SIGTERM shuts down gracefully.
+ */
 class ReloadTest {
     @TempDir
     Path folder;
@@ -39,18 +41,18 @@
         second = discovery();
         file = folder.resolve("config.json");
         replaceConfig(example(first));
-        ProcessBuilder program = new ProcessBuilder(
+        ProcessBuilder processBuilder = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin/java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
                         "sandstack.Main",
                         "serve")
                 .redirectErrorStream(true);
-        program.environment().put("PROXY_CONFIG", file.toString());
-        // as on the platform, the variable keeps the address of the start
-        program.environment().put("PROXY_DISCOVERY", address(first));
-        program.environment().put("PROXY_OPERATOR", "127.0.0.1:0");
-        relay = program.start();
+        processBuilder.environment().put("PROXY_CONFIG", file.toString());
+        // as on the platform, the variable keeps the initial address when the file changes
+        processBuilder.environment().put("PROXY_DISCOVERY", address(first));
+        processBuilder.environment().put("PROXY_OPERATOR", "127.0.0.1:0");
+        relay = processBuilder.start();
         log = relay.inputReader();
     }
 
@@ -98,7 +100,7 @@
         while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertThat(line).as("a log line with: " + text).isNotNull();
+        assertThat(line).as("log line with: " + text).isNotNull();
     }
 
     private String call(String call) throws Exception {
@@ -108,7 +110,7 @@
         }
     }
 
-    /** Sends SIGHUP, and waits until so many files have been applied and so many rejected. */
+    /** Sends SIGHUP, and waits until the metrics count these numbers of applied and rejected configurations. */
     private void reload(int applied, int rejected) throws Exception {
         signal("HUP");
         String info = call("INFO");
@@ -119,7 +121,7 @@
         }
     }
 
-    /** The answer to a request of this class: its feed servers cannot be reached, so a known class is rejected. */
+    /** The response to a request of this class: {@code BUSY} for a configured class, as no feed server is reachable. */
     private String open(String requestClass) throws Exception {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), clientPort)) {
             socket.getOutputStream()
@@ -131,13 +133,14 @@
 
     @Test
     void appliesCompleteSettingsAndRejectsIncompleteOnes() throws Exception {
-        Matcher m = Pattern.compile("listener opened relay=\\S+ protocol=(operators|lines) address=127.0.0.1:([0-9]+)")
+        Matcher listenerOpened = Pattern.compile(
+                        "listener opened relay=\\S+ protocol=(operators|lines) address=127.0.0.1:([0-9]+)")
                 .matcher("");
         while (operatorPort == 0 || clientPort == 0) {
-            if (m.reset(log.readLine()).find()) {
-                int port = Integer.parseInt(m.group(2));
-                operatorPort = m.group(1).equals("operators") ? port : operatorPort;
-                clientPort = m.group(1).equals("lines") ? port : clientPort;
+            if (listenerOpened.reset(log.readLine()).find()) {
+                int port = Integer.parseInt(listenerOpened.group(2));
+                operatorPort = listenerOpened.group(1).equals("operators") ? port : operatorPort;
+                clientPort = listenerOpened.group(1).equals("lines") ? port : clientPort;
             }
         }
         String before = example(first);
@@ -150,13 +153,13 @@
         assertThat(open("price-feed")).startsWith("BUSY");
         assertThat(open("catalogue-feed")).isEqualTo("ERR\r\n");
         int rejected = 0;
-        for (String wrong : List.of(
+        for (String invalid : List.of(
                 "",
                 after.substring(0, 900),
                 after.replace("\"max_attempts\": 2,", ""),
                 after.replace("\"max_attempts\": 2", "\"max_attempts\": \"two\""),
                 before.replace("\"deadline_us\": 3000000", "\"deadline_us\": 0"))) {
-            replaceConfig(wrong);
+            replaceConfig(invalid);
             reload(1, ++rejected);
             assertThat(open("price-feed")).startsWith("BUSY");
             assertThat(open("catalogue-feed")).isEqualTo("ERR\r\n");
@@ -170,7 +173,7 @@
     }
 
     @Test
-    void followsTheFileAtSighupAndShutsDownGracefullyAtSigterm() throws Exception {
+    void reloadsTheFileAtSighupAndShutsDownGracefullyAtSigterm() throws Exception {
         assertThat(awaitPoll(first)).contains("watch=1&from=");
         replaceConfig(example(second));
         signal("HUP");
--- a/src/test/java/sandstack/ReloadUnderTrafficTest.java
+++ b/src/test/java/sandstack/ReloadUnderTrafficTest.java
@@ -25,54 +25,54 @@
 import sandstack.testserver.ServerProfile;
 import sandstack.testserver.TestServerLoop;
 
-/** SIGHUP after SIGHUP under steady traffic: settings and discovery change, and no client notices. */
+/** Repeated SIGHUP under steady traffic: settings and discovery change while no connection and no line is lost. */
 @Timeout(60)
 class ReloadUnderTrafficTest {
-    private static final Pattern LISTENS =
+    private static final Pattern LISTENER_OPENED =
             Pattern.compile("listener opened relay=\\S+ protocol=lines address=127.0.0.1:([0-9]+)");
     private static final int RELOADS = 10;
-    private static final int STANDING = 40;
-    private static final long LINE_EVERY = 20_000;
-    private static final long CLIENT_EVERY = 5_000;
-    private static final long STAYS = 300_000;
-    private static final long PATIENCE = 5_000_000;
+    private static final int LONG_LIVED_CLIENTS = 40;
+    private static final long LINE_INTERVAL_MICROS = 20_000;
+    private static final long CLIENT_INTERVAL_MICROS = 5_000;
+    private static final long CONNECTION_LIFE_MICROS = 300_000;
+    private static final long RESPONSE_TIMEOUT_MICROS = 5_000_000;
 
     @TempDir
     Path folder;
 
-    private final TestServerLoop standInLoop;
+    private final TestServerLoop testServerLoop;
     private final List<FakeDiscovery> discoveries = new ArrayList<>();
     private final List<FakeFeedServer> servers = new ArrayList<>();
-    private final Map<EventType, Integer> happened = new EnumMap<>(EventType.class);
-    private final List<LineClient> stay = new ArrayList<>();
+    private final Map<EventType, Integer> eventCounts = new EnumMap<>(EventType.class);
+    private final List<LineClient> longLivedClients = new ArrayList<>();
     private Process relay;
     private BufferedReader log;
     private int port;
-    private int asked;
-    private long lines;
-    private boolean traffic = true;
+    private int clientCount;
+    private long roundTrips;
+    private boolean connecting = true;
 
     ReloadUnderTrafficTest() throws IOException {
-        standInLoop = new TestServerLoop();
+        testServerLoop = new TestServerLoop();
         for (int i = 0; i < 2; i++) {
-            discoveries.add(standInLoop.create(() -> new FakeDiscovery(standInLoop)));
+            discoveries.add(testServerLoop.create(() -> new FakeDiscovery(testServerLoop)));
             String uid = "s" + i;
-            servers.add(
-                    standInLoop.create(() -> new FakeFeedServer(standInLoop, uid, "home", ServerProfile.UNLIMITED)));
+            servers.add(testServerLoop.create(
+                    () -> new FakeFeedServer(testServerLoop, uid, "home", ServerProfile.UNLIMITED)));
         }
-        // both discoveries know both servers: a move between them changes no placement
-        standInLoop.run(() -> discoveries.forEach(d -> servers.forEach(s -> d.publish(s, "box", 1, "ready"))));
+        // both discoveries list both servers, so that a change of discovery changes no placement
+        testServerLoop.run(() -> discoveries.forEach(d -> servers.forEach(s -> d.publish(s, "box", 1, "ready"))));
     }
 
     @AfterEach
     void end() throws Exception {
-        standInLoop.close();
+        testServerLoop.close();
         if (relay != null) {
             relay.destroyForcibly().waitFor();
         }
     }
 
-    /** The configuration of this reload: every second has another class, fewer attempts and the other discovery. */
+    /** The configuration of a reload; odd ones have another class, fewer attempts and the other discovery. */
     private String config(int reload) throws IOException {
         String text = Files.readString(Path.of("examples/config.json"))
                 .replace("127.0.0.1:3000", "127.0.0.1:0")
@@ -92,9 +92,9 @@
                         String line;
                         do {
                             line = log.readLine();
-                            assertThat(line).as("a log line with: " + text).isNotNull();
-                            Matcher m = LISTENS.matcher(line);
-                            port = m.find() ? Integer.parseInt(m.group(1)) : port;
+                            assertThat(line).as("log line with: " + text).isNotNull();
+                            Matcher listenerOpened = LISTENER_OPENED.matcher(line);
+                            port = listenerOpened.find() ? Integer.parseInt(listenerOpened.group(1)) : port;
                         } while (!line.contains(text));
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
@@ -103,52 +103,52 @@
                 .get(20, TimeUnit.SECONDS);
     }
 
-    private void heard(LineClient.ClientEvent told) {
-        happened.merge(told.type(), 1, Integer::sum);
-        if (told.type() == EventType.ESTABLISHED) {
-            told.client().sendLines(LINE_EVERY, took -> lines++);
-            if (!stay.contains(told.client())) {
-                standInLoop.schedule(STAYS, told.client()::close);
+    private void onEvent(LineClient.ClientEvent event) {
+        eventCounts.merge(event.type(), 1, Integer::sum);
+        if (event.type() == EventType.ESTABLISHED) {
+            event.client().sendLines(LINE_INTERVAL_MICROS, roundTripMicros -> roundTrips++);
+            if (!longLivedClients.contains(event.client())) {
+                testServerLoop.schedule(CONNECTION_LIFE_MICROS, event.client()::close);
             }
         }
     }
 
-    /** A client that connects, is served and leaves; the next follows at its pace. */
-    private void passing() {
-        if (traffic) {
+    /** Connects a client that closes after {@link #CONNECTION_LIFE_MICROS}, and schedules the next one. */
+    private void connectShortLivedClients() {
+        if (connecting) {
             client();
-            standInLoop.schedule(CLIENT_EVERY, this::passing);
+            testServerLoop.schedule(CLIENT_INTERVAL_MICROS, this::connectShortLivedClients);
         }
     }
 
     private LineClient client() {
-        int number = asked++;
+        int number = clientCount++;
         return new LineClient(
-                standInLoop,
+                testServerLoop,
                 port,
                 "id" + number,
                 "key" + number,
                 "c=order-status,d=3000,g=g" + number % 5,
-                PATIENCE,
-                this::heard);
+                RESPONSE_TIMEOUT_MICROS,
+                this::onEvent);
     }
 
-    /** Clients that have ended, in whatever way. */
-    private int ended() {
-        return happened.entrySet().stream()
+    /** The number of clients whose connection or request has ended, for any reason. */
+    private int endedClients() {
+        return eventCounts.entrySet().stream()
                 .filter(e -> e.getKey() != EventType.ESTABLISHED)
                 .mapToInt(Map.Entry::getValue)
                 .sum();
     }
 
-    private int count(EventType what) {
-        return standInLoop.call(() -> happened.getOrDefault(what, 0));
+    private int count(EventType type) {
+        return testServerLoop.call(() -> eventCounts.getOrDefault(type, 0));
     }
 
     @Test
     void noConnectionAndNoLineIsLostWhileSettingsAndDiscoveryChange() throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), config(0));
-        ProcessBuilder program = new ProcessBuilder(
+        ProcessBuilder processBuilder = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin/java").toString(),
                         "-Dsandstack.deploy=" + folder,
                         "-cp",
@@ -156,20 +156,20 @@
                         "sandstack.Main",
                         "serve")
                 .redirectErrorStream(true);
-        program.environment().put("PROXY_CONFIG", file.toString());
-        relay = program.start();
+        processBuilder.environment().put("PROXY_CONFIG", file.toString());
+        relay = processBuilder.start();
         log = relay.inputReader();
         awaitLogged(" protocol=lines address=");
-        standInLoop.run(() -> {
-            for (int i = 0; i < STANDING; i++) {
-                stay.add(client());
+        testServerLoop.run(() -> {
+            for (int i = 0; i < LONG_LIVED_CLIENTS; i++) {
+                longLivedClients.add(client());
             }
-            passing();
+            connectShortLivedClients();
         });
         for (int reload = 1; reload <= RELOADS; reload++) {
-            // polled, not slept on: so many more were served by these settings before the next ones apply
-            int up = count(EventType.ESTABLISHED);
-            while (count(EventType.ESTABLISHED) < up + 20) {
+            // waits until the current settings have served 20 more clients
+            int establishedBefore = count(EventType.ESTABLISHED);
+            while (count(EventType.ESTABLISHED) < establishedBefore + 20) {
                 assertThat(relay.isAlive()).isTrue();
                 Thread.onSpinWait();
             }
@@ -180,28 +180,31 @@
                     .isZero();
             awaitLogged("configuration reloaded");
         }
-        standInLoop.run(() -> traffic = false);
-        while (standInLoop.call(this::ended) < asked - STANDING) {
+        testServerLoop.run(() -> connecting = false);
+        while (testServerLoop.call(this::endedClients) < clientCount - LONG_LIVED_CLIENTS) {
             assertThat(relay.isAlive()).isTrue();
             Thread.onSpinWait();
         }
-        assertThat(standInLoop.call(() -> Map.copyOf(happened)))
-                .as("served and left, and nothing else")
-                .containsOnly(Map.entry(EventType.ESTABLISHED, asked), Map.entry(EventType.CLOSED, asked - STANDING));
-        assertThat(standInLoop.call(
-                        () -> stay.stream().filter(LineClient::isEstablished).count()))
-                .isEqualTo(STANDING);
-        long heard = standInLoop.call(() -> lines);
-        assertThat(heard).as("lines that came back").isGreaterThan(asked);
-        assertThat(standInLoop.call(() -> stay.stream()
+        assertThat(testServerLoop.call(() -> Map.copyOf(eventCounts)))
+                .as("events of clients: each established, the short-lived ones closed by the client")
+                .containsOnly(
+                        Map.entry(EventType.ESTABLISHED, clientCount),
+                        Map.entry(EventType.CLOSED, clientCount - LONG_LIVED_CLIENTS));
+        assertThat(testServerLoop.call(() -> longLivedClients.stream()
+                        .filter(LineClient::isEstablished)
+                        .count()))
+                .isEqualTo(LONG_LIVED_CLIENTS);
+        long completedRoundTrips = testServerLoop.call(() -> roundTrips);
+        assertThat(completedRoundTrips).as("completed round trips of lines").isGreaterThan(clientCount);
+        assertThat(testServerLoop.call(() -> longLivedClients.stream()
                         .mapToLong(LineClient::lineInFlightMicros)
                         .max()
                         .orElse(0)))
-                .as("microseconds that a line has been out")
+                .as("longest wait for a line in flight, in microseconds")
                 .isLessThan(1_000_000);
         long attempts = servers.stream()
-                .mapToLong(server -> standInLoop.call(server::counters).setups())
+                .mapToLong(server -> testServerLoop.call(server::counters).setups())
                 .sum();
-        assertThat(attempts).as("one attempt each").isEqualTo(asked);
+        assertThat(attempts).as("attempts at feed servers: one per client").isEqualTo(clientCount);
     }
 }
--- a/src/test/java/sandstack/ReloadWhileDrainingTest.java
+++ b/src/test/java/sandstack/ReloadWhileDrainingTest.java
@@ -23,46 +23,46 @@
 import sandstack.testserver.ServerProfile;
 import sandstack.testserver.TestServerLoop;
 
-/** SIGHUP while clients drain: those of a relay that shuts down, and those of a feed server that drains. */
+/** SIGHUP while a relay shuts down gracefully, and while a feed server drains. */
 @Timeout(60)
 class ReloadWhileDrainingTest {
     private static final int CLIENTS = 20;
-    private static final long LINE_EVERY = 20_000;
-    private static final long PATIENCE = 5_000_000;
-    private static final int TERMINATED = 128 + 15;
+    private static final long LINE_INTERVAL_MICROS = 20_000;
+    private static final long RESPONSE_TIMEOUT_MICROS = 5_000_000;
+    private static final int SIGTERM_EXIT_CODE = 128 + 15;
 
     @TempDir
     Path folder;
 
-    private final TestServerLoop standInLoop;
+    private final TestServerLoop testServerLoop;
     private final List<FakeDiscovery> discoveries = new ArrayList<>();
     private final List<FakeFeedServer> servers = new ArrayList<>();
-    private final Map<EventType, Integer> happened = new EnumMap<>(EventType.class);
-    private Program program;
+    private final Map<EventType, Integer> eventCounts = new EnumMap<>(EventType.class);
+    private RelayLauncher launcher;
     private Process relay;
-    private int asked;
+    private int clientCount;
 
     ReloadWhileDrainingTest() throws IOException {
-        standInLoop = new TestServerLoop();
+        testServerLoop = new TestServerLoop();
         for (int i = 0; i < 2; i++) {
-            discoveries.add(standInLoop.create(() -> new FakeDiscovery(standInLoop)));
+            discoveries.add(testServerLoop.create(() -> new FakeDiscovery(testServerLoop)));
             String uid = "s" + i;
-            servers.add(
-                    standInLoop.create(() -> new FakeFeedServer(standInLoop, uid, "home", ServerProfile.UNLIMITED)));
+            servers.add(testServerLoop.create(
+                    () -> new FakeFeedServer(testServerLoop, uid, "home", ServerProfile.UNLIMITED)));
         }
-        standInLoop.run(() -> discoveries.forEach(d -> servers.forEach(s -> d.publish(s, "box", 1, "ready"))));
+        testServerLoop.run(() -> discoveries.forEach(d -> servers.forEach(s -> d.publish(s, "box", 1, "ready"))));
     }
 
     @BeforeEach
     void start() throws Exception {
-        program = new Program(folder);
-        relay = program.start("", "relay", Files.writeString(folder.resolve("relay.json"), config(0, 1_000_000)));
+        launcher = new RelayLauncher(folder);
+        relay = launcher.start("", "relay", Files.writeString(folder.resolve("relay.json"), config(0, 1_000_000)));
     }
 
     @AfterEach
     void stop() {
-        program.stop();
-        standInLoop.close();
+        launcher.stop();
+        testServerLoop.close();
     }
 
     private String config(int discovery, int deadline) throws IOException {
@@ -80,107 +80,107 @@
                         .start()
                         .waitFor())
                 .isZero();
-        program.awaitLogged(
+        launcher.awaitLogged(
                 "relay",
                 "configuration reloaded discovery=127.0.0.1:"
                         + discoveries.get(discovery).port());
     }
 
-    private void heard(LineClient.ClientEvent told) {
-        happened.merge(told.type(), 1, Integer::sum);
-        if (told.type() == EventType.ESTABLISHED) {
-            told.client().sendLines(LINE_EVERY, took -> {});
+    private void onEvent(LineClient.ClientEvent event) {
+        eventCounts.merge(event.type(), 1, Integer::sum);
+        if (event.type() == EventType.ESTABLISHED) {
+            event.client().sendLines(LINE_INTERVAL_MICROS, roundTripMicros -> {});
         }
     }
 
-    private void come(int clients) throws Exception {
-        int port = program.port("relay");
-        standInLoop.run(() -> {
-            for (int i = 0; i < clients; i++, asked++) {
+    private void connectClients(int clients) throws Exception {
+        int port = launcher.port("relay");
+        testServerLoop.run(() -> {
+            for (int i = 0; i < clients; i++, clientCount++) {
                 new LineClient(
-                        standInLoop,
+                        testServerLoop,
                         port,
-                        "id" + asked,
-                        "key" + asked,
-                        "c=order-status,d=1000,g=g" + asked,
-                        PATIENCE,
-                        this::heard);
+                        "id" + clientCount,
+                        "key" + clientCount,
+                        "c=order-status,d=1000,g=g" + clientCount,
+                        RESPONSE_TIMEOUT_MICROS,
+                        this::onEvent);
             }
         });
     }
 
-    /** Polled, not slept on. */
-    private void until(BooleanSupplier state) throws Exception {
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); !standInLoop.call(state::getAsBoolean); ) {
+    /** Waits up to 20 s for a condition that is evaluated on the loop; fails with the events and the log. */
+    private void awaitTrue(BooleanSupplier condition) throws Exception {
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+                !testServerLoop.call(condition::getAsBoolean); ) {
             assertThat(System.nanoTime())
                     .as(
-                            "what became of %d clients: %s; %s",
-                            asked, standInLoop.call(() -> Map.copyOf(happened)), program.log("relay"))
+                            "events of %d clients: %s; log: %s",
+                            clientCount, testServerLoop.call(() -> Map.copyOf(eventCounts)), launcher.log("relay"))
                     .isLessThan(end);
             Thread.sleep(1);
         }
     }
 
-    private int count(EventType what) {
-        return happened.getOrDefault(what, 0);
+    private int count(EventType type) {
+        return eventCounts.getOrDefault(type, 0);
     }
 
-    private int standing(int server) {
+    private int establishedAt(int server) {
         return servers.get(server).counters().established();
     }
 
-    /**
-     * Settings, deadlines and discovery change, twice, while the clients of a relay that shuts down wait for their
-     * migration.
-     */
+    /** Deadlines and discovery change twice while the clients of a relay that shuts down wait for their migration. */
     @Test
     void aDrainingRelayMigratesItsClientsWhateverIsReloadedMeanwhile() throws Exception {
-        come(CLIENTS);
-        until(() -> count(EventType.ESTABLISHED) == CLIENTS);
+        connectClients(CLIENTS);
+        awaitTrue(() -> count(EventType.ESTABLISHED) == CLIENTS);
         relay.destroy();
-        assertThat(program.awaitLogged("relay", "graceful shutdown started")).endsWith(" count=" + CLIENTS);
+        assertThat(launcher.awaitLogged("relay", "graceful shutdown started")).endsWith(" count=" + CLIENTS);
         reload(1, 30_000_000);
         reload(0, 300_000);
         assertThat(relay.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(relay.exitValue()).isEqualTo(TERMINATED);
-        assertThat(program.log("relay")).contains("relay stopped").doesNotContain("SEVERE", "Exception");
-        assertThat(standInLoop.call(() -> Map.copyOf(happened)))
-                .as("served, moved, and nothing else")
+        assertThat(relay.exitValue()).isEqualTo(SIGTERM_EXIT_CODE);
+        assertThat(launcher.log("relay")).contains("relay stopped").doesNotContain("SEVERE", "Exception");
+        assertThat(testServerLoop.call(() -> Map.copyOf(eventCounts)))
+                .as("events of clients: each established and migrated, no other")
                 .containsOnly(Map.entry(EventType.ESTABLISHED, CLIENTS), Map.entry(EventType.MOVED, CLIENTS));
     }
 
-    /** The agent that reported the drain is replaced, and the new one has not sent a list yet. */
+    /** The discovery that listed the server as draining is replaced, and the new one has not sent a list yet. */
     @Test
     void aDrainingFeedServerGetsNothingNewAcrossAChangeOfDiscovery() throws Exception {
-        come(CLIENTS);
-        until(() -> count(EventType.ESTABLISHED) == CLIENTS && standing(0) > 0);
-        // the relay may migrate some of them before their feed server does
-        int stood = standInLoop.call(() -> standing(0));
-        int atTheDrain = standInLoop.call(() -> {
+        connectClients(CLIENTS);
+        awaitTrue(() -> count(EventType.ESTABLISHED) == CLIENTS && establishedAt(0) > 0);
+        // the relay may migrate some of these before their feed server does
+        int establishedBeforeDrain = testServerLoop.call(() -> establishedAt(0));
+        int requestsBeforeDrain = testServerLoop.call(() -> {
             discoveries.get(1).setUnavailable(true);
             servers.get(0).drain();
             discoveries.get(0).publish(servers.get(0), "box", 1, "draining");
             return (int) servers.get(0).counters().requests();
         });
-        program.awaitLogged("relay", "endpoint state changed server=s0 state=DRAINING");
+        launcher.awaitLogged("relay", "endpoint state changed server=s0 state=DRAINING");
         reload(1, 1_000_000);
-        come(CLIENTS);
-        until(() -> count(EventType.ESTABLISHED) == 2 * CLIENTS);
-        assertThat(standInLoop.call(() -> (int) servers.get(0).counters().requests()))
-                .as("sent to it after it drained")
-                .isEqualTo(atTheDrain);
-        standInLoop.run(() -> {
+        connectClients(CLIENTS);
+        awaitTrue(() -> count(EventType.ESTABLISHED) == 2 * CLIENTS);
+        assertThat(testServerLoop.call(() -> (int) servers.get(0).counters().requests()))
+                .as("requests that reached the draining server, unchanged since the drain started")
+                .isEqualTo(requestsBeforeDrain);
+        testServerLoop.run(() -> {
             discoveries.get(1).publish(servers.get(0), "box", 1, "gone");
             discoveries.get(1).setUnavailable(false);
             servers.get(0).moveClients();
         });
-        until(() -> count(EventType.MOVED) == stood);
-        come(CLIENTS);
-        until(() -> count(EventType.ESTABLISHED) == 3 * CLIENTS);
-        assertThat(standInLoop.call(() -> (int) servers.get(0).counters().requests()))
-                .isEqualTo(atTheDrain);
-        assertThat(standInLoop.call(() -> Map.copyOf(happened)))
-                .containsOnly(Map.entry(EventType.ESTABLISHED, 3 * CLIENTS), Map.entry(EventType.MOVED, stood));
-        assertThat(program.log("relay")).doesNotContain("SEVERE", "Exception");
+        awaitTrue(() -> count(EventType.MOVED) == establishedBeforeDrain);
+        connectClients(CLIENTS);
+        awaitTrue(() -> count(EventType.ESTABLISHED) == 3 * CLIENTS);
+        assertThat(testServerLoop.call(() -> (int) servers.get(0).counters().requests()))
+                .isEqualTo(requestsBeforeDrain);
+        assertThat(testServerLoop.call(() -> Map.copyOf(eventCounts)))
+                .containsOnly(
+                        Map.entry(EventType.ESTABLISHED, 3 * CLIENTS),
+                        Map.entry(EventType.MOVED, establishedBeforeDrain));
+        assertThat(launcher.log("relay")).doesNotContain("SEVERE", "Exception");
     }
 }
--- a/src/test/java/sandstack/RareMomentsTest.java
+++ b/src/test/java/sandstack/ResourceExhaustionTest.java
@@ -22,48 +22,50 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** The program in rare situations: all descriptors in use while discovery is down, all relays restarted at once. */
-@Isolated("takes a core and every descriptor, and would starve the members that other tests start meanwhile")
+/** Relays short of a resource: all descriptors in use while discovery is down, and ten relays started on one core. */
+@Isolated("uses a whole core and all descriptors of a relay; fleet members of parallel tests would starve")
 @Timeout(120)
-class RareMomentsTest {
+class ResourceExhaustionTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     private static final int DESCRIPTORS = 128;
-    /** Descriptors of the idle program as shipped; the class path of the tests keeps more jars open. */
-    private static final int IDLE = 22;
+    /** Descriptors that an idle relay has open as shipped; with the test class path it has more jars open. */
+    private static final int IDLE_DESCRIPTORS = 22;
 
     @TempDir
     Path folder;
 
-    private Program program;
+    private RelayLauncher launcher;
 
     @BeforeEach
-    void make() throws Exception {
-        program = new Program(folder);
+    void createLauncher() throws Exception {
+        launcher = new RelayLauncher(folder);
     }
 
     @AfterEach
     void stop() {
-        program.stop();
+        launcher.stop();
     }
 
-    /** The kernel enforces the limit too: descriptors beyond it cannot be opened. */
+    /**
+     * The kernel enforces the limit too ({@code prlimit}): a relay that exceeds it fails with "Too many open files".
+     */
     @Test
     void reconnectsToDiscoveryWhileIdleClientsUseEveryDescriptorTheyMay() throws Exception {
-        int port = Program.freePort();
-        Process relay = program.start("", "full", program.config("full", port, DESCRIPTORS));
-        int clients = program.port("full");
-        program.awaitLogged("full", "discovery watch failed reason=\"no connection\"");
-        long limit = DESCRIPTORS + open(relay) - IDLE;
+        int port = RelayLauncher.freePort();
+        Process relay = launcher.start("", "full", launcher.config("full", port, DESCRIPTORS));
+        int clientPort = launcher.port("full");
+        launcher.awaitLogged("full", "discovery watch failed reason=\"no connection\"");
+        long limit = DESCRIPTORS + openDescriptors(relay) - IDLE_DESCRIPTORS;
         assertThat(new ProcessBuilder("prlimit", "--pid", "" + relay.pid(), "--nofile=" + limit + ":" + limit)
                         .start()
                         .waitFor())
                 .isZero();
         List<Socket> idle = new ArrayList<>();
-        // each closed connection makes room for the next: the table stays full while clients connect
-        Thread crowd = new Thread(() -> {
+        // each closed connection frees a descriptor for the next, so that all stay in use
+        Thread idleClients = new Thread(() -> {
             try {
                 for (int i = 0; i < 4_000; i++) {
-                    idle.add(new Socket(LOOPBACK, clients));
+                    idle.add(new Socket(LOOPBACK, clientPort));
                     if (i >= 2 * DESCRIPTORS) {
                         idle.get(i - 2 * DESCRIPTORS).close();
                         Thread.sleep(2);
@@ -73,30 +75,33 @@
                 // the test has ended
             }
         });
-        crowd.setDaemon(true);
-        crowd.start();
-        while (open(relay) < limit - 48 + IDLE) {
+        idleClients.setDaemon(true);
+        idleClients.start();
+        // 48 descriptors are reserved for what is no connection of a client or feed server
+        while (openDescriptors(relay) < limit - 48 + IDLE_DESCRIPTORS) {
             Thread.onSpinWait();
         }
         try (ServerSocket discovery = new ServerSocket()) {
             discovery.setReuseAddress(true);
             discovery.bind(new InetSocketAddress(LOOPBACK, port));
             discovery.setSoTimeout(20_000);
-            long back = System.nanoTime();
-            try (Socket call = discovery.accept()) {
-                assertThat(new BufferedReader(new InputStreamReader(call.getInputStream(), StandardCharsets.UTF_8))
+            long recoveryNanos = System.nanoTime();
+            try (Socket connection = discovery.accept()) {
+                assertThat(new BufferedReader(
+                                        new InputStreamReader(connection.getInputStream(), StandardCharsets.UTF_8))
                                 .readLine())
                         .startsWith("GET /registry/instances?watch=1");
             }
-            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - back)).isLessThan(6_000);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - recoveryNanos))
+                    .isLessThan(6_000);
         }
-        assertThat(crowd.isAlive()).as("the crowd was still coming").isTrue();
-        crowd.interrupt();
+        assertThat(idleClients.isAlive()).as("clients still connecting").isTrue();
+        idleClients.interrupt();
         assertThat(relay.isAlive()).isTrue();
-        assertThat(program.log("full")).doesNotContain("Too many open files", "SEVERE");
+        assertThat(launcher.log("full")).doesNotContain("Too many open files", "SEVERE");
     }
 
-    private static long open(Process relay) throws IOException {
+    private static long openDescriptors(Process relay) throws IOException {
         try (var descriptors = Files.list(Path.of("/proc/" + relay.pid() + "/fd"))) {
             return descriptors.count();
         }
@@ -110,21 +115,21 @@
                 .findFirst()
                 .orElseThrow();
         String core = allowed.replaceAll(".*[^0-9]([0-9]+)\\s*$", "$1");
-        int discovery = Program.freePort();
+        int discovery = RelayLauncher.freePort();
         long start = System.nanoTime();
         for (int i = 0; i < 10; i++) {
-            program.start("taskset -c " + core, "n" + i, program.config("n" + i, discovery, 1024));
+            launcher.start("taskset -c " + core, "n" + i, launcher.config("n" + i, discovery, 1024));
         }
         for (int i = 0; i < 10; i++) {
-            try (Socket front = new Socket(LOOPBACK, program.port("n" + i))) {
-                front.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.UTF_8));
-                assertThat(new BufferedReader(new InputStreamReader(front.getInputStream(), StandardCharsets.UTF_8))
+            try (Socket client = new Socket(LOOPBACK, launcher.port("n" + i))) {
+                client.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.UTF_8));
+                assertThat(new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.UTF_8))
                                 .readLine())
                         .isEqualTo("PONG");
             }
         }
         assertThat(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start))
-                .as("ms until all ten answer")
+                .as("milliseconds until all ten relays respond")
                 .isLessThan(10_000);
     }
 }
--- a/src/test/java/sandstack/SignalledStart.java
+++ b/src/test/java/sandstack/SignalledStart.java
@@ -7,77 +7,77 @@
 import sun.misc.Signal;
 
 /**
- * The program, told to stop as it logs a certain line: whichever thread logs it stands until the shutdown has begun, so
- * the signal lies between that line and the next one every time. A process of its own, for {@link EarlySignalTest}.
+ * Runs a relay that gets SIGTERM when it logs a given line: the logging thread blocks until the shutdown has begun, so
+ * that the signal always arrives between that line and the next one. {@link EarlySignalTest} starts it as a process.
  */
 final class SignalledStart {
-    /** The shutdown takes so long at least, as with other parts that have something to take down. */
-    private static final long SHUTDOWN_LASTS_MILLIS = 2_500;
+    /** Minimum duration of the shutdown; simulates other components that take time to stop. */
+    private static final long SHUTDOWN_MILLIS = 2_500;
 
-    /** What else the signal sets off has been done by then, unless it needs the blocked thread. */
-    private static final long AFTER_THE_SIGNAL_MILLIS = 500;
+    /** Time for the other shutdown hooks to finish, except for work that needs the blocked thread. */
+    private static final long PAUSE_AFTER_SIGNAL_MILLIS = 500;
 
     private SignalledStart() {}
 
     /**
-     * Starts a relay and stands at a line of its log.
+     * Starts a relay that blocks at a line of its log.
      *
-     * @param args the line's text, and {@code input} where the signal is to wait for a byte on standard input
+     * @param args text in the line; then {@code input} if the signal waits for a byte on standard input
      */
     public static void main(String[] args) {
-        boolean waitsForInput = args.length > 1 && args[1].equals("input");
-        System.setErr(new PrintStream(new Watching(System.err, args[0], waitsForInput), true));
+        boolean awaitsInput = args.length > 1 && args[1].equals("input");
+        System.setErr(new PrintStream(new BlockingOutputStream(System.err, args[0], awaitsInput), true));
         Main.main(new String[] {"serve"});
     }
 
-    /** Passes everything on, and blocks after the first piece with this text. */
-    private static final class Watching extends OutputStream {
-        private final PrintStream passedTo;
+    /** Writes to another stream, and blocks after the first write that contains a text. */
+    private static final class BlockingOutputStream extends OutputStream {
+        private final PrintStream delegate;
         private final String text;
-        private final boolean waitsForInput;
+        private final boolean awaitsInput;
         private boolean signalled;
 
-        Watching(PrintStream passedTo, String text, boolean waitsForInput) {
-            this.passedTo = passedTo;
+        BlockingOutputStream(PrintStream delegate, String text, boolean awaitsInput) {
+            this.delegate = delegate;
             this.text = text;
-            this.waitsForInput = waitsForInput;
+            this.awaitsInput = awaitsInput;
         }
 
         @Override
         public void write(int one) {
-            passedTo.write(one);
+            delegate.write(one);
         }
 
         @Override
         public void write(byte[] bytes, int from, int count) {
-            passedTo.write(bytes, from, count);
-            passedTo.flush();
+            delegate.write(bytes, from, count);
+            delegate.flush();
             if (!signalled && new String(bytes, from, count, Charset.defaultCharset()).contains(text)) {
                 signalled = true;
-                stopHere();
+                signalAndAwaitShutdown();
             }
         }
 
-        private void stopHere() {
+        private void signalAndAwaitShutdown() {
             try {
-                // no other thread can log meanwhile: what is awaited here must not need the program's other threads
-                if (waitsForInput) {
+                // other threads that log block meanwhile, so nothing awaited here may depend on them
+                if (awaitsInput) {
                     System.in.read();
                 }
-                Runtime.getRuntime().addShutdownHook(new Thread(() -> pause(SHUTDOWN_LASTS_MILLIS)));
+                Runtime.getRuntime().addShutdownHook(new Thread(() -> pause(SHUTDOWN_MILLIS)));
                 Signal.raise(new Signal("TERM"));
-                while (!shuttingDown()) {
+                while (!isShuttingDown()) {
                     pause(1);
                 }
-                if (!waitsForInput) {
-                    pause(AFTER_THE_SIGNAL_MILLIS);
+                if (!awaitsInput) {
+                    pause(PAUSE_AFTER_SIGNAL_MILLIS);
                 }
             } catch (java.io.IOException e) {
                 throw new IllegalStateException(e);
             }
         }
 
-        private static boolean shuttingDown() {
+        private static boolean isShuttingDown() {
             try {
                 Runtime.getRuntime().addShutdownHook(new Thread(() -> {}));
                 return false;
--- a/src/test/java/sandstack/SocketHolder.java
+++ b/src/test/java/sandstack/SocketHolder.java
@@ -18,18 +18,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands in for a platform that holds the clients' listening socket: a process of its own, whose children inherit the
- * socket as descriptor 0. Java cannot hand descriptors to children otherwise, so the socket becomes its own input.
+ * Simulates a platform that owns the clients' listening socket and starts relays that inherit it as descriptor 0. It is
+ * a separate process, because Java passes no descriptors to child processes other than the standard streams: the
+ * process duplicates the socket onto its own standard input, which its children inherit.
  */
 public final class SocketHolder implements AutoCloseable {
     private final Process process;
     private final Socket control;
-    private final BufferedReader from;
-    private final PrintStream to;
+    private final BufferedReader controlInput;
+    private final PrintStream controlOutput;
     private final int port;
-    private final List<ProcessHandle> started = new ArrayList<>();
+    private final List<ProcessHandle> relays = new ArrayList<>();
 
-    /** Starts a holder that keeps the logs of its children in this folder, which is their deploy folder too. */
+    /** Starts the process. The folder is the deploy folder of the relays, and their logs are written to it. */
     SocketHolder(Path folder) throws Exception {
         try (java.net.ServerSocket listening = new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             listening.setSoTimeout(20_000);
@@ -46,32 +47,33 @@
                     .start();
             control = listening.accept();
         }
-        from = new BufferedReader(new InputStreamReader(control.getInputStream(), StandardCharsets.UTF_8));
-        to = new PrintStream(control.getOutputStream(), true);
-        port = Integer.parseInt(from.readLine());
+        controlInput = new BufferedReader(new InputStreamReader(control.getInputStream(), StandardCharsets.UTF_8));
+        controlOutput = new PrintStream(control.getOutputStream(), true);
+        port = Integer.parseInt(controlInput.readLine());
     }
 
     static String java() {
         return Path.of(System.getProperty("java.home"), "bin/java").toString();
     }
 
-    /** Where clients connect. */
+    /** The port of the listening socket. */
     int port() {
         return port;
     }
 
-    /** Starts a relay with descriptor 0 and these variables; it logs to a file of this name. */
+    /** Starts a relay with these environment variables; it logs to {@code NAME.log}. */
     ProcessHandle relay(String name, Map<String, String> env) throws IOException {
-        to.println(name + " "
+        controlOutput.println(name + " "
                 + String.join(" ", env.entrySet().stream().map(Object::toString).toList()));
-        ProcessHandle relay = ProcessHandle.of(Long.parseLong(from.readLine())).orElseThrow();
-        started.add(relay);
+        ProcessHandle relay =
+                ProcessHandle.of(Long.parseLong(controlInput.readLine())).orElseThrow();
+        relays.add(relay);
         return relay;
     }
 
     @Override
     public void close() throws IOException {
-        started.forEach(ProcessHandle::destroyForcibly);
+        relays.forEach(ProcessHandle::destroyForcibly);
         control.close();
         try {
             process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
@@ -80,7 +82,12 @@
         }
     }
 
-    /** The holder itself: {@code CONTROL_PORT FOLDER}. */
+    /**
+     * Main method of the process. Each line of the control connection, {@code NAME VARIABLE=VALUE...}, starts a relay;
+     * the reply is its process id.
+     *
+     * @param args the port of the control connection, and the folder
+     */
     public static void main(String[] args) throws Exception {
         ServerSocketChannel listening =
                 ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 512);
@@ -91,11 +98,11 @@
         dup2.setAccessible(true);
         dup2.invoke(null, fd.getInt(listening), 0);
         try (Socket control = new Socket(InetAddress.getLoopbackAddress(), Integer.parseInt(args[0]))) {
-            BufferedReader from =
+            BufferedReader controlInput =
                     new BufferedReader(new InputStreamReader(control.getInputStream(), StandardCharsets.UTF_8));
-            PrintStream to = new PrintStream(control.getOutputStream(), true);
-            to.println(((InetSocketAddress) listening.getLocalAddress()).getPort());
-            for (String line = from.readLine(); line != null; line = from.readLine()) {
+            PrintStream controlOutput = new PrintStream(control.getOutputStream(), true);
+            controlOutput.println(((InetSocketAddress) listening.getLocalAddress()).getPort());
+            for (String line = controlInput.readLine(); line != null; line = controlInput.readLine()) {
                 String[] words = line.split(" ", 0);
                 ProcessBuilder relay = new ProcessBuilder(
                                 java(),
@@ -111,7 +118,7 @@
                 for (int i = 1; i < words.length; i++) {
                     relay.environment().put(words[i].split("=", 0)[0], words[i].split("=", 0)[1]);
                 }
-                to.println(relay.start().pid());
+                controlOutput.println(relay.start().pid());
             }
         }
     }
--- a/src/test/java/sandstack/UpgradeTest.java
+++ b/src/test/java/sandstack/UpgradeTest.java
@@ -28,33 +28,35 @@
 import sandstack.testserver.ServerProfile;
 import sandstack.testserver.TestServerLoop;
 
-/** An upgrade under load: real processes that inherit the clients' listening socket. */
+/**
+ * Upgrades under load: a new relay process takes over from a running one; both inherit the clients' listening socket.
+ */
 @Timeout(60)
 class UpgradeTest {
     @TempDir
     Path folder;
 
-    private final TestServerLoop standInLoop;
+    private final TestServerLoop testServerLoop;
     private final FakeDiscovery discovery;
     private final List<FakeFeedServer> servers = new ArrayList<>();
-    private final Queue<String> answers = new ConcurrentLinkedQueue<>();
+    private final Queue<String> firstLines = new ConcurrentLinkedQueue<>();
     private final Queue<String> lastLines = new ConcurrentLinkedQueue<>();
     private final List<Thread> clients = new ArrayList<>();
     private SocketHolder holder;
 
     UpgradeTest() throws IOException {
-        standInLoop = new TestServerLoop();
-        discovery = standInLoop.create(() -> new FakeDiscovery(standInLoop));
+        testServerLoop = new TestServerLoop();
+        discovery = testServerLoop.create(() -> new FakeDiscovery(testServerLoop));
         for (int i = 0; i < 2; i++) {
             String uid = "s" + i;
-            servers.add(
-                    standInLoop.create(() -> new FakeFeedServer(standInLoop, uid, "home", ServerProfile.UNLIMITED)));
-            standInLoop.run(() -> discovery.publish(servers.get(servers.size() - 1), "box", 1, "ready"));
+            servers.add(testServerLoop.create(
+                    () -> new FakeFeedServer(testServerLoop, uid, "home", ServerProfile.UNLIMITED)));
+            testServerLoop.run(() -> discovery.publish(servers.get(servers.size() - 1), "box", 1, "ready"));
         }
     }
 
     @BeforeEach
-    void hold() throws Exception {
+    void startSocketHolder() throws Exception {
         holder = new SocketHolder(folder);
         Files.writeString(
                 folder.resolve("config.json"),
@@ -67,7 +69,7 @@
     @AfterEach
     void end() throws Exception {
         holder.close();
-        standInLoop.close();
+        testServerLoop.close();
     }
 
     private static int freePort() throws IOException {
@@ -76,13 +78,12 @@
         }
     }
 
-    /** One more process of the relay, and the port of its operator endpoint. */
+    /** One process of the relay, and the port of its operator endpoint. */
     private record Started(ProcessHandle process, int operatorPort) {}
 
     private Started start(String name) throws Exception {
-        Started started = begin(name);
-        // polled, not slept on: connections are refused until the process listens, and PING is answered NAK until it
-        // can serve
+        Started started = startWithoutWaiting(name);
+        // connections are refused until the process listens, and the response to PING is NAK until it accepts clients
         while (!call(started.operatorPort(), "PING").startsWith("ACK")) {
             assertThat(started.process().isAlive())
                     .as("relay " + name + ": " + log(name))
@@ -92,7 +93,7 @@
         return started;
     }
 
-    private Started begin(String name) throws Exception {
+    private Started startWithoutWaiting(String name) throws Exception {
         Map<String, String> env = new HashMap<>();
         int operatorPort = freePort();
         env.put("PROXY_CONFIG", folder.resolve("config.json").toString());
@@ -115,7 +116,7 @@
         }
     }
 
-    /** A client that stays until it is migrated; it records its answer and its last line. */
+    /** Connects a client that stays until it is migrated; records its first and its last line. */
     private void client(int number) throws Exception {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), holder.port());
         socket.getOutputStream()
@@ -126,7 +127,7 @@
                 BufferedReader in =
                         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
                 String answer = in.readLine();
-                answers.add(String.valueOf(answer));
+                firstLines.add(String.valueOf(answer));
                 String last = answer;
                 for (String line = answer; line != null; line = in.readLine()) {
                     last = line;
@@ -158,7 +159,7 @@
             Thread.sleep(10);
         }
         assertThat(log("second"))
-                .as("it counts the other process before it accepts a client")
+                .as("the second process detects the first before it accepts clients")
                 .containsSubsequence(
                         "process count changed count=2",
                         "endpoint list received from sibling process count=2",
@@ -170,36 +171,36 @@
         for (Thread client : clients) {
             client.join(20_000);
         }
-        assertThat(answers).hasSize(number).allMatch(answer -> answer.startsWith("UP "));
+        assertThat(firstLines).hasSize(number).allMatch(answer -> answer.startsWith("UP "));
         assertThat(lastLines).hasSize(number).containsOnly("MOVE");
         long setups = servers.stream()
-                .mapToLong(server -> standInLoop.call(server::counters).setups())
+                .mapToLong(server -> testServerLoop.call(server::counters).setups())
                 .sum();
-        assertThat(setups).as("no attempt but the one that stood").isEqualTo(number);
+        assertThat(setups).as("attempts at feed servers: one per client").isEqualTo(number);
     }
 
-    /** The new process dies before its ACK, several times: the old one serves on, and files do not accumulate. */
+    /** Several new processes are killed before they are ready: the old one serves on, and files do not accumulate. */
     @Test
-    void anUpgradeThatFailsChangesNothing() throws Exception {
+    void aFailedUpgradeChangesNothing() throws Exception {
         Started old = start("old");
         for (int i = 0; i < 3; i++) {
-            Started dying = begin("dying" + i);
+            Started killed = startWithoutWaiting("dying" + i);
             while (!log("dying" + i).contains("protocol=operators address=")) {
-                assertThat(dying.process().isAlive()).isTrue();
+                assertThat(killed.process().isAlive()).isTrue();
                 Thread.onSpinWait();
             }
-            dying.process().destroyForcibly();
-            dying.process().onExit().get(20, TimeUnit.SECONDS);
+            killed.process().destroyForcibly();
+            killed.process().onExit().get(20, TimeUnit.SECONDS);
             assertThat(call(old.operatorPort(), "PING")).startsWith("ACK");
             client(i);
         }
-        while (answers.size() < 3) {
+        while (firstLines.size() < 3) {
             Thread.onSpinWait();
         }
-        assertThat(answers).allMatch(answer -> answer.startsWith("UP "));
+        assertThat(firstLines).allMatch(answer -> answer.startsWith("UP "));
         try (java.util.stream.Stream<Path> files = Files.list(folder.resolve("tmp"))) {
             assertThat(files)
-                    .as("of the old process two, of each dead one at most three")
+                    .as("files: two of the old process, at most three of each killed one")
                     .hasSizeLessThanOrEqualTo(11);
         }
         assertThat(call(old.operatorPort(), "INFO"))
@@ -209,16 +210,16 @@
                         "edge_proxy.pool_size=2\r\n")
                 .endsWith("--\r\n");
         old.process().destroy();
-        // metrics are reported while it drains, until it has ended
+        // metrics are available while it drains
         assertThat(call(old.operatorPort(), "INFO")).startsWith("ACK\r\n");
         old.process().onExit().get(20, TimeUnit.SECONDS);
         assertThat(log("old")).contains("relay stopped").doesNotContain("SEVERE");
     }
 
     @Test
-    void aDescriptorThatCannotBeUsedEndsTheStartWithALineThatNamesTheVariable() throws Exception {
+    void anUnusableDescriptorFailsTheStartWithAMessageThatNamesTheVariable() throws Exception {
         for (String descriptor : List.of("0", "7", "x")) {
-            ProcessBuilder program = new ProcessBuilder(
+            ProcessBuilder processBuilder = new ProcessBuilder(
                             SocketHolder.java(),
                             "-cp",
                             System.getProperty("java.class.path"),
@@ -226,9 +227,9 @@
                             "serve")
                     .redirectErrorStream(true)
                     .redirectInput(Path.of("/dev/null").toFile());
-            program.environment().put("PROXY_CONFIG", "examples/config.json");
-            program.environment().put("PROXY_SOCKET_FD", descriptor);
-            Process relay = program.start();
+            processBuilder.environment().put("PROXY_CONFIG", "examples/config.json");
+            processBuilder.environment().put("PROXY_SOCKET_FD", descriptor);
+            Process relay = processBuilder.start();
             assertThat(new String(relay.getInputStream().readAllBytes(), StandardCharsets.UTF_8).lines())
                     .hasSize(1)
                     .allMatch(line -> line.startsWith("serve: PROXY_SOCKET_FD is " + descriptor));
--- a/src/test/java/sandstack/scenario/Actor.java
+++ b/src/test/java/sandstack/scenario/Actor.java
@@ -6,22 +6,26 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** One end of a connection in a scenario: sends on command, and reports what it receives as events. */
+/**
+ * A client or feed server in a scenario: sends on command, and queues an event for whatever it receives. A thread per
+ * actor reads; the test's thread does the rest.
+ */
 abstract class Actor {
     final Socket socket;
     final BlockingQueue<String> events = new LinkedBlockingQueue<>();
-    /** At a feed server: the client key of the request. */
+    /** The client key of the request, if this is a feed server and has received one. */
     volatile String key;
-    /** The event of its end has been taken. */
+    /** Whether {@link #next} has returned the end of the connection. */
     boolean ended;
 
     Actor(Socket socket) {
         this.socket = socket;
     }
 
+    /** Sends what a {@code send} line of a scenario states after the verb. */
     abstract void send(String what) throws IOException, InterruptedException;
 
-    /** Reads until the connection ends; called on a thread of its own. */
+    /** Reads until the end of the connection and adds an event for each message; runs on the reader thread. */
     abstract void read() throws IOException;
 
     Actor start() {
@@ -38,6 +42,7 @@
         return this;
     }
 
+    /** Waits up to 10 s for the next event and removes it. */
     String next() throws InterruptedException {
         String event = events.poll(10, TimeUnit.SECONDS);
         ended = ended || "end".equals(event) || "reset".equals(event);
@@ -49,7 +54,7 @@
             try {
                 socket.shutdownOutput();
             } catch (java.net.SocketException e) {
-                // the other side has closed it concurrently
+                // the remote side has closed the connection concurrently
             }
         }
     }
--- a/src/test/java/sandstack/scenario/AmqpActor.java
+++ b/src/test/java/sandstack/scenario/AmqpActor.java
@@ -27,16 +27,16 @@
 import org.apache.qpid.protonj2.types.messaging.Target;
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 
-/** Speaks AMQP 1.0, as a client or as a feed server. */
+/** A client or feed server that uses AMQP 1.0. The engine is accessed with the lock of this object held. */
 final class AmqpActor extends Actor {
     private final boolean client;
     private Engine engine;
     private Connection connection;
     private Link<?> link;
     private boolean detached;
-    private IncomingDelivery lastRead;
-    private StringBuilder partial = new StringBuilder();
-    private OutgoingDelivery open;
+    private IncomingDelivery lastDelivery;
+    private StringBuilder partialText = new StringBuilder();
+    private OutgoingDelivery openDelivery;
 
     AmqpActor(Socket socket, boolean client) {
         super(socket);
@@ -52,7 +52,7 @@
             try {
                 socket.getOutputStream().write(bytes);
             } catch (IOException e) {
-                // the other side has closed; the reader reports it
+                // the remote side has closed the connection; the reader thread adds the event
             }
         });
         engine.errorHandler(e -> events.add("engine failed"));
@@ -94,16 +94,16 @@
         if (link instanceof Receiver r) {
             r.deliveryReadHandler(d -> {
                 ProtonBuffer bytes = d.readAll();
-                partial.append(bytes == null ? "" : bytes.toString(StandardCharsets.UTF_8));
+                partialText.append(bytes == null ? "" : bytes.toString(StandardCharsets.UTF_8));
                 if (!d.isPartial()) {
-                    lastRead = d;
-                    String text = partial.length() > 100 ? partial.length() + " bytes" : partial.toString();
-                    partial = new StringBuilder();
+                    lastDelivery = d;
+                    String text = partialText.length() > 100 ? partialText.length() + " bytes" : partialText.toString();
+                    partialText = new StringBuilder();
                     events.add("line " + text);
                 }
             });
             r.deliveryAbortedHandler(d -> {
-                partial = new StringBuilder();
+                partialText = new StringBuilder();
                 events.add("aborted");
             });
         } else {
@@ -153,7 +153,7 @@
                 case "line" -> deliver(what.substring(5), true);
                 case "big" -> deliver("x".repeat(Integer.parseInt(words[1])), true);
                 case "part" -> deliver(what.substring(5), false);
-                case "accept" -> lastRead.disposition(Accepted.getInstance(), true);
+                case "accept" -> lastDelivery.disposition(Accepted.getInstance(), true);
                 case "credit" -> ((Receiver) link).addCredit(Integer.parseInt(words[1]));
                 case "second" -> connection
                         .session()
@@ -170,7 +170,9 @@
         }
     }
 
-    /** {@code ask CLASS KEY MILLIS [container]}: a sending link; {@code subscribe}: a receiving one. */
+    /**
+     * Attaches a sender ({@code ask CLASS KEY MILLIS [CONTAINER]}) or a receiver ({@code subscribe}, same arguments).
+     */
     private void sendRequest(String[] words) {
         connection.setContainerId(words.length > 4 ? words[4] : "client-" + System.identityHashCode(this));
         connection.open();
@@ -208,7 +210,7 @@
             link.open();
         }
         detached = true;
-        link.setCondition(new ErrorCondition(condition, "told by the scenario"));
+        link.setCondition(new ErrorCondition(condition, "rejected by the scenario"));
         link.close();
     }
 
@@ -216,8 +218,8 @@
         while (client && !((Sender) link).isSendable()) {
             wait(10_000);
         }
-        OutgoingDelivery delivery = open != null ? open : ((Sender) link).next();
-        if (open == null) {
+        OutgoingDelivery delivery = openDelivery != null ? openDelivery : ((Sender) link).next();
+        if (openDelivery == null) {
             delivery.setTag(new byte[] {(byte) text.charAt(0)});
             delivery.deliveryStateUpdatedHandler(d -> {
                 String state = String.valueOf(d.getRemoteState());
@@ -234,7 +236,7 @@
             wait(10_000);
             delivery.streamBytes(bytes, complete);
         }
-        open = complete ? null : delivery;
+        openDelivery = complete ? null : delivery;
     }
 
     @Override
--- a/src/test/java/sandstack/scenario/AnonymousCredentials.java
+++ b/src/test/java/sandstack/scenario/AnonymousCredentials.java
@@ -3,7 +3,7 @@
 import java.security.Principal;
 import org.apache.qpid.protonj2.engine.sasl.client.SaslCredentialsProvider;
 
-/** Credentials of a client for SASL ANONYMOUS. */
+/** Credentials for SASL ANONYMOUS, which has neither user nor password. */
 final class AnonymousCredentials implements SaslCredentialsProvider {
     @Override
     public String vhost() {
--- a/src/test/java/sandstack/scenario/Stage.java
+++ b/src/test/java/sandstack/scenario/ScenarioFixture.java
@@ -25,10 +25,10 @@
 import sandstack.net.EventLoop;
 import sandstack.settings.TestSettings;
 
-/** A relay on loopback with simulated feed servers, for one scenario. All ports are ephemeral. */
-final class Stage implements AutoCloseable {
+/** A relay on loopback and its feed servers, for one scenario. All ports are ephemeral. */
+final class ScenarioFixture implements AutoCloseable {
     static final List<String> CLASSES = List.of("order-status", "stock-check");
-    /** Descriptors that the relay may hold. */
+    /** Limit on the descriptors for connections of clients and feed servers. */
     private static final int MAX_DESCRIPTORS = 40;
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -43,7 +43,7 @@
     private final CompletableFuture<Void> drained = new CompletableFuture<>();
     private long version;
 
-    Stage(boolean amqp) throws IOException {
+    ScenarioFixture(boolean amqp) throws IOException {
         this.amqp = amqp;
         relay = new Relay(
                 new EffectiveSettings(TestSettings.oneRelayWithGroups(), CLASSES, true),
@@ -59,7 +59,7 @@
                 : new PlatformFront(loop, relay, admission).listen("127.0.0.1", 0);
     }
 
-    /** Starts feed servers and lists them. */
+    /** Starts feed servers and adds them to the endpoint list. */
     void addServers(int count) throws Exception {
         for (int i = 0; i < count; i++) {
             ServerSocket listening = new ServerSocket(0, 50, LOOPBACK);
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Lists a feed server that refuses connections. */
+    /** Adds a feed server that refuses connections to the endpoint list. */
     void addUnreachableServer() throws Exception {
         ServerSocket listening = new ServerSocket(0, 50, LOOPBACK);
         listening.close();
@@ -87,30 +87,30 @@
                 upstreamRequests.add(actor.start());
             }
         } catch (IOException e) {
-            // this relay is closed
+            // the listener has been closed
         }
     }
 
-    private void updateList(String server, int serverPort, EndpointState phase) throws Exception {
+    private void updateList(String server, int serverPort, EndpointState state) throws Exception {
         onLoop(() -> {
             relay.onEndpointList(new EndpointRegistry.Update(
                     EndpointListKind.DELTA,
                     ++version,
                     List.of(new EndpointRegistry.Endpoint(
-                            new EndpointEntry(server, 0, 0, 0, 0, phase, 1), "127.0.0.1", serverPort))));
+                            new EndpointEntry(server, 0, 0, 0, 0, state, 1), "127.0.0.1", serverPort))));
             return null;
         });
     }
 
-    /** Changes the state of the feed server at the other end of this connection in the endpoint list. */
-    void setServerState(Actor actor, EndpointState phase) throws Exception {
+    /** Changes the state, in the endpoint list, of the feed server that accepted this connection. */
+    void setServerState(Actor actor, EndpointState state) throws Exception {
         for (int i = 0; i < servers.size(); i++) {
             if (servers.get(i).getLocalPort() == actor.socket.getLocalPort()) {
-                updateList("s" + (i + 1), servers.get(i).getLocalPort(), phase);
+                updateList("s" + (i + 1), servers.get(i).getLocalPort(), state);
                 return;
             }
         }
-        throw new IllegalStateException("no such feed server");
+        throw new IllegalStateException("no feed server accepted this connection");
     }
 
     Actor client() throws IOException {
@@ -118,14 +118,14 @@
         return (amqp ? new AmqpActor(socket, true) : new TextActor(socket)).start();
     }
 
-    /** Opens idle client connections. */
+    /** Opens client connections that send nothing. */
     void openIdleConnections(int count) throws IOException {
         for (int i = 0; i < count; i++) {
             idleConnections.add(new Socket(LOOPBACK, port));
         }
     }
 
-    /** Waits until the relay has closed each idle connection. */
+    /** Waits until the relay has closed all idle connections. */
     void awaitIdleConnectionsClosed() throws IOException {
         for (Socket socket : idleConnections) {
             socket.setSoTimeout(10_000);
@@ -135,8 +135,8 @@
     }
 
     /**
-     * The next request that reaches a feed server. An earlier one for the same key must end by itself: two attempts are
-     * never in flight at once.
+     * Waits up to 10 s for the next request at a feed server. The caller checks that an earlier attempt for the same
+     * key has ended.
      */
     Actor nextUpstreamRequest() throws InterruptedException {
         Actor actor = upstreamRequests.poll(10, TimeUnit.SECONDS);
@@ -146,7 +146,7 @@
         return actor;
     }
 
-    /** Requests that have reached feed servers and were not expected. */
+    /** Number of requests at feed servers that {@link #nextUpstreamRequest} has not returned. */
     int unexpectedUpstreamRequests() {
         return upstreamRequests.size();
     }
@@ -167,9 +167,9 @@
         return onLoop(() -> relay.clients().size());
     }
 
-    private <T> T onLoop(Supplier<T> what) throws Exception {
+    private <T> T onLoop(Supplier<T> query) throws Exception {
         CompletableFuture<T> result = new CompletableFuture<>();
-        loop.execute(() -> result.complete(what.get()));
+        loop.execute(() -> result.complete(query.get()));
         return result.get(10, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/sandstack/scenario/ScenarioTest.java
+++ b/src/test/java/sandstack/scenario/ScenarioTest.java
@@ -15,17 +15,21 @@
 import sandstack.decisions.EndpointState;
 
 /**
- * Runs the scenarios under src/test/resources/scenarios. Each line is {@code ACTOR VERB WORDS}: clients are c1, c2,
- * ...; connections that reach a feed server are x1, x2, ... in their order; {@code relay} is the relay.
+ * Runs the scenarios under src/test/resources/scenarios. A line {@code == TITLE} begins a scenario; each other line is
+ * {@code ACTOR VERB WORDS}. Actors are the clients c1, c2, ...; the connections that reach a feed server, x1, x2, ...
+ * in the order of their arrival; and {@code relay}. The first use of a client connects it.
  *
  * <ul>
- *   <li>{@code send}: the actor sends something
- *   <li>{@code expect}: the next event of the actor is this
- *   <li>{@code close}, {@code reset}: the actor shuts its output down, or resets its connection
- *   <li>{@code wait N}: until the relay has so many clients
- *   <li>{@code figures NAME=N ...}: until the relay's metrics are these; one value per class for the metrics of a class
- *   <li>{@code crowd N}, {@code dispersed}: so many idle connections; all of them have been closed
- *   <li>{@code servers N}, {@code dead}, {@code draining xN}, {@code gone xN}: the endpoint list
+ *   <li>{@code send}: the actor sends the message
+ *   <li>{@code expect}: the next event at the actor is the given one
+ *   <li>{@code close}, {@code reset}: the actor closes its sending side, or resets its connection
+ *   <li>{@code wait N}: waits until the relay has N clients
+ *   <li>{@code figures NAME=N ...}: waits until the metrics have these values; metrics by class have one value per
+ *       class
+ *   <li>{@code crowd N}, {@code dispersed}: opens N idle connections; waits until the relay has closed all of them
+ *   <li>{@code servers N}, {@code dead}: adds N feed servers, or one that refuses connections, to the endpoint list
+ *   <li>{@code draining xN}, {@code gone xN}: the endpoint list has this state for the feed server of connection xN
+ *   <li>{@code drain}, {@code drained}: the relay shuts down gracefully; waits until it has
  * </ul>
  */
 class ScenarioTest {
@@ -58,29 +62,29 @@
     }
 
     private static void run(List<String> lines, boolean amqp) throws Exception {
-        try (Stage stage = new Stage(amqp)) {
+        try (ScenarioFixture fixture = new ScenarioFixture(amqp)) {
             Map<String, Actor> actors = new HashMap<>();
             for (String line : lines) {
                 if (!line.isBlank() && !line.startsWith("#")) {
-                    runStep(stage, actors, line.trim());
+                    runStep(fixture, actors, line.trim());
                 }
             }
-            assertThat(stage.unexpectedUpstreamRequests())
-                    .as("requests that reached a feed server unexpected")
+            assertThat(fixture.unexpectedUpstreamRequests())
+                    .as("requests at feed servers that the scenario did not expect")
                     .isZero();
         }
     }
 
-    private static void runStep(Stage stage, Map<String, Actor> actors, String line) throws Exception {
+    private static void runStep(ScenarioFixture fixture, Map<String, Actor> actors, String line) throws Exception {
         String[] words = line.split(" ", 3);
         String what = words.length > 2 ? words[2] : "";
         if (words[0].equals("relay")) {
-            runRelayStep(stage, actors, words[1], what);
+            runRelayStep(fixture, actors, words[1], what);
             return;
         }
         Actor actor = actors.get(words[0]);
         if (actor == null) {
-            actor = words[0].startsWith("c") ? stage.client() : stage.nextUpstreamRequest();
+            actor = words[0].startsWith("c") ? fixture.client() : fixture.nextUpstreamRequest();
             actors.put(words[0], actor);
         }
         switch (words[1]) {
@@ -97,7 +101,7 @@
         }
     }
 
-    /** In all scenarios: two attempts for one key are never in flight at once. */
+    /** An invariant of all scenarios: two attempts for one key are never in flight at once. */
     private static void assertNoOtherAttemptIsOpen(Map<String, Actor> actors, String name, String line)
             throws InterruptedException {
         for (Map.Entry<String, Actor> other : actors.entrySet()) {
@@ -106,49 +110,50 @@
                     && other.getValue().key.equals(actors.get(name).key)) {
                 while (!other.getValue().ended) {
                     assertThat(other.getValue().next())
-                            .as(line + " while " + other.getKey() + " is out")
+                            .as(line + " while " + other.getKey() + " is in flight")
                             .isIn("end", "reset", "aborted");
                 }
             }
         }
     }
 
-    /** Waits until the metrics are these; one value per class after the name, separated by commas. */
-    private static void assertMetrics(Stage stage, String wanted) throws Exception {
+    /** Waits until the metrics have these values; those of classes are separated by commas. */
+    private static void assertMetrics(ScenarioFixture fixture, String expected) throws Exception {
         List<String> lines = new ArrayList<>();
-        for (String figure : wanted.split(" ", 0)) {
-            String name = figure.substring(0, figure.indexOf('='));
-            String[] values = figure.substring(name.length() + 1).split(",", 0);
+        for (String item : expected.split(" ", 0)) {
+            String name = item.substring(0, item.indexOf('='));
+            String[] values = item.substring(name.length() + 1).split(",", 0);
             for (int i = 0; i < values.length; i++) {
-                lines.add("edge_proxy." + (values.length == 1 ? name : "responses." + Stage.CLASSES.get(i) + "." + name)
-                        + "=" + values[i]);
+                lines.add("edge_proxy."
+                        + (values.length == 1 ? name : "responses." + ScenarioFixture.CLASSES.get(i) + "." + name) + "="
+                        + values[i]);
             }
         }
-        List<String> figures = stage.metrics();
-        for (int i = 0; i < 200 && !figures.containsAll(lines); i++) {
+        List<String> actual = fixture.metrics();
+        for (int i = 0; i < 200 && !actual.containsAll(lines); i++) {
             Thread.sleep(20);
-            figures = stage.metrics();
+            actual = fixture.metrics();
         }
-        assertThat(figures).containsAll(lines);
+        assertThat(actual).containsAll(lines);
     }
 
-    private static void runRelayStep(Stage stage, Map<String, Actor> actors, String verb, String what)
+    private static void runRelayStep(ScenarioFixture fixture, Map<String, Actor> actors, String verb, String what)
             throws Exception {
         switch (verb) {
-            case "servers" -> stage.addServers(Integer.parseInt(what));
-            case "dead" -> stage.addUnreachableServer();
-            case "draining" -> stage.setServerState(actors.get(what), EndpointState.DRAINING);
-            case "gone" -> stage.setServerState(actors.get(what), EndpointState.GONE);
-            case "crowd" -> stage.openIdleConnections(Integer.parseInt(what));
-            case "dispersed" -> stage.awaitIdleConnectionsClosed();
-            case "drain" -> stage.drain();
-            case "drained" -> stage.awaitDrained();
+            case "servers" -> fixture.addServers(Integer.parseInt(what));
+            case "dead" -> fixture.addUnreachableServer();
+            case "draining" -> fixture.setServerState(actors.get(what), EndpointState.DRAINING);
+            case "gone" -> fixture.setServerState(actors.get(what), EndpointState.GONE);
+            case "crowd" -> fixture.openIdleConnections(Integer.parseInt(what));
+            case "dispersed" -> fixture.awaitIdleConnectionsClosed();
+            case "drain" -> fixture.drain();
+            case "drained" -> fixture.awaitDrained();
             case "wait" -> {
-                while (stage.clients() != Integer.parseInt(what)) {
+                while (fixture.clients() != Integer.parseInt(what)) {
                     Thread.onSpinWait();
                 }
             }
-            case "figures" -> assertMetrics(stage, what);
+            case "figures" -> assertMetrics(fixture, what);
             default -> throw new IllegalArgumentException(verb);
         }
     }
--- a/src/test/java/sandstack/scenario/TextActor.java
+++ b/src/test/java/sandstack/scenario/TextActor.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** Speaks the platform's lines. */
+/** A client or feed server that uses the line protocol. */
 final class TextActor extends Actor {
     private static int lastId;
 
@@ -15,7 +15,10 @@
         super(socket);
     }
 
-    /** {@code ask CLASS KEY MILLIS [more]}, {@code up}, {@code line X}, or a line as it is after {@code raw}. */
+    /**
+     * Sends one line: {@code ask CLASS KEY MILLIS [ATTRIBUTES]}, {@code up}, {@code line TEXT}, or the text after
+     * {@code raw}. A raw text that ends with {@code ...} is sent without a line end.
+     */
     @Override
     void send(String what) throws IOException {
         String[] words = what.split(" ", 0);
@@ -34,9 +37,9 @@
                     case "long" -> "OPEN " + "x".repeat(Integer.parseInt(words[1]));
                     default -> throw new IllegalArgumentException(what);
                 };
-        boolean half = words[0].equals("raw") && line.endsWith("...");
-        byte[] bytes =
-                (half ? line.substring(0, line.length() - 3) : line + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
+        boolean incomplete = words[0].equals("raw") && line.endsWith("...");
+        byte[] bytes = (incomplete ? line.substring(0, line.length() - 3) : line + "\r\n")
+                .getBytes(StandardCharsets.ISO_8859_1);
         socket.getOutputStream().write(bytes);
     }
 
