--- a/src/test/java/sandstack/EarlySignalTest.java
+++ b/src/test/java/sandstack/EarlySignalTest.java
@@ -150,11 +150,11 @@
     void aSignalRightAfterTheListenerIsOpenMigratesTheClientThatConnected() throws Exception {
         Process relay = startSignalled(config(discovery.port()), "protocol=lines", "input");
         BufferedReader log = relay.inputReader();
-        Matcher listens = LISTENER_OPENED.matcher("");
-        while (!listens.reset(log.readLine()).find()) {
+        Matcher listenerOpened = LISTENER_OPENED.matcher("");
+        while (!listenerOpened.reset(log.readLine()).find()) {
             continue;
         }
-        Socket client = new Socket(LOOPBACK, Integer.parseInt(listens.group(1)));
+        Socket client = new Socket(LOOPBACK, Integer.parseInt(listenerOpened.group(1)));
         CompletableFuture<List<String>> receivedLines =
                 CompletableFuture.supplyAsync(() -> exchange(client, "first", 3_000));
         relay.getOutputStream().write('\n');
--- a/src/test/java/sandstack/ReadmeCommandsTest.java
+++ b/src/test/java/sandstack/ReadmeCommandsTest.java
@@ -84,6 +84,7 @@
                 .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
+    /** Connects a client with its own key; returns its first line. */
     private String connect(int i) throws IOException {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), 3000);
         clients.add(client);
--- a/src/test/java/sandstack/ReloadTest.java
+++ b/src/test/java/sandstack/ReloadTest.java
@@ -26,9 +26,9 @@
     @TempDir
     Path folder;
 
-    private ServerSocket first;
-    private ServerSocket second;
-    private Path file;
+    private ServerSocket firstDiscovery;
+    private ServerSocket secondDiscovery;
+    private Path configFile;
     private Process relay;
     private BufferedReader log;
     private int operatorPort;
@@ -37,10 +37,10 @@
 
     @BeforeEach
     void start() throws Exception {
-        first = discovery();
-        second = discovery();
-        file = folder.resolve("config.json");
-        replaceConfig(example(first));
+        firstDiscovery = discovery();
+        secondDiscovery = discovery();
+        configFile = folder.resolve("config.json");
+        replaceConfig(example(firstDiscovery));
         ProcessBuilder processBuilder = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin/java").toString(),
                         "-cp",
@@ -48,9 +48,9 @@
                         "sandstack.Main",
                         "serve")
                 .redirectErrorStream(true);
-        processBuilder.environment().put("PROXY_CONFIG", file.toString());
+        processBuilder.environment().put("PROXY_CONFIG", configFile.toString());
         // as on the platform, the variable keeps the initial address when the file changes
-        processBuilder.environment().put("PROXY_DISCOVERY", address(first));
+        processBuilder.environment().put("PROXY_DISCOVERY", address(firstDiscovery));
         processBuilder.environment().put("PROXY_OPERATOR", "127.0.0.1:0");
         relay = processBuilder.start();
         log = relay.inputReader();
@@ -59,8 +59,8 @@
     @AfterEach
     void stop() throws Exception {
         relay.destroyForcibly();
-        first.close();
-        second.close();
+        firstDiscovery.close();
+        secondDiscovery.close();
     }
 
     private static ServerSocket discovery() throws Exception {
@@ -80,7 +80,7 @@
     }
 
     private void replaceConfig(String text) throws Exception {
-        Files.writeString(file, text);
+        Files.writeString(configFile, text);
     }
 
     private void signal(String name) throws Exception {
@@ -143,7 +143,7 @@
                 clientPort = listenerOpened.group(1).equals("lines") ? port : clientPort;
             }
         }
-        String before = example(first);
+        String before = example(firstDiscovery);
         String after = before.replace("\"catalogue-feed\"", "\"price-feed\"")
                 .replace("\"max_attempts\": 6", "\"max_attempts\": 2");
         assertThat(open("catalogue-feed")).startsWith("BUSY");
@@ -174,17 +174,17 @@
 
     @Test
     void reloadsTheFileAtSighupAndShutsDownGracefullyAtSigterm() throws Exception {
-        assertThat(awaitPoll(first)).contains("watch=1&from=");
-        replaceConfig(example(second));
+        assertThat(awaitPoll(firstDiscovery)).contains("watch=1&from=");
+        replaceConfig(example(secondDiscovery));
         signal("HUP");
-        assertThat(awaitPoll(second)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
+        assertThat(awaitPoll(secondDiscovery)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
         replaceConfig("{");
         signal("HUP");
         awaitLogged("configuration rejected reason=");
-        replaceConfig(example(first));
+        replaceConfig(example(firstDiscovery));
         signal("HUP");
         signal("HUP");
-        assertThat(awaitPoll(first)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
+        assertThat(awaitPoll(firstDiscovery)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
         signal("TERM");
         signal("HUP");
         awaitLogged("relay stopped");
--- a/src/test/java/sandstack/ReloadUnderTrafficTest.java
+++ b/src/test/java/sandstack/ReloadUnderTrafficTest.java
@@ -116,12 +116,12 @@
     /** Connects a client that closes after {@link #CONNECTION_LIFE_MICROS}, and schedules the next one. */
     private void connectShortLivedClients() {
         if (connecting) {
-            client();
+            connectClient();
             testServerLoop.schedule(CLIENT_INTERVAL_MICROS, this::connectShortLivedClients);
         }
     }
 
-    private LineClient client() {
+    private LineClient connectClient() {
         int number = clientCount++;
         return new LineClient(
                 testServerLoop,
@@ -162,7 +162,7 @@
         awaitLogged(" protocol=lines address=");
         testServerLoop.run(() -> {
             for (int i = 0; i < LONG_LIVED_CLIENTS; i++) {
-                longLivedClients.add(client());
+                longLivedClients.add(connectClient());
             }
             connectShortLivedClients();
         });
--- a/src/test/java/sandstack/UpgradeTest.java
+++ b/src/test/java/sandstack/UpgradeTest.java
@@ -117,7 +117,7 @@
     }
 
     /** Connects a client that stays until it is migrated; records its first and its last line. */
-    private void client(int number) throws Exception {
+    private void connectClient(int number) throws Exception {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), holder.port());
         socket.getOutputStream()
                 .write(("OPEN id" + number + " key" + number + " c=order-status,d=3000\r\n")
@@ -147,15 +147,15 @@
         Started first = start("first");
         int number = 0;
         for (; number < 20; number++) {
-            client(number);
+            connectClient(number);
         }
         Started second = start("second");
         for (; number < 40; number++) {
-            client(number);
+            connectClient(number);
         }
         first.process().destroy();
         while (first.process().isAlive()) {
-            client(number++);
+            connectClient(number++);
             Thread.sleep(10);
         }
         assertThat(log("second"))
@@ -192,7 +192,7 @@
             killed.process().destroyForcibly();
             killed.process().onExit().get(20, TimeUnit.SECONDS);
             assertThat(call(old.operatorPort(), "PING")).startsWith("ACK");
-            client(i);
+            connectClient(i);
         }
         while (firstLines.size() < 3) {
             Thread.onSpinWait();
