--- a/src/test/java/sandstack/ReloadTest.java
+++ b/src/test/java/sandstack/ReloadTest.java
@@ -19,14 +19,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as the platform runs it, under the signals that the platform sends. */
+/**
+ * A relay process configured as on the platform: SIGHUP reloads the configuration file, SIGTERM shuts down gracefully.
+ */
 class ReloadTest {
     @TempDir
     Path folder;
 
-    private ServerSocket first;
-    private ServerSocket second;
-    private Path file;
+    private ServerSocket firstDiscovery;
+    private ServerSocket secondDiscovery;
+    private Path configFile;
     private Process relay;
     private BufferedReader log;
     private int operatorPort;
@@ -35,30 +37,30 @@
 
     @BeforeEach
     void start() throws Exception {
-        first = discovery();
-        second = discovery();
-        file = folder.resolve("config.json");
-        replaceConfig(example(first));
-        ProcessBuilder program = new ProcessBuilder(
+        firstDiscovery = discovery();
+        secondDiscovery = discovery();
+        configFile = folder.resolve("config.json");
+        replaceConfig(example(firstDiscovery));
+        ProcessBuilder processBuilder = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin/java").toString(),
                         "-cp",
                         System.getProperty("java.class.path"),
                         "sandstack.Main",
                         "serve")
                 .redirectErrorStream(true);
-        program.environment().put("PROXY_CONFIG", file.toString());
-        // as on the platform, the variable keeps the address of the start
-        program.environment().put("PROXY_DISCOVERY", address(first));
-        program.environment().put("PROXY_OPERATOR", "127.0.0.1:0");
-        relay = program.start();
+        processBuilder.environment().put("PROXY_CONFIG", configFile.toString());
+        // as on the platform, the variable keeps the initial address when the file changes
+        processBuilder.environment().put("PROXY_DISCOVERY", address(firstDiscovery));
+        processBuilder.environment().put("PROXY_OPERATOR", "127.0.0.1:0");
+        relay = processBuilder.start();
         log = relay.inputReader();
     }
 
     @AfterEach
     void stop() throws Exception {
         relay.destroyForcibly();
-        first.close();
-        second.close();
+        firstDiscovery.close();
+        secondDiscovery.close();
     }
 
     private static ServerSocket discovery() throws Exception {
@@ -78,7 +80,7 @@
     }
 
     private void replaceConfig(String text) throws Exception {
-        Files.writeString(file, text);
+        Files.writeString(configFile, text);
     }
 
     private void signal(String name) throws Exception {
@@ -98,7 +100,7 @@
         while (line != null && !line.contains(text)) {
             line = log.readLine();
         }
-        assertThat(line).as("a log line with: " + text).isNotNull();
+        assertThat(line).as("log line with: " + text).isNotNull();
     }
 
     private String call(String call) throws Exception {
@@ -108,7 +110,7 @@
         }
     }
 
-    /** Sends SIGHUP, and waits until so many files have been applied and so many rejected. */
+    /** Sends SIGHUP, and waits until the metrics count these numbers of applied and rejected configurations. */
     private void reload(int applied, int rejected) throws Exception {
         signal("HUP");
         String info = call("INFO");
@@ -119,7 +121,7 @@
         }
     }
 
-    /** The answer to a request of this class: its feed servers cannot be reached, so a known class is rejected. */
+    /** The response to a request of this class: {@code BUSY} for a configured class, as no feed server is reachable. */
     private String open(String requestClass) throws Exception {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), clientPort)) {
             socket.getOutputStream()
@@ -131,16 +133,17 @@
 
     @Test
     void appliesCompleteSettingsAndRejectsIncompleteOnes() throws Exception {
-        Matcher m = Pattern.compile("listener opened relay=\\S+ protocol=(operators|lines) address=127.0.0.1:([0-9]+)")
+        Matcher listenerOpened = Pattern.compile(
+                        "listener opened relay=\\S+ protocol=(operators|lines) address=127.0.0.1:([0-9]+)")
                 .matcher("");
         while (operatorPort == 0 || clientPort == 0) {
-            if (m.reset(log.readLine()).find()) {
-                int port = Integer.parseInt(m.group(2));
-                operatorPort = m.group(1).equals("operators") ? port : operatorPort;
-                clientPort = m.group(1).equals("lines") ? port : clientPort;
+            if (listenerOpened.reset(log.readLine()).find()) {
+                int port = Integer.parseInt(listenerOpened.group(2));
+                operatorPort = listenerOpened.group(1).equals("operators") ? port : operatorPort;
+                clientPort = listenerOpened.group(1).equals("lines") ? port : clientPort;
             }
         }
-        String before = example(first);
+        String before = example(firstDiscovery);
         String after = before.replace("\"catalogue-feed\"", "\"price-feed\"")
                 .replace("\"max_attempts\": 6", "\"max_attempts\": 2");
         assertThat(open("catalogue-feed")).startsWith("BUSY");
@@ -150,13 +153,13 @@
         assertThat(open("price-feed")).startsWith("BUSY");
         assertThat(open("catalogue-feed")).isEqualTo("ERR\r\n");
         int rejected = 0;
-        for (String wrong : List.of(
+        for (String invalid : List.of(
                 "",
                 after.substring(0, 900),
                 after.replace("\"max_attempts\": 2,", ""),
                 after.replace("\"max_attempts\": 2", "\"max_attempts\": \"two\""),
                 before.replace("\"deadline_us\": 3000000", "\"deadline_us\": 0"))) {
-            replaceConfig(wrong);
+            replaceConfig(invalid);
             reload(1, ++rejected);
             assertThat(open("price-feed")).startsWith("BUSY");
             assertThat(open("catalogue-feed")).isEqualTo("ERR\r\n");
@@ -170,18 +173,18 @@
     }
 
     @Test
-    void followsTheFileAtSighupAndShutsDownGracefullyAtSigterm() throws Exception {
-        assertThat(awaitPoll(first)).contains("watch=1&from=");
-        replaceConfig(example(second));
+    void reloadsTheFileAtSighupAndShutsDownGracefullyAtSigterm() throws Exception {
+        assertThat(awaitPoll(firstDiscovery)).contains("watch=1&from=");
+        replaceConfig(example(secondDiscovery));
         signal("HUP");
-        assertThat(awaitPoll(second)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
+        assertThat(awaitPoll(secondDiscovery)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
         replaceConfig("{");
         signal("HUP");
         awaitLogged("configuration rejected reason=");
-        replaceConfig(example(first));
+        replaceConfig(example(firstDiscovery));
         signal("HUP");
         signal("HUP");
-        assertThat(awaitPoll(first)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
+        assertThat(awaitPoll(firstDiscovery)).isEqualTo("GET /registry/instances?watch=1 HTTP/1.1");
         signal("TERM");
         signal("HUP");
         awaitLogged("relay stopped");
