--- a/src/test/java/sandstack/FleetSwitchTest.java
+++ b/src/test/java/sandstack/FleetSwitchTest.java
@@ -84,8 +84,8 @@
     void optionWithDisabledFileExitsWith2() throws Exception {
         Files.copy(Path.of("deploy/fleet.toml"), folder.resolve("fleet.toml"));
         assertThat(awaitExit(run("--fleet")))
-                .isEqualTo(new Exit(
-                        2, "serve: fleet.toml: enabled is false, but --fleet is given; a member needs both"));
+                .isEqualTo(
+                        new Exit(2, "serve: fleet.toml: enabled is false, but --fleet is given; a member needs both"));
     }
 
     @Test
