--- a/src/main/java/sandstack/config/CapacityFile.java
+++ b/src/main/java/sandstack/config/CapacityFile.java
@@ -28,6 +28,7 @@
     private static final Set<String> ROOT_KEYS = Set.of("enabled", "servers", "kinds", "limits");
     private static final Set<String> CAPACITY_KEYS = Set.of("work", "connections", "firm", "load", "group");
     private static final Set<String> LIMIT_KEYS = Set.of("relay", "server", "group", "setups");
+    // upper bounds of the values, in the units of StatedCapacity and InstallationLimits
     private static final double MAX_WORK = 1e15;
     private static final double MAX_CONNECTIONS = 1e9;
     private static final double MAX_GROUP_OVERHEAD = 1e6;
@@ -54,20 +55,20 @@
         CapacityFile read(JsonNode root) throws InvalidConfigurationException {
             requireKnownKeys(root, "", ROOT_KEYS);
             StatedCapacity defaults = readCapacity(root.path("servers"), "servers", StatedCapacity.UNKNOWN);
-            List<String> keys = new ArrayList<>();
-            List<StatedCapacity> kinds = new ArrayList<>();
+            List<String> kindNames = new ArrayList<>();
+            List<StatedCapacity> kindCapacities = new ArrayList<>();
             requireTable(root.path("kinds"), "kinds");
             for (Iterator<Map.Entry<String, JsonNode>> i = root.path("kinds").fields(); i.hasNext(); ) {
                 Map.Entry<String, JsonNode> kind = i.next();
-                keys.add(kind.getKey());
-                kinds.add(readCapacity(kind.getValue(), "kinds." + kind.getKey(), defaults));
+                kindNames.add(kind.getKey());
+                kindCapacities.add(readCapacity(kind.getValue(), "kinds." + kind.getKey(), defaults));
             }
-            if (keys.size() > MAX_KINDS) {
+            if (kindNames.size() > MAX_KINDS) {
                 throw new InvalidConfigurationException(
-                        file + ": kinds has " + keys.size() + " tables, " + MAX_KINDS + " at most");
+                        file + ": kinds has " + kindNames.size() + " tables, " + MAX_KINDS + " at most");
             }
             InstallationLimits limits = readLimits(root.path("limits"));
-            return new CapacityFile(new StatedCapacities(defaults, kinds), List.copyOf(keys), limits);
+            return new CapacityFile(new StatedCapacities(defaults, kindCapacities), List.copyOf(kindNames), limits);
         }
 
         private InstallationLimits readLimits(JsonNode table) throws InvalidConfigurationException {
@@ -79,7 +80,7 @@
                     number(table, "limits", "setups", 0, MAX_SETUPS));
         }
 
-        /** Reads one table; a value that the table does not have is that of {@code defaults}. */
+        /** Reads one table; takes values that it lacks from {@code defaults}. */
         private StatedCapacity readCapacity(JsonNode table, String path, StatedCapacity defaults)
                 throws InvalidConfigurationException {
             requireKnownKeys(table, path, CAPACITY_KEYS);
--- a/src/main/java/sandstack/config/ConfigurationKeys.java
+++ b/src/main/java/sandstack/config/ConfigurationKeys.java
@@ -7,9 +7,9 @@
 import java.util.TreeSet;
 
 /**
- * The keys of a configuration. Of the objects in an array, only the keys that all of them have are included, as
- * {@code classes[].name}. The endpoint list is included as one key without its content, which changes without action by
- * an operator.
+ * The keys of a configuration file, which a reloaded file must have too. For an array, the keys that all its elements
+ * have are included, written as in {@code classes[].name}. For the endpoint list, only the key of the list itself is
+ * included, because the content of the list changes without action by an operator.
  *
  * @param paths the keys as dotted paths
  */
--- a/src/main/java/sandstack/config/FlattenedSettings.java
+++ b/src/main/java/sandstack/config/FlattenedSettings.java
@@ -69,7 +69,7 @@
         throw new InvalidConfigurationException(path + (value == null ? " is missing" : " is not a number"));
     }
 
-    /** A number, which must be present and at least 1; its fraction is cut off. */
+    /** A number, which must be present and at least 1; truncated to an integer. */
     long requiredPositive(String path) throws InvalidConfigurationException {
         double value = requiredNumber(path);
         if (value < 1) {
@@ -78,12 +78,12 @@
         return (long) value;
     }
 
-    /** A duration in microseconds, whose fraction is cut off; 0 if it is absent. */
+    /** A duration in microseconds, truncated to an integer; 0 if it is absent. */
     long micros(String path) throws InvalidConfigurationException {
         return (long) number(path, 0);
     }
 
-    /** A number, which must be present; its fraction is cut off. */
+    /** A number, which must be present; truncated to an integer. */
     int requiredInt(String path) throws InvalidConfigurationException {
         return (int) requiredNumber(path);
     }
--- a/src/main/java/sandstack/config/FleetFile.java
+++ b/src/main/java/sandstack/config/FleetFile.java
@@ -11,15 +11,15 @@
 import sandstack.config.PlatformConfig.Address;
 
 /**
- * The configuration of this relay as a member of a fleet, read from {@code deploy/fleet.toml}. Applies only if the
- * command is given {@code --fleet} too.
+ * The configuration of this relay as a member of a fleet, read from {@code deploy/fleet.toml}. A member needs both this
+ * file with {@code enabled = true} and the flag {@code --fleet}; a command with only one of the two fails.
  *
  * @param installation name of the installation; members of other installations are ignored
  * @param listen address at which this member accepts other members
  * @param machine name of this member's failure domain; the host of {@code listen} if the file states none
- * @param members seed addresses, through which this member joins the fleet; some of their members may be gone
+ * @param members seed addresses through which this member joins the fleet; some may be unreachable
  * @param relays names of all relays of the installation; empty if the operator does not state them
- * @param via addresses to connect to instead of members' own addresses, by the member's own address
+ * @param via addresses to connect to instead of a member's own address, by the member's own address
  */
 public record FleetFile(
         String installation,
@@ -53,26 +53,26 @@
         return new FleetFile(requireName(root, "installation"), listen, machine, members, relays, via);
     }
 
-    private static List<String> members(JsonNode listed) throws InvalidConfigurationException {
-        if (!listed.isArray() || listed.isEmpty() || listed.size() > MAX_MEMBERS) {
+    private static List<String> members(JsonNode list) throws InvalidConfigurationException {
+        if (!list.isArray() || list.isEmpty() || list.size() > MAX_MEMBERS) {
             throw new InvalidConfigurationException(FILE + ": members must be a list of 1 to " + MAX_MEMBERS
                     + " addresses: "
-                    + (listed.isArray() ? listed.size() + " of them" : listed.isMissingNode() ? "missing" : listed));
+                    + (list.isArray() ? list.size() + " of them" : list.isMissingNode() ? "missing" : list));
         }
         List<String> members = new ArrayList<>();
-        for (JsonNode member : listed) {
+        for (JsonNode member : list) {
             members.add(address(member, "members"));
         }
         return List.copyOf(members);
     }
 
-    private static Set<String> relays(JsonNode listed) throws InvalidConfigurationException {
-        if (!listed.isMissingNode() && (!listed.isArray() || listed.isEmpty() || listed.size() > MAX_MEMBERS)) {
+    private static Set<String> relays(JsonNode list) throws InvalidConfigurationException {
+        if (!list.isMissingNode() && (!list.isArray() || list.isEmpty() || list.size() > MAX_MEMBERS)) {
             throw new InvalidConfigurationException(FILE + ": relays must be a list of 1 to " + MAX_MEMBERS + " names: "
-                    + (listed.isArray() ? listed.size() + " of them" : listed));
+                    + (list.isArray() ? list.size() + " of them" : list));
         }
         Set<String> relays = new TreeSet<>();
-        for (JsonNode relay : listed) {
+        for (JsonNode relay : list) {
             if (!relay.isTextual() || !relays.add(requireName(relay.asText(), "relays"))) {
                 throw new InvalidConfigurationException(
                         FILE + ": relays: " + relay + (relay.isTextual() ? " is there twice" : " is no name"));
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Requires the characters and length of a name: names are written to logs and to the wire without escapes, and the
-     * cluster library rejects names of one letter.
+     * Returns the value if it is a valid name. Names are written to logs and to the wire without escapes, so only some
+     * characters are valid; the cluster library rejects names of one letter.
      */
     private static String requireName(JsonNode root, String key) throws InvalidConfigurationException {
         return requireName(DeployFiles.requiredText(root, key, FILE), key);
--- a/src/main/java/sandstack/config/PlatformConfig.java
+++ b/src/main/java/sandstack/config/PlatformConfig.java
@@ -26,12 +26,13 @@
  * @param discovery address of discovery
  * @param operator address of the operators' port; null if there is none
  * @param socketInherited whether the listening socket for clients is inherited as descriptor 0 instead of opened
- * @param seed seed of the relay's random numbers
- * @param maxDescriptors limit of the file descriptors that the process may hold
+ * @param seed seed from which the relay's random numbers are derived
+ * @param maxDescriptors maximum number of file descriptors that the process may have open
  * @param effectiveSettings the settings of the load balancer
  * @param zones names of the zones, in the order of the settings
- * @param cachedEndpoints the endpoint list in the file, which may be stale; null if there is none
- * @param keys all keys of the file, to find those that a reloaded file lacks
+ * @param cachedEndpoints the endpoint list in the file, for the time until discovery sends one; may be stale; null if
+ *     there is none
+ * @param keys the keys of the file; a reloaded file that lacks one of them is rejected
  */
 public record PlatformConfig(
         String name,
@@ -98,8 +99,8 @@
 
     /**
      * Reads the configuration again after its file was replaced. The file's address of discovery now takes precedence
-     * over the environment variable, which still has the address of the process's start. A file that lacks a key of
-     * this configuration is rejected, because it may be truncated or incomplete.
+     * over the environment variable, whose value dates from the start of the process. A file that lacks a key of this
+     * configuration is rejected, because it may be truncated or incomplete.
      */
     public PlatformConfig reload(Map<String, String> env) throws InvalidConfigurationException {
         Map<String, String> fileFirst = new HashMap<>(env);
@@ -119,7 +120,7 @@
                 PlatformConfig::maxDescriptors,
                 PlatformConfig::zones)) {
             if (!Objects.equals(component.apply(this), component.apply(next))) {
-                changes.add(component.apply(this) + " stays, not " + component.apply(next));
+                changes.add(component.apply(this) + " stays in effect instead of " + component.apply(next));
             }
         }
         return changes;
--- a/src/main/java/sandstack/front/amqp/AmqpFront.java
+++ b/src/main/java/sandstack/front/amqp/AmqpFront.java
@@ -88,8 +88,8 @@
 
     /**
      * Removes and returns the deliveries that an earlier connection of this link left unsettled; null if there are
-     * none. Deliveries that are not in {@code clientUnsettled}, the client's unsettled map, are left out; null if the
-     * client has sent no map.
+     * none. Omits deliveries that are not in {@code clientUnsettled}, the client's unsettled map; the map is null if
+     * the client has sent none.
      */
     DeliveryTracker takeUnsettled(LinkId id, Map<Binary, DeliveryState> clientUnsettled) {
         DeliveryTracker unsettled = unsettledByLink.remove(id);
--- a/src/main/java/sandstack/front/amqp/TransferForwarder.java
+++ b/src/main/java/sandstack/front/amqp/TransferForwarder.java
@@ -14,8 +14,10 @@
 
 /**
  * Forwards transfers from a receiver to a sender, credit from the sender to the receiver, and dispositions in both
- * directions. A settlement by one end is forwarded to the other; the forwarder itself settles only aborted deliveries
- * and those that an earlier connection has forwarded. Used on the event loop's thread only.
+ * directions. Receiver and sender are the relay's link endpoints: the receiver's peer sends the deliveries, the
+ * sender's peer receives them. A settlement by one peer is forwarded to the other; the forwarder itself settles only
+ * aborted deliveries and deliveries that an earlier connection has already forwarded. Used on the event loop's thread
+ * only.
  */
 final class TransferForwarder {
     /** Bytes pending at the sender's connection above which the receiver's connection stops reading. */
@@ -27,8 +29,11 @@
     private final AmqpConnection senderConnection;
     private final DeliveryTracker tracker;
     private final DeliveryTracker earlierDeliveries;
+    /** Bytes of {@link #incoming} that have been received and not yet been sent. */
     private final Deque<ProtonBuffer> backlog = new ArrayDeque<>();
+    /** The delivery that is being sent; null if there is none. */
     private OutgoingDelivery outgoing;
+    /** The delivery from which {@link #outgoing} is forwarded. */
     private IncomingDelivery incoming;
 
     /**
@@ -61,7 +66,10 @@
         updateCredit();
     }
 
-    /** Raises the receiver's credit to the sender's. The relay forwards credit and never grants any of its own. */
+    /**
+     * Raises the receiver's credit to that of the sender, and forwards a drain request. The relay forwards credit and
+     * never grants additional credit. Also runs when the sender's session window opens, so it sends the backlog first.
+     */
     private void updateCredit() {
         senderConnection.runGuarded(this::sendBacklog);
         int additional = sender.getCredit() - receiver.getCredit();
@@ -111,9 +119,9 @@
         forwarded.setMessageFormat(delivery.getMessageFormat());
         delivery.setLinkedResource(forwarded);
         forwarded.deliveryStateUpdatedHandler(
-                updated -> receiverConnection.runGuarded(() -> onReceiverDisposition(delivery, forwarded, tag)));
+                updated -> receiverConnection.runGuarded(() -> onOutgoingDisposition(delivery, forwarded, tag)));
         delivery.deliveryStateUpdatedHandler(
-                updated -> senderConnection.runGuarded(() -> onSenderDisposition(delivery, forwarded, tag)));
+                updated -> senderConnection.runGuarded(() -> onIncomingDisposition(delivery, forwarded, tag)));
         return forwarded;
     }
 
@@ -149,7 +157,7 @@
         }
     }
 
-    /** All pending output of the sender has been written. */
+    /** Called when all pending output of the sender's connection has been written. */
     void onFlushed() {
         if (backlog.isEmpty()) {
             receiverConnection.peer().resumeReading();
@@ -189,8 +197,8 @@
         receiverConnection.runGuarded(this::updateCredit);
     }
 
-    /** Forwards a disposition of the receiving end, which is the peer of {@link #sender}. */
-    private void onReceiverDisposition(IncomingDelivery delivery, OutgoingDelivery forwarded, Binary tag) {
+    /** Forwards a disposition of the outgoing delivery, sent by the peer of {@link #sender}. */
+    private void onOutgoingDisposition(IncomingDelivery delivery, OutgoingDelivery forwarded, Binary tag) {
         if (tracker != null) {
             tracker.onState(tag, forwarded.getRemoteState());
         }
@@ -202,8 +210,8 @@
         }
     }
 
-    /** Forwards a disposition of the sending end, which is the peer of {@link #receiver}. */
-    private void onSenderDisposition(IncomingDelivery delivery, OutgoingDelivery forwarded, Binary tag) {
+    /** Forwards a disposition of the incoming delivery, sent by the peer of {@link #receiver}. */
+    private void onIncomingDisposition(IncomingDelivery delivery, OutgoingDelivery forwarded, Binary tag) {
         if (tracker != null && delivery.isRemotelySettled()) {
             tracker.remove(tag);
         }
--- a/src/main/java/sandstack/front/operators/OperatorFront.java
+++ b/src/main/java/sandstack/front/operators/OperatorFront.java
@@ -19,13 +19,13 @@
  * costs O(classes and feed servers).
  */
 public final class OperatorFront {
-    /** Maximum number of simultaneous connections; a further one closes the oldest. */
+    /** Maximum number of simultaneous connections; when one more is accepted, the oldest is closed. */
     public static final int MAX_CONNECTIONS = 24;
 
     private static final int MAX_LINE_BYTES = 4096;
-    /** How long a command may take to arrive; long enough to type it. */
+    /** Timeout for the command; long enough to type it. */
     private static final long REQUEST_TIMEOUT_MICROS = 10_000_000;
-    /** How long the operator's end may stay open after the answer. */
+    /** Time after the answer at which the socket is closed even if the operator has not closed the connection. */
     private static final long LINGER_MICROS = 1_000_000;
 
     private final EventLoop loop;
@@ -37,8 +37,8 @@
     /**
      * Creates a front that does not listen yet.
      *
-     * @param notReadyReason why this process cannot serve; supplies null once it can
-     * @param metricLines the metrics, one per line
+     * @param notReadyReason supplies the reason why this process cannot serve clients; null once it can
+     * @param metricLines supplies the metrics, one per line
      */
     public OperatorFront(
             EventLoop loop,
@@ -127,7 +127,7 @@
             peer.shutdownOutput();
         }
 
-        /** Closes the socket, if it is still open, and frees its place. */
+        /** Closes the socket if it is still open, and removes it from the open connections. */
         private void close() {
             timeout.cancel();
             connections.remove(this);
--- a/src/main/java/sandstack/simulator/BatchReader.java
+++ b/src/main/java/sandstack/simulator/BatchReader.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * Reads one batch at a time: its clock, its serial number and the events of each instance. Unknown fields are skipped.
+ * Reads batches one by one: the time, the serial number and the events of each instance. Unknown fields are skipped.
  * The accessors return the batch read last; the next {@link #readNext} overwrites it. Used by one thread.
  */
 final class BatchReader {
@@ -17,7 +17,7 @@
     private long timeMicros;
     private long serial;
 
-    /** The events of one instance in a batch, in order of occurrence. */
+    /** One item of {@code parts}: the events of one instance in a batch, in order of occurrence. */
     static final class InstanceEvents {
         private int instanceId;
         private final List<EventFields> events = new ArrayList<>();
--- a/src/main/java/sandstack/simulator/EventFields.java
+++ b/src/main/java/sandstack/simulator/EventFields.java
@@ -100,7 +100,7 @@
         throw malformed(": not a bool: " + field);
     }
 
-    /** The load report of a server, one value per column; null if absent. */
+    /** The values of a server's load report, one per report column; null if absent. */
     double[] loadReport() throws MalformedMessageException {
         Object value = values.get(LOAD_REPORT);
         if (value == null || value instanceof double[]) {
@@ -127,7 +127,7 @@
         throw missing(ENTRIES);
     }
 
-    /** The error for a field whose value the protocol does not define. */
+    /** The error for a field with a value that the protocol does not define. */
     MalformedMessageException unknownValue(String field) {
         return malformed(": " + field + " has no known value");
     }
--- a/src/main/java/sandstack/testserver/FakeFeedServer.java
+++ b/src/main/java/sandstack/testserver/FakeFeedServer.java
@@ -136,7 +136,7 @@
         }
     }
 
-    /** An established connection as the recipient of lines that the feed server initiates. */
+    /** An established connection, on which the feed server can also send lines that are not echoes. */
     public interface Subscriber {
         /** Sends a line, which must end with a line feed; returns false if the connection is closed. */
         boolean send(String line);
--- a/src/main/java/sandstack/testserver/LineClient.java
+++ b/src/main/java/sandstack/testserver/LineClient.java
@@ -20,11 +20,11 @@
         FAILED,
         /** No response arrived within the timeout. */
         TIMED_OUT,
-        /** The relay asked the established connection to move. */
+        /** The relay asked the established client to reconnect, with {@code MOVE}. */
         MOVED,
         /** The remote side reset or closed the established connection. */
         DISCONNECTED,
-        /** The client closed the connection or the attempt. */
+        /** This client closed the connection or cancelled the connect. */
         CLOSED
     }
 
@@ -45,7 +45,7 @@
     private final ResponseReader responseReader = new ResponseReader();
     private Peer peer;
     private EventLoop.PendingConnect connecting;
-    /** When the connect started; once the connection is established, when that was. */
+    /** When the connect started; from the establishment of the connection on, when it was established. */
     private long phaseStartMicros;
 
     private boolean established;
@@ -119,7 +119,7 @@
         sendLine();
     }
 
-    /** Sets the listener for lines that the feed server initiates, which are no echo of a line of this client. */
+    /** Sets the listener for lines from the feed server that are not the echo of a line of this client. */
     public void onDelivery(Consumer<String> listener) {
         deliveryListener = listener;
     }
@@ -140,14 +140,17 @@
         return lineSentMicros == 0 ? 0 : loop.nowMicros() - lineSentMicros;
     }
 
-    /** Closes the connection in the normal way; reports {@link EventType#CLOSED}. */
+    /** Closes the connection, like a client that has finished; reports {@link EventType#CLOSED}. */
     public void close() {
         if (!closed) {
             close(EventType.CLOSED, 0);
         }
     }
 
-    /** Resets the connection, like a client whose process is killed. The reset frees the client's port at once. */
+    /**
+     * Resets the connection, like a client whose process is killed; reports {@link EventType#CLOSED}. The reset frees
+     * the client's port at once.
+     */
     public void abort() {
         if (!closed && peer != null) {
             peer.reset();
--- a/src/main/java/sandstack/testserver/ZoneLink.java
+++ b/src/main/java/sandstack/testserver/ZoneLink.java
@@ -50,7 +50,10 @@
         return port;
     }
 
-    /** While partitioned, the link drops all bytes that arrive and keeps the connections open. */
+    /**
+     * While partitioned, the link drops all bytes that arrive and keeps the connections open. A FIN or a reset is still
+     * forwarded.
+     */
     public void setPartitioned(boolean isPartitioned) {
         partitioned = isPartitioned;
     }
@@ -63,6 +66,7 @@
                 LinkEnd serverEnd = new LinkEnd(server);
                 clientEnd.oppositeEnd = serverEnd;
                 serverEnd.oppositeEnd = clientEnd;
+                // forwards what the client sent before the server was connected
                 clientEnd.onBytesReceived(0);
             }
 
--- a/src/test/java/sandstack/config/PlatformConfigTest.java
+++ b/src/test/java/sandstack/config/PlatformConfigTest.java
@@ -102,7 +102,7 @@
         Files.writeString(
                 file, valid.replace("127.0.0.1:3000", "127.0.0.1:3001").replace("\"rev\": 1,", "\"rev\": 2,"));
         assertThat(first.changesThatNeedRestart(first.reload(env)))
-                .containsExactly("127.0.0.1:3000 stays, not 127.0.0.1:3001");
+                .containsExactly("127.0.0.1:3000 stays in effect instead of 127.0.0.1:3001");
     }
 
     private void assertRejected(String text, String message) {
--- a/src/test/java/sandstack/config/SettingsReaderTest.java
+++ b/src/test/java/sandstack/config/SettingsReaderTest.java
@@ -125,7 +125,7 @@
 
     @ParameterizedTest
     @CsvSource({"nominal, true", "rough, true", "none, false"})
-    void ratingsAreSizesByTheirKind(String weights, boolean expected) throws Exception {
+    void weightsDecideWhetherRatingsAreSizes(String weights, boolean expected) throws Exception {
         assertThat(read(ALL_SETTINGS.replace("rough", weights)).ratingsAreSizes())
                 .isEqualTo(expected);
     }
--- a/src/test/java/sandstack/console/ConsoleTest.java
+++ b/src/test/java/sandstack/console/ConsoleTest.java
@@ -98,6 +98,7 @@
 
     @Test
     void drainsOnCommand() throws Exception {
+        // the console ends at "quit", so the first input does not start a drain
         assertThat(run("help\nquit\ndrain\n")).contains("drain").doesNotContain("draining");
         assertThat(drained).isFalse();
         assertThat(run("nonsense\ndrain\n")).contains("no such command: nonsense", "draining");
