--- a/src/main/java/sandstack/measure/FleetUsage.java
+++ b/src/main/java/sandstack/measure/FleetUsage.java
@@ -15,7 +15,7 @@
     /** Index of utime, the time in user mode, among the fields of {@code /proc/PID/stat} after the command name. */
     private static final int USER_TIME_FIELD = 11;
 
-    /** Index of stime, the time in kernel mode, counted likewise. */
+    /** Index of stime, the time in kernel mode, among the same fields. */
     private static final int SYSTEM_TIME_FIELD = 12;
 
     private FleetUsage() {}
--- a/src/main/java/sandstack/measure/RelayCommandLine.java
+++ b/src/main/java/sandstack/measure/RelayCommandLine.java
@@ -17,14 +17,14 @@
 
     private RelayCommandLine() {}
 
-    /** The complete command line. */
+    /** The command line as one string; reads the file on each call. */
     public static String read() throws IOException {
         return new TomlMapper().readTree(Files.readString(FILE)).path("run").asText();
     }
 
     /**
-     * The {@code -X} options of the JVM, such as those for compiler and garbage collector, without heap sizes and class
-     * data archive.
+     * The JVM options that begin with {@code -X}, such as those for compiler, garbage collector and limits of other
+     * memory than the heap, but without heap sizes and class data archive.
      */
     public static List<String> compilerAndCollectorOptions() throws IOException {
         return Arrays.stream(read().split(" "))
--- a/src/main/java/sandstack/measure/ScaleTable.java
+++ b/src/main/java/sandstack/measure/ScaleTable.java
@@ -14,7 +14,7 @@
 
 /**
  * Formats a report as a table for a terminal: a row for each series with its fitted shape, the residual of the fit, the
- * extrapolation to the planned size and the measured points.
+ * extrapolation to the planned size and the measured points, followed by the failed measurements and a summary.
  */
 final class ScaleTable {
     private static final String ROW_FORMAT = "%-44s %-12s %9s %18s  %s";
--- a/src/main/java/sandstack/measure/configuration/FleetScenarioResult.java
+++ b/src/main/java/sandstack/measure/configuration/FleetScenarioResult.java
@@ -8,12 +8,14 @@
  * @param changing rates at the planned rate of changes
  * @param partitioned rates while the regions are partitioned
  * @param activationSeconds longest time from the commit of a change until it is active at all relays
- * @param kill loss of a control machine when a change is proposed, until the change is active at all relays
- * @param partition end of the partition, until convergence of all relays; hellos during the partition
- * @param zoneStart simultaneous start of a zone's relays, until convergence of all relays
+ * @param kill loss of the control machine with most sessions, immediately before a change is proposed: the seconds from
+ *     the proposal until the change is active at all relays
+ * @param partition partition of the regions: the hellos during the partition and the seconds from its end until
+ *     convergence
+ * @param zoneStart simultaneous start of a zone's relays: the seconds from the start until convergence
  * @param convergenceAfterStartSeconds time from the start of all relays with empty disks until convergence
- * @param maxSessions most sessions of a control machine
- * @param heapBytesPerRelay heap of the process divided by the relays; 0 unless measured
+ * @param maxSessions largest number of concurrent sessions at one control machine
+ * @param heapBytesPerRelay heap that the fleet occupies, divided by the number of relays; 0 unless measured
  */
 record FleetScenarioResult(
         int relays,
@@ -38,14 +40,14 @@
     /**
      * Rates per process: means of the relays and maxima of the control machines, unless stated otherwise.
      *
-     * @param relayMessages sent and received
-     * @param relayBytes sent and received
-     * @param busiestRelayBytes maximum of the relays
-     * @param relayCpuMicros processor time; 0 unless measured
-     * @param controlMessages sent and received
-     * @param controlBytes sent and received
+     * @param relayMessages messages sent and received
+     * @param relayBytes bytes sent and received
+     * @param busiestRelayBytes bytes sent and received by the busiest relay
+     * @param relayCpuMicros processor time in microseconds; 0 unless measured
+     * @param controlMessages messages sent and received
+     * @param controlBytes bytes sent and received
      * @param controlOtherRegionBytes part of {@code controlBytes} that crosses regions
-     * @param controlCpuMicros mean processor time of a control machine; 0 unless measured
+     * @param controlCpuMicros mean processor time of a control machine in microseconds; 0 unless measured
      */
     record Rates(
             double relayMessages,
--- a/src/main/java/sandstack/measure/configuration/PeakHelloRate.java
+++ b/src/main/java/sandstack/measure/configuration/PeakHelloRate.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The peak rate of hellos, with which relays request sessions, per second at one control machine. Sampled every
- * simulated second. Not thread-safe.
+ * The largest number of hellos that any one control machine receives in a simulated second. A hello is the message with
+ * which a relay requests a session. Samples the counts every simulated second from construction on. Not thread-safe.
  */
 final class PeakHelloRate {
     private static final long SAMPLE_INTERVAL_MICROS = 1_000_000;
@@ -27,7 +27,7 @@
         fleet.clock().schedule(SAMPLE_INTERVAL_MICROS, this::sample);
     }
 
-    /** Returns and resets the peak. */
+    /** Returns the peak in hellos per second since the last call, and resets it. */
     double takePeak() {
         long taken = peak;
         peak = 0;
--- a/src/main/java/sandstack/measure/page/CapacityPageCommand.java
+++ b/src/main/java/sandstack/measure/page/CapacityPageCommand.java
@@ -14,8 +14,8 @@
 import sandstack.config.InvalidConfigurationException;
 
 /**
- * {@code measure capacity-page}: writes the generated tables of the page, or checks them with {@code --check}. Exits 1
- * if a check finds a difference.
+ * {@code measure capacity-page}: writes the generated tables of {@code docs/CAPACITY.md}; with {@code --check}, only
+ * compares them and exits 1 if they differ.
  */
 @Command(
         name = "capacity-page",
@@ -26,13 +26,16 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--check", description = "Write nothing; exit 1 if the page differs from its JSON files.")
+    @Option(
+            names = "--check",
+            description = "Write nothing; exit 1 if the page differs from the tables that the JSON files yield.")
     private boolean check;
 
     @Option(
             names = "--take",
             paramLabel = "FILE",
-            description = "First merge the series of this report of measure scale into the cost models; repeatable.")
+            description =
+                    "First merge the series of this report, written by measure scale, into the cost models; repeatable.")
     private List<Path> reports = new ArrayList<>();
 
     @Option(names = "--reckon", description = "First recompute all derived figures of the cost models.")
@@ -68,7 +71,7 @@
             ReportMerge merge = ReportMerge.merge(plan, costModels, CapacityFiles.readReport(report));
             costModels = merge.costModels();
             merge.ignoredSeries()
-                    .forEach(id -> printError("ignored series, without a cost model or with too few sizes: " + id));
+                    .forEach(id -> printError("ignored series (no cost model or too few distinct sizes): " + id));
         }
         costModels = CostModelEvaluator.evaluateAll(file.toString(), plan, costModels);
         CapacityFiles.writeCostModels(file, costModels);
--- a/src/main/java/sandstack/measure/page/CostModel.java
+++ b/src/main/java/sandstack/measure/page/CostModel.java
@@ -24,7 +24,7 @@
  * @param unit unit of the values
  * @param per quantity that the sizes count, such as {@code relays}
  * @param origin source of the figure
- * @param shape fitted growth; for a derived model, only shown on the page
+ * @param shape growth with size; for a derived model, shown on the page but not used to compute the figure
  * @param coefficients base and slope of the shape; empty for a derived model
  * @param residual relative residual of the fit; null for a derived model
  * @param sizes sizes of the points of the run; empty for a derived model
@@ -38,7 +38,8 @@
  * @param figure cost at the planned size; null until evaluated
  * @param budget available amount of the resource; null if unlimited
  * @param utilization figure divided by budget; null without a budget
- * @param mechanism mechanism that handles the cost at the planned size, or {@code missing}
+ * @param mechanism mechanism that handles the cost at the planned size; {@code missing}, which the page marks, if none
+ *     does
  * @param scenarios cost in each scenario; scenarios without an entry are not considered
  */
 @JsonPropertyOrder({
@@ -94,7 +95,7 @@
     /** An extrapolation beyond this multiple of the largest measured size is marked on the page. */
     private static final double MAX_EXTRAPOLATION_FACTOR = 10;
 
-    /** Replaces a null list or map, as of a key missing in the file, by an empty one. */
+    /** Replaces a null list or map, which results from a missing key in the file, by an empty one. */
     public CostModel {
         coefficients = coefficients == null ? List.of() : List.copyOf(coefficients);
         sizes = sizes == null ? List.of() : List.copyOf(sizes);
@@ -102,7 +103,7 @@
         scenarios = scenarios == null ? Map.of() : new TreeMap<>(scenarios);
     }
 
-    /** The largest cost of all scenarios divided by the budget; zero without a budget. */
+    /** The largest of the figure and the costs in all scenarios, divided by the budget; zero without a budget. */
     double maxUtilization() {
         if (budget == null) {
             return 0;
--- a/src/main/java/sandstack/measure/page/CostModels.java
+++ b/src/main/java/sandstack/measure/page/CostModels.java
@@ -7,7 +7,7 @@
 
 /** The content of {@code docs/capacity/slopes.json}: all cost models in the order of the page. */
 public record CostModels(@JsonProperty("slopes") List<CostModel> models) {
-    /** Rejects a null list, as of a file without the key. */
+    /** Rejects a null list, which results from a missing key in the file. */
     public CostModels {
         models = List.copyOf(Objects.requireNonNull(models, "slopes: missing"));
     }
--- a/src/main/java/sandstack/measure/page/PageWithTables.java
+++ b/src/main/java/sandstack/measure/page/PageWithTables.java
@@ -60,7 +60,7 @@
         return page.append(text.substring(copiedUntil)).toString();
     }
 
-    /** The number of the first line that differs, from one; 0 for equal texts. */
+    /** The number of the first line that differs, counted from one; 0 for equal texts. */
     static int firstDifference(String first, String second) {
         if (first.equals(second)) {
             return 0;
--- a/src/main/java/sandstack/measure/page/PlanNumber.java
+++ b/src/main/java/sandstack/measure/page/PlanNumber.java
@@ -28,7 +28,7 @@
         DERIVED
     }
 
-    /** Replaces a null list, as of a key missing in the file, by an empty one. */
+    /** Replaces a null list, which results from a missing key in the file, by an empty one. */
     public PlanNumber {
         sizeOf = sizeOf == null ? List.of() : List.copyOf(sizeOf);
     }
--- a/src/main/java/sandstack/measure/page/PlanValidator.java
+++ b/src/main/java/sandstack/measure/page/PlanValidator.java
@@ -8,7 +8,8 @@
 import sandstack.measure.page.PlanNumber.Source;
 
 /**
- * Validates planning numbers: unique names, values above zero, derived values equal to the results of their formulas.
+ * Validates planning numbers: names are unique, values are finite and above zero, each quantity has at most one planned
+ * size, and derived values equal the results of their formulas, which may refer only to preceding numbers.
  */
 final class PlanValidator {
     private static final double RELATIVE_TOLERANCE = 1e-9;
@@ -17,7 +18,7 @@
 
     static void validate(String file, Plan plan) throws InvalidConfigurationException {
         Map<String, Double> previous = new HashMap<>();
-        Set<String> sizes = new HashSet<>();
+        Set<String> quantities = new HashSet<>();
         for (int i = 0; i < plan.numbers().size(); i++) {
             PlanNumber number = plan.numbers().get(i);
             String key = file + ": numbers[" + i + "]";
@@ -27,12 +28,11 @@
             requirePresent(key + ".source", number.source());
             if (!(number.value() > 0) || Double.isInfinite(number.value())) {
                 throw new InvalidConfigurationException(
-                        key + ".value: " + number.value() + ": must be a number above 0");
+                        key + ".value: " + number.value() + ": must be finite and greater than 0");
             }
-            for (String size : number.sizeOf()) {
-                if (!sizes.add(size)) {
-                    throw new InvalidConfigurationException(
-                            key + ".sizeOf: " + size + ": duplicate, another number has it");
+            for (String quantity : number.sizeOf()) {
+                if (!quantities.add(quantity)) {
+                    throw new InvalidConfigurationException(key + ".sizeOf: " + quantity + ": duplicate quantity");
                 }
             }
             validateFormula(key, number, previous);
@@ -47,7 +47,7 @@
         if (number.source() != Source.DERIVED) {
             if (number.arithmetic() != null) {
                 throw new InvalidConfigurationException(
-                        key + ".arithmetic: " + number.arithmetic() + ": must be missing unless the source is DERIVED");
+                        key + ".arithmetic: " + number.arithmetic() + ": allowed only if the source is DERIVED");
             }
             return;
         }
--- a/src/main/java/sandstack/measure/page/ReportMerge.java
+++ b/src/main/java/sandstack/measure/page/ReportMerge.java
@@ -15,8 +15,10 @@
 /**
  * The result of merging the series of a report into the cost models with the same ids.
  *
- * @param costModels all cost models, updated from the report; figures of updated ones are stale until evaluated
- * @param ignoredSeries ids of series without a cost model, or with too few distinct sizes for a fit
+ * @param costModels all cost models; those with a fitted series in the report are updated, and their figures are stale
+ *     until evaluated by {@link CostModelEvaluator}
+ * @param ignoredSeries ids of series without a cost model, or with fewer distinct sizes than the
+ *     {@link FittedModel#MIN_DISTINCT_SIZES} (three) that a fit needs
  */
 record ReportMerge(CostModels costModels, List<String> ignoredSeries) {
     static ReportMerge merge(Plan plan, CostModels costModels, ScaleReport report)
--- a/src/main/java/sandstack/measure/scale/ScaleRun.java
+++ b/src/main/java/sandstack/measure/scale/ScaleRun.java
@@ -11,8 +11,8 @@
 import sandstack.measure.scale.ScaleReport.Result;
 
 /**
- * Runs measurements one after another and fits models to their series. A failed measurement does not prevent the next
- * ones.
+ * Runs measurements and fits models to their series. A failure of a measurement is recorded rather than thrown, so that
+ * the remaining ones can run.
  */
 public final class ScaleRun {
     private final Effort effort;
@@ -22,7 +22,7 @@
     private final Set<String> seriesIds = new HashSet<>();
 
     /**
-     * Creates a run without results.
+     * Creates a run; {@link #measure} adds to it.
      *
      * @param progress receives a line before and after each measurement
      */
--- a/src/main/java/sandstack/measure/scale/Shape.java
+++ b/src/main/java/sandstack/measure/scale/Shape.java
@@ -1,7 +1,8 @@
 package sandstack.measure.scale;
 
 /**
- * Growth of a cost with size, {@code base + slope * basis(size)}; ordered by complexity, which model selection uses.
+ * Growth of a cost with size, {@code base + slope * basis(size)}. Model selection penalizes complexity, by which the
+ * constants are ordered. They are stored by name in reports and in the cost model file.
  */
 public enum Shape {
     /** The same at every size. */
@@ -18,7 +19,7 @@
             return Math.log(Math.max(size, 1));
         }
     },
-    /** Grows with the size. */
+    /** Grows linearly with the size. */
     LINEAR(2) {
         @Override
         public double basis(double size) {
@@ -51,6 +52,6 @@
         return complexity;
     }
 
-    /** The function of the size that the slope is multiplied by. */
+    /** The term that the slope is multiplied by. */
     public abstract double basis(double size);
 }
--- a/src/main/java/sandstack/measure/scale/hollow/FaultInjection.java
+++ b/src/main/java/sandstack/measure/scale/hollow/FaultInjection.java
@@ -15,21 +15,21 @@
 final class FaultInjection {
     /** Maximum simulated time from a fault to its detection. */
     private static final long TIMEOUT_MICROS = 600_000_000;
-    /** Simulated time before a fault, in which the startup traffic ends. */
+    /** Simulated time before a fault, so that the startup traffic has ended and is not counted. */
     private static final long SETTLE_MICROS = 3_000_000;
 
     private static final int ZONES = FleetLayout.ZONES;
     private static final long SEED = 40;
 
     /**
-     * Time and traffic until a fault was detected.
+     * Time and traffic from a fault to its detection; of a partition, from its end to the detection of that.
      *
      * @param fault name of the fault in series ids
      * @param relays size of the fleet
-     * @param micros simulated time until detection; -1 if aborted
-     * @param messages mean number sent by a relay until then
-     * @param bytes mean number sent by a relay until then
-     * @param abortReason why it was aborted; empty if complete
+     * @param micros simulated time until detection; -1 if the timeout or the wall-clock limit came first
+     * @param messages messages sent until then, divided by the number of relays
+     * @param bytes bytes sent until then, divided by the number of relays
+     * @param abortReason why there is no detection, as stored in the method of the series; empty if complete
      */
     record Outcome(String fault, int relays, long micros, double messages, double bytes, String abortReason) {
         boolean isComplete() {
@@ -45,7 +45,7 @@
     private final long maxWallNanos;
 
     /**
-     * Creates no fleet yet; each fault creates its own.
+     * Sets the size of the fleets, of which each fault creates its own.
      *
      * @param fleetSize number of relays
      * @param maxWallSeconds wall-clock limit of one fault
@@ -68,7 +68,7 @@
         return fleet;
     }
 
-    /** Starts one more relay; ends when all observed relays have all relays as alive in their views. */
+    /** Starts one more relay; ends when all relays are alive in the views of all observed relays. */
     Outcome join() {
         BooleanSupplier isOverdue = deadline();
         HollowFleet fleet = newSettledFleet(1);
@@ -76,7 +76,7 @@
         return outcome("join", fleet, fleet.advanceUntil(allAlive(relays + 1), TIMEOUT_MICROS, isOverdue));
     }
 
-    /** Kills one relay; ends when no observed relay has it as alive in its view. */
+    /** Kills one relay; ends when it is not alive in the view of any observed relay. */
     Outcome kill() {
         return kill("kill", status -> status != MemberStatus.ALIVE);
     }
@@ -112,7 +112,7 @@
 
     /**
      * Partitions the regions until the observed relays of each have declared those of the other lost, then heals the
-     * partition; ends when all observed relays have all relays as alive in their views.
+     * partition; ends when all relays are alive in the views of all observed relays.
      */
     Outcome healPartition() {
         BooleanSupplier isOverdue = deadline();
--- a/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
+++ b/src/main/java/sandstack/measure/scale/hollow/HollowFleet.java
@@ -19,9 +19,9 @@
 import sandstack.measure.scale.SimulatedClock;
 
 /**
- * Many hollow relays on one simulated clock. Each relay runs the real {@link Membership} and handles every message.
- * Views, which cost most, are computed only for a few observed relays, because they do not affect what a relay sends.
- * Relays share states in memory, so {@link MembershipCost} measures the heap instead.
+ * Many hollow relays on one simulated clock. Each relay runs the real {@link Membership}, which processes every probe,
+ * answer and state that reaches it. Views, which cost most, are computed only for a few observed relays, because they
+ * do not affect what a relay sends. Relays share states in memory, so {@link MembershipCost} measures the heap instead.
  *
  * <p>Deterministic for a seed. Not thread-safe; {@link #formFullMembership} uses the common pool.
  */
@@ -49,7 +49,7 @@
     private final ThreadCpuTime viewCpuTime = new ThreadCpuTime();
 
     /**
-     * Creates relays that are not yet members of each other.
+     * Creates relays that are not started yet and whose memberships contain no other relay.
      *
      * @param size initial number of relays
      * @param joiningRelays number of relays that may join later
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Makes all relays members of each other that have received all states, as in a fleet that has been stable for a
-     * long time, and starts them.
+     * Adds each relay to the memberships of all others, delivers all states to all of them and starts the relays, so
+     * that the fleet is as if it had been stable for a long time.
      */
     void formFullMembership() {
         long atMicros = clock.nowMicros();
@@ -111,6 +111,7 @@
                 .forEach(relay -> relays.forEach(other -> relay.membership()
                         .stateReceived(other.incarnation().id(), states.get(other.index()), atMicros)));
         relays.forEach(this::start);
+        // the states are already delivered; marks them as gossiped
         relays.forEach(relay -> relay.membership().stateToGossip(atMicros));
     }
 
@@ -123,6 +124,10 @@
                 true);
     }
 
+    /**
+     * Obtains a relay's state by a probe; its known version, -1, is older than any, so that the answer contains the
+     * state.
+     */
     private static MemberState state(HollowRelay relay, long atMicros) {
         return relay.membership()
                 .handleProbe(new ProbeRequest(FleetMessages.PROTOCOL_VERSION, "nobody", "nobody", -1, false), atMicros)
@@ -235,7 +240,7 @@
     /**
      * Advances until a condition holds for the views of all observed relays.
      *
-     * @param isOverdue checked between steps; aborts when true
+     * @param isOverdue checked between steps of simulated time; true aborts
      * @return the simulated time until then, in microseconds; -1 after the timeout or an abort
      */
     long advanceUntil(Predicate<Membership.View> condition, long timeoutMicros, BooleanSupplier isOverdue) {
@@ -271,7 +276,10 @@
         return clock.nowMicros();
     }
 
-    /** Processor time of the membership of all relays in turns and on received messages. */
+    /**
+     * Processor time of all memberships in turns, on results of probes, on received states and on changes of the gossip
+     * library's members. Excludes views, and creating and answering probes.
+     */
     ThreadCpuTime membershipCpuTime() {
         return membershipCpuTime;
     }
--- a/src/main/java/sandstack/measure/scale/hollow/MessageKind.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MessageKind.java
@@ -1,8 +1,8 @@
 package sandstack.measure.scale.hollow;
 
-/** Messages between members of a fleet: those of the membership and those of the gossip library. */
+/** Messages between members of a fleet: those of the {@code Membership} and those of the gossip library. */
 enum MessageKind {
-    /** Reachability probe of the membership. */
+    /** Reachability probe of the {@code Membership}. */
     PROBE,
     /** The answer to a probe. */
     PROBE_ANSWER,
@@ -14,9 +14,9 @@
     PING_ACK,
     /** Request to another member to send an indirect ping. */
     PING_REQUEST,
-    /** Membership table of the library, sent for a full sync. */
+    /** The library's whole membership table, sent to synchronize it with another member's. */
     SYNC,
-    /** Membership table in answer to a sync. */
+    /** The recipient's whole membership table, in answer to a {@link #SYNC}. */
     SYNC_ACK,
     /** A changed record of the library's membership table, disseminated by gossip. */
     RECORD_GOSSIP,
--- a/src/main/java/sandstack/measure/scale/storm/RetryStormResult.java
+++ b/src/main/java/sandstack/measure/scale/storm/RetryStormResult.java
@@ -12,7 +12,7 @@
  * @param secondsUntilAll time until all clients are accepted, including those in a relay's queue; -1 if not all are
  * @param attemptsPerClient mean attempts of a client
  * @param rejectionsPerClient mean rejections of a client
- * @param peakAtFeedServer maximum rate of attempts at one feed server
+ * @param peakAtFeedServer maximum rate at which one feed server receives the clients that relays have set up
  */
 public record RetryStormResult(
         double[] attemptsPerSecond,
--- a/src/test/java/sandstack/measure/configuration/ConfigurationScaleTest.java
+++ b/src/test/java/sandstack/measure/configuration/ConfigurationScaleTest.java
@@ -8,7 +8,7 @@
 import sandstack.measure.scale.Series;
 import sandstack.measure.scale.Series.Point;
 
-/** With the small effort the measurement is deterministic and within its budgets at each fleet size. */
+/** Checks the measurement with the small effort: its series are deterministic and within budgets at each fleet size. */
 class ConfigurationScaleTest {
     private static final double MAX_RELAY_BYTES_PER_SECOND = 4_096;
     private static final double MAX_ACTIVATION_SECONDS = 16;
--- a/src/test/java/sandstack/measure/page/CapacityFilesTest.java
+++ b/src/test/java/sandstack/measure/page/CapacityFilesTest.java
@@ -54,7 +54,7 @@
             quoteCharacter = '\0',
             value = {
                 "5600;\"many\";numbers[0].value: \"many\":",
-                "5600;-1;numbers[0].value: -1.0: must be a number above 0",
+                "5600;-1;numbers[0].value: -1.0: must be finite and greater than 0",
                 "5600;null;numbers[0].value: null:",
                 "\"STATED\";\"GUESSED\";numbers[0].source: \"GUESSED\":",
                 "\"STATED\";\"DERIVED\";numbers[0].arithmetic: missing",
--- a/src/test/java/sandstack/measure/page/CapacityPageTest.java
+++ b/src/test/java/sandstack/measure/page/CapacityPageTest.java
@@ -176,8 +176,8 @@
 
         assertThat(errors.toString())
                 .contains(
-                        "ignored series, without a cost model or with too few sizes: relay.memory.resident",
-                        "ignored series, without a cost model or with too few sizes: no.such.slope");
+                        "ignored series (no cost model or too few distinct sizes): relay.memory.resident",
+                        "ignored series (no cost model or too few distinct sizes): no.such.slope");
         assertThat(run("--check")).as(errors.toString()).isZero();
         assertThat(read(CapacityFiles.PAGE))
                 .contains(
--- a/src/test/java/sandstack/measure/scale/storm/RetryStormSimulationTest.java
+++ b/src/test/java/sandstack/measure/scale/storm/RetryStormSimulationTest.java
@@ -10,7 +10,10 @@
 import sandstack.measure.scale.ScaleMeasurement.Effort;
 import sandstack.measure.scale.Series;
 
-/** Simulated retry storms after the loss of a zone of the planned fleet, by client behaviour and backoff. */
+/**
+ * Simulated retry storms after the loss of a zone of the planned fleet, by client behaviour and backoff. All
+ * simulations use the same seed, so their results are the same in each run.
+ */
 class RetryStormSimulationTest {
     private static final RetryStormSettings PLANNED = RetryStormSettings.planned();
 
@@ -18,6 +21,7 @@
         return new RetryStormSimulation(settings, behaviour, 2, 11).run();
     }
 
+    /** Each remaining relay has to accept about 11,500 of the lost clients. */
     @Test
     void plannedFleetLosesOneZoneOfClients() {
         assertThat(PLANNED.lostClients()).isEqualTo(56_280_000);
@@ -27,7 +31,7 @@
 
     @ParameterizedTest
     @EnumSource(ClientBehaviour.class)
-    void allClientsReconnectButNotBeforeMinimumTimeIfRejectionsCostNothing(ClientBehaviour behaviour) {
+    void withFreeRejectionsAllClientsReconnectNoFasterThanRelaysSetUp(ClientBehaviour behaviour) {
         RetryStormResult result = simulate(PLANNED, behaviour);
         assertThat(result.secondsUntilAll())
                 .isBetween(PLANNED.minSeconds() - PLANNED.admission().maxQueueMicros() / 1e6, 60.0);
@@ -39,14 +43,14 @@
         double clientsPerRelay = PLANNED.lostClients() / (double) PLANNED.remainingRelays();
         assertThat(attempts / clientsPerRelay)
                 .isBetween(0.999 * result.attemptsPerClient(), 1.001 * result.attemptsPerClient());
-        double maxAttempts = PLANNED.admission().setupsPerSecond()
+        double maxSetupsAtFeedServer = PLANNED.admission().setupsPerSecond()
                 * PLANNED.remainingRelays()
                 / PLANNED.fleet().feedServers();
-        assertThat(result.peakAtFeedServer()).isBetween(0.9 * maxAttempts, 1.001 * maxAttempts);
+        assertThat(result.peakAtFeedServer()).isBetween(0.9 * maxSetupsAtFeedServer, 1.001 * maxSetupsAtFeedServer);
     }
 
     @Test
-    void retryAfterGivesFallingRateAndImmediateRetriesGivePeaks() {
+    void retryAfterGivesFallingRateAndRetriesWithoutItGivePeaks() {
         double[] withRetryAfter =
                 simulate(PLANNED, ClientBehaviour.AT_ONCE_THEN_ADVICE).attemptsPerSecond();
         for (int second = 1; second < withRetryAfter.length; second++) {
@@ -69,12 +73,13 @@
         assertThat(longer.attemptsPerClient()).isLessThan(planned.attemptsPerClient());
     }
 
+    /** The first interval, of 38.4 s, is longer than the 20 s that the relays need at least to set up all clients. */
     @Test
     void longFirstIntervalEndsOverloadAfterFirstAttempts() {
-        RetryStormResult doubling = simulate(PLANNED, ClientBehaviour.SPREAD_THEN_ADVICE);
-        RetryStormResult wide = simulate(PLANNED.withFirstInterval(11), ClientBehaviour.SPREAD_THEN_ADVICE);
-        assertThat(wide.overloadedSeconds()).isLessThanOrEqualTo(2).isLessThan(doubling.overloadedSeconds());
-        assertThat(wide.attemptsPerClient()).isLessThan(doubling.attemptsPerClient() / 3);
+        RetryStormResult planned = simulate(PLANNED, ClientBehaviour.SPREAD_THEN_ADVICE);
+        RetryStormResult longFirst = simulate(PLANNED.withFirstInterval(11), ClientBehaviour.SPREAD_THEN_ADVICE);
+        assertThat(longFirst.overloadedSeconds()).isLessThanOrEqualTo(2).isLessThan(planned.overloadedSeconds());
+        assertThat(longFirst.attemptsPerClient()).isLessThan(planned.attemptsPerClient() / 3);
     }
 
     @Test
