--- a/src/bench/java/sandstack/decisions/DecisionBenchmark.java
+++ b/src/bench/java/sandstack/decisions/DecisionBenchmark.java
@@ -76,7 +76,7 @@
         for (int i = 0; i < ESTABLISHED_COUNT; i++) {
             loadBalancer.handle(new ConnectionAdopted(connectRequest("a" + i), "s" + i % SERVER_COUNT), nowMicros);
         }
-        // once a message delay is reported, utilization from default loads closes no server
+        // once a message delay is reported, utilization counts as 0 and closes no server
         loadBalancer.handle(new DelayReported("a0", 0, "s0", 1_000), nowMicros);
     }
 
--- a/src/main/java/sandstack/capacity/CandidateSummary.java
+++ b/src/main/java/sandstack/capacity/CandidateSummary.java
@@ -12,8 +12,8 @@
  */
 public final class CandidateSummary {
     /**
-     * Fraction of the sum of all limits that the class of lowest priority leaves free; classes between lowest and
-     * highest priority leave proportionally less.
+     * Fraction of the sum of all limits that a class leaves free if all other classes have higher priority. Other
+     * classes leave less, in proportion to the number of classes of higher priority.
      */
     private static final double RESERVED_FRACTION = 0.03;
     /**
@@ -23,7 +23,10 @@
     private static final double SCARCE_FRACTION = 0.1;
 
     private final double[] reservedFractionByClass;
-    /** Sum over the servers added; infinite until the first selection, so that every class is admitted. */
+    /**
+     * Sum of the free connections of the servers added; infinite until the first selection, so that every class is
+     * admitted.
+     */
     private double freeConnections = Double.POSITIVE_INFINITY;
     /** Sum of the connection limits of the servers added. */
     private double connectionLimits;
--- a/src/main/java/sandstack/capacity/HeadroomWeight.java
+++ b/src/main/java/sandstack/capacity/HeadroomWeight.java
@@ -36,8 +36,8 @@
     /**
      * The weight at this utilization.
      *
-     * @param loadsKnown false if the utilization is computed from a default load; the server then gets the lowest
-     *     weight instead of being closed
+     * @param loadsKnown false if the utilization is computed from a built-in default load only; the server then gets
+     *     the lowest weight above 0 instead of being closed
      */
     public static double byUtilization(double utilization, boolean loadsKnown) {
         if (utilization >= CLOSED_UTILIZATION && loadsKnown) {
--- a/src/main/java/sandstack/capacity/InstallationLimits.java
+++ b/src/main/java/sandstack/capacity/InstallationLimits.java
@@ -2,7 +2,7 @@
 
 /**
  * Limits that an installation sets for one relay; 0 means no limit. Connections that are being set up count as
- * connections.
+ * connections; the limits of the relay and of a group count each request from its arrival.
  *
  * @param maxRelayConnections connections of the relay
  * @param maxServerConnections connections from the relay to one server
--- a/src/main/java/sandstack/capacity/OverloadCount.java
+++ b/src/main/java/sandstack/capacity/OverloadCount.java
@@ -10,8 +10,8 @@
     /** Divisor of the change that one evaluation makes to the moving average. */
     private static final int SMOOTHING_DIVISOR = 2;
     /**
-     * The same if too few servers are observed; the average then decays more slowly, since that is no evidence of
-     * recovery.
+     * Divisor of the decrease of the moving average in an evaluation that observes too few servers. The average then
+     * decays more slowly, since too few observations are no evidence of recovery.
      */
     private static final int DECAY_DIVISOR = 4;
 
@@ -56,9 +56,10 @@
     }
 
     /**
-     * Whether most of the observed servers are overloaded, so that neither placing nor migrating connections can help.
-     * Servers of the home zone that are full only because of this relay do not count while other zones have headroom:
-     * connections that a small zone cannot take go to those zones.
+     * Whether most of the observed servers of the home zone, or of all zones if at most one is observed in the home
+     * zone, are overloaded, so that neither placing nor migrating connections can help. Servers of the home zone that
+     * are full only because of this relay do not count while other zones have headroom: connections that a small zone
+     * cannot take go to those zones.
      */
     public static boolean isFleetOverloaded(OverloadCount homeZone, OverloadCount otherZones) {
         int observed = homeZone.observedCount;
--- a/src/main/java/sandstack/capacity/RelayConnectionLimiter.java
+++ b/src/main/java/sandstack/capacity/RelayConnectionLimiter.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Enforces the limits that an installation sets for the connections of one relay, in total and of one group. Each
- * request counts from its arrival to its end. Groups are counted only if they are limited. Used by one thread; every
- * call is O(1).
+ * Counts the requests of one relay, in total and by group, and compares the counts with the limits of the installation.
+ * Each request counts from its arrival to its end. Groups are counted only if they are limited. Used by one thread;
+ * every call is O(1).
  */
 public final class RelayConnectionLimiter {
     private final InstallationLimits limits;
--- a/src/main/java/sandstack/capacity/SlowStartBudget.java
+++ b/src/main/java/sandstack/capacity/SlowStartBudget.java
@@ -3,7 +3,7 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Limits the requests that one relay sends to a server in slow start, or to one that has recently been overloaded.
+ * Limits the requests that one relay sends to a server in slow start, or to one whose messages were slow recently.
  * Permits arrive at random, at this relay's share of the rate allowed to the whole fleet; each is valid for one window
  * and then expires. Without expiry, permits of many relays would accumulate while there is no demand and be spent
  * together in the first burst. With expiry, the fleet can spend at once only what it may spend in one window, without
@@ -17,13 +17,13 @@
  */
 public final class SlowStartBudget {
     /**
-     * Selection weight of a server in slow start for which there is a permit, relative to warm servers: the permit
-     * expires, while the headroom of warm servers does not.
+     * Selection weight of a server in slow start, relative to servers after their slow start. It is high, since a
+     * permit expires while the headroom of the other servers does not.
      */
     private static final double PERMIT_SELECTION_WEIGHT = 1_000;
     /**
-     * Most sends per window that one process of a relay counts, and so makes; random variation averages out at a server
-     * that takes more.
+     * Largest number of sends per window that one process of a relay counts, and therefore the most that it makes. At a
+     * server that takes more, random variation averages out.
      */
     private static final int MAX_COUNTED_SENDS = 32;
     /** Fraction of a server's budget for all relays of its own zone together. */
@@ -41,7 +41,7 @@
 
     /**
      * When a server in slow start counts as overloaded, by the settings: it gets more requests in one window than a
-     * multiple of its current capacity.
+     * multiple of its current capacity plus the margins of {@link #overloadThreshold}.
      *
      * @param overloadMultiple multiple of the current capacity that is allowed in a window
      * @param windowMicros length of the window
@@ -53,7 +53,9 @@
         private static final double OVERLOAD_ROOT_MARGIN = 2;
 
         private static final double OVERLOAD_CONSTANT_MARGIN = 2;
-        /** Standard deviations of the total that all relays send which have to fit below the overload threshold. */
+        /**
+         * Number of standard deviations between the mean of the total that all relays send and the overload threshold.
+         */
         private static final double SAFETY_DEVIATIONS = 3;
 
         /** The number of requests per window that overloads a server whose budget is {@code allowedRequests}. */
@@ -98,7 +100,7 @@
         }
     }
 
-    /** Starts anew for a server that has just started: without a permit and without sends. */
+    /** Resets the budget of a server that has just started: no permit and no sends. */
     public void onRestart(long nowMicros) {
         permitCheckedAtMicros = nowMicros;
         newClientCheckedAtMicros = nowMicros;
@@ -193,7 +195,7 @@
     }
 
     /**
-     * The factor of the selection weight of a server that admits the request, with a permit if it needs one.
+     * The factor of the selection weight of a server; it takes effect only if the server then admits the request.
      *
      * @param slowStartFraction fraction of its full capacity that the server has reached
      */
--- a/src/main/java/sandstack/capacity/StatedCapacity.java
+++ b/src/main/java/sandstack/capacity/StatedCapacity.java
@@ -22,8 +22,8 @@
 
     /**
      * For servers whose ratings are sizes in cores. A load is work per second on a standard core, so a unit of rating
-     * does one second of work per second. It is an upper bound, because the servers answer protocol lines at once
-     * however long their messages are delayed. The last two arguments are defaults for what is not reported: a
+     * does one second of work per second. This work is an upper bound, because the servers answer protocol lines at
+     * once however long their messages are delayed. The last two arguments are defaults for what is not reported: a
      * sixteenth of a core per connection, and three connections per group.
      */
     public static final StatedCapacity SIZE_BASED = new StatedCapacity(1_000_000, 0, true, 62_500, 3);
--- a/src/main/java/sandstack/decisions/AttemptOutcome.java
+++ b/src/main/java/sandstack/decisions/AttemptOutcome.java
@@ -16,7 +16,7 @@
     RESET(false),
     /** It was cancelled, or the client disconnected. */
     CANCELLED(false),
-    /** It was never sent, because the request had ended or had no attempts left. */
+    /** It was never sent: the request had ended or had no attempts or time left, or the server was no longer known. */
     NOT_SENT(true);
 
     /** Whether this outcome proves that the server did not execute the attempt. */
--- a/src/main/java/sandstack/decisions/AttemptTimeoutPolicy.java
+++ b/src/main/java/sandstack/decisions/AttemptTimeoutPolicy.java
@@ -10,8 +10,8 @@
     /** Minimum timeout as a multiple of the average set-up time; shorter attempts would only repeat the work. */
     private static final int MIN_SETUP_TIMES = 3;
     /**
-     * Minimum timeout as a multiple of the connect timeout, since connecting may take up to one before the set-up
-     * begins.
+     * Minimum timeout as a multiple of the connect timeout, since connecting may take a whole connect timeout before
+     * the set-up begins.
      */
     private static final int MIN_CONNECT_TIMEOUTS = 2;
 
--- a/src/main/java/sandstack/decisions/BalancerContext.java
+++ b/src/main/java/sandstack/decisions/BalancerContext.java
@@ -14,7 +14,8 @@
 /**
  * State that the parts of one {@link LoadBalancer} share: the settings and the intervals derived from them, the time
  * and the actions of the current event, the random generator, the timers of requests, and the capacity model for the
- * estimates of all servers. Confined to the thread of the load balancer. All calls are O(1).
+ * estimates of all servers. Confined to the thread of the load balancer. {@link #applySettings} costs O(classes), all
+ * other calls O(1).
  */
 final class BalancerContext {
     /** Number of slots in the shortest set-up latency objective. */
@@ -74,7 +75,7 @@
 
     /**
      * Interval of the {@linkplain LoadBalancer periodic updates} and unit of ejection times: half of the shortest
-     * deadline, so that at least one update runs while a client waits.
+     * deadline, so that at least one update becomes due while a client waits.
      */
     long updateIntervalMicros() {
         return updateIntervalMicros;
--- a/src/main/java/sandstack/decisions/BalancerEvent.java
+++ b/src/main/java/sandstack/decisions/BalancerEvent.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * An input of the {@link LoadBalancer}: an observation of its host, the program that embeds it, on the network, at
+ * An input of the {@link LoadBalancer}: what its host, the program that embeds it, has observed on the network, from
  * clients or in the configuration. The host assigns all identifiers. Times and durations are in microseconds.
  */
 public sealed interface BalancerEvent {
@@ -56,7 +56,7 @@
     }
 
     /**
-     * The endpoint list or a change of it.
+     * The endpoint list, a change of it, or the failure to obtain it.
      *
      * @param entries the servers; empty with {@link EndpointListKind#FAILED}, after which the previous list stays in
      *     force
@@ -70,7 +70,8 @@
 
     /**
      * A client requests a connection. By the deadline the connection is established, or the load balancer gives exactly
-     * one final answer: {@link BalancerAction.Reject} or {@link BalancerAction.Fail}.
+     * one final answer: {@link BalancerAction.Reject} or {@link BalancerAction.Fail}. A client that has disconnected
+     * gets none.
      *
      * @param requestId identifies the request until its final answer or the end of its connection
      * @param classIndex index of its class in {@link BalancerSettings#classes}
@@ -154,7 +155,8 @@
      * attempt.
      *
      * @param attempt number of the attempt within its request, from 0
-     * @param requestFinished whether the client already has its final answer; if not, the load balancer has to give it
+     * @param requestFinished whether the client already has its final answer; if not, the load balancer retries the
+     *     request or gives the answer
      * @param elapsedMicros time since the start of the attempt
      * @param loadReport load report, with the columns in the order of the site's configuration; null if there is none;
      *     not used
@@ -191,7 +193,7 @@
     }
 
     /**
-     * Another component has completed a health check; the load balancer sends none. Not used.
+     * Another component has completed a health check; the load balancer itself makes no health checks. Not used.
      *
      * @param elapsedMicros duration of the health check
      * @param loadReport as in {@link AttemptEnded}; null if there is none
@@ -214,8 +216,8 @@
 
     /**
      * The settings of this relay have changed. Known classes keep their indexes, and new ones are appended. Pending
-     * requests keep their class, and the lower of the old and the new {@link BalancerSettings#maxAttempts} applies to
-     * them.
+     * requests keep their class, and the lower of {@link BalancerSettings#maxAttempts} at their arrival and now applies
+     * to them.
      */
     record SettingsChanged(BalancerSettings settings) implements BalancerEvent {
         @Override
--- a/src/main/java/sandstack/decisions/CandidateFilter.java
+++ b/src/main/java/sandstack/decisions/CandidateFilter.java
@@ -5,9 +5,9 @@
 import sandstack.capacity.InstallationLimits;
 
 /**
- * Decides which servers may take a request and summarizes the servers examined for it. The summary gives the reason why
+ * Decides which servers may take a request and summarizes the servers examined for it. The summary gives the reason if
  * no server may take the request, and whether the free capacity is reserved for classes of higher priority. Confined to
- * the thread of the load balancer. All calls are O(1).
+ * the thread of the load balancer. All calls but {@link #setClasses} are O(1).
  */
 final class CandidateFilter {
     /** Weight of a server that may not take the request. */
@@ -35,8 +35,8 @@
 
     /**
      * The weight factor of the headroom of a server, at most 1, or {@link #EXCLUDED}. There is no fallback to servers
-     * whose messages are slow: a connection added there is not served, and if all servers are slow, rejecting requests
-     * is what lets them recover.
+     * whose messages are slow: a connection added there is of no use to its client, and if all servers are slow,
+     * rejecting requests is what lets them recover.
      */
     double weight(TrackedRequest request, ServerState server) {
         return isPermitted(request, server) && hasCapacity(server) ? headroom.weightFactor(server) : EXCLUDED;
--- a/src/main/java/sandstack/decisions/ConnectionTracker.java
+++ b/src/main/java/sandstack/decisions/ConnectionTracker.java
@@ -20,7 +20,7 @@
         ServerState server = request.server;
         server.established.put(request.event.requestId(), request);
         request.assumedLoad = Math.max(0, load);
-        context.capacity.onEstablished(request.reportedLoad);
+        context.capacity.onEstablished(request.knownLoad);
         server.estimate.onEstablished(request.assumedLoad, context.nowMicros(), context.uniform());
         if (request.event.group() != null) {
             server.connectionsByGroup.merge(request.event.group(), 1, Integer::sum);
@@ -30,8 +30,8 @@
     /** An established connection has reported its load. */
     void onLoadReported(TrackedRequest request, double load) {
         request.server.estimate.onLoadChanged(request.assumedLoad, load);
-        context.capacity.onLoadReported(request.reportedLoad, load);
-        request.reportedLoad = load;
+        context.capacity.onLoadReported(request.knownLoad, load);
+        request.knownLoad = load;
         request.assumedLoad = load;
     }
 
--- a/src/main/java/sandstack/decisions/DrainMigration.java
+++ b/src/main/java/sandstack/decisions/DrainMigration.java
@@ -3,9 +3,9 @@
 import sandstack.decisions.BalancerAction.Migrate;
 
 /**
- * Migrates the connections of a server that is draining or gone from the endpoint list, since the server may not close
- * them itself. Each connection migrates at a time drawn at random, so that their clients do not reconnect all at once.
- * Confined to the thread of the load balancer. Calls cost up to O(connections of the server).
+ * Migrates the connections of a server that is draining or gone from the endpoint list, since the server might not
+ * close them itself. Each connection migrates at a time drawn at random, so that their clients do not reconnect all at
+ * once. Confined to the thread of the load balancer. Calls cost up to O(connections of the server).
  */
 final class DrainMigration {
     /**
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Migrates an established connection at its drawn time, if its server is still not ready. */
+    /** Migrates an established connection whose drawn time has come; called only if its server is still not ready. */
     void migrate(TrackedRequest request) {
         context.addAction(new Migrate(request.event.requestId()));
     }
--- a/src/main/java/sandstack/decisions/DuplicateExecutionGuard.java
+++ b/src/main/java/sandstack/decisions/DuplicateExecutionGuard.java
@@ -9,7 +9,10 @@
 final class DuplicateExecutionGuard {
     private DuplicateExecutionGuard() {}
 
-    /** Whether one more attempt, at a server that {@link #allowsServer} accepts, cannot take effect twice. */
+    /**
+     * Whether one more attempt, at a server that {@link #allowsServer} accepts, cannot make the request take effect
+     * twice.
+     */
     static boolean allowsAttempt(TrackedRequest request, long nowMicros) {
         return isUnrestricted(request)
                 || (request.requestClass.idempotency() == Idempotency.WITH_KEY
--- a/src/main/java/sandstack/decisions/EndpointListKind.java
+++ b/src/main/java/sandstack/decisions/EndpointListKind.java
@@ -6,7 +6,7 @@
     FULL,
     /** Only the servers that changed. */
     DELTA,
-    /** All servers, from a cache that was written before a restart; may be stale. */
+    /** All servers, from a cache that was written before a restart of the relay; may be stale. */
     CACHED,
     /** A poll or a watch failed; there are no entries. */
     FAILED
--- a/src/main/java/sandstack/decisions/EndpointTable.java
+++ b/src/main/java/sandstack/decisions/EndpointTable.java
@@ -10,8 +10,9 @@
 import sandstack.decisions.BalancerEvent.EndpointListUpdate;
 
 /**
- * The servers that this relay knows from the endpoint list. Confined to the thread of the load balancer. An update
- * costs O(its entries + known servers), other calls O(1).
+ * The servers that this relay knows from the endpoint list or from adopted connections. Confined to the thread of the
+ * load balancer. An update costs O(its entries + known servers + connections of servers that start draining), other
+ * calls O(1).
  */
 final class EndpointTable {
     private static final ServerState[] NO_SERVERS = {};
--- a/src/main/java/sandstack/decisions/FleetOverloadDetector.java
+++ b/src/main/java/sandstack/decisions/FleetOverloadDetector.java
@@ -3,9 +3,9 @@
 import sandstack.capacity.OverloadCount;
 
 /**
- * Determines which fraction of the servers is overloaded, in the home zone and in the other zones, among the servers
- * that this relay can observe by its connections. Input of {@link SpilloverPolicy}, {@link GroupPlacement} and
- * {@link LoadShedder}. Confined to the thread of the load balancer. An update costs O(servers).
+ * Determines which fraction of the servers is overloaded, in the home zone and in the other zones, among the ready
+ * servers that this relay observes, see {@link OverloadCount}. Input of {@link SpilloverPolicy}, {@link GroupPlacement}
+ * and {@link LoadShedder}. Confined to the thread of the load balancer. An update costs O(servers).
  */
 final class FleetOverloadDetector {
     /**
--- a/src/main/java/sandstack/decisions/GroupPlacement.java
+++ b/src/main/java/sandstack/decisions/GroupPlacement.java
@@ -16,15 +16,18 @@
      */
     private static final double BOUNDED_LOAD_FACTOR = 1.25;
     /**
-     * Connections added to the bound: a relay with few connections sees too few of those at other relays to split a
-     * group.
+     * Number of connections added to the bound. A relay with few connections has too small a sample of the connections
+     * of all relays to continue a group on another server.
      */
     private static final double BOUNDED_LOAD_ALLOWANCE = 2;
     /**
      * Weight factor of a server beyond its bound, so low that the next server in the order of the group ranks first.
      */
     private static final double OVER_BOUND_WEIGHT = 0.05;
-    /** Groups are consolidated over all zones while more than this fraction of the observed servers is overloaded. */
+    /**
+     * Groups are consolidated over all zones while more than this fraction of the observed servers of the home zone, or
+     * of the other zones, is overloaded.
+     */
     private static final double CONSOLIDATION_THRESHOLD = 0.25;
     /**
      * Groups are not split into subgroups while more than this fraction of the listed servers is in slow start or
@@ -91,8 +94,8 @@
     }
 
     /**
-     * Whether a server exceeds its bound. The bound counts connections, so it applies only if no connection reports its
-     * load.
+     * Whether a server exceeds its bound. The bound counts connections, so it applies only while no connection has
+     * reported its load.
      */
     private boolean isOverBound(double relativeLoad) {
         double maxLoad = BOUNDED_LOAD_FACTOR * context.capacity.connectionsPerRating() * endpoints.meanHomeZoneRating
--- a/src/main/java/sandstack/decisions/LoadBalancer.java
+++ b/src/main/java/sandstack/decisions/LoadBalancer.java
@@ -27,8 +27,9 @@
  * give the same actions.
  *
  * <p>This class wires the parts, dispatches events to them and runs the periodic update; docs/design.md lists the class
- * that implements each rule. Not thread-safe: all calls are made on one thread. An event costs O(servers), and the
- * first event after each update interval O(servers + requests).
+ * that implements each rule. Not thread-safe: all calls are made on one thread. An event costs O(servers), plus
+ * O(connections of a server) for each server that becomes slow or starts draining, and the first event after each
+ * update interval O(servers + requests).
  */
 public final class LoadBalancer {
     private final BalancerContext context;
@@ -90,8 +91,9 @@
     }
 
     /**
-     * Whether the server gets no new requests now, other than the trial of an ejected server: it is unknown, not ready,
-     * ejected, slow, or full with the connections of this relay.
+     * Whether the server gets no new requests now because it is unknown, not ready, ejected or slow, or because the
+     * connections of this relay have brought it to {@link HeadroomWeight#CLOSED_UTILIZATION}. Being half-open, or full
+     * by its learned limits, does not close a server in this sense.
      */
     public boolean isClosedToNewRequests(String serverId) {
         ServerState server = endpoints.get(serverId);
--- a/src/main/java/sandstack/decisions/LoadRebalancer.java
+++ b/src/main/java/sandstack/decisions/LoadRebalancer.java
@@ -4,9 +4,9 @@
 import sandstack.decisions.BalancerAction.Migrate;
 
 /**
- * Migrates a heavy connection from the most to the least utilized server, one per periodic update: a few heavy
- * connections cause most of the load of a server, and placement cannot foresee them. Confined to the thread of the load
- * balancer. An update costs O(servers + connections of one server).
+ * Migrates a heavy connection off the most utilized server, one per periodic update, if the least utilized server has
+ * much more headroom: a few heavy connections cause most of the load of a server, and placement cannot foresee them.
+ * Confined to the thread of the load balancer. An update costs O(servers + connections of one server).
  */
 final class LoadRebalancer {
     /** Smallest gap in utilization that is narrowed, at which {@link SpilloverPolicy} spills all requests over. */
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Migrates the heaviest connection that narrows a large gap between the most and the least utilized server, if the
-     * former has reached {@link HeadroomWeight#MIN_WEIGHT_UTILIZATION}.
+     * Migrates the heaviest connection that narrows a large gap between the most and the least utilized eligible
+     * server, if the former has reached {@link HeadroomWeight#MIN_WEIGHT_UTILIZATION}.
      */
     void update() {
         ServerState mostUtilized = null;
@@ -66,9 +66,9 @@
         TrackedRequest heaviest = null;
         double heaviestLoad = context.capacity.groupOverheadLoad();
         for (TrackedRequest request : server.established.values()) {
-            if (isSettled(request) && request.reportedLoad > heaviestLoad && request.reportedLoad <= maxLoad) {
+            if (isSettled(request) && request.knownLoad > heaviestLoad && request.knownLoad <= maxLoad) {
                 heaviest = request;
-                heaviestLoad = request.reportedLoad;
+                heaviestLoad = request.knownLoad;
             }
         }
         return heaviest;
--- a/src/main/java/sandstack/decisions/LoadShedder.java
+++ b/src/main/java/sandstack/decisions/LoadShedder.java
@@ -10,7 +10,8 @@
  * Sheds a fraction of the load while most of the fleet is overloaded and neither placement nor migration can help. Load
  * is shed in the order of increasing priority weight per load. Of a tenant beyond its quota at least the excess is
  * shed, provided that the settings give such traffic a lower weight. Confined to the thread of the load balancer. An
- * update costs O(requests), other calls O(1).
+ * update costs O(requests + tenants + classes squared), {@link #setClassCount} O(classes), {@link #setTenants}
+ * O(tenants), other calls O(1).
  */
 final class LoadShedder {
     /** Increase of the shed fraction per update while the fleet is overloaded. */
@@ -47,8 +48,8 @@
     }
 
     /**
-     * Adjusts the shed fraction. While nothing is shed, measures the load of each class, from which a later shed
-     * fraction is taken.
+     * Adjusts the shed fraction or, while nothing is shed and the fleet is not overloaded, measures the load of each
+     * class instead. The shed fraction applies to the loads that were measured last.
      */
     void update(Collection<TrackedRequest> requests, boolean fleetOverloaded) {
         boolean measureLoads = shedFraction == 0 && !fleetOverloaded;
@@ -78,10 +79,11 @@
     }
 
     /**
-     * The load of a connection: the reported load, or the mean of its class if it reported none; 0 if both are unknown.
+     * The load of a connection: its known load, reported or expected, or else the mean reported load of its class; 0 if
+     * both are unknown.
      */
     double loadOf(TrackedRequest request) {
-        return request.reportedLoad > 0 ? request.reportedLoad : classLoads.meanLoad(request.event.classIndex());
+        return request.knownLoad > 0 ? request.knownLoad : classLoads.meanLoad(request.event.classIndex());
     }
 
     void onLoadReported(TrackedRequest request, double load) {
--- a/src/main/java/sandstack/decisions/OutlierDetector.java
+++ b/src/main/java/sandstack/decisions/OutlierDetector.java
@@ -58,8 +58,8 @@
 
     /**
      * Handles an error answer of this server. Some requests are answered with an error by every server, and ejecting
-     * servers for them would empty the fleet. An error is therefore recorded as a failure only if the previous error
-     * was for another group or client, or {@linkplain #onServed once another server serves the request}.
+     * servers for them would empty the fleet. An error is therefore recorded as a failure only if the previous error of
+     * this server was for another group or client, or {@linkplain #onServed once another server serves the request}.
      */
     private void onError(TrackedRequest request) {
         String errorSource = request.event.group() != null ? request.event.group() : request.clientKey;
--- a/src/main/java/sandstack/decisions/RendezvousWeight.java
+++ b/src/main/java/sandstack/decisions/RendezvousWeight.java
@@ -59,8 +59,9 @@
     }
 
     /**
-     * The load of this relay on a server, in mean connections and relative to a server of mean rating. Counts loads if
-     * they are known, so that two heavy connections go to different servers.
+     * The load of this relay on a server, in mean connections and relative to a server of the mean rating of the home
+     * zone. Adds up loads if they are known, so that two heavy connections go to different servers; otherwise counts
+     * connections.
      */
     private double relativeLoad(ServerState server) {
         double connections = context.capacity.loadsKnown()
--- a/src/main/java/sandstack/decisions/RequestCompletion.java
+++ b/src/main/java/sandstack/decisions/RequestCompletion.java
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Rejects a request that is not retried here. Counts as a failed placement, so that the Retry-After includes the
-     * client's next backoff interval.
+     * Rejects a request that this relay does not retry. Counts as a failed placement, so that the Retry-After includes
+     * the client's next backoff interval.
      */
     void rejectWithBackoff(TrackedRequest request, RejectionReason reason) {
         retryBackoff.recordFailure(request.clientKey);
--- a/src/main/java/sandstack/decisions/RequestLifecycle.java
+++ b/src/main/java/sandstack/decisions/RequestLifecycle.java
@@ -98,7 +98,7 @@
     private void startAttempt(TrackedRequest request, ServerState server) {
         long remainingMicros = request.event.deadlineMicros() - context.nowMicros();
         if (!retryPolicy.mayRetry(request)) {
-            // the deduplication window may have ended while the request waited for its retry
+            // the deadline may have passed or the deduplication window ended while the request waited for its retry
             completion.fail(request);
             return;
         }
--- a/src/main/java/sandstack/decisions/RetryBackoff.java
+++ b/src/main/java/sandstack/decisions/RetryBackoff.java
@@ -9,7 +9,7 @@
  * n = 0, and its first failure sets n to 1. Confined to the thread of the load balancer. All calls are O(1).
  */
 final class RetryBackoff {
-    /** Interval n spans 2^n slots. The limit of n, at which one interval is longer than usual deadlines. */
+    /** Largest n. Interval n spans 2^n slots, and the longest interval is longer than usual deadlines. */
     static final int MAX_EXPONENT = 8;
 
     /** Limit of the client keys held, which bounds the memory. */
--- a/src/main/java/sandstack/decisions/RetryPolicy.java
+++ b/src/main/java/sandstack/decisions/RetryPolicy.java
@@ -18,7 +18,7 @@
         this.backoff = backoff;
     }
 
-    /** Whether the deadline has not passed and one more attempt cannot take effect twice. */
+    /** Whether the deadline has not passed and one more attempt cannot make the request take effect twice. */
     boolean mayRetry(TrackedRequest request) {
         return context.nowMicros() < request.event.deadlineMicros()
                 && DuplicateExecutionGuard.allowsAttempt(request, context.nowMicros());
@@ -29,7 +29,7 @@
         return backoff.drawRetryMicros(backoff.recordFailure(request.clientKey));
     }
 
-    /** Why the request cannot be retried at this time; empty if it can. */
+    /** Why the request cannot be retried at {@code retryMicros}; empty if it can. */
     Optional<RejectionReason> giveUpReason(TrackedRequest request, long retryMicros) {
         if (request.remainingAttempts(context.settings()) <= 0) {
             return Optional.of(RejectionReason.ATTEMPTS);
--- a/src/main/java/sandstack/decisions/ServerHeadroom.java
+++ b/src/main/java/sandstack/decisions/ServerHeadroom.java
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Factor, in [0, 1], by which the load of a server reduces its selection weight; 0 while its messages are slow or
-     * it is full.
+     * Factor of the selection weight of a server, in [0, 1], by its headroom; 0 while its messages are slow or it is
+     * full by its utilization.
      */
     double weightFactor(ServerState server) {
         return weightByDelayOrUtilization(server) * HeadroomWeight.byOccupancy(server.estimate.occupancy());
@@ -37,7 +37,8 @@
 
     /**
      * The fraction of the capacity of a server that the connections of this relay use, by their reported loads or the
-     * mean load; other relays may use more of it. Always 0 once any connection has reported a message delay, which is
+     * mean load; other relays may use more of it. It is 0 if the capacity is not stated as an upper bound, see
+     * {@link CapacityEstimate#utilization}, and always 0 once any connection has reported a message delay, which is
      * better evidence.
      */
     double utilization(ServerState server) {
@@ -55,7 +56,7 @@
                 && !server.outlierDetector.isEjected();
     }
 
-    /** Whether a server is ejected, slow or full. */
+    /** Whether a server is ejected, slow or full by its utilization. */
     boolean isOverloaded(ServerState server) {
         return server.outlierDetector.isEjected() || weightByDelayOrUtilization(server) <= 0;
     }
--- a/src/main/java/sandstack/decisions/SetupTimeTracker.java
+++ b/src/main/java/sandstack/decisions/SetupTimeTracker.java
@@ -1,8 +1,8 @@
 package sandstack.decisions;
 
 /**
- * The average time of successful set-ups over all servers, and the number of consecutive timeouts. Confined to the
- * thread of the load balancer. All calls are O(1).
+ * The average set-up time over all servers, by successful set-ups and by timeouts that took longer, and the number of
+ * consecutive timeouts. Confined to the thread of the load balancer. All calls are O(1).
  */
 final class SetupTimeTracker {
     /** The weight of a new sample in the moving average is 1 divided by this. */
--- a/src/main/java/sandstack/decisions/SlowServerMigration.java
+++ b/src/main/java/sandstack/decisions/SlowServerMigration.java
@@ -20,12 +20,14 @@
 
     /** Current migration interval of one server. */
     static final class Interval {
-        private int exponent;
+        /** Number of this interval since the last reset, from 1; 0 if there is none. */
+        private int number;
+
         private long startMicros;
         private long endMicros;
 
         private void reset() {
-            exponent = 0;
+            number = 0;
             endMicros = 0;
         }
     }
@@ -100,9 +102,9 @@
 
     private void startInterval(ServerState server) {
         Interval interval = server.migrationInterval;
-        interval.exponent++;
+        interval.number++;
         interval.startMicros = context.nowMicros();
-        int exponent = MIN_INTERVAL_EXPONENT - 1 + Math.min(interval.exponent, MAX_INTERVALS);
+        int exponent = MIN_INTERVAL_EXPONENT - 1 + Math.min(interval.number, MAX_INTERVALS);
         interval.endMicros = context.nowMicros() + (context.slotMicros() << exponent);
         for (TrackedRequest request : server.established.values()) {
             request.migrationDraw = context.uniform();
--- a/src/main/java/sandstack/decisions/SlowStartAdmission.java
+++ b/src/main/java/sandstack/decisions/SlowStartAdmission.java
@@ -4,8 +4,8 @@
 
 /**
  * Decides whether a server in slow start, or one whose messages were slow recently, may be sent a request. Both take
- * new connections at a limited rate, of which this relay has a share that {@link SlowStartBudget} keeps account of.
- * Confined to the thread of the load balancer. All calls are O(1).
+ * new connections at a limited rate; {@link SlowStartBudget} holds this relay to its share of that rate. Confined to
+ * the thread of the load balancer. All calls are O(1).
  */
 final class SlowStartAdmission {
     /** Exponent of the recovery time, which is 2^n slots: twice the longest backoff interval. */
@@ -20,8 +20,9 @@
     }
 
     /**
-     * Whether the request fits into the budget of the server. The check draws random numbers, and the budget that it
-     * consumes stays consumed even if another server is picked.
+     * Whether the request fits into the budget of the server. The check draws random numbers and may consume budget for
+     * new clients, which stays consumed even if another server is picked; a permit is used up only when a request is
+     * sent.
      */
     boolean admits(TrackedRequest request, ServerState server) {
         double slowStartFraction = server.slowStartFraction(context);
--- a/src/main/java/sandstack/decisions/SpilloverPolicy.java
+++ b/src/main/java/sandstack/decisions/SpilloverPolicy.java
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Probability of staying by usable rating: that of the servers that are neither ejected nor draining, in proportion
-     * to the progress of their slow start.
+     * Probability of staying by usable rating. The usable rating is the sum of the ratings of the ready servers that
+     * {@link OutlierDetector#isSelectable} permits, each multiplied by the slow-start fraction of the server.
      */
     private double byUsableRating() {
         double usableRating = 0;
--- a/src/main/java/sandstack/decisions/TrackedRequest.java
+++ b/src/main/java/sandstack/decisions/TrackedRequest.java
@@ -6,13 +6,13 @@
 
 /**
  * The state of one request, from its arrival to its final answer or the end of its connection. {@link RequestLifecycle}
- * owns {@link #state}, {@link #server} and the attempt; the owners of other fields are named there. Confined to the
- * thread of the load balancer.
+ * owns {@link #state}, which {@link RequestTable} resets at the end, {@link #server} and the attempt; the comments of
+ * the other mutable fields that are not private name their owners. Confined to the thread of the load balancer.
  */
 final class TrackedRequest {
     /** Phase of a request. */
     enum State {
-        /** Waits for a timer; also the state of a request that has ended. */
+        /** No attempt is in flight: the request waits for a timer, is being placed or has ended. */
         WAITING,
         /** An attempt at {@link #server} is in flight. */
         ATTEMPTING,
@@ -41,9 +41,9 @@
      * Last reported load in microseconds of work per second, or the expected load before the first report; 0 if
      * unknown. Owner: {@link ConnectionTracker}.
      */
-    double reportedLoad;
+    double knownLoad;
     /**
-     * Load that the estimate of its server counts: the reported load or the mean of its class; 0 if both are unknown.
+     * Load that the estimate of its server counts: the known load or the mean load of its class; 0 if both are unknown.
      * Owner: {@link ConnectionTracker}.
      */
     double assumedLoad;
@@ -62,7 +62,7 @@
         this.requestClass = settings.classes().get(event.classIndex());
         this.maxAttempts = settings.maxAttempts();
         this.clientKey = event.clientKey() == null ? event.requestId() : event.clientKey();
-        this.reportedLoad = event.expectedLoad();
+        this.knownLoad = event.expectedLoad();
     }
 
     /** Attempts left under the lower of the limits at its arrival and now. */
@@ -130,7 +130,7 @@
         return serversWithErrors.contains(candidate);
     }
 
-    /** Returns the servers that answered with an error, in that order, and clears the list. */
+    /** Returns the servers that answered with an error, in the order of the errors, and clears the list. */
     List<ServerState> takeServersWithErrors() {
         List<ServerState> taken = serversWithErrors;
         serversWithErrors = List.of();
--- a/src/main/java/sandstack/staleness/EndpointListStaleness.java
+++ b/src/main/java/sandstack/staleness/EndpointListStaleness.java
@@ -27,23 +27,27 @@
     public static final long MISSED_CHANGE_GRACE_MICROS = 6_000_000;
     /**
      * A change missed on a silent long poll counts as notified this long after the longest time that the poll may wait,
-     * or after {@link #MISSED_CHANGE_GRACE_MICROS}, whichever is later.
+     * or after {@link #MISSED_CHANGE_GRACE_MICROS}, whichever is later, but at most {@link #MISSED_CHANGE_GRACE_MICROS}
+     * after the change. The first two times are counted from when the poll became silent.
      */
     public static final long MISSED_AFTER_LONG_POLL_MICROS = 2_000_000;
     /** Time after which discovery ends a long poll. */
     private static final long MAX_LONG_POLL_MICROS = 2_000_000;
     /**
-     * Longest backoff. After any number of failures, a change counts as notified {@link #MISSED_CHANGE_GRACE_MICROS}
-     * after it was made and discovery was reachable. The timeout of a silent poll, the backoff after it and the next
-     * long poll fit into that time.
+     * Longest backoff. After any number of failures, a change counts as notified at the latest
+     * {@link #MISSED_CHANGE_GRACE_MICROS} after it was made and discovery was reachable. The timeout of a silent poll,
+     * the backoff after it and the next long poll fit into that time.
      */
     public static final long MAX_BACKOFF_MICROS =
             MISSED_CHANGE_GRACE_MICROS - WATCH_SILENCE_TIMEOUT_MICROS - MAX_LONG_POLL_MICROS;
-    /** When a new configuration names another agent, the list of that agent counts as notified this much later. */
+    /**
+     * If a new configuration names another agent, the list of that agent counts as notified this long after the
+     * configuration arrived.
+     */
     public static final long NEW_CONFIGURATION_GRACE_MICROS = 4_000_000;
     /**
-     * After a failed poll, a change counts as notified this many times {@link #pollIntervalMicros} later, but at most
-     * {@link #MISSED_CHANGE_GRACE_MICROS} after the change.
+     * After a failed poll, a change counts as notified this many times {@link #pollIntervalMicros} after the change or
+     * the poll, whichever is later, but at most {@link #MISSED_CHANGE_GRACE_MICROS} after the change.
      */
     private static final int FAILED_POLL_INTERVALS = 4;
 
