--- a/src/test/java/sandstack/OuterNamesTest.java
+++ b/src/test/java/sandstack/OuterNamesTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Names that clients, operators, stored files and other processes rely on (wire, settings, metrics, flags, log keys)
- * are still written in the sources, whatever the code around them is renamed to.
+ * The sources still contain each name that clients, operators, stored files or other processes depend on (wire,
+ * settings, metrics, flags, log keys). Guards against renames in the code that change such a name.
  */
 class OuterNamesTest {
-    /** A line in brackets is a heading; each other line that is not blank is a name. */
+    /** A line in brackets is a section heading; each other line that is not blank is a name. */
     private static final Path LIST = Path.of("src/test/resources/outer-names.txt");
 
     private static final String BALANCER_SECTION = "deploy/balancer.toml";
@@ -37,18 +37,18 @@
     private static final Pattern ENUM_CONSTANTS = Pattern.compile("\\benum \\w+[^{]*\\{([^;{}]*)");
     private static final Pattern RECORD_COMPONENTS =
             Pattern.compile("\\brecord \\w+(?:<[^(]*>)?\\(([^{]*)\\)[^{)]*\\{");
-    /** A command of the command line has the name of its method. */
+    /** Picocli names a command after its method. */
     private static final Pattern COMMAND_METHOD = Pattern.compile("@Command\\([^)]*\\)\\s+(int \\w+)\\(");
 
     /**
-     * The names that sources write out.
+     * The texts and names in source files that can be visible outside the process.
      *
-     * @param literals all string literals, one a line
-     * @param words string literals of one word, without punctuation and escapes around it
+     * @param literals all string literals, one per line
+     * @param words all string literals, without line break and tab escapes and without punctuation at both ends
      * @param declaredNames enum constants, record components and methods that are commands
      */
-    private record Written(String literals, Set<String> words, Set<String> declaredNames) {
-        static Written in(List<String> sources) {
+    private record SourceNames(String literals, Set<String> words, Set<String> declaredNames) {
+        static SourceNames of(List<String> sources) {
             StringBuilder literals = new StringBuilder();
             Set<String> words = new HashSet<>();
             Set<String> declaredNames = new HashSet<>();
@@ -68,15 +68,15 @@
                 addLastWords(RECORD_COMPONENTS.matcher(code), declaredNames);
                 addLastWords(COMMAND_METHOD.matcher(code), declaredNames);
             }
-            return new Written(literals.toString(), words, declaredNames);
+            return new SourceNames(literals.toString(), words, declaredNames);
         }
 
         /** Adds the last word of each item of the comma-separated lists in group 1. */
         private static void addLastWords(Matcher lists, Set<String> names) {
             while (lists.find()) {
                 String list = lists.group(1);
-                for (String outer = ""; !outer.equals(list); ) {
-                    outer = list;
+                for (String previous = ""; !previous.equals(list); ) {
+                    previous = list;
                     list = list.replaceAll("\\([^()]*\\)|<[^<>]*>", "");
                 }
                 for (String item : list.split(",", 0)) {
@@ -86,10 +86,10 @@
         }
 
         /**
-         * Whether a name is written: one word as a whole literal or as a declared name, since a message may contain the
-         * same word; any other name within a literal, from word boundary to word boundary.
+         * Whether the sources contain a name. A single word must be a whole literal or a declared name, because a
+         * message may contain the same word; any other name may be part of a literal, between word boundaries.
          */
-        boolean has(String name) {
+        boolean contains(String name) {
             if (name.matches("\\w+")) {
                 return words.contains(name) || declaredNames.contains(name);
             }
@@ -99,7 +99,7 @@
         }
     }
 
-    private static Written mainSources() throws IOException {
+    private static SourceNames mainSources() throws IOException {
         List<String> sources = new ArrayList<>();
         try (Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
             for (Path file :
@@ -107,12 +107,12 @@
                 sources.add(Files.readString(file));
             }
         }
-        return Written.in(sources);
+        return SourceNames.of(sources);
     }
 
     @Test
-    void eachNameIsStillWritten() throws IOException {
-        Written written = mainSources();
+    void sourcesContainEachOuterName() throws IOException {
+        SourceNames sourceNames = mainSources();
         JsonNode balancer = new TomlMapper().readTree(Files.readString(Path.of("deploy/balancer.toml")));
         JsonNode example = new ObjectMapper().readTree(Files.readString(Path.of("examples/config.json")));
         List<String> missing = new ArrayList<>();
@@ -125,7 +125,7 @@
                 names++;
                 boolean found = section.equals(BALANCER_SECTION)
                         ? balancer.has(line)
-                        : written.has(line)
+                        : sourceNames.contains(line)
                                 || (section.equals(CONFIGURATION_SECTION) && example.findValue(line) != null);
                 if (!found) {
                     missing.add("[" + section + "] " + line);
@@ -133,14 +133,14 @@
             }
         }
         assertThat(missing)
-                .as("names that leave the process and are not in the sources")
+                .as("names of the list that the sources do not contain")
                 .isEmpty();
         assertThat(names).as("names in " + LIST).isGreaterThanOrEqualTo(MIN_NAMES);
     }
 
     @Test
-    void aNameThatIsNotThereIsReported() {
-        Written written = Written.in(
+    void findsNamesInLiteralsAndDeclarationsOnly() {
+        SourceNames sourceNames = SourceNames.of(
                 List.of(
                         """
                 // "commented"
@@ -163,7 +163,7 @@
                         "NAK",
                         "text block",
                         "a relay."))
-                .allMatch(written::has);
+                .allMatch(sourceNames::contains);
         assertThat(List.of(
                         "commented",
                         "documented",
@@ -176,6 +176,6 @@
                         "max_attempts=1",
                         "text bloc",
                         "REA"))
-                .noneMatch(written::has);
+                .noneMatch(sourceNames::contains);
     }
 }
--- a/src/test/java/sandstack/PushedListTest.java
+++ b/src/test/java/sandstack/PushedListTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A relay beside a local discovery agent that receives each change without being polled ({@code membership_mode}
- * {@code pushed}). The agent's list applies before the first client is accepted, and again at once after silence and
- * after an outage.
+ * A relay that gets its endpoint list from a discovery agent on the same machine, to which discovery pushes each change
+ * ({@code membership_mode} {@code pushed}). The agent's list is binding from the start of the process, and again at
+ * once after silence and after an outage.
  */
 class PushedListTest {
     private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -84,21 +84,24 @@
         return line;
     }
 
-    /** Without the watch before the first client, clients would be placed by the outdated list of the configuration. */
+    /**
+     * If the watch were opened after the listener, the first clients would be placed by the configured list, which
+     * dates from the previous run.
+     */
     @Test
-    void opensTheWatchBeforeTheListenerAndAgainAtOnceAfterSilenceAndOutage() throws Exception {
+    void opensTheWatchBeforeTheListenerAndReopensItAtOnceAfterSilenceAndOutage() throws Exception {
         acceptWatch();
         sendList(50, "ready");
         awaitLogged(" protocol=lines address=");
 
-        // silence: the relay closes the watch and opens the next one without the backoff that a shared discovery needs
+        // silence: the relay closes the watch and opens the next one without the long backoff for a shared discovery
         awaitLogged("discovery watch failed reason=\"no data for");
         long silenceNanos = System.nanoTime();
         acceptWatch();
         long reopenedNanos = System.nanoTime() - silenceNanos;
         sendList(51, "ready");
 
-        // outage: the agent refuses connections, then recovers; its list applies at once
+        // outage: the agent refuses connections, then recovers; the relay opens a watch at once
         agent.close();
         watch.setSoLinger(true, 0);
         watch.close();
@@ -116,7 +119,7 @@
         assertThat(TimeUnit.NANOSECONDS.toMillis(reconnectedNanos)).isLessThan(2_000);
     }
 
-    /** A silent agent delays the listener by one second only. */
+    /** An agent that sends no list delays the opening of the listener by one second. */
     @Test
     void servesWithTheConfiguredListWhileTheAgentIsSilent() throws Exception {
         awaitLogged(" protocol=lines address=");
--- a/src/test/java/sandstack/ReloadTest.java
+++ b/src/test/java/sandstack/ReloadTest.java
@@ -37,8 +37,8 @@
 
     @BeforeEach
     void start() throws Exception {
-        firstDiscovery = discovery();
-        secondDiscovery = discovery();
+        firstDiscovery = openDiscovery();
+        secondDiscovery = openDiscovery();
         configFile = folder.resolve("config.json");
         replaceConfig(example(firstDiscovery));
         ProcessBuilder processBuilder = new ProcessBuilder(
@@ -49,7 +49,7 @@
                         "serve")
                 .redirectErrorStream(true);
         processBuilder.environment().put("PROXY_CONFIG", configFile.toString());
-        // as on the platform, the variable keeps the initial address when the file changes
+        // as on the platform, the environment does not change at a reload, so this variable keeps the first address
         processBuilder.environment().put("PROXY_DISCOVERY", address(firstDiscovery));
         processBuilder.environment().put("PROXY_OPERATOR", "127.0.0.1:0");
         relay = processBuilder.start();
@@ -63,7 +63,7 @@
         secondDiscovery.close();
     }
 
-    private static ServerSocket discovery() throws Exception {
+    private static ServerSocket openDiscovery() throws Exception {
         ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         listening.setSoTimeout(20_000);
         return listening;
@@ -103,26 +103,26 @@
         assertThat(line).as("log line with: " + text).isNotNull();
     }
 
-    private String call(String call) throws Exception {
+    private String sendOperatorCommand(String command) throws Exception {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), operatorPort)) {
-            socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.UTF_8));
+            socket.getOutputStream().write((command + "\r\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
     /** Sends SIGHUP, and waits until the metrics count these numbers of applied and rejected configurations. */
-    private void reload(int applied, int rejected) throws Exception {
+    private void reload(int expectedApplied, int expectedRejected) throws Exception {
         signal("HUP");
-        String info = call("INFO");
-        while (!info.contains("config_applied=" + applied + "\r\n")
-                || !info.contains("config_rejected=" + rejected + "\r\n")) {
+        String info = sendOperatorCommand("INFO");
+        while (!info.contains("config_applied=" + expectedApplied + "\r\n")
+                || !info.contains("config_rejected=" + expectedRejected + "\r\n")) {
             assertThat(relay.isAlive()).isTrue();
-            info = call("INFO");
+            info = sendOperatorCommand("INFO");
         }
     }
 
     /** The response to a request of this class: {@code BUSY} for a configured class, as no feed server is reachable. */
-    private String open(String requestClass) throws Exception {
+    private String sendRequest(String requestClass) throws Exception {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), clientPort)) {
             socket.getOutputStream()
                     .write(("OPEN i" + ++requestCount + " k c=" + requestClass + ",d=300\r\n")
@@ -143,31 +143,32 @@
                 clientPort = listenerOpened.group(1).equals("lines") ? port : clientPort;
             }
         }
-        String before = example(firstDiscovery);
-        String after = before.replace("\"catalogue-feed\"", "\"price-feed\"")
+        String initialConfig = example(firstDiscovery);
+        String changedConfig = initialConfig
+                .replace("\"catalogue-feed\"", "\"price-feed\"")
                 .replace("\"max_attempts\": 6", "\"max_attempts\": 2");
-        assertThat(open("catalogue-feed")).startsWith("BUSY");
-        assertThat(open("price-feed")).isEqualTo("ERR\r\n");
-        replaceConfig(after);
+        assertThat(sendRequest("catalogue-feed")).startsWith("BUSY");
+        assertThat(sendRequest("price-feed")).isEqualTo("ERR\r\n");
+        replaceConfig(changedConfig);
         reload(1, 0);
-        assertThat(open("price-feed")).startsWith("BUSY");
-        assertThat(open("catalogue-feed")).isEqualTo("ERR\r\n");
+        assertThat(sendRequest("price-feed")).startsWith("BUSY");
+        assertThat(sendRequest("catalogue-feed")).isEqualTo("ERR\r\n");
         int rejected = 0;
         for (String invalid : List.of(
                 "",
-                after.substring(0, 900),
-                after.replace("\"max_attempts\": 2,", ""),
-                after.replace("\"max_attempts\": 2", "\"max_attempts\": \"two\""),
-                before.replace("\"deadline_us\": 3000000", "\"deadline_us\": 0"))) {
+                changedConfig.substring(0, 900),
+                changedConfig.replace("\"max_attempts\": 2,", ""),
+                changedConfig.replace("\"max_attempts\": 2", "\"max_attempts\": \"two\""),
+                initialConfig.replace("\"deadline_us\": 3000000", "\"deadline_us\": 0"))) {
             replaceConfig(invalid);
             reload(1, ++rejected);
-            assertThat(open("price-feed")).startsWith("BUSY");
-            assertThat(open("catalogue-feed")).isEqualTo("ERR\r\n");
+            assertThat(sendRequest("price-feed")).startsWith("BUSY");
+            assertThat(sendRequest("catalogue-feed")).isEqualTo("ERR\r\n");
         }
-        replaceConfig(before);
+        replaceConfig(initialConfig);
         reload(2, rejected);
-        assertThat(open("catalogue-feed")).startsWith("BUSY");
-        assertThat(call("INFO"))
+        assertThat(sendRequest("catalogue-feed")).startsWith("BUSY");
+        assertThat(sendOperatorCommand("INFO"))
                 .contains(
                         "edge_proxy.responses.catalogue-feed.shed=2\r\n", "edge_proxy.responses.price-feed.shed=6\r\n");
     }
--- a/src/test/java/sandstack/ReloadUnderTrafficTest.java
+++ b/src/test/java/sandstack/ReloadUnderTrafficTest.java
@@ -72,7 +72,10 @@
         }
     }
 
-    /** The configuration of a reload; odd ones have another class, fewer attempts and the other discovery. */
+    /**
+     * The configuration for a reload. Odd reloads have another class, fewer attempts and the other discovery. None has
+     * a list of feed servers, so that all servers come from discovery.
+     */
     private String config(int reload) throws IOException {
         String text = Files.readString(Path.of("examples/config.json"))
                 .replace("127.0.0.1:3000", "127.0.0.1:0")
@@ -133,7 +136,7 @@
                 this::onEvent);
     }
 
-    /** The number of clients whose connection or request has ended, for any reason. */
+    /** The number of events that end a client's request or connection. */
     private int endedClients() {
         return eventCounts.entrySet().stream()
                 .filter(e -> e.getKey() != EventType.ESTABLISHED)
--- a/src/test/java/sandstack/ReloadWhileDrainingTest.java
+++ b/src/test/java/sandstack/ReloadWhileDrainingTest.java
@@ -65,17 +65,17 @@
         testServerLoop.close();
     }
 
-    private String config(int discovery, int deadline) throws IOException {
+    private String config(int discovery, int deadlineMicros) throws IOException {
         return Files.readString(Path.of("examples/config.json"))
                 .replace(
                         "127.0.0.1:8500",
                         "127.0.0.1:" + discoveries.get(discovery).port())
-                .replaceAll("\"deadline_us\": [0-9]+", "\"deadline_us\": " + deadline)
+                .replaceAll("\"deadline_us\": [0-9]+", "\"deadline_us\": " + deadlineMicros)
                 .replaceFirst("\"known\": *\\{[^]]*]\\s*},", "");
     }
 
-    private void reload(int discovery, int deadline) throws Exception {
-        Files.writeString(folder.resolve("relay.json"), config(discovery, deadline));
+    private void reload(int discovery, int deadlineMicros) throws Exception {
+        Files.writeString(folder.resolve("relay.json"), config(discovery, deadlineMicros));
         assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(relay.pid()))
                         .start()
                         .waitFor())
@@ -132,7 +132,7 @@
 
     /** Deadlines and discovery change twice while the clients of a relay that shuts down wait for their migration. */
     @Test
-    void aDrainingRelayMigratesItsClientsWhateverIsReloadedMeanwhile() throws Exception {
+    void aDrainingRelayMigratesItsClientsDespiteReloads() throws Exception {
         connectClients(CLIENTS);
         awaitTrue(() -> count(EventType.ESTABLISHED) == CLIENTS);
         relay.destroy();
@@ -149,10 +149,10 @@
 
     /** The discovery that listed the server as draining is replaced, and the new one has not sent a list yet. */
     @Test
-    void aDrainingFeedServerGetsNothingNewAcrossAChangeOfDiscovery() throws Exception {
+    void aDrainingFeedServerGetsNoNewRequestsAfterAChangeOfDiscovery() throws Exception {
         connectClients(CLIENTS);
         awaitTrue(() -> count(EventType.ESTABLISHED) == CLIENTS && establishedAt(0) > 0);
-        // the relay may migrate some of these before their feed server does
+        // counted before the drain, because the relay may migrate some of these clients before their feed server does
         int establishedBeforeDrain = testServerLoop.call(() -> establishedAt(0));
         int requestsBeforeDrain = testServerLoop.call(() -> {
             discoveries.get(1).setUnavailable(true);
--- a/src/test/java/sandstack/ResourceExhaustionTest.java
+++ b/src/test/java/sandstack/ResourceExhaustionTest.java
@@ -23,12 +23,17 @@
 import org.junit.jupiter.api.parallel.Isolated;
 
 /** Relays short of a resource: all descriptors in use while discovery is down, and ten relays started on one core. */
-@Isolated("uses a whole core and all descriptors of a relay; fleet members of parallel tests would starve")
+@Isolated(
+        "uses a whole core and all descriptors of a relay; fleet members of parallel tests would get too little CPU time")
 @Timeout(120)
 class ResourceExhaustionTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    /** Configured limit on the descriptors of a relay. */
     private static final int DESCRIPTORS = 128;
-    /** Descriptors that an idle relay has open as shipped; with the test class path it has more jars open. */
+    /**
+     * Descriptors that an idle relay has open as shipped. With the test class path it has more jars open, which the
+     * test adds to the limit.
+     */
     private static final int IDLE_DESCRIPTORS = 22;
 
     @TempDir
@@ -77,7 +82,7 @@
         });
         idleClients.setDaemon(true);
         idleClients.start();
-        // 48 descriptors are reserved for what is no connection of a client or feed server
+        // RelayService reserves 48 descriptors for other uses than connections; an idle relay has 22 of them open
         while (openDescriptors(relay) < limit - 48 + IDLE_DESCRIPTORS) {
             Thread.onSpinWait();
         }
@@ -108,7 +113,7 @@
     }
 
     @Test
-    void tenRestartedAtOnceOnOneCoreAreReadyWithin10Seconds() throws Exception {
+    void tenRelaysStartedAtOnceOnOneCoreRespondWithin10Seconds() throws Exception {
         String allowed = Files.readString(Path.of("/proc/self/status"))
                 .lines()
                 .filter(line -> line.startsWith("Cpus_allowed_list:"))
--- a/src/test/java/sandstack/UpgradeTest.java
+++ b/src/test/java/sandstack/UpgradeTest.java
@@ -84,7 +84,7 @@
     private Started start(String name) throws Exception {
         Started started = startWithoutWaiting(name);
         // connections are refused until the process listens, and the response to PING is NAK until it accepts clients
-        while (!call(started.operatorPort(), "PING").startsWith("ACK")) {
+        while (!sendOperatorCommand(started.operatorPort(), "PING").startsWith("ACK")) {
             assertThat(started.process().isAlive())
                     .as("relay " + name + ": " + log(name))
                     .isTrue();
@@ -107,16 +107,16 @@
         return Files.readString(folder.resolve(name + ".log"));
     }
 
-    private static String call(int operatorPort, String call) {
+    private static String sendOperatorCommand(int operatorPort, String command) {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), operatorPort)) {
-            socket.getOutputStream().write((call + "\r\n").getBytes(StandardCharsets.UTF_8));
+            socket.getOutputStream().write((command + "\r\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             return "";
         }
     }
 
-    /** Connects a client that stays until it is migrated; records its first and its last line. */
+    /** Connects a client that stays connected until it is migrated, and records the first and the last line it gets. */
     private void connectClient(int number) throws Exception {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), holder.port());
         socket.getOutputStream()
@@ -184,14 +184,14 @@
     void aFailedUpgradeChangesNothing() throws Exception {
         Started old = start("old");
         for (int i = 0; i < 3; i++) {
-            Started killed = startWithoutWaiting("dying" + i);
-            while (!log("dying" + i).contains("protocol=operators address=")) {
+            Started killed = startWithoutWaiting("killed" + i);
+            while (!log("killed" + i).contains("protocol=operators address=")) {
                 assertThat(killed.process().isAlive()).isTrue();
                 Thread.onSpinWait();
             }
             killed.process().destroyForcibly();
             killed.process().onExit().get(20, TimeUnit.SECONDS);
-            assertThat(call(old.operatorPort(), "PING")).startsWith("ACK");
+            assertThat(sendOperatorCommand(old.operatorPort(), "PING")).startsWith("ACK");
             connectClient(i);
         }
         while (firstLines.size() < 3) {
@@ -200,18 +200,18 @@
         assertThat(firstLines).allMatch(answer -> answer.startsWith("UP "));
         try (java.util.stream.Stream<Path> files = Files.list(folder.resolve("tmp"))) {
             assertThat(files)
-                    .as("files: two of the old process, at most three of each killed one")
+                    .as("files in the temporary folder: two of the old process, at most three of each killed one")
                     .hasSizeLessThanOrEqualTo(11);
         }
-        assertThat(call(old.operatorPort(), "INFO"))
+        assertThat(sendOperatorCommand(old.operatorPort(), "INFO"))
                 .contains(
                         "edge_proxy.responses.order-status.ok=3\r\n",
                         "edge_proxy.active=3\r\n",
                         "edge_proxy.pool_size=2\r\n")
                 .endsWith("--\r\n");
         old.process().destroy();
-        // metrics are available while it drains
-        assertThat(call(old.operatorPort(), "INFO")).startsWith("ACK\r\n");
+        // metrics stay available while the process drains, until it exits
+        assertThat(sendOperatorCommand(old.operatorPort(), "INFO")).startsWith("ACK\r\n");
         old.process().onExit().get(20, TimeUnit.SECONDS);
         assertThat(log("old")).contains("relay stopped").doesNotContain("SEVERE");
     }
--- a/src/test/java/sandstack/scenario/Actor.java
+++ b/src/test/java/sandstack/scenario/Actor.java
@@ -7,23 +7,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A client or feed server in a scenario: sends on command, and queues an event for whatever it receives. A thread per
- * actor reads; the test's thread does the rest.
+ * A client or feed server in a scenario: sends on command, and queues an event for each message that it receives. Each
+ * actor has a thread that reads; all else runs on the test's thread.
  */
 abstract class Actor {
     final Socket socket;
     final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     /** The client key of the request, if this is a feed server and has received one. */
     volatile String key;
-    /** Whether {@link #next} has returned the end of the connection. */
+    /** Whether {@link #next} has returned an event that ends the connection. */
     boolean ended;
 
     Actor(Socket socket) {
         this.socket = socket;
     }
 
-    /** Sends what a {@code send} line of a scenario states after the verb. */
-    abstract void send(String what) throws IOException, InterruptedException;
+    /** Sends a message, given as in a {@code send} line of a scenario. */
+    abstract void send(String message) throws IOException, InterruptedException;
 
     /** Reads until the end of the connection and adds an event for each message; runs on the reader thread. */
     abstract void read() throws IOException;
--- a/src/test/java/sandstack/scenario/AmqpActor.java
+++ b/src/test/java/sandstack/scenario/AmqpActor.java
@@ -27,13 +27,15 @@
 import org.apache.qpid.protonj2.types.messaging.Target;
 import org.apache.qpid.protonj2.types.transport.ErrorCondition;
 
-/** A client or feed server that uses AMQP 1.0. The engine is accessed with the lock of this object held. */
+/** A client or feed server that uses AMQP 1.0. The engine is only used while the lock of this object is held. */
 final class AmqpActor extends Actor {
     private final boolean client;
     private Engine engine;
     private Connection connection;
     private Link<?> link;
-    private boolean detached;
+    /** Whether either side has closed the link or the connection with an error. */
+    private boolean closedWithError;
+
     private IncomingDelivery lastDelivery;
     private StringBuilder partialText = new StringBuilder();
     private OutgoingDelivery openDelivery;
@@ -77,17 +79,17 @@
         Map<Symbol, Object> p = newLink.getRemoteProperties();
         key = (String) p.get(Symbol.valueOf("sandstack:key"));
         events.add("ask " + p.get(Symbol.valueOf("sandstack:class")));
-        setHandlers();
+        setLinkHandlers();
     }
 
-    private void setHandlers() {
+    private void setLinkHandlers() {
         link.closeHandler(l -> {
             if (l.getRemoteCondition() != null) {
                 onRemoteClosed(l.getRemoteCondition());
             } else if (client) {
                 events.add("bye");
             }
-            if (!client && !detached) {
+            if (!client && !closedWithError) {
                 l.close();
             }
         });
@@ -117,15 +119,15 @@
     }
 
     private void onRemoteClosed(ErrorCondition error) {
-        if (detached) {
+        if (closedWithError) {
             return;
         }
-        detached = true;
-        boolean later = error.getInfo() != null
+        closedWithError = true;
+        boolean hasRetryAfter = error.getInfo() != null
                 && error.getInfo().get(Symbol.valueOf("sandstack:come-back-ms")) instanceof UnsignedInteger;
         events.add(
                 switch (error.getCondition().toString()) {
-                    case "amqp:resource-limit-exceeded" -> later ? "busy later" : "busy";
+                    case "amqp:resource-limit-exceeded" -> hasRetryAfter ? "busy later" : "busy";
                     case "amqp:connection:forced" -> "move";
                     case "amqp:internal-error" -> "error";
                     default -> error.getCondition().toString();
@@ -133,8 +135,8 @@
     }
 
     @Override
-    synchronized void send(String what) throws IOException, InterruptedException {
-        String[] words = what.split(" ");
+    synchronized void send(String message) throws IOException, InterruptedException {
+        String[] words = message.split(" ");
         try {
             switch (words[0]) {
                 case "sasl" -> {
@@ -150,9 +152,9 @@
                 case "move" -> connection
                         .setCondition(new ErrorCondition("amqp:connection:forced", "drain"))
                         .close();
-                case "line" -> deliver(what.substring(5), true);
+                case "line" -> deliver(message.substring(5), true);
                 case "big" -> deliver("x".repeat(Integer.parseInt(words[1])), true);
-                case "part" -> deliver(what.substring(5), false);
+                case "part" -> deliver(message.substring(5), false);
                 case "accept" -> lastDelivery.disposition(Accepted.getInstance(), true);
                 case "credit" -> ((Receiver) link).addCredit(Integer.parseInt(words[1]));
                 case "second" -> connection
@@ -162,8 +164,9 @@
                         .setTarget(new Target())
                         .closeHandler(l -> onRemoteClosed(l.getRemoteCondition()))
                         .open();
-                case "raw" -> socket.getOutputStream().write(what.substring(4).getBytes(StandardCharsets.UTF_8));
-                default -> throw new IllegalArgumentException(what);
+                case "raw" -> socket.getOutputStream()
+                        .write(message.substring(4).getBytes(StandardCharsets.UTF_8));
+                default -> throw new IllegalArgumentException(message);
             }
         } catch (EngineStateException e) {
             events.add("engine failed");
@@ -192,7 +195,7 @@
                 events.add("up");
             }
         });
-        setHandlers();
+        setLinkHandlers();
         link.open();
     }
 
@@ -209,7 +212,7 @@
         if (!link.isLocallyOpen()) {
             link.open();
         }
-        detached = true;
+        closedWithError = true;
         link.setCondition(new ErrorCondition(condition, "rejected by the scenario"));
         link.close();
     }
@@ -220,10 +223,11 @@
         }
         OutgoingDelivery delivery = openDelivery != null ? openDelivery : ((Sender) link).next();
         if (openDelivery == null) {
+            // equal first characters give equal tags: a scenario can send the same delivery again on a new link
             delivery.setTag(new byte[] {(byte) text.charAt(0)});
             delivery.deliveryStateUpdatedHandler(d -> {
                 String state = String.valueOf(d.getRemoteState());
-                events.add((d.isRemotelySettled() ? "settled " : "told ")
+                events.add((d.isRemotelySettled() ? "settled " : "updated ")
                         + state.replaceAll("[^A-Za-z].*", "").toLowerCase(Locale.ROOT));
                 if (d.isRemotelySettled()) {
                     d.settle();
--- a/src/test/java/sandstack/scenario/ScenarioTest.java
+++ b/src/test/java/sandstack/scenario/ScenarioTest.java
@@ -16,18 +16,23 @@
 
 /**
  * Runs the scenarios under src/test/resources/scenarios. A line {@code == TITLE} begins a scenario; each other line is
- * {@code ACTOR VERB WORDS}. Actors are the clients c1, c2, ...; the connections that reach a feed server, x1, x2, ...
- * in the order of their arrival; and {@code relay}. The first use of a client connects it.
+ * {@code ACTOR VERB ARGUMENT}; blank lines and lines that begin with {@code #} are skipped. The scenarios in
+ * {@code both} run with the line protocol and with AMQP, those in {@code text} and {@code amqp} with one of them.
+ *
+ * <p>Actors are the clients c1, c2, ...; the connections that reach a feed server, x1, x2, ... in the order of their
+ * arrival; and {@code relay}. The first use of a client connects it.
  *
  * <ul>
- *   <li>{@code send}: the actor sends the message
- *   <li>{@code expect}: the next event at the actor is the given one
+ *   <li>{@code send MESSAGE}: the actor sends a message; {@link TextActor} and {@link AmqpActor} define the messages
+ *   <li>{@code expect EVENT}: the next event at the actor is this one
  *   <li>{@code close}, {@code reset}: the actor closes its sending side, or resets its connection
  *   <li>{@code wait N}: waits until the relay has N clients
- *   <li>{@code figures NAME=N ...}: waits until the metrics have these values; metrics by class have one value per
- *       class
- *   <li>{@code crowd N}, {@code dispersed}: opens N idle connections; waits until the relay has closed all of them
- *   <li>{@code servers N}, {@code dead}: adds N feed servers, or one that refuses connections, to the endpoint list
+ *   <li>{@code metrics NAME=N ...}: waits until the metrics have these values; a metric per request class has a value
+ *       for each of {@link ScenarioFixture#CLASSES}, separated by commas
+ *   <li>{@code connect-idle N}, {@code idle-closed}: opens N idle connections; waits until the relay has closed all
+ *       idle connections
+ *   <li>{@code servers N}, {@code unreachable-server}: adds N feed servers, or one that refuses connections, to the
+ *       endpoint list
  *   <li>{@code draining xN}, {@code gone xN}: the endpoint list has this state for the feed server of connection xN
  *   <li>{@code drain}, {@code drained}: the relay shuts down gracefully; waits until it has
  * </ul>
@@ -36,7 +41,7 @@
     private static final Path FOLDER = Path.of("src/test/resources/scenarios");
 
     @TestFactory
-    Stream<DynamicTest> lines() throws IOException {
+    Stream<DynamicTest> lineProtocol() throws IOException {
         return Stream.concat(tests("both", false), tests("text", false));
     }
 
@@ -77,9 +82,9 @@
 
     private static void runStep(ScenarioFixture fixture, Map<String, Actor> actors, String line) throws Exception {
         String[] words = line.split(" ", 3);
-        String what = words.length > 2 ? words[2] : "";
+        String argument = words.length > 2 ? words[2] : "";
         if (words[0].equals("relay")) {
-            runRelayStep(fixture, actors, words[1], what);
+            runRelayStep(fixture, actors, words[1], argument);
             return;
         }
         Actor actor = actors.get(words[0]);
@@ -88,11 +93,11 @@
             actors.put(words[0], actor);
         }
         switch (words[1]) {
-            case "send" -> actor.send(what);
+            case "send" -> actor.send(argument);
             case "expect" -> {
-                assertThat(actor.next()).as(line).isEqualTo(what);
-                if (what.startsWith("ask ")) {
-                    assertNoOtherAttemptIsOpen(actors, words[0], line);
+                assertThat(actor.next()).as(line).isEqualTo(argument);
+                if (argument.startsWith("ask ")) {
+                    assertNoOtherAttemptInFlight(actors, words[0], line);
                 }
             }
             case "close" -> actor.close();
@@ -101,8 +106,11 @@
         }
     }
 
-    /** An invariant of all scenarios: two attempts for one key are never in flight at once. */
-    private static void assertNoOtherAttemptIsOpen(Map<String, Actor> actors, String name, String line)
+    /**
+     * An invariant of all scenarios: attempts for one key are never in flight at the same time. The remaining events of
+     * an earlier attempt for this actor's key must be those of its end.
+     */
+    private static void assertNoOtherAttemptInFlight(Map<String, Actor> actors, String name, String line)
             throws InterruptedException {
         for (Map.Entry<String, Actor> other : actors.entrySet()) {
             if (!other.getKey().equals(name)
@@ -117,7 +125,7 @@
         }
     }
 
-    /** Waits until the metrics have these values; those of classes are separated by commas. */
+    /** Waits up to 4 s until the metrics have these values, as {@code NAME=N} or {@code NAME=N,N}. */
     private static void assertMetrics(ScenarioFixture fixture, String expected) throws Exception {
         List<String> lines = new ArrayList<>();
         for (String item : expected.split(" ", 0)) {
@@ -137,23 +145,23 @@
         assertThat(actual).containsAll(lines);
     }
 
-    private static void runRelayStep(ScenarioFixture fixture, Map<String, Actor> actors, String verb, String what)
+    private static void runRelayStep(ScenarioFixture fixture, Map<String, Actor> actors, String verb, String argument)
             throws Exception {
         switch (verb) {
-            case "servers" -> fixture.addServers(Integer.parseInt(what));
-            case "dead" -> fixture.addUnreachableServer();
-            case "draining" -> fixture.setServerState(actors.get(what), EndpointState.DRAINING);
-            case "gone" -> fixture.setServerState(actors.get(what), EndpointState.GONE);
-            case "crowd" -> fixture.openIdleConnections(Integer.parseInt(what));
-            case "dispersed" -> fixture.awaitIdleConnectionsClosed();
+            case "servers" -> fixture.addServers(Integer.parseInt(argument));
+            case "unreachable-server" -> fixture.addUnreachableServer();
+            case "draining" -> fixture.setServerState(actors.get(argument), EndpointState.DRAINING);
+            case "gone" -> fixture.setServerState(actors.get(argument), EndpointState.GONE);
+            case "connect-idle" -> fixture.openIdleConnections(Integer.parseInt(argument));
+            case "idle-closed" -> fixture.awaitIdleConnectionsClosed();
             case "drain" -> fixture.drain();
             case "drained" -> fixture.awaitDrained();
             case "wait" -> {
-                while (fixture.clients() != Integer.parseInt(what)) {
+                while (fixture.clients() != Integer.parseInt(argument)) {
                     Thread.onSpinWait();
                 }
             }
-            case "figures" -> assertMetrics(fixture, what);
+            case "metrics" -> assertMetrics(fixture, argument);
             default -> throw new IllegalArgumentException(verb);
         }
     }
--- a/src/test/java/sandstack/scenario/TextActor.java
+++ b/src/test/java/sandstack/scenario/TextActor.java
@@ -20,8 +20,8 @@
      * {@code raw}. A raw text that ends with {@code ...} is sent without a line end.
      */
     @Override
-    void send(String what) throws IOException {
-        String[] words = what.split(" ", 0);
+    void send(String message) throws IOException {
+        String[] words = message.split(" ", 0);
         String line =
                 switch (words[0]) {
                     case "ask" -> "OPEN id" + ++lastId + " " + words[1 + 1] + " c=" + words[1] + ",d=" + words[3]
@@ -29,13 +29,13 @@
                     case "up" -> "UP receipt";
                     case "bye", "move", "busy" -> words[0].toUpperCase(Locale.ROOT);
                     case "error" -> "ERR";
-                    case "line" -> what.substring(5);
-                    case "raw" -> what.substring(4)
+                    case "line" -> message.substring(5);
+                    case "raw" -> message.substring(4)
                             .replace("\\r", "\r")
                             .replace("\\n", "\n")
                             .replace("\\0", "\0");
                     case "long" -> "OPEN " + "x".repeat(Integer.parseInt(words[1]));
-                    default -> throw new IllegalArgumentException(what);
+                    default -> throw new IllegalArgumentException(message);
                 };
         boolean incomplete = words[0].equals("raw") && line.endsWith("...");
         byte[] bytes = (incomplete ? line.substring(0, line.length() - 3) : line + "\r\n")
