--- a/src/main/java/sandstack/cli/SandstackCommand.java
+++ b/src/main/java/sandstack/cli/SandstackCommand.java
@@ -145,7 +145,11 @@
         }
     }
 
-    /** Joins the fleet before the relay serves, so that a second process with the same name never serves. */
+    /**
+     * Joins the fleet before the relay serves, so that a second process with the same name never serves. With an
+     * inherited socket a second process is a sibling process, which serves as soon as it can and joins when the first
+     * one has released the address.
+     */
     private static FleetMember joinFleet(RelayService service) throws InvalidConfigurationException {
         FleetFile fleetFile = FleetFile.read(RelayServiceLoader.deployFiles());
         FleetMember member = new FleetMember(fleetFile, service.name(), service.zone());
--- a/src/main/java/sandstack/core/AttemptCoordinator.java
+++ b/src/main/java/sandstack/core/AttemptCoordinator.java
@@ -53,7 +53,9 @@
         this.shutdown = shutdown;
     }
 
-    /** Starts the attempt, or reports it to the load balancer as not sent in the same turn. */
+    /**
+     * Starts the attempt. If that is not possible, reports in the same turn to the load balancer that nothing was sent.
+     */
     void start(StartAttempt action) {
         ClientSession client = requests.get(action.requestId());
         if (client != null) {
@@ -133,10 +135,10 @@
     }
 
     /**
-     * Whether the attempt's feed server no longer accepts this client because it is draining or no longer listed.
+     * Whether the attempt's feed server must not get this client's request because it is draining or no longer listed.
      * Always false for an adopted connection, which a draining feed server still accepts.
      */
-    boolean isServerDraining(ConnectionAttempt attempt) {
+    boolean isServerUnavailableTo(ConnectionAttempt attempt) {
         EndpointRegistry.Endpoint endpoint = endpointListUpdater.endpoint(serverId(attempt));
         return !attempt.client().request().isAdopted()
                 && (endpoint == null || endpoint.entry().state() != EndpointState.READY);
--- a/src/main/java/sandstack/core/BalancerDriver.java
+++ b/src/main/java/sandstack/core/BalancerDriver.java
@@ -44,7 +44,7 @@
         }
     }
 
-    boolean isEjected(String serverId) {
+    boolean isClosedToNewRequests(String serverId) {
         return loadBalancer.isClosedToNewRequests(serverId);
     }
 }
--- a/src/main/java/sandstack/core/ClientSession.java
+++ b/src/main/java/sandstack/core/ClientSession.java
@@ -74,7 +74,7 @@
         }
     }
 
-    /** The number of attempts made, those reported as not sent included. */
+    /** The number of attempts counted by {@link #nextAttemptNumber}, including those for which nothing was sent. */
     final int attemptCount() {
         return attemptCount;
     }
--- a/src/main/java/sandstack/core/ConnectionAttempt.java
+++ b/src/main/java/sandstack/core/ConnectionAttempt.java
@@ -103,7 +103,7 @@
         if (state == State.ENDED) {
             return false;
         }
-        if (coordinator.isServerDraining(this)) {
+        if (coordinator.isServerUnavailableTo(this)) {
             cancel(ConnectionOutcome.NOT_SENT);
             return false;
         }
--- a/src/main/java/sandstack/core/ConnectionOutcome.java
+++ b/src/main/java/sandstack/core/ConnectionOutcome.java
@@ -24,17 +24,20 @@
     REJECTED(AttemptOutcome.REJECTED),
     /** The connection was not opened, or it failed or was cancelled before the complete request was written. */
     NOT_CONNECTED(AttemptOutcome.CONNECT_FAILED),
-    /** The feed server closed the connection before it was established, or without a closing message. */
+    /**
+     * The feed server closed the connection before it was established or without a closing message, or a protocol error
+     * ended the connection.
+     */
     CLOSED_EARLY(AttemptOutcome.RESET),
-    /** The connection was reset. */
+    /** The connection to the feed server was reset. */
     RESET(AttemptOutcome.RESET),
-    /** The feed server stopped answering on an established connection. */
+    /** The feed server stopped answering on an open connection. */
     UNRESPONSIVE(AttemptOutcome.RESET),
     /** The complete request was written, but no answer arrived within the timeout. */
     TIMED_OUT(AttemptOutcome.TIMEOUT),
     /**
-     * Nothing was sent: the client had disconnected, its deadline had passed, it had no attempts left, or the feed
-     * server was draining or no longer listed.
+     * Nothing was sent: the request had ended, its deadline had passed, it had no attempts left or another one in
+     * flight, or the feed server was draining or no longer listed.
      */
     NOT_SENT(AttemptOutcome.NOT_SENT);
 
--- a/src/main/java/sandstack/core/EffectiveSettings.java
+++ b/src/main/java/sandstack/core/EffectiveSettings.java
@@ -20,7 +20,7 @@
  */
 public record EffectiveSettings(
         BalancerSettings settings, List<String> classNames, Set<String> offeredClasses, boolean delaysReported) {
-    /** Limit on the number of class names over all reloads of one process; removed classes keep their memory. */
+    /** Limit on the number of class names over all reloads of one process, because removed classes are never freed. */
     public static final int MAX_CLASSES = 256;
 
     /** Takes immutable copies of the collections. */
--- a/src/main/java/sandstack/core/GracefulShutdown.java
+++ b/src/main/java/sandstack/core/GracefulShutdown.java
@@ -109,7 +109,10 @@
         deadlines.schedule(random.nextLong(earliest, latest), client::migrate);
     }
 
-    /** Runs the callback, once, as soon as nothing is in flight. */
+    /**
+     * Runs the callback, once, as soon as the migration delay has passed, no request is in flight and no peer is
+     * pending. Pending peers are waited for until the remaining requests are answered.
+     */
     void runTurn(long nowMicros) {
         if (whenDrained == null) {
             return;
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -70,7 +70,7 @@
      *
      * @param statedCapacities the operator's statements about the feed servers' capacity
      * @param limits limits of the installation
-     * @param seed of the random numbers in load balancing and graceful shutdown
+     * @param seed seed for the random numbers in load balancing and graceful shutdown
      * @param clock a monotonic clock in microseconds
      * @param pollDiscovery as in {@link #Relay(BalancerSettings, long, LongSupplier, Runnable)}
      */
@@ -192,7 +192,7 @@
         balancer.enqueue(new ProcessCountChanged(count));
     }
 
-    /** Called with each update of the endpoint list, in the order in which discovery sent them. */
+    /** Called with the initial endpoint list, then with each update in the order in which discovery sent them. */
     public void onEndpointList(EndpointRegistry.Update update) {
         endpointListUpdater.apply(update);
     }
@@ -211,11 +211,11 @@
     }
 
     /**
-     * Migrates all clients and answers all requests, then calls back, once. Requests that arrive later are rejected
-     * immediately.
+     * Migrates all clients and answers all requests, then calls back, once. Requests that arrive after the callback are
+     * rejected immediately.
      *
-     * @param pendingPeers the number of accepted peers whose request has not arrived yet; the drain waits for them,
-     *     because no other process can read their sockets
+     * @param pendingPeers the number of accepted peers whose request has not arrived yet; the drain waits for them for
+     *     a limited time, because no other process can read their sockets
      */
     public void drain(IntSupplier pendingPeers, Runnable whenDrained) {
         shutdown.begin(pendingPeers, whenDrained);
@@ -238,10 +238,11 @@
 
     /** The counters and gauges of this process, one {@code name=value} line each. */
     public List<String> metricLines() {
-        long ejected = endpoints.endpoints().stream()
-                .filter(endpoint -> balancer.isEjected(endpoint.entry().serverId()))
+        long closedServers = endpoints.endpoints().stream()
+                .filter(endpoint ->
+                        balancer.isClosedToNewRequests(endpoint.entry().serverId()))
                 .count();
-        return metrics.lines(requests.clients().size(), endpoints.endpoints().size(), (int) ejected);
+        return metrics.lines(requests.clients().size(), endpoints.endpoints().size(), (int) closedServers);
     }
 
     /** The current endpoint list. */
--- a/src/main/java/sandstack/core/RelayMetrics.java
+++ b/src/main/java/sandstack/core/RelayMetrics.java
@@ -92,9 +92,10 @@
      *
      * @param active number of requests and connections in flight
      * @param poolSize number of listed feed servers
-     * @param ejected number of listed feed servers that are ejected
+     * @param closedServers number of listed feed servers that the load balancer has closed to new requests: not ready,
+     *     ejected, slow or full
      */
-    List<String> lines(int active, int poolSize, int ejected) {
+    List<String> lines(int active, int poolSize, int closedServers) {
         List<String> lines = new ArrayList<>();
         long tries = 0;
         for (Map.Entry<String, ClassCounters> entry : countersByClass.entrySet()) {
@@ -109,7 +110,7 @@
         lines.add(PREFIX + "tries=" + tries);
         lines.add(PREFIX + "active=" + active);
         lines.add(PREFIX + "pool_size=" + poolSize);
-        lines.add(PREFIX + "pool_ejected=" + ejected);
+        lines.add(PREFIX + "pool_ejected=" + closedServers);
         lines.add(PREFIX + "config_applied=" + configsApplied);
         lines.add(PREFIX + "config_rejected=" + configsRejected);
         return lines;
--- a/src/main/java/sandstack/core/RequestRegistry.java
+++ b/src/main/java/sandstack/core/RequestRegistry.java
@@ -55,7 +55,10 @@
         return clients.values();
     }
 
-    /** Assigns an id that is unique in this process; a client's own id may be in use on another connection too. */
+    /**
+     * Adds the client's request, with its deadline, its attempt limit and an id that is unique in this process; the
+     * client's own id may be in use on another connection too.
+     */
     void register(ClientSession client) {
         long timeoutMicros = client.request().timeoutMicros();
         client.register(
--- a/src/main/java/sandstack/discovery/DiscoveryWatch.java
+++ b/src/main/java/sandstack/discovery/DiscoveryWatch.java
@@ -48,7 +48,8 @@
     private Address discovery;
     private Watch watch;
     /**
-     * After a change of the address, the watch at the previous address; null once the new address has sent its list.
+     * After a change of the address, the watch that was open before it, kept through further changes; null once the
+     * current address has sent its list.
      */
     private Watch previousWatch;
     /** Whether the list's version comes from the current address; versions of two addresses are not comparable. */
@@ -72,7 +73,8 @@
 
     /**
      * Watches at another address from now on; no effect if the address is the current one. The list stays as it is, and
-     * the previous watch remains in use until the new address has sent its complete list.
+     * the previous watch remains in use until the new address has sent its list. If the address changes again before
+     * that, the first watch stays in use and the second one is closed.
      */
     public void switchTo(Address address) {
         if (address.equals(discovery)) {
@@ -103,7 +105,10 @@
         private EventLoop.PendingConnect connecting;
         private Connection<?> connection;
         private DeadlineScheduler.Deadline silenceTimer;
-        /** Expires if an object of the stream is not completed in time; null while no object is incomplete. */
+        /**
+         * Runs while each chunk that arrives ends within an object; null while the last chunk ended at the end of an
+         * object.
+         */
         private DeadlineScheduler.Deadline incompleteListTimer;
 
         private boolean closed;
@@ -202,9 +207,9 @@
         }
 
         /**
-         * Starts a timer when an object is incomplete and stops it when the object is complete. Without this timer, a
-         * list that is sent in small pieces would restart the silence timer again and again, although its updates
-         * arrive as late as on a silent watch.
+         * Starts the timer when a chunk ends within an object, and stops it when a chunk ends at the end of an object.
+         * Without this timer, a list that is sent in small pieces would restart the silence timer with each piece,
+         * although its updates arrive as late as on a silent watch.
          */
         private void updateIncompleteListTimer() {
             if (closed || stream.hasPartialObject() == (incompleteListTimer != null)) {
--- a/src/main/java/sandstack/discovery/JsonObjectStream.java
+++ b/src/main/java/sandstack/discovery/JsonObjectStream.java
@@ -16,7 +16,10 @@
  * time linear in the number of bytes, and memory for one object, whose length is limited. Not thread-safe.
  */
 public final class JsonObjectStream {
-    /** Limit on the length of one object; the complete list of a large site is far shorter. */
+    /**
+     * Limit on the length of one object, together with all bytes since a chunk last ended at the end of an object. The
+     * complete list of a large site is far shorter.
+     */
     private static final int MAX_OBJECT_BYTES = 4 << 20;
 
     private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/sandstack/net/EventLoop.java
+++ b/src/main/java/sandstack/net/EventLoop.java
@@ -19,8 +19,8 @@
 
 /**
  * The relay's single thread: Grizzly's selector thread, which runs one turn of the relay before each select. All state
- * of the relay is confined to this thread; only {@link #execute} and {@link #nowMicros} may be called from other
- * threads.
+ * of the relay is confined to this thread. {@link #execute} and {@link #nowMicros} may be called on any thread; the
+ * starting thread also starts and stops the loop and opens listening sockets.
  */
 public final class EventLoop implements Executor {
     private static final int ACCEPT_BACKLOG = 1024;
@@ -28,7 +28,7 @@
 
     /** Receives the result of {@link #connect}, on the loop's thread. */
     public interface ConnectListener {
-        /** Called when the connection is open; the listener sets the peer's own listener. */
+        /** Called when the connection is open; must call {@link Peer#setListener}. */
         void connected(Peer peer);
 
         /** Called when the connection could not be opened. */
--- a/src/main/java/sandstack/net/Peer.java
+++ b/src/main/java/sandstack/net/Peer.java
@@ -135,8 +135,8 @@
     }
 
     /**
-     * Reads the available input without waiting for the next select, so that a decision about this peer takes input
-     * into account that arrived after the last one.
+     * Reads the available input without waiting for the next select, so that a decision about this peer also considers
+     * input that arrived after the last select.
      */
     public void readAvailable() {
         runGuarded(this::onReadable);
--- a/src/main/java/sandstack/service/ClientListener.java
+++ b/src/main/java/sandstack/service/ClientListener.java
@@ -18,8 +18,8 @@
  */
 final class ClientListener {
     /**
-     * How long a process with an inherited socket waits for an update from discovery before it serves with an older
-     * list, that of its configuration.
+     * How long a process with an inherited socket that has got no list from a sibling process waits for an update from
+     * discovery, before it serves with the list of its configuration, which may be older.
      */
     private static final long MAX_LIST_WAIT_MICROS = 1_000_000;
 
--- a/src/main/java/sandstack/service/Listeners.java
+++ b/src/main/java/sandstack/service/Listeners.java
@@ -9,8 +9,8 @@
 import sandstack.net.EventLoop;
 
 /**
- * Opens the relay's listeners, and records their addresses and protocols. Used on the starting thread, and for the
- * inherited socket on the event loop's thread.
+ * Opens the relay's listeners, and records their addresses and protocols. Listeners are opened on the starting thread;
+ * the inherited socket is recorded, and the descriptions are read, on the event loop's thread.
  */
 final class Listeners {
     /** A front's method that opens its listening socket. */
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Opens a listener and returns its port. Blocks until the process ends if it is stopping already.
+     * Opens a listener and returns its port. If the process is stopping already, blocks until it ends.
      *
      * @throws InvalidConfigurationException if the address cannot be bound
      */
--- a/src/main/java/sandstack/service/RelayService.java
+++ b/src/main/java/sandstack/service/RelayService.java
@@ -64,7 +64,7 @@
     private final Listeners listeners;
     private final ClientListener clientListener;
     private final ConfigurationReloader reloader;
-    /** Null if the listening socket is not inherited, so that no sibling process can exist. */
+    /** Null if the listening socket is not inherited; no sibling process can exist then. */
     private final SiblingHandover handover;
 
     /** Port of the listener for the platform's clients; 0 before it is open and with an inherited socket. */
@@ -209,7 +209,8 @@
         startLoop();
         openOperatorListener();
         if (staleness().pushed()) {
-            // an agent that pushes sends its list over a socket only in response to a watch; that list is binding too
+            // over a socket, even an agent that pushes sends its list only in response to a watch, and the relay counts
+            // as notified of that list from its start
             loop.execute(this::pollDiscovery);
         }
         if (handover != null) {
@@ -253,7 +254,7 @@
         }
     }
 
-    /** The current setting, which a reload during the start may change. */
+    /** The timing rules of the endpoint list now in force; a reload during the start may change them. */
     private EndpointListStaleness staleness() {
         return reloader.effectiveSettings().settings().endpointListStaleness();
     }
@@ -263,7 +264,8 @@
     }
 
     /**
-     * Called on SIGTERM: drains the relay, waits for the last answers to be written, and leaves the sibling processes.
+     * Called by the shutdown hook: drains the relay, waits for the last answers to be written, and deletes this
+     * process's files for its sibling processes.
      */
     private void stop() {
         CountDownLatch drained = new CountDownLatch(1);
--- a/src/main/java/sandstack/service/ServiceLifecycle.java
+++ b/src/main/java/sandstack/service/ServiceLifecycle.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * The phase of this process and its shutdown hook for SIGTERM. Phases only advance, so a process that is stopping never
- * begins to serve. Thread-safe.
+ * The phase of this process and its shutdown hook, which SIGTERM and {@link System#exit} start. Phases only advance, so
+ * a process that is stopping never begins to serve. Thread-safe.
  */
 final class ServiceLifecycle {
     /** The phases of the process, in order. */
@@ -14,16 +14,16 @@
         STARTING,
         /** A listener may be open and clients may be connected; SIGTERM starts the drain. */
         SERVING,
-        /** SIGTERM has arrived, or the start has failed. */
+        /** SIGTERM has arrived, the process has called {@link System#exit}, or the start has failed. */
         STOPPING
     }
 
     private final AtomicReference<Phase> phase = new AtomicReference<>(Phase.STARTING);
 
     /**
-     * Registers the action that SIGTERM starts if the process is serving. Must be called before any listener is opened;
-     * otherwise SIGTERM would reset clients that connect before the registration. Blocks until the process ends if it
-     * is stopping already.
+     * Registers the action that the shutdown hook runs if the process is serving. Must be called before any listener is
+     * opened; otherwise SIGTERM would reset clients that connect before the registration. If the process is stopping
+     * already, blocks until it ends.
      */
     void onShutdown(Runnable gracefulShutdown) {
         Thread hook = new Thread(
@@ -36,7 +36,7 @@
         try {
             Runtime.getRuntime().addShutdownHook(hook);
         } catch (IllegalStateException e) {
-            // SIGTERM has arrived already
+            // the shutdown has begun already
             awaitEndOfProcess();
         }
     }
