--- a/src/main/java/sandstack/configuration/ActiveConfiguration.java
+++ b/src/main/java/sandstack/configuration/ActiveConfiguration.java
@@ -22,7 +22,9 @@
         REJECTED,
         /** The state after the change has a different digest than the control machines computed. */
         DIGEST_MISMATCH,
-        /** The received version and the active one cannot be in the same history. */
+        /**
+         * The received version, or the base version of the received change, is in another history than the active one.
+         */
         DIVERGENT
     }
 
--- a/src/main/java/sandstack/configuration/BoundedReader.java
+++ b/src/main/java/sandstack/configuration/BoundedReader.java
@@ -51,7 +51,7 @@
 
     /**
      * Reads the number of elements that follow, as a 4-byte integer. Rejects a negative number, and one whose elements
-     * cannot fit in the remaining bytes.
+     * cannot fit in the remaining bytes. Lengths of texts and byte arrays are read as counts of bytes.
      *
      * @param maxCount the largest accepted number of elements
      * @param minBytesEach the smallest encoded size of one element
@@ -59,7 +59,8 @@
     public int readCount(int maxCount, int minBytesEach) throws MalformedConfigurationException {
         int count = readInt();
         if (count < 0 || count > maxCount || (long) count * minBytesEach > buffer.remaining()) {
-            throw new MalformedConfigurationException("a count of " + count + ", the maximum is " + maxCount);
+            throw new MalformedConfigurationException("a count of " + count
+                    + " is negative, or exceeds the remaining bytes or the maximum of " + maxCount);
         }
         return count;
     }
--- a/src/main/java/sandstack/configuration/ChangeRejection.java
+++ b/src/main/java/sandstack/configuration/ChangeRejection.java
@@ -35,9 +35,11 @@
         MALFORMED,
         /** The {@link ConfigurationCheck} found the resulting configuration unusable. */
         UNUSABLE,
-        /** The control machine reaches no quorum, so it cannot commit a change. */
+        /**
+         * No leader is known, or the leader lacks recent responses of a quorum, so the change cannot be committed now.
+         */
         NO_QUORUM,
-        /** The number of pending proposals is at its maximum. */
+        /** The number of pending proposals is at its maximum, or a membership change is in progress. */
         TOO_MANY
     }
 
--- a/src/main/java/sandstack/configuration/ChangeValidator.java
+++ b/src/main/java/sandstack/configuration/ChangeValidator.java
@@ -17,9 +17,9 @@
     private final ConfigurationCheck check;
 
     /**
-     * Creates a validator of sizes and usability.
+     * Creates a validator of changes and configurations.
      *
-     * @param limits the same on all control machines
+     * @param limits bounds of all sizes and counts; must be the same on all control machines
      * @param check evaluated last; must give the same result for the same configuration on every machine
      */
     public ChangeValidator(ConfigurationLimits limits, ConfigurationCheck check) {
@@ -164,8 +164,8 @@
     }
 
     /**
-     * Whether the UTF-8 encoding of a text exceeds a number of bytes. A text has at least one byte per {@code char}, so
-     * the bytes of one with more chars than {@code maxBytes} are not counted.
+     * Whether the UTF-8 encoding of a text exceeds a number of bytes. Each {@code char} takes at least one byte, so the
+     * bytes of a text with more than {@code maxBytes} chars are not counted.
      */
     private static boolean exceeds(String text, int maxBytes) {
         return text.length() > maxBytes || ConfigurationSize.ofText(text) > maxBytes;
--- a/src/main/java/sandstack/configuration/ConfigurationDigest.java
+++ b/src/main/java/sandstack/configuration/ConfigurationDigest.java
@@ -27,13 +27,13 @@
         return digest;
     }
 
-    /** The digest after an entry is added that is not in the set. */
+    /** The digest after an entry is added; the set must not contain its key yet. */
     public ConfigurationDigest with(String key, String value) {
         ConfigurationDigest entry = ofEntry(key, value);
         return new ConfigurationDigest(high + entry.high, low + entry.low);
     }
 
-    /** The digest after an entry is removed that is in the set. */
+    /** The digest after an entry is removed; the set must contain the key with this value. */
     public ConfigurationDigest without(String key, String value) {
         ConfigurationDigest entry = ofEntry(key, value);
         return new ConfigurationDigest(high - entry.high, low - entry.low);
--- a/src/main/java/sandstack/configuration/ConfigurationFollower.java
+++ b/src/main/java/sandstack/configuration/ConfigurationFollower.java
@@ -56,8 +56,9 @@
     private final SnapshotFetcher snapshots;
     private final RateLimitedLog divergenceLog;
     /**
-     * The active index at the last heartbeat or welcome that reported a later one, or {@link #NOT_LAGGING}. If it is
-     * still the active index at the next heartbeat, changes were lost rather than in flight.
+     * The active index at the last heartbeat or welcome, if that reported a later index; otherwise
+     * {@link #NOT_LAGGING}. If the active index is still the same at the next heartbeat, the missing changes are taken
+     * to be lost rather than in flight.
      */
     private long laggingIndex = NOT_LAGGING;
 
--- a/src/main/java/sandstack/configuration/ConfigurationLimits.java
+++ b/src/main/java/sandstack/configuration/ConfigurationLimits.java
@@ -1,8 +1,8 @@
 package sandstack.configuration;
 
 /**
- * The maximum sizes of a change and of the complete configuration, in bytes of UTF-8. All control machines must use the
- * same limits, or they would disagree on which proposals are valid. Immutable.
+ * The maximum sizes (in bytes of UTF-8) and numbers of parts of a change and of the complete configuration. All control
+ * machines must use the same limits, or they would disagree on which proposals are valid. Immutable.
  *
  * @param maxChangeBytes the sum of keys, values and entry overheads over all edits of a change
  * @param maxConfigurationBytes the sum of keys, values and entry overheads over all entries
--- a/src/main/java/sandstack/configuration/ConfigurationMessage.java
+++ b/src/main/java/sandstack/configuration/ConfigurationMessage.java
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Reports the active version; sent after each activation, rejection and heartbeat. It acknowledges the changes up
-     * to that version.
+     * Reports the active version; sent after each activation, rejection and heartbeat, and after a pause of the
+     * process. It acknowledges the changes up to that version.
      *
      * @param digest the digest of the active configuration
      * @param rejectionReason why a later version was rejected; empty if none was
--- a/src/main/java/sandstack/configuration/ControlSession.java
+++ b/src/main/java/sandstack/configuration/ControlSession.java
@@ -76,7 +76,7 @@
         return Optional.ofNullable(session).map(ControlConnection::machine);
     }
 
-    /** The latest committed state that this machine reported; empty if there is no session. */
+    /** The latest committed state that the followed machine reported; empty if there is no session. */
     Optional<ConfigurationHead> head() {
         return Optional.ofNullable(session).map(ControlConnection::head);
     }
@@ -99,8 +99,8 @@
     void headReceived(ConfigurationHead head, ConfigurationVersion activeVersion, long nowMicros) {
         session.restartSilenceTimeout(nowMicros);
         if (session.headReceived(head, activeVersion, nowMicros)) {
-            // all relays of the machine detect this at the same time; the random delay spreads their attempts
-            nextAttemptMicros = nowMicros + settings.unsatisfactoryGraceMicros() + backoff.randomMaxDelayMicros();
+            // its relays find the machine unsatisfactory at the same time; the random delay spreads their attempts
+            nextAttemptMicros = nowMicros + settings.unsatisfactoryGraceMicros() + backoff.randomDelayMicros();
         }
     }
 
@@ -130,7 +130,10 @@
         return true;
     }
 
-    /** Ends the current attempt: the machine rejected this relay, did not reply in time, or is unreachable. */
+    /**
+     * Ends the current attempt: the machine rejected this relay, did not reply in time, is unreachable, has another
+     * history, or is not better than the followed machine.
+     */
     void attemptFailed(long nowMicros) {
         output.close(attempt.machine());
         attempt = null;
@@ -138,7 +141,10 @@
         scheduleFailback(nowMicros);
     }
 
-    /** Ends the session; the next machine in the order of preference is tried after a backoff. */
+    /**
+     * Ends the session; the next machine in the order of preference is tried after a backoff, unless an attempt is in
+     * progress.
+     */
     void sessionLost(long nowMicros) {
         output.close(session.machine());
         rotation.continueAfter(session.machine());
@@ -183,7 +189,8 @@
     }
 
     /**
-     * Ends a session or attempt whose machine is silent, and starts a new attempt if one is due.
+     * Ends a session or attempt whose machine is silent, resets the backoff if the session is stable, and starts a new
+     * attempt if one is due.
      *
      * @return whether the session ended because of silence
      */
--- a/src/main/java/sandstack/configuration/FollowerSettings.java
+++ b/src/main/java/sandstack/configuration/FollowerSettings.java
@@ -9,9 +9,11 @@
  * @param maxBackoffDoublings maximum of that n
  * @param unsatisfactoryGraceMicros time for which a machine may lack a quorum or be behind the active version before
  *     others are tried
- * @param stableSessionMicros time after which an open session resets the backoff
- * @param failbackSpanMicros length of the interval in which the return to the preferred machine is scheduled at random
- * @param repairIntervalMicros minimum time between two requests for missing changes, for a snapshot or for a chunk
+ * @param stableSessionMicros time after which an open session with a satisfactory machine resets the backoff
+ * @param failbackSpanMicros length of the interval in which the return to the preferred machine is scheduled at random;
+ *     the interval begins after a quarter of this time
+ * @param repairIntervalMicros minimum time between two requests for missing changes, between two for a snapshot, and
+ *     between two for the same chunk
  * @param rejectionBackoffMicros time after a rejection before a snapshot is fetched; doubles with each further
  *     rejection
  */
--- a/src/main/java/sandstack/configuration/PublisherSettings.java
+++ b/src/main/java/sandstack/configuration/PublisherSettings.java
@@ -33,7 +33,7 @@
         int messageBurst) {
     private static final long SECOND_MICROS = 1_000_000;
 
-    /** The default settings; the silence timeout is four heartbeat intervals, at which relays send status reports. */
+    /** The default settings; the silence timeout is four heartbeat intervals, and relays reply to each heartbeat. */
     public static final PublisherSettings DEFAULT = new PublisherSettings(
             2_000, // maxSessions
             2 * SECOND_MICROS, // heartbeatIntervalMicros
--- a/src/main/java/sandstack/configuration/ReconnectBackoff.java
+++ b/src/main/java/sandstack/configuration/ReconnectBackoff.java
@@ -5,8 +5,8 @@
 /**
  * Schedules a relay's attempts to connect to a control machine. Each failure increments the exponent n, up to a
  * maximum. The next attempt is at a uniformly random time in the next interval of 2^n slots, which begins at the end of
- * the current interval. Relays that lost a machine at the same time therefore reconnect at a decreasing rate. Not
- * thread-safe; times are in microseconds of the relay's clock.
+ * the previous interval, or now if that is later. Relays that lost a machine at the same time therefore reconnect at a
+ * decreasing rate. Not thread-safe; times are in microseconds of the relay's clock.
  */
 final class ReconnectBackoff {
     private final long slotMicros;
@@ -33,8 +33,8 @@
         return randomAttemptMicros(nowMicros);
     }
 
-    /** A random delay of at most the longest interval, for attempts that are not urgent. */
-    long randomMaxDelayMicros() {
+    /** A random delay shorter than the longest interval, for attempts that are not urgent. */
+    long randomDelayMicros() {
         return random.nextLong(slotMicros << maxExponent);
     }
 
--- a/src/main/java/sandstack/configuration/RelayIdentity.java
+++ b/src/main/java/sandstack/configuration/RelayIdentity.java
@@ -3,7 +3,8 @@
 import java.util.Objects;
 
 /**
- * The identity of a relay, which it sends to control machines and by which it orders them. Immutable.
+ * The identity of a relay. It determines the relay's order of preference of the control machines, to which the relay
+ * sends its name. Immutable.
  *
  * @param name the name of the relay, unique in the fleet
  * @param region the region in which it runs; the control machines of this region are preferred
--- a/src/main/java/sandstack/configuration/RelaySession.java
+++ b/src/main/java/sandstack/configuration/RelaySession.java
@@ -6,14 +6,14 @@
 
 /**
  * A publisher's state for one relay: a cursor into the shared history, the relay's last report, and the times of its
- * last message, repair and heartbeat. Nothing is queued here. Not thread-safe; times are in microseconds of the
- * publisher's clock.
+ * last message, its last repair and its next heartbeat. Nothing is queued here. Not thread-safe; times are in
+ * microseconds of the publisher's clock.
  */
 final class RelaySession {
     private final long id;
     private final String relayName;
     private final TokenBucket messageRate;
-    /** The version of the last change that was sent, or the version that the relay reported if that is later. */
+    /** The cursor: the version after which changes are to be sent. */
     private ConfigurationVersion sentVersion;
 
     private ConfigurationVersion reportedVersion;
@@ -27,7 +27,7 @@
     /**
      * Creates a session whose cursor is at the relay's active version.
      *
-     * @param messageRate the message rate limit of the peer, shared by its consecutive sessions
+     * @param messageRate the message rate limit of the peer; taken over from the session that this one replaces, if any
      * @param firstHeartbeatMicros the time at which the first heartbeat is due
      * @param lastRepairMicros the start of the interval in which no repair is allowed
      */
@@ -64,7 +64,7 @@
         return reportedVersion;
     }
 
-    /** Whether the last report had a different digest than this machine at the then current version. */
+    /** Whether the last report had the version that was current on this machine at that time, but another digest. */
     boolean hasDigestMismatch() {
         return hasDigestMismatch;
     }
--- a/src/main/java/sandstack/configuration/SessionAdmission.java
+++ b/src/main/java/sandstack/configuration/SessionAdmission.java
@@ -24,7 +24,9 @@
         this.helloRate = new TokenBucket(settings.hellosPerSecond(), settings.hellosPerSecond(), nowMicros);
     }
 
-    /** Creates the message rate limit of a peer without a session; later sessions of the peer reuse it. */
+    /**
+     * Creates the message rate limit of a peer without a session; a session that replaces an open one takes it over.
+     */
     TokenBucket newMessageRate(long nowMicros) {
         return new TokenBucket(settings.messagesPerSecond(), settings.messageBurst(), nowMicros);
     }
--- a/src/main/java/sandstack/configuration/SnapshotChunkSource.java
+++ b/src/main/java/sandstack/configuration/SnapshotChunkSource.java
@@ -7,8 +7,8 @@
 
 /**
  * Serves the chunks of a snapshot that relays request, within one byte rate for all relays together. The encoded
- * snapshot is cached while the recent changes continue from it, so that a slow relay can fetch the following chunks of
- * the same snapshot. Not thread-safe; times are in microseconds of the publisher's clock.
+ * snapshot is reused while it lags by few changes and the recent changes continue from it, so that a slow relay can
+ * fetch the following chunks of the same snapshot. Not thread-safe; times are in microseconds of the publisher's clock.
  */
 final class SnapshotChunkSource {
     /** The minimum interval between two encodings of a snapshot. */
@@ -62,7 +62,8 @@
     }
 
     /**
-     * The requested chunk, or the first chunk of a later snapshot if the requested snapshot is no longer cached.
+     * The requested chunk; if the requested snapshot is no longer cached, the first chunk of a snapshot with the same
+     * or a higher index.
      *
      * @return empty if the offset is outside the snapshot, or for the same reasons as {@link #firstChunk}
      */
--- a/src/main/java/sandstack/configuration/consensus/ConfigurationStateMachine.java
+++ b/src/main/java/sandstack/configuration/consensus/ConfigurationStateMachine.java
@@ -36,6 +36,7 @@
     private final ConfigurationHistory history;
     private final LongSupplier leaderTerm;
     private final CommittedProposals committedProposals = new CommittedProposals(MAX_RETAINED_PROPOSALS);
+    /** The term of the last applied {@link LogOperation.NewTerm}; later entries belong to it. */
     private long term;
 
     /**
--- a/src/main/java/sandstack/configuration/consensus/ControlNode.java
+++ b/src/main/java/sandstack/configuration/consensus/ControlNode.java
@@ -177,7 +177,7 @@
 
     /**
      * Whether this machine is a leader to which a quorum has responded within the last two heartbeat periods. A leader
-     * without these responses rejects proposals before it steps down, which takes the longer heartbeat timeout.
+     * without these responses already rejects proposals; it steps down only after the longer heartbeat timeout.
      */
     private boolean hasRecentQuorumHeartbeat(RaftNodeReport report) {
         if (report.getRole() != RaftRole.LEADER) {
@@ -218,7 +218,7 @@
         if (cause instanceof CannotReplicateException) {
             return new ProposalOutcome.Rejected(new ChangeRejection(
                     ChangeRejection.Reason.TOO_MANY,
-                    "more than " + settings.maxPendingProposals()
+                    "the maximum of " + settings.maxPendingProposals()
                             + " proposals are pending, or a membership change is in progress"));
         }
         return new ProposalOutcome.Indeterminate(key);
--- a/src/main/java/sandstack/configuration/consensus/EncodedRaftStore.java
+++ b/src/main/java/sandstack/configuration/consensus/EncodedRaftStore.java
@@ -40,7 +40,10 @@
     /** Returns the encoded snapshot chunks by {@link #chunkKey}, in ascending order. */
     abstract Map<Long, byte[]> snapshotChunks();
 
-    /** Called after log entries or snapshot chunks were removed, so that their space on disk can be reclaimed. */
+    /**
+     * Called after the log was truncated at its start or snapshot chunks were removed, so that their space on disk can
+     * be reclaimed.
+     */
     abstract void spaceReleased();
 
     /** Returns the name of the store for error messages. */
--- a/src/main/java/sandstack/configuration/consensus/MvStoreRaftStore.java
+++ b/src/main/java/sandstack/configuration/consensus/MvStoreRaftStore.java
@@ -17,8 +17,8 @@
 /**
  * Stores Raft's persistent state, and the identity to which the disk belongs, in one MVStore file. {@link #flush}
  * returns when the state is on disk. A second file ({@code .flushes}) counts the flushes: a store with fewer flushes
- * than were counted was truncated or rolled back, and is rejected, because its machine would have lost votes and log
- * entries that it acknowledged. Not thread-safe; starts no thread.
+ * than were counted was truncated or rolled back, and is rejected, because votes and log entries that its machine
+ * acknowledged may be missing from it. Not thread-safe; starts no thread.
  */
 public final class MvStoreRaftStore extends EncodedRaftStore implements AutoCloseable {
     static final String FORMAT = "format";
@@ -29,7 +29,9 @@
     static final long FORMAT_VERSION = 1;
 
     private static final int CACHE_MEGABYTES = 2;
-    /** MVStore's file chunks that are filled less than this are rewritten after the log was compacted. */
+    /**
+     * Percentage of live data in the file's chunks below which MVStore rewrites some of them after space was released.
+     */
     private static final int MIN_FILL_PERCENT = 50;
 
     private static final int COMPACTION_WRITE_BYTES = 4 << 20;
@@ -72,9 +74,9 @@
             String file, String newIdentitySetting, String group, ControlIdentity self, ConfigurationLimits limits)
             throws IOException {
         if (StoreFiles.exists(file) || StoreFiles.exists(file + ".flushes")) {
-            throw new RejectedStoreException(
-                    file + ": " + newIdentitySetting + " permits a new store, but this file exists: remove "
-                            + newIdentitySetting + " from the settings");
+            throw new RejectedStoreException(file + ": " + newIdentitySetting
+                    + " permits a new store, but this file or its flush count exists: remove " + newIdentitySetting
+                    + " from the settings");
         }
         MvStoreRaftStore created = open(file, limits);
         created.header.put(FORMAT, Checksummed.wrap(longBytes(FORMAT_VERSION)));
--- a/src/main/java/sandstack/configuration/consensus/RaftRecordCodec.java
+++ b/src/main/java/sandstack/configuration/consensus/RaftRecordCodec.java
@@ -75,7 +75,8 @@
         int index = in.readInt();
         int count = in.readInt();
         if (count < 1 || count > MAX_SNAPSHOT_CHUNKS || index < 0 || index >= count) {
-            throw new MalformedConfigurationException("snapshot chunk " + index + " of " + count);
+            throw new MalformedConfigurationException(
+                    "snapshot chunk index " + index + " is invalid for a chunk count of " + count);
         }
         return chunk.setSnapshotChunkIndex(index)
                 .setSnapshotChunkCount(count)
--- a/src/main/java/sandstack/configuration/consensus/StoreFiles.java
+++ b/src/main/java/sandstack/configuration/consensus/StoreFiles.java
@@ -2,7 +2,7 @@
 
 import org.h2.store.fs.FileUtils;
 
-/** Accesses store files through H2, whose file names may have a prefix that {@code java.nio.file} does not accept. */
+/** Finds store files through H2, whose file names may have a prefix that {@code java.nio.file} does not accept. */
 final class StoreFiles {
     private StoreFiles() {}
 
--- a/src/main/java/sandstack/configuration/consensus/StoredRaftState.java
+++ b/src/main/java/sandstack/configuration/consensus/StoredRaftState.java
@@ -92,7 +92,8 @@
      */
     private Optional<RestoredRaftState> restoreUnstarted() throws RejectedStoreException {
         if (!log.isEmpty() || !snapshotChunks.isEmpty() || header.containsKey(EncodedRaftStore.TERM)) {
-            throw new RejectedStoreException(file + ": damaged: a log without members or term");
+            throw new RejectedStoreException(
+                    file + ": damaged: a term, log or snapshot without the records of a complete start");
         }
         return Optional.empty();
     }
