--- a/src/main/java/sandstack/faultinjection/FaultScheduleFile.java
+++ b/src/main/java/sandstack/faultinjection/FaultScheduleFile.java
@@ -30,7 +30,8 @@
     /**
      * Reads a schedule.
      *
-     * @throws InvalidConfigurationException with a message of one line that names the file, the key and the value
+     * @throws InvalidConfigurationException with a message of one line that names the file and, unless the file is not
+     *     TOML, the key
      */
     static FaultSchedule read(Path file) throws InvalidConfigurationException, IOException {
         String location = file + ": ";
@@ -59,7 +60,7 @@
         JsonNode at = table.path("at");
         if (!at.isNumber() || !(at.asDouble() >= 0) || at.asDouble() > MAX_SECONDS) {
             throw new InvalidConfigurationException(
-                    location + "at must be a number from 0 to " + MAX_SECONDS + ": " + at);
+                    location + "at must be a number of seconds from 0 to " + MAX_SECONDS + ": " + at);
         }
         Action action = readAction(table.path("do"), location);
         int member = readInteger(table, "a", 0, members - 1, location);
--- a/src/main/java/sandstack/faultinjection/FaultScheduleGenerator.java
+++ b/src/main/java/sandstack/faultinjection/FaultScheduleGenerator.java
@@ -8,7 +8,7 @@
 
 /**
  * Generates a random fault schedule. A seed must always give the same schedule, so the order of random draws must not
- * change. Faults overlap, and some outlast the schedule.
+ * change. Faults overlap; each one except a reset has a later step that ends it.
  */
 final class FaultScheduleGenerator {
     private static final int MIN_MEMBERS = 3;
--- a/src/main/java/sandstack/faultinjection/FaultScheduleRunner.java
+++ b/src/main/java/sandstack/faultinjection/FaultScheduleRunner.java
@@ -34,8 +34,8 @@
     /**
      * The result of one run.
      *
-     * @param convergedAfterMicros time from the end of all faults until all views were equal; -1 if they were not equal
-     *     before the timeout
+     * @param convergedAfterMicros time from the end of all faults until every view was complete; -1 if that was not so
+     *     before the timeout, or if the fleet did not start
      * @param logs the logs of all members
      */
     record Outcome(List<Violation> violations, long convergedAfterMicros, String logs) {}
@@ -230,7 +230,7 @@
         return allAlive;
     }
 
-    /** Whether every name is alive and no incarnation is suspect or partially reachable. */
+    /** Whether every relay name has an alive incarnation, and no incarnation is suspect or partially reachable. */
     private boolean isComplete(ViewObserved view) {
         long aliveNames = view.entries().values().stream()
                 .filter(entry -> entry.status() == MemberStatus.ALIVE)
--- a/src/main/java/sandstack/faultinjection/FaultsCommand.java
+++ b/src/main/java/sandstack/faultinjection/FaultsCommand.java
@@ -15,7 +15,9 @@
 import sandstack.config.InvalidConfigurationException;
 import sandstack.faultinjection.FaultScheduleRunner.Outcome;
 
-/** {@code faults}: runs fault schedules against real members and checks the invariants; exits with 0 if all hold. */
+/**
+ * {@code faults}: runs fault schedules against real members and checks the invariants; exits with 1 if one is violated.
+ */
 @Command(
         name = "faults",
         description = "Starts real members, injects faults between them and checks the invariants of the fleet.",
@@ -56,7 +58,7 @@
                             names = "--jar",
                             paramLabel = "JAR",
                             defaultValue = "target/sandstack.jar",
-                            description = "The program (default: ${DEFAULT-VALUE}).")
+                            description = "The JAR file to run (default: ${DEFAULT-VALUE}).")
                     Path jar)
             throws InvalidConfigurationException, IOException, InterruptedException {
         if ((file == null) == (seed == null)) {
@@ -109,7 +111,7 @@
                             names = "--jar",
                             paramLabel = "JAR",
                             defaultValue = "target/sandstack.jar",
-                            description = "The program (default: ${DEFAULT-VALUE}).")
+                            description = "The JAR file to run (default: ${DEFAULT-VALUE}).")
                     Path jar)
             throws InvalidConfigurationException, IOException, InterruptedException {
         long untilNanos = System.nanoTime() + (long) (minutes * NANOS_PER_MINUTE);
@@ -141,13 +143,14 @@
                             names = "--tries",
                             paramLabel = "N",
                             defaultValue = "2",
-                            description = "Runs of each schedule that must all violate (default: ${DEFAULT-VALUE}).")
+                            description =
+                                    "Runs per schedule; each must violate an invariant (default: ${DEFAULT-VALUE}).")
                     int tries,
             @Option(
                             names = "--jar",
                             paramLabel = "JAR",
                             defaultValue = "target/sandstack.jar",
-                            description = "The program (default: ${DEFAULT-VALUE}).")
+                            description = "The JAR file to run (default: ${DEFAULT-VALUE}).")
                     Path jar)
             throws InvalidConfigurationException, IOException, InterruptedException {
         FaultSchedule smallest = FaultScheduleFile.read(file);
--- a/src/main/java/sandstack/faultinjection/FleetLinks.java
+++ b/src/main/java/sandstack/faultinjection/FleetLinks.java
@@ -4,13 +4,13 @@
 import sandstack.testserver.TestServerLoop;
 
 /**
- * The links of a fleet: one {@link MemberLink} for each ordered pair of members. Used on the thread of the
- * {@link ProcessFleet}; the links run on the thread of the loop.
+ * The links of a fleet: one {@link MemberLink} for each ordered pair of members, for the connections that the first one
+ * opens to the second. Used on the thread of the {@link ProcessFleet}; the links run on the thread of the loop.
  */
 final class FleetLinks {
     private final TestServerLoop loop;
     private final MemberLink[][] links;
-    /** Whether traffic from the first member to the second passes, on the connections of both. */
+    /** Whether traffic from the first member to the second passes, whichever of them opened the connection. */
     private final boolean[][] passes;
 
     FleetLinks(TestServerLoop loop, int[] ports, IntFunction<String> hosts) {
--- a/src/main/java/sandstack/faultinjection/History.java
+++ b/src/main/java/sandstack/faultinjection/History.java
@@ -33,7 +33,7 @@
             long atMicros, long requestedMicros, int member, String incarnation, Map<String, MemberEntry> entries)
             implements Event {}
 
-    /** A member reported its quorum state and how many of the configured relays it reaches. */
+    /** A member reported its quorum state and how many of the configured relays it reaches, itself included. */
     record QuorumObserved(long atMicros, int member, QuorumState state, int reachable) implements Event {}
 
     /** The entry of one incarnation in a view. */
--- a/src/main/java/sandstack/faultinjection/Invariant.java
+++ b/src/main/java/sandstack/faultinjection/Invariant.java
@@ -11,7 +11,7 @@
     LEFT_IS_FINAL("an incarnation that left stays left"),
     MEMBERS_RESPOND("every running member responds"),
     ONE_INCARNATION_PER_NAME("a name has one present incarnation"),
-    VIEWS_CONVERGE("views are equal after all faults have ended");
+    VIEWS_CONVERGE("views are complete after all faults have ended");
 
     private final String description;
 
--- a/src/main/java/sandstack/faultinjection/InvariantChecker.java
+++ b/src/main/java/sandstack/faultinjection/InvariantChecker.java
@@ -21,8 +21,8 @@
  */
 final class InvariantChecker {
     /**
-     * All views must be equal this long after the end of all faults, or after the time allowed for the last start of a
-     * process if that ends later.
+     * All views must be complete this long after the end of all faults, or after the time allowed for the last start of
+     * a process if that ends later.
      */
     static final long CONVERGENCE_TIMEOUT_MICROS = 5_000_000;
     /** A member must not be declared lost if it was unreachable for less than this. */
@@ -34,7 +34,7 @@
      * to the members.
      */
     private static final long DISSEMINATION_MICROS = 5_000_000;
-    /** Time after a pause during which a member must be in {@link QuorumState#UNKNOWN}. */
+    /** Time after the end of a pause during which a member must be in {@link QuorumState#UNKNOWN}. */
     private static final long UNKNOWN_AFTER_RESUME_MICROS = 1_000_000;
 
     /** One violation of an invariant, with the observed values. */
@@ -96,13 +96,14 @@
         if (majority && (2 * reachable <= members || (state == QuorumState.COMPLETE && reachable < members))) {
             violated(
                     Invariant.MAJORITY_IS_MORE_THAN_HALF,
-                    quorum.member() + " is " + state + " with " + reachable + " of " + members);
+                    "member " + quorum.member() + " is " + state + " and reaches " + reachable + " of " + members);
         }
         long sinceResumeMicros = quorum.atMicros() - reachability.resumedAtMicros(quorum.member());
         if (state != QuorumState.UNKNOWN && sinceResumeMicros >= 0 && sinceResumeMicros < UNKNOWN_AFTER_RESUME_MICROS) {
             violated(
                     Invariant.UNKNOWN_AFTER_PAUSE,
-                    quorum.member() + " is " + state + " " + sinceResumeMicros / 1_000 + " ms after it was resumed");
+                    "member " + quorum.member() + " is " + state + " " + sinceResumeMicros / 1_000
+                            + " ms after it was resumed");
         }
     }
 
@@ -148,19 +149,19 @@
             violated(
                     Invariant.REACHABLE_IS_NOT_LOST,
                     describe(view, entry) + ", which was unreachable for " + unreachableMicros / 1_000 + " ms at "
-                            + view.atMicros() / 1_000 + " ms");
+                            + view.atMicros() / 1_000 + " ms of the run");
         }
     }
 
     private void checkLeftIsFinal(ViewObserved view, String incarnation, MemberEntry entry) {
         MemberStatus before = lastStatus.put(new Observation(view.incarnation(), incarnation), entry.status());
         if (before == MemberStatus.LEFT && entry.status() != MemberStatus.LEFT) {
-            violated(Invariant.LEFT_IS_FINAL, describe(view, entry) + " after LEFT");
+            violated(Invariant.LEFT_IS_FINAL, describe(view, entry) + " after it was LEFT");
         }
     }
 
     private static String describe(ViewObserved view, MemberEntry entry) {
-        return view.member() + " reports " + entry.name() + " " + entry.status();
+        return "member " + view.member() + " reports " + entry.name() + " as " + entry.status();
     }
 
     /** Checks that in the last view of each member every name has exactly one present incarnation, which is alive. */
@@ -177,7 +178,8 @@
         for (int member = 0; member < members; member++) {
             ViewObserved view = lastViews.get(member);
             if (view == null) {
-                violated(Invariant.MEMBERS_RESPOND, member + " reported no view after all faults had ended");
+                violated(
+                        Invariant.MEMBERS_RESPOND, "member " + member + " reported no view after all faults had ended");
             } else {
                 checkLastView(view, healedAtMicros);
             }
@@ -188,13 +190,15 @@
         Map<String, MemberStatus> present = new HashMap<>();
         view.entries().forEach((incarnation, entry) -> {
             if (entry.status().isMember() && present.put(entry.name(), entry.status()) != null) {
-                violated(Invariant.ONE_INCARNATION_PER_NAME, view.member() + " reports two of " + entry.name());
+                violated(
+                        Invariant.ONE_INCARNATION_PER_NAME,
+                        "member " + view.member() + " reports two present incarnations of " + entry.name());
             }
         });
         if (present.size() != members || present.values().stream().anyMatch(status -> status != MemberStatus.ALIVE)) {
             violated(
                     Invariant.VIEWS_CONVERGE,
-                    view.member() + " reports " + present + " " + (view.atMicros() - healedAtMicros) / 1_000
+                    "member " + view.member() + " reports " + present + " " + (view.atMicros() - healedAtMicros) / 1_000
                             + " ms after all faults had ended");
         }
     }
--- a/src/main/java/sandstack/faultinjection/MemberConfiguration.java
+++ b/src/main/java/sandstack/faultinjection/MemberConfiguration.java
@@ -15,8 +15,8 @@
  * @param address {@code HOST:PORT} at which it listens, and by which the other members identify it
  * @param seedAddresses addresses of the members that it contacts first
  * @param relayNames names of all members of the fleet
- * @param linkPorts loopback port of the link to each other member, by that member's address; iterated in the order in
- *     which the entries are written
+ * @param linkPorts loopback port of the link to each other member, by that member's address; written in the iteration
+ *     order of the map
  */
 record MemberConfiguration(
         int index,
--- a/src/main/java/sandstack/faultinjection/MemberProcess.java
+++ b/src/main/java/sandstack/faultinjection/MemberProcess.java
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Writes a command to the console without waiting for the response; the command stays in the pipe while the process
-     * is paused.
+     * Discards the console output so far and writes a command to the console without waiting for the response. The
+     * command stays in the pipe while the process is paused.
      */
     void sendCommand(String command) {
         consoleOutput.clear();
--- a/src/main/java/sandstack/faultinjection/ProcessFleet.java
+++ b/src/main/java/sandstack/faultinjection/ProcessFleet.java
@@ -72,7 +72,7 @@
         links = new FleetLinks(loop, ports, ProcessFleet::host);
     }
 
-    /** A loopback address for each member, from 127.77.0.1. */
+    /** The loopback address of the member with this index; 127.77.0.1 for the first one. */
     private static String host(int i) {
         return "127.77." + i / MEMBERS_PER_SUBNET + "." + (i % MEMBERS_PER_SUBNET + 1);
     }
@@ -216,7 +216,10 @@
         return view == null ? null : FleetViewReader.entry(view, name);
     }
 
-    /** Waits until a condition holds; returns the time that this took, in microseconds, or -1 after the timeout. */
+    /**
+     * Waits until a condition holds; returns the time that this took, in microseconds, or -1 after the timeout or an
+     * interrupt.
+     */
     public static long awaitMicros(BooleanSupplier condition, double timeoutSeconds) {
         long beganNanos = System.nanoTime();
         while (System.nanoTime() - beganNanos < timeoutSeconds * 1e9) {
@@ -233,7 +236,7 @@
         return -1;
     }
 
-    /** Number of bytes that the members have sent to each other so far. */
+    /** Number of bytes that the links have delivered to members so far. */
     public long forwardedBytes() {
         return links.forwardedBytes();
     }
--- a/src/main/java/sandstack/faultinjection/ReachabilityModel.java
+++ b/src/main/java/sandstack/faultinjection/ReachabilityModel.java
@@ -9,8 +9,9 @@
  */
 final class ReachabilityModel {
     /**
-     * Maximum number of links in a chain over which one member counts as reachable from another: a member receives
-     * reports on the other one from members that it reaches itself, with at most one further relay in between.
+     * Maximum number of links in a chain over which one member counts as reachable from another. The other one receives
+     * the reports of members that reach the first one directly, and it receives them directly or through one member in
+     * between.
      */
     private static final int MAX_HOPS = 3;
     /** A shorter pause may remain undetected by the paused member. */
@@ -31,7 +32,7 @@
     /** When the last period ended in which the first member could not reach the second. */
     private final long[][] unreachableUntilMicros;
 
-    /** How long that period lasted. */
+    /** How long the period lasted that ended at {@link #unreachableUntilMicros}. */
     private final long[][] lastUnreachableMicros;
 
     ReachabilityModel(int members) {
@@ -90,7 +91,7 @@
     }
 
     private void resume(int member, long nowMicros) {
-        // the member need not be paused: healAll resumes all members, and a RESUME step may precede its PAUSE step
+        // the member need not be paused: healAll resumes all members, and a PAUSE step may be left out of the history
         if (paused[member] && nowMicros - pausedAtMicros[member] >= MIN_DETECTABLE_PAUSE_MICROS) {
             resumedAtMicros[member] = nowMicros;
         }
@@ -138,7 +139,7 @@
         }
     }
 
-    /** Members to which a chain of at most {@link #MAX_HOPS} links leads that pass traffic in both directions. */
+    /** Members that this one reaches over at most {@link #MAX_HOPS} links, each passing traffic in both directions. */
     private boolean[] reachableFrom(int member) {
         boolean[] reached = new boolean[members];
         reached[member] = isResponsive(member);
--- a/src/main/java/sandstack/fleet/DecommissionedRelays.java
+++ b/src/main/java/sandstack/fleet/DecommissionedRelays.java
@@ -9,7 +9,7 @@
 /**
  * The set of relays that operators have decommissioned: the union of the sets that all members publish under
  * {@link #KEY}. Each member publishes the union again, so an entry remains when the member at which it was made ends. A
- * relay that is a member again leaves the set and counts towards the quorum.
+ * relay that is a member again leaves the set and counts towards the size of the fleet.
  *
  * <p>Not thread-safe. A call costs O(members).
  */
--- a/src/main/java/sandstack/fleet/GuardedOperation.java
+++ b/src/main/java/sandstack/fleet/GuardedOperation.java
@@ -11,8 +11,8 @@
     /** Operations on the membership that operators request. */
     enum OperatorOperation implements GuardedOperation {
         /**
-         * Removes a lost relay from the size of the fleet. In the smaller fleet, half of the relays may become a
-         * majority.
+         * Removes a lost relay from the size of the fleet. Half of the previous number of relays may be a majority of
+         * the smaller fleet.
          */
         DECOMMISSION_RELAY;
 
--- a/src/main/java/sandstack/fleet/MemberStatus.java
+++ b/src/main/java/sandstack/fleet/MemberStatus.java
@@ -2,14 +2,17 @@
 
 /** The status of a member in the view of one member. */
 public enum MemberStatus {
-    /** No member that has probed it reports it as unreachable. */
+    /** No member reports it as unreachable, and the library lists it or this member reaches it. */
     ALIVE("ALIVE"),
-    /** Some members reach it and others do not, which indicates a failed link rather than a failed member. */
+    /**
+     * Some members reach it and others do not, which indicates a failed link rather than a failed member. Also the
+     * status of an incarnation that others reach but that this member has not reached and the library does not list.
+     */
     PARTIALLY_REACHABLE("PARTLY"),
-    /** No member reports that it reaches it, but the library has not removed it yet. */
+    /** Members report it as unreachable and none as reachable, but the library has not removed it yet. */
     SUSPECT("SUSPECT"),
     /**
-     * The library has removed it, and no member reports that it reaches it. It may still run on the other side of a
+     * The library does not list it, and no member reports that it reaches it. It may still run on the other side of a
      * partition.
      */
     LOST("LOST"),
--- a/src/main/java/sandstack/fleet/MemberValues.java
+++ b/src/main/java/sandstack/fleet/MemberValues.java
@@ -8,7 +8,7 @@
 /**
  * Small values that each member publishes to all others. Only a member itself changes its values, and each change
  * increments their version. Of two versions from the same incarnation the higher one is the later, whether it arrived
- * in a probe response or by gossip. Values are removed with the incarnation that published them.
+ * in a probe response or by gossip. {@link #retainOnly} removes the values of incarnations that are not members.
  *
  * <p>Not thread-safe. A call costs O(1) plus a copy of one member's values.
  */
@@ -21,7 +21,8 @@
     /**
      * The values of one incarnation.
      *
-     * @param version incremented by each change; 0 before the first
+     * @param version incremented by each change, and by other changes of the state with which the values arrived; 0
+     *     before the first
      */
     public record VersionedValues(long version, Map<String, String> entries) {
         static final VersionedValues EMPTY = new VersionedValues(0, Map.of());
@@ -54,7 +55,7 @@
     private final String selfId;
     private final Map<String, ReceivedValues> received = new HashMap<>();
 
-    /** Creates an empty table; {@code selfId} is the incarnation id of this member. */
+    /** Creates an instance without values; {@code selfId} is the incarnation id of this member. */
     public MemberValues(String selfId) {
         this.selfId = selfId;
     }
@@ -64,7 +65,7 @@
      *
      * @param value the new value; null removes it
      * @return whether anything changed
-     * @throws IllegalArgumentException if there would be too many values, or the value is too long
+     * @throws IllegalArgumentException if there would be too many values, or the key or the value is too long
      */
     public boolean publish(String key, String value, long nowMicros) {
         VersionedValues own = values(selfId);
--- a/src/main/java/sandstack/fleet/Membership.java
+++ b/src/main/java/sandstack/fleet/Membership.java
@@ -20,9 +20,8 @@
  * {@code sandstack.fleet.link} rejects malformed messages.
  *
  * <p><b>Guaranteed.</b> Received values were published by their member, and a later version is never replaced by an
- * earlier one. A member is {@link MemberStatus#PARTIALLY_REACHABLE} and not lost while any member reports that it
- * reaches it. Of two processes that start with the same name, at most one owns it, provided that they reach each other
- * at the start.
+ * earlier one. A member is not {@link MemberStatus#LOST} while any other member reports that it reaches it. Of two
+ * processes that start with the same name, at most one owns it, provided that they reach each other at the start.
  *
  * <p><b>Not guaranteed.</b> That all members have the same view at the same moment, or that a name has only one owner
  * across a partition. Both need consensus, which this protocol does not provide.
--- a/src/main/java/sandstack/fleet/QuorumState.java
+++ b/src/main/java/sandstack/fleet/QuorumState.java
@@ -1,18 +1,25 @@
 package sandstack.fleet;
 
-/** The part of the configured relays that a member reaches. Determines which {@link GuardedOperation}s it may begin. */
+/**
+ * The part of the configured relays that a member reaches. Determines which {@link GuardedOperation}s it may begin.
+ * Decommissioned relays that are not members again do not count as configured here.
+ */
 public enum QuorumState {
     /** All configured relays are reachable, and all of them reach each other. */
     COMPLETE("WHOLE"),
-    /** More than half of the configured relays are reachable; two partitions are never both in this state. */
+    /**
+     * More than half of the configured relays are reachable. Two sides of a partition that have detected it are not
+     * both in this state, unless they differ in their configured or their decommissioned relays.
+     */
     MAJORITY("MOST"),
-    /** Some other relays are reachable, but no more than half of all. */
+    /** Other relays are reachable, but with this one no more than half of the configured relays. */
     MINORITY("FEW"),
     /** No other relay is reachable, although others are configured. */
     ISOLATED("ALONE"),
     /**
      * The local view may be stale or incomplete: this member has just started, stalled or changed its state, or the
-     * members differ in their views or their configured relays, or no relays are configured.
+     * members differ in their views or their configured relays, or no relays are configured, or this one is not among
+     * them.
      */
     UNKNOWN("UNSURE");
 
--- a/src/main/java/sandstack/fleet/QuorumTracker.java
+++ b/src/main/java/sandstack/fleet/QuorumTracker.java
@@ -14,14 +14,17 @@
  * decommissioned ones, never the number of current members, so a partition cannot become complete by losing the other
  * relays. A relay that other members reach and this one does not is part of that size but does not count as reachable.
  * {@link QuorumState#UNKNOWN} is reported at once; any other new state only after it has lasted for
- * {@link #STABILITY_WINDOW_MICROS}.
+ * {@link #STABILITY_WINDOW_MICROS}, and {@code UNKNOWN} until then.
  *
  * <p>Not thread-safe. An assessment costs O(members squared).
  */
 public final class QuorumTracker {
     /** Time that a new state must last before it is reported. */
     public static final long STABILITY_WINDOW_MICROS = 1_500_000;
-    /** Time after a stall in which all members are probed again: two probe rounds and their responses. */
+    /**
+     * Time after a stall during which the state is unknown, so that the members are probed again: two probe rounds of
+     * minimum duration and their responses.
+     */
     public static final long RECHECK_MICROS = 2 * ReachabilityTracker.MIN_ROUND_MICROS + 500_000;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -228,8 +231,8 @@
     }
 
     /**
-     * Whether a state may be reported: unknown at once, the last reported one again, any other after the stability
-     * window.
+     * Whether a state may be reported: at once if it is unknown or was the last one reported, otherwise after the
+     * stability window.
      */
     private boolean isStable(QuorumState state, long nowMicros) {
         if (state != candidate) {
--- a/src/main/java/sandstack/fleet/ReachabilityTracker.java
+++ b/src/main/java/sandstack/fleet/ReachabilityTracker.java
@@ -13,10 +13,10 @@
 
 /**
  * Tracks which members this one reaches directly, and schedules the probes. The library probes indirectly if its own
- * probe fails, and so keeps a member that only some members reach; the {@link MemberTable} also needs to know which
- * ones do. Each member is probed once per round, in an order that is shuffled for each round. The reachability of a
- * member changes only after {@link #CONSECUTIVE_RESULTS} equal results in a row, so that one lost packet does not count
- * as a failed link, nor one response as a recovery.
+ * probe fails, and so it keeps a member that only some members reach; the {@link MemberTable} also needs to know which
+ * ones do. Each member is probed once per round, in an order that is shuffled for each round. A new member is reachable
+ * after its first answer. Later its reachability changes only after {@link #CONSECUTIVE_RESULTS} equal results in a
+ * row, so that one lost packet does not count as a failed link, nor one response as a recovery.
  *
  * <p>Not thread-safe. A call costs O(members) at most.
  */
--- a/src/main/java/sandstack/fleet/link/CallClient.java
+++ b/src/main/java/sandstack/fleet/link/CallClient.java
@@ -13,8 +13,9 @@
 import sandstack.fleet.MemberTable;
 
 /**
- * Sends calls to other members. Calls in flight are bounded for each member and in total, so a slow member delays only
- * the calls to itself. Methods may be called on any thread; calls complete on the fleet's thread.
+ * Sends calls to other members. Calls in flight are bounded for each member and in total, and further calls fail at
+ * once, so a slow member affects only the calls to itself. Methods may be called on any thread; calls complete on the
+ * fleet's thread, except those that fail before they are sent.
  */
 final class CallClient {
     private static final int MAX_CALLS_PER_MEMBER = 8;
--- a/src/main/java/sandstack/fleet/link/ClusterClient.java
+++ b/src/main/java/sandstack/fleet/link/ClusterClient.java
@@ -29,7 +29,7 @@
     /** Large enough for the library's membership table of a thousand members. */
     private static final int MAX_FRAME_BYTES = 256 * 1024;
 
-    private static final int MAX_PEERS = 2_048;
+    private static final int MAX_INBOUND_CONNECTIONS = 2_048;
     private static final long START_TIMEOUT_SECONDS = 5;
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 2;
     /**
@@ -64,7 +64,7 @@
     /**
      * Starts the library and waits until it listens.
      *
-     * @throws InvalidConfigurationException if it cannot listen at the configured address
+     * @throws InvalidConfigurationException if it cannot listen at the configured address or does not start in time
      */
     void start(ClusterMessageHandler handler) throws InvalidConfigurationException {
         ClusterConfig config = config();
@@ -108,7 +108,7 @@
                         .maxFrameLength(MAX_FRAME_BYTES)
                         .addressMapper(address -> fleetFile.via().getOrDefault(address, address))
                         .transportFactory(new SingleAddressTransportFactory(
-                                fleetFile.listen().host(), codec, MAX_PEERS)))
+                                fleetFile.listen().host(), codec, MAX_INBOUND_CONNECTIONS)))
                 .failureDetector(detector -> detector.pingInterval(PING_INTERVAL_MILLIS)
                         .pingTimeout(PING_TIMEOUT_MILLIS)
                         .pingReqMembers(INDIRECT_PINGS))
@@ -120,7 +120,10 @@
                         .suspicionMult(SUSPICION_MULTIPLIER));
     }
 
-    /** Sends a request. Completes on the scheduler with the body of the response, or fails after the timeout. */
+    /**
+     * Sends a request. Completes on the scheduler with the body of the response, or fails, after the timeout at the
+     * latest.
+     */
     CompletableFuture<String> request(Incarnation target, String qualifier, String body, Duration timeout) {
         Message message = Message.builder()
                 .qualifier(qualifier)
@@ -168,7 +171,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            LOG.fine("cluster shutdown timed out timeout_s=" + SHUTDOWN_TIMEOUT_SECONDS);
+            LOG.fine("cluster shutdown failed or timed out timeout_s=" + SHUTDOWN_TIMEOUT_SECONDS);
         }
     }
 }
--- a/src/main/java/sandstack/fleet/link/FleetMember.java
+++ b/src/main/java/sandstack/fleet/link/FleetMember.java
@@ -25,7 +25,7 @@
  * methods may be called on any thread; only {@link #start} and {@link #close} block.
  */
 public final class FleetMember implements AutoCloseable {
-    /** Maximum length of the body of a call and of its response, in characters. */
+    /** Maximum length of the body of a call, in characters; the length of a response body is not checked. */
     public static final int MAX_BODY_LENGTH = 64 * 1024;
 
     static final String LOGGER_NAME = "sandstack.fleet";
@@ -95,8 +95,8 @@
      * Joins the fleet. Blocks for a few seconds at most and does not wait for other members: if none responds, the view
      * contains only this member until one does.
      *
-     * @throws InvalidConfigurationException if it cannot listen at its address, or a running member owns its name; this
-     *     member is then closed
+     * @throws InvalidConfigurationException if it cannot listen at its address or does not start in time, or another
+     *     running member owns its name or has the prior claim to it; this member is then closed
      */
     public void start() throws InvalidConfigurationException {
         try {
@@ -184,7 +184,10 @@
         return refusal;
     }
 
-    /** Changes a value that this member publishes to all others; null removes it. */
+    /**
+     * Changes a value that this member publishes to all others; null removes it. Takes effect later, on the fleet's
+     * thread; a change that {@link Membership#publish} rejects is only logged.
+     */
     public void publish(String key, String value) {
         executor.execute(() -> membership.publish(key, value, FleetExecutor.nowMicros()));
     }
@@ -195,9 +198,9 @@
     }
 
     /**
-     * Calls one member, without a retry. Completes on the fleet's thread with the body of the response, or fails with a
-     * {@link CallException}: there is no response in time, too many calls are in flight, the id is not that of a
-     * member, or the member rejects the call. A failed call may still have been executed.
+     * Calls one member, without a retry. Completes on the fleet's thread with the body of the response, or fails,
+     * possibly at once, with a {@link CallException}: there is no response in time, too many calls are in flight, the
+     * id is not that of a member, or the member rejects the call. A failed call may still have been executed.
      *
      * @param id incarnation id of the member
      * @param kind selects the handler on that member
--- a/src/main/java/sandstack/fleet/link/MembershipEventLog.java
+++ b/src/main/java/sandstack/fleet/link/MembershipEventLog.java
@@ -9,7 +9,7 @@
 import sandstack.fleet.Membership;
 import sandstack.fleet.QuorumState;
 
-/** Logs changes of the quorum state and of the status of members. On the fleet's thread. */
+/** Logs changes of the quorum state and of the status of members. Used on the fleet's thread. */
 final class MembershipEventLog {
     private static final Logger LOG = Logger.getLogger(FleetMember.LOGGER_NAME);
     private static final int ID_PREFIX_LENGTH = 8;
--- a/src/main/java/sandstack/fleet/link/ProtocolTask.java
+++ b/src/main/java/sandstack/fleet/link/ProtocolTask.java
@@ -37,7 +37,7 @@
         this.warnings = warnings;
     }
 
-    /** Completes once another incarnation owns this member's name. */
+    /** Completes once this member has lost the claim to its name to another incarnation. */
     CompletableFuture<Void> nameConflict() {
         return nameConflict;
     }
--- a/src/main/java/sandstack/fleet/link/SingleAddressTransportFactory.java
+++ b/src/main/java/sandstack/fleet/link/SingleAddressTransportFactory.java
@@ -27,26 +27,26 @@
 
 /**
  * Creates a TCP transport that listens on one address of the machine; the library's own transport listens on all of
- * them. The transport also bounds the number of peers and the length of frames, and closes idle connections. Runs on
- * the library's threads.
+ * them. The transport also bounds the number of inbound connections and the length of frames, and closes an inbound
+ * connection on which nothing arrives. Runs on the library's threads.
  */
 final class SingleAddressTransportFactory implements TransportFactory {
     private static final int LENGTH_BYTES = 4;
     /**
-     * Members send messages every second, so a peer that sends nothing for this time is not a member or is behind a
-     * partition.
+     * A member probes every other one once per probe round, which takes less than this in a fleet of fewer than 600
+     * members. A peer that sends nothing for this time is therefore not a member, or is behind a partition.
      */
     private static final long READ_TIMEOUT_SECONDS = 30;
 
     private final String host;
     private final FilteredMessageCodec codec;
-    private final int maxPeers;
-    private final AtomicInteger peerCount = new AtomicInteger();
+    private final int maxInboundConnections;
+    private final AtomicInteger inboundConnections = new AtomicInteger();
 
-    SingleAddressTransportFactory(String host, FilteredMessageCodec codec, int maxPeers) {
+    SingleAddressTransportFactory(String host, FilteredMessageCodec codec, int maxInboundConnections) {
         this.host = host;
         this.codec = codec;
-        this.maxPeers = maxPeers;
+        this.maxInboundConnections = maxInboundConnections;
     }
 
     @Override
@@ -109,12 +109,12 @@
         }
 
         private void accepted(Connection connection) {
-            if (peerCount.incrementAndGet() > maxPeers) {
-                peerCount.decrementAndGet();
+            if (inboundConnections.incrementAndGet() > maxInboundConnections) {
+                inboundConnections.decrementAndGet();
                 connection.dispose();
                 return;
             }
-            connection.onDispose(peerCount::decrementAndGet);
+            connection.onDispose(inboundConnections::decrementAndGet);
         }
     }
 
--- a/src/main/java/sandstack/fleet/link/UnsupportedVersionException.java
+++ b/src/main/java/sandstack/fleet/link/UnsupportedVersionException.java
@@ -7,6 +7,7 @@
     private static final long serialVersionUID = 1L;
 
     UnsupportedVersionException(int version) {
-        super("unsupported protocol version " + version + ", supported are up to " + FleetMessages.PROTOCOL_VERSION);
+        super("unsupported protocol version " + version + ", the latest supported one is "
+                + FleetMessages.PROTOCOL_VERSION);
     }
 }
--- a/src/test/java/sandstack/faultinjection/FaultScheduleTest.java
+++ b/src/test/java/sandstack/faultinjection/FaultScheduleTest.java
@@ -48,7 +48,7 @@
                 "members = 0                                     | members must be a whole number from 1 to 100: 0",
                 "members = 3\\ncolour = 1                        | colour is not known here; known are members, step",
                 "members = 3                                     | step must be up to 1000 tables",
-                "members = 3\\n[[step]]\\nat = -1                | step 1: at must be a number from 0 to 600.0: -1",
+                "members = 3\\n[[step]]\\nat = -1                | step 1: at must be a number of seconds from 0 to 600.0: -1",
                 "members = 3\\n[[step]]\\nat = 1\\ndo = \"jump\" | step 1: do is none of cut, cut-one-way, heal",
                 "members = 3\\n[[step]]\\nat = 1\\ndo = \"kill\"\\na = 3          | step 1: a must be a whole number from 0 to 2: 3",
                 "members = 3\\n[[step]]\\nat = 1\\ndo = \"cut\"\\na = 1\\nb = 1   | step 1: a and b are the same member: 1",
--- a/src/test/java/sandstack/fleet/link/FleetMemberTest.java
+++ b/src/test/java/sandstack/fleet/link/FleetMemberTest.java
@@ -240,7 +240,7 @@
     @Test
     void laterProtocolVersionIsDistinguishedFromMalformedMessages() {
         assertThatThrownBy(() -> MessageJson.read("{\"v\":2,\"new\":[]}", FleetMessages.ProbeRequest.class))
-                .hasMessage("unsupported protocol version 2, supported are up to 1");
+                .hasMessage("unsupported protocol version 2, the latest supported one is 1");
         assertThatThrownBy(() -> MessageJson.read("{\"name\":1}", FleetMessages.ProbeRequest.class))
                 .hasMessage("message body has no protocol version");
         assertThatThrownBy(() -> MessageJson.read("{\"v\":1,\"has\":\"x\"}", FleetMessages.ProbeRequest.class))
