--- a/src/main/java/sandstack/measure/CapacityMeasurement.java
+++ b/src/main/java/sandstack/measure/CapacityMeasurement.java
@@ -79,7 +79,9 @@
         TimeUnit.MICROSECONDS.sleep((long) (seconds * 1e6));
     }
 
-    /** Opens connections that stay idle; the target is that all of them are established. */
+    /**
+     * Opens connections that stay idle; the targets are that all are established and that none is rejected or fails.
+     */
     private static void measureIdleConnections(
             Options options, int clients, List<MetricResult> results, ProgressListener progress) throws Exception {
         try (Testbed testbed = new Testbed()) {
--- a/src/main/java/sandstack/measure/ConcurrencyLimiter.java
+++ b/src/main/java/sandstack/measure/ConcurrencyLimiter.java
@@ -11,7 +11,8 @@
  */
 interface ConcurrencyLimiter {
     /**
-     * Returns whether another connection may be attempted.
+     * Returns whether another connection may be attempted. If true, the caller attempts it at once and reports the
+     * result with {@link #onEstablished} or {@link #onRejected}.
      *
      * @param established number of connections currently established at the server
      */
@@ -48,7 +49,9 @@
         },
         /** Additive increase, multiplicative decrease (RFC 5681), as in Netflix's concurrency-limits. */
         AIMD,
-        /** Follows the ratio of the long-term mean setup time to the latest one, as that library's Gradient2Limit. */
+        /**
+         * Follows the ratio of the long-term mean setup time to the latest one, as concurrency-limits' Gradient2Limit.
+         */
         GRADIENT,
         /**
          * A Kalman filter that models the capacity as a random walk and takes rejections as its measurements. Admits
@@ -106,8 +109,9 @@
     }
 
     /**
-     * Raises the limit by one per {@code limit} setups while at least 90% of it is in use; lowers it by a tenth after a
-     * rejection or drop.
+     * Unlimited until the first rejection or drop. Raises the limit by one per {@code limit} setups while at least 90%
+     * of it is in use. After a rejection or drop, lowers it to 90% of itself or of the established connections,
+     * whichever is less.
      */
     class AimdLimiter implements ConcurrencyLimiter {
         private static final long MIN_DECREASE_INTERVAL_MICROS = 100_000;
@@ -145,8 +149,10 @@
     }
 
     /**
-     * Scales the limit by the ratio of the long-term mean setup time to the latest one, while at least half of the
-     * limit is in use.
+     * Starts with a limit of 20. While at least half of the limit is in use, each setup scales the limit by 1.5 times
+     * the ratio of the long-term mean setup time to the latest one, bounded to the range from 0.5 to 1, adds the square
+     * root of the limit as headroom, and applies a fifth of the change. Rejections and drops lower the limit as in
+     * {@link AimdLimiter}.
      */
     final class GradientLimiter extends AimdLimiter {
         private double longTermMeanMicros;
@@ -166,14 +172,17 @@
         }
     }
 
-    /** Estimates mean and variance of the server's capacity by a Kalman filter. */
+    /**
+     * Estimates mean and variance of the server's capacity by a Kalman filter. Unlimited until the first rejection or
+     * drop; after that, a number of established connections above the mean replaces the mean.
+     */
     final class KalmanLimiter implements ConcurrencyLimiter {
         private double mean = Double.POSITIVE_INFINITY;
         private double variance;
         private long updatedAtMicros;
 
         private void predict(long nowMicros) {
-            // process noise: the capacity changes by about a tenth per second
+            // process noise: in one second the capacity changes with a standard deviation of a tenth of it, plus one
             double standardDeviation = mean * 0.1 + 1;
             variance += standardDeviation * standardDeviation * (nowMicros - updatedAtMicros) / 1e6;
             updatedAtMicros = nowMicros;
--- a/src/main/java/sandstack/measure/EstimatorMeasurement.java
+++ b/src/main/java/sandstack/measure/EstimatorMeasurement.java
@@ -15,14 +15,14 @@
  * takes one to two seconds.
  */
 final class EstimatorMeasurement implements Measurement {
-    /** Simulated duration of a run. */
+    /** Simulated duration of a run, with {@code --quick} and without. */
     private static final long QUICK_MICROS = 80_000_000;
 
     private static final long FULL_MICROS = 200_000_000;
     /** Minimum ratio of the estimate's utilization to that of the oracle. */
-    private static final double MIN_UTILIZATION = 0.85;
-    /** Lower, because this profile changes its capacity faster than an estimate can follow. */
-    private static final double MIN_UTILIZATION_ON_AND_OFF = 0.6;
+    private static final double MIN_RELATIVE_UTILIZATION = 0.85;
+    /** Lower, because the capacity of {@link CapacityProfile#ON_AND_OFF} changes faster than an estimate can follow. */
+    private static final double MIN_RELATIVE_UTILIZATION_ON_AND_OFF = 0.6;
 
     private static final double MAX_REJECTED_PER_SECOND = 1.5;
 
@@ -60,12 +60,13 @@
     }
 
     private static List<MetricResult> results(CapacityProfile profile, Outcome oracle, Outcome estimate) {
-        double minUtilization = profile == CapacityProfile.ON_AND_OFF ? MIN_UTILIZATION_ON_AND_OFF : MIN_UTILIZATION;
+        double minRelativeUtilization =
+                profile == CapacityProfile.ON_AND_OFF ? MIN_RELATIVE_UTILIZATION_ON_AND_OFF : MIN_RELATIVE_UTILIZATION;
         return List.of(
                 MetricResult.atLeast(
                         profile + ": in use, of what can be",
                         estimate.utilization() / oracle.utilization(),
-                        minUtilization),
+                        minRelativeUtilization),
                 MetricResult.atMost(
                         profile + ": turned away a second", estimate.rejectedPerSecond(), MAX_REJECTED_PER_SECOND));
     }
--- a/src/main/java/sandstack/measure/EstimatorSimulation.java
+++ b/src/main/java/sandstack/measure/EstimatorSimulation.java
@@ -84,7 +84,7 @@
             this.maxCapacity = maxCapacity;
         }
 
-        /** Maximum of concurrent connections at this time. */
+        /** Maximum number of concurrent connections at this time. */
         abstract int capacity(long nowMicros);
 
         /** Factor by which setups are slowed down at this time; 1 for none. */
--- a/src/main/java/sandstack/measure/FleetMeasurement.java
+++ b/src/main/java/sandstack/measure/FleetMeasurement.java
@@ -23,7 +23,7 @@
     private static final double MICROS_PER_SECOND = 1e6;
     private static final int ZONES = 3;
     private static final int ROUNDS_PER_FAULT = 17;
-    /** Duration of the count of false suspicions. */
+    /** Duration for which false suspicions are counted. */
     private static final double FAULT_FREE_SECONDS = 600;
 
     private static final double FAULT_FREE_SECONDS_QUICK = 5;
@@ -91,7 +91,7 @@
             convergenceTimes.add(convergence);
             progress.onProgress(String.format(
                     Locale.ROOT,
-                    "%s %d: detected after %.1f s (median), converged after %.1f s",
+                    "%s %d: detected after %.1f s (median of all rounds so far), converged after %.1f s",
                     fault,
                     i + 1,
                     detectionTimes.percentile(0.5),
@@ -122,7 +122,8 @@
      * Injects a fault, waits for its detection, ends the fault and waits until every member sees all others as alive.
      *
      * @param detectionTimes receives one time until detection for each other member
-     * @param untilLost whether the fault lasts until the member is declared lost, rather than only suspected
+     * @param untilLost whether the fault lasts until one observer has declared the member lost, rather than until all
+     *     others have detected it
      * @return seconds from the end of the fault until convergence; infinite after a timeout
      */
     private static double injectFault(
--- a/src/main/java/sandstack/measure/OpenCommand.java
+++ b/src/main/java/sandstack/measure/OpenCommand.java
@@ -20,8 +20,8 @@
 
 /**
  * {@code open}: opens one client connection through a relay, sends each argument as a line and prints the responses.
- * Uses one blocking socket. Exits 0 if every line received a response, 1 if the connection was rejected, failed or
- * closed before that.
+ * Uses one blocking socket. Exits 0 if every line received a response, 1 if before that the connection was rejected,
+ * failed, timed out, was closed or was asked to migrate.
  */
 @Command(
         name = "open",
--- a/src/main/java/sandstack/measure/StandInCommand.java
+++ b/src/main/java/sandstack/measure/StandInCommand.java
@@ -27,7 +27,7 @@
             names = "--cap",
             paramLabel = "N",
             defaultValue = "0",
-            description = "Maximum of connections of each feed server; 0 for no limit (default: 0).")
+            description = "Maximum number of connections to each feed server; 0 for no limit (default: 0).")
     private int maxConnections;
 
     @Option(
--- a/src/main/java/sandstack/measure/Testbed.java
+++ b/src/main/java/sandstack/measure/Testbed.java
@@ -20,13 +20,13 @@
     private final List<FakeFeedServer> servers = new ArrayList<>();
     private final List<RelayProcess> relays = new ArrayList<>();
 
-    /** Starts an empty discovery; the configuration of each relay allows 20,000 file descriptors. */
+    /** Starts a discovery without feed servers; the configuration of each relay allows 20,000 file descriptors. */
     public Testbed() throws IOException {
         this(DEFAULT_MAX_DESCRIPTORS);
     }
 
     /**
-     * Starts an empty discovery.
+     * Starts a discovery without feed servers.
      *
      * @param maxDescriptors maximum number of file descriptors in the configuration of each relay
      */
--- a/src/main/java/sandstack/measure/configuration/ConfigurationHeap.java
+++ b/src/main/java/sandstack/measure/configuration/ConfigurationHeap.java
@@ -57,6 +57,7 @@
 
     private static ConfigurationSnapshot newSnapshot(int bytes) {
         Map<String, String> entries = new HashMap<>();
+        // a key has 24 characters
         for (int key = 0; key < bytes / (VALUE_CHARACTERS + 24); key++) {
             entries.put(String.format("relay.settings.key-%05d", key), "v".repeat(VALUE_CHARACTERS));
         }
--- a/src/main/java/sandstack/measure/configuration/FleetScenario.java
+++ b/src/main/java/sandstack/measure/configuration/FleetScenario.java
@@ -62,10 +62,10 @@
         FaultEffect kill = measureKill(hellos);
         fleet.startAll();
         settle();
-        hellos.takePeak();
+        hellos.takePeak(); // discards the peak of the restart
         PartitionPhase partition = measurePartition(hellos);
         settle();
-        hellos.takePeak();
+        hellos.takePeak(); // discards the peak after the partition
         FaultEffect zoneStart = measureZoneStart(hellos);
         int maxSessions = fleet.machines().stream()
                 .mapToInt(HollowControlMachine::maxSessions)
@@ -183,8 +183,8 @@
     }
 
     /**
-     * Kills the control machine with most relays when a change is proposed; returns the seconds until the change is
-     * active at all relays.
+     * Kills the control machine with most relays immediately before a change is proposed; returns the seconds until the
+     * change is active at all relays.
      */
     private double killBusiestMachine() {
         HollowControlMachine busiest = fleet.machines().stream()
@@ -252,7 +252,8 @@
         long wallBefore = System.nanoTime();
         long threadBefore = threadCpuNanos();
         task.run();
-        // busyNanos is wall-clock time; the share of it in which this thread ran converts it to processor time
+        // converts busyNanos, which is wall-clock time, to processor time by the share of the task in which this thread
+        // ran
         double cpuFraction = durations.measuresCosts()
                 ? (threadCpuNanos() - threadBefore) / (double) Math.max(1, System.nanoTime() - wallBefore)
                 : 0;
--- a/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationFleet.java
@@ -117,7 +117,7 @@
         return List.copyOf(relays);
     }
 
-    /** Sets the faults of the network from now on. */
+    /** Sets the faults of the network, which also affect the arrival of messages in flight. */
     public void setFaults(NetworkFaults faults) {
         network.setFaults(faults);
     }
--- a/src/main/java/sandstack/measure/configuration/HollowConfigurationRelay.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConfigurationRelay.java
@@ -74,7 +74,10 @@
         }
     }
 
-    /** Handles a frame; closes the connection at the control machine if it is no longer open here. */
+    /**
+     * Handles a frame. If the connection is no longer open here, closes it at the control machine, unless this machine
+     * is lost.
+     */
     void receive(HollowConnection connection, byte[] frame) {
         if (!isRunning() || connections.get(connection.machine().name()) != connection) {
             if (!isMachineLost()) {
--- a/src/main/java/sandstack/measure/configuration/HollowConnection.java
+++ b/src/main/java/sandstack/measure/configuration/HollowConnection.java
@@ -40,7 +40,7 @@
         return toRelay;
     }
 
-    /** The name of the relay's end of the connection in the control machine's publisher. */
+    /** The name by which the control machine's publisher identifies the connection. */
     String peer() {
         return Long.toString(number);
     }
--- a/src/main/java/sandstack/measure/configuration/HollowProcess.java
+++ b/src/main/java/sandstack/measure/configuration/HollowProcess.java
@@ -57,7 +57,7 @@
         return incarnation;
     }
 
-    /** Wall-clock time of its tasks since the last reset, in nanoseconds. */
+    /** Wall-clock time that tasks of the process took since the last reset, in nanoseconds. */
     long busyNanos() {
         return busyNanos;
     }
--- a/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
+++ b/src/main/java/sandstack/measure/configuration/ModelledConsensus.java
@@ -23,7 +23,10 @@
 public final class ModelledConsensus implements CommittedChangeListener {
     /** Time without a majority after which a machine reports that it has no quorum. */
     private static final long QUORUM_TIMEOUT_MICROS = 1_000_000;
-    /** Time from a commit to its replication: more than the one-way latency between regions. */
+    /**
+     * Time from a commit until all machines with a majority have replicated it; the periodic turn of a machine may do
+     * so earlier. More than the mean one-way latency between regions.
+     */
     private static final long REPLICATION_DELAY_MICROS = 60_000;
 
     /** State of one control machine's replica of the committed changes. */
--- a/src/main/java/sandstack/measure/configuration/SimulatedNetwork.java
+++ b/src/main/java/sandstack/measure/configuration/SimulatedNetwork.java
@@ -7,8 +7,10 @@
 
 /** Delivers frames between simulated processes with random latencies and faults, and counts them. Not thread-safe. */
 final class SimulatedNetwork {
-    private static final long SAME_REGION_MICROS = 500;
-    private static final long OTHER_REGION_MICROS = 35_000;
+    /** Minimum one-way latency within a region. */
+    private static final long MIN_SAME_REGION_MICROS = 500;
+    /** Minimum one-way latency between regions. */
+    private static final long MIN_OTHER_REGION_MICROS = 35_000;
     /** Latencies are uniformly distributed from the minimum to this multiple of it. */
     private static final int MAX_LATENCY_FACTOR = 2;
 
@@ -21,7 +23,7 @@
         this.random = random;
     }
 
-    /** Sets the faults of frames from now on. */
+    /** Sets the faults. A frame in flight is lost if its destination cannot be reached when it arrives. */
     void setFaults(NetworkFaults newFaults) {
         faults = newFaults;
     }
@@ -31,7 +33,7 @@
         return faults.canReach(from, to);
     }
 
-    /** Sends a frame; the receiver is called on its arrival. */
+    /** Sends a frame; the receiver is called for each copy that arrives. */
     void send(HollowProcess from, HollowProcess to, Direction direction, byte[] frame, Consumer<byte[]> receiver) {
         boolean otherRegion = !from.region().equals(to.region());
         from.traffic().count(frame.length, otherRegion);
@@ -67,7 +69,7 @@
     }
 
     private long latencyMicros(HollowProcess from, HollowProcess to) {
-        long minMicros = from.region().equals(to.region()) ? SAME_REGION_MICROS : OTHER_REGION_MICROS;
+        long minMicros = from.region().equals(to.region()) ? MIN_SAME_REGION_MICROS : MIN_OTHER_REGION_MICROS;
         return minMicros + random.nextLong(minMicros * (MAX_LATENCY_FACTOR - 1) + 1);
     }
 }
--- a/src/main/java/sandstack/measure/page/CapacityFiles.java
+++ b/src/main/java/sandstack/measure/page/CapacityFiles.java
@@ -16,7 +16,10 @@
 import sandstack.config.InvalidConfigurationException;
 import sandstack.measure.scale.ScaleReport;
 
-/** Reads and writes the JSON files of the capacity page. Error messages are one line with file, key and value. */
+/**
+ * Reads and writes the JSON files of the capacity page. Error messages are one line with the file and, if one is at
+ * fault, its key and value.
+ */
 public final class CapacityFiles {
     /** File with the planning numbers, relative to the root of the repository. */
     public static final String PLAN = "docs/capacity/plan.json";
@@ -63,7 +66,7 @@
         return read(JSON, file, ScaleReport.class);
     }
 
-    /** Writes cost models in the format of the repository. */
+    /** Writes cost models as JSON with the indentation of {@link #COST_MODELS}. */
     static void writeCostModels(Path file, CostModels costModels) throws IOException {
         DefaultPrettyPrinter printer = new DefaultPrettyPrinter();
         printer.indentObjectsWith(new DefaultIndenter("  ", "\n"));
--- a/src/main/java/sandstack/measure/page/CostModelValidator.java
+++ b/src/main/java/sandstack/measure/page/CostModelValidator.java
@@ -77,7 +77,7 @@
         requirePresent(costModel, "date", costModel.date());
         requirePresent(costModel, "commit", costModel.commit());
         if (costModel.sizes().size() != costModel.values().size()) {
-            throw invalid(costModel, "values", costModel.values(), "must be as many values as sizes");
+            throw invalid(costModel, "values", costModel.values(), "must have one value for each size");
         }
         FittedModel fit = FittedModel.selectBest(costModel.points())
                 .orElseThrow(() -> invalid(
--- a/src/main/java/sandstack/measure/page/Plan.java
+++ b/src/main/java/sandstack/measure/page/Plan.java
@@ -13,7 +13,7 @@
  * @param numbers all planning numbers; a derived number follows those that it depends on
  */
 public record Plan(List<PlanNumber> numbers) {
-    /** Rejects a null list, as of a file without the key. */
+    /** Rejects a null list, which results from a missing key in the file. */
     public Plan {
         numbers = List.copyOf(Objects.requireNonNull(numbers, "numbers: missing"));
     }
--- a/src/main/java/sandstack/measure/scale/ClientPool.java
+++ b/src/main/java/sandstack/measure/scale/ClientPool.java
@@ -47,7 +47,7 @@
      * @param accepted setups that the relay completed
      * @param rejected attempts that the relay rejected
      * @param failed attempts without an answer, or with an invalid one
-     * @param lost established connections that the other side closed or reset
+     * @param lost established connections that the relay closed, reset or asked to migrate
      */
     record Counts(int established, int inFlight, long attempts, long accepted, long rejected, long failed, long lost) {
         long unserved() {
--- a/src/main/java/sandstack/measure/scale/EndpointListScale.java
+++ b/src/main/java/sandstack/measure/scale/EndpointListScale.java
@@ -6,7 +6,7 @@
 
 /**
  * Cost of the endpoint list: its size in bytes, a relay's processor time and memory to handle it, and the computed load
- * of all relays on one discovery service. With {@link Effort#SMALL} measures neither time nor heap.
+ * of all relays on one discovery service. With {@link Effort#SMALL}, neither time nor heap is measured.
  */
 public final class EndpointListScale implements ScaleMeasurement {
     private static final String SERVERS = "feed servers";
--- a/src/main/java/sandstack/measure/scale/LoadBalancerScale.java
+++ b/src/main/java/sandstack/measure/scale/LoadBalancerScale.java
@@ -8,7 +8,7 @@
 
 /**
  * Memory and processor time of the load balancer without the rest of the relay, by the number of established
- * connections and of feed servers. With {@link Effort#SMALL} counts the objects and entries of its state in this
+ * connections and of feed servers. With {@link Effort#SMALL}, the objects and entries of its state are counted in this
  * process instead.
  */
 public final class LoadBalancerScale implements ScaleMeasurement {
--- a/src/main/java/sandstack/measure/scale/ReachableObjects.java
+++ b/src/main/java/sandstack/measure/scale/ReachableObjects.java
@@ -14,8 +14,8 @@
 /**
  * Counts the state that is reachable from one object: objects of this program's classes, which are followed through
  * their fields, and entries of maps, collections and object arrays. Unlike a size in bytes, the count is the same on
- * every machine. Other objects of the class library, such as strings, and enum constants are not counted. Takes time
- * and memory linear in the count.
+ * every machine. Other objects of the class library, such as strings, are not counted, nor are enum constants and
+ * lambdas. Takes time and memory linear in the count.
  */
 final class ReachableObjects {
     private static final String OWN_PACKAGE_PREFIX = "sandstack.";
--- a/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayDeliveryScale.java
@@ -33,7 +33,8 @@
     private static final long DELIVER_MILLIS_FULL = 5_000;
     private static final long IDLE_MILLIS_QUICK = 300;
     private static final long IDLE_MILLIS_FULL = 4_000;
-    private static final long ARRIVAL_TIMEOUT_MILLIS = 100;
+    /** Pause after the last line is sent; lines that have not arrived by its end count as lost. */
+    private static final long ARRIVAL_WAIT_MILLIS = 100;
 
     private final Path jar;
 
@@ -168,7 +169,7 @@
         load.loop().run(() -> deliveries.start(load.feedServers(), rate));
         RelayUnderLoad.pause(millis);
         load.loop().run(deliveries::stop);
-        RelayUnderLoad.pause(ARRIVAL_TIMEOUT_MILLIS);
+        RelayUnderLoad.pause(ARRIVAL_WAIT_MILLIS);
         double idle = idleMicros * (System.nanoTime() - startNanos) / 1e9;
         double busyMicros = load.usage().processorMicrosSince(before) - idle;
         DeliveryLoad.Result result = load.loop().call(deliveries::result);
--- a/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
@@ -7,8 +7,9 @@
 import sandstack.measure.RelayProcess;
 
 /**
- * Behaviour of a relay with a full heap, by heap size: starts the relay with the options of the {@code run} command and
- * connects clients until it accepts no more. Runs with {@link ScaleMeasurement.Effort#FULL} only.
+ * Behaviour of a relay whose heap or file descriptors are exhausted, by heap size: starts the relay with the options of
+ * the {@code run} command and connects clients until it accepts no more. Runs with {@link ScaleMeasurement.Effort#FULL}
+ * only.
  */
 public final class RelayHeapLimitScale implements ScaleMeasurement {
     private static final String METHOD =
@@ -19,7 +20,7 @@
     private static final int CONNECTION_TARGET = 9_900;
 
     private static final long SETTLE_MILLIS = 1_500;
-    /** Clients that disconnect at the limit and are replaced by as many new ones. */
+    /** Number of clients that disconnect at the limit and are replaced by as many new ones. */
     private static final int RECONNECTING_CLIENTS = 200;
 
     private final Path jar;
@@ -50,11 +51,11 @@
      * @param established connections when it accepted no more
      * @param rejected attempts that it rejected
      * @param failed attempts without an answer
-     * @param lost established connections that the relay closed or reset
+     * @param lost established connections that the relay closed, reset or asked to migrate
      * @param unresponsive established connections on which a line from the feed server did not arrive
      * @param outOfMemoryLogLines log lines with OutOfMemoryError
-     * @param reconnected number accepted of {@value #RECONNECTING_CLIENTS} clients that connected after as many had
-     *     disconnected
+     * @param reconnected number of clients accepted after {@value #RECONNECTING_CLIENTS} had disconnected and as many
+     *     new ones had tried to connect
      * @param alive whether its process was still running
      */
     record Exhaustion(
--- a/src/main/java/sandstack/measure/scale/Role.java
+++ b/src/main/java/sandstack/measure/scale/Role.java
@@ -2,13 +2,13 @@
 
 /** Parts of the system to which costs are attributed. */
 public enum Role {
-    /** A relay, for the connections that it holds. */
+    /** The established connections of a relay. */
     RELAY_CONNECTIONS,
-    /** A relay, for load balancing. */
+    /** The load balancing of a relay. */
     RELAY_PLACEMENT,
-    /** A relay, for backoff and retries. */
+    /** The backoff and retries of a relay. */
     RELAY_RETRIES,
-    /** A relay, for membership and configuration. */
+    /** The membership and configuration of a relay. */
     RELAY_CONTROL,
     /** A control machine. */
     CONTROL_MACHINE,
--- a/src/main/java/sandstack/measure/scale/ScaleMeasurement.java
+++ b/src/main/java/sandstack/measure/scale/ScaleMeasurement.java
@@ -6,7 +6,7 @@
 public interface ScaleMeasurement {
     /** The time that measurements may take. */
     enum Effort {
-        /** For tests: deterministic counts only, no times. */
+        /** For tests: deterministic results only, such as counts and simulated times. */
         SMALL,
         /** Less than 45 s for all measurements together. */
         QUICK,
--- a/src/main/java/sandstack/measure/scale/Series.java
+++ b/src/main/java/sandstack/measure/scale/Series.java
@@ -11,7 +11,7 @@
  * @param role part of the system to which the cost is attributed
  * @param resource kind of cost
  * @param unit of the values, such as {@code bytes}
- * @param per what the sizes count, such as {@code connections}
+ * @param per quantity that the sizes state, such as {@code connections}
  * @param method how the values were obtained, in one sentence; begins with {@value #COMPUTED_PREFIX} or
  *     {@value #SIMULATED_PREFIX} for values of a model
  */
@@ -25,7 +25,7 @@
     /**
      * A value at a size.
      *
-     * @param size number of what the series counts
+     * @param size in the quantity that {@link Series#per} names
      * @param value in the unit of the series
      */
     public record Point(double size, double value) {}
--- a/src/main/java/sandstack/measure/scale/hollow/FleetTraffic.java
+++ b/src/main/java/sandstack/measure/scale/hollow/FleetTraffic.java
@@ -5,7 +5,7 @@
 
 /** Counts messages and bytes sent by all members of a fleet. Not thread-safe. */
 final class FleetTraffic {
-    /** Counters of one kind. */
+    /** Counters of one kind of message. */
     private static final class Count {
         private long messages;
         private long bytes;
--- a/src/main/java/sandstack/measure/scale/hollow/GossipModel.java
+++ b/src/main/java/sandstack/measure/scale/hollow/GossipModel.java
@@ -8,8 +8,8 @@
 
 /**
  * Models infection-style dissemination as in the gossip library: in each period of {@link #PERIOD_MICROS} every
- * infected member forwards a gossip to {@link #FANOUT} others, except those from which it received it, for
- * {@link #REPEAT_MULTIPLIER} times {@link #ceilLog2} of the number of members periods. The whole dissemination uses the
+ * infected member forwards a gossip to {@link #FANOUT} others, except those from which it received it. A member does so
+ * for {@code REPEAT_MULTIPLIER * ceilLog2(members)} periods after it was infected. The whole dissemination uses the
  * state of the network at the time of the call. Each message is counted.
  *
  * <p>O(members log members) per gossip; not thread-safe.
--- a/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
+++ b/src/main/java/sandstack/measure/scale/hollow/MembershipCost.java
@@ -28,7 +28,7 @@
     private static final double VIEWS_PER_SECOND = 1e6 / HollowFleet.VIEW_INTERVAL_MICROS;
     private static final int WARM_UP_TURNS = 40;
     private static final int TIMED_TURNS = 60;
-    /** Larger fleets, whose views are slow, have no warm-up and fewer timed turns. */
+    /** Number of relays above which there is no warm-up and fewer timed turns, because the views are slow. */
     private static final int LARGE_FLEET = 400;
 
     private static final int TIMED_TURNS_LARGE = 12;
--- a/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
+++ b/src/main/java/sandstack/measure/scale/hollow/RealFleetScale.java
@@ -31,7 +31,7 @@
     private static final double NANOS_PER_SECOND = 1e9;
 
     /**
-     * Costs of one member, the time until no other member has a killed member as alive, and the time until all others
+     * Costs of one member, the time until no other member sees a killed member as alive, and the time until all others
      * have declared it lost.
      */
     private record Costs(
--- a/src/main/java/sandstack/measure/scale/storm/RetryStormSimulation.java
+++ b/src/main/java/sandstack/measure/scale/storm/RetryStormSimulation.java
@@ -137,7 +137,10 @@
         };
     }
 
-    /** A random time in the client's next interval, which begins at the end of the last one and is twice as long. */
+    /**
+     * A random time in the client's next interval, which begins at the end of the last one, or now if that has passed.
+     * The interval is twice as long as the last one, up to the largest interval.
+     */
     private long retryAfterMicros(int client, long nowMicros) {
         int next = Math.max(backoffInterval[client] + 1, settings.backoff().firstInterval());
         backoffInterval[client] = (byte) Math.min(next, settings.backoff().lastInterval());
--- a/src/test/java/sandstack/measure/page/CapacityFilesTest.java
+++ b/src/test/java/sandstack/measure/page/CapacityFilesTest.java
@@ -77,7 +77,7 @@
                 "[10, 2];[10, 3];a.b.coefficients[1]: 3.0: expected from the other values: 2",
                 "[10, 2];[10];a.b.coefficients: [10.0]: must be base and slope",
                 "[10, 2];[10, null];slopes[0]: {",
-                "[1, 2, 3];[1, 2];a.b.values: [12.0, 14.0, 16.0]: must be as many values as sizes",
+                "[1, 2, 3];[1, 2];a.b.values: [12.0, 14.0, 16.0]: must have one value for each size",
                 "\"relays\", \"origin\";\"relais\", \"origin\";a.b.per: relais: the plan has no size for it",
                 "\"size\": 5600;\"size\": 5601;a.b.size: 5601.0: the plan has 5600",
                 "11210;11211;a.b.figure: 11211.0: expected from the other values: 11210",
