--- a/src/main/java/sandstack/measure/Testbed.java
+++ b/src/main/java/sandstack/measure/Testbed.java
@@ -55,7 +55,7 @@
      * Starts relays one after the other and blocks until all of them listen.
      *
      * @param deployFiles contents of the files in the deploy folder of each relay, by file name
-     * @param jvmOptions JVM options in addition to those of the platform
+     * @param jvmOptions JVM options in addition to those of {@code run} in deploy/balancer.toml
      */
     public void startRelays(Path jar, int count, Map<String, String> deployFiles, List<String> jvmOptions)
             throws IOException {
--- a/src/main/java/sandstack/measure/page/CostModel.java
+++ b/src/main/java/sandstack/measure/page/CostModel.java
@@ -22,7 +22,7 @@
  * @param resource resource that is used
  * @param title name of the cost on the page
  * @param unit unit of the values
- * @param per quantity that the sizes count, such as {@code relays}
+ * @param per quantity that the sizes state, such as {@code relays}
  * @param origin source of the figure
  * @param shape growth with size; for a derived model, shown on the page but not used to compute the figure
  * @param coefficients base and slope of the shape; empty for a derived model
--- a/src/main/java/sandstack/measure/scale/ClientPool.java
+++ b/src/main/java/sandstack/measure/scale/ClientPool.java
@@ -42,11 +42,11 @@
      * Counters since the pool was created.
      *
      * @param established connections that are open now
-     * @param inFlight setups without an answer so far
+     * @param inFlight setups without a response so far
      * @param attempts started setups
      * @param accepted setups that the relay completed
      * @param rejected attempts that the relay rejected
-     * @param failed attempts without an answer, or with an invalid one
+     * @param failed attempts without a response, or with an invalid one
      * @param lost established connections that the relay closed, reset or asked to migrate
      */
     record Counts(int established, int inFlight, long attempts, long accepted, long rejected, long failed, long lost) {
--- a/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
+++ b/src/main/java/sandstack/measure/scale/RelayHeapLimitScale.java
@@ -8,8 +8,8 @@
 
 /**
  * Behaviour of a relay whose heap or file descriptors are exhausted, by heap size: starts the relay with the options of
- * the {@code run} command and connects clients until it accepts no more. Runs with {@link ScaleMeasurement.Effort#FULL}
- * only.
+ * the {@code run} command except the heap size, and connects clients until it accepts no more. Runs with
+ * {@link ScaleMeasurement.Effort#FULL} only.
  */
 public final class RelayHeapLimitScale implements ScaleMeasurement {
     private static final String METHOD =
@@ -50,7 +50,7 @@
      * @param heapMegabytes maximum size of its heap
      * @param established connections when it accepted no more
      * @param rejected attempts that it rejected
-     * @param failed attempts without an answer
+     * @param failed attempts without a response, or with an invalid one
      * @param lost established connections that the relay closed, reset or asked to migrate
      * @param unresponsive established connections on which a line from the feed server did not arrive
      * @param outOfMemoryLogLines log lines with OutOfMemoryError
