--- a/src/main/java/sandstack/measure/Testbed.java
+++ b/src/main/java/sandstack/measure/Testbed.java
@@ -20,13 +20,13 @@
     private final List<FakeFeedServer> servers = new ArrayList<>();
     private final List<RelayProcess> relays = new ArrayList<>();
 
-    /** Starts an empty discovery; the configuration of each relay allows 20,000 file descriptors. */
+    /** Starts a discovery without feed servers; the configuration of each relay allows 20,000 file descriptors. */
     public Testbed() throws IOException {
         this(DEFAULT_MAX_DESCRIPTORS);
     }
 
     /**
-     * Starts an empty discovery.
+     * Starts a discovery without feed servers.
      *
      * @param maxDescriptors maximum number of file descriptors in the configuration of each relay
      */
@@ -55,7 +55,7 @@
      * Starts relays one after the other and blocks until all of them listen.
      *
      * @param deployFiles contents of the files in the deploy folder of each relay, by file name
-     * @param jvmOptions JVM options in addition to those of the platform
+     * @param jvmOptions JVM options in addition to those of {@code run} in deploy/balancer.toml
      */
     public void startRelays(Path jar, int count, Map<String, String> deployFiles, List<String> jvmOptions)
             throws IOException {
