--- a/src/test/java/sandstack/capacity/HeadroomWeightTest.java
+++ b/src/test/java/sandstack/capacity/HeadroomWeightTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that the weight decreases as a server fills up, and that it is 0 only if the load is known or the delay is too
- * long.
+ * Tests that the weight decreases as a server fills up, and that it is 0 only if a known load reaches the closed
+ * utilization or a delay reaches the objective.
  */
 class HeadroomWeightTest {
     @Property
--- a/src/test/java/sandstack/capacity/SlowStartBudgetTest.java
+++ b/src/test/java/sandstack/capacity/SlowStartBudgetTest.java
@@ -10,7 +10,8 @@
 
 /**
  * Simulates many relays that send to one server in slow start without communication, each with its own budget, and
- * checks how often their total overloads the server by the rule in the settings. All relays use one simulated clock.
+ * counts the starts in which their total exceeds the overload threshold of {@link SlowStartBudget.OverloadRule}. All
+ * relays use one simulated clock.
  */
 class SlowStartBudgetTest {
     private static final long WINDOW_MICROS = 1_500_000;
@@ -28,14 +29,14 @@
 
     /**
      * Simulates many starts of the server: new clients arrive at random, and a burst of returning clients arrives at
-     * all relays at once.
+     * all relays within one window.
      *
      * @param allowed budget in requests per window
      * @param arrivalsPerSecond rate at which new clients arrive at all relays together
      * @param uneven whether some relays get more clients than others
      * @param burst number of returning clients
-     * @param newClients whether new clients are admitted without a permit
-     * @param permitMultiple factor by which each relay takes more than its share of permits
+     * @param newClients whether a request of a new client may be sent without a permit
+     * @param permitMultiple multiple of its share of the permits that each relay takes, because it assumes fewer relays
      */
     private static Result simulateStarts(
             int starts,
--- a/src/test/java/sandstack/core/ConnectionAttemptTest.java
+++ b/src/test/java/sandstack/core/ConnectionAttemptTest.java
@@ -34,7 +34,7 @@
                 .build();
     }
 
-    /** A client whose upstream connections only count how they are ended. */
+    /** A client whose upstream connections only count how often they are abandoned or migrated. */
     private final class CountingSession extends ClientSession {
         /** Whether the relay's next check finds that the client has disconnected. */
         private boolean hasDisconnected;
@@ -86,7 +86,8 @@
     }
 
     /**
-     * Without the recheck, a relay that was suspended past the timeout cancels connections that opened in the meantime.
+     * If the timeout alone ended an attempt, a relay that was suspended past it would cancel connections that opened in
+     * the meantime.
      */
     @Test
     void aSuspendedRelayPollsOnceMoreBeforeAConnectCountsAsFailed() {
@@ -112,7 +113,7 @@
         assertThat(relay.outcomeCounts()).containsEntry(ConnectionOutcome.NOT_CONNECTED, 1L);
     }
 
-    /** Without the check, the request is sent to a feed server that began to drain during the connect. */
+    /** Without a check after the connect, the request would be sent to a feed server that began to drain meanwhile. */
     @Test
     void aConnectionToADrainingServerIsCancelledUnsent() {
         ConnectionAttempt attempt = startAttempt();
@@ -141,7 +142,10 @@
         assertThat(relay.outcomeCounts()).containsOnlyKeys(ConnectionOutcome.NOT_SENT);
     }
 
-    /** Counted as possibly executed, a request that is not idempotent would not be retried at another server. */
+    /**
+     * If the attempt counted as possibly executed, a request that is not idempotent would not be retried at another
+     * server.
+     */
     @Test
     void anAttemptThatTimesOutBeforeItsRequestIsWrittenWasNotExecuted() {
         ConnectionAttempt attempt = startAttempt();
@@ -199,7 +203,8 @@
     }
 
     /**
-     * In a rolling restart, a client that migrates early may connect to the relay that is restarted next, or find none.
+     * In a rolling restart, a client that migrates early may connect to the relay that is restarted next, or find no
+     * relay that accepts it.
      */
     @Test
     void aDrainingRelayMigratesItsClientsAtTheEndOfTheDrain() {
@@ -247,7 +252,7 @@
     }
 
     @Test
-    void aServerThatMigratesAClientCountsAsDrainingUntilDiscoveryListsItOrTimePasses() {
+    void aServerThatMigratesAClientCountsAsDrainingFor10Seconds() {
         startAttempt().onEstablished();
         startedAttempts.get(0).onEnded(ConnectionOutcome.SERVER_DRAINING);
         assertThat(relay.endpoints().get("s1").entry().state()).isEqualTo(EndpointState.DRAINING);
--- a/src/test/java/sandstack/decisions/BalancerHarness.java
+++ b/src/test/java/sandstack/decisions/BalancerHarness.java
@@ -196,7 +196,7 @@
                 null));
     }
 
-    /** Ends the latest attempt of a request without a connection. */
+    /** Ends the latest attempt of a request before a connection is established; returns the actions. */
     List<BalancerAction> failAttempt(String requestId, AttemptOutcome outcome) {
         String serverId = latestAttempts.get(requestId).serverId();
         int attempt = attemptCounts.get(requestId) - 1;
--- a/src/test/java/sandstack/decisions/DecisionDigestTest.java
+++ b/src/test/java/sandstack/decisions/DecisionDigestTest.java
@@ -18,7 +18,7 @@
 
 /**
  * Sends random event streams to the load balancer and compares running digests of its actions with stored ones, to
- * detect a change of decisions by a change of names or structure.
+ * detect whether a change of names or structure also changes decisions.
  *
  * <p>With the system property {@value #REGENERATE} set to the short id of a commit, the comparison instead writes
  * {@code target/decision-digests.txt} in the format of the resource {@value #RESOURCE}, and fails. Copying the file is
--- a/src/test/java/sandstack/decisions/DigestServers.java
+++ b/src/test/java/sandstack/decisions/DigestServers.java
@@ -51,7 +51,7 @@
 
     private Machine add() {
         int number = machines.size();
-        // a fifth of the servers is in zone 0
+        // with several zones, a fifth of the servers is in zone 0
         int zone = zones == 1 ? 0 : number % 5 == 0 ? 0 : 1 + number % (zones - 1);
         Machine machine = new Machine(number, zone, 0.7 + number % 4 * 0.3);
         machines.add(machine);
--- a/src/test/java/sandstack/decisions/DigestStream.java
+++ b/src/test/java/sandstack/decisions/DigestStream.java
@@ -32,7 +32,7 @@
  * random draws use the seed of the scenario. Not thread-safe.
  */
 final class DigestStream {
-    private static final int EJECTION_CHECK_INTERVAL = 8;
+    private static final int CLOSED_CHECK_INTERVAL_EVENTS = 8;
     /** An attempt in flight or an established connection. */
     private record Connection(ConnectRequested request, String server, int attempt) {}
 
@@ -79,7 +79,7 @@
             action.dispatch(digest);
             react(action);
         }
-        if (eventCount % EJECTION_CHECK_INTERVAL == 0) {
+        if (eventCount % CLOSED_CHECK_INTERVAL_EVENTS == 0) {
             String server = random.nextInt(20) == 0 ? "unknown" : servers.any().id;
             digest.closed(server, loadBalancer.isClosedToNewRequests(server));
         }
--- a/src/test/java/sandstack/decisions/FleetOperations.java
+++ b/src/test/java/sandstack/decisions/FleetOperations.java
@@ -5,7 +5,7 @@
 
 /** Operations and failures of a {@link SimulatedFleet}: restarts, crashes, replacements, and outages of discovery. */
 final class FleetOperations {
-    /** Limits of the queue of a server with a bounded queue, in seconds of work. */
+    /** Range from which the bound of a bounded queue is drawn, in seconds of work. */
     private static final double MIN_QUEUE_SECONDS = 0.8;
 
     private static final double MAX_QUEUE_SECONDS = 2;
@@ -16,7 +16,7 @@
         this.fleet = fleet;
     }
 
-    /** Bounds the queue of a server; work beyond the bound is lost silently. */
+    /** Bounds the queue of a server at a random length; work beyond the bound is lost silently. */
     void boundQueue(SimulatedServer server) {
         server.maxQueueSeconds =
                 MIN_QUEUE_SECONDS + (MAX_QUEUE_SECONDS - MIN_QUEUE_SECONDS) * fleet.random.nextDouble();
@@ -48,7 +48,7 @@
     void drain(SimulatedServer server) {
         server.draining = true;
         for (SimulatedClient client : List.copyOf(server.clients)) {
-            // the events of one ended connection may have made its relay migrate this client already
+            // ending the connection of another client may have made a relay migrate this one already
             if (client.server == server) {
                 fleet.endConnection(client, AttemptOutcome.CANCELLED);
                 fleet.reconnect(client, 20_000, 200_000);
@@ -57,7 +57,7 @@
         announce(server);
     }
 
-    /** Replaces a server: a new one starts under this name, then the old one drains and stops. */
+    /** Replaces a server by a new one of this name: the new one starts, then the old one drains and stops. */
     void replace(SimulatedServer old, String name) {
         SimulatedServer replacement = fleet.addServer(name, old.entry.rating(), fleet.clock.nowMicros());
         boundQueue(replacement);
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Kills a relay (SIGKILL): its clients reconnect to other relays, and the process starts again with its cached
-     * list.
+     * Kills a relay (SIGKILL): its clients reconnect to other relays, and the process starts again with the cached
+     * endpoint list only.
      */
     void kill(SimulatedRelay relay) {
         disconnectAll(relay);
@@ -98,8 +98,8 @@
     }
 
     /**
-     * Restarts a relay (SIGTERM): its clients migrate over some time, then the process stops and starts again without
-     * state.
+     * Restarts a relay (SIGTERM): its clients migrate over some time, then the process stops and starts again, also
+     * with the cached endpoint list only.
      */
     void restart(SimulatedRelay relay) {
         relay.draining = true;
--- a/src/test/java/sandstack/decisions/FleetScenarios.java
+++ b/src/test/java/sandstack/decisions/FleetScenarios.java
@@ -6,20 +6,22 @@
 /** Incident scenarios of a {@link SimulatedFleet}, each with its timeline. Stateless. */
 final class FleetScenarios {
     private static final int ZONE_COUNT = 3;
-    /** Mean units of work per second of a server of rating 1. */
-    private static final double MEAN_UNITS_PER_SECOND = 19.5;
     /**
-     * The same for scenarios whose clients connect through the relays, which spreads groups over more servers than they
-     * need.
+     * Units of work per second of a server of rating 1, before the random factor of {@link SimulatedFleet#addServer}.
      */
-    private static final double MEAN_UNITS_PER_SECOND_SPREAD = 23.4;
+    private static final double BASE_UNITS_PER_SECOND = 19.5;
+    /**
+     * The same for scenarios whose clients connect through the relays. It is higher, because the relays spread groups
+     * over more servers than they need.
+     */
+    private static final double BASE_UNITS_PER_SECOND_SPREAD = 23.4;
 
     private FleetScenarios() {}
 
-    /** A fleet whose clients have all been connected for one second; counts start now. */
+    /** A fleet whose clients have all been connected for one second; the counts are reset at its end. */
     private static SimulatedFleet connectedFleet(
             long seed, int relayCount, int serverCount, int clientCount, int groupCount, boolean omniscient) {
-        SimulatedFleet fleet = new SimulatedFleet(seed, relayCount, ZONE_COUNT, MEAN_UNITS_PER_SECOND, omniscient);
+        SimulatedFleet fleet = new SimulatedFleet(seed, relayCount, ZONE_COUNT, BASE_UNITS_PER_SECOND, omniscient);
         for (int i = 0; i < serverCount; i++) {
             fleet.addServer("s" + seed + "-" + i, i % 2 == 0 ? 1.0 : 1.5, 0);
         }
@@ -33,7 +35,7 @@
     }
 
     /**
-     * Half of the servers are replaced in steps while all relays restart, a tenth of them at a time.
+     * Half of the servers are replaced in steps while all relays restart, a tenth of the relays at a time.
      *
      * @param omniscient servers are chosen by their true state instead of by the load balancers
      */
@@ -73,16 +75,16 @@
     }
 
     /**
-     * During a discovery outage, 70 % of the relays are killed and a release starts that replaces half of the servers.
-     * Clients connect through the relays, so that groups are on more servers than they need. Endpoint lists reach the
-     * relays seconds late, and restarted relays have the list from before the outage.
+     * During a discovery outage, about 70 % of the relays are killed and a release starts that replaces about half of
+     * the servers. Clients connect through the relays, so that groups are on more servers than they need. Endpoint
+     * lists reach the relays seconds late, and restarted relays have the list from before the outage.
      *
      * @param omniscient servers are chosen by their true state instead of by the load balancers
      */
     static SimulationResult releaseDuringDiscoveryOutage(
             long seed, int relayCount, int serverCount, int clientCount, int groupCount, boolean omniscient) {
         SimulatedFleet fleet =
-                new SimulatedFleet(seed, relayCount, ZONE_COUNT, MEAN_UNITS_PER_SECOND_SPREAD, omniscient);
+                new SimulatedFleet(seed, relayCount, ZONE_COUNT, BASE_UNITS_PER_SECOND_SPREAD, omniscient);
         FleetOperations operations = new FleetOperations(fleet);
         for (int i = 0; i < serverCount; i++) {
             operations.boundQueue(fleet.addServer("s" + seed + "-" + i, i % 2 == 0 ? 1.0 : 1.5, 0));
--- a/src/test/java/sandstack/decisions/LoadBalancerTest.java
+++ b/src/test/java/sandstack/decisions/LoadBalancerTest.java
@@ -91,7 +91,7 @@
                 sent += harness.latestAttempts.get("r" + i).serverId().equals("s0") ? 1 : 0;
             }
         }
-        assertTrue(sent <= 20, "a burst of 1000 requests put " + sent + " on a server in slow start");
+        assertTrue(sent <= 20, "20 bursts of 50 requests put " + sent + " on servers in slow start");
     }
 
     @Test
--- a/src/test/java/sandstack/decisions/MultipleRelaysTest.java
+++ b/src/test/java/sandstack/decisions/MultipleRelaysTest.java
@@ -22,7 +22,7 @@
     private static final int RELAY_COUNT = 14;
     private static final long STEP_MICROS = 100_000;
     private static final BalancerSettings SETTINGS = BalancerHarness.settings().build();
-    /** Number of mean connections that fill a server, by the stated capacities. */
+    /** Number of connections of the default load that fill a server of rating 1, by the stated capacities. */
     private static final double CONNECTIONS_PER_SERVER =
             BalancerHarness.PLATFORM_CAPACITIES.defaultCapacity().workPerRating()
                     / BalancerHarness.PLATFORM_CAPACITIES.defaultCapacity().defaultConnectionLoad();
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void noConnectionMigratesWhileTheDelayFalls() {
+    void noConnectionMigratesWhileTheDelayFallsFastEnough() {
         BalancerHarness harness = new BalancerHarness(BalancerHarness.settings().build(), 4);
         harness.listServers(3, 1);
         for (int i = 0; i < 40; i++) {
--- a/src/test/java/sandstack/decisions/OmniscientPlacement.java
+++ b/src/test/java/sandstack/decisions/OmniscientPlacement.java
@@ -7,8 +7,8 @@
     private OmniscientPlacement() {}
 
     /**
-     * The server with the most headroom; servers with connections of the group of the client rank first if they have
-     * headroom.
+     * The server with the most headroom up to a utilization of 75 %; servers with connections of the group of the
+     * client rank first if they have headroom.
      */
     static SimulatedServer initialServer(SimulatedClient client, Collection<SimulatedServer> servers) {
         SimulatedServer best = null;
@@ -25,7 +25,10 @@
         return best;
     }
 
-    /** The server with the lowest utilization; servers with connections of the group of the client are preferred. */
+    /**
+     * The server with the lowest cost by utilization and queued work, without draining servers; servers with
+     * connections of the group of the client are preferred.
+     */
     static SimulatedServer server(SimulatedClient client, Collection<SimulatedServer> servers, long nowMicros) {
         SimulatedServer best = null;
         double lowestCost = Double.MAX_VALUE;
--- a/src/test/java/sandstack/decisions/OverloadTest.java
+++ b/src/test/java/sandstack/decisions/OverloadTest.java
@@ -60,7 +60,9 @@
             harness.send(new TimerExpired(-99));
         }
         assertEquals(
-                0, countRejections(harness, "after"), "still shedding long after the overload, with expired ejections");
+                0,
+                countRejections(harness, "after"),
+                "requests are still shed 120 s after the overload, when all ejections have expired");
     }
 
     private static String place(BalancerHarness harness, String id, String group) {
--- a/src/test/java/sandstack/decisions/SimulatedFleet.java
+++ b/src/test/java/sandstack/decisions/SimulatedFleet.java
@@ -31,15 +31,15 @@
     private static final long SETUP_MICROS = 30_000;
     /** Message delay at which a server drops connections. */
     private static final long DROP_DELAY_MICROS = 1_000_000;
-    /** Fraction of a server's capacity that its remaining connections use after a drop. */
+    /** Fraction of a server's capacity that its remaining connections use at most after a drop. */
     private static final double REMAINING_LOAD_FRACTION = 0.2;
 
     final SimulatedClock clock = new SimulatedClock();
     final Random random;
     final List<SimulatedRelay> relays = new ArrayList<>();
     private final boolean omniscient;
-    /** Mean units of work per second of a server of rating 1. */
-    private final double meanUnitsPerSecond;
+    /** Units of work per second of a server of rating 1, before the random factor of {@link #addServer}. */
+    private final double baseUnitsPerSecond;
 
     private final int zoneCount;
     private final Map<String, SimulatedServer> servers = new LinkedHashMap<>();
@@ -55,9 +55,9 @@
      *
      * @param omniscient servers are chosen by their true state instead of by the load balancers
      */
-    SimulatedFleet(long seed, int relayCount, int zoneCount, double meanUnitsPerSecond, boolean omniscient) {
+    SimulatedFleet(long seed, int relayCount, int zoneCount, double baseUnitsPerSecond, boolean omniscient) {
         this.omniscient = omniscient;
-        this.meanUnitsPerSecond = meanUnitsPerSecond;
+        this.baseUnitsPerSecond = baseUnitsPerSecond;
         this.random = new Random(seed);
         this.zoneCount = zoneCount;
         for (int index = 0; index < relayCount; index++) {
@@ -69,17 +69,17 @@
         return servers.values();
     }
 
-    /** Draws a duration between two. */
+    /** Draws a duration uniformly from a range. */
     long between(long minMicros, long maxMicros) {
         return minMicros + (long) (random.nextDouble() * (maxMicros - minMicros));
     }
 
-    /** Adds a server with 0.9 to 1.5 times the mean capacity for its rating. */
+    /** Adds a server whose capacity is 0.9 to 1.5 times the base capacity of its rating, drawn uniformly. */
     SimulatedServer addServer(String name, double rating, long startedAtMicros) {
         int zone = Math.floorMod(name.hashCode(), 97) % zoneCount;
         SimulatedServer server = new SimulatedServer(
                 new EndpointEntry(name, zone, 0, 0, startedAtMicros, EndpointState.READY, rating),
-                rating * meanUnitsPerSecond * (0.9 + 0.6 * random.nextDouble()));
+                rating * baseUnitsPerSecond * (0.9 + 0.6 * random.nextDouble()));
         servers.put(name, server);
         return server;
     }
@@ -259,7 +259,7 @@
         send(relay, new LoadReported(requestId, attemptNumber, serverId, client.reportedLoad()));
     }
 
-    /** Advances the simulation. */
+    /** Advances the clock; in each step, servers work and the requested and served weights are counted. */
     void run(long durationMicros) {
         long endMicros = clock.nowMicros() + durationMicros;
         while (clock.nowMicros() < endMicros) {
@@ -280,7 +280,7 @@
 
     private void drop(SimulatedServer server, double remainingLoad) {
         for (SimulatedClient client : server.newestBeyond(remainingLoad)) {
-            // the events of one ended connection may have made its relay migrate this client already
+            // ending the connection of another client may have made a relay migrate this one already
             if (client.server == server) {
                 droppedCount++;
                 endConnection(client, AttemptOutcome.RESET);
@@ -290,7 +290,7 @@
         server.shrinkQueue();
     }
 
-    /** Resets the counts. */
+    /** Resets the counts that {@link #measure} reports. */
     void resetCounts() {
         requestedWeight = 0;
         servedWeight = 0;
@@ -298,7 +298,10 @@
         rejectedCount = 0;
     }
 
-    /** Advances the simulation and returns the results of this period. */
+    /**
+     * Advances the simulation and returns the results since the counts were last reset; the last third is that of this
+     * duration.
+     */
     SimulationResult measure(long durationMicros) {
         run(durationMicros / 3 * 2);
         double servedBefore = servedWeight;
--- a/src/test/java/sandstack/decisions/SimulatedRelay.java
+++ b/src/test/java/sandstack/decisions/SimulatedRelay.java
@@ -21,7 +21,10 @@
     /** Endpoint list that it keeps during a discovery outage; null while it receives updates. */
     List<EndpointEntry> cachedList;
 
-    /** Number of starts and kills of its process, which invalidates pending callbacks of earlier ones. */
+    /**
+     * Incremented when its process is started or killed; callbacks that were scheduled under an earlier number are
+     * ignored.
+     */
     int incarnation;
 
     /** Its clients by request id. */
--- a/src/test/java/sandstack/decisions/SimulatedServer.java
+++ b/src/test/java/sandstack/decisions/SimulatedServer.java
@@ -27,8 +27,8 @@
     boolean down;
     boolean draining;
     /**
-     * Bound of the queue in seconds of work. With a bound below the delay at which servers drop connections, it is slow
-     * but drops none.
+     * Bound of the queue in seconds of work. A server whose bound is below the delay at which servers drop connections
+     * is slow but drops none.
      */
     double maxQueueSeconds = Double.POSITIVE_INFINITY;
 
@@ -106,7 +106,7 @@
         return newest;
     }
 
-    /** Removes part of the queued work, as that of the dropped connections. */
+    /** Removes a tenth of the queued work, which stands for the work of the dropped connections. */
     void shrinkQueue() {
         queuedWork *= 0.9;
     }
--- a/src/test/java/sandstack/decisions/ZoneOutageTest.java
+++ b/src/test/java/sandstack/decisions/ZoneOutageTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A third of the servers crashes at once under 90 load balancers, over 24 seeds with few connections and 24 seeds with
- * more. The test guards against placing a group at one server only: a whole group that loses its server then moves to
- * one other server and overloads it. Without subgroups 0.931 and 0.898 of the weight were served and 18 and 84
+ * A third of the servers crashes at once under 90 load balancers, over 24 seeds, first with few connections and then
+ * with more. The test guards against placing a group at one server only: a whole group that loses its server then moves
+ * to one other server and overloads it. Without subgroups 0.931 and 0.898 of the weight were served and 18 and 84
  * connections dropped; with two subgroups it is 0.965 and 0.918, and 9 and 50.
  */
 class ZoneOutageTest {
--- a/src/test/java/sandstack/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/sandstack/discovery/DiscoveryWatchTest.java
@@ -35,8 +35,8 @@
 import sandstack.staleness.EndpointListStaleness;
 
 /**
- * The watch against a discovery server of the test. The load balancer decides when to poll again, and does so after
- * each failure.
+ * The discovery watch, with a discovery server that the test provides. The load balancer decides when to poll again,
+ * and does so after each failure.
  */
 class DiscoveryWatchTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -174,7 +174,10 @@
         assertThat(awaitPoll()).isEqualTo("GET /registry/instances?watch=1&from=44 HTTP/1.1");
     }
 
-    /** Without the timer for incomplete lists, a list sent byte by byte keeps the watch open forever and unapplied. */
+    /**
+     * Without the timer for incomplete lists, a list sent byte by byte keeps the watch open forever and is never
+     * applied.
+     */
     @Test
     void pollsAgainWhereAListIsNotCompleted() throws Exception {
         awaitPoll();
@@ -275,8 +278,8 @@
     }
 
     /**
-     * No update reports a server that was removed while no watch was open: it is only missing in the next full list,
-     * whose version may be lower.
+     * No update reports a server that was removed while no watch was open: its absence from the next full list is the
+     * only sign, and the version of that list may be lower.
      */
     @ParameterizedTest
     @ValueSource(ints = {60, 7})
@@ -315,7 +318,7 @@
     }
 
     @Test
-    void switchesTheAddressAndKeepsTheListUntilTheNewOneHasSentIts() throws Exception {
+    void switchesTheAddressAndKeepsTheListUntilTheNewAddressHasSentOne() throws Exception {
         awaitPoll();
         send(HEAD + chunk(update(42, "ready") + "\n"));
         awaitState(EndpointState.READY);
--- a/src/test/java/sandstack/faultinjection/FaultScheduleTest.java
+++ b/src/test/java/sandstack/faultinjection/FaultScheduleTest.java
@@ -65,8 +65,8 @@
     }
 
     /**
-     * The files were written by an earlier build: the names of keys and actions and the numbers of members are a stored
-     * format.
+     * The files were written by an earlier build: the names of keys and actions and the numbers by which members are
+     * named are a stored format.
      */
     @ParameterizedTest
     @ValueSource(strings = {"generated-seed-1", "generated-seed-5", "every-action", "no-step"})
--- a/src/test/java/sandstack/faultinjection/QuorumProcessesTest.java
+++ b/src/test/java/sandstack/faultinjection/QuorumProcessesTest.java
@@ -23,7 +23,7 @@
     private void startFleet(int size) throws IOException {
         processes = new ProcessFleet(PROGRAM, size, 1);
         processes.startAll();
-        eventually("all members are complete", 40, () -> allHaveState(size, "WHOLE"));
+        eventually("all members report the complete state", 40, () -> allHaveState(size, "WHOLE"));
     }
 
     @AfterEach
@@ -86,21 +86,21 @@
         heal(List.of(2), List.of(0, 1));
         processes.heal(0, 1);
         eventually(
-                "three other members are the majority",
+                "members 0, 1 and 2 are the majority",
                 30,
                 () -> hasState(0, "MOST") && hasState(1, "MOST") && hasState(2, "MOST") && hasState(3, "FEW"));
         processes.heal(2, 3);
         processes.heal(2, 4);
         heal(List.of(0, 1), List.of(3, 4));
-        eventually("all members are complete after healing", 40, () -> allHaveState(5, "WHOLE"));
+        eventually("all members report the complete state after healing", 40, () -> allHaveState(5, "WHOLE"));
     }
 
     /**
-     * The command waits in the pipe while the process is paused, so it may be answered with the view from before the
-     * pause.
+     * The command waits in the pipe while the process is paused. Answered from the view before the pause, it would
+     * report a quorum state that no longer holds.
      */
     @Test
-    void aResumedMemberIsUnknownBeforeItUsesItsOldView() throws Exception {
+    void aResumedMemberReportsUnknownInsteadOfItsOldQuorumState() throws Exception {
         startFleet(3);
         processes.pause(1);
         eventually("the other members are the majority", 30, () -> hasState(0, "MOST") && hasState(2, "MOST"));
@@ -109,7 +109,7 @@
         JsonNode first = processes.member(1).awaitJsonResponse();
         assertThat(first.path("ground").path("is").asText()).isEqualTo("UNSURE");
         assertThat(first.path("ground").path("why").asText()).contains("stood still for");
-        eventually("all members are complete after the resume", 40, () -> allHaveState(3, "WHOLE"));
+        eventually("all members report the complete state after the resume", 40, () -> allHaveState(3, "WHOLE"));
     }
 
     @Test
--- a/src/test/java/sandstack/fleet/QuorumTrackerTest.java
+++ b/src/test/java/sandstack/fleet/QuorumTrackerTest.java
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void decommissionedRelayCountsAgainOnceItIsAlive() {
+    void decommissionedRelayCountsAgainOnceItIsAMember() {
         QuorumTracker tracker = new QuorumTracker(List.of("a", "b", "c"), "a", LONG_AGO_MICROS);
         List<MemberTable.Row> rows = List.of(
                 row("a", MemberStatus.ALIVE),
--- a/src/test/java/sandstack/fleet/link/WireSizesTest.java
+++ b/src/test/java/sandstack/fleet/link/WireSizesTest.java
@@ -45,7 +45,7 @@
 
     private Member member(int i) {
         String own = (id + i).substring((id + i).length() - id.length());
-        // distinct strings, as in members that are read from the wire
+        // distinct objects, as in members read from the wire; serialization writes a shared string only once
         return new Member(own, new String(name), new String(address), new String(namespace));
     }
 
--- a/src/test/java/sandstack/net/DescriptorBudgetTest.java
+++ b/src/test/java/sandstack/net/DescriptorBudgetTest.java
@@ -21,6 +21,8 @@
     void staysBelowTheMeasuredHeapLimits() {
         for (int[] measured : MEASURED_LIMITS) {
             int descriptors = DescriptorBudget.of(Integer.MAX_VALUE, measured[0] * MEGABYTE);
+
+            // two descriptors per connection: the budget allows from half to four fifths of the measured connections
             assertThat(descriptors).isBetween(measured[1], 2 * measured[1] * 4 / 5);
         }
     }
--- a/src/test/java/sandstack/staleness/EndpointListStalenessTest.java
+++ b/src/test/java/sandstack/staleness/EndpointListStalenessTest.java
@@ -18,8 +18,8 @@
 class EndpointListStalenessTest {
     @ParameterizedTest(name = "{0}: changed at {1}, since {2}, long poll {3}: notified at {4}")
     @CsvSource({
-        "DELIVERED,              9000, 0,    0,    9000",
-        "CACHED_BY_AGENT,         9000, 0,    0,    9000",
+        "DELIVERED,            9000, 0,    0,    9000",
+        "CACHED_BY_AGENT,      9000, 0,    0,    9000",
         "SILENT_WATCH,         1500, 1000, 0,    7000",
         "SILENT_WATCH,         7500, 1000, 0,    7500",
         "SILENT_POLL,          1500, 1000, 2000, 7000",
