--- a/src/test/java/sandstack/config/PlatformConfigTest.java
+++ b/src/test/java/sandstack/config/PlatformConfigTest.java
@@ -72,8 +72,9 @@
         PlatformConfig first = read(env);
         assertThat(first.reload(env).effectiveSettings()).isEqualTo(first.effectiveSettings());
         assertThat(first.reload(env).discovery())
-                .as("the address in the file takes precedence over the environment variable")
+                .as("after a reload, the address in the file takes precedence over the environment variable")
                 .hasToString("127.0.0.1:8500");
+        // each row: a text of the valid file, its replacement, and a part of the expected message
         for (String[] invalid : new String[][] {
             {valid, "", "settings is missing"},
             {valid, "{", "is not JSON"},
--- a/src/test/java/sandstack/configuration/ConfigurationCodecTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationCodecTest.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Input that is truncated or has one changed byte is rejected with a {@link MalformedConfigurationException}, or
-     * decodes to another valid value. Truncated input never decodes.
+     * Input with one overwritten byte is rejected with a {@link MalformedConfigurationException} or decodes to a valid
+     * value. Truncated input is always rejected.
      */
     @Property(tries = 500)
     void damagedBytesAreRejectedOrDecoded(
@@ -66,8 +66,8 @@
                 damaged[at % bytes.length] = value;
             }
             try {
-                Object read = bytes == change ? codec.decodeCommittedChange(damaged) : codec.decodeSnapshot(damaged);
-                assertThat(read).isNotNull();
+                Object decoded = bytes == change ? codec.decodeCommittedChange(damaged) : codec.decodeSnapshot(damaged);
+                assertThat(decoded).isNotNull();
                 assertThat(cut).isFalse();
             } catch (MalformedConfigurationException e) {
                 assertThat(e.toRejection().toString()).hasSizeLessThan(300);
--- a/src/test/java/sandstack/configuration/ConfigurationHistoryTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationHistoryTest.java
@@ -25,7 +25,7 @@
         return ConfigurationChange.of(base, "ann", "drawn", List.of(edit, new Put("other", "" + random.nextInt(3))));
     }
 
-    /** Some proposals have an outdated base version, as happens when two changes are proposed concurrently. */
+    /** Some proposals have another base than the current version, as happens when two are proposed concurrently. */
     @Property(tries = 200)
     void sameProposalsLeadToTheSameState(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
--- a/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
+++ b/src/test/java/sandstack/configuration/ConfigurationPublisherTest.java
@@ -104,7 +104,7 @@
             assertThat(chunk.offset()).isEqualTo(offset);
             System.arraycopy(chunk.bytes(), 0, assembled, offset, chunk.bytes().length);
             offset += chunk.bytes().length;
-            // changes committed during the download do not replace the snapshot while the kept changes continue from it
+            // changes committed during the download do not replace the snapshot while the retained changes follow it
             commit(offset == chunk.bytes().length ? 2 : 0);
             publisher.received("a", new ChunkRequest(1, first.version(), offset), 0);
         }
--- a/src/test/java/sandstack/configuration/DistributionTrace.java
+++ b/src/test/java/sandstack/configuration/DistributionTrace.java
@@ -19,8 +19,9 @@
 
 /**
  * Simulates eight relays and three control machines under random faults, on one thread in simulated time. Every
- * message, closed connection, activated configuration and log line is added to a digest, with its time and its bytes;
- * the text of log lines is left out. Two builds with the same behaviour in the same order have the same digest.
+ * message, closed connection, activated configuration and log line, and the final status of each relay and machine, is
+ * added to a digest, with its time and its bytes; the text of log lines is left out. Two builds with the same behaviour
+ * in the same order have the same digest.
  */
 final class DistributionTrace {
     private static final long SECOND_MICROS = 1_000_000;
@@ -167,7 +168,8 @@
         });
     }
 
-    private boolean reachable(String oneRegion, String otherRegion) {
+    /** Whether a message between these regions is delivered. Draws at random whether the message is lost. */
+    private boolean drawDelivery(String oneRegion, String otherRegion) {
         return !(regionsPartitioned && !oneRegion.equals(otherRegion)) && random.nextDouble() >= lossShare;
     }
 
@@ -203,7 +205,7 @@
         private final List<CommittedChange> withheld = new ArrayList<>();
         private boolean lagging;
         private boolean quorum = true;
-        private ConfigurationPublisher publisher;
+        private ConfigurationPublisher configurationPublisher;
         boolean sendBufferFull;
         /** The id of the session in which each relay was last sent a message, by relay name. */
         final Map<String, Long> sessions = new HashMap<>();
@@ -214,11 +216,11 @@
         }
 
         void start() {
-            publisher = new ConfigurationPublisher(PUBLISHER_SETTINGS, codec, this, nowMicros);
-            publisher.setQuorumReached(quorum);
+            configurationPublisher = new ConfigurationPublisher(PUBLISHER_SETTINGS, codec, this, nowMicros);
+            configurationPublisher.setQuorumReached(quorum);
             if (history != null) {
                 withheld.clear();
-                publisher.restored(history.current());
+                configurationPublisher.restored(history.current());
             }
         }
 
@@ -230,40 +232,40 @@
         void catchUp() {
             lagging = false;
             if (withheld.size() > 3) {
-                publisher.restored(history.current());
+                configurationPublisher.restored(history.current());
             } else {
                 withheld.stream()
                         .filter(change -> change.version().index()
-                                > publisher.head().version().index())
-                        .forEach(publisher::committed);
+                                > configurationPublisher.head().version().index())
+                        .forEach(configurationPublisher::committed);
             }
             withheld.clear();
         }
 
         void setQuorum(boolean reached) {
             quorum = reached;
-            publisher.setQuorumReached(reached);
+            configurationPublisher.setQuorumReached(reached);
         }
 
         void committed(CommittedChange change) {
             if (lagging) {
                 withheld.add(change);
             } else {
-                publisher.committed(change);
+                configurationPublisher.committed(change);
             }
         }
 
         void tick() {
-            publisher.tick(nowMicros);
+            configurationPublisher.tick(nowMicros);
         }
 
         void recordOverview() {
-            ConfigurationPublisher.Overview overview = publisher.overview();
+            ConfigurationPublisher.Overview overview = configurationPublisher.overview();
             record(
                     "overview",
                     machine.name(),
                     describe(overview.head()) + " " + overview.relaysByVersion() + " " + overview.relaysRejecting()
-                            + " " + overview.relaysWithDigestMismatch() + " " + publisher.sessionCount());
+                            + " " + overview.relaysWithDigestMismatch() + " " + configurationPublisher.sessionCount());
         }
 
         @Override
@@ -275,7 +277,7 @@
             byte[] frame = messages.encode(message);
             record("from-publisher." + frame[0], machine.name() + ">" + peer, frame);
             Relay relay = relays.get(Integer.parseInt(peer.substring("relay-".length())));
-            if (reachable(machine.region(), relay.identity.region())) {
+            if (drawDelivery(machine.region(), relay.identity.region())) {
                 deliverLater(() -> relay.received(machine.name(), frame));
             }
             return true;
@@ -342,7 +344,7 @@
                 Publisher publisher = publishers.get(machine);
                 long session = publisher.sessions.getOrDefault(identity.name(), 0L);
                 for (int i = 0; i < 60; i++) {
-                    publisher.publisher.received(
+                    publisher.configurationPublisher.received(
                             identity.name(), new ConfigurationMessage.SnapshotRequest(session, 1), nowMicros);
                 }
             });
@@ -363,8 +365,8 @@
             byte[] frame = messages.encode(message);
             record("from-follower." + frame[0], identity.name() + ">" + machine, frame);
             Publisher publisher = publishers.get(machine);
-            if (reachable(identity.region(), publisher.machine.region())) {
-                deliverLater(() -> publisher.publisher.received(
+            if (drawDelivery(identity.region(), publisher.machine.region())) {
+                deliverLater(() -> publisher.configurationPublisher.received(
                         identity.name(), (ConfigurationMessage.FollowerMessage) decode(frame), nowMicros));
             }
         }
@@ -372,7 +374,7 @@
         @Override
         public void close(String machine) {
             record("follower-closes", identity.name() + ">" + machine, "");
-            deliverLater(() -> publishers.get(machine).publisher.disconnected(identity.name()));
+            deliverLater(() -> publishers.get(machine).configurationPublisher.disconnected(identity.name()));
         }
 
         @Override
--- a/src/test/java/sandstack/configuration/consensus/ConsensusFiguresTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ConsensusFiguresTest.java
@@ -69,6 +69,7 @@
         assertThat(printTraffic("idle", cluster)).isLessThan(BUDGET_BYTES_PER_SECOND);
     }
 
+    /** Commits changes at the rate of 3,700 a day, for half an hour with the leader in each region. */
     @Test
     void trafficAndLatencyWithTheChangesOfADay() {
         for (int leaderRegion = 0; leaderRegion < 2; leaderRegion++) {
--- a/src/test/java/sandstack/configuration/consensus/ControlNodeTest.java
+++ b/src/test/java/sandstack/configuration/consensus/ControlNodeTest.java
@@ -21,7 +21,7 @@
     private static final int SNAPSHOT_INTERVAL_ENTRIES = 20;
     /** Time after the end of a fault within which all machines must have the same configuration. */
     private static final Duration CONVERGENCE_BOUND = Duration.ofSeconds(16);
-    /** Time after the loss of the quorum from which a machine must reject proposals. */
+    /** Maximum time from the loss of the quorum until a machine rejects proposals at once. */
     private static final Duration QUORUM_LOSS_BOUND = Duration.ofSeconds(8);
 
     private static SimulatedCluster started(int size) {
--- a/src/test/java/sandstack/configuration/consensus/HistoryChecker.java
+++ b/src/test/java/sandstack/configuration/consensus/HistoryChecker.java
@@ -14,7 +14,8 @@
 /**
  * Checks the changes that the machines report and the outcomes that the clients receive, and records each violation.
  * All machines must report the same changes in one order without gaps, a change only after a majority of the disks
- * stores it, and each change once; each outcome must agree with the committed history.
+ * stores it, and no change at two indexes; each outcome must agree with the committed history. The reason of a change
+ * identifies it, and must therefore be unique.
  */
 final class HistoryChecker {
     final List<String> violations = new ArrayList<>();
@@ -117,6 +118,7 @@
         return committed.size();
     }
 
+    /** Returns the number of distinct changes whose commit was reported to a client. */
     int reportedCommitted() {
         return reportedCommitted.size();
     }
--- a/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
+++ b/src/test/java/sandstack/configuration/consensus/MvStoreRaftStoreTest.java
@@ -151,6 +151,7 @@
         }
     }
 
+    /** The permission to create a store is the setting for a new identity. */
     @Test
     void missingStoreNeedsPermissionAndPermissionNeedsAMissingStore() throws IOException {
         assertRejected("no store of control-0", NEW_IDENTITY_SETTING);
--- a/src/test/java/sandstack/configuration/consensus/NewIdentityTest.java
+++ b/src/test/java/sandstack/configuration/consensus/NewIdentityTest.java
@@ -55,7 +55,7 @@
         assertThat(replacement.node.current().version().index()).isEqualTo(50);
     }
 
-    /** A machine that is not a member requests votes, which must not disrupt the leader. */
+    /** A machine that is not a member sends pre-vote requests, which must not disrupt the leader. */
     @Test
     void machineThatIsNoMemberDisruptsNothing() {
         SimulatedCluster cluster = new SimulatedCluster(5, 4, SNAPSHOT_INTERVAL_ENTRIES);
--- a/src/test/java/sandstack/configuration/consensus/RaftFaultSchedule.java
+++ b/src/test/java/sandstack/configuration/consensus/RaftFaultSchedule.java
@@ -43,7 +43,7 @@
     private void proposeChanges() {
         for (int i = random.nextInt(4); i > 0; i--) {
             SimulatedMachine machine = randomElement(cluster.machines);
-            // three in four proposals are sent to the leader
+            // at least three in four proposals are sent to the leader, if there is one
             if (random.nextInt(4) != 0) {
                 machine = cluster.leader().orElse(machine);
             }
--- a/src/test/java/sandstack/configuration/consensus/SimulatedMachine.java
+++ b/src/test/java/sandstack/configuration/consensus/SimulatedMachine.java
@@ -103,7 +103,8 @@
     }
 
     /**
-     * Whether the disk stores this change; for a real file, whether it was written, as its flushes are not observed.
+     * Whether the disk stores this change. For a real file: whether the machine is up and has written the change, as
+     * the flushes are not observed.
      */
     boolean storesDurably(CommittedChange change) {
         return (store == null || store == disk) ? disk.stores(change) : (up && SimulatedDisk.stores(store, change));
--- a/src/test/java/sandstack/directory/FakeLdapServer.java
+++ b/src/test/java/sandstack/directory/FakeLdapServer.java
@@ -32,8 +32,8 @@
 import java.util.List;
 
 /**
- * An LDAP server for tests, on a port of loopback. Answers searches of its one user from a list of entries, and rejects
- * all changes. The library creates a handler of this class for each connection.
+ * An LDAP server for tests, on a loopback port. Lets one user bind, answers its searches from a list of entries, and
+ * rejects all other operations. The library creates a handler of this class for each connection.
  */
 final class FakeLdapServer extends LDAPListenerRequestHandler implements AutoCloseable {
     static final String USER = "cn=relay,dc=example";
--- a/src/test/java/sandstack/directory/TenantDirectoryTest.java
+++ b/src/test/java/sandstack/directory/TenantDirectoryTest.java
@@ -13,7 +13,7 @@
 import sandstack.core.TenantRegistry;
 import sandstack.directory.TenantDirectory.DirectoryConfig;
 
-/** Tenants are read from a fake LDAP server, and the last list stays in force while the server is unreachable. */
+/** Tenants are read from a fake LDAP server. While it is unreachable, the listener gets no empty list. */
 class TenantDirectoryTest {
     private static DirectoryConfig config(int port, String furtherLines) throws Exception {
         return DirectoryConfig.read(new TomlMapper()
--- a/src/test/java/sandstack/front/operators/OperatorFrontTest.java
+++ b/src/test/java/sandstack/front/operators/OperatorFrontTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void pingTellsWhetherTheProcessCanServe() throws IOException {
+    void pingReportsWhetherTheProcessCanServe() throws IOException {
         assertThat(call("PING\r\n")).isEqualTo("ACK\r\n");
         notReadyReason = "draining";
         assertThat(call("PING\r\n")).isEqualTo("NAK draining\r\n");
--- a/src/test/java/sandstack/front/platform/ConcurrentEventsTest.java
+++ b/src/test/java/sandstack/front/platform/ConcurrentEventsTest.java
@@ -155,6 +155,7 @@
         drained.get(20, TimeUnit.SECONDS);
     }
 
+    /** After a part of an answer, the request may have been executed, and is not retried. */
     @Test
     void partialAnswerMayHaveRun() throws Exception {
         RemoteEnd client = clientWithRequest("k", "unsafe");
@@ -258,7 +259,10 @@
         assertThat(pausableRelay.nextUpstreamRequest().clientKey).isEqualTo("k");
     }
 
-    /** A request after the rejection must not be forwarded, and must not cause the reset that a close would send. */
+    /**
+     * A request after the rejection must not be forwarded, and must not cause a reset. Closing the socket at once, with
+     * unread bytes, would send one.
+     */
     @Test
     void requestAfterTheRequestTimeoutIsNeitherForwardedNorReset() throws Exception {
         RemoteEnd client = pausableRelay.client();
--- a/src/test/java/sandstack/front/platform/MetricsTest.java
+++ b/src/test/java/sandstack/front/platform/MetricsTest.java
@@ -37,7 +37,7 @@
 import sandstack.testserver.ServerProfile;
 import sandstack.testserver.TestServerLoop;
 
-/** The relay's metrics equal the counts of simulated clients and feed servers, and are available under load. */
+/** The relay's metrics equal the counts of test clients and fake feed servers, and are available under load. */
 @Timeout(30)
 class MetricsTest {
     private static final List<String> CLASSES = List.of("light", "heavy");
--- a/src/test/java/sandstack/front/platform/PartialRequestTest.java
+++ b/src/test/java/sandstack/front/platform/PartialRequestTest.java
@@ -15,8 +15,9 @@
 import sandstack.front.platform.PausableRelay.RemoteEnd;
 
 /**
- * A valid request interrupted after each of its bytes, on real sockets. An incomplete request is closed and not
- * forwarded, one that is completed later is answered as usual, and neither leaves connections or clients in the relay.
+ * A valid request interrupted after each of its bytes, on real sockets. The connection of an incomplete request is
+ * closed and the request is not forwarded, one that is completed later is answered as usual, and neither leaves
+ * connections or clients in the relay.
  */
 @Timeout(60)
 class PartialRequestTest {
--- a/src/test/java/sandstack/measure/configuration/DistributionInvariants.java
+++ b/src/test/java/sandstack/measure/configuration/DistributionInvariants.java
@@ -9,7 +9,8 @@
 
 /**
  * Checks every snapshot that a relay activates against the invariants of configuration distribution: each activated
- * snapshot was committed, and the index of a relay's snapshots increases, except after a fault of its disk.
+ * snapshot was committed, the index of a relay's snapshots increases within an incarnation, and the first index of the
+ * next incarnation is not lower than the last one, except after a fault of the relay's disk.
  */
 final class DistributionInvariants {
     private final ModelledConsensus consensus;
--- a/src/test/java/sandstack/measure/page/PageWithTablesTest.java
+++ b/src/test/java/sandstack/measure/page/PageWithTablesTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void eachTableMustHaveExactlyOneMarker() {
+    void eachTableMustBeMarkedExactlyOnce() {
         assertInvalid(PAGE, Map.of("one", "", "two", ""), "p.md: table: two: missing");
         assertInvalid(PAGE, Map.of("two", ""), "p.md: table: one: unknown");
         assertInvalid(PAGE + PAGE, Map.of("one", ""), "p.md: table: one: duplicate");
--- a/src/test/java/sandstack/measure/page/QuantityFormatTest.java
+++ b/src/test/java/sandstack/measure/page/QuantityFormatTest.java
@@ -5,7 +5,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Values are formatted with three significant digits and a unit prefix. */
+/**
+ * Values are rounded to three significant digits, except whole numbers below a million; bytes and seconds get a prefix.
+ */
 class QuantityFormatTest {
     @ParameterizedTest
     @CsvSource(
@@ -34,7 +36,7 @@
                 "-3.25;cores;-3.25 cores",
                 "0.0000123;cores;1.23e-05 cores"
             })
-    void valuesHaveThreeSignificantDigitsAndAPrefixedUnit(double value, String unit, String expected) {
+    void valuesAreRoundedAndScaledByTheirUnit(double value, String unit, String expected) {
         assertThat(QuantityFormat.format(value, unit)).isEqualTo(expected);
     }
 }
--- a/src/test/java/sandstack/measure/scale/ClientPoolTest.java
+++ b/src/test/java/sandstack/measure/scale/ClientPoolTest.java
@@ -13,7 +13,7 @@
 import sandstack.testserver.ServerProfile;
 import sandstack.testserver.TestServerLoop;
 
-/** {@link ClientPool} and {@link DeliveryLoad}, connected directly to a stand-in feed server. */
+/** {@link ClientPool} and {@link DeliveryLoad}, connected directly to a {@link FakeFeedServer}. */
 class ClientPoolTest {
     private static final int CONNECTION_LIMIT = 50;
 
--- a/src/test/java/sandstack/measure/scale/FittedModelTest.java
+++ b/src/test/java/sandstack/measure/scale/FittedModelTest.java
@@ -41,19 +41,19 @@
     @Property
     void recognizesShapeOfGeneratedSeries(
             @ForAll Shape shape,
-            @ForAll @DoubleRange(min = 0, max = 0.5) double base,
+            @ForAll @DoubleRange(min = 0, max = 0.5) double baseToRise,
             @ForAll @Scale(6) @DoubleRange(min = 1e-6, max = 1e6) double rise,
             @ForAll long seed) {
         boolean constant = shape == Shape.CONSTANT;
         double slope = constant ? 0 : rise / shape.basis(RELAYS[RELAYS.length - 1]);
-        List<Point> points = series(shape, constant ? rise : base * rise, slope, NOISE, seed, RELAYS);
+        List<Point> points = series(shape, constant ? rise : baseToRise * rise, slope, NOISE, seed, RELAYS);
 
         FittedModel fit = selectBest(points);
 
         assertThat(fit.shape()).isEqualTo(shape);
         assertThat(fit.residual()).isLessThan(2 * NOISE);
         double largest = RELAYS[RELAYS.length - 1];
-        double expected = (constant ? rise : base * rise) + slope * shape.basis(largest);
+        double expected = (constant ? rise : baseToRise * rise) + slope * shape.basis(largest);
         assertThat(fit.valueAt(largest)).isCloseTo(expected, within(expected * 2 * NOISE));
     }
 
--- a/src/test/java/sandstack/measure/scale/hollow/HollowFleetTest.java
+++ b/src/test/java/sandstack/measure/scale/hollow/HollowFleetTest.java
@@ -83,6 +83,7 @@
         assertThat(receivers)
                 .containsExactlyInAnyOrderElementsOf(
                         IntStream.range(0, size).filter(i -> i != 5).boxed().collect(Collectors.toList()));
+        // each member sends to three others per period, for three times seven periods: 64 has seven binary digits
         int maxMessages = 3 * 3 * 7 * size;
         assertThat(traffic.messages()).isBetween(maxMessages / 2L, (long) maxMessages);
         assertThat(traffic.bytes()).isEqualTo(100 * traffic.messages());
--- a/src/test/java/sandstack/testserver/TestServersTest.java
+++ b/src/test/java/sandstack/testserver/TestServersTest.java
@@ -19,7 +19,7 @@
 import sandstack.testserver.LineClient.ClientEvent;
 import sandstack.testserver.LineClient.EventType;
 
-/** The test servers with the test client and with plain sockets. */
+/** The test servers serve the test client and plain sockets. */
 class TestServersTest {
     private static final long TIMEOUT_MICROS = 10_000_000;
 
@@ -118,9 +118,9 @@
         loop.run(() -> client.sendLines(1_000, roundTripsMicros::add));
         assertThat(roundTripsMicros.poll(20, TimeUnit.SECONDS)).isGreaterThanOrEqualTo(2_000);
         loop.run(() -> server.setNoisyNeighbourShare(0.99));
-        long longestMicros = 0;
-        while (longestMicros < 200_000) {
-            longestMicros = roundTripsMicros.poll(20, TimeUnit.SECONDS);
+        long roundTripMicros = 0;
+        while (roundTripMicros < 200_000) {
+            roundTripMicros = roundTripsMicros.poll(20, TimeUnit.SECONDS);
         }
     }
 
