--- a/src/main/java/sandstack/config/FlattenedSettings.java
+++ b/src/main/java/sandstack/config/FlattenedSettings.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * The values of a JSON object, by dotted path, such as {@code classes.0.gain}. Each getter throws an
- * {@link InvalidConfigurationException} that names the path if the value has another type. Not thread-safe.
+ * The values of a JSON object, by dotted path, such as {@code classes.0.gain}. The getters, except {@link #size}, throw
+ * an {@link InvalidConfigurationException} that names the path if the value has another type or a required value is
+ * missing. Not thread-safe.
  */
 final class FlattenedSettings {
     private final Map<String, Object> values = new HashMap<>();
--- a/src/main/java/sandstack/config/SettingsReader.java
+++ b/src/main/java/sandstack/config/SettingsReader.java
@@ -13,11 +13,12 @@
 import sandstack.settings.BalancerSettingsBuilder;
 
 /**
- * Maps the platform's settings of one relay to {@link BalancerSettings}. No other class uses the platform's names of
- * these settings and of their values. Not thread-safe.
+ * Maps the platform's settings of one relay to {@link BalancerSettings}. Only this class translates the platform's
+ * names of these settings and of their values; {@link PlatformConfig} takes the names of zones and request classes, and
+ * whether servers report delays, from the same object. Not thread-safe.
  */
 public final class SettingsReader {
-    /** Values of {@code weights} with which a server's rating states its size. */
+    /** Values of {@code weights} that declare a server's rating to be its approximate size. */
     private static final Set<String> SIZE_WEIGHTS = Set.of("nominal", "rough");
 
     private final FlattenedSettings values = new FlattenedSettings();
--- a/src/main/java/sandstack/console/ConsoleCommands.java
+++ b/src/main/java/sandstack/console/ConsoleCommands.java
@@ -22,7 +22,7 @@
 
 /**
  * The commands of the console. A command without argument runs on the relay's thread while {@link #answer} waits for
- * it; a command with an argument runs on the caller's thread.
+ * it, up to {@value #ANSWER_TIMEOUT_SECONDS} seconds; a command with an argument runs on the caller's thread.
  *
  * <p>{@code names} prints the endpoint list, {@code standing} the established connections by feed server,
  * {@code endings} the outcomes of connections and the rejections, and {@code figures} the metrics.
@@ -44,9 +44,9 @@
      * @param relayExecutor runs tasks on the relay's thread
      * @param listeners supplies one line for each address at which the relay listens
      * @param drain starts a graceful shutdown
-     * @param additionalCommands commands without argument of optional components, by their words
-     * @param additionalCommandsWithArgument commands of optional components that take one argument, by their words;
-     *     they must return in bounded time, because {@link #answer} sets no timeout for them
+     * @param additionalCommands commands without argument of optional components, by the words that the user enters
+     * @param additionalCommandsWithArgument commands of optional components that take one argument, by the words that
+     *     precede the argument; they must return in bounded time, because {@link #answer} sets no timeout for them
      */
     public ConsoleCommands(
             Relay relay,
--- a/src/main/java/sandstack/directory/TenantDirectory.java
+++ b/src/main/java/sandstack/directory/TenantDirectory.java
@@ -93,9 +93,9 @@
         this.listener = listener;
     }
 
-    /** Reads the directory now and then periodically, until {@link #close}. */
+    /** Starts to read the directory: immediately, then periodically until {@link #close}. */
     public void start() {
-        // the future is not needed: refresh logs its own failures, and shutting down the scheduler ends it
+        // the future is not needed: refresh logs its own failures, and shutting down the scheduler ends the refreshes
         Futures.ignore(
                 scheduler.scheduleWithFixedDelay(this::refresh, 0, config.refreshMillis(), TimeUnit.MILLISECONDS));
     }
@@ -119,7 +119,7 @@
         }
     }
 
-    /** Searches the directory once, and returns its valid tenants. */
+    /** Searches the directory once, and returns the tenants whose attributes are valid. */
     List<TenantRegistry.Entry> read() throws LDAPException {
         LDAPConnectionOptions options = new LDAPConnectionOptions();
         options.setConnectTimeoutMillis(LDAP_TIMEOUT_MILLIS);
--- a/src/main/java/sandstack/front/amqp/AmqpClientSession.java
+++ b/src/main/java/sandstack/front/amqp/AmqpClientSession.java
@@ -154,8 +154,8 @@
     }
 
     /**
-     * Another connection has attached the same link: closes this session, and runs the callback once its attempt, if
-     * any, is closed at the feed server.
+     * Another connection has attached the same link: closes this session, and runs the callback once the feed server
+     * has closed the connection of this session's attempt or has not done so in time; at once if there is no attempt.
      */
     void onSuperseded(Runnable whenClosed) {
         AmqpUpstream oldUpstream = upstream;
--- a/src/main/java/sandstack/front/amqp/AmqpConnection.java
+++ b/src/main/java/sandstack/front/amqp/AmqpConnection.java
@@ -26,7 +26,7 @@
 
     private static final int MICROS_PER_MILLI = 1000;
 
-    /** Receives the events of the connection. Those of AMQP itself are received by the handlers set at the engine. */
+    /** Receives the events of the connection. Performatives go to the handlers that {@link #onEngineStarted} sets. */
     interface Listener {
         /** The engine has been created and not started: its pipeline can be changed. */
         default void onEngineCreated(Engine engine) {}
@@ -34,7 +34,10 @@
         /** The engine has been started; its handlers can be set. */
         void onEngineStarted(Connection connection);
 
-        /** The connection has failed, or the other side has closed its socket. Called at most once. */
+        /**
+         * The connection has failed, or the other side has shut down its output. Called at most once, and not after
+         * this side has closed.
+         */
         void onEnded(ConnectionOutcome outcome);
 
         /** All buffered output has been written. */
@@ -56,7 +59,7 @@
         peer.setListener(this);
     }
 
-    /** Starts the engine of an outbound connection. That of an accepted one starts when the client's header arrives. */
+    /** Starts the engine of an outbound connection; the engine of an accepted one starts with the client's header. */
     void start() {
         start(EngineFactory.PROTON.createNonSaslEngine());
     }
@@ -120,7 +123,7 @@
         }
     }
 
-    /** Sends a heartbeat if one is due, checks the other side's idle timeout, and schedules the next call of itself. */
+    /** Sends a heartbeat if one is due, checks the other side's idle timeout, and schedules its next call. */
     void tickIdle() {
         if (ended || !engine.isWritable() || !engine.connection().isLocallyOpen()) {
             return;
@@ -136,7 +139,10 @@
         });
     }
 
-    /** Closes the connection with this error, if not null, and keeps the socket open until the other side closes. */
+    /**
+     * Closes the connection with this error, if not null, and keeps the socket open until the other side closes or the
+     * linger time ends.
+     */
     void close(ErrorCondition error) {
         notifyEnded(null);
         if (engine != null && engine.isWritable() && engine.connection().isLocallyOpen()) {
--- a/src/main/java/sandstack/front/amqp/AmqpFront.java
+++ b/src/main/java/sandstack/front/amqp/AmqpFront.java
@@ -27,7 +27,7 @@
     static final int CLIENT_IDLE_TIMEOUT_MILLIS = 20_000;
     /** A feed server that sends nothing for this long is unresponsive. */
     static final int SERVER_IDLE_TIMEOUT_MILLIS = 4_500;
-    /** For how many links the unsettled deliveries are kept, in case the client attaches the link again. */
+    /** Maximum number of links whose unsettled deliveries are kept for a client that attaches the link again. */
     private static final int MAX_LINKS_WITH_UNSETTLED = 1024;
 
     private final EventLoop loop;
@@ -66,7 +66,8 @@
     }
 
     /**
-     * Assigns the link to this session. Runs the callback once the attempt of an earlier session, if any, is closed.
+     * Assigns the link to this session. Runs the callback at once, or after the earlier session of the link has ended;
+     * see {@link AmqpClientSession#onSuperseded}.
      */
     void claimLink(LinkId id, AmqpClientSession client, Runnable whenClaimed) {
         AmqpClientSession earlier = sessions.put(id, client);
--- a/src/main/java/sandstack/front/amqp/AmqpMapping.java
+++ b/src/main/java/sandstack/front/amqp/AmqpMapping.java
@@ -72,7 +72,7 @@
         return forwarded;
     }
 
-    /** The error with which the link of a client that is not served is detached. */
+    /** The error with which the relay detaches a client's link instead of serving its request. */
     static ErrorCondition rejectionError(Rejection rejection) {
         return switch (rejection.kind()) {
             case REJECTED -> new ErrorCondition(
--- a/src/main/java/sandstack/front/amqp/AmqpUpstream.java
+++ b/src/main/java/sandstack/front/amqp/AmqpUpstream.java
@@ -112,7 +112,7 @@
         return amqpConnection;
     }
 
-    /** All pending output to the client has been written. */
+    /** All pending output to the client has been written. Also resumes transfers after a flush to the feed server. */
     void onClientFlushed() {
         if (transferForwarder != null) {
             transferForwarder.onFlushed();
@@ -148,7 +148,7 @@
     public void onEnded(ConnectionOutcome outcome) {
         boolean wasEstablished = attempt.isEstablished();
         closed = true;
-        // the attach is written only after the feed server's header has been received
+        // the attach, which is the request, is written only after the feed server's header has been received
         attempt.onEnded(wasEstablished || amqpConnection.hasReceived() ? outcome : ConnectionOutcome.NOT_CONNECTED);
         notifyClosed();
         if (wasEstablished) {
@@ -211,7 +211,10 @@
         }
     }
 
-    /** Runs the callback once this attempt is closed at its feed server, or at once if it is already. */
+    /**
+     * Runs the callback once the feed server has closed the connection or the close timeout has expired; at once if
+     * that has happened already.
+     */
     void whenClosed(Runnable callback) {
         if (closed && closeTimeout == null) {
             callback.run();
--- a/src/main/java/sandstack/front/amqp/DeliveryTracker.java
+++ b/src/main/java/sandstack/front/amqp/DeliveryTracker.java
@@ -8,7 +8,7 @@
 /**
  * The states of the deliveries that a client has sent over one link and not settled. They are kept beyond the end of
  * the connection: a client that attaches the same link again receives the states and does not have to send the
- * deliveries twice. Used on the event loop's thread only.
+ * deliveries again. Used on the event loop's thread only.
  */
 final class DeliveryTracker {
     /** Beyond this number, the delivery that was forwarded first is dropped. */
--- a/src/main/java/sandstack/front/amqp/LinkId.java
+++ b/src/main/java/sandstack/front/amqp/LinkId.java
@@ -1,7 +1,7 @@
 package sandstack.front.amqp;
 
 /**
- * Identifies a client's link over several connections.
+ * Identifies a client's link across its connections.
  *
  * @param containerId the client's container id
  * @param name the link's name
--- a/src/main/java/sandstack/front/amqp/TransferForwarder.java
+++ b/src/main/java/sandstack/front/amqp/TransferForwarder.java
@@ -157,7 +157,7 @@
         }
     }
 
-    /** Called when all pending output of the sender's connection has been written. */
+    /** Called when all pending output of one of the two connections has been written. */
     void onFlushed() {
         if (backlog.isEmpty()) {
             receiverConnection.peer().resumeReading();
--- a/src/main/java/sandstack/front/platform/LineScanner.java
+++ b/src/main/java/sandstack/front/platform/LineScanner.java
@@ -5,7 +5,8 @@
 
 /**
  * Splits one direction of an established connection into lines and reports the first {@value #MAX_PREFIX_CHARS}
- * characters of each complete line. Copies no bytes beyond that prefix. Used on the event loop's thread only.
+ * characters of each complete line, without its line end. Copies no bytes beyond that prefix. Used on the event loop's
+ * thread only.
  */
 final class LineScanner {
     /** Longer than any line that the relay evaluates. */
--- a/src/main/java/sandstack/front/platform/LoadReportClassifier.java
+++ b/src/main/java/sandstack/front/platform/LoadReportClassifier.java
@@ -15,11 +15,12 @@
  */
 final class LoadReportClassifier {
     /**
-     * A smaller value is a delay, because a load below a thousandth of a core is insignificant. A larger value is a
-     * delay only one reporting interval after a delay: a delay of a second or more is preceded by a shorter one.
+     * A smaller value is a delay, because a load below a thousandth of a core is insignificant. From this value on, it
+     * is a delay only if the server has reported a delay one reporting interval before: a delay of a second or more is
+     * preceded by a shorter one.
      */
     private static final double MIN_LOAD = 1_000;
-    /** A value from here on is a load: no client waits that long for a message. */
+    /** A value of at least this is a load: no client waits that long for a message. */
     private static final double MAX_DELAY_MILLIS = 10_000;
 
     private static final long DELAY_INTERVAL_MICROS = 1_000_000;
--- a/src/main/java/sandstack/front/platform/OpenRequest.java
+++ b/src/main/java/sandstack/front/platform/OpenRequest.java
@@ -55,8 +55,8 @@
             return null;
         }
         long deadlineMicros = (long) (Double.parseDouble(deadline) * 1000);
-        String loadHint = parameters.getOrDefault(PlatformProtocol.LOAD_HINT_PARAMETER, "0");
-        if (deadlineMicros <= 0 || !DECIMAL.matcher(loadHint).matches()) {
+        String expectedLoad = parameters.getOrDefault(PlatformProtocol.EXPECTED_LOAD_PARAMETER, "0");
+        if (deadlineMicros <= 0 || !DECIMAL.matcher(expectedLoad).matches()) {
             return null;
         }
         int tenant = parameters.containsKey(PlatformProtocol.TENANT_PARAMETER)
@@ -68,12 +68,12 @@
                 tenant,
                 parameters.get(PlatformProtocol.GROUP_PARAMETER),
                 deadlineMicros,
-                Double.parseDouble(loadHint),
+                Double.parseDouble(expectedLoad),
                 "1".equals(parameters.get(PlatformProtocol.RECONNECT_PARAMETER)),
-                parameters.get(PlatformProtocol.PREVIOUS_SERVER_PARAMETER));
+                parameters.get(PlatformProtocol.ADOPTED_FROM_PARAMETER));
     }
 
-    /** The request id; no two open requests of the relay may have the same. */
+    /** The request id; two open requests of the relay cannot have the same id. */
     String id() {
         return id;
     }
--- a/src/main/java/sandstack/front/platform/PlatformClientSession.java
+++ b/src/main/java/sandstack/front/platform/PlatformClientSession.java
@@ -195,7 +195,10 @@
         return peer;
     }
 
-    /** The feed server has accepted: from now on the client's socket sends what the upstream's input buffer holds. */
+    /**
+     * The feed server has accepted the request: from now on the client's socket sends what the upstream's input buffer
+     * holds.
+     */
     void onEstablished() {
         state = State.ESTABLISHED;
         peer.writeInputOf(upstream.peer());
--- a/src/main/java/sandstack/front/platform/PlatformProtocol.java
+++ b/src/main/java/sandstack/front/platform/PlatformProtocol.java
@@ -19,7 +19,7 @@
     static final String ERR = "ERR";
     /** A feed server's answer: it could not parse the request. */
     static final String SYNTAX = "SYNTAX";
-    /** The client has to reconnect, because its feed server or its relay is draining or it is being migrated. */
+    /** The client has to reconnect, because its feed server or its relay is draining, or because it is migrated. */
     static final String MOVE = "MOVE";
     /** A feed server's last line on a connection that ends normally. */
     static final String BYE = "BYE";
@@ -31,7 +31,7 @@
     /** Request parameter: how long the client waits for an answer, in milliseconds. */
     static final String DEADLINE_PARAMETER = "d";
     /** Request parameter: the client's estimate of the connection's load. */
-    static final String LOAD_HINT_PARAMETER = "h";
+    static final String EXPECTED_LOAD_PARAMETER = "h";
     /** Request parameter: the tenant. */
     static final String TENANT_PARAMETER = "t";
     /** Request parameter: the group. */
@@ -39,7 +39,7 @@
     /** Request parameter: 1 for a client that reconnects. */
     static final String RECONNECT_PARAMETER = "again";
     /** Request parameter: the feed server of the connection, if it was established before the relay started. */
-    static final String PREVIOUS_SERVER_PARAMETER = "at";
+    static final String ADOPTED_FROM_PARAMETER = "at";
 
     private PlatformProtocol() {}
 }
--- a/src/main/java/sandstack/front/platform/UpstreamConnection.java
+++ b/src/main/java/sandstack/front/platform/UpstreamConnection.java
@@ -214,7 +214,7 @@
         closeIfBothEnded();
     }
 
-    /** The client has shut down its output: sends the FIN on, and leaves the feed server's direction open. */
+    /** The client has shut down its output: sends a FIN to the feed server, whose direction stays open. */
     void onClientEndOfInput() {
         attempt.onEnded(ConnectionOutcome.CLIENT_LEFT);
         peer.shutdownOutput();
@@ -262,8 +262,8 @@
     }
 
     /**
-     * Migrates now if the client has been sent complete lines only, because MOVE has to be a line of its own. An
-     * incomplete line that is still in the buffer is dropped; one that has been written in part is completed first.
+     * Migrates now if no part of an incomplete line has been written to the client, and drops the part in the buffer,
+     * because MOVE has to be a separate line. Otherwise continues to forward until that line ends.
      */
     private void migrateAtLineEnd() {
         if (scanner.partialLineBytes() <= peer.input().size()) {
@@ -279,7 +279,7 @@
         if (!client.peer().isClosed() && migrating) {
             migrating = false;
             peer.close();
-            // terminates a line that was written in part, so that MOVE is a line of its own
+            // terminates a line that was written in part, so that MOVE is a separate line
             client.closeAfterLastLine(
                     scanner.partialLineBytes() > peer.input().size()
                             ? PlatformProtocol.LINE_END + MOVE_LINE
--- a/src/main/java/sandstack/simulator/EventReader.java
+++ b/src/main/java/sandstack/simulator/EventReader.java
@@ -9,8 +9,8 @@
 import sandstack.decisions.EndpointEntry;
 
 /**
- * Reads the fields of one event of any type. Settings, load reports and endpoint entries are parsed; every other field
- * is kept as a scalar. Unknown objects, unknown arrays and nulls are skipped. Used by one thread.
+ * Reads the fields of one event of any type. Parses settings, load reports and endpoint entries, and keeps other
+ * strings, numbers and booleans. Skips unknown objects, unknown arrays and nulls. Used by one thread.
  */
 final class EventReader {
     private static final String TYPE = "t";
--- a/src/main/java/sandstack/simulator/EventTranslator.java
+++ b/src/main/java/sandstack/simulator/EventTranslator.java
@@ -30,8 +30,8 @@
     private EventTranslator() {}
 
     /**
-     * The corresponding event of the load balancer; null for an event or update type that this version of the protocol
-     * does not define.
+     * The corresponding event of the load balancer; null if this class does not define the event type, or the sort of a
+     * connection update.
      */
     static BalancerEvent translate(EventFields event) throws MalformedMessageException {
         return switch (event.type()) {
@@ -50,7 +50,7 @@
         };
     }
 
-    /** What the update of an endpoint list event contains, from its field {@code form}. */
+    /** The kind of an endpoint list event, from its field {@code form}. */
     static EndpointListKind listKind(EventFields event) throws MalformedMessageException {
         return switch (event.text("form")) {
             case "Partial" -> EndpointListKind.DELTA;
@@ -82,7 +82,7 @@
         return (int) event.integer("go");
     }
 
-    /** A load or delay update of an established connection; null for an unknown sort. */
+    /** A load or delay update of an established connection; null for an unknown value of {@code sort}. */
     private static BalancerEvent connectionUpdate(EventFields event) throws MalformedMessageException {
         long sort = event.integer("sort");
         String requestId = event.text("corr");
--- a/src/main/java/sandstack/testserver/FakeDiscovery.java
+++ b/src/main/java/sandstack/testserver/FakeDiscovery.java
@@ -15,7 +15,7 @@
 /**
  * A fake discovery service: serves the list of feed servers over the published discovery protocol, as a single response
  * or as a watch (a chunked response that continues with each change). Tests can delay its updates and make it
- * unavailable. Used on the thread of its loop. A change costs O(watches).
+ * unavailable. Used on the thread of its loop. A change costs O(watches * instances).
  */
 public final class FakeDiscovery {
     private static final long KEEPALIVE_INTERVAL_MICROS = 2_000_000;
@@ -105,7 +105,7 @@
     /** One client connection, with its watch if it requested one. */
     private final class Connection implements Peer.Listener {
         final Peer peer;
-        /** The last revision sent on the watch; -1 if none was sent. */
+        /** The revision up to which the watch's client has the list; -1 if it has none. */
         private long sentRevision;
 
         Connection(Peer peer) {
--- a/src/main/java/sandstack/testserver/FakeFeedServer.java
+++ b/src/main/java/sandstack/testserver/FakeFeedServer.java
@@ -30,7 +30,7 @@
      * @param shed connections dropped right after set-up because they exceeded the limit
      * @param lines lines received on established connections
      * @param requests valid requests for a connection
-     * @param syntaxErrors invalid requests
+     * @param syntaxErrors invalid requests; input that is too long and has no line end is not counted
      * @param busyMicros busy time of the cores in microseconds, summed over all cores
      */
     public record Counters(
@@ -51,7 +51,7 @@
     private final int port;
     private final Set<FeedSession> established = new LinkedHashSet<>();
     private final Set<FeedSession> sessions = new LinkedHashSet<>();
-    /** Established time of closed connections, by the attributes of their request. */
+    /** Established time of closed connections, by the parameters of their request. */
     private final Map<String, Long> closedSessionMicros = new HashMap<>();
 
     private final WorkQueue workQueue;
@@ -192,25 +192,25 @@
     }
 
     /**
-     * Total established time of connections in seconds, by the value of one attribute of their request.
+     * Total established time of connections in seconds, by the value of one parameter of their request.
      *
-     * @param name name of the attribute, such as {@code c} for the class
+     * @param name name of the parameter, such as {@code c} for the class
      */
     public Map<String, Double> establishedSeconds(String name) {
         Map<String, Double> seconds = new LinkedHashMap<>();
         closedSessionMicros.forEach(
-                (attributes, micros) -> seconds.merge(value(attributes, name), micros / 1e6, Double::sum));
+                (parameters, micros) -> seconds.merge(value(parameters, name), micros / 1e6, Double::sum));
         long nowMicros = loop.nowMicros();
         for (FeedSession session : established) {
             seconds.merge(
-                    value(session.attributes(), name), (nowMicros - session.establishedMicros()) / 1e6, Double::sum);
+                    value(session.parameters(), name), (nowMicros - session.establishedMicros()) / 1e6, Double::sum);
         }
         return seconds;
     }
 
-    /** The value of one attribute in a list such as {@code c=order-status,d=10000}; empty if absent. */
-    private static String value(String attributes, String name) {
-        for (String pair : attributes.split(",", 0)) {
+    /** The value of one parameter in a list such as {@code c=order-status,d=10000}; empty if absent. */
+    private static String value(String parameters, String name) {
+        for (String pair : parameters.split(",", 0)) {
             if (pair.startsWith(name + "=")) {
                 return pair.substring(name.length() + 1);
             }
@@ -268,7 +268,7 @@
             pendingSetups--;
         }
         if (established.remove(session)) {
-            closedSessionMicros.merge(session.attributes(), loop.nowMicros() - session.establishedMicros(), Long::sum);
+            closedSessionMicros.merge(session.parameters(), loop.nowMicros() - session.establishedMicros(), Long::sum);
         }
     }
 
--- a/src/main/java/sandstack/testserver/FeedSession.java
+++ b/src/main/java/sandstack/testserver/FeedSession.java
@@ -9,8 +9,8 @@
 
     private final FakeFeedServer server;
     private final Peer peer;
-    /** The attributes of the request; null until the request has been read. */
-    private String attributes;
+    /** The parameters of the request; null until the request has been read. */
+    private String parameters;
 
     private boolean settingUp;
     private long establishedMicros;
@@ -22,9 +22,9 @@
         peer.setListener(this);
     }
 
-    /** The attributes of the request, such as {@code c=order-status,d=10000}. */
-    String attributes() {
-        return attributes;
+    /** The parameters of the request, such as {@code c=order-status,d=10000}. */
+    String parameters() {
+        return parameters;
     }
 
     boolean isClosed() {
@@ -56,7 +56,7 @@
         while (end >= 0 && !closed) {
             String line = peer.input().peekText(end + 1);
             peer.input().skip(end + 1);
-            if (attributes == null) {
+            if (parameters == null) {
                 requestReceived(line.trim());
             } else {
                 server.lineReceived(this, line);
@@ -75,7 +75,7 @@
             closeWith("SYNTAX\r\n");
             return;
         }
-        attributes = fields[3];
+        parameters = fields[3];
         server.requestReceived(this, fields[1]);
     }
 
--- a/src/main/java/sandstack/testserver/InstanceList.java
+++ b/src/main/java/sandstack/testserver/InstanceList.java
@@ -8,8 +8,8 @@
 
 /**
  * The list of feed servers that discovery serves, in the JSON form of the published discovery protocol, with a revision
- * number that each change increments. An instance is discovery's word for one feed server. No I/O and no clock. Not
- * thread-safe. A change costs O(1), a snapshot O(instances).
+ * number that each change increments. "Instance" is discovery's word for a feed server. No I/O and no clock. Not
+ * thread-safe. A change costs O(1), reading the list or its changes O(instances).
  */
 public final class InstanceList {
     /** The state of a removed instance: it appears in changes but not in the complete list. */
@@ -58,7 +58,9 @@
         return changesSince(NO_REVISION);
     }
 
-    /** The instances changed after this revision, including removed ones; the complete list if it is negative. */
+    /**
+     * The instances changed after this revision, including removed ones; the complete list if the revision is negative.
+     */
     public ObjectNode changesSince(long fromRevision) {
         boolean all = fromRevision < 0;
         ObjectNode object = JSON.createObjectNode().put("rev", revision).put("all", all);
--- a/src/main/java/sandstack/testserver/LineClient.java
+++ b/src/main/java/sandstack/testserver/LineClient.java
@@ -69,7 +69,7 @@
      *
      * @param id id of the request, unique for each connection
      * @param key client key of the request
-     * @param attributes attributes of the request after the key, such as {@code c=order-status,d=10000,g=g1}: class,
+     * @param parameters parameters of the request after the key, such as {@code c=order-status,d=10000,g=g1}: class,
      *     deadline in milliseconds and group
      * @param timeoutMicros time limit for the response, from the start of the connect
      * @param eventListener called on the thread of the loop
@@ -79,7 +79,7 @@
             int port,
             String id,
             String key,
-            String attributes,
+            String parameters,
             long timeoutMicros,
             Consumer<ClientEvent> eventListener) {
         this.loop = loop;
@@ -92,7 +92,7 @@
             public void connected(Peer connected) {
                 peer = connected;
                 peer.setListener(responseReader);
-                peer.send("OPEN " + id + " " + key + " " + attributes + "\r\n");
+                peer.send("OPEN " + id + " " + key + " " + parameters + "\r\n");
             }
 
             @Override
--- a/src/main/java/sandstack/testserver/TestServerLoop.java
+++ b/src/main/java/sandstack/testserver/TestServerLoop.java
@@ -12,8 +12,8 @@
 
 /**
  * The event loop of the test servers and test clients, with its thread and timers. Servers and clients are created and
- * used on that thread only; other threads reach it through {@link #call}, {@link #run} and {@link #create}. Servers
- * listen on loopback only.
+ * used on that thread only; other threads run tasks there through {@link #call}, {@link #run} and {@link #create}.
+ * Servers listen on loopback only.
  */
 public final class TestServerLoop implements AutoCloseable {
     static final String LOOPBACK = "127.0.0.1";
