--- a/src/main/java/sandstack/capacity/SlowStartBudget.java
+++ b/src/main/java/sandstack/capacity/SlowStartBudget.java
@@ -3,10 +3,11 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Limits the requests that one relay sends to a server in slow start, or to one whose messages were slow recently.
- * Permits arrive at random, at this relay's share of the rate allowed to the whole fleet; each is valid for one window
- * and then expires. Without expiry, permits of many relays would accumulate while there is no demand and be spent
- * together in the first burst. With expiry, the fleet can spend at once only what it may spend in one window, without
+ * Limits the requests that one process of a relay sends to a server in slow start, or to one whose messages were slow
+ * recently. Permits arrive at random, at this process's share of the rate allowed to the whole fleet, which is the
+ * {@linkplain #relayShare share of the relay} divided by the number of its processes; each is valid for one window and
+ * then expires. Without expiry, permits of many relays would accumulate while there is no demand and be spent together
+ * in the first burst. With expiry, the fleet can spend at once only what it may spend in one window, without
  * communication between the relays.
  *
  * <p>The algorithm is specific to sandstack: the permits are a Poisson process, thinned by the number of relays, that
@@ -65,7 +66,7 @@
 
         /**
          * The most requests that one process of a relay may send per window: its share of the overload threshold, at
-         * least 1.
+         * least 1 and at most {@link #MAX_COUNTED_SENDS}.
          */
         int maxSendsPerWindow(double allowedRequests, int processCount) {
             double share = overloadThreshold(allowedRequests) / (relayCount * processCount);
@@ -168,7 +169,7 @@
      * Whether there is a permit now. Draws whether one has arrived since the previous call, and when; does not use it
      * up.
      *
-     * @param permitsPerMicro rate of this relay's permits
+     * @param permitsPerMicro rate of the permits of this process
      * @param validityMicros time for which a permit is valid
      * @param uniformDraws random draws from [0, 1)
      */
@@ -204,7 +205,7 @@
     }
 
     /**
-     * The fraction of a server's budget for one relay.
+     * The fraction of a server's budget for one relay, which the processes of that relay split equally.
      *
      * @param homeZone whether the server is in the relay's zone
      */
--- a/src/main/java/sandstack/configuration/ConfigurationPublisher.java
+++ b/src/main/java/sandstack/configuration/ConfigurationPublisher.java
@@ -207,6 +207,7 @@
 
     private void handleReport(String peer, RelaySession session, StatusReport report) {
         session.reportReceived(report, current);
+        // a relay that rejected a version requests a later snapshot itself
         if (report.rejectionReason().isEmpty()) {
             sendChanges(peer, session);
         }
--- a/src/main/java/sandstack/core/ConnectionOutcome.java
+++ b/src/main/java/sandstack/core/ConnectionOutcome.java
@@ -14,7 +14,10 @@
      * executed; this is not a failure of the server.
      */
     SERVER_DRAINING(AttemptOutcome.CANCELLED),
-    /** The client disconnected, before or after the connection was established. */
+    /**
+     * The client disconnected or ended its output, before or after the connection was established, or it got its final
+     * answer while the attempt was in flight.
+     */
     CLIENT_LEFT(AttemptOutcome.CANCELLED),
     /** The relay migrated the client. */
     MIGRATED(AttemptOutcome.CANCELLED),
--- a/src/main/java/sandstack/core/EffectiveSettings.java
+++ b/src/main/java/sandstack/core/EffectiveSettings.java
@@ -9,9 +9,10 @@
 import sandstack.settings.BalancerSettingsBuilder;
 
 /**
- * The settings for newly arriving requests, and the names of the request classes. Immutable; a reload replaces the
- * complete value. A class keeps its position until the process ends, because other state is indexed by it. A class that
- * a reload removes stays at its position with its last settings, for the requests in flight, but is no longer offered.
+ * The settings in force, and the names of the request classes. Immutable; a reload replaces the complete value. A class
+ * keeps its position until the process ends, because other state is indexed by it. A class that a reload removes stays
+ * at its position with its last settings, for the requests in flight, but is no longer offered: a new request that
+ * names it is rejected as malformed.
  *
  * @param settings the load balancer's settings, those of removed classes included
  * @param classNames names of the classes, in the order of {@code settings.classes()}
--- a/src/main/java/sandstack/core/GracefulShutdown.java
+++ b/src/main/java/sandstack/core/GracefulShutdown.java
@@ -13,8 +13,11 @@
 final class GracefulShutdown {
     /** The platform still sends new clients for a moment after SIGTERM; migrations start after this delay. */
     private static final long MIGRATION_DELAY_MICROS = 500_000;
-    /** Between SIGTERM and SIGKILL the platform waits for the longest request deadline, but at most this long. */
-    private static final long MAX_DRAIN_MICROS = 3_000_000;
+    /**
+     * Limit of the time from SIGTERM to the last migration. Between SIGTERM and SIGKILL the platform waits for the
+     * longest request deadline, but at most this long.
+     */
+    private static final long MAX_LAST_MIGRATION_MICROS = 3_000_000;
     /**
      * Migrations happen at random times within this span, so that clients do not reconnect all at once. The span ends
      * as late as the platform allows: when relays are restarted one after another, a client that migrates early may
@@ -90,7 +93,7 @@
         lastMigrationMicros = startedAtMicros
                 + Math.max(
                         MIGRATION_DELAY_MICROS + FINAL_ANSWER_DELAY_MICROS,
-                        Math.min(settings.longestDeadlineMicros(), MAX_DRAIN_MICROS));
+                        Math.min(settings.longestDeadlineMicros(), MAX_LAST_MIGRATION_MICROS));
         requests.clients().forEach(this::scheduleMigration);
         // ensures a turn at that time: a relay without clients stays up until then for those the platform still sends
         deadlines.schedule(startedAtMicros + MIGRATION_DELAY_MICROS, () -> {});
@@ -98,8 +101,9 @@
     }
 
     /**
-     * Schedules a client's migration at a random time within what is left of the span. Called also for a client whose
-     * connection is established after the shutdown has begun.
+     * Schedules a client's migration at a random time within what is left of the span. It has no effect if the client's
+     * connection is not established at that time. Called for all clients when the shutdown begins, and again for each
+     * whose connection is established later.
      */
     void scheduleMigration(ClientSession client) {
         long earliest = Math.max(
--- a/src/main/java/sandstack/core/Relay.java
+++ b/src/main/java/sandstack/core/Relay.java
@@ -171,7 +171,7 @@
 
     /** Counts a rejection that a front sent by itself, for a request that it did not pass to {@link #accept}. */
     public void recordRejection(ClientRequest request, Rejection rejection) {
-        metrics.requestRejected(settings.className(request), rejection.kind());
+        metrics.requestNotServed(settings.className(request), rejection.kind());
     }
 
     /** Replaces all settings in one turn. Requests in flight keep their class. */
--- a/src/main/java/sandstack/core/RelayMetrics.java
+++ b/src/main/java/sandstack/core/RelayMetrics.java
@@ -44,7 +44,7 @@
     }
 
     /** Counts a final answer to a request that was not served. */
-    void requestRejected(String className, Rejection.Kind kind) {
+    void requestNotServed(String className, Rejection.Kind kind) {
         if (kind == Rejection.Kind.REJECTED) {
             counters(className).rejected++;
         } else {
@@ -92,8 +92,9 @@
      *
      * @param active number of requests and connections in flight
      * @param poolSize number of listed feed servers
-     * @param closedServers number of listed feed servers that the load balancer has closed to new requests: not ready,
-     *     ejected, slow or full
+     * @param closedServers number of listed feed servers that are
+     *     {@linkplain sandstack.decisions.LoadBalancer#isClosedToNewRequests closed to new requests}; a server that is
+     *     full only by its learned limits does not count
      */
     List<String> lines(int active, int poolSize, int closedServers) {
         List<String> lines = new ArrayList<>();
--- a/src/main/java/sandstack/core/RequestRegistry.java
+++ b/src/main/java/sandstack/core/RequestRegistry.java
@@ -118,7 +118,7 @@
     /** Answers a request that was never registered. */
     void rejectUnregistered(ClientSession client, Rejection rejection) {
         client.finish();
-        metrics.requestRejected(settings.className(client.request()), rejection.kind());
+        metrics.requestNotServed(settings.className(client.request()), rejection.kind());
         client.sendRejection(rejection);
     }
 
@@ -140,7 +140,7 @@
                 + client.request().clientKey() + " answer=" + rejection.kind()
                 + (rejection.reason() == null ? "" : " reason=" + rejection.reason()) + " retry_after_ms="
                 + rejection.retryAfterMillis() + " attempts=" + client.attemptCount());
-        metrics.requestRejected(settings.className(client.request()), rejection.kind());
+        metrics.requestNotServed(settings.className(client.request()), rejection.kind());
         client.sendRejection(rejection);
     }
 
--- a/src/main/java/sandstack/decisions/AttemptOutcome.java
+++ b/src/main/java/sandstack/decisions/AttemptOutcome.java
@@ -10,11 +10,14 @@
     REJECTED(true),
     /** The server did not answer in time. */
     TIMEOUT(false),
-    /** No connection to the server could be made. */
+    /** No connection to the server could be made, or the attempt ended before the complete request was written. */
     CONNECT_FAILED(true),
-    /** The connection was reset. */
+    /**
+     * The connection was reset, was closed without the protocol's closing message, or the server stopped answering on
+     * it.
+     */
     RESET(false),
-    /** It was cancelled, or the client disconnected. */
+    /** It was cancelled, the relay or the server migrated the client, or the client disconnected. */
     CANCELLED(false),
     /** It was never sent: the request had ended or had no attempts or time left, or the server was no longer known. */
     NOT_SENT(true);
--- a/src/main/java/sandstack/decisions/RequestLifecycle.java
+++ b/src/main/java/sandstack/decisions/RequestLifecycle.java
@@ -97,7 +97,7 @@
 
     private void startAttempt(TrackedRequest request, ServerState server) {
         long remainingMicros = request.event.deadlineMicros() - context.nowMicros();
-        if (!retryPolicy.mayRetry(request)) {
+        if (!retryPolicy.mayAttempt(request)) {
             // the deadline may have passed or the deduplication window ended while the request waited for its retry
             completion.fail(request);
             return;
@@ -116,6 +116,10 @@
         context.scheduleTimer(request, dueMicros);
     }
 
+    /**
+     * Schedules a retry within the client's next backoff interval. If no attempts or too little time is left, gives the
+     * final answer now: rejected, or failed if a retry by the client might execute the request a second time.
+     */
     private void retryOrReject(TrackedRequest request) {
         long retryMicros = retryPolicy.drawRetryMicros(request);
         Optional<RejectionReason> giveUpReason = retryPolicy.giveUpReason(request, retryMicros);
@@ -208,7 +212,7 @@
         // the latest pick may have been for another request, but scarcity is a state of the fleet
         if (outcome == AttemptOutcome.REJECTED && picker.candidateSummary().isScarce()) {
             completion.rejectWithBackoff(request, RejectionReason.FULL);
-        } else if (!retryPolicy.mayRetry(request)) {
+        } else if (!retryPolicy.mayAttempt(request)) {
             completion.fail(request);
         } else {
             retryOrReject(request);
--- a/src/main/java/sandstack/decisions/RetryPolicy.java
+++ b/src/main/java/sandstack/decisions/RetryPolicy.java
@@ -18,8 +18,11 @@
         this.backoff = backoff;
     }
 
-    /** Whether the deadline has not passed and one more attempt cannot make the request take effect twice. */
-    boolean mayRetry(TrackedRequest request) {
+    /**
+     * Whether the deadline has not passed and one more attempt cannot make the request take effect twice. The first
+     * attempt is checked too. {@link #giveUpReason} checks the number of attempts.
+     */
+    boolean mayAttempt(TrackedRequest request) {
         return context.nowMicros() < request.event.deadlineMicros()
                 && DuplicateExecutionGuard.allowsAttempt(request, context.nowMicros());
     }
--- a/src/main/java/sandstack/decisions/SlowStartAdmission.java
+++ b/src/main/java/sandstack/decisions/SlowStartAdmission.java
@@ -4,8 +4,8 @@
 
 /**
  * Decides whether a server in slow start, or one whose messages were slow recently, may be sent a request. Both take
- * new connections at a limited rate; {@link SlowStartBudget} holds this relay to its share of that rate. Confined to
- * the thread of the load balancer. All calls are O(1).
+ * new connections at a limited rate; {@link SlowStartBudget} holds each process of a relay to its share of that rate.
+ * Confined to the thread of the load balancer. All calls are O(1).
  */
 final class SlowStartAdmission {
     /** Exponent of the recovery time, which is 2^n slots: twice the longest backoff interval. */
--- a/src/main/java/sandstack/fleet/GuardedOperation.java
+++ b/src/main/java/sandstack/fleet/GuardedOperation.java
@@ -11,8 +11,9 @@
     /** Operations on the membership that operators request. */
     enum OperatorOperation implements GuardedOperation {
         /**
-         * Removes a lost relay from the size of the fleet. Half of the previous number of relays may be a majority of
-         * the smaller fleet.
+         * Removes a lost relay from the size of the fleet. After that, half of the previous number of relays may be a
+         * majority. Not allowed in {@link QuorumState#COMPLETE}, where no configured relay is lost, and in
+         * {@link QuorumState#UNKNOWN}, where the view of this member may be stale.
          */
         DECOMMISSION_RELAY;
 
--- a/src/main/java/sandstack/fleet/MemberTable.java
+++ b/src/main/java/sandstack/fleet/MemberTable.java
@@ -33,17 +33,17 @@
         /** Known only by gossip: no member has reported that it reaches it. */
         boolean unconfirmed;
 
-        /** When it was last added, removed or left. */
-        long sinceMicros;
+        /** When it was last added, removed or left; not when its status changed. */
+        long listingChangedAtMicros;
 
         /** The status in the last {@link #rows}; null before the first. */
         MemberStatus lastStatus;
 
         long lastStatusSinceMicros;
 
-        Entry(Incarnation incarnation, long sinceMicros) {
+        Entry(Incarnation incarnation, long listingChangedAtMicros) {
             this.incarnation = incarnation;
-            this.sinceMicros = sinceMicros;
+            this.listingChangedAtMicros = listingChangedAtMicros;
         }
     }
 
@@ -91,7 +91,7 @@
             entries.put(incarnation.id(), new Entry(incarnation, nowMicros));
         } else if (!entry.left && !entry.listedByLibrary) {
             entry.listedByLibrary = true;
-            entry.sinceMicros = nowMicros;
+            entry.listingChangedAtMicros = nowMicros;
         }
     }
 
@@ -133,7 +133,7 @@
         }
         entry.left = left;
         entry.listedByLibrary = false;
-        entry.sinceMicros = nowMicros;
+        entry.listingChangedAtMicros = nowMicros;
         reachReports.remove(id);
         evictOldestDeparted();
     }
@@ -141,7 +141,7 @@
     private void evictOldestDeparted() {
         List<Entry> departed = entries.values().stream()
                 .filter(entry -> !isMember(entry))
-                .sorted(Comparator.comparingLong(entry -> entry.sinceMicros))
+                .sorted(Comparator.comparingLong(entry -> entry.listingChangedAtMicros))
                 .toList();
         for (int i = 0; i < departed.size() - MAX_DEPARTED; i++) {
             entries.remove(departed.get(i).incarnation.id());
--- a/src/test/java/sandstack/core/RelayMetricsTest.java
+++ b/src/test/java/sandstack/core/RelayMetricsTest.java
@@ -17,9 +17,9 @@
         metrics.connectionEstablished("interactive");
         metrics.requestWritten("interactive");
         metrics.requestWritten("interactive");
-        metrics.requestRejected("interactive", Rejection.Kind.REJECTED);
-        metrics.requestRejected("batch", Rejection.Kind.FAILED);
-        metrics.requestRejected("batch", Rejection.Kind.MALFORMED);
+        metrics.requestNotServed("interactive", Rejection.Kind.REJECTED);
+        metrics.requestNotServed("batch", Rejection.Kind.FAILED);
+        metrics.requestNotServed("batch", Rejection.Kind.MALFORMED);
         metrics.configApplied();
         metrics.configRejected();
         metrics.configRejected();
